--- /dev/null
+++ b/internal/front/arrival.go
@@ -0,0 +1,46 @@
+package front
+
+import "time"
+
+// maxReads bounds the reads that a readLog remembers apart.
+const maxReads = 64
+
+// readLog remembers when the bytes of a connection were received, so that each request counts from its own last byte,
+// also where bytes of later requests have followed while it waited for its turn.
+type readLog struct {
+	received int64 // bytes since the connection began
+	reads    []socketRead
+}
+
+// socketRead is one read that brought bytes, or several of which the earliest time counts.
+type socketRead struct {
+	end int64 // bytes received up to and including this read
+	at  time.Time
+}
+
+// add records a read of n bytes. Past maxReads it joins the latest read, which is earlier: a request may then be given
+// less time than it has, but never more.
+func (l *readLog) add(n int, at time.Time) {
+	if n <= 0 {
+		return
+	}
+	l.received += int64(n)
+	if len(l.reads) == maxReads {
+		l.reads[maxReads-1].end = l.received
+		return
+	}
+	l.reads = append(l.reads, socketRead{end: l.received, at: at})
+}
+
+// lastByte returns when the last byte of a request was received that leaves unread bytes behind it. Earlier reads are
+// forgotten: requests are asked for in their order.
+func (l *readLog) lastByte(unread int) time.Time {
+	end := l.received - int64(unread)
+	for len(l.reads) > 1 && l.reads[0].end < end {
+		l.reads = l.reads[1:]
+	}
+	if len(l.reads) == 0 {
+		return time.Now()
+	}
+	return l.reads[0].at
+}
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -24,7 +24,7 @@
 	spaces  chan []byte        // where the reader reads to
 	ends    chan readEnd       // what it read
 	reading bool               // a read is out
-	read    time.Time          // when the latest bytes came
+	reads   readLog            // when the bytes of requests came
 	held    *broker.Request    // nil: none
 	closes  bool               // the held request's client ends the connection after it
 	trash   bool               // the read that is out is for bytes that are forgotten
@@ -179,11 +179,10 @@
 
 // filled takes what a read has brought. It returns false where the connection has ended.
 func (c *conn) filled(e readEnd) bool {
-	if c.reading = false; e.n > 0 {
-		c.read = e.at
-	}
+	c.reading = false
 	if !c.trash {
 		c.reader.Filled(e.n)
+		c.reads.add(e.n, e.at)
 	} else if c.behind += e.n; c.behind > behindMost {
 		c.f.core.Leave(c.held)
 		c.refuse(errFlood)
@@ -269,7 +268,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Class, r.Arrived, r.Left = class, c.read, &c.left
+	r.Class, r.Arrived, r.Left = class, c.reads.lastByte(c.reader.Unread()), &c.left
 	if err := r.Check(c.f.opt.Shards); err != nil {
 		return nil, &httpwire.Error{Status: 400, Reason: err.Error()}
 	}
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -300,6 +300,49 @@
 	require.Less(t, q2.Arrived.Sub(q.Arrived), 40*time.Millisecond)
 }
 
+// A request that waits behind another counts from its own last byte, not from bytes that followed it meanwhile.
+func TestArrivalIsTheRequestsOwnLastByte(t *testing.T) {
+	x := start(t, Options{ConnsMax: 8})
+	c, in, _ := x.dial()
+	fmt.Fprint(c, ask("q1"), ask("q2"))
+	q1 := <-x.taken
+	third := ask("q3")
+	for range 2 {
+		time.Sleep(60 * time.Millisecond)
+		fmt.Fprint(c, third[:len(third)/2])
+		third = third[len(third)/2:]
+	}
+	time.Sleep(20 * time.Millisecond)
+	arrived := []time.Time{q1.Arrived}
+	for q := range 2 {
+		q1.Finish(broker.Result{Whole: true})
+		require.Equal(t, "HTTP/1.1 200 OK", answer(t, in), "request %d", q)
+		q1 = <-x.taken
+		arrived = append(arrived, q1.Arrived)
+		if q == 0 {
+			fmt.Fprint(c, third)
+			time.Sleep(20 * time.Millisecond)
+		}
+	}
+	require.Less(t, arrived[1].Sub(arrived[0]), 50*time.Millisecond)
+	require.Greater(t, arrived[2].Sub(arrived[0]), 120*time.Millisecond)
+}
+
+// Many small reads are remembered within a bound, and a request never counts from later than it came.
+func TestReadLogIsBoundedAndNeverLate(t *testing.T) {
+	var l readLog
+	begin := time.Now()
+	const reads = 5 * maxReads
+	for i := range reads {
+		l.add(1, begin.Add(time.Duration(i)*time.Millisecond))
+	}
+	require.Len(t, l.reads, maxReads)
+	for request := 1; request <= reads; request++ {
+		came := begin.Add(time.Duration(request-1) * time.Millisecond)
+		require.False(t, l.lastByte(reads-request).After(came), "request %d", request)
+	}
+}
+
 // Half a request is no request: told to end, the front waits for the rest, and no longer than its time allows.
 func TestHalfARequestAtTheEnd(t *testing.T) {
 	x := start(t, Options{ConnsMax: 8})
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -55,6 +55,9 @@
 // Size is how much room the reader holds.
 func (d *RequestReader) Size() int { return len(d.buf.b) }
 
+// Unread is how many received bytes belong to no request that Next has returned.
+func (d *RequestReader) Unread() int { return len(d.buf.unread()) }
+
 // Begun tells that a request has come in part.
 func (d *RequestReader) Begun() bool { return d.req != nil || len(d.buf.unread()) > 0 }
 
