--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -139,9 +139,12 @@
 			if n > 0 {
 				continue
 			}
-			if started && !evicted {
+			switch {
+			case started && evicted:
+				c.makeRoom()
+			case started:
 				c.refuse(errTooSlow)
-			} else if !evicted {
+			case !evicted:
 				c.linger()
 			}
 			return
@@ -277,6 +280,20 @@
 
 // refuse answers input that breaks the protocol; the connection ends after it.
 func (c *conn) refuse(err error) {
+	c.write(c.refusal(err))
+	c.linger()
+}
+
+// makeRoom answers the request of which a part has been read, since nobody will read the rest. The connection's place
+// is wanted now: it neither lingers nor waits for a client that takes no bytes.
+func (c *conn) makeRoom() {
+	resp := c.refusal(errFull)
+	c.sock.SetWriteDeadline(time.Now().Add(roomWait))
+	c.sock.Write(resp.Append(nil)) // the connection ends whether or not its client takes the answer
+}
+
+// refusal is the last answer on a connection whose input cannot be served.
+func (c *conn) refusal(err error) httpwire.Response {
 	resp := httpwire.Response{Status: 400, Body: problem{err.Error()}, Close: true}
 	var e *httpwire.Error
 	if errors.As(err, &e) {
@@ -285,8 +302,7 @@
 	if resp.Status == 503 {
 		resp.RetryAfter = c.f.opt.Advice
 	}
-	c.write(resp)
-	c.linger()
+	return resp
 }
 
 // linger is a lingering close: it ends the sending side and gives the client a moment to take the answer and to close.
@@ -353,8 +369,12 @@
 
 // write sends a response and tells whether the connection goes on.
 func (c *conn) write(resp httpwire.Response) bool {
-	if c.f.state().closing || c.closes {
-		resp.Close = true
+	if !resp.Close {
+		last, ok := c.lastAnswer()
+		if !ok {
+			return false
+		}
+		resp.Close = last
 	}
 	c.out = resp.Append(c.out[:0])
 	sent := c.send(c.out)
@@ -364,6 +384,20 @@
 	return sent && !resp.Close
 }
 
+// lastAnswer tells whether the answer that is about to be written is the connection's last. While clients are sent away,
+// a request of which bytes have been read is served first: its client could not know that it was read and dropped.
+// ok is false where the client has gone.
+func (c *conn) lastAnswer() (last, ok bool) {
+	end := c.f.state()
+	if c.closes || !end.closing {
+		return c.closes, true
+	}
+	if _, ok := c.halt(); !ok {
+		return true, false
+	}
+	return end.all || c.closes || !c.reader.Begun(), true
+}
+
 // send writes bytes and tells whether all went.
 func (c *conn) send(b []byte) bool {
 	c.sock.SetWriteDeadline(time.Now().Add(writeLimit))
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -343,6 +343,44 @@
 	}
 }
 
+// While clients are sent away, a request that was read behind the one in flight is served before the connection closes.
+func TestClosingServesRequestsThatWereRead(t *testing.T) {
+	for name, second := range map[string]string{"whole": ask("q2"), "in part": ask("q2")[:60]} {
+		t.Run(name, func(t *testing.T) {
+			x := start(t, Options{ConnsMax: 8})
+			c, in, _ := x.dial()
+			fmt.Fprint(c, ask("q1"))
+			q := <-x.taken
+			fmt.Fprint(c, second)
+			time.Sleep(20 * time.Millisecond)
+			go x.f.End(x.Context(), drain.End{Answers: time.Second, Idle: 500 * time.Millisecond})
+			require.Eventually(t, func() bool { return x.f.state().closing }, time.Second, time.Millisecond)
+			q.Finish(broker.Result{Whole: true})
+			require.Equal(t, "HTTP/1.1 200 OK", answer(t, in))
+			fmt.Fprint(c, ask("q2")[len(second):])
+			x.finish(in, "q2")
+			_, err := in.ReadByte()
+			require.ErrorIs(t, err, io.EOF)
+		})
+	}
+}
+
+// A connection that has to make room after a part of its request was read answers it.
+func TestEvictedRequestReadInPartIsAnswered(t *testing.T) {
+	x := start(t, Options{ConnsMax: 1})
+	c, in, _ := x.dial()
+	x.answered(c, in, "first")
+	fmt.Fprint(c, ask("second")[:60])
+	require.Eventually(t, func() bool {
+		x.f.mu.Lock()
+		defer x.f.mu.Unlock()
+		return x.f.begun.Len() == 1
+	}, time.Second, time.Millisecond)
+	newcomer, newcomerIn, _ := x.dial()
+	require.Equal(t, "HTTP/1.1 503 Service Unavailable", answer(t, in))
+	x.answered(newcomer, newcomerIn, "third")
+}
+
 // Half a request is no request: told to end, the front waits for the rest, and no longer than its time allows.
 func TestHalfARequestAtTheEnd(t *testing.T) {
 	x := start(t, Options{ConnsMax: 8})
