--- a/internal/broker/call.go
+++ b/internal/broker/call.go
@@ -82,13 +82,19 @@
 // gone. Guards against sends that have waited for a connection longer than the rules allow. What ended here is told
 // to the core.
 func (c *Call) Begin() bool {
-	if c.Server.Leaving() || c.pt.q.req.gone() || !time.Now().Before(c.begin) {
+	if !c.MayBegin() {
 		c.Done(Reply{Status: decision.NotSent, Load: decision.NoLoad})
 		return false
 	}
 	return c.state.CompareAndSwap(callWaiting, callBegun)
 }
 
+// MayBegin tells whether the rules still allow the first byte of a call, whatever its state: a link asks again where
+// Begin has returned true and the server took none of its bytes for a while.
+func (c *Call) MayBegin() bool {
+	return !c.Server.Leaving() && !c.pt.q.req.gone() && time.Now().Before(c.begin)
+}
+
 // Over tells whether nobody waits for the call any more.
 func (c *Call) Over() bool { return c.state.Load()&callOver != 0 }
 
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -20,6 +20,7 @@
 	wholeLimit = 400 * time.Millisecond // for a frame to come whole: what is not may be noise
 	writeLimit = 2 * time.Second        // a peer that takes no bytes for so long is given up,
 	stuckAfter = 20 * time.Millisecond  // or for so long, once what is being written is taken back
+	renewAfter = 100 * time.Millisecond // age of the time left in a call's frame; the rules allow 150 ms
 )
 
 // A part that must not run twice is lost where its connection breaks, so it goes by one that is sure, else by a
@@ -125,10 +126,7 @@
 		// Guards against a peer that takes no bytes: the rest of the frame would come to it long after another attempt
 		// has begun, with the cancel behind it. A reset takes back what is not delivered.
 		j.state = jobOver
-		if t, ok := cn.sock.(*net.TCPConn); ok {
-			t.SetLinger(0)
-		}
-		cn.fail(errStuck)
+		cn.reset()
 		return
 	}
 	if j.state == jobWriting || j.state == jobWritten {
@@ -260,6 +258,14 @@
 	cn.signal()
 }
 
+// reset ends a connection whose peer takes no bytes, and takes back what is not delivered. The caller holds mu.
+func (cn *conn) reset() {
+	if t, ok := cn.sock.(*net.TCPConn); ok {
+		t.SetLinger(0)
+	}
+	cn.fail(errStuck)
+}
+
 // lost is how a call ended that was out when the connection did. A server whose answer was spoilt lives: that
 // it is not cut off matters to the decisions. Either way the call may have run.
 func (cn *conn) lost() decision.Status {
@@ -314,8 +320,7 @@
 		if !ready {
 			continue
 		}
-		cn.sock.SetWriteDeadline(time.Now().Add(writeLimit))
-		n, err := cn.sock.Write(buf)
+		n, err := cn.send(j, buf)
 		if j != nil && j.call != nil && n == len(buf) && cn.l.opt.Relayed != nil {
 			cn.l.opt.Relayed(j.call.Class)
 		}
@@ -333,7 +338,9 @@
 				cn.end(j, status)
 			}
 		}
-		if err != nil {
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			cn.reset()
+		} else if err != nil {
 			cn.fail(err)
 		}
 		cn.l.mu.Unlock()
@@ -364,12 +371,36 @@
 		return buf, false
 	}
 	j.state = jobWriting
+	return j.appendCall(buf), true
+}
+
+// appendCall appends a call's frame with the time that is left now.
+func (j *job) appendCall(buf []byte) []byte {
 	wait := max(int(time.Until(j.call.Deadline)/time.Millisecond), 1)
 	call := frame.Call{ID: j.id, Shard: j.call.Shard, WaitMS: wait, Text: j.call.Text}
 	if second := j.call.Second; second != nil {
 		call.Second, call.From, call.Whole = true, second.From, second.Whole
 	}
-	return frame.AppendCall(buf, call), true
+	return frame.AppendCall(buf, call)
+}
+
+// send writes a frame; j is nil for cancels. A call's frame tells the server how much time is left, so while the server
+// takes none of it, it is made anew every renewAfter, for writeLimit at most; one that was taken in part ends there. A call
+// that may no longer begin is not written. It returns how many bytes of the frame were taken.
+func (cn *conn) send(j *job, buf []byte) (n int, err error) {
+	limit := time.Now().Add(writeLimit)
+	if j == nil || j.call == nil {
+		cn.sock.SetWriteDeadline(limit)
+		return cn.sock.Write(buf)
+	}
+	for {
+		cn.sock.SetWriteDeadline(time.Now().Add(renewAfter))
+		n, err = cn.sock.Write(buf)
+		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !j.call.MayBegin() || !time.Now().Before(limit) {
+			return n, err
+		}
+		buf = j.appendCall(buf[:0])
+	}
 }
 
 // read reads frames until the connection ends.
--- a/internal/upstream/pace_test.go
+++ b/internal/upstream/pace_test.go
@@ -32,17 +32,22 @@
 
 func (nobody) Finish(broker.Result) {}
 
-// An answer may come before the writer has noted when it had written the call. It must not count as having taken since
-// the zero time: for hundreds of answers no silence would be noticed.
-func TestAnAnswerAheadOfItsWriterTellsNoTime(t *testing.T) {
+// newCall returns a call of a query whose client waits for patience, as the core hands it to a link.
+func newCall(t *testing.T, patience time.Duration) *broker.Call {
 	out := make(calls, 1)
 	b := broker.New(broker.Options{Settings: decision.Settings{Classes: []decision.Class{{Deadline: 9, Need: 1, Floor: 1}}}}, asks{}, out)
 	go b.Run(t.Context())
 	b.Update(broker.List{Mode: decision.ListFull, Servers: []broker.ListEntry{{Server: decision.Server{ID: "s"}, Addr: "a"}}})
-	b.Take(&broker.Request{ID: "q", Arrived: time.Now(), Patience: time.Second, Parts: []broker.Part{{Share: 1}}}, nobody{})
+	b.Take(&broker.Request{ID: "q", Arrived: time.Now(), Patience: patience, Parts: []broker.Part{{Share: 1}}}, nobody{})
+	return <-out
+}
+
+// An answer may come before the writer has noted when it had written the call. It must not count as having taken since
+// the zero time: for hundreds of answers no silence would be noticed.
+func TestAnAnswerAheadOfItsWriterTellsNoTime(t *testing.T) {
 	l := New(t.Context(), Options{})
 	cn := newConn(l, "a", nil)
-	j := &job{call: <-out, id: "q.0", state: jobWriting}
+	j := &job{call: newCall(t, time.Second), id: "q.0", state: jobWriting}
 	cn.calls[j.id] = j
 	l.mu.Lock()
 	defer l.mu.Unlock()
