--- a/internal/checkpoint/restart_test.go
+++ b/internal/checkpoint/restart_test.go
@@ -19,6 +19,7 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
+	"mothrouter/internal/slowstart"
 	"mothrouter/internal/standin"
 	"mothrouter/internal/upstream"
 )
@@ -33,7 +34,7 @@
 
 var restartSettings = decision.Settings{
 	Cells: restartServers, Reach: 2, MaxAttempts: 4, MayCancel: true, Brokers: 2, ReportMode: decision.ReportPiggyback,
-	Tick: 0.005, ColdShare: 0.2, WarmUp: 8, FallMultiple: 2.5, FallTime: 1.5,
+	Tick: 0.005, SlowStart: slowstart.Settings{InitialFraction: 0.2, Duration: 8, OverloadFactor: 2.5, OverloadWindow: 1.5},
 	Classes: []decision.Class{{Aim: restartAim, Deadline: 0.4, Worth: 1, Need: 1, Floor: 1},
 		{Aim: restartAim, Deadline: 0.4, Worth: 2, Need: 1, Floor: 1, Repeat: decision.RepeatUnsafe}},
 }
--- a/internal/cores/cores_test.go
+++ b/internal/cores/cores_test.go
@@ -16,6 +16,7 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
+	"mothrouter/internal/slowstart"
 	"mothrouter/internal/standin"
 	"mothrouter/internal/upstream"
 )
@@ -46,7 +47,7 @@
 	return decision.Settings{
 		Cells: servers, Reach: 2, MaxAttempts: 4, MayCancel: true, RetryAfter: true, MaxWait: 0.5, Brokers: 1,
 		ReportMode: decision.ReportPiggyback, Tick: 0.005,
-		ColdShare: 0.2, WarmUp: warmUp, FallMultiple: 2.5, FallTime: 1.5,
+		SlowStart: slowstart.Settings{InitialFraction: 0.2, Duration: warmUp, OverloadFactor: 2.5, OverloadWindow: 1.5},
 		Classes: []decision.Class{
 			{Aim: 1, Deadline: 2, Worth: 1, Need: 1, Floor: 1},
 			{Aim: 1, Deadline: 2, Worth: 2, Need: 1, Floor: 1, Repeat: decision.RepeatUnsafe},
--- a/internal/cores/share.go
+++ b/internal/cores/share.go
@@ -9,6 +9,7 @@
 	"mothrouter/internal/decision"
 	"mothrouter/internal/evidence"
 	"mothrouter/internal/lease"
+	"mothrouter/internal/slowstart"
 )
 
 // share is what the workers of a process have in common. Each worker's Decider is wrapped in a sharer, which puts
@@ -18,8 +19,8 @@
 	mu      sync.Mutex
 	workers int
 	board   *evidence.Board
-	bearing *lease.Bearing
-	limits  lease.Limits
+	bearing *lease.CapacityEstimate
+	limits  slowstart.Settings
 	cold    map[string]*coldServer
 	started map[string]float64 // of all servers on the list, with the time of their last start
 	ready   int                // how many of them take work
@@ -45,13 +46,9 @@
 )
 
 func newShare(workers int, set decision.Settings, seed uint64) *share {
-	l := lease.Limits{
-		ColdShare: set.ColdShare, WarmUp: set.WarmUp, FallMultiple: set.FallMultiple, FallTime: set.FallTime,
-		Brokers: set.Brokers,
-	}
 	return &share{
-		workers: workers, board: evidence.NewBoard(workers), limits: l,
-		bearing: lease.NewBearing(l, rand.New(rand.NewPCG(seed, 0x3c6ef372fe94f82b))),
+		workers: workers, board: evidence.NewBoard(workers), limits: set.SlowStart,
+		bearing: lease.NewCapacityEstimate(set.SlowStart, set.Brokers, rand.New(rand.NewPCG(seed, 0x3c6ef372fe94f82b))),
 		cold:    map[string]*coldServer{}, started: map[string]float64{}, probed: map[string]float64{},
 		entries: map[string]decision.Server{},
 	}
@@ -108,8 +105,8 @@
 		}
 		s.started[e.ID] = e.Started
 		delete(s.cold, e.ID)
-		if s.limits.FallTime > 0 && s.bearing.Warmth(e.Started, now) < 1 {
-			s.cold[e.ID] = &coldServer{budget: lease.NewBudget(s.workers, s.limits.FallTime), started: e.Started,
+		if s.limits.OverloadWindow > 0 && s.bearing.CapacityFraction(e.Started, now) < 1 {
+			s.cold[e.ID] = &coldServer{budget: lease.NewBudget(s.workers, s.limits.OverloadWindow), started: e.Started,
 				told: s.first + len(s.news)}
 		}
 	}
@@ -165,15 +162,15 @@
 // rooms are a worker's leases of all cold servers.
 func (s *share) rooms(worker int, now float64, events []decision.Event) []decision.Event {
 	for id, c := range s.cold {
-		w := s.bearing.Warmth(c.started, now)
+		w := s.bearing.CapacityFraction(c.started, now)
 		if w >= 1 {
 			delete(s.cold, id)
 			continue
 		}
 		if now >= c.until {
-			c.luck, c.until = s.bearing.Luck(), now+s.limits.FallTime
+			c.luck, c.until = s.bearing.RoundingVariate(), now+s.limits.OverloadWindow
 		}
-		g := c.budget.Renew(worker, s.bearing.Whole(w, c.luck, now, s.warm()), now)
+		g := c.budget.Renew(worker, s.bearing.Budget(w, c.luck, now, s.warm()), now)
 		if g.Parts == 0 {
 			c.budget.Miss(worker, now)
 		}
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -5,6 +5,8 @@
 import (
 	"maps"
 	"math"
+
+	"mothrouter/internal/servicetime"
 )
 
 const (
@@ -28,7 +30,7 @@
 	all, able, idle, share := 0.0, 0.0, 0.0, 0.0
 	p.cells.Holders(shard, func(s *server) {
 		if s.ready() && p.admitsCold(s) {
-			w, pace := p.sound(s)*p.warmth(s), math.Max(p.paceOf(s), 1e-6)
+			w, pace := p.sound(s)*p.warmth(s), math.Max(p.serviceTime.Of(&s.serviceTime, p.now), 1e-6)
 			all, able = all+1, able+w
 			idle, share = idle+w/pace, share+w/pace/float64(1+s.depth(p.now))
 		}
@@ -44,14 +46,14 @@
 // server the wider the margin. A few late parts are let through, to learn of its end. Where enough
 // other parts make an answer, only late ones are left out. Late repeats yield. Worth widens the margin.
 func (p *Policy) wouldBeLate(q *query) bool {
-	left, limit := 0.0, (admitStale+admitFresh/p.memory)*(q.aim-p.now)
+	left, limit := 0.0, (admitStale+admitFresh/p.serviceTime.HalfLife)*(q.aim-p.now)
 	if parts := q.class.Need * float64(len(q.parts)); !p.set.WorthByWork && q.class.Worth > 0 {
 		p.worthAsked, p.partsAsked = p.worthAsked+q.class.Worth, p.partsAsked+parts
 		relativeWorth := q.class.Worth / parts * p.partsAsked / p.worthAsked
 		limit = math.Min(limit*math.Max(math.Sqrt(relativeWorth), worthLeast), q.aim-p.now)
 	}
 	if q.late {
-		limit *= math.Pow(yieldShare, 1-memoryLeast/p.memory)
+		limit *= math.Pow(yieldShare, 1-servicetime.MinHalfLife/p.serviceTime.HalfLife)
 	} else if p.wide(q) {
 		limit = q.aim - p.now // its parts that go ahead tell more
 	}
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -7,6 +7,11 @@
 // This file is the interface. All decisions are in policy.go and the files beside it.
 package decision
 
+import (
+	"mothrouter/internal/retrybudget"
+	"mothrouter/internal/slowstart"
+)
+
 // Times and durations are seconds; times are on a clock of the caller's that never runs backwards.
 
 // RequestID names a query or a part of one. The caller never reuses one.
@@ -66,15 +71,8 @@
 	RetryAfter  bool    // clients hear Refuse.RetryAfter
 	MaxWait     float64 // longest RetryAfter that clients heed
 
-	ColdShare    float64 // a server starts with this share of its capacity
-	WarmUp       float64 // and has all of it after this time
-	FallMultiple float64 // a cold server sent more than this multiple of its capacity
-	FallTime     float64 // for this time falls over
-
-	Budget      bool    // further attempts are limited:
-	BudgetFree  int     // to so many
-	BudgetShare float64 // and this share of the queries and parts taken
-	BudgetSpan  float64 // in any window of this length
+	SlowStart   slowstart.Settings
+	RetryBudget retrybudget.Settings // of further attempts; queries and parts count as requests
 
 	CrossZonePrice float64 // price of parts that cross zones, in shares of the result
 }
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -41,20 +41,6 @@
 	return true
 }
 
-// take counts a query or part for the budget.
-func (p *Policy) take() {
-	p.taken.Forget(p.now - p.set.BudgetSpan + edgeSlack)
-	p.taken.Add(p.now)
-}
-
-// budgetLeft tells whether a further attempt fits the budget, counted over the window that ends now.
-func (p *Policy) budgetLeft() bool {
-	p.taken.Forget(p.now - p.set.BudgetSpan + edgeSlack)
-	p.extra.Forget(p.now - p.set.BudgetSpan - edgeSlack)
-	allowed := float64(p.set.BudgetFree) + p.set.BudgetShare*float64(p.taken.Count())
-	return !p.set.Budget || float64(p.extra.Count()+1) <= allowed+edgeSlack
-}
-
 func (p *Policy) sendParts(q *query, in float64) {
 	p.turn++
 	want, stride := in, p.stride(q, in)
@@ -89,7 +75,7 @@
 			p.turn++ // nothing to share: a draw of its own
 		}
 		var s *server
-		if len(pt.attempts) == 0 || p.budgetLeft() {
+		if len(pt.attempts) == 0 || p.budget.Allows(p.now) {
 			s = p.draw(pt)
 		}
 		if s == nil {
@@ -102,7 +88,7 @@
 
 // wide tells of a query that loads much of a fleet of which this broker sees too little to know its state.
 func (p *Policy) wide(q *query) bool {
-	return len(q.parts) >= wideFrom && p.memory > wideBlind && q.step == 1
+	return len(q.parts) >= wideFrom && p.serviceTime.HalfLife > wideBlind && q.step == 1
 }
 
 // stride tells which parts of a query may go: all (1), each so many-th, or none any more (0). Of a wide query
@@ -171,8 +157,8 @@
 }
 
 func (p *Policy) send(pt *part, s *server) {
-	if p.set.Budget && len(pt.attempts) > 0 {
-		p.extra.Add(p.now)
+	if len(pt.attempts) > 0 {
+		p.budget.Retry(p.now)
 	}
 	a := attempt{srv: s, sentAt: p.now, live: true, mayRun: true, crowd: float64(1 + s.depth(p.now))}
 	pt.attempts = append(pt.attempts, a)
--- a/internal/decision/bench_test.go
+++ b/internal/decision/bench_test.go
@@ -162,7 +162,7 @@
 func BenchmarkQueryWithBudget(b *testing.B) {
 	benchmarkEach(b, func(b *testing.B, size int) {
 		f := newBenchmarkFleet(size, 0, func(s *decision.Settings) {
-			s.Budget, s.BudgetFree, s.BudgetShare, s.BudgetSpan = true, 10, 0.1, 10
+			s.RetryBudget.Enabled, s.RetryBudget.Min, s.RetryBudget.Ratio, s.RetryBudget.Window = true, 10, 0.1, 10
 		})
 		f.now += 20
 		const entries = 41_700 * 10
--- a/internal/decision/cold_test.go
+++ b/internal/decision/cold_test.go
@@ -13,6 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"mothrouter/internal/decision"
+	"mothrouter/internal/slowstart"
 )
 
 // due is an answer on its way to a broker.
@@ -54,7 +55,7 @@
 	return decision.Settings{
 		Classes: []decision.Class{{Aim: 1.5, Deadline: 4, Need: 1, Floor: 1, Worth: 1}}, Brokers: d.brokers,
 		Cells: d.servers, Reach: 2, BatchMax: 1, MaxAttempts: 4, Tick: 0.001, MayCancel: true, RetryAfter: true, MaxWait: 0.5,
-		ReportMode: decision.ReportPiggyback, ColdShare: 0.2, WarmUp: 17, FallMultiple: 2.5, FallTime: 1.5,
+		ReportMode: decision.ReportPiggyback, SlowStart: slowstart.Settings{InitialFraction: 0.2, Duration: 17, OverloadFactor: 2.5, OverloadWindow: 1.5},
 	}
 }
 
@@ -86,7 +87,7 @@
 			bears := capacity
 			if at := started[s.Server]; at > 0 {
 				arrivals[s.Server] = append(arrivals[s.Server], now)
-				bears *= math.Min(1, set.ColdShare+(1-set.ColdShare)*(now-at)/set.WarmUp)
+				bears *= math.Min(1, set.SlowStart.InitialFraction+(1-set.SlowStart.InitialFraction)*(now-at)/set.SlowStart.Duration)
 			}
 			e := decision.Ended{ID: s.ID, Server: s.Server, Status: decision.OK, Closed: true, Load: decision.NoLoad}
 			if e.Latency = 0.001; free[s.Server] > now+1 {
@@ -173,11 +174,11 @@
 	for id, came := range arrivals {
 		from := 0
 		for i, at := range came {
-			for at-came[from] > set.FallTime {
+			for at-came[from] > set.SlowStart.OverloadWindow {
 				from++
 			}
-			warmth := set.ColdShare + (1-set.ColdShare)*(came[from]-started[id])/set.WarmUp
-			allowed := set.FallMultiple * warmth * set.FallTime * capacity
+			warmth := set.SlowStart.InitialFraction + (1-set.SlowStart.InitialFraction)*(came[from]-started[id])/set.SlowStart.Duration
+			allowed := set.SlowStart.OverloadFactor * warmth * set.SlowStart.OverloadWindow * capacity
 			n := float64(i - from + 1)
 			share = max(share, n/allowed)
 			beyond = max(beyond, n/(allowed+2*math.Sqrt(allowed)+2))
--- a/internal/decision/differential_test.go
+++ b/internal/decision/differential_test.go
@@ -7,6 +7,9 @@
 	"math/rand/v2"
 	"reflect"
 	"testing"
+
+	"mothrouter/internal/retrybudget"
+	"mothrouter/internal/slowstart"
 )
 
 const differentialBatches = 800 // of a day
@@ -51,8 +54,10 @@
 		Brokers: pick(1, 3, 590), Zone: r.IntN(3), Cells: pick(1, 4, 30, 120), Reach: pick(1, 2, 3), BatchMax: pick(1, 8),
 		ReportMode: ReportMode(r.IntN(3)), AskForList: maybe(), AskWithin: 6, WorthByWork: maybe(), Tick: 0.005,
 		MaxAttempts: pick(0, 2, 4), MayCancel: maybe(), MayProbe: maybe(), MayCopy: maybe(), RetryAfter: maybe(),
-		MaxWait: 0.5, ColdShare: []float64{0.2, 0.5, 1, 1.5}[r.IntN(4)], WarmUp: float64(pick(0, 3, 17)), FallMultiple: 2.5,
-		FallTime: float64(pick(0, 1, 2)), Budget: maybe(), BudgetFree: 3, BudgetShare: 0.2, BudgetSpan: float64(pick(1, 5)),
+		MaxWait: 0.5,
+		SlowStart: slowstart.Settings{InitialFraction: []float64{0.2, 0.5, 1, 1.5}[r.IntN(4)], Duration: float64(pick(0, 3, 17)),
+			OverloadFactor: 2.5, OverloadWindow: float64(pick(0, 1, 2))},
+		RetryBudget:    retrybudget.Settings{Enabled: maybe(), Min: 3, Ratio: 0.2, Window: float64(pick(1, 5))},
 		CrossZonePrice: float64(r.IntN(2)),
 	}
 	for range 1 + r.IntN(3) {
@@ -291,10 +296,11 @@
 				t.Fatalf("day %d, batch %d at %v:\n got %v\nwant %v\nof %v", seed, batch, d.now, got, want, events)
 			}
 			same := policy.fleetBad == plain.fleetBad || max(policy.fleetBad, math.Abs(plain.fleetBad)) < negligible
-			if !same || policy.warm != plain.warm ||
-				policy.drawn != plain.drawn || policy.chances != plain.chances || policy.pace != plain.pace {
-				t.Fatalf("day %d, batch %d at %v: the fleet's figures differ: median %v, want %v; warm %v, want %v",
-					seed, batch, d.now, policy.fleetBad, plain.fleetBad, policy.warm, plain.warm)
+			windows := math.Min(1, (plain.drawn+2)/(plain.chances+1))
+			if !same || policy.peak.Value != plain.peak || policy.windows.Fraction() != windows ||
+				policy.serviceTime.Mean != plain.pace || policy.serviceTime.HalfLife != plain.memory {
+				t.Fatalf("day %d, batch %d at %v: the fleet's figures differ: median %v, want %v; peak %v, want %v",
+					seed, batch, d.now, policy.fleetBad, plain.fleetBad, policy.peak.Value, plain.peak)
 			}
 			for _, a := range got {
 				kinds[fmt.Sprintf("%T", a)]++
--- a/internal/decision/draw.go
+++ b/internal/decision/draw.go
@@ -12,7 +12,6 @@
 	ownLoadExponent = 3.0 // steeper than proportional: the table does not see a queue build
 	speedExponent   = 2.5 // how steeply slower servers are avoided
 	speedLeast      = 0.3 // quick ones do not draw more than their weight in one lucky part
-	coldMargin      = 0.8 // share of the fall limit that is used; the rest is for chance and uneven work
 	farShare        = 0.1 // one more part in flight near by about outweighs it
 )
 
@@ -29,7 +28,7 @@
 
 // speed falls with how much longer than the fleet's a server's latest parts took, while that is remembered.
 func (p *Policy) speed(s *server) float64 {
-	return math.Pow(math.Max(p.paceOf(s)/math.Max(p.pace, 1e-6), speedLeast), -speedExponent)
+	return math.Pow(math.Max(p.serviceTime.Relative(&s.serviceTime, p.now), speedLeast), -speedExponent)
 }
 
 // nearness is less than 1 for servers of other zones where crossing has a price.
@@ -42,31 +41,28 @@
 
 // warmth is the share of its capacity that a server surely has: less than 1 while it warms up.
 func (p *Policy) warmth(s *server) float64 {
-	age := p.now - s.coldSince
-	if p.set.WarmUp <= 0 || age >= p.set.WarmUp {
-		return 1
-	}
-	return p.set.ColdShare + (1-p.set.ColdShare)*math.Max(age, 0)/p.set.WarmUp
+	return p.set.SlowStart.CapacityFraction(p.now - s.coldSince)
 }
 
 // admitsCold tells whether a cold server may get one more part. What warm ones answer bounds what they bear
 // from below, and each broker keeps to its own share of that.
 func (p *Policy) admitsCold(s *server) bool {
 	w := p.warmth(s)
-	if w >= 1 || p.set.FallTime <= 0 {
+	window := p.set.SlowStart.OverloadWindow
+	if w >= 1 || window <= 0 {
 		return true
 	} else if s.allowance != nil {
 		return len(s.sends) < s.allowance.Parts && p.now <= s.allowance.Until
 	}
-	s.sends = slices.DeleteFunc(s.sends, func(t float64) bool { return t < p.now-p.set.FallTime })
+	s.sends = slices.DeleteFunc(s.sends, func(t float64) bool { return t < p.now-window })
 	// Chance rounds this broker's share, anew in each window: up always would add up over the brokers.
 	if p.now >= s.roundedUntil {
-		s.rounding, s.roundedUntil, p.drawn = p.rng.Float64(), p.now+p.set.FallTime, p.drawn+1
+		s.rounding, s.roundedUntil = p.rng.Float64(), p.now+window
+		p.windows.Used()
 	}
-	room := coldMargin * p.set.FallMultiple * w * p.set.FallTime * p.peak
-	room = math.Max(room, 1/float64(max(p.set.Brokers, 1))) // a broker that has seen no answer yet may try
+	room := p.set.SlowStart.Budget(w, p.peak.Value, p.set.Brokers)
 	// A broker that rarely has a part for a server leaves most windows unused, and takes more of the others.
-	room /= math.Min(1, (p.drawn+2)/(p.chances+1))
+	room /= p.windows.Fraction()
 	return float64(max(len(s.sends), s.own)+1) <= room+s.rounding
 }
 
--- a/internal/decision/failures_test.go
+++ b/internal/decision/failures_test.go
@@ -169,7 +169,7 @@
 // A restarted process owes nothing for its predecessor: it must not stay condemned for its predecessor's end.
 func TestRestartVoidsBadMarks(t *testing.T) {
 	s := settings()
-	s.WarmUp = 0
+	s.SlowStart.Duration = 0
 	r := newRig(t, s, servers(3)...)
 	share(r, 60, func(snd decision.Send) decision.Event {
 		if snd.Server == "s0" {
@@ -290,13 +290,13 @@
 			pt := ev[1].(decision.Part)
 			pt.Shard = 1
 			ev[1] = pt
-			for _, snd := range sends(r.at(r.now+s.FallTime/40, ev...)) {
+			for _, snd := range sends(r.at(r.now+s.SlowStart.OverloadWindow/40, ev...)) {
 				toCold++
 				r.handle(ended(snd.ID, 0, snd.Server, decision.OK, 0.02))
 			}
 		}
 	}
-	limit := s.FallMultiple * (s.ColdShare + 0.75*4/s.WarmUp) * warmRate
+	limit := s.SlowStart.OverloadFactor * (s.SlowStart.InitialFraction + 0.75*4/s.SlowStart.Duration) * warmRate
 	if got := float64(toCold) / float64(windows); got > limit || got < limit/4 {
 		t.Errorf("%g parts in a fall window to a cold server, want %g to %g", got, limit/4, limit)
 	}
--- a/internal/decision/health.go
+++ b/internal/decision/health.go
@@ -5,11 +5,11 @@
 import (
 	"math"
 	"slices"
+
+	"mothrouter/internal/servicetime"
 )
 
 const (
-	memoryLeast     = 1.0   // seconds in which a pace is half forgotten, beside a gap between two answers
-	memoryMost      = 15.0  // a trouble may be over by then
 	zoneStep        = 0.05  // weight of one outcome in a zone's failed share and in the share cut off
 	badStep         = 0.25  // weight of one outcome in a server's failed share
 	negligible      = 1e-33 // below 2^-108: 1 less a share and such a median rounds as 1 less the share does
@@ -18,11 +18,6 @@
 	trustFloor      = 1e-4  // below a sound server's weight however crowded; forgiving brings the trickle
 	silentAfter     = 2.0   // paces without a word before a server is doubted
 	silentLeast     = 0.01  // seconds: shorter ones are chance
-	newsMost        = 0.9   // the last outcome never tells all
-	newsSpan        = 2.0   // seconds of outcomes that outweigh older ones
-	paceFades       = 10.0  // seconds in which it halves itself: refusing all, a broker hears no more of it
-	rateSpan        = 5.0   // seconds over which the answered rate is averaged
-	peakSpan        = 60.0  // seconds in which its peak is forgotten
 )
 
 // countOutcome counts an outcome for or against a server, its zone and the links of this broker.
@@ -36,16 +31,12 @@
 	case Reset, Unreachable:
 		cut = 1
 	}
-	p.failed.Count(&s.failed, failed, math.Max(badStep, p.newsStep(s.failed.At)), cut > 0)
+	step := math.Max(badStep, servicetime.ObservationWeight(p.now-s.failed.At))
+	p.failed.Count(&s.failed, failed, step, cut > 0)
 	p.cut += zoneStep * (cut - p.cut)
 	s.newsAt = p.now
 }
 
-// newsStep is the weight of one more outcome at a server: the rarer they are, the more each tells.
-func (p *Policy) newsStep(last float64) float64 {
-	return math.Min(newsMost, 1-math.Exp2(-(p.now-last)/newsSpan))
-}
-
 // trust falls with the share of attempts that lately failed there: a server that fails fast shows a short
 // queue. The draw compares plain shares: a median is itself bad where half of the servers fail. Elsewhere
 // what exceeds the usual counts. It could harm if one class alone fails.
@@ -56,21 +47,16 @@
 
 // silenceFactor falls while a server that owes answers is silent for longer than usual: it may hang.
 func (p *Policy) silenceFactor(s *server) float64 {
-	if s.own == 0 || p.pace == 0 || s.busySince < s.answeredAt {
+	if s.own == 0 || p.serviceTime.Mean == 0 || s.busySince < s.answeredAt {
 		return 1
 	}
-	silence := (p.now - s.busySince) / math.Max(silentAfter*p.pace, silentLeast)
+	silence := (p.now - s.busySince) / math.Max(silentAfter*p.serviceTime.Mean, silentLeast)
 	return math.Min(1, math.Pow(math.Max(silence, 1), -ownLoadExponent))
 }
 
 // sound is how far a server does its work, by what this broker sees.
 func (p *Policy) sound(s *server) float64 { return p.trust(s, p.fleetBad) * p.silenceFactor(s) }
 
-// paceOf is a server's own pace as far as it is remembered, else the fleet's.
-func (p *Policy) paceOf(s *server) float64 {
-	return p.pace + (s.pace-p.pace)*math.Exp2(-(p.now-s.paceAt)/p.memory)
-}
-
 // updateFleet takes what all servers are compared with, once a batch.
 func (p *Policy) updateFleet() {
 	ready := p.failed.Len()
@@ -79,20 +65,17 @@
 	}
 	warm := ready
 	p.cold = slices.DeleteFunc(p.cold, func(s *server) bool {
-		s.cold = p.set.WarmUp > 0 && p.now-s.coldSince < p.set.WarmUp
+		s.cold = p.set.SlowStart.Duration > 0 && p.now-s.coldSince < p.set.SlowStart.Duration
 		if s.cold && s.ready() {
 			warm += int(p.warmth(s)) - 1 // which is 1 from then on
 		}
 		return !s.cold
 	})
-	dt := p.now - p.rateAt
-	p.rateAt, p.warm = p.now, float64(max(warm, len(p.servers)/3, 1))
-	fade, cold := math.Exp(-dt/rateSpan), float64(ready-warm)
-	p.rate, p.sure, p.drawn = p.rate*fade, p.sure*fade, p.drawn*fade
-	p.chances = p.chances*fade + cold*dt/math.Max(p.set.FallTime, 1)
-	sure := math.Max(p.sure-math.Sqrt(p.sure), 0) // less its deviation: the highest of few are chance
-	p.peak = math.Max(p.peak*math.Exp(-dt/peakSpan), sure/rateSpan/p.warm)
-	p.pace *= math.Exp2(-dt / paceFades)
-	p.memory = math.Min(memoryLeast+p.warm*rateSpan/math.Max(p.rate, 0.1), memoryMost)
-	p.failed.SlowHalfLife = p.memory // cut-off links fade as slowly as paces
+	elapsed := p.now - p.updatedAt
+	p.updatedAt = p.now
+	p.warm = float64(max(warm, len(p.servers)/3, 1))
+	p.windows.Advance(elapsed, float64(ready-warm), p.set.SlowStart.OverloadWindow)
+	p.peak.Advance(p.now, p.warm)
+	p.serviceTime.Advance(elapsed, p.warm)
+	p.failed.SlowHalfLife = p.serviceTime.HalfLife // cut-off links fade as slowly as service times
 }
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"mothrouter/internal/decision"
+	"mothrouter/internal/slowstart"
 )
 
 // rig drives one Policy with events and keeps what it did.
@@ -22,7 +23,7 @@
 	return decision.Settings{
 		Classes: []decision.Class{{Aim: 1, Deadline: 2, Need: 1, Floor: 1}},
 		Brokers: 1, Cells: 1, Reach: 1, BatchMax: 1, MaxAttempts: 3, Tick: 0.005, MayCancel: true,
-		ColdShare: 0.25, WarmUp: 10, FallMultiple: 2, FallTime: 1,
+		SlowStart: slowstart.Settings{InitialFraction: 0.25, Duration: 10, OverloadFactor: 2, OverloadWindow: 1},
 	}
 }
 
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -13,6 +13,9 @@
 	"mothrouter/internal/failures"
 	"mothrouter/internal/lazyheap"
 	"mothrouter/internal/recent"
+	"mothrouter/internal/retrybudget"
+	"mothrouter/internal/servicetime"
+	"mothrouter/internal/slowstart"
 )
 
 const edgeSlack = 1e-6 // windows count by the microsecond; keep a whole one clear of their edges
@@ -46,17 +49,17 @@
 	waits                  []float64               // by class: the longest that a client waits for one try
 	leftAges               recent.Ring             // ages of the latest queries whose clients left
 	leaving                float64                 // averaged share of queries whose clients leave
-	taken, extra           recent.Window           // parts taken and further attempts, for the budget
-	rate, sure, rateAt     float64                 // decayed counts of answers, and by warm servers; when
+	budget                 retrybudget.Budget      // of further attempts
+	updatedAt              float64                 // when updateFleet was last called
 	meanFitness            float64                 // what an unreported server counts as
 	fleetBad               float64                 // median share of failed attempts, 0 if negligible
 	news                   *lazyheap.Heap[*server] // those that may be probed; the first has the oldest news
 	numbered               int                     // servers numbered so far
-	warm, memory           float64                 // warm servers, a third at least; half-life of a pace
+	serviceTime            servicetime.Fleet       // of a part
+	warm                   float64                 // warm servers, a third of all at least
 	worthAsked, partsAsked float64                 // of all queries so far, and the parts that they needed
-	pace                   float64                 // averaged latency of a part over the crowd it met
-	drawn, chances         float64                 // windows of cold servers: with a part for one, all
-	peak                   float64                 // slowly decaying peak of answers a second of a warm one
+	windows                slowstart.WindowUsage   // of cold servers
+	peak                   slowstart.PeakRate      // of answers of a warm server
 }
 
 // New returns the decisions of one broker. Equal settings, seeds and events give equal actions.
@@ -68,6 +71,7 @@
 	p.failed = failures.New(failureHalfLife, zoneStep, negligible)
 	p.news = lazyheap.New(func(s *server) float64 { return s.newsAt }, number)
 	p.latency, p.cautiousUntil, p.waits = make([]recent.Ring, n), make([]float64, n), make([]float64, n)
+	p.budget.Settings = s.RetryBudget
 	if !s.AskForList {
 		p.watchAt = math.Inf(1)
 	}
@@ -102,7 +106,8 @@
 		case Heard:
 			p.onHeard(e)
 		case Remembered:
-			p.pace, p.peak = cmp.Or(p.pace, e.Pace), math.Max(p.peak, e.Peak)
+			p.serviceTime.Mean = cmp.Or(p.serviceTime.Mean, e.Pace)
+			p.peak.Value = math.Max(p.peak.Value, e.Peak)
 		case Fleet:
 			p.set.Brokers = e.Brokers
 		case Configured: // open queries keep the class that they point to; waits were for the old deadlines
--- a/internal/decision/queries.go
+++ b/internal/decision/queries.go
@@ -14,7 +14,6 @@
 	breakChance   = 0.05 // so unlikely must it be that so many attempts were broken off by chance
 	cautiousFor   = 30.0 // seconds: at size a broker meets such a query only once in so long
 	abandonedSpan = 3.0  // seconds that a part given up counts without news: about a full queue's length
-	paceSpan      = 2.0  // seconds of answers that make the fleet's pace
 	leaveStep     = 0.05 // weight of one query in the share of clients that leave
 	leaveMany     = 0.1  // a share beyond single impatient clients
 )
@@ -47,7 +46,7 @@
 func (p *Policy) lead() float64 { return answerLead * math.Max(p.set.Tick, 0.005) }
 
 func (p *Policy) onQuery(e Query) {
-	p.take()
+	p.budget.Request(p.now)
 	if e.Class < 0 || e.Class >= len(p.set.Classes) {
 		p.do(Refuse{ID: e.ID})
 		return
@@ -73,7 +72,7 @@
 }
 
 func (p *Policy) onPart(e Part) {
-	p.take()
+	p.budget.Request(p.now)
 	if q := p.queries[e.Number]; q != nil && !q.ended {
 		pt := &part{Part: e, q: q}
 		q.parts = append(q.parts, pt)
@@ -117,15 +116,16 @@
 		s.abandoned = append(s.abandoned, abandonedPart{a.sentAt, p.now + abandonedSpan})
 	}
 	// A full queue counts as a whole aim. Only sound servers tell how fast the fleet is, not a few that hang.
-	took, own := e.Latency/a.crowd, p.paceOf(s)
-	if e.Status == OK || e.Status == TimedOut || e.Status == Cancelled && took > own {
-		s.pace, s.paceAt = own+p.newsStep(s.paceAt)*(took-own), p.now
+	took := e.Latency / a.crowd
+	longer := took > p.serviceTime.Of(&s.serviceTime, p.now)
+	if e.Status == OK || e.Status == TimedOut || e.Status == Cancelled && longer {
+		p.serviceTime.ObserveServer(&s.serviceTime, took, p.now)
 	}
 	if e.Status == Overloaded {
 		took = pt.q.class.Aim
 	}
 	if e.Status == OK || e.Status == TimedOut || e.Status == Overloaded {
-		p.pace += p.sound(s) * (took - p.pace) / (1 + paceSpan*p.rate/rateSpan)
+		p.serviceTime.Observe(took, p.sound(s))
 	}
 	if e.Status != OK {
 		return
@@ -133,8 +133,10 @@
 	s.answeredAt, s.passed = p.now, math.Max(s.passed, a.sentAt)
 	s.abandoned = slices.DeleteFunc(s.abandoned, func(g abandonedPart) bool { return g.sentAt <= a.sentAt })
 	p.latency[pt.q.Class].Add(e.Latency)
-	p.rate++
-	p.sure += math.Floor(p.warmth(s)) // what many cold ones answer would pass for what few warm ones bear
+	p.serviceTime.Answered()
+	if p.warmth(s) >= 1 {
+		p.peak.Answered()
+	}
 }
 
 func (p *Policy) cancelLive(pt *part) {
--- a/internal/decision/reference_test.go
+++ b/internal/decision/reference_test.go
@@ -14,6 +14,19 @@
 	"mothrouter/internal/recent"
 )
 
+// Constants of estimates that have left the module, as they were.
+const (
+	memoryLeast = 1.0
+	memoryMost  = 15.0
+	newsMost    = 0.9
+	newsSpan    = 2.0
+	paceFades   = 10.0
+	paceSpan    = 2.0
+	rateSpan    = 5.0
+	peakSpan    = 60.0
+	coldMargin  = 0.8
+)
+
 // refServer is what this broker knows of one server.
 type refServer struct {
 	Server
@@ -436,7 +449,7 @@
 	p.rateAt, p.warm = p.now, float64(max(warm, len(p.servers)/3, 1))
 	fade, cold := math.Exp(-dt/rateSpan), float64(len(bad)-warm)
 	p.rate, p.sure, p.drawn = p.rate*fade, p.sure*fade, p.drawn*fade
-	p.chances = p.chances*fade + cold*dt/math.Max(p.set.FallTime, 1)
+	p.chances = p.chances*fade + cold*dt/math.Max(p.set.SlowStart.OverloadWindow, 1)
 	sure := math.Max(p.sure-math.Sqrt(p.sure), 0) // less its deviation: the highest of few are chance
 	p.peak = math.Max(p.peak*math.Exp(-dt/peakSpan), sure/rateSpan/p.warm)
 	p.pace *= math.Exp2(-dt / paceFades)
@@ -455,27 +468,27 @@
 // warmth is the share of its capacity that a server surely has: less than 1 while it warms up.
 func (p *refPolicy) warmth(s *refServer) float64 {
 	age := p.now - s.coldSince
-	if p.set.WarmUp <= 0 || age >= p.set.WarmUp {
+	if p.set.SlowStart.Duration <= 0 || age >= p.set.SlowStart.Duration {
 		return 1
 	}
-	return p.set.ColdShare + (1-p.set.ColdShare)*math.Max(age, 0)/p.set.WarmUp
+	return p.set.SlowStart.InitialFraction + (1-p.set.SlowStart.InitialFraction)*math.Max(age, 0)/p.set.SlowStart.Duration
 }
 
 // admitsCold tells whether a cold server may get one more part. What warm ones answer bounds what they bear
 // from below, and each broker keeps to its own share of that.
 func (p *refPolicy) admitsCold(s *refServer) bool {
 	w := p.warmth(s)
-	if w >= 1 || p.set.FallTime <= 0 {
+	if w >= 1 || p.set.SlowStart.OverloadWindow <= 0 {
 		return true
 	} else if s.allowance != nil {
 		return len(s.sends) < s.allowance.Parts && p.now <= s.allowance.Until
 	}
-	s.sends = slices.DeleteFunc(s.sends, func(t float64) bool { return t < p.now-p.set.FallTime })
+	s.sends = slices.DeleteFunc(s.sends, func(t float64) bool { return t < p.now-p.set.SlowStart.OverloadWindow })
 	// Chance rounds this broker's share, anew in each window: up always would add up over the brokers.
 	if p.now >= s.luckUntil {
-		s.luck, s.luckUntil, p.drawn = p.rng.Float64(), p.now+p.set.FallTime, p.drawn+1
+		s.luck, s.luckUntil, p.drawn = p.rng.Float64(), p.now+p.set.SlowStart.OverloadWindow, p.drawn+1
 	}
-	room := coldMargin * p.set.FallMultiple * w * p.set.FallTime * p.peak
+	room := coldMargin * p.set.SlowStart.OverloadFactor * w * p.set.SlowStart.OverloadWindow * p.peak
 	room = math.Max(room, 1/float64(max(p.set.Brokers, 1))) // a broker that has seen no answer yet may try
 	// A broker that rarely has a part for a server leaves most windows unused, and takes more of the others.
 	room /= math.Min(1, (p.drawn+2)/(p.chances+1))
@@ -778,14 +791,14 @@
 }
 
 func (p *refPolicy) forget(times []float64, slack float64) []float64 { // those before the budget's window
-	return slices.DeleteFunc(times, func(t float64) bool { return t < p.now-p.set.BudgetSpan+slack })
+	return slices.DeleteFunc(times, func(t float64) bool { return t < p.now-p.set.RetryBudget.Window+slack })
 }
 
 // budgetLeft tells whether a further attempt fits the budget, counted over the window that ends now.
 func (p *refPolicy) budgetLeft() bool {
 	p.taken, p.extra = p.forget(p.taken, edgeSlack), p.forget(p.extra, -edgeSlack)
-	allowed := float64(p.set.BudgetFree) + p.set.BudgetShare*float64(len(p.taken))
-	return !p.set.Budget || float64(len(p.extra)+1) <= allowed+edgeSlack
+	allowed := float64(p.set.RetryBudget.Min) + p.set.RetryBudget.Ratio*float64(len(p.taken))
+	return !p.set.RetryBudget.Enabled || float64(len(p.extra)+1) <= allowed+edgeSlack
 }
 
 func (p *refPolicy) sendParts(q *refQuery, in float64) {
@@ -904,7 +917,7 @@
 }
 
 func (p *refPolicy) send(pt *refPart, s *refServer) {
-	if p.set.Budget && len(pt.attempts) > 0 {
+	if p.set.RetryBudget.Enabled && len(pt.attempts) > 0 {
 		p.extra = append(p.extra, p.now)
 	}
 	a := refAttempt{srv: s, sentAt: p.now, live: true, mayRun: true, crowd: float64(1 + s.depth(p.now))}
--- a/internal/decision/rules_test.go
+++ b/internal/decision/rules_test.go
@@ -204,7 +204,7 @@
 		}
 	}
 	// Warm servers were seen to take a quarter of some 50 a second each; the cold one has a quarter of that.
-	limit := s.FallMultiple * (s.ColdShare + 0.75*1/s.WarmUp) * 50 / 4
+	limit := s.SlowStart.OverloadFactor * (s.SlowStart.InitialFraction + 0.75*1/s.SlowStart.Duration) * 50 / 4
 	if float64(toCold) > limit {
 		t.Errorf("%d of %d parts went to the cold server in its first second, limit %g", toCold, toAll, limit)
 	}
@@ -331,7 +331,7 @@
 
 func TestBudgetHoldsInEveryWindow(t *testing.T) {
 	s := settings()
-	s.Budget, s.BudgetFree, s.BudgetShare, s.BudgetSpan = true, 2, 0.25, 1
+	s.RetryBudget.Enabled, s.RetryBudget.Min, s.RetryBudget.Ratio, s.RetryBudget.Window = true, 2, 0.25, 1
 	r := newRig(t, s, servers(3)...)
 	var taken, extra []float64
 	var queue []decision.Send
@@ -356,14 +356,14 @@
 	for i, at := range extra {
 		in := func(list []float64) (n int) {
 			for _, x := range list {
-				if x > at-s.BudgetSpan && x <= at {
+				if x > at-s.RetryBudget.Window && x <= at {
 					n++
 				}
 			}
 			return n
 		}
 		used := in(extra[:i+1])
-		if allowed := float64(s.BudgetFree) + s.BudgetShare*float64(in(taken)); float64(used) > allowed {
+		if allowed := float64(s.RetryBudget.Min) + s.RetryBudget.Ratio*float64(in(taken)); float64(used) > allowed {
 			t.Fatalf("at %g: %d further attempts in the window, allowed %g", at, used, allowed)
 		}
 	}
--- a/internal/decision/servers.go
+++ b/internal/decision/servers.go
@@ -8,6 +8,7 @@
 	"slices"
 
 	"mothrouter/internal/failures"
+	"mothrouter/internal/servicetime"
 )
 
 const (
@@ -19,17 +20,17 @@
 // server is what this broker knows of one server.
 type server struct {
 	Server
-	load         Load
-	heardAt      float64 // when load came; 0: never
-	answeredAt   float64 // its latest success
-	passed       float64 // when the latest part was sent that it answered
-	busySince    float64 // when the first part was sent after its latest success
-	abandoned    []abandonedPart
-	failed       failures.Record
-	fitness      float64 // 0: unreported at the last rebuild
-	newsAt       float64 // its latest outcome, or when it was probed to learn whether it is well
-	own          int     // this broker's attempts out there
-	pace, paceAt float64 // latency over crowd of its latest parts, and when it was so
+	load        Load
+	heardAt     float64 // when load came; 0: never
+	answeredAt  float64 // its latest success
+	passed      float64 // when the latest part was sent that it answered
+	busySince   float64 // when the first part was sent after its latest success
+	abandoned   []abandonedPart
+	failed      failures.Record
+	fitness     float64 // 0: unreported at the last rebuild
+	newsAt      float64 // its latest outcome, or when it was probed to learn whether it is well
+	own         int     // this broker's attempts out there
+	serviceTime servicetime.Server
 
 	sends                  []float64  // times of sends within FallTime, for the cold cap
 	coldSince              float64    // start of the warm-up; -Inf: warm
@@ -147,8 +148,8 @@
 	if e.Weight > 0 && e.At > s.failed.At {
 		p.failed.Hear(&s.failed, e.Failed, e.Weight, e.At)
 	}
-	if e.Pace > 0 && e.At > s.paceAt {
-		s.pace, s.paceAt = e.Pace, e.At
+	if e.Pace > 0 && e.At > s.serviceTime.At {
+		s.serviceTime = servicetime.Server{Mean: e.Pace, At: e.At}
 	}
 	p.takeLoad(s, e.Load, cmp.Or(e.LoadAt, e.At))
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -8,6 +8,7 @@
 	"pgregory.net/rapid"
 
 	"mothrouter/internal/lease"
+	"mothrouter/internal/slowstart"
 )
 
 // Over any schedule of decisions that overlap, sends, pauses and a whole that changes: what is sent within a window
@@ -133,20 +134,20 @@
 }
 
 // A process of four workers bears on a cold server as one of a single worker does.
-func TestBearingDoesNotGrowWithTheWorkers(t *testing.T) {
-	l := lease.Limits{ColdShare: 0.2, WarmUp: 10, FallMultiple: 2.5, FallTime: 1.5, Brokers: 2}
-	b := lease.NewBearing(l, rand.New(rand.NewPCG(1, 2)))
+func TestCapacityEstimateDoesNotGrowWithTheWorkers(t *testing.T) {
+	l := slowstart.Settings{InitialFraction: 0.2, Duration: 10, OverloadFactor: 2.5, OverloadWindow: 1.5}
+	b := lease.NewCapacityEstimate(l, 2, rand.New(rand.NewPCG(1, 2)))
 	for i := range 1000 { // 100 answers a second from 10 warm servers: 10 a second each
 		b.Answered(100+float64(i)/100, 10)
 	}
-	require.InDelta(t, 0.8*2.5*0.2*1.5*10*(1-1/7.4), b.Whole(0.2, 0, 110, 10), 1.5)
-	require.Equal(t, 1.0, b.Warmth(0, 110), "no start is told")
-	require.Equal(t, 0.2, b.Warmth(110, 110))
-	require.Equal(t, 0.2, b.Warmth(115, 110), "a clock behind the server's is no reason to trust it")
-	require.Equal(t, 1.0, b.Warmth(99, 110))
-	blank := lease.NewBearing(l, rand.New(rand.NewPCG(1, 2)))
-	require.Equal(t, 0.0, blank.Whole(0.2, 0.4, 110, 10))
-	require.Equal(t, 1.0, blank.Whole(0.2, 0.6, 110, 10), "a broker that has seen nothing may try now and then")
+	require.InDelta(t, 0.8*2.5*0.2*1.5*10*(1-1/7.4), b.Budget(0.2, 0, 110, 10), 1.5)
+	require.Equal(t, 1.0, b.CapacityFraction(0, 110), "no start is told")
+	require.Equal(t, 0.2, b.CapacityFraction(110, 110))
+	require.Equal(t, 0.2, b.CapacityFraction(115, 110), "a clock behind the server's is no reason to trust it")
+	require.Equal(t, 1.0, b.CapacityFraction(99, 110))
+	blank := lease.NewCapacityEstimate(l, 2, rand.New(rand.NewPCG(1, 2)))
+	require.Equal(t, 0.0, blank.Budget(0.2, 0.4, 110, 10))
+	require.Equal(t, 1.0, blank.Budget(0.2, 0.6, 110, 10), "a broker that has seen nothing may try now and then")
 }
 
 func BenchmarkRenew(b *testing.B) {
--- a/internal/scale/cold.go
+++ b/internal/scale/cold.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 
 	"mothrouter/internal/lease"
+	"mothrouter/internal/slowstart"
 )
 
 // What the settings of an example deployment tell of cold servers (deploy/example.json).
@@ -34,34 +35,35 @@
 	brokers := int(at.Of(axisBrokers))
 	rng := rand.New(rand.NewPCG(seed, 3))
 	rate := TargetQueries * TargetParts / float64(brokers) // parts a second of one broker
-	limits := lease.Limits{ColdShare: coldShare, WarmUp: warmUp, FallMultiple: fallMultiple, FallTime: fallTime,
-		Brokers: brokers}
+	settings := slowstart.Settings{
+		InitialFraction: coldShare, Duration: warmUp, OverloadFactor: fallMultiple, OverloadWindow: fallTime,
+	}
 	const learn, step = 30.0, 2e-3 // seconds; answers of a step are booked together
-	bearings := make([]*lease.Bearing, brokers)
-	one := lease.NewBearing(limits, rng)
+	estimates := make([]*lease.CapacityEstimate, brokers)
+	one := lease.NewCapacityEstimate(settings, brokers, rng)
 	now := 0.0
 	for ; now < learn; now += step {
 		for range int(rate*step + rng.Float64()) {
 			one.Answered(now, TargetServers)
 		}
 	}
-	for i := range bearings { // all see the same load, so one broker's learning stands for all
+	for i := range estimates { // all see the same load, so one broker's learning stands for all
 		copied := *one
-		bearings[i] = &copied
+		estimates[i] = &copied
 	}
-	warmth := one.Warmth(now, now)
+	fraction := one.CapacityFraction(now, now)
 	sum, most, each := 0.0, 0.0, 0.0
 	for range coldWindows {
 		window := 0.0
-		for _, b := range bearings {
-			room := b.Whole(warmth, rng.Float64(), now, TargetServers)
+		for _, b := range estimates {
+			room := b.Budget(fraction, rng.Float64(), now, TargetServers)
 			window += room
 			each += room
 		}
 		sum, most = sum+window, math.Max(most, window)
 	}
 	// The limit: what the server bears warm is at least its even share of the load.
-	bears := fallMultiple * warmth * fallTime * float64(TargetQueries*TargetParts) / TargetServers
+	bears := fallMultiple * fraction * fallTime * float64(TargetQueries*TargetParts) / TargetServers
 	return []Reading{
 		{"room of a broker", "parts a window", each / coldWindows / float64(brokers)},
 		{"sum of all brokers", "parts a window", sum / coldWindows},
--- a/internal/scale/decision.go
+++ b/internal/scale/decision.go
@@ -6,6 +6,7 @@
 	"math/rand/v2"
 
 	"mothrouter/internal/decision"
+	"mothrouter/internal/slowstart"
 )
 
 // Axes.
@@ -38,7 +39,7 @@
 		Classes: []decision.Class{{Aim: TargetLatency, Deadline: 4 * TargetLatency, Worth: 1, Need: 1, Floor: 1}},
 		Brokers: brokers, Cells: servers, Reach: AssumedReach, BatchMax: 1, MaxAttempts: 4, Tick: 0.005,
 		ReportMode: decision.ReportPiggyback, MayCancel: true, MayProbe: true, RetryAfter: true, MaxWait: 0.5,
-		ColdShare: coldShare, WarmUp: warmUp, FallMultiple: fallMultiple, FallTime: fallTime,
+		SlowStart: slowstart.Settings{InitialFraction: coldShare, Duration: warmUp, OverloadFactor: fallMultiple, OverloadWindow: fallTime},
 	}
 }
 
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -5,6 +5,7 @@
 	"fmt"
 
 	"mothrouter/internal/decision"
+	"mothrouter/internal/slowstart"
 )
 
 // profile is the part of the start-up settings that the decisions use. Other keys are ignored.
@@ -96,17 +97,19 @@
 		AskWithin:   p.Rules.AskWithin, Tick: p.Tick, MaxAttempts: p.Caps.SendCap,
 		MayCancel: p.Caps.Cancel, MayProbe: p.Caps.Probes, MayCopy: p.Caps.SecondCopies,
 		RetryAfter: p.Caps.RetryAfter, MaxWait: p.Caps.MaxRetryWait,
-		ColdShare: p.Rules.ColdShare, WarmUp: p.Rules.WarmUp,
-		FallMultiple: p.Rules.FallMultiple, FallTime: p.Rules.FallTime,
+		SlowStart: slowstart.Settings{
+			InitialFraction: p.Rules.ColdShare, Duration: p.Rules.WarmUp,
+			OverloadFactor: p.Rules.FallMultiple, OverloadWindow: p.Rules.FallTime,
+		},
 		CrossZonePrice: p.Costs.CrossZone,
 	}
 	if p.Rules.BudgetFree != nil || p.Rules.ExtraRatio != nil {
-		s.Budget, s.BudgetSpan = true, p.Rules.BudgetSpan
+		s.RetryBudget.Enabled, s.RetryBudget.Window = true, p.Rules.BudgetSpan
 		if p.Rules.BudgetFree != nil {
-			s.BudgetFree = int(*p.Rules.BudgetFree)
+			s.RetryBudget.Min = int(*p.Rules.BudgetFree)
 		}
 		if p.Rules.ExtraRatio != nil {
-			s.BudgetShare = *p.Rules.ExtraRatio
+			s.RetryBudget.Ratio = *p.Rules.ExtraRatio
 		}
 	}
 	for i, c := range p.Classes {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -9,6 +9,8 @@
 	"testing"
 
 	"mothrouter/internal/decision"
+	"mothrouter/internal/retrybudget"
+	"mothrouter/internal/slowstart"
 	"mothrouter/internal/wire"
 )
 
@@ -39,14 +41,14 @@
 		Brokers: 2, Zone: 2,
 		Cells: 4, Reach: 2, BatchMax: 8, ReportMode: decision.ReportPull, AskForList: true,
 		AskWithin: 10, Tick: 0.005, MaxAttempts: 3, MayCancel: true, MayProbe: true, MayCopy: true,
-		RetryAfter: true, MaxWait: 0.5, ColdShare: 0.28, WarmUp: 17, FallMultiple: 3, FallTime: 1,
-		Budget: true, BudgetFree: 10, BudgetShare: 0.1, BudgetSpan: 5,
+		RetryAfter: true, MaxWait: 0.5, SlowStart: slowstart.Settings{InitialFraction: 0.28, Duration: 17, OverloadFactor: 3, OverloadWindow: 1},
+		RetryBudget:    retrybudget.Settings{Enabled: true, Min: 10, Ratio: 0.1, Window: 5},
 		CrossZonePrice: 0.04, WorthByWork: true,
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	if s, err := wire.ParseSettings(`{"classes":[{}]}`); err != nil || s.Budget || s.Classes[0].Floor != 1 {
+	if s, err := wire.ParseSettings(`{"classes":[{}]}`); err != nil || s.RetryBudget.Enabled || s.Classes[0].Floor != 1 {
 		t.Errorf("absent keys: %+v, %v; want no budget and a floor of 1", s, err)
 	}
 }
