--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -64,14 +64,14 @@
 func newRig(t *testing.T) *rig {
 	r := &rig{T: t, script: script{make(chan decision.Event, 100), make(chan []decision.Action, 10)},
 		link: link{make(chan *broker.Call, 10), make(chan *broker.Call, 10)}}
-	set := decision.Settings{Cells: 4, Reach: 2, MaxAttempts: 3, RetryAfter: true, MaxWait: 0.5,
+	set := decision.Settings{ReplicaSets: 4, ReplicationFactor: 2, MaxAttempts: 3, RetryAfterSupported: true, MaxRetryAfter: 0.5,
 		ReportMode: decision.ReportPiggyback, Classes: []decision.Class{
-			{Deadline: 4, Need: 1, Floor: 1},
-			{Deadline: 4, Need: 1, Floor: 1, Repeat: decision.RepeatUnsafe},
-			{Deadline: 4, Need: 1, Floor: 0.8},
-			{Deadline: 4, Need: 1, Floor: 1, Repeat: decision.RepeatKeyed, RepeatWindow: 0.2},
-			{Deadline: 4, Need: 1, Floor: 1, SecondStep: 2},
-			{Deadline: 4, Need: 1, Floor: 0.5, SecondStep: 2}}}
+			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 1},
+			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 1, Idempotency: decision.NonIdempotent},
+			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 0.8},
+			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 1, Idempotency: decision.IdempotentWithKey, IdempotencyWindow: 0.2},
+			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 1, SecondPhaseFanout: 2},
+			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 0.5, SecondPhaseFanout: 2}}}
 	r.b = broker.New(broker.Options{Settings: set, OpenCap: 7}, r.script, r.link)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -85,7 +85,7 @@
 	l := broker.List{Mode: mode}
 	for i := 0; i < len(entries); i += 3 {
 		l.Servers = append(l.Servers, broker.ListEntry{Addr: entries[i].(string), Server: decision.Server{
-			ID: entries[i].(string), Cell: entries[i+1].(int), State: entries[i+2].(decision.State)}})
+			ID: entries[i].(string), ReplicaSet: entries[i+1].(int), State: entries[i+2].(decision.State)}})
 	}
 	r.b.Update(l)
 	event[decision.List](r)
@@ -408,7 +408,7 @@
 	r.b.Take(req, loop) // a second of its name
 	<-loop
 	go r.b.Update(broker.List{Mode: decision.ListDelta, Servers: []broker.ListEntry{{Addr: "s1",
-		Server: decision.Server{ID: "s1", Cell: 1, State: decision.Draining}}}})
+		Server: decision.Server{ID: "s1", ReplicaSet: 1, State: decision.Draining}}}})
 	require.Eventually(t, waiting.Server.Leaving, time.Second, time.Millisecond)
 	require.False(t, waiting.Begin())
 	loop <- struct{}{}
@@ -419,7 +419,7 @@
 func TestNoProbeToAServerThatLeaves(t *testing.T) {
 	r := newRig(t)
 	probes := make(chan *broker.Probe, 1)
-	r.b = broker.New(broker.Options{Settings: decision.Settings{Cells: 4, Reach: 2}}, r.script, keeps{r.link, probes})
+	r.b = broker.New(broker.Options{Settings: decision.Settings{ReplicaSets: 4, ReplicationFactor: 2}}, r.script, keeps{r.link, probes})
 	go r.b.Run(t.Context())
 	r.list(decision.ListFull, "s0", 0, decision.Ready, "s1", 1, decision.Ready)
 	r.do(decision.Probe{Server: "s0"}, decision.Probe{Server: "s1"})
--- a/internal/broker/call.go
+++ b/internal/broker/call.go
@@ -129,7 +129,7 @@
 	}
 	q := pt.q
 	c.Query, c.Shard, c.Class, c.Text, c.Second = q.req.ID, pt.Shard, q.req.Class, q.req.Text, pt.second
-	c.Unsafe = q.class.Repeat == decision.RepeatUnsafe
+	c.Unsafe = q.class.Idempotency == decision.NonIdempotent
 	c.Server, c.Addr = s, s.Addr
 	c.Deadline = q.deadline
 	if t := time.Now().Add(seconds(a.Timeout)); a.Timeout > 0 && t.Before(c.Deadline) {
@@ -154,7 +154,7 @@
 		return "an attempt of the part is out"
 	case set.MaxAttempts > 0 && pt.attempts > set.MaxAttempts:
 		return "the part has had all its attempts"
-	case pt.mayRun && pt.q.class.Repeat == decision.RepeatUnsafe:
+	case pt.mayRun && pt.q.class.Idempotency == decision.NonIdempotent:
 		return "the part may have run and must not run twice"
 	case !pt.until.IsZero() && !time.Now().Before(pt.until):
 		return "the part may have run and its window for repeats is over"
@@ -172,11 +172,11 @@
 
 // holds tells whether the servers of a cell hold a shard.
 func holds(set *decision.Settings, cell, shard int) bool {
-	if set.Cells <= 0 {
+	if set.ReplicaSets <= 0 {
 		return true
 	}
-	ahead := (cell - shard%set.Cells + set.Cells) % set.Cells
-	return ahead < max(set.Reach, 1)
+	ahead := (cell - shard%set.ReplicaSets + set.ReplicaSets) % set.ReplicaSets
+	return ahead < max(set.ReplicationFactor, 1)
 }
 
 // giveUp ends the wait for a call. One whose first byte was never written cannot have run.
@@ -205,8 +205,8 @@
 	case decision.Overloaded, decision.Unreachable, decision.NotSent:
 	default:
 		// Where servers drop repeats, they do so for a time from the first attempt that may have run.
-		if class := &pt.q.class; !pt.mayRun && class.Repeat == decision.RepeatKeyed {
-			pt.until = time.Now().Add(b.clock.until(c.sent + class.RepeatWindow - windowLead))
+		if class := &pt.q.class; !pt.mayRun && class.Idempotency == decision.IdempotentWithKey {
+			pt.until = time.Now().Add(b.clock.until(c.sent + class.IdempotencyWindow - windowLead))
 		}
 		pt.mayRun = true
 	}
--- a/internal/broker/configure.go
+++ b/internal/broker/configure.go
@@ -25,8 +25,8 @@
 		return fmt.Errorf("open cap: %d is negative", c.OpenCap)
 	}
 	for i, class := range c.Classes {
-		if !(class.Aim > 0 && class.Deadline > 0) {
-			return fmt.Errorf("classes[%d]: %g s and %g s are no aim and deadline", i, class.Aim, class.Deadline)
+		if !(class.LatencyObjective > 0 && class.Deadline > 0) {
+			return fmt.Errorf("classes[%d]: %g s and %g s are no aim and deadline", i, class.LatencyObjective, class.Deadline)
 		}
 		if fixed(class) != fixed(classes[i]) {
 			return fmt.Errorf("classes[%d]: more than aim, deadline, worth and late worth differs", i)
@@ -37,7 +37,7 @@
 
 // fixed is what of a class cannot change in service.
 func fixed(class decision.Class) decision.Class {
-	class.Aim, class.Deadline, class.Worth, class.LateWorth = 0, 0, 0, 0
+	class.LatencyObjective, class.Deadline, class.PriorityWeight, class.LateValue = 0, 0, 0, 0
 	return class
 }
 
--- a/internal/broker/configure_test.go
+++ b/internal/broker/configure_test.go
@@ -24,9 +24,9 @@
 // classes are a safe class and one with a floor, with a deadline.
 func classes(deadline float64) []decision.Class {
 	return []decision.Class{
-		{Aim: deadline / 2, Deadline: deadline, Worth: 1, Need: 1, Floor: 1},
-		{Aim: deadline / 2, Deadline: deadline, Worth: 1, Need: 1, Floor: 0.5,
-			Repeat: decision.RepeatKeyed, RepeatWindow: 0.2},
+		{LatencyObjective: deadline / 2, Deadline: deadline, PriorityWeight: 1, CompletenessThreshold: 1, MinCompleteness: 1},
+		{LatencyObjective: deadline / 2, Deadline: deadline, PriorityWeight: 1, CompletenessThreshold: 1, MinCompleteness: 0.5,
+			Idempotency: decision.IdempotentWithKey, IdempotencyWindow: 0.2},
 	}
 }
 
@@ -60,7 +60,7 @@
 	h := &held{T: t,
 		gate: &gate{make(chan []decision.Event, 1000), make(chan struct{}), make(chan []decision.Action, 10)},
 		link: link{make(chan *broker.Call, 10), make(chan *broker.Call, 10)}}
-	set := decision.Settings{Cells: 1, Reach: 1, MaxAttempts: 3, RetryAfter: true, MaxWait: 0.5,
+	set := decision.Settings{ReplicaSets: 1, ReplicationFactor: 1, MaxAttempts: 3, RetryAfterSupported: true, MaxRetryAfter: 0.5,
 		Classes: classes(oldDeadline)}
 	h.start = set.Classes
 	h.b = broker.New(broker.Options{Settings: set, OpenCap: oldCap}, h.gate, h.link)
@@ -243,13 +243,13 @@
 		"fewer":    {Classes: classes(newDeadline)[:1], OpenCap: newCap},
 		"more":     {Classes: append(classes(newDeadline), classes(newDeadline)[0]), OpenCap: newCap},
 		"cap":      {Classes: classes(newDeadline), OpenCap: -1},
-		"repeat":   spoil(func(c *decision.Class) { c.Repeat = decision.RepeatUnsafe }),
-		"window":   spoil(func(c *decision.Class) { c.RepeatWindow = 9 }),
-		"need":     spoil(func(c *decision.Class) { c.Need = 0.1 }),
-		"floor":    spoil(func(c *decision.Class) { c.Floor = 0.1 }),
-		"step":     spoil(func(c *decision.Class) { c.SecondStep = 3 }),
-		"stretch":  spoil(func(c *decision.Class) { c.AimStretch = 3 }),
-		"aim":      spoil(func(c *decision.Class) { c.Aim = 0 }),
+		"repeat":   spoil(func(c *decision.Class) { c.Idempotency = decision.NonIdempotent }),
+		"window":   spoil(func(c *decision.Class) { c.IdempotencyWindow = 9 }),
+		"need":     spoil(func(c *decision.Class) { c.CompletenessThreshold = 0.1 }),
+		"floor":    spoil(func(c *decision.Class) { c.MinCompleteness = 0.1 }),
+		"step":     spoil(func(c *decision.Class) { c.SecondPhaseFanout = 3 }),
+		"stretch":  spoil(func(c *decision.Class) { c.ObjectivePerWork = 3 }),
+		"aim":      spoil(func(c *decision.Class) { c.LatencyObjective = 0 }),
 		"deadline": spoil(func(c *decision.Class) { c.Deadline = -1 }),
 	} {
 		require.Error(t, h.b.Configure(c), name)
--- a/internal/broker/list.go
+++ b/internal/broker/list.go
@@ -46,11 +46,11 @@
 	}
 	for _, n := range l.Servers {
 		old := s.byID[n.ID]
-		if old == nil || old.Addr != n.Addr || old.Cell != n.Cell {
+		if old == nil || old.Addr != n.Addr || old.Cell != n.ReplicaSet {
 			if old != nil {
 				old.leaving.Store(true) // what waits for the old address must not go there
 			}
-			s.byID[n.ID] = &Server{ID: n.ID, Addr: n.Addr, Cell: n.Cell}
+			s.byID[n.ID] = &Server{ID: n.ID, Addr: n.Addr, Cell: n.ReplicaSet}
 		}
 		ready[n.ID] = n.State == decision.Ready
 		if delete(s.leaves, n.ID); n.State == decision.Draining {
--- a/internal/broker/query.go
+++ b/internal/broker/query.go
@@ -166,8 +166,8 @@
 
 // advice is when a client that is refused for want of room should come back.
 func (b *Broker) advice() float64 {
-	if b.opt.Settings.RetryAfter {
-		return b.opt.Settings.MaxWait
+	if b.opt.Settings.RetryAfterSupported {
+		return b.opt.Settings.MaxRetryAfter
 	}
 	return 0
 }
@@ -248,14 +248,14 @@
 	if q.first != nil {
 		return 1
 	}
-	return q.class.Need
+	return q.class.CompletenessThreshold
 }
 
 // enough tells whether the present step may be closed with the parts that are in. The class's floor holds for each step.
 func (q *query) enough() bool {
 	least := q.need()
-	if q.class.Floor < q.class.Need {
-		least = min(q.class.Floor, least)
+	if q.class.MinCompleteness < q.class.CompletenessThreshold {
+		least = min(q.class.MinCompleteness, least)
 	}
 	return q.weight() >= least-sumSlack
 }
@@ -271,7 +271,7 @@
 	ran := q.first != nil || slices.ContainsFunc(q.parts, func(pt *part) bool {
 		return pt.mayRun || pt.in || pt.live != nil && pt.live.begun()
 	})
-	if ran && q.class.Repeat != decision.RepeatSafe {
+	if ran && q.class.Idempotency != decision.Idempotent {
 		return Result{Outcome: Failed}
 	}
 	return Result{Outcome: Refused, RetryAfter: retryAfter}
--- a/internal/broker/step.go
+++ b/internal/broker/step.go
@@ -15,10 +15,10 @@
 
 // awaitsSecond tells whether the query's class has a second step that has not begun. Until then nothing can be
 // answered: an answer holds the second step's values.
-func (q *query) awaitsSecond() bool { return q.class.SecondStep > 0 && q.first == nil }
+func (q *query) awaitsSecond() bool { return q.class.SecondPhaseFanout > 0 && q.first == nil }
 
 // ranked tells whether a second step is chosen by the score of the part.
-func (pt *part) ranked() bool { return pt.second == nil && pt.q.class.SecondStep > 0 }
+func (pt *part) ranked() bool { return pt.second == nil && pt.q.class.SecondPhaseFanout > 0 }
 
 // answer closes the present step of a query: it begins the second one, or gives the final answer.
 func (b *Broker) answer(q *query, whole bool) {
@@ -44,7 +44,7 @@
 	slices.SortFunc(chosen, func(a, b *part) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.Shard, b.Shard))
 	})
-	chosen = chosen[:min(q.class.SecondStep, len(chosen))]
+	chosen = chosen[:min(q.class.SecondPhaseFanout, len(chosen))]
 
 	b.endStep(q)
 	b.release(len(q.parts) - len(chosen))
--- a/internal/checkpoint/restart_test.go
+++ b/internal/checkpoint/restart_test.go
@@ -33,10 +33,10 @@
 )
 
 var restartSettings = decision.Settings{
-	Cells: restartServers, Reach: 2, MaxAttempts: 4, MayCancel: true, Brokers: 2, ReportMode: decision.ReportPiggyback,
+	ReplicaSets: restartServers, ReplicationFactor: 2, MaxAttempts: 4, CancelAllowed: true, Brokers: 2, ReportMode: decision.ReportPiggyback,
 	Tick: 0.005, SlowStart: slowstart.Settings{InitialFraction: 0.2, Duration: 8, OverloadFactor: 2.5, OverloadWindow: 1.5},
-	Classes: []decision.Class{{Aim: restartAim, Deadline: 0.4, Worth: 1, Need: 1, Floor: 1},
-		{Aim: restartAim, Deadline: 0.4, Worth: 2, Need: 1, Floor: 1, Repeat: decision.RepeatUnsafe}},
+	Classes: []decision.Class{{LatencyObjective: restartAim, Deadline: 0.4, PriorityWeight: 1, CompletenessThreshold: 1, MinCompleteness: 1},
+		{LatencyObjective: restartAim, Deadline: 0.4, PriorityWeight: 2, CompletenessThreshold: 1, MinCompleteness: 1, Idempotency: decision.NonIdempotent}},
 }
 
 type reply chan broker.Result
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -79,8 +79,8 @@
 
 // Advice is when a client that finds no room should come back; 0: the settings have no such word.
 func (c *Config) Advice() float64 {
-	if c.Settings.RetryAfter {
-		return c.Settings.MaxWait
+	if c.Settings.RetryAfterSupported {
+		return c.Settings.MaxRetryAfter
 	}
 	return 0
 }
@@ -175,7 +175,7 @@
 	}
 	// A query may ask all servers at once. Guards against a fleet where some stay without a connection.
 	all := float64(c.Sockets)
-	c.ServerConns = int(min(max(serverShare*all, serverConns*float64(c.Settings.Cells)), serverMost*all))
+	c.ServerConns = int(min(max(serverShare*all, serverConns*float64(c.Settings.ReplicaSets)), serverMost*all))
 	c.ClientConns = min(int((1-spareShare)*all), c.Sockets-spareLeast) - c.ServerConns
 	if c.IdleConns = int(idleShare * all); c.Control != "" {
 		c.ClientConns = max(c.ClientConns-control.Callers, clientLeast)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -46,7 +46,7 @@
 	require.Equal(t, []any{9, 8, 7, 3 * time.Second, 500 * time.Millisecond, map[string]int{"c": 0}, int64(41)},
 		[]any{c.OpenCap, c.Shards, c.Streams, c.ConnIdle, c.ConnectTimeout, c.Classes, c.Version})
 	require.Equal(t, decision.ListCached, c.Known.Mode)
-	require.Equal(t, decision.Server{ID: "s1", Zone: 1, Cell: 3, State: decision.Draining, Capacity: 1.5, Started: 2.5},
+	require.Equal(t, decision.Server{ID: "s1", Zone: 1, ReplicaSet: 3, State: decision.Draining, Capacity: 1.5, Started: 2.5},
 		c.Known.Servers[0].Server)
 	require.Equal(t, []time.Duration{2 * time.Second}, c.Patience())
 }
@@ -56,8 +56,8 @@
 func TestTheModuleIsNotToldOfCopiesThatTheCoreStops(t *testing.T) {
 	c, err := load(t, strings.Replace(good, `"caps":{`, `"caps":{"secondCopies":true,"cancel":true,`, 1), nil)
 	require.NoError(t, err)
-	require.False(t, c.Settings.MayCopy)
-	require.True(t, c.Settings.MayCancel)
+	require.False(t, c.Settings.HedgingAllowed)
+	require.True(t, c.Settings.CancelAllowed)
 }
 
 // README starts the broker with it.
@@ -268,7 +268,7 @@
 	defer cancel()
 	go b.Run(ctx)
 	b.Update(broker.List{Mode: decision.ListFull, Servers: []broker.ListEntry{
-		{Addr: "a", Server: decision.Server{ID: "a", Started: float64(time.Now().Unix())}}, {Addr: "b", Server: decision.Server{ID: "b", Cell: 1}}}})
+		{Addr: "a", Server: decision.Server{ID: "a", Started: float64(time.Now().Unix())}}, {Addr: "b", Server: decision.Server{ID: "b", ReplicaSet: 1}}}})
 	answer := make(result, 1)
 	b.Take(&broker.Request{ID: "q", Arrived: time.Now(), Patience: 300 * time.Millisecond, Parts: []broker.Part{{Shard: 1, Share: 1}}}, answer)
 	select {
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -40,8 +40,8 @@
 	d := parse(t, document)
 	require.Equal(t, "127.0.0.1:8500", d.Discovery)
 	require.Equal(t, 9, d.OpenCap)
-	require.Equal(t, []float64{1, 2, 1, 0.5}, []float64{d.Classes[0].Aim, d.Classes[0].Deadline, d.Classes[0].Worth,
-		d.Classes[0].LateWorth})
+	require.Equal(t, []float64{1, 2, 1, 0.5}, []float64{d.Classes[0].LatencyObjective, d.Classes[0].Deadline, d.Classes[0].PriorityWeight,
+		d.Classes[0].LateValue})
 	change := d.Change()
 	require.Equal(t, d.Classes, change.Classes)
 	require.Equal(t, d.OpenCap, change.OpenCap)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -38,7 +38,7 @@
 	}
 	// A part's attempts are never out together here, even where the platform bears it. The module must know: one that
 	// counts on copies waits for them beside an attempt that is lost.
-	c.Settings.MayCopy = false
+	c.Settings.HedgingAllowed = false
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
 		return bad("settings", "%v", err)
@@ -56,13 +56,13 @@
 		}
 		c.Classes[class.Name] = i
 	}
-	if c.Settings.Cells <= 0 || c.Settings.Cells > mostSockets {
-		return bad("settings.familyInfo.cells", "%d is outside 1 to %d", c.Settings.Cells, mostSockets)
+	if c.Settings.ReplicaSets <= 0 || c.Settings.ReplicaSets > mostSockets {
+		return bad("settings.familyInfo.cells", "%d is outside 1 to %d", c.Settings.ReplicaSets, mostSockets)
 	}
 	if t := c.Settings.Tick; t < 0 || t > 1 {
 		return bad("settings.tickS", "%g is outside 0 to 1", t)
 	}
-	if t := c.Settings.MaxWait; t < 0 || t > mostSeconds {
+	if t := c.Settings.MaxRetryAfter; t < 0 || t > mostSeconds {
 		return bad("settings.caps.maxRetryAfterS", "%g is outside 0 to %g", t, mostSeconds)
 	}
 	if c.OpenCap, c.Shards = s.Caps.OpenCap, s.Family.Shards; c.OpenCap < 0 {
@@ -100,15 +100,15 @@
 	if !(class.Deadline > 0 && class.Deadline <= mostSeconds) {
 		return bad(key("deadlineS"), "%g is outside 0 to %g, or 0", class.Deadline, mostSeconds)
 	}
-	if class.Aim < 0 || class.Aim > mostSeconds {
-		return bad(key("objectiveS"), "%g is outside 0 to %g", class.Aim, mostSeconds)
+	if class.LatencyObjective < 0 || class.LatencyObjective > mostSeconds {
+		return bad(key("objectiveS"), "%g is outside 0 to %g", class.LatencyObjective, mostSeconds)
 	}
-	class.Aim = cmp.Or(class.Aim, class.Deadline)
-	if !(class.Need > 0 && class.Need <= 1) {
-		return bad(fmt.Sprintf("settings.familyInfo.needByClass[%d]", i), "%g is outside 0 to 1, or 0", class.Need)
+	class.LatencyObjective = cmp.Or(class.LatencyObjective, class.Deadline)
+	if !(class.CompletenessThreshold > 0 && class.CompletenessThreshold <= 1) {
+		return bad(fmt.Sprintf("settings.familyInfo.needByClass[%d]", i), "%g is outside 0 to 1, or 0", class.CompletenessThreshold)
 	}
-	if !(class.Floor >= 0 && class.Floor <= 1) {
-		return bad(fmt.Sprintf("settings.familyInfo.classFloor[%d]", i), "%g is outside 0 to 1", class.Floor)
+	if !(class.MinCompleteness >= 0 && class.MinCompleteness <= 1) {
+		return bad(fmt.Sprintf("settings.familyInfo.classFloor[%d]", i), "%g is outside 0 to 1", class.MinCompleteness)
 	}
 	return nil
 }
--- a/internal/cores/bench_test.go
+++ b/internal/cores/bench_test.go
@@ -20,7 +20,7 @@
 				s := newShare(workers, settings(200, 1e9), 1)
 				l := decision.List{Mode: decision.ListFull}
 				for i := range 200 {
-					e := decision.Server{ID: fmt.Sprint("s", i), Cell: i}
+					e := decision.Server{ID: fmt.Sprint("s", i), ReplicaSet: i}
 					if i < cold {
 						e.Started = 99
 					}
--- a/internal/cores/configure_test.go
+++ b/internal/cores/configure_test.go
@@ -100,7 +100,7 @@
 func classesOf(deadline float64) []decision.Class {
 	classes := slices.Clone(settings(1, 0).Classes)
 	for i := range classes {
-		classes[i].Aim, classes[i].Deadline = deadline/2, deadline
+		classes[i].LatencyObjective, classes[i].Deadline = deadline/2, deadline
 	}
 	return classes
 }
@@ -256,7 +256,7 @@
 func TestAChangeThatDoesNotFitAnyWorker(t *testing.T) {
 	r := newRecorded(t, 3, 2, true)
 	spoilt := classesOf(0.4)
-	spoilt[2].Floor = 0.1
+	spoilt[2].MinCompleteness = 0.1
 	require.Error(t, r.Configure(broker.Change{Classes: spoilt, OpenCap: 9}))
 	require.False(t, r.open.Take(3))
 	require.Equal(t, 2., r.Longest().Seconds())
--- a/internal/cores/cores_test.go
+++ b/internal/cores/cores_test.go
@@ -45,14 +45,14 @@
 
 func settings(servers int, warmUp float64) decision.Settings {
 	return decision.Settings{
-		Cells: servers, Reach: 2, MaxAttempts: 4, MayCancel: true, RetryAfter: true, MaxWait: 0.5, Brokers: 1,
+		ReplicaSets: servers, ReplicationFactor: 2, MaxAttempts: 4, CancelAllowed: true, RetryAfterSupported: true, MaxRetryAfter: 0.5, Brokers: 1,
 		ReportMode: decision.ReportPiggyback, Tick: 0.005,
 		SlowStart: slowstart.Settings{InitialFraction: 0.2, Duration: warmUp, OverloadFactor: 2.5, OverloadWindow: 1.5},
 		Classes: []decision.Class{
-			{Aim: 1, Deadline: 2, Worth: 1, Need: 1, Floor: 1},
-			{Aim: 1, Deadline: 2, Worth: 2, Need: 1, Floor: 1, Repeat: decision.RepeatUnsafe},
-			{Aim: 1, Deadline: 2, Worth: 3, Need: 1, Floor: 0.8, LateWorth: 0.1},
-			{Aim: 1, Deadline: 2, Worth: 3, Need: 1, Floor: 1, SecondStep: 2}},
+			{LatencyObjective: 1, Deadline: 2, PriorityWeight: 1, CompletenessThreshold: 1, MinCompleteness: 1},
+			{LatencyObjective: 1, Deadline: 2, PriorityWeight: 2, CompletenessThreshold: 1, MinCompleteness: 1, Idempotency: decision.NonIdempotent},
+			{LatencyObjective: 1, Deadline: 2, PriorityWeight: 3, CompletenessThreshold: 1, MinCompleteness: 0.8, LateValue: 0.1},
+			{LatencyObjective: 1, Deadline: 2, PriorityWeight: 3, CompletenessThreshold: 1, MinCompleteness: 1, SecondPhaseFanout: 2}},
 	}
 }
 
@@ -232,7 +232,7 @@
 				s.Restart()
 				r.Update(broker.List{Mode: decision.ListDelta, Version: v, Servers: []broker.ListEntry{s.Entry(decision.Ready)}})
 			case 2:
-				r.Update(broker.List{Mode: decision.ListDelta, Version: v, Servers: []broker.ListEntry{s.Entry(decision.Gone)}})
+				r.Update(broker.List{Mode: decision.ListDelta, Version: v, Servers: []broker.ListEntry{s.Entry(decision.Removed)}})
 				time.Sleep(20 * time.Millisecond)
 				v += 6 // its turn, and so its number, stays
 				r.Update(broker.List{Mode: decision.ListDelta, Version: v, Servers: []broker.ListEntry{s.Entry(decision.Ready)}})
--- a/internal/cores/share.go
+++ b/internal/cores/share.go
@@ -92,7 +92,7 @@
 		}
 	}
 	for _, e := range l.Servers {
-		if e.State == decision.Gone {
+		if e.State == decision.Removed {
 			s.drop(e.ID)
 			continue
 		}
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -47,9 +47,10 @@
 // other parts make an answer, only late ones are left out. Late repeats yield. Worth widens the margin.
 func (p *Policy) wouldBeLate(q *query) bool {
 	left, limit := 0.0, (admitStale+admitFresh/p.serviceTime.HalfLife)*(q.aim-p.now)
-	if parts := q.class.Need * float64(len(q.parts)); !p.set.WorthByWork && q.class.Worth > 0 {
-		p.worthAsked, p.partsAsked = p.worthAsked+q.class.Worth, p.partsAsked+parts
-		relativeWorth := q.class.Worth / parts * p.partsAsked / p.worthAsked
+	parts := q.class.CompletenessThreshold * float64(len(q.parts))
+	if !p.set.WeightByWork && q.class.PriorityWeight > 0 {
+		p.worthAsked, p.partsAsked = p.worthAsked+q.class.PriorityWeight, p.partsAsked+parts
+		relativeWorth := q.class.PriorityWeight / parts * p.partsAsked / p.worthAsked
 		limit = math.Min(limit*math.Max(math.Sqrt(relativeWorth), worthLeast), q.aim-p.now)
 	}
 	if q.late {
@@ -63,5 +64,5 @@
 			left += pt.Weight
 		}
 	}
-	return left < math.Min(q.class.Floor, q.class.Need)-sumSlack
+	return left < math.Min(q.class.MinCompleteness, q.class.CompletenessThreshold)-sumSlack
 }
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -17,27 +17,27 @@
 // RequestID names a query or a part of one. The caller never reuses one.
 type RequestID uint64
 
-// Repeat tells what a repeated part of a class does.
-type Repeat int
+// Idempotency tells what a repeated part of a class does.
+type Idempotency int
 
 const (
-	RepeatSafe   Repeat = iota // repeats do no harm
-	RepeatKeyed                // servers drop repeats within Class.RepeatWindow
-	RepeatUnsafe               // a repeat of what may have run is never allowed
+	Idempotent        Idempotency = iota // repeats do no harm
+	IdempotentWithKey                    // servers drop repeats within Class.IdempotencyWindow
+	NonIdempotent                        // a repeat of what may have run is never allowed
 )
 
 // Class describes one class of query.
 type Class struct {
-	Aim          float64 // an answer within this time earns full worth
-	AimStretch   float64 // the aim grows by this multiple of the query's own work
-	Deadline     float64 // the client's patience over all its tries
-	Worth        float64 // of a whole answer in time; 0: not stated
-	LateWorth    float64 // share of the worth that a late answer earns
-	Repeat       Repeat
-	RepeatWindow float64 // RepeatKeyed: how long repeats are dropped, from the first send
-	Need         float64 // weight of the first step's parts that makes a whole answer
-	Floor        float64 // least weight of an answer
-	SecondStep   int     // parts of the second step; 0: there is none
+	LatencyObjective      float64 // an answer within this time earns full worth
+	ObjectivePerWork      float64 // the aim grows by this multiple of the query's own work
+	Deadline              float64 // the client's patience over all its tries
+	PriorityWeight        float64 // of a whole answer in time; 0: not stated
+	LateValue             float64 // share of the worth that a late answer earns
+	Idempotency           Idempotency
+	IdempotencyWindow     float64 // RepeatKeyed: how long repeats are dropped, from the first send
+	CompletenessThreshold float64 // weight of the first step's parts that makes a whole answer
+	MinCompleteness       float64 // least weight of an answer
+	SecondPhaseFanout     int     // parts of the second step; 0: there is none
 }
 
 // ReportMode tells how servers' load reports arrive.
@@ -56,25 +56,25 @@
 	Brokers int // how many there are
 	Zone    int // this broker's zone
 
-	Cells       int // number of cells
-	Reach       int // shard s is held by cells s, s+1 ... s+Reach-1, modulo Cells
-	BatchMax    int // most parts that share one call
-	ReportMode  ReportMode
-	AskForList  bool    // the server list comes only when asked for
-	AskWithin   float64 // longest time without asking, where it must be asked for
-	WorthByWork bool    // a query earns its class's worth times its work, else just that
-	Tick        float64 // least time between batches
-	MaxAttempts int     // attempts of one part; 0: unlimited
-	MayCancel   bool
-	MayProbe    bool
-	MayCopy     bool    // a part may have two attempts out at once
-	RetryAfter  bool    // clients hear Refuse.RetryAfter
-	MaxWait     float64 // longest RetryAfter that clients heed
+	ReplicaSets         int // number of cells
+	ReplicationFactor   int // shard s is held by cells s, s+1 ... s+Reach-1, modulo Cells
+	MaxPartsPerCall     int // most parts that share one call
+	ReportMode          ReportMode
+	PollEndpoints       bool    // the server list comes only when asked for
+	PollInterval        float64 // longest time without asking, where it must be asked for
+	WeightByWork        bool    // a query earns its class's worth times its work, else just that
+	Tick                float64 // least time between batches
+	MaxAttempts         int     // attempts of one part; 0: unlimited
+	CancelAllowed       bool
+	HealthChecksAllowed bool
+	HedgingAllowed      bool    // a part may have two attempts out at once
+	RetryAfterSupported bool    // clients hear Refuse.RetryAfter
+	MaxRetryAfter       float64 // longest RetryAfter that clients heed
 
 	SlowStart   slowstart.Settings
 	RetryBudget retrybudget.Settings // of further attempts; queries and parts count as requests
 
-	CrossZonePrice float64 // price of parts that cross zones, in shares of the result
+	CrossZoneCost float64 // price of parts that cross zones, in shares of the result
 }
 
 // State is a server's state on the list. A draining server gets nothing new from the moment the list says so.
@@ -83,18 +83,18 @@
 const (
 	Ready    State = iota
 	Draining       // finishes its work, takes nothing new
-	Gone
+	Removed
 )
 
 // Server is one entry of the server list.
 type Server struct {
-	ID       string
-	Zone     int
-	Kind     int
-	Cell     int
-	State    State
-	Capacity float64 // for comparison between servers; 0: unknown
-	Started  float64 // time of the last start; 0: long ago
+	ID         string
+	Zone       int
+	Kind       int
+	ReplicaSet int
+	State      State
+	Capacity   float64 // for comparison between servers; 0: unknown
+	Started    float64 // time of the last start; 0: long ago
 }
 
 // Load is a server's report of its own load. Absent values are negative.
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -32,9 +32,10 @@
 		return false
 	}
 	for _, a := range pt.attempts {
-		keyed := pt.q.class.Repeat == RepeatKeyed
-		if a.live && !p.set.MayCopy || (a.live || a.mayRun) && (pt.q.class.Repeat == RepeatUnsafe ||
-			keyed && p.now > a.sentAt+pt.q.class.RepeatWindow-edgeSlack) {
+		c := pt.q.class
+		expired := c.Idempotency == IdempotentWithKey && p.now > a.sentAt+c.IdempotencyWindow-edgeSlack
+		if a.live && !p.set.HedgingAllowed ||
+			(a.live || a.mayRun) && (c.Idempotency == NonIdempotent || expired) {
 			return false
 		}
 	}
@@ -52,15 +53,15 @@
 		if pt.in || pt.dropped || i%stride > 0 {
 			continue
 		}
-		if want >= q.class.Need-sumSlack && q.step == 1 {
+		if want >= q.class.CompletenessThreshold-sumSlack && q.step == 1 {
 			return // the parts that are out will make a whole answer
 		}
 		overdue := pt.live > 0 && p.overdue(pt)
-		if overdue && !p.set.MayCopy {
+		if overdue && !p.set.HedgingAllowed {
 			p.cancelLive(pt) // then another may go
 		}
-		if pt.live > 0 && !(p.set.MayCopy && overdue) {
-			if q.class.Need > 1-sumSlack || q.step == 2 || !p.late(pt) {
+		if pt.live > 0 && !(p.set.HedgingAllowed && overdue) {
+			if q.class.CompletenessThreshold > 1-sumSlack || q.step == 2 || !p.late(pt) {
 				want += pt.Weight
 			}
 			continue
@@ -71,7 +72,7 @@
 		if pt.live == 0 {
 			want += pt.Weight
 		}
-		if p.set.BatchMax <= 1 || len(pt.attempts) > 0 {
+		if p.set.MaxPartsPerCall <= 1 || len(pt.attempts) > 0 {
 			p.turn++ // nothing to share: a draw of its own
 		}
 		var s *server
@@ -133,12 +134,14 @@
 // this answer is lost. A slow but living server is left alone: its work would go on.
 func (p *Policy) overdue(pt *part) bool {
 	a, high := &pt.attempts[len(pt.attempts)-1], p.latency[pt.q.Class].Quantile(0.95)
-	stays := pt.q.class.Repeat != RepeatSafe || !p.set.MayCancel || len(pt.attempts) >= p.set.MaxAttempts
-	if high == 0 || pt.live != 1 || !a.live || a.dropped || p.now >= pt.q.aim || !p.set.MayCopy && stays {
+	stays := pt.q.class.Idempotency != Idempotent || !p.set.CancelAllowed ||
+		len(pt.attempts) >= p.set.MaxAttempts
+	if high == 0 || pt.live != 1 || !a.live || a.dropped || p.now >= pt.q.aim ||
+		!p.set.HedgingAllowed && stays {
 		return false
 	}
 	patience, passed := giveUpTimes*high, a.srv.passed > a.sentAt+passedTimes*high
-	if p.set.MayCopy {
+	if p.set.HedgingAllowed {
 		patience = copyTimes * high
 	}
 	due := a.sentAt + patience
--- a/internal/decision/bench_test.go
+++ b/internal/decision/bench_test.go
@@ -33,15 +33,15 @@
 
 func newBenchmarkFleet(size int, failShare float64, change func(*decision.Settings)) *benchmarkFleet {
 	s := settings()
-	s.Brokers, s.Cells, s.Reach, s.ReportMode = 590, size, 3, decision.ReportPiggyback
-	s.Classes = []decision.Class{{Aim: 0.24, Deadline: 2, Need: 1, Floor: 0.8, Worth: 1}}
+	s.Brokers, s.ReplicaSets, s.ReplicationFactor, s.ReportMode = 590, size, 3, decision.ReportPiggyback
+	s.Classes = []decision.Class{{LatencyObjective: 0.24, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 0.8, PriorityWeight: 1}}
 	if change != nil {
 		change(&s)
 	}
 	f := &benchmarkFleet{policy: decision.New(s, 7), now: 1000, random: rand.New(rand.NewPCG(uint64(size), 1)),
 		failShare: failShare, failure: decision.Error}
 	for i := range size {
-		f.list = append(f.list, decision.Server{ID: fmt.Sprint("server-", i), Cell: i, Zone: i % benchmarkZones})
+		f.list = append(f.list, decision.Server{ID: fmt.Sprint("server-", i), ReplicaSet: i, Zone: i % benchmarkZones})
 	}
 	f.policy.Handle(f.now, []decision.Event{decision.List{Mode: decision.ListFull, Servers: f.list}})
 	for range benchmarkWarmUp {
@@ -146,7 +146,7 @@
 // A query while half of the attempts are cut off and servers are probed.
 func BenchmarkQueryWhileProbing(b *testing.B) {
 	benchmarkEach(b, func(b *testing.B, size int) {
-		f := newBenchmarkFleet(size, 0, func(s *decision.Settings) { s.MayProbe = true })
+		f := newBenchmarkFleet(size, 0, func(s *decision.Settings) { s.HealthChecksAllowed = true })
 		f.failShare, f.failure = 0.5, decision.Unreachable
 		for range 5 {
 			f.query()
--- a/internal/decision/cold_test.go
+++ b/internal/decision/cold_test.go
@@ -53,8 +53,8 @@
 
 func (d coldDay) settings() decision.Settings {
 	return decision.Settings{
-		Classes: []decision.Class{{Aim: 1.5, Deadline: 4, Need: 1, Floor: 1, Worth: 1}}, Brokers: d.brokers,
-		Cells: d.servers, Reach: 2, BatchMax: 1, MaxAttempts: 4, Tick: 0.001, MayCancel: true, RetryAfter: true, MaxWait: 0.5,
+		Classes: []decision.Class{{LatencyObjective: 1.5, Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 1}}, Brokers: d.brokers,
+		ReplicaSets: d.servers, ReplicationFactor: 2, MaxPartsPerCall: 1, MaxAttempts: 4, Tick: 0.001, CancelAllowed: true, RetryAfterSupported: true, MaxRetryAfter: 0.5,
 		ReportMode: decision.ReportPiggyback, SlowStart: slowstart.Settings{InitialFraction: 0.2, Duration: 17, OverloadFactor: 2.5, OverloadWindow: 1.5},
 	}
 }
@@ -67,7 +67,7 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var list []decision.Server
 	for i := range d.servers {
-		list = append(list, decision.Server{ID: fmt.Sprint("s", i), Cell: i})
+		list = append(list, decision.Server{ID: fmt.Sprint("s", i), ReplicaSet: i})
 	}
 	fleet := make([][]*decision.Policy, d.brokers) // of each, its processes
 	blank := func(now float64) *decision.Policy {
@@ -110,7 +110,7 @@
 			started[list[n].ID] = now
 			free[list[n].ID] = now
 			if d.alone { // no other holds its shards
-				list[(n+1)%d.servers].State, list[(n+d.servers-1)%d.servers].State = decision.Gone, decision.Gone
+				list[(n+1)%d.servers].State, list[(n+d.servers-1)%d.servers].State = decision.Removed, decision.Removed
 			}
 			for i := range fleet {
 				for _, p := range fleet[i] {
--- a/internal/decision/configured_test.go
+++ b/internal/decision/configured_test.go
@@ -31,13 +31,13 @@
 	}{{"a shorter aim", 1, 0.4}, {"a longer aim", 0.4, 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.Classes[0].Aim = c.old
+			s.Classes[0].LatencyObjective = c.old
 			r := newRig(t, s, servers(3)...)
 			start := r.now
 			before, events := r.query(0, 1)
 			require.Len(t, sends(r.handle(events...)), 1)
 			classes := slices.Clone(s.Classes)
-			classes[0].Aim = c.new
+			classes[0].LatencyObjective = c.new
 			after, events := r.query(0, 1)
 			events = append([]decision.Event{decision.Configured{Classes: classes}}, events...)
 			require.Len(t, sends(r.handle(events...)), 1)
@@ -50,7 +50,7 @@
 			ends[second] = r.silence(second, start+2)
 			require.InDelta(t, start+c.old, ends[before], 0.03)
 			require.InDelta(t, start+c.new, ends[after], 0.03)
-			require.Equal(t, c.old, s.Classes[0].Aim, "the classes of the start were written to")
+			require.Equal(t, c.old, s.Classes[0].LatencyObjective, "the classes of the start were written to")
 		})
 	}
 }
@@ -60,7 +60,7 @@
 func TestAShorterDeadlineMakesNoQueryARepeat(t *testing.T) {
 	taken := func(configured bool) (sent int) {
 		s := settings()
-		s.Classes[0] = decision.Class{Aim: 0.1, Deadline: 8, Need: 1, Floor: 1}
+		s.Classes[0] = decision.Class{LatencyObjective: 0.1, Deadline: 8, CompletenessThreshold: 1, MinCompleteness: 1}
 		r := newRig(t, s, servers(3)...)
 		id, events := r.query(0, 1)
 		q := events[0].(decision.Query)
@@ -71,7 +71,7 @@
 		r.handle(ended(id+1, 0, out[0].Server, decision.OK, 0.04))
 		r.now += 20
 		if configured {
-			r.handle(decision.Configured{Classes: []decision.Class{{Aim: 0.1, Deadline: 2, Need: 1, Floor: 1}}})
+			r.handle(decision.Configured{Classes: []decision.Class{{LatencyObjective: 0.1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}}})
 		}
 		for range 200 {
 			r.now += 2 // so that little is seen of the fleet
--- a/internal/decision/differential_test.go
+++ b/internal/decision/differential_test.go
@@ -51,30 +51,30 @@
 	d := &day{random: r, now: 100 + 1e6*float64(r.IntN(2)), armed: math.Inf(1), faults: map[string]fault{},
 		attempts: map[RequestID]int{}}
 	d.settings = Settings{
-		Brokers: pick(1, 3, 590), Zone: r.IntN(3), Cells: pick(1, 4, 30, 120), Reach: pick(1, 2, 3), BatchMax: pick(1, 8),
-		ReportMode: ReportMode(r.IntN(3)), AskForList: maybe(), AskWithin: 6, WorthByWork: maybe(), Tick: 0.005,
-		MaxAttempts: pick(0, 2, 4), MayCancel: maybe(), MayProbe: maybe(), MayCopy: maybe(), RetryAfter: maybe(),
-		MaxWait: 0.5,
+		Brokers: pick(1, 3, 590), Zone: r.IntN(3), ReplicaSets: pick(1, 4, 30, 120), ReplicationFactor: pick(1, 2, 3), MaxPartsPerCall: pick(1, 8),
+		ReportMode: ReportMode(r.IntN(3)), PollEndpoints: maybe(), PollInterval: 6, WeightByWork: maybe(), Tick: 0.005,
+		MaxAttempts: pick(0, 2, 4), CancelAllowed: maybe(), HealthChecksAllowed: maybe(), HedgingAllowed: maybe(), RetryAfterSupported: maybe(),
+		MaxRetryAfter: 0.5,
 		SlowStart: slowstart.Settings{InitialFraction: []float64{0.2, 0.5, 1, 1.5}[r.IntN(4)], Duration: float64(pick(0, 3, 17)),
 			OverloadFactor: 2.5, OverloadWindow: float64(pick(0, 1, 2))},
-		RetryBudget:    retrybudget.Settings{Enabled: maybe(), Min: 3, Ratio: 0.2, Window: float64(pick(1, 5))},
-		CrossZonePrice: float64(r.IntN(2)),
+		RetryBudget:   retrybudget.Settings{Enabled: maybe(), Min: 3, Ratio: 0.2, Window: float64(pick(1, 5))},
+		CrossZoneCost: float64(r.IntN(2)),
 	}
 	for range 1 + r.IntN(3) {
-		c := Class{Aim: 0.05 + r.Float64(), AimStretch: r.Float64(), Repeat: Repeat(r.IntN(3)), RepeatWindow: 0.3, Need: 1,
-			Floor: 1, Worth: float64(r.IntN(3)), LateWorth: float64(r.IntN(2)) / 2}
-		c.Deadline = c.Aim * (1 + 2*r.Float64())
+		c := Class{LatencyObjective: 0.05 + r.Float64(), ObjectivePerWork: r.Float64(), Idempotency: Idempotency(r.IntN(3)), IdempotencyWindow: 0.3, CompletenessThreshold: 1,
+			MinCompleteness: 1, PriorityWeight: float64(r.IntN(3)), LateValue: float64(r.IntN(2)) / 2}
+		c.Deadline = c.LatencyObjective * (1 + 2*r.Float64())
 		if maybe() {
-			c.Need, c.Floor = 0.9, 0.6
+			c.CompletenessThreshold, c.MinCompleteness = 0.9, 0.6
 		}
 		if r.IntN(3) == 0 {
-			c.SecondStep = 3
+			c.SecondPhaseFanout = 3
 		}
 		d.settings.Classes = append(d.settings.Classes, c)
 	}
 	zones := pick(1, 3, 10)
 	for i := range pick(3, 20, 120, 250) {
-		d.servers = append(d.servers, Server{ID: fmt.Sprint("s", i), Zone: r.IntN(zones), Cell: i % d.settings.Cells})
+		d.servers = append(d.servers, Server{ID: fmt.Sprint("s", i), Zone: r.IntN(zones), ReplicaSet: i % d.settings.ReplicaSets})
 		if r.IntN(4) == 0 {
 			d.servers[i].Started = d.now - 20*r.Float64()
 		}
@@ -218,11 +218,11 @@
 	case 0, 1:
 		s.State = Draining
 	case 2:
-		s.State = Gone
+		s.State = Removed
 	case 3:
 		s.Started, s.State = d.now-d.random.Float64(), Ready
 	case 4:
-		s.Cell, s.Zone = d.random.IntN(d.settings.Cells+2)-1, d.random.IntN(6)-1
+		s.ReplicaSet, s.Zone = d.random.IntN(d.settings.ReplicaSets+2)-1, d.random.IntN(6)-1
 	case 5:
 		d.restarts++
 		s.ID, s.State, s.Started = fmt.Sprint("new", d.restarts), Ready, d.now
--- a/internal/decision/draw.go
+++ b/internal/decision/draw.go
@@ -33,7 +33,7 @@
 
 // nearness is less than 1 for servers of other zones where crossing has a price.
 func (p *Policy) nearness(s *server) float64 {
-	if s.Zone == p.set.Zone || p.set.CrossZonePrice <= 0 {
+	if s.Zone == p.set.Zone || p.set.CrossZoneCost <= 0 {
 		return 1
 	}
 	return farShare
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -9,8 +9,8 @@
 // A broker hands in events with their time and carries out the actions.
 func Example() {
 	settings := decision.Settings{
-		Classes: []decision.Class{{Aim: 1, Deadline: 2, Need: 1, Floor: 1}},
-		Brokers: 1, Cells: 1, Reach: 1, BatchMax: 1, MaxAttempts: 3, Tick: 0.005,
+		Classes: []decision.Class{{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}},
+		Brokers: 1, ReplicaSets: 1, ReplicationFactor: 1, MaxPartsPerCall: 1, MaxAttempts: 3, Tick: 0.005,
 	}
 	p := decision.New(settings, 1)
 	p.Handle(0, []decision.Event{
--- a/internal/decision/failures_test.go
+++ b/internal/decision/failures_test.go
@@ -114,7 +114,7 @@
 // Clients leave long before their stated deadline: the answer in part must come while they still wait.
 func TestAnswersComeWhileClientsStillWait(t *testing.T) {
 	s := settings()
-	s.Classes[0].Floor = 0.5
+	s.Classes[0].MinCompleteness = 0.5
 	r := newRig(t, s, servers(3)...)
 	r.warm(60, 0.05)
 	for range 10 {
@@ -193,7 +193,7 @@
 		min, max int
 	}{{0, 120, 180}, {0.04, 8, 50}} {
 		s := settings()
-		s.CrossZonePrice = c.price
+		s.CrossZoneCost = c.price
 		list := servers(2)
 		list[1].Zone = 1
 		got := share(newRig(t, s, list...), 300, func(snd decision.Send) decision.Event {
@@ -238,9 +238,9 @@
 // Where all replicas of a shard answer slowly, for others' parts too, few queries are let through on trial.
 func TestSlowShardIsRefusedThoughIdleHere(t *testing.T) {
 	s := settings()
-	s.Cells = 2
+	s.ReplicaSets = 2
 	list := servers(4)
-	list[2].Cell, list[3].Cell = 1, 1
+	list[2].ReplicaSet, list[3].ReplicaSet = 1, 1
 	r := newRig(t, s, list...)
 	refused := 0
 	for i := range 120 {
@@ -272,7 +272,7 @@
 func TestManyBrokersShareAColdServersRoom(t *testing.T) {
 	const brokers, warmRate = 90, 12 // warmRate: parts a second that each warm server answers, to all brokers
 	s := settings()
-	s.Brokers, s.Cells = brokers, 2
+	s.Brokers, s.ReplicaSets = brokers, 2
 	toCold, windows := 0, 4
 	for m := range brokers {
 		r := newRig(t, s, servers(4)...)
@@ -284,7 +284,7 @@
 				r.at(r.now+brokers/4.0/warmRate, ended(snd.ID, 0, snd.Server, decision.OK, 0.02))
 			}
 		}
-		r.handle(decision.List{Servers: []decision.Server{{ID: "s0", Cell: 1, Started: r.now}}})
+		r.handle(decision.List{Servers: []decision.Server{{ID: "s0", ReplicaSet: 1, Started: r.now}}})
 		for range 40 * windows { // a query whenever it likes, in each fall window
 			_, ev := r.query(0, 1)
 			pt := ev[1].(decision.Part)
@@ -407,8 +407,8 @@
 // Where a share of the parts makes a whole answer, a spare part stands in for one whose server stays silent.
 func TestSparePartsStandInForSilentOnes(t *testing.T) {
 	s := settings()
-	s.Classes[0].Need, s.Classes[0].Floor = 0.5, 0.5
-	s.MayCopy = false
+	s.Classes[0].CompletenessThreshold, s.Classes[0].MinCompleteness = 0.5, 0.5
+	s.HedgingAllowed = false
 	r := newRig(t, s, servers(12)...)
 	r.warm(60, 0.05)
 	_, ev := r.query(0, 4)
@@ -453,7 +453,7 @@
 // While too few answers are known to tell when a copy is due, a running part asks for no timers in between.
 func TestNoTimerEachTickBeforeAnythingIsKnown(t *testing.T) {
 	s := settings()
-	s.MayCopy = true
+	s.HedgingAllowed = true
 	r := newRig(t, s, servers(3)...)
 	_, ev := r.query(0, 1)
 	r.handle(ev...)
@@ -480,7 +480,7 @@
 // fails and the median server with it.
 func TestServersOfAFailingZoneAreAvoided(t *testing.T) {
 	s := settings()
-	s.MaxAttempts, s.MayProbe = 1, false
+	s.MaxAttempts, s.HealthChecksAllowed = 1, false
 	r := newRig(t, s, zoned(300)...)
 	answer := func(s decision.Send) decision.Event {
 		if int(s.Server[len(s.Server)-1]-'0')%2 == 1 {
@@ -503,7 +503,7 @@
 // Probes look for sound servers while attempts fail often, and only then; they count like attempts.
 func TestFailuresAreLookedIntoByProbes(t *testing.T) {
 	s := settings()
-	s.MaxAttempts, s.MayProbe = 1, true
+	s.MaxAttempts, s.HealthChecksAllowed = 1, true
 	for _, st := range []decision.Status{decision.OK, decision.Reset} {
 		r := newRig(t, s, servers(100)...)
 		probed := map[string]bool{}
@@ -555,9 +555,9 @@
 func TestWorthierQueriesKeepAWiderMargin(t *testing.T) {
 	for _, byWork := range []bool{false, true} {
 		s := settings()
-		s.WorthByWork = byWork
+		s.WeightByWork = byWork
 		s.Classes = []decision.Class{
-			{Aim: 1, Deadline: 2, Need: 1, Floor: 1, Worth: 1}, {Aim: 1, Deadline: 2, Need: 1, Floor: 1, Worth: 3},
+			{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 1}, {LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 3},
 		}
 		r := newRig(t, s, servers(3)...)
 		refused := [2]int{}
@@ -623,9 +623,9 @@
 // An attempt that its server has passed over for long is lost: it is given up for another, once, where a repeat
 // is safe, and left alone where it is not.
 func TestAttemptPassedOverIsGivenUp(t *testing.T) {
-	for _, repeat := range []decision.Repeat{decision.RepeatSafe, decision.RepeatUnsafe} {
+	for _, repeat := range []decision.Idempotency{decision.Idempotent, decision.NonIdempotent} {
 		s := settings()
-		s.Classes[0].Repeat = repeat
+		s.Classes[0].Idempotency = repeat
 		r := newRig(t, s, servers(1)...) // one server: it answers everything else
 		r.warm(40, 0.02)
 		_, ev := r.query(0, 1)
@@ -644,7 +644,7 @@
 				}
 			}
 		}
-		if want := map[decision.Repeat]int{decision.RepeatSafe: 1}[repeat]; cancelled != want {
+		if want := map[decision.Idempotency]int{decision.Idempotent: 1}[repeat]; cancelled != want {
 			t.Errorf("repeat %v: cancelled %d times, want %d", repeat, cancelled, want)
 		}
 	}
--- a/internal/decision/fleet_test.go
+++ b/internal/decision/fleet_test.go
@@ -13,11 +13,11 @@
 // fleetRig is a broker of many that knows 200 servers, each shard held by two, and the wide class of the site.
 func fleetRig(t testing.TB, n int) (*decision.Policy, func(now float64, parts int) []decision.Event) {
 	s := settings()
-	s.Brokers, s.Cells, s.Reach, s.ReportMode = 300, n, 2, decision.ReportPiggyback
-	s.Classes = []decision.Class{{Aim: 0.5, Deadline: 2, Need: 1, Floor: 0.8, Worth: 1}}
+	s.Brokers, s.ReplicaSets, s.ReplicationFactor, s.ReportMode = 300, n, 2, decision.ReportPiggyback
+	s.Classes = []decision.Class{{LatencyObjective: 0.5, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 0.8, PriorityWeight: 1}}
 	var list []decision.Server
 	for i := range n {
-		list = append(list, decision.Server{ID: fmt.Sprint("s", i), Cell: i})
+		list = append(list, decision.Server{ID: fmt.Sprint("s", i), ReplicaSet: i})
 	}
 	p := decision.New(s, 7)
 	p.Handle(100, []decision.Event{decision.List{Mode: decision.ListFull, Servers: list}})
@@ -72,7 +72,7 @@
 // sees much of each server: of few brokers, the one that refused meets it again, and knows what it can bear.
 func TestLateRepeatsYieldToFirstTries(t *testing.T) {
 	s := settings()
-	s.Classes[0] = decision.Class{Aim: 0.4, Deadline: 1.4, Need: 1, Floor: 1, Worth: 1}
+	s.Classes[0] = decision.Class{LatencyObjective: 0.4, Deadline: 1.4, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 1}
 	for _, c := range []struct {
 		servers        int
 		pace, patience float64
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -21,8 +21,8 @@
 // settings of a plain deployment: one cell, safe queries that need every part.
 func settings() decision.Settings {
 	return decision.Settings{
-		Classes: []decision.Class{{Aim: 1, Deadline: 2, Need: 1, Floor: 1}},
-		Brokers: 1, Cells: 1, Reach: 1, BatchMax: 1, MaxAttempts: 3, Tick: 0.005, MayCancel: true,
+		Classes: []decision.Class{{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}},
+		Brokers: 1, ReplicaSets: 1, ReplicationFactor: 1, MaxPartsPerCall: 1, MaxAttempts: 3, Tick: 0.005, CancelAllowed: true,
 		SlowStart: slowstart.Settings{InitialFraction: 0.25, Duration: 10, OverloadFactor: 2, OverloadWindow: 1},
 	}
 }
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -67,16 +67,16 @@
 	n, p := len(s.Classes), &Policy{set: s, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
 		armed: math.Inf(1), meanFitness: 1, byID: map[string]*server{}, breakers: map[uint64]float64{},
 		parts: map[RequestID]*part{}, queries: map[int64]*query{}, byQuery: map[RequestID]*query{}}
-	p.cells = cells.New(s.Cells, s.Reach, number)
+	p.cells = cells.New(s.ReplicaSets, s.ReplicationFactor, number)
 	p.failed = failures.New(failureHalfLife, zoneStep, negligible)
 	p.news = lazyheap.New(func(s *server) float64 { return s.newsAt }, number)
 	p.latency, p.cautiousUntil, p.waits = make([]recent.Ring, n), make([]float64, n), make([]float64, n)
 	p.budget.Settings = s.RetryBudget
-	if !s.AskForList {
+	if !s.PollEndpoints {
 		p.watchAt = math.Inf(1)
 	}
-	if !s.RetryAfter {
-		p.set.MaxWait = 0 // clients would not hear it
+	if !s.RetryAfterSupported {
+		p.set.MaxRetryAfter = 0 // clients would not hear it
 	}
 	return p
 }
--- a/internal/decision/queries.go
+++ b/internal/decision/queries.go
@@ -54,8 +54,8 @@
 	c := &p.set.Classes[e.Class]
 	q := &query{Query: e, class: c, step: 1, arrived: cmp.Or(e.Came, p.now), fingerprint: uint64(e.Class + 1)}
 	lead := p.lead() + p.now - q.arrived // the way out takes as long as the way in: this broker's own work
-	q.aim = math.Min(q.arrived+c.Aim+c.AimStretch*e.Work, e.Deadline) - lead
-	if q.end = q.aim; c.LateWorth > 0 {
+	q.aim = math.Min(q.arrived+c.LatencyObjective+c.ObjectivePerWork*e.Work, e.Deadline) - lead
+	if q.end = q.aim; c.LateValue > 0 {
 		q.end = e.Deadline - lead
 	}
 	// While many clients leave long before their stated deadline, aim at the time that most of them wait.
@@ -66,7 +66,7 @@
 	// A client that waits for less than others has asked before: what is left is of the time for all tries.
 	wait := math.Min(e.Deadline-p.now, c.Deadline)
 	p.waits[e.Class] = math.Max(p.waits[e.Class], wait)
-	q.late = wait < waitsLess*p.waits[e.Class] && c.Deadline-wait > c.Aim
+	q.late = wait < waitsLess*p.waits[e.Class] && c.Deadline-wait > c.LatencyObjective
 	p.queries[e.Number], p.byQuery[e.ID] = q, q
 	p.open = append(p.open, q)
 }
@@ -122,7 +122,7 @@
 		p.serviceTime.ObserveServer(&s.serviceTime, took, p.now)
 	}
 	if e.Status == Overloaded {
-		took = pt.q.class.Aim
+		took = pt.q.class.LatencyObjective
 	}
 	if e.Status == OK || e.Status == TimedOut || e.Status == Overloaded {
 		p.serviceTime.Observe(took, p.sound(s))
@@ -141,7 +141,7 @@
 
 func (p *Policy) cancelLive(pt *part) {
 	for i := range pt.attempts {
-		if a := &pt.attempts[i]; a.live && !a.dropped && p.set.MayCancel {
+		if a := &pt.attempts[i]; a.live && !a.dropped && p.set.CancelAllowed {
 			a.dropped = true
 			p.do(Cancel{ID: pt.ID, Attempt: i})
 		}
@@ -176,10 +176,10 @@
 	for _, pt := range q.parts {
 		mayRun = mayRun || slices.ContainsFunc(pt.attempts, func(a attempt) bool { return a.mayRun })
 	}
-	if mayRun && q.class.Repeat != RepeatSafe {
+	if mayRun && q.class.Idempotency != Idempotent {
 		p.finish(q, Fail{ID: q.ID})
 	} else {
-		p.finish(q, Refuse{ID: q.ID, RetryAfter: p.set.MaxWait})
+		p.finish(q, Refuse{ID: q.ID, RetryAfter: p.set.MaxRetryAfter})
 	}
 }
 
@@ -202,12 +202,13 @@
 			out += pt.Weight
 		}
 	}
-	whole := in >= c.Need-sumSlack && q.step == 1 || missing == 0 && q.step == 2
-	enough := in >= c.Floor-sumSlack && c.Floor < c.Need || whole
-	hopeless := in+out < c.Need-sumSlack && q.step == 1 || missing > 0 && in+out < 1-sumSlack && q.step == 2
+	whole := in >= c.CompletenessThreshold-sumSlack && q.step == 1 || missing == 0 && q.step == 2
+	enough := in >= c.MinCompleteness-sumSlack && c.MinCompleteness < c.CompletenessThreshold || whole
+	hopeless := in+out < c.CompletenessThreshold-sumSlack && q.step == 1 ||
+		missing > 0 && in+out < 1-sumSlack && q.step == 2
 	switch late := p.now >= q.end || p.now >= q.aim && enough; {
 	case whole || enough && (hopeless || late):
-		if q.step == 1 && c.SecondStep > 0 && in > 0 {
+		if q.step == 1 && c.SecondPhaseFanout > 0 && in > 0 {
 			p.release(q)
 			p.do(Answer{ID: q.ID, Whole: whole})
 			q.whole, q.step, q.parts = whole, 2, nil
@@ -215,7 +216,8 @@
 			return
 		}
 		p.finish(q, Answer{ID: q.ID, Whole: whole && (q.step == 1 || q.whole)})
-	case late || hopeless && in+out < c.Floor-sumSlack || hopeless && c.Floor >= c.Need:
+	case late || hopeless && in+out < c.MinCompleteness-sumSlack ||
+		hopeless && c.MinCompleteness >= c.CompletenessThreshold:
 		p.giveUp(q)
 	// All its attempts ended, more of them broken off than by chance: it brings down its servers.
 	case q.resets > 1 && in+float64(live) == 0 && q.step == 1 &&
--- a/internal/decision/reference_test.go
+++ b/internal/decision/reference_test.go
@@ -132,11 +132,11 @@
 		armed: math.Inf(1), meanFitness: 1, byID: map[string]*refServer{}, breakers: map[uint64]float64{},
 		parts: map[RequestID]*refPart{}, queries: map[int64]*refQuery{}, byQuery: map[RequestID]*refQuery{}}
 	p.latency, p.waryUntil, p.waits = make([]recent.Ring, n), make([]float64, n), make([]float64, n)
-	if !s.AskForList {
+	if !s.PollEndpoints {
 		p.watchAt = math.Inf(1)
 	}
-	if !s.RetryAfter {
-		p.set.MaxWait = 0 // clients would not hear it
+	if !s.RetryAfterSupported {
+		p.set.MaxRetryAfter = 0 // clients would not hear it
 	}
 	return p
 }
@@ -202,8 +202,8 @@
 	if l.Mode == ListFailed {
 		// Ask again soon, then less often: a directory that is down is not helped by more calls.
 		p.watchFails++
-		if p.set.AskForList {
-			p.watchAt = p.now + math.Min(0.5*math.Pow(2, float64(min(p.watchFails, 5))), p.set.AskWithin/3)
+		if p.set.PollEndpoints {
+			p.watchAt = p.now + math.Min(0.5*math.Pow(2, float64(min(p.watchFails, 5))), p.set.PollInterval/3)
 		}
 		return
 	}
@@ -212,7 +212,7 @@
 	}
 	if l.Mode != ListDelta {
 		for _, s := range p.servers {
-			s.State = Gone
+			s.State = Removed
 		}
 	}
 	for _, e := range l.Servers {
@@ -230,23 +230,23 @@
 		}
 		s.Server = e
 	}
-	p.byCell = make([][]*refServer, max(p.set.Cells, 1))
+	p.byCell = make([][]*refServer, max(p.set.ReplicaSets, 1))
 	// Servers that are gone are forgotten once nothing is out there: they would count as a fleet down.
 	p.servers = slices.DeleteFunc(p.servers, func(s *refServer) bool {
-		if s.State != Gone && s.Cell >= 0 && s.Cell < len(p.byCell) {
-			p.byCell[s.Cell] = append(p.byCell[s.Cell], s)
+		if s.State != Removed && s.ReplicaSet >= 0 && s.ReplicaSet < len(p.byCell) {
+			p.byCell[s.ReplicaSet] = append(p.byCell[s.ReplicaSet], s)
 		}
-		if s.State == Gone && s.own == 0 {
+		if s.State == Removed && s.own == 0 {
 			delete(p.byID, s.ID)
 		}
-		return s.State == Gone && s.own == 0
+		return s.State == Removed && s.own == 0
 	})
 }
 
 // holders lists the servers that hold a shard, in the order of the list.
 func (p *refPolicy) holders(shard int, visit func(*refServer)) {
 	n := len(p.byCell)
-	for j := 0; n > 0 && j < min(max(p.set.Reach, 1), n); j++ {
+	for j := 0; n > 0 && j < min(max(p.set.ReplicationFactor, 1), n); j++ {
 		for _, s := range p.byCell[(shard+j)%n] {
 			visit(s)
 		}
@@ -281,7 +281,7 @@
 
 // inquire probes, while attempts are often cut off, the server of which news is oldest, one a part at most.
 func (p *refPolicy) inquire() {
-	if !p.set.MayProbe || p.cut < probeAbove {
+	if !p.set.HealthChecksAllowed || p.cut < probeAbove {
 		return
 	}
 	var oldest *refServer
@@ -323,11 +323,11 @@
 func (p *refPolicy) upkeep() {
 	if p.now >= p.watchAt {
 		p.do(Watch{On: true})
-		p.watchAt = p.now + math.Max(p.set.AskWithin/2, 1) // in case no reply comes at all
+		p.watchAt = p.now + math.Max(p.set.PollInterval/2, 1) // in case no reply comes at all
 	}
 	if p.now >= p.probeAt {
 		p.probeAt, p.rebuildAt = p.now+rebuildEvery, p.now
-		if p.set.ReportMode == ReportPull && p.set.MayProbe {
+		if p.set.ReportMode == ReportPull && p.set.HealthChecksAllowed {
 			p.rebuildAt = p.now + probeSettle
 			for _, s := range p.servers {
 				if s.ready() {
@@ -404,7 +404,7 @@
 
 // nearness is less than 1 for servers of other zones where crossing has a price.
 func (p *refPolicy) nearness(s *refServer) float64 {
-	if s.Zone == p.set.Zone || p.set.CrossZonePrice <= 0 {
+	if s.Zone == p.set.Zone || p.set.CrossZoneCost <= 0 {
 		return 1
 	}
 	return farShare
@@ -538,8 +538,8 @@
 	c := &p.set.Classes[e.Class]
 	q := &refQuery{Query: e, class: c, step: 1, arrived: cmp.Or(e.Came, p.now), print: uint64(e.Class + 1)}
 	lead := p.lead() + p.now - q.arrived // the way out takes as long as the way in: this broker's own work
-	q.aim = math.Min(q.arrived+c.Aim+c.AimStretch*e.Work, e.Deadline) - lead
-	if q.end = q.aim; c.LateWorth > 0 {
+	q.aim = math.Min(q.arrived+c.LatencyObjective+c.ObjectivePerWork*e.Work, e.Deadline) - lead
+	if q.end = q.aim; c.LateValue > 0 {
 		q.end = e.Deadline - lead
 	}
 	// While many clients leave long before their stated deadline, aim at the time that most of them wait.
@@ -550,7 +550,7 @@
 	// A client that waits for less than others has asked before: what is left is of the time for all tries.
 	wait := math.Min(e.Deadline-p.now, c.Deadline)
 	p.waits[e.Class] = math.Max(p.waits[e.Class], wait)
-	q.late = wait < waitsLess*p.waits[e.Class] && c.Deadline-wait > c.Aim
+	q.late = wait < waitsLess*p.waits[e.Class] && c.Deadline-wait > c.LatencyObjective
 	p.queries[e.Number], p.byQuery[e.ID] = q, q
 	p.open = append(p.open, q)
 }
@@ -610,7 +610,7 @@
 		s.pace, s.paceAt = own+p.newsStep(s.paceAt)*(took-own), p.now
 	}
 	if e.Status == Overloaded {
-		took = pt.q.class.Aim
+		took = pt.q.class.LatencyObjective
 	}
 	if e.Status == OK || e.Status == TimedOut || e.Status == Overloaded {
 		p.pace += p.sound(s) * (took - p.pace) / (1 + paceSpan*p.rate/rateSpan)
@@ -627,7 +627,7 @@
 
 func (p *refPolicy) cancelLive(pt *refPart) {
 	for i := range pt.attempts {
-		if a := &pt.attempts[i]; a.live && !a.dropped && p.set.MayCancel {
+		if a := &pt.attempts[i]; a.live && !a.dropped && p.set.CancelAllowed {
 			a.dropped = true
 			p.do(Cancel{ID: pt.ID, Attempt: i})
 		}
@@ -662,10 +662,10 @@
 	for _, pt := range q.parts {
 		mayRun = mayRun || slices.ContainsFunc(pt.attempts, func(a refAttempt) bool { return a.mayRun })
 	}
-	if mayRun && q.class.Repeat != RepeatSafe {
+	if mayRun && q.class.Idempotency != Idempotent {
 		p.finish(q, Fail{ID: q.ID})
 	} else {
-		p.finish(q, Refuse{ID: q.ID, RetryAfter: p.set.MaxWait})
+		p.finish(q, Refuse{ID: q.ID, RetryAfter: p.set.MaxRetryAfter})
 	}
 }
 
@@ -688,12 +688,12 @@
 			out += pt.Weight
 		}
 	}
-	whole := in >= c.Need-sumSlack && q.step == 1 || missing == 0 && q.step == 2
-	enough := in >= c.Floor-sumSlack && c.Floor < c.Need || whole
-	hopeless := in+out < c.Need-sumSlack && q.step == 1 || missing > 0 && in+out < 1-sumSlack && q.step == 2
+	whole := in >= c.CompletenessThreshold-sumSlack && q.step == 1 || missing == 0 && q.step == 2
+	enough := in >= c.MinCompleteness-sumSlack && c.MinCompleteness < c.CompletenessThreshold || whole
+	hopeless := in+out < c.CompletenessThreshold-sumSlack && q.step == 1 || missing > 0 && in+out < 1-sumSlack && q.step == 2
 	switch late := p.now >= q.end || p.now >= q.aim && enough; {
 	case whole || enough && (hopeless || late):
-		if q.step == 1 && c.SecondStep > 0 && in > 0 {
+		if q.step == 1 && c.SecondPhaseFanout > 0 && in > 0 {
 			p.release(q)
 			p.do(Answer{ID: q.ID, Whole: whole})
 			q.whole, q.step, q.parts = whole, 2, nil
@@ -701,7 +701,7 @@
 			return
 		}
 		p.finish(q, Answer{ID: q.ID, Whole: whole && (q.step == 1 || q.whole)})
-	case late || hopeless && in+out < c.Floor-sumSlack || hopeless && c.Floor >= c.Need:
+	case late || hopeless && in+out < c.MinCompleteness-sumSlack || hopeless && c.MinCompleteness >= c.CompletenessThreshold:
 		p.giveUp(q)
 	// All its attempts ended, more of them broken off than by chance: it brings down its servers.
 	case q.resets > 1 && in+float64(live) == 0 && q.step == 1 &&
@@ -756,9 +756,9 @@
 // answer, only doomed ones are left out. Late repeats yield. Queries worth more have a wider margin.
 func (p *refPolicy) doomed(q *refQuery) bool {
 	left, limit := 0.0, (admitStale+admitFresh/p.memory)*(q.aim-p.now)
-	if parts := q.class.Need * float64(len(q.parts)); !p.set.WorthByWork && q.class.Worth > 0 {
-		p.worthAsked, p.partsAsked = p.worthAsked+q.class.Worth, p.partsAsked+parts
-		merit := q.class.Worth / parts * p.partsAsked / p.worthAsked
+	if parts := q.class.CompletenessThreshold * float64(len(q.parts)); !p.set.WeightByWork && q.class.PriorityWeight > 0 {
+		p.worthAsked, p.partsAsked = p.worthAsked+q.class.PriorityWeight, p.partsAsked+parts
+		merit := q.class.PriorityWeight / parts * p.partsAsked / p.worthAsked
 		limit = math.Min(limit*math.Max(math.Sqrt(merit), worthLeast), q.aim-p.now)
 	}
 	if q.late {
@@ -772,7 +772,7 @@
 			left += pt.Weight
 		}
 	}
-	return left < math.Min(q.class.Floor, q.class.Need)-sumSlack
+	return left < math.Min(q.class.MinCompleteness, q.class.CompletenessThreshold)-sumSlack
 }
 
 // maySend tells whether the rules allow one more attempt of a part, now.
@@ -781,9 +781,9 @@
 		return false
 	}
 	for _, a := range pt.attempts {
-		keyed := pt.q.class.Repeat == RepeatKeyed
-		if a.live && !p.set.MayCopy || (a.live || a.mayRun) && (pt.q.class.Repeat == RepeatUnsafe ||
-			keyed && p.now > a.sentAt+pt.q.class.RepeatWindow-edgeSlack) {
+		keyed := pt.q.class.Idempotency == IdempotentWithKey
+		if a.live && !p.set.HedgingAllowed || (a.live || a.mayRun) && (pt.q.class.Idempotency == NonIdempotent ||
+			keyed && p.now > a.sentAt+pt.q.class.IdempotencyWindow-edgeSlack) {
 			return false
 		}
 	}
@@ -812,15 +812,15 @@
 		if pt.in || pt.dropped || i%stride > 0 {
 			continue
 		}
-		if want >= q.class.Need-sumSlack && q.step == 1 {
+		if want >= q.class.CompletenessThreshold-sumSlack && q.step == 1 {
 			return // the parts that are out will make a whole answer
 		}
 		overdue := pt.live > 0 && p.overdue(pt)
-		if overdue && !p.set.MayCopy {
+		if overdue && !p.set.HedgingAllowed {
 			p.cancelLive(pt) // then another may go
 		}
-		if pt.live > 0 && !(p.set.MayCopy && overdue) {
-			if q.class.Need > 1-sumSlack || q.step == 2 || !p.late(pt) {
+		if pt.live > 0 && !(p.set.HedgingAllowed && overdue) {
+			if q.class.CompletenessThreshold > 1-sumSlack || q.step == 2 || !p.late(pt) {
 				want += pt.Weight
 			}
 			continue
@@ -831,7 +831,7 @@
 		if pt.live == 0 {
 			want += pt.Weight
 		}
-		if p.set.BatchMax <= 1 || len(pt.attempts) > 0 {
+		if p.set.MaxPartsPerCall <= 1 || len(pt.attempts) > 0 {
 			p.turn++ // nothing to share: a draw of its own
 		}
 		var s *refServer
@@ -893,12 +893,12 @@
 // this answer is lost. A slow but living server is left alone: its work would go on.
 func (p *refPolicy) overdue(pt *refPart) bool {
 	a, high := &pt.attempts[len(pt.attempts)-1], p.latency[pt.q.Class].Quantile(0.95)
-	stays := pt.q.class.Repeat != RepeatSafe || !p.set.MayCancel || len(pt.attempts) >= p.set.MaxAttempts
-	if high == 0 || pt.live != 1 || !a.live || a.dropped || p.now >= pt.q.aim || !p.set.MayCopy && stays {
+	stays := pt.q.class.Idempotency != Idempotent || !p.set.CancelAllowed || len(pt.attempts) >= p.set.MaxAttempts
+	if high == 0 || pt.live != 1 || !a.live || a.dropped || p.now >= pt.q.aim || !p.set.HedgingAllowed && stays {
 		return false
 	}
 	patience, passed := giveUpTimes*high, a.srv.passed > a.sentAt+passedTimes*high
-	if p.set.MayCopy {
+	if p.set.HedgingAllowed {
 		patience = copyTimes * high
 	}
 	due := a.sentAt + patience
--- a/internal/decision/rules_test.go
+++ b/internal/decision/rules_test.go
@@ -23,7 +23,7 @@
 		for _, late := range []float64{0, 0.5} {
 			t.Run(c.name, func(t *testing.T) {
 				s := settings()
-				s.Classes[0].LateWorth = late
+				s.Classes[0].LateValue = late
 				r := newRig(t, s, servers(2)...)
 				start := r.now
 				id, ev := r.query(0, 3)
@@ -71,28 +71,28 @@
 func TestUnsafeAndKeyedRepeats(t *testing.T) {
 	cases := []struct {
 		name   string
-		repeat decision.Repeat
+		repeat decision.Idempotency
 		status decision.Status
 		after  float64 // time from the send to the outcome
 		resend bool
 		refuse bool // the final answer may be a refusal
 	}{
-		{"unsafe, never ran", decision.RepeatUnsafe, decision.Overloaded, 0.1, true, true},
-		{"unsafe, no connection", decision.RepeatUnsafe, decision.Unreachable, 0.1, true, true},
-		{"unsafe, not sent", decision.RepeatUnsafe, decision.NotSent, 0.1, true, true},
-		{"unsafe, error", decision.RepeatUnsafe, decision.Error, 0.1, false, false},
-		{"unsafe, reset", decision.RepeatUnsafe, decision.Reset, 0.1, false, false},
-		{"unsafe, timed out", decision.RepeatUnsafe, decision.TimedOut, 0.1, false, false},
-		{"unsafe, cancelled", decision.RepeatUnsafe, decision.Cancelled, 0.1, false, false},
-		{"keyed, within its window", decision.RepeatKeyed, decision.Error, 0.29, true, false},
-		{"keyed, past its window", decision.RepeatKeyed, decision.Error, 0.31, false, false},
-		{"keyed, never ran", decision.RepeatKeyed, decision.Unreachable, 0.31, true, true},
-		{"safe", decision.RepeatSafe, decision.Error, 0.31, true, true},
+		{"unsafe, never ran", decision.NonIdempotent, decision.Overloaded, 0.1, true, true},
+		{"unsafe, no connection", decision.NonIdempotent, decision.Unreachable, 0.1, true, true},
+		{"unsafe, not sent", decision.NonIdempotent, decision.NotSent, 0.1, true, true},
+		{"unsafe, error", decision.NonIdempotent, decision.Error, 0.1, false, false},
+		{"unsafe, reset", decision.NonIdempotent, decision.Reset, 0.1, false, false},
+		{"unsafe, timed out", decision.NonIdempotent, decision.TimedOut, 0.1, false, false},
+		{"unsafe, cancelled", decision.NonIdempotent, decision.Cancelled, 0.1, false, false},
+		{"keyed, within its window", decision.IdempotentWithKey, decision.Error, 0.29, true, false},
+		{"keyed, past its window", decision.IdempotentWithKey, decision.Error, 0.31, false, false},
+		{"keyed, never ran", decision.IdempotentWithKey, decision.Unreachable, 0.31, true, true},
+		{"safe", decision.Idempotent, decision.Error, 0.31, true, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.Classes[0].Repeat, s.Classes[0].RepeatWindow = c.repeat, 0.3
+			s.Classes[0].Idempotency, s.Classes[0].IdempotencyWindow = c.repeat, 0.3
 			r := newRig(t, s, servers(2)...)
 			_, ev := r.query(0, 1)
 			first := sends(r.handle(ev...))[0]
@@ -119,7 +119,7 @@
 
 func TestUnsafeQueryWithAttemptOutFailsAtItsEnd(t *testing.T) {
 	s := settings()
-	s.Classes[0].Repeat = decision.RepeatUnsafe
+	s.Classes[0].Idempotency = decision.NonIdempotent
 	r := newRig(t, s, servers(2)...)
 	_, ev := r.query(0, 1)
 	r.handle(ev...)
@@ -138,7 +138,7 @@
 		news decision.List
 	}{
 		{"draining", decision.List{Servers: []decision.Server{{ID: "s0", State: decision.Draining}}}},
-		{"gone", decision.List{Servers: []decision.Server{{ID: "s0", State: decision.Gone}}}},
+		{"gone", decision.List{Servers: []decision.Server{{ID: "s0", State: decision.Removed}}}},
 		{"missing from a full list", decision.List{Mode: decision.ListFull, Servers: servers(2)[1:]}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -159,7 +159,7 @@
 
 func TestAskedListIsWatchedAndAskedAgain(t *testing.T) {
 	s := settings()
-	s.AskForList, s.AskWithin = true, 10
+	s.PollEndpoints, s.PollInterval = true, 10
 	p := decision.New(s, 1)
 	watches := func(now float64, e ...decision.Event) (n int) {
 		for _, a := range p.Handle(now, e) {
@@ -240,7 +240,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.Classes[0].Need, s.Classes[0].Floor = c.need, c.floor
+			s.Classes[0].CompletenessThreshold, s.Classes[0].MinCompleteness = c.need, c.floor
 			r := newRig(t, s, servers(3)...)
 			id, ev := r.query(0, c.parts)
 			out := sends(r.handle(ev...))
@@ -279,7 +279,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.Classes[0].Floor, s.Classes[0].SecondStep, s.Classes[0].LateWorth = 0.5, 2, 0.5
+			s.Classes[0].MinCompleteness, s.Classes[0].SecondPhaseFanout, s.Classes[0].LateValue = 0.5, 2, 0.5
 			r := newRig(t, s, servers(3)...)
 			id, ev := r.query(0, 4)
 			out := sends(r.handle(ev...))
@@ -317,7 +317,7 @@
 
 func TestUnsafeQueryIsNotRefusedAfterItsFirstStep(t *testing.T) {
 	s := settings()
-	s.Classes[0].Repeat, s.Classes[0].SecondStep = decision.RepeatUnsafe, 1
+	s.Classes[0].Idempotency, s.Classes[0].SecondPhaseFanout = decision.NonIdempotent, 1
 	r := newRig(t, s, servers(2)...)
 	id, ev := r.query(0, 1)
 	out := sends(r.handle(ev...))
@@ -372,7 +372,7 @@
 func TestCopiesOnlyWhereAllowed(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		s := settings()
-		s.MayCopy = copies
+		s.HedgingAllowed = copies
 		r := newRig(t, s, servers(3)...)
 		r.warm(40, 0.05)
 		_, ev := r.query(0, 1)
@@ -424,7 +424,7 @@
 	s.ReportMode = decision.ReportPiggyback
 	busy := []float64{0, 0.2, 0.5}
 	for _, batch := range []int{1, 8} {
-		s.BatchMax = batch
+		s.MaxPartsPerCall = batch
 		r := newRig(t, s, servers(3)...)
 		load := func(server string) decision.Load {
 			l := decision.NoLoad
@@ -504,7 +504,7 @@
 
 func TestPullSitesAreProbedEveryTenSeconds(t *testing.T) {
 	s := settings()
-	s.ReportMode, s.MayProbe = decision.ReportPull, true
+	s.ReportMode, s.HealthChecksAllowed = decision.ReportPull, true
 	p := decision.New(s, 1)
 	probes := func(now float64, e ...decision.Event) (n int) {
 		for _, a := range p.Handle(now, e) {
--- a/internal/decision/servers.go
+++ b/internal/decision/servers.go
@@ -51,8 +51,8 @@
 	if l.Mode == ListFailed {
 		// Ask again soon, then less often: a directory that is down is not helped by more calls.
 		p.watchFails++
-		if p.set.AskForList {
-			p.watchAt = p.now + math.Min(0.5*math.Pow(2, float64(min(p.watchFails, 5))), p.set.AskWithin/3)
+		if p.set.PollEndpoints {
+			p.watchAt = p.now + math.Min(0.5*math.Pow(2, float64(min(p.watchFails, 5))), p.set.PollInterval/3)
 		}
 		return
 	}
@@ -61,7 +61,7 @@
 	}
 	if l.Mode != ListDelta {
 		for _, s := range p.servers {
-			s.State = Gone
+			s.State = Removed
 		}
 		p.cells.Clear()
 	}
@@ -74,7 +74,7 @@
 			p.byID[e.ID] = s
 			p.servers = append(p.servers, s)
 		}
-		p.cells.Remove(s.Cell, s)
+		p.cells.Remove(s.ReplicaSet, s)
 		if e.Started > 0 && e.Started != s.Started {
 			// A new process: what was known of the old one is void.
 			s.coldSince, s.load, s.heardAt, s.fitness, s.abandoned = e.Started, NoLoad, 0, 0, nil
@@ -88,7 +88,7 @@
 	}
 	if l.Mode != ListDelta {
 		for _, s := range p.servers {
-			if s.State == Gone {
+			if s.State == Removed {
 				p.place(s)
 			}
 		}
@@ -98,10 +98,10 @@
 
 // place files a server where its entry of the list puts it.
 func (p *Policy) place(s *server) {
-	if s.State != Gone {
-		p.cells.Insert(s.Cell, s)
+	if s.State != Removed {
+		p.cells.Insert(s.ReplicaSet, s)
 	}
-	if s.State == Gone && !s.going {
+	if s.State == Removed && !s.going {
 		s.going, p.going = true, append(p.going, s)
 	}
 	if s.ready() {
@@ -116,8 +116,8 @@
 func (p *Policy) forgetGone() {
 	some := false
 	p.going = slices.DeleteFunc(p.going, func(s *server) bool {
-		s.forgotten = s.State == Gone && s.own == 0
-		s.going, some = s.State == Gone && !s.forgotten, some || s.forgotten
+		s.forgotten = s.State == Removed && s.own == 0
+		s.going, some = s.State == Removed && !s.forgotten, some || s.forgotten
 		if s.forgotten {
 			delete(p.byID, s.ID)
 		}
@@ -162,7 +162,7 @@
 
 // probeOldest probes, while attempts are often cut off, the server of which news is oldest: one a part.
 func (p *Policy) probeOldest() {
-	if !p.set.MayProbe || p.cut < probeAbove {
+	if !p.set.HealthChecksAllowed || p.cut < probeAbove {
 		return
 	}
 	idle := func(s *server) bool { return s.ready() && s.own == 0 } // others come back when they are
@@ -174,7 +174,7 @@
 
 // await queues a server that may be probed.
 func (p *Policy) await(s *server) {
-	if p.set.MayProbe && s.ready() && s.own == 0 {
+	if p.set.HealthChecksAllowed && s.ready() && s.own == 0 {
 		p.news.Push(s)
 	}
 }
@@ -182,11 +182,11 @@
 func (p *Policy) upkeep() {
 	if p.now >= p.watchAt {
 		p.do(Watch{On: true})
-		p.watchAt = p.now + math.Max(p.set.AskWithin/2, 1) // in case no reply comes at all
+		p.watchAt = p.now + math.Max(p.set.PollInterval/2, 1) // in case no reply comes at all
 	}
 	if p.now >= p.probeAt {
 		p.probeAt, p.rebuildAt = p.now+rebuildEvery, p.now
-		if p.set.ReportMode == ReportPull && p.set.MayProbe {
+		if p.set.ReportMode == ReportPull && p.set.HealthChecksAllowed {
 			p.rebuildAt = p.now + probeSettle
 			for _, s := range p.servers {
 				if s.ready() {
--- a/internal/decision/turnover_test.go
+++ b/internal/decision/turnover_test.go
@@ -8,12 +8,12 @@
 // Where machines are replaced under new ids all day, what is known of those that are gone must go with them;
 // but not while an attempt is out there, whose end is still to be booked.
 func TestServersThatAreGoneAreForgotten(t *testing.T) {
-	p := New(Settings{Classes: []Class{{Aim: 1, Deadline: 1, Need: 1, Floor: 1}}, Cells: 1, Reach: 1}, 1)
+	p := New(Settings{Classes: []Class{{LatencyObjective: 1, Deadline: 1, CompletenessThreshold: 1, MinCompleteness: 1}}, ReplicaSets: 1, ReplicationFactor: 1}, 1)
 	entry := func(i int, s State) Server { return Server{ID: fmt.Sprint("s", i), State: s, Started: float64(i)} }
 	p.Handle(0, []Event{List{Mode: ListFull, Servers: []Server{entry(0, Ready)}},
 		Query{ID: 1, Number: 1, Parts: 1, Deadline: 1}, Part{ID: 2, Number: 1, Weight: 1}})
 	for i := range 300 {
-		p.Handle(float64(i), []Event{List{Servers: []Server{entry(i, Gone), entry(i+1, Ready)}}})
+		p.Handle(float64(i), []Event{List{Servers: []Server{entry(i, Removed), entry(i+1, Ready)}}})
 		if i == 0 && p.byID["s0"] == nil {
 			t.Fatal("a server was forgotten while an attempt is out there")
 		}
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -47,7 +47,7 @@
 }
 
 var states = map[string]decision.State{
-	"active": decision.Ready, "leaving": decision.Draining, "left": decision.Gone,
+	"active": decision.Ready, "leaving": decision.Draining, "left": decision.Removed,
 }
 
 // List translates a message for the core.
@@ -61,13 +61,13 @@
 		if !ok {
 			return l, fmt.Errorf("servers[%d].state: cannot read %q", i, e.State)
 		}
-		if e.ID == "" || e.Addr == "" && state != decision.Gone {
+		if e.ID == "" || e.Addr == "" && state != decision.Removed {
 			return l, fmt.Errorf("servers[%d]: an entry without id or addr", i)
 		}
 		l.Servers = append(l.Servers, broker.ListEntry{
 			Server: decision.Server{
 				ID: e.ID, Zone: slices.Index(n.Zones, e.Zone), Kind: slices.Index(n.Kinds, e.Kind),
-				Cell: e.Cell, State: state, Capacity: e.Weight, Started: e.StartedMS / 1000,
+				ReplicaSet: e.Cell, State: state, Capacity: e.Weight, Started: e.StartedMS / 1000,
 			},
 			Addr: e.Addr,
 		})
--- a/internal/flight/deadline_test.go
+++ b/internal/flight/deadline_test.go
@@ -40,8 +40,8 @@
 // that time. The test's time is virtual: on a real clock a busy machine delays the word past the deadline.
 func TestAnUnsafePartThatIsOutFailsBeforeTheDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		set := decision.Settings{Cells: 1, Reach: 1, MayCancel: true, Tick: 0.005, Classes: []decision.Class{
-			{Aim: 1, Deadline: 5, Worth: 2, Repeat: decision.RepeatUnsafe, Need: 1, Floor: 1}}}
+		set := decision.Settings{ReplicaSets: 1, ReplicationFactor: 1, CancelAllowed: true, Tick: 0.005, Classes: []decision.Class{
+			{LatencyObjective: 1, Deadline: 5, PriorityWeight: 2, Idempotency: decision.NonIdempotent, CompletenessThreshold: 1, MinCompleteness: 1}}}
 		link := silentLink{make(chan *broker.Call, 2)}
 		b := broker.New(broker.Options{Settings: set, Log: slog.New(slog.DiscardHandler)}, decision.New(set, 1), link)
 		running, stop := context.WithCancel(t.Context())
--- a/internal/recovery/learner.go
+++ b/internal/recovery/learner.go
@@ -46,8 +46,8 @@
 	}
 	here := map[string]bool{}
 	for _, s := range e.Servers {
-		here[s.ID] = s.State != decision.Gone
-		if old := l.servers[s.ID]; s.State == decision.Gone {
+		here[s.ID] = s.State != decision.Removed
+		if old := l.servers[s.ID]; s.State == decision.Removed {
 			l.forget(s.ID)
 		} else if old == nil || s.Started > old.Started { // of another process, nothing holds
 			delete(l.answered, s.ID)
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -78,7 +78,7 @@
 		"back under its old name": {ID: "cold", Started: 1001},
 		"of an older start":       {ID: "cold", Started: 900},
 		"drains":                  {ID: "slow", State: decision.Draining},
-		"gone":                    {ID: "slow", State: decision.Gone},
+		"gone":                    {ID: "slow", State: decision.Removed},
 	} {
 		m, _ := restored(s, []decision.Server{e}, 1001)
 		require.Empty(t, m, what)
@@ -87,7 +87,7 @@
 	l.List(decision.List{Mode: decision.ListFull, Servers: []decision.Server{{ID: "a"}, {ID: "b"}}})
 	l.Saw(10, "a", decision.OK, 0.01, decision.NoLoad)
 	l.Saw(10, "b", decision.OK, 0.01, decision.NoLoad)
-	l.List(decision.List{Servers: []decision.Server{{ID: "a", Started: 11}, {ID: "b", State: decision.Gone}}})
+	l.List(decision.List{Servers: []decision.Server{{ID: "a", Started: 11}, {ID: "b", State: decision.Removed}}})
 	require.Empty(t, l.Snapshot(12).Servers)
 }
 
@@ -163,8 +163,8 @@
 // A server that was remembered as well or ill: the first news of its own outweighs either.
 func TestFirstNewsOutweighsMemory(t *testing.T) {
 	for _, remembered := range []float64{0.01, 0.3} {
-		set := decision.Settings{Classes: []decision.Class{{Aim: 1, Deadline: 2, Need: 1, Floor: 1}}, Brokers: 1, Cells: 1,
-			Reach: 1, BatchMax: 1, MaxAttempts: 3, Tick: 0.005, MayCancel: true}
+		set := decision.Settings{Classes: []decision.Class{{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}}, Brokers: 1, ReplicaSets: 1,
+			ReplicationFactor: 1, MaxPartsPerCall: 1, MaxAttempts: 3, Tick: 0.005, CancelAllowed: true}
 		news := decision.List{Mode: decision.ListFull, Servers: []decision.Server{{ID: "a"}, {ID: "b"}}}
 		l := recovery.NewLearner()
 		l.List(news)
@@ -204,8 +204,8 @@
 // In the middle of a fault of the whole fleet all servers look ill. A broker that remembers so still serves: what all
 // share tells nothing between two holders, and the first answers outweigh it.
 func TestAFleetWideFaultIsNotRememberedForLong(t *testing.T) {
-	set := decision.Settings{Classes: []decision.Class{{Aim: 1, Deadline: 2, Need: 1, Floor: 1}}, Brokers: 1, Cells: 1,
-		Reach: 1, BatchMax: 1, MaxAttempts: 3, Tick: 0.005, MayCancel: true}
+	set := decision.Settings{Classes: []decision.Class{{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}}, Brokers: 1, ReplicaSets: 1,
+		ReplicationFactor: 1, MaxPartsPerCall: 1, MaxAttempts: 3, Tick: 0.005, CancelAllowed: true}
 	l := recovery.NewLearner()
 	news := decision.List{Mode: decision.ListFull, Servers: []decision.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	l.List(news)
--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -165,7 +165,7 @@
 	list := make([]broker.ListEntry, len(c.lines))
 	for i, addr := range c.lines {
 		list[i] = broker.ListEntry{Addr: addr, Server: decision.Server{ID: serverID(i), Zone: i / cellsOfZone % TargetZones,
-			Cell: i, Capacity: 1}}
+			ReplicaSet: i, Capacity: 1}}
 	}
 	return list
 }
--- a/internal/scale/decision.go
+++ b/internal/scale/decision.go
@@ -36,9 +36,9 @@
 // targetSettings are the module's settings at the target: each server is a cell, and a shard is held by three.
 func targetSettings(servers, brokers int) decision.Settings {
 	return decision.Settings{
-		Classes: []decision.Class{{Aim: TargetLatency, Deadline: 4 * TargetLatency, Worth: 1, Need: 1, Floor: 1}},
-		Brokers: brokers, Cells: servers, Reach: AssumedReach, BatchMax: 1, MaxAttempts: 4, Tick: 0.005,
-		ReportMode: decision.ReportPiggyback, MayCancel: true, MayProbe: true, RetryAfter: true, MaxWait: 0.5,
+		Classes: []decision.Class{{LatencyObjective: TargetLatency, Deadline: 4 * TargetLatency, PriorityWeight: 1, CompletenessThreshold: 1, MinCompleteness: 1}},
+		Brokers: brokers, ReplicaSets: servers, ReplicationFactor: AssumedReach, MaxPartsPerCall: 1, MaxAttempts: 4, Tick: 0.005,
+		ReportMode: decision.ReportPiggyback, CancelAllowed: true, HealthChecksAllowed: true, RetryAfterSupported: true, MaxRetryAfter: 0.5,
 		SlowStart: slowstart.Settings{InitialFraction: coldShare, Duration: warmUp, OverloadFactor: fallMultiple, OverloadWindow: fallTime},
 	}
 }
@@ -46,7 +46,7 @@
 func targetList(servers int) []decision.Server {
 	list := make([]decision.Server, servers)
 	for i := range list {
-		list[i] = decision.Server{ID: serverID(i), Zone: i / cellsOfZone % TargetZones, Cell: i, Capacity: 1}
+		list[i] = decision.Server{ID: serverID(i), Zone: i / cellsOfZone % TargetZones, ReplicaSet: i, Capacity: 1}
 	}
 	return list
 }
--- a/internal/scale/service.go
+++ b/internal/scale/service.go
@@ -35,7 +35,7 @@
 	}
 	set := targetSettings(servers, TargetBrokers)
 	set.ReportMode = reports
-	set.Classes[0].Aim, set.Classes[0].Deadline = servicePatient.Seconds(), servicePatient.Seconds()
+	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = servicePatient.Seconds(), servicePatient.Seconds()
 	ctx, cancel := context.WithCancel(context.Background())
 	link := upstream.New(ctx, upstream.Options{Streams: 100, Idle: time.Hour, ConnectTimeout: 5 * time.Second})
 	b := broker.New(broker.Options{Settings: set, Log: nobody, ProbeFor: openWithin}, decision.New(set, seed), link)
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -116,7 +116,7 @@
 func (s *Server) Entry(state decision.State) broker.ListEntry {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := broker.ListEntry{Addr: s.Addr, Server: decision.Server{ID: s.ID, Cell: s.Cell, State: state, Capacity: 1}}
+	e := broker.ListEntry{Addr: s.Addr, Server: decision.Server{ID: s.ID, ReplicaSet: s.Cell, State: state, Capacity: 1}}
 	if !s.started.IsZero() {
 		e.Started = float64(s.started.UnixNano()) / 1e9
 	}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -60,8 +60,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); l.Close() })
 	r := &rig{T: t, l: l, script: script{make(chan decision.Part, 9), make(chan decision.Ended, 999), make(chan []decision.Action, 9)}}
-	set := decision.Settings{Cells: 1, Reach: 1, Classes: []decision.Class{
-		{Deadline: 9, Need: 1, Floor: 1}, {Deadline: 9, Need: 1, Floor: 1, Repeat: decision.RepeatUnsafe}}}
+	set := decision.Settings{ReplicaSets: 1, ReplicationFactor: 1, Classes: []decision.Class{
+		{Deadline: 9, CompletenessThreshold: 1, MinCompleteness: 1}, {Deadline: 9, CompletenessThreshold: 1, MinCompleteness: 1, Idempotency: decision.NonIdempotent}}}
 	r.b = broker.New(broker.Options{Settings: set}, r.script, upstream.New(ctx, opt))
 	go r.b.Run(ctx)
 	r.list = broker.List{Mode: decision.ListFull, Servers: []broker.ListEntry{
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -143,7 +143,7 @@
 		}
 		s := decision.Server{
 			ID: e.text("searcher"), Zone: int(e.optInteger("locality", 0)), Kind: int(e.optInteger("sku", 0)),
-			Cell: int(e.optInteger("cell", 0)), Capacity: e.optNumber("capacityHint", 0),
+			ReplicaSet: int(e.optInteger("cell", 0)), Capacity: e.optNumber("capacityHint", 0),
 			Started: e.optNumber("lastStartS", 0),
 		}
 		switch state := e.text("status"); state {
@@ -151,7 +151,7 @@
 		case "LAME":
 			s.State = decision.Draining
 		case "OUT":
-			s.State = decision.Gone
+			s.State = decision.Removed
 		default:
 			e.fail("status", state)
 		}
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -58,9 +58,9 @@
 	Zone int     `json:"zone"`
 }
 
-var repeats = map[string]decision.Repeat{
-	"": decision.RepeatSafe, "free": decision.RepeatSafe,
-	"guarded": decision.RepeatKeyed, "single_shot": decision.RepeatUnsafe,
+var repeats = map[string]decision.Idempotency{
+	"": decision.Idempotent, "free": decision.Idempotent,
+	"guarded": decision.IdempotentWithKey, "single_shot": decision.NonIdempotent,
 }
 
 var reportModes = map[string]decision.ReportMode{
@@ -91,17 +91,17 @@
 	}
 	s := decision.Settings{
 		Brokers: p.PeersTotal, Zone: p.Zone,
-		Cells: p.Family.Cells, Reach: p.Family.Reach, BatchMax: p.Family.BundleMax,
-		ReportMode: mode, AskForList: p.Discovery == "ask",
-		WorthByWork: p.CountedBy == "work",
-		AskWithin:   p.Rules.AskWithin, Tick: p.Tick, MaxAttempts: p.Caps.SendCap,
-		MayCancel: p.Caps.Cancel, MayProbe: p.Caps.Probes, MayCopy: p.Caps.SecondCopies,
-		RetryAfter: p.Caps.RetryAfter, MaxWait: p.Caps.MaxRetryWait,
+		ReplicaSets: p.Family.Cells, ReplicationFactor: p.Family.Reach, MaxPartsPerCall: p.Family.BundleMax,
+		ReportMode: mode, PollEndpoints: p.Discovery == "ask",
+		WeightByWork: p.CountedBy == "work",
+		PollInterval: p.Rules.AskWithin, Tick: p.Tick, MaxAttempts: p.Caps.SendCap,
+		CancelAllowed: p.Caps.Cancel, HealthChecksAllowed: p.Caps.Probes, HedgingAllowed: p.Caps.SecondCopies,
+		RetryAfterSupported: p.Caps.RetryAfter, MaxRetryAfter: p.Caps.MaxRetryWait,
 		SlowStart: slowstart.Settings{
 			InitialFraction: p.Rules.ColdShare, Duration: p.Rules.WarmUp,
 			OverloadFactor: p.Rules.FallMultiple, OverloadWindow: p.Rules.FallTime,
 		},
-		CrossZonePrice: p.Costs.CrossZone,
+		CrossZoneCost: p.Costs.CrossZone,
 	}
 	if p.Rules.BudgetFree != nil || p.Rules.ExtraRatio != nil {
 		s.RetryBudget.Enabled, s.RetryBudget.Window = true, p.Rules.BudgetSpan
@@ -118,10 +118,10 @@
 			return s, fmt.Errorf("classes[%d].semantics: cannot read %q", i, c.Semantics)
 		}
 		s.Classes = append(s.Classes, decision.Class{
-			Aim: c.Objective, AimStretch: c.AimStretch, Deadline: c.Deadline, LateWorth: c.LateWorth, Worth: c.Worth,
-			Repeat: repeat, RepeatWindow: c.Window,
-			Need: at(p.Family.NeedByClass, i, 1), Floor: at(p.Family.ClassFloor, i, 1),
-			SecondStep: at(p.Family.FetchParts, i, 0),
+			LatencyObjective: c.Objective, ObjectivePerWork: c.AimStretch, Deadline: c.Deadline, LateValue: c.LateWorth, PriorityWeight: c.Worth,
+			Idempotency: repeat, IdempotencyWindow: c.Window,
+			CompletenessThreshold: at(p.Family.NeedByClass, i, 1), MinCompleteness: at(p.Family.ClassFloor, i, 1),
+			SecondPhaseFanout: at(p.Family.FetchParts, i, 0),
 		})
 	}
 	return s, nil
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -33,22 +33,22 @@
 	}
 	want := decision.Settings{
 		Classes: []decision.Class{
-			{Aim: 1.5, AimStretch: 2, Deadline: 5, Worth: 2, LateWorth: 0.1, Repeat: decision.RepeatKeyed,
-				RepeatWindow: 4, Need: 1, Floor: 0.5},
-			{Aim: 1, Deadline: 2, Worth: 1, Repeat: decision.RepeatUnsafe, Need: 0.8, Floor: 1,
-				SecondStep: 3},
+			{LatencyObjective: 1.5, ObjectivePerWork: 2, Deadline: 5, PriorityWeight: 2, LateValue: 0.1, Idempotency: decision.IdempotentWithKey,
+				IdempotencyWindow: 4, CompletenessThreshold: 1, MinCompleteness: 0.5},
+			{LatencyObjective: 1, Deadline: 2, PriorityWeight: 1, Idempotency: decision.NonIdempotent, CompletenessThreshold: 0.8, MinCompleteness: 1,
+				SecondPhaseFanout: 3},
 		},
 		Brokers: 2, Zone: 2,
-		Cells: 4, Reach: 2, BatchMax: 8, ReportMode: decision.ReportPull, AskForList: true,
-		AskWithin: 10, Tick: 0.005, MaxAttempts: 3, MayCancel: true, MayProbe: true, MayCopy: true,
-		RetryAfter: true, MaxWait: 0.5, SlowStart: slowstart.Settings{InitialFraction: 0.28, Duration: 17, OverloadFactor: 3, OverloadWindow: 1},
-		RetryBudget:    retrybudget.Settings{Enabled: true, Min: 10, Ratio: 0.1, Window: 5},
-		CrossZonePrice: 0.04, WorthByWork: true,
+		ReplicaSets: 4, ReplicationFactor: 2, MaxPartsPerCall: 8, ReportMode: decision.ReportPull, PollEndpoints: true,
+		PollInterval: 10, Tick: 0.005, MaxAttempts: 3, CancelAllowed: true, HealthChecksAllowed: true, HedgingAllowed: true,
+		RetryAfterSupported: true, MaxRetryAfter: 0.5, SlowStart: slowstart.Settings{InitialFraction: 0.28, Duration: 17, OverloadFactor: 3, OverloadWindow: 1},
+		RetryBudget:   retrybudget.Settings{Enabled: true, Min: 10, Ratio: 0.1, Window: 5},
+		CrossZoneCost: 0.04, WeightByWork: true,
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	if s, err := wire.ParseSettings(`{"classes":[{}]}`); err != nil || s.RetryBudget.Enabled || s.Classes[0].Floor != 1 {
+	if s, err := wire.ParseSettings(`{"classes":[{}]}`); err != nil || s.RetryBudget.Enabled || s.Classes[0].MinCompleteness != 1 {
 		t.Errorf("absent keys: %+v, %v; want no budget and a floor of 1", s, err)
 	}
 }
@@ -120,9 +120,9 @@
 		roster("b:1", "LAME"), "update mixer=3 mode=patch version=2 rosterId=0",
 		roster("b:1", "OUT"), "update mixer=3 mode=whole version=3 rosterId=0"))
 	want := []string{
-		"8.41225 {Mode:2 Version:1 Servers:[{ID:a:1 Zone:0 Kind:0 Cell:2 State:0 Capacity:1.5 Started:6.1}]}",
-		"8.41225 {Mode:0 Version:2 Servers:[{ID:b:1 Zone:0 Kind:0 Cell:2 State:1 Capacity:1.5 Started:6.1}]}",
-		"8.41225 {Mode:1 Version:3 Servers:[{ID:b:1 Zone:0 Kind:0 Cell:2 State:2 Capacity:1.5 Started:6.1}]}",
+		"8.41225 {Mode:2 Version:1 Servers:[{ID:a:1 Zone:0 Kind:0 ReplicaSet:2 State:0 Capacity:1.5 Started:6.1}]}",
+		"8.41225 {Mode:0 Version:2 Servers:[{ID:b:1 Zone:0 Kind:0 ReplicaSet:2 State:1 Capacity:1.5 Started:6.1}]}",
+		"8.41225 {Mode:1 Version:3 Servers:[{ID:b:1 Zone:0 Kind:0 ReplicaSet:2 State:2 Capacity:1.5 Started:6.1}]}",
 	}
 	if err != nil || !reflect.DeepEqual(events, want) {
 		t.Errorf("got %v, %v\nwant %v", events, err, want)
