--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -104,7 +104,7 @@
 	}
 	others, err := join(peers, p.cfg, p.log, func(n int) {
 		p.waits.Resize(n)
-		p.core.Tell(decision.Fleet{Brokers: n})
+		p.core.Tell(decision.FleetResized{Brokers: n})
 		if p.revisions != nil {
 			p.revisions.Resize(n)
 		}
--- a/cmd/mothrouter/state.go
+++ b/cmd/mothrouter/state.go
@@ -46,8 +46,8 @@
 				}
 				if v.LoadAt > 0 {
 					report = fmt.Sprintf("%.1f s old", now-v.LoadAt)
-					if v.Load.Busy != decision.NoLoad.Busy {
-						report += fmt.Sprintf(", busy %.0f %%", 100*v.Load.Busy)
+					if v.Load.Utilization != decision.NoLoadReport.Utilization {
+						report += fmt.Sprintf(", busy %.0f %%", 100*v.Load.Utilization)
 					}
 				}
 				fmt.Fprintf(out, "%-24s %-10s %-9.1f %-8s %s\n", v.ID, started, 1000*v.Pace, fmt.Sprintf("%.0f %%", 100*v.Failed), report)
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -190,11 +190,11 @@
 		if pt := b.parts[a.ID]; pt != nil && pt.live != nil && pt.live.number == a.Attempt {
 			b.giveUp(pt.live, decision.Cancelled)
 		}
-	case decision.Answer:
+	case decision.Respond:
 		if q := b.queries[a.ID]; q != nil {
-			b.answer(q, a.Whole)
+			b.answer(q, a.Complete)
 		}
-	case decision.Refuse:
+	case decision.Reject:
 		if q := b.queries[a.ID]; q != nil {
 			b.forget(q) // first: what has not begun by now never will, so that the refusal holds
 			q.client.Finish(q.refusal(a.RetryAfter))
@@ -204,12 +204,12 @@
 			b.finish(q, Result{Outcome: Failed})
 		}
 	case decision.SetTimer:
-		b.after(b.clock.until(a.At), func() { b.tell(decision.Timer{Token: a.Token}) })
-	case decision.Probe:
+		b.after(b.clock.until(a.At), func() { b.tell(decision.TimerFired{Token: a.Token}) })
+	case decision.CheckHealth:
 		b.probe(a.Server)
 	case decision.Log:
 		b.log.Info(a.Line)
-	case decision.Watch, decision.Fetch:
+	case decision.WatchEndpoints, decision.FetchEndpoints:
 		// The list is pushed to a real broker: its watch is always on.
 	}
 }
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -23,7 +23,7 @@
 	woken := false
 	for _, e := range events {
 		s.events <- e
-		_, list := e.(decision.List)
+		_, list := e.(decision.EndpointUpdate)
 		woken = woken || list
 	}
 	if woken && len(s.actions) > 0 {
@@ -38,7 +38,7 @@
 func (l link) Send(c *broker.Call)   { l.sent <- c }
 func (l link) Cancel(c *broker.Call) { l.cancelled <- c }
 func (l link) Probe(p *broker.Probe) {
-	p.Done(broker.Reply{Status: decision.OK, Load: decision.NoLoad})
+	p.Done(broker.Reply{Status: decision.OK, Load: decision.NoLoadReport})
 }
 
 type client chan broker.Result
@@ -76,19 +76,19 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go r.b.Run(ctx)
-	r.list(decision.ListCached, "s0", 0, decision.Ready, "s1", 1, decision.Ready, "s2", 2, decision.Ready)
+	r.list(decision.CachedUpdate, "s0", 0, decision.Ready, "s1", 1, decision.Ready, "s2", 2, decision.Ready)
 	return r
 }
 
 // list tells id, cell and state of servers.
-func (r *rig) list(mode decision.ListMode, entries ...any) {
+func (r *rig) list(mode decision.UpdateMode, entries ...any) {
 	l := broker.List{Mode: mode}
 	for i := 0; i < len(entries); i += 3 {
 		l.Servers = append(l.Servers, broker.ListEntry{Addr: entries[i].(string), Server: decision.Server{
 			ID: entries[i].(string), ReplicaSet: entries[i+1].(int), State: entries[i+2].(decision.State)}})
 	}
 	r.b.Update(l)
-	event[decision.List](r)
+	event[decision.EndpointUpdate](r)
 }
 
 // event waits for the next event of a kind.
@@ -126,7 +126,7 @@
 // do has the Decider act, woken by a list that changes nothing.
 func (r *rig) do(actions ...decision.Action) {
 	r.actions <- actions
-	r.list(decision.ListDelta)
+	r.list(decision.DeltaUpdate)
 }
 
 func (r *rig) send(id decision.RequestID, server string) *broker.Call {
@@ -135,7 +135,7 @@
 }
 
 func done(status decision.Status) broker.Reply {
-	return broker.Reply{Status: status, Load: decision.NoLoad, Value: []byte("v")}
+	return broker.Reply{Status: status, Load: decision.NoLoadReport, Value: []byte("v")}
 }
 
 func TestForbiddenSendsAreStopped(t *testing.T) {
@@ -144,13 +144,13 @@
 	stopped := func(server string) {
 		t.Helper()
 		r.do(decision.Send{ID: part, Server: server})
-		require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
+		require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 		require.Empty(t, r.sent)
 	}
 	stopped("unheard-of")
 	stopped("s0") // shard 1 is held by cells 1 and 2
 	r.send(part, "s2").Done(done(decision.OK))
-	require.Equal(t, decision.OK, event[decision.Ended](r).Status)
+	require.Equal(t, decision.OK, event[decision.AttemptFinished](r).Status)
 }
 
 func TestUnsafePartsThatMayHaveRunAreNotSentAgain(t *testing.T) {
@@ -163,15 +163,15 @@
 		call := r.send(part, "s1")
 		require.True(t, call.Begin())
 		call.Done(done(status))
-		event[decision.Ended](r)
+		event[decision.AttemptFinished](r)
 		r.do(decision.Send{ID: part, Server: "s2"})
 		if again {
 			(<-r.sent).Done(done(decision.Overloaded))
 		}
-		event[decision.Ended](r)
+		event[decision.AttemptFinished](r)
 		require.Empty(t, r.sent)
 		// Nor is such a query refused: that would tell the client that a repeat is harmless.
-		r.do(decision.Refuse{ID: q, RetryAfter: 0.5})
+		r.do(decision.Reject{ID: q, RetryAfter: 0.5})
 		want := broker.Result{Outcome: broker.Failed}
 		if again {
 			want = broker.Result{Outcome: broker.Refused, RetryAfter: 0.5}
@@ -185,13 +185,13 @@
 	_, part, _, _ := r.take("q", safe, 1, time.Second)
 	call := r.send(part, "s1")
 	r.do(decision.Send{ID: part, Server: "s2"}) // while one is out
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	call.Done(done(decision.Error))
-	event[decision.Ended](r)
+	event[decision.AttemptFinished](r)
 	r.send(part, "s2").Done(done(decision.Error))
-	event[decision.Ended](r)
+	event[decision.AttemptFinished](r)
 	r.do(decision.Send{ID: part, Server: "s1"}) // the fourth of three
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	require.Empty(t, r.sent)
 }
 
@@ -199,14 +199,14 @@
 	r := newRig(t)
 	_, part, _, _ := r.take("q", safe, 1, time.Second)
 	waiting := r.send(part, "s1") // no connection yet when the list speaks
-	r.list(decision.ListDelta, "s1", 1, decision.Draining)
+	r.list(decision.DeltaUpdate, "s1", 1, decision.Draining)
 	require.False(t, waiting.Begin())
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	r.do(decision.Send{ID: part, Server: "s1"})
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
-	r.list(decision.ListFull, "s1", 1, decision.Ready) // back; those that a full list lacks are gone
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
+	r.list(decision.FullUpdate, "s1", 1, decision.Ready) // back; those that a full list lacks are gone
 	r.do(decision.Send{ID: part, Server: "s2"})
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	require.Empty(t, r.sent)
 }
 
@@ -217,12 +217,12 @@
 	require.True(t, old.Begin())
 	r.do(decision.Cancel{ID: part, Attempt: 0})
 	require.Equal(t, old, <-r.cancelled)
-	require.Equal(t, decision.Cancelled, event[decision.Ended](r).Status)
+	require.Equal(t, decision.Cancelled, event[decision.AttemptFinished](r).Status)
 	young := r.send(part, "s2")
 	old.Done(broker.Reply{Status: decision.OK, Value: []byte("old")})
 	young.Done(broker.Reply{Status: decision.OK, Value: []byte("new")})
-	require.Equal(t, 1, event[decision.Ended](r).Attempt)
-	r.do(decision.Answer{ID: q, Whole: true})
+	require.Equal(t, 1, event[decision.AttemptFinished](r).Attempt)
+	r.do(decision.Respond{ID: q, Complete: true})
 	require.Equal(t, broker.Result{Whole: true, Values: []broker.Value{{1, []byte("new")}}}, <-c)
 }
 
@@ -231,7 +231,7 @@
 	_, part, _, _ := r.take("q", unsafe, 1, time.Second)
 	r.do(decision.Send{ID: part, Server: "s1", Timeout: 0.02})
 	waiting := <-r.sent
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	require.False(t, waiting.Begin())
 	r.send(part, "s2")
 }
@@ -240,8 +240,8 @@
 	r := newRig(t)
 	q, part, c, _ := r.take("q", partial, 2, time.Second)
 	r.send(part, "s1").Done(done(decision.OK))
-	event[decision.Ended](r)
-	r.do(decision.Answer{ID: q, Whole: true}) // half of it: the floor is 0.8
+	event[decision.AttemptFinished](r)
+	r.do(decision.Respond{ID: q, Complete: true}) // half of it: the floor is 0.8
 	require.Equal(t, broker.Result{Outcome: broker.Failed}, <-c)
 }
 
@@ -253,8 +253,8 @@
 	r.b.Take(req, c)
 	q := event[decision.Query](r)
 	r.send(event[decision.Part](r).ID, "s1").Done(done(decision.OK))
-	event[decision.Ended](r)
-	r.do(decision.Answer{ID: q.ID, Whole: true})
+	event[decision.AttemptFinished](r)
+	r.do(decision.Respond{ID: q.ID, Complete: true})
 	require.Equal(t, broker.Result{Values: []broker.Value{{1, []byte("v")}}}, <-c)
 }
 
@@ -263,8 +263,8 @@
 	q, _, c, req := r.take("q", safe, 1, 50*time.Millisecond)
 	require.Equal(t, broker.Overdue, (<-c).Outcome) // the Decider has forgotten it
 	require.Less(t, time.Since(req.Arrived), 50*time.Millisecond)
-	event[decision.ClientGone](r)
-	r.do(decision.Fail{ID: q}, decision.Answer{ID: q}, decision.Refuse{ID: q})
+	event[decision.ClientDisconnected](r)
+	r.do(decision.Fail{ID: q}, decision.Respond{ID: q}, decision.Reject{ID: q})
 	require.Empty(t, c)
 }
 
@@ -277,7 +277,7 @@
 	r.b.Take(&broker.Request{ID: "q2", Arrived: time.Now(), Patience: time.Second, Parts: make([]broker.Part, 2)}, more)
 	require.Equal(t, broker.Result{Outcome: broker.Refused, RetryAfter: 0.5}, <-more)
 	r.b.Leave(req)
-	event[decision.ClientGone](r)
+	event[decision.ClientDisconnected](r)
 	r.take("q", safe, 5, time.Second)
 	require.Empty(t, first)
 }
@@ -307,8 +307,8 @@
 	_, part, _, req := r.take("q", unsafe, 1, time.Second)
 	waiting := r.send(part, "s1")
 	r.b.Leave(req)
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
-	event[decision.ClientGone](r)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
+	event[decision.ClientDisconnected](r)
 	require.False(t, waiting.Begin())
 	require.Same(t, waiting, <-r.cancelled)
 
@@ -317,18 +317,18 @@
 	waiting = r.send(part, "s1")
 	req.Left.Store(true) // the front knows; the loop is busy
 	require.False(t, waiting.Begin())
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	r.do(decision.Send{ID: part, Server: "s2"})
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	require.Empty(t, r.sent)
 	r.b.Leave(req)
-	event[decision.ClientGone](r)
+	event[decision.ClientDisconnected](r)
 
 	gone := &broker.Request{ID: "q3", Arrived: time.Now(), Patience: time.Second, Parts: []broker.Part{{Shard: 1, Share: 1}}, Left: new(atomic.Bool)}
 	gone.Left.Store(true)
 	c := make(client, 1)
 	r.b.Take(gone, c)
-	r.list(decision.ListDelta)
+	r.list(decision.DeltaUpdate)
 	require.Empty(t, c)
 	require.Empty(t, r.events, "the Decider has not heard of it")
 }
@@ -338,9 +338,9 @@
 	r := newRig(t)
 	q, part, c, _ := r.take("q", safe, 1, time.Second)
 	waiting := r.send(part, "s1")
-	r.do(decision.Refuse{ID: q, RetryAfter: 0.5})
+	r.do(decision.Reject{ID: q, RetryAfter: 0.5})
 	require.Equal(t, broker.Refused, (<-c).Outcome)
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	require.False(t, waiting.Begin())
 }
 
@@ -351,18 +351,18 @@
 	first := r.send(part, "s1")
 	require.True(t, first.Begin())
 	first.Done(done(decision.Reset))
-	event[decision.Ended](r)
+	event[decision.AttemptFinished](r)
 	again := r.send(part, "s2") // within the window of 0.2 s
 	time.Sleep(220 * time.Millisecond)
 	require.False(t, again.Begin())
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	r.do(decision.Send{ID: part, Server: "s1"})
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	require.Empty(t, r.sent)
 
 	_, part, _, _ = r.take("q2", keyed, 1, 2*time.Second)
 	r.send(part, "s1").Done(done(decision.Unreachable)) // cannot have run: no window
-	event[decision.Ended](r)
+	event[decision.AttemptFinished](r)
 	time.Sleep(220 * time.Millisecond)
 	require.True(t, r.send(part, "s2").Begin())
 }
@@ -378,7 +378,7 @@
 	r := newRig(t)
 	_, part, in, _ := r.take("q", partial, 1, 4*time.Second)
 	r.send(part, "s1").Done(done(decision.OK))
-	event[decision.Ended](r)
+	event[decision.AttemptFinished](r)
 	_, part, ran, _ := r.take("q2", unsafe, 1, 4*time.Second)
 	require.True(t, r.send(part, "s1").Begin())
 	end := time.Now().Add(100 * time.Millisecond)
@@ -407,12 +407,12 @@
 	loop := make(stuck)
 	r.b.Take(req, loop) // a second of its name
 	<-loop
-	go r.b.Update(broker.List{Mode: decision.ListDelta, Servers: []broker.ListEntry{{Addr: "s1",
+	go r.b.Update(broker.List{Mode: decision.DeltaUpdate, Servers: []broker.ListEntry{{Addr: "s1",
 		Server: decision.Server{ID: "s1", ReplicaSet: 1, State: decision.Draining}}}})
 	require.Eventually(t, waiting.Server.Leaving, time.Second, time.Millisecond)
 	require.False(t, waiting.Begin())
 	loop <- struct{}{}
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 }
 
 // A probe that has waited for a connection is asked again like a call.
@@ -421,13 +421,13 @@
 	probes := make(chan *broker.Probe, 1)
 	r.b = broker.New(broker.Options{Settings: decision.Settings{ReplicaSets: 4, ReplicationFactor: 2}}, r.script, keeps{r.link, probes})
 	go r.b.Run(t.Context())
-	r.list(decision.ListFull, "s0", 0, decision.Ready, "s1", 1, decision.Ready)
-	r.do(decision.Probe{Server: "s0"}, decision.Probe{Server: "s1"})
+	r.list(decision.FullUpdate, "s0", 0, decision.Ready, "s1", 1, decision.Ready)
+	r.do(decision.CheckHealth{Server: "s0"}, decision.CheckHealth{Server: "s1"})
 	stays, leaves := <-probes, <-probes
-	r.list(decision.ListDelta, "s1", 1, decision.Draining)
+	r.list(decision.DeltaUpdate, "s1", 1, decision.Draining)
 	require.True(t, stays.Begin())
 	require.False(t, leaves.Begin())
-	require.Equal(t, decision.NotSent, event[decision.Probed](r).Status)
+	require.Equal(t, decision.NotSent, event[decision.HealthChecked](r).Status)
 }
 
 type keeps struct {
--- a/internal/broker/call.go
+++ b/internal/broker/call.go
@@ -45,7 +45,7 @@
 	Status decision.Status
 	Score  int64 // of a served part: those with the highest scores are chosen for a second step
 	Scored bool  // the server told a score
-	Load   decision.Load
+	Load   decision.LoadReport
 	Value  []byte // of a served part; must outlive the call
 }
 
@@ -83,7 +83,7 @@
 // to the core.
 func (c *Call) Begin() bool {
 	if !c.MayBegin() {
-		c.Done(Reply{Status: decision.NotSent, Load: decision.NoLoad})
+		c.Done(Reply{Status: decision.NotSent, Load: decision.NoLoadReport})
 		return false
 	}
 	return c.state.CompareAndSwap(callWaiting, callBegun)
@@ -121,9 +121,9 @@
 	s := b.servers.get(a.Server)
 	if why := b.forbids(pt, s); why != "" {
 		b.log.Warn("a send was stopped", "why", why, "server", a.Server, "query", pt.q.req.ID)
-		b.tell(decision.Ended{
+		b.tell(decision.AttemptFinished{
 			ID: pt.id, Attempt: c.number, Server: a.Server, Status: decision.NotSent,
-			Closed: pt.in || pt.over, Load: decision.NoLoad,
+			PartConcluded: pt.in || pt.over, LoadReport: decision.NoLoadReport,
 		})
 		return
 	}
@@ -189,7 +189,7 @@
 		status = decision.NotSent
 	}
 	b.link.Cancel(c)
-	b.ended(c, Reply{Status: status, Load: decision.NoLoad})
+	b.ended(c, Reply{Status: status, Load: decision.NoLoadReport})
 }
 
 // ended books the end of a call and tells the Decider.
@@ -216,9 +216,9 @@
 	if pt.over {
 		delete(b.parts, pt.id)
 	}
-	b.tell(decision.Ended{
+	b.tell(decision.AttemptFinished{
 		ID: pt.id, Attempt: c.number, Server: c.Server.ID, Status: r.Status,
-		Latency: b.clock.now() - c.sent, Closed: pt.in || pt.over, Load: r.Load,
+		Latency: b.clock.now() - c.sent, PartConcluded: pt.in || pt.over, LoadReport: r.Load,
 	})
 }
 
@@ -245,7 +245,7 @@
 // Begin is asked just before the first byte of a probe is written, as for a call.
 func (p *Probe) Begin() bool {
 	if p.Server.Leaving() || !time.Now().Before(p.Deadline) {
-		p.Done(Reply{Status: decision.NotSent, Load: decision.NoLoad})
+		p.Done(Reply{Status: decision.NotSent, Load: decision.NoLoadReport})
 	}
 	return !p.over.Load()
 }
@@ -261,7 +261,7 @@
 	}
 	p.stop = b.after(b.opt.ProbeFor, func() {
 		if !p.over.Swap(true) {
-			b.probed(p, Reply{Status: decision.TimedOut, Load: decision.NoLoad})
+			b.probed(p, Reply{Status: decision.TimedOut, Load: decision.NoLoadReport})
 		}
 	})
 	b.link.Probe(p)
@@ -269,7 +269,7 @@
 
 func (b *Broker) probed(p *Probe, r Reply) {
 	p.stop()
-	b.tell(decision.Probed{
-		Server: p.Server.ID, Status: r.Status, Latency: b.clock.now() - p.sent, Load: r.Load,
+	b.tell(decision.HealthChecked{
+		Server: p.Server.ID, Status: r.Status, Latency: b.clock.now() - p.sent, LoadReport: r.Load,
 	})
 }
--- a/internal/broker/configure.go
+++ b/internal/broker/configure.go
@@ -85,7 +85,7 @@
 		return nil // the Decider has nothing to hear
 	}
 	set.Classes = slices.Clone(c.Classes) // the old ones are not written to: queries and the Decider may point there
-	b.tell(decision.Configured{Classes: set.Classes})
+	b.tell(decision.ClassesChanged{Classes: set.Classes})
 	return nil
 }
 
--- a/internal/broker/configure_test.go
+++ b/internal/broker/configure_test.go
@@ -40,7 +40,7 @@
 
 func (g *gate) Handle(_ float64, events []decision.Event) []decision.Action {
 	g.batches <- slices.Clone(events)
-	if slices.ContainsFunc(events, func(e decision.Event) bool { _, ok := e.(decision.Timer); return ok }) {
+	if slices.ContainsFunc(events, func(e decision.Event) bool { _, ok := e.(decision.TimerFired); return ok }) {
 		<-g.hold
 		return <-g.actions
 	}
@@ -72,10 +72,10 @@
 
 // stop holds the loop: all that is handed over from now on comes to it at once, in its order, when go on is called.
 func (h *held) stop() (goOn func(...decision.Action)) {
-	h.b.Tell(decision.Timer{Token: 7})
+	h.b.Tell(decision.TimerFired{Token: 7})
 	for {
 		batch := h.batch()
-		if slices.Contains(batch, decision.Event(decision.Timer{Token: 7})) {
+		if slices.Contains(batch, decision.Event(decision.TimerFired{Token: 7})) {
 			return func(actions ...decision.Action) {
 				h.actions <- actions
 				h.hold <- struct{}{}
@@ -140,11 +140,11 @@
 	require.Equal(t, broker.Refused, h.result(more).Outcome, "the cap counts what is held")
 	batch := h.batch()
 	taken := slices.IndexFunc(batch, func(e decision.Event) bool { _, ok := e.(decision.Query); return ok })
-	told := slices.IndexFunc(batch, func(e decision.Event) bool { _, ok := e.(decision.Configured); return ok })
+	told := slices.IndexFunc(batch, func(e decision.Event) bool { _, ok := e.(decision.ClassesChanged); return ok })
 	require.True(t, taken >= 0 && taken < told, "%v", batch)
-	require.Equal(t, classes(newDeadline), batch[told].(decision.Configured).Classes)
+	require.Equal(t, classes(newDeadline), batch[told].(decision.ClassesChanged).Classes)
 	early := batch[taken].(decision.Query)
-	require.InDelta(t, oldDeadline, early.Deadline-early.Came, 1e-3)
+	require.InDelta(t, oldDeadline, early.Deadline-early.ReceivedAt, 1e-3)
 	require.Equal(t, broker.Overdue, h.result(fits).Outcome)
 
 	after := h.query("after", 0, 2)
@@ -157,7 +157,7 @@
 		}
 	}
 	require.Equal(t, 2, late.Parts)
-	require.InDelta(t, newDeadline, late.Deadline-late.Came, 1e-3)
+	require.InDelta(t, newDeadline, late.Deadline-late.ReceivedAt, 1e-3)
 	require.Equal(t, broker.Overdue, h.result(after).Outcome)
 }
 
@@ -196,7 +196,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHeld(t)
 			require.NoError(t, h.b.Configure(broker.Change{Classes: classes(c.old), OpenCap: 20}))
-			h.b.Update(broker.List{Mode: decision.ListFull, Servers: []broker.ListEntry{
+			h.b.Update(broker.List{Mode: decision.FullUpdate, Servers: []broker.ListEntry{
 				{Addr: "s0", Server: decision.Server{ID: "s0"}}}})
 			start := time.Now()
 			silent := h.query("silent", 0, 1)
@@ -219,7 +219,7 @@
 			require.InDelta(t, c.old, call.Deadline.Sub(start).Seconds(), 0.2)
 			require.True(t, call.Begin())
 			call.Done(done(decision.OK))
-			h.stop()(decision.Answer{ID: name, Whole: true})
+			h.stop()(decision.Respond{ID: name, Complete: true})
 			answered := h.result(half)
 			require.Equal(t, broker.Answered, answered.Outcome, "half of it is its floor")
 			require.Len(t, answered.Values, 1)
@@ -276,7 +276,7 @@
 	h := newHeld(t)
 	c := broker.Change{Classes: classes(newDeadline), OpenCap: newCap}
 	require.NoError(t, h.b.Configure(c))
-	told := h.batch()[0].(decision.Configured).Classes
+	told := h.batch()[0].(decision.ClassesChanged).Classes
 	require.NoError(t, h.b.Configure(broker.Change{Classes: classes(9), OpenCap: newCap}))
 	require.Equal(t, classes(oldDeadline), h.start)
 	require.Equal(t, classes(newDeadline), told)
--- a/internal/broker/list.go
+++ b/internal/broker/list.go
@@ -15,7 +15,7 @@
 
 // List is news of the server list.
 type List struct {
-	Mode    decision.ListMode
+	Mode    decision.UpdateMode
 	Version int64
 	Servers []ListEntry
 }
@@ -37,12 +37,12 @@
 func (s *Servers) Apply(l List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l.Mode == decision.ListFull || l.Mode == decision.ListCached {
+	if l.Mode == decision.FullUpdate || l.Mode == decision.CachedUpdate {
 		clear(s.leaves)
 	}
 	ready := map[string]bool{}
 	for id := range s.byID { // of a whole list, those that it lacks are gone
-		ready[id] = l.Mode != decision.ListFull && l.Mode != decision.ListCached
+		ready[id] = l.Mode != decision.FullUpdate && l.Mode != decision.CachedUpdate
 	}
 	for _, n := range l.Servers {
 		old := s.byID[n.ID]
@@ -118,8 +118,8 @@
 }
 
 // Event is the list in the Decider's terms.
-func (l List) Event() decision.List {
-	e := decision.List{Mode: l.Mode, Version: l.Version}
+func (l List) Event() decision.EndpointUpdate {
+	e := decision.EndpointUpdate{Mode: l.Mode, Version: l.Version}
 	for _, n := range l.Servers {
 		e.Servers = append(e.Servers, n.Server)
 	}
--- a/internal/broker/query.go
+++ b/internal/broker/query.go
@@ -79,7 +79,7 @@
 			if c, ok := q.client.(Leaver); ok {
 				c.Left()
 			}
-			b.tell(decision.ClientGone{ID: q.id})
+			b.tell(decision.ClientDisconnected{ID: q.id})
 		}
 	})
 }
@@ -121,11 +121,11 @@
 	b.tell(decision.Query{
 		ID: q.id, Number: int64(q.id), Class: r.Class, Key: r.Key, Parts: len(r.Parts),
 		Deadline: b.clock.at(q.deadline), Retry: r.Retry, Work: work,
-		Came: b.clock.at(r.Arrived),
+		ReceivedAt: b.clock.at(r.Arrived),
 	})
 	for _, pt := range q.parts {
 		b.tell(decision.Part{
-			ID: pt.id, Number: int64(q.id), Shard: pt.Shard, Weight: pt.Share, Key: pt.Route, Work: pt.Work,
+			ID: pt.id, QueryNumber: int64(q.id), Shard: pt.Shard, Weight: pt.Share, Key: pt.Route, Work: pt.Work,
 		})
 	}
 }
@@ -140,7 +140,7 @@
 			last = q.lastWord(b.advice())
 		}
 		q.client.Finish(last)
-		b.tell(decision.ClientGone{ID: q.id})
+		b.tell(decision.ClientDisconnected{ID: q.id})
 	})
 }
 
@@ -205,7 +205,7 @@
 			// Guards against an attempt that still waits for a connection and would begin for nobody: whether or not
 			// cancels are allowed, nothing of it has gone out.
 			b.link.Cancel(pt.live)
-			b.ended(pt.live, Reply{Status: decision.NotSent, Load: decision.NoLoad})
+			b.ended(pt.live, Reply{Status: decision.NotSent, Load: decision.NoLoadReport})
 		}
 	}
 }
--- a/internal/broker/refusal_test.go
+++ b/internal/broker/refusal_test.go
@@ -20,7 +20,7 @@
 	id, part, c, _ := r.take("q", unsafe, 1, 3*time.Second)
 	call := r.send(part, "s1")
 	require.True(t, call.Begin())
-	r.do(decision.Refuse{ID: otherID}, decision.Refuse{ID: id})
+	r.do(decision.Reject{ID: otherID}, decision.Reject{ID: id})
 	<-other // the loop waits here, between the two refusals
 	call.Done(done(decision.Reset))
 	other <- struct{}{}
@@ -35,7 +35,7 @@
 	for range cap(r.cancelled) {
 		r.cancelled <- nil // so that the loop waits where it cancels the first call
 	}
-	r.do(decision.Refuse{ID: id})
+	r.do(decision.Reject{ID: id})
 	require.Eventually(t, calls[0].Over, 2*time.Second, time.Millisecond)
 	require.False(t, calls[0].Begin())
 	begun := calls[1].Begin()
--- a/internal/broker/step.go
+++ b/internal/broker/step.go
@@ -57,7 +57,7 @@
 		q.parts = append(q.parts, pt)
 		b.parts[pt.id] = pt
 		b.tell(decision.Part{
-			ID: pt.id, Number: int64(q.id), Shard: pt.Shard, Weight: pt.Share, Key: pt.Route,
+			ID: pt.id, QueryNumber: int64(q.id), Shard: pt.Shard, Weight: pt.Share, Key: pt.Route,
 		})
 	}
 }
--- a/internal/broker/step_test.go
+++ b/internal/broker/step_test.go
@@ -15,16 +15,16 @@
 
 // scored is a served part with a score.
 func scored(score int64, value string) broker.Reply {
-	return broker.Reply{Status: decision.OK, Score: score, Scored: true, Load: decision.NoLoad, Value: []byte(value)}
+	return broker.Reply{Status: decision.OK, Score: score, Scored: true, Load: decision.NoLoadReport, Value: []byte(value)}
 }
 
 // firstStep plays the first step of a query of so many parts at s1: all come in with scores that fall with their shard.
 func (r *rig) firstStep(name string, class, parts int) (query decision.RequestID, c client, req *broker.Request) {
 	query, first, c, req := r.take(name, class, parts, 2*time.Second)
-	r.list(decision.ListDelta, "s1", 1, decision.Ready, "s2", 2, decision.Ready, "s3", 3, decision.Ready, "s0", 0, decision.Ready)
+	r.list(decision.DeltaUpdate, "s1", 1, decision.Ready, "s2", 2, decision.Ready, "s3", 3, decision.Ready, "s0", 0, decision.Ready)
 	for i := range parts {
 		r.send(first+decision.RequestID(i), server(i+1)).Done(scored(int64(-i), "first"))
-		event[decision.Ended](r)
+		event[decision.AttemptFinished](r)
 	}
 	return query, c, req
 }
@@ -52,7 +52,7 @@
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		r := newRig(t)
-		r.list(decision.ListDelta, "s3", 3, decision.Ready)
+		r.list(decision.DeltaUpdate, "s3", 3, decision.Ready)
 		class, parts := twoStep, 1+rng.IntN(6)
 		if seed%2 == 1 {
 			class = twoStepPartial
@@ -66,11 +66,11 @@
 			}
 			scores[i+1] = int64(rng.IntN(3)) // with equal ones among them
 			r.send(first+decision.RequestID(i), server(i+1)).Done(scored(scores[i+1], "first"))
-			event[decision.Ended](r)
+			event[decision.AttemptFinished](r)
 			from = append(from, i+1)
 		}
 		slices.Sort(from)
-		r.do(decision.Answer{ID: q, Whole: true})
+		r.do(decision.Respond{ID: q, Complete: true})
 		want := wantStep(scores, 2)
 		var second []decision.Part
 		for range want {
@@ -83,11 +83,11 @@
 			require.InDelta(t, 1/float64(len(want)), pt.Weight, 1e-9)
 			call := r.send(pt.ID, server(pt.Shard))
 			require.Equal(t, &broker.FirstStep{From: from, Whole: missing == 0}, call.Second)
-			call.Done(broker.Reply{Status: decision.OK, Load: decision.NoLoad, Value: []byte("second")}) // scores are over
-			event[decision.Ended](r)
+			call.Done(broker.Reply{Status: decision.OK, Load: decision.NoLoadReport, Value: []byte("second")}) // scores are over
+			event[decision.AttemptFinished](r)
 			values = append(values, broker.Value{Shard: pt.Shard, Data: []byte("second")})
 		}
-		r.do(decision.Answer{ID: q, Whole: true})
+		r.do(decision.Respond{ID: q, Complete: true})
 		require.Equal(t, broker.Result{Whole: missing == 0, Values: values}, <-c, "seed %d", seed)
 	}
 }
@@ -96,9 +96,9 @@
 	r := newRig(t)
 	_, part, _, _ := r.take("q", twoStep, 1, time.Second)
 	r.send(part, "s1").Done(done(decision.OK))
-	require.Equal(t, decision.Error, event[decision.Ended](r).Status)
+	require.Equal(t, decision.Error, event[decision.AttemptFinished](r).Status)
 	r.send(part, "s2").Done(scored(1, "v"))
-	require.Equal(t, decision.OK, event[decision.Ended](r).Status)
+	require.Equal(t, decision.OK, event[decision.AttemptFinished](r).Status)
 }
 
 func TestNoSecondStepUnderTheFloor(t *testing.T) {
@@ -106,8 +106,8 @@
 		r := newRig(t)
 		q, part, c, _ := r.take("q", class, 3, time.Second)
 		r.send(part, "s1").Done(scored(1, "v"))
-		event[decision.Ended](r)
-		r.do(decision.Answer{ID: q, Whole: true})
+		event[decision.AttemptFinished](r)
+		r.do(decision.Respond{ID: q, Complete: true})
 		require.Equal(t, broker.Result{Outcome: want}, <-c)
 	}
 }
@@ -120,10 +120,10 @@
 	} {
 		r := newRig(t)
 		q, c, _ := r.firstStep("q", class, 3)
-		r.do(decision.Answer{ID: q, Whole: true})
+		r.do(decision.Respond{ID: q, Complete: true})
 		r.send(event[decision.Part](r).ID, "s1").Done(scored(0, "second")) // one of two
-		event[decision.Ended](r)
-		r.do(decision.Answer{ID: q, Whole: true})
+		event[decision.AttemptFinished](r)
+		r.do(decision.Respond{ID: q, Complete: true})
 		require.Equal(t, want, <-c)
 	}
 }
@@ -131,14 +131,14 @@
 func TestTheClientLeavesBetweenTheSteps(t *testing.T) {
 	r := newRig(t)
 	q, c, req := r.firstStep("q", twoStep, 3)
-	r.do(decision.Answer{ID: q, Whole: true})
+	r.do(decision.Respond{ID: q, Complete: true})
 	second, other := event[decision.Part](r).ID, event[decision.Part](r).ID
 	waiting := r.send(second, "s1")
 	r.b.Leave(req)
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
-	require.Equal(t, q, event[decision.ClientGone](r).ID)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
+	require.Equal(t, q, event[decision.ClientDisconnected](r).ID)
 	require.False(t, waiting.Begin())
-	r.do(decision.Send{ID: other, Server: "s2"}, decision.Answer{ID: q, Whole: true})
+	r.do(decision.Send{ID: other, Server: "s2"}, decision.Respond{ID: q, Complete: true})
 	require.Empty(t, r.sent)
 	require.Empty(t, c)
 	r.take("q", twoStep, 6, time.Second) // its name and all its room are free again
@@ -147,16 +147,16 @@
 func TestAServerDrainsBetweenTheSteps(t *testing.T) {
 	r := newRig(t)
 	q, _, _ := r.firstStep("q", twoStep, 3)
-	r.do(decision.Answer{ID: q, Whole: true})
+	r.do(decision.Respond{ID: q, Complete: true})
 	second := event[decision.Part](r).ID
 	waiting := r.send(second, "s1")
-	r.list(decision.ListDelta, "s1", 1, decision.Draining)
+	r.list(decision.DeltaUpdate, "s1", 1, decision.Draining)
 	require.False(t, waiting.Begin())
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	r.do(decision.Send{ID: second, Server: "s1"})
-	require.Equal(t, decision.NotSent, event[decision.Ended](r).Status)
+	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	r.send(second, "s2").Done(scored(0, "second"))
-	require.Equal(t, decision.OK, event[decision.Ended](r).Status)
+	require.Equal(t, decision.OK, event[decision.AttemptFinished](r).Status)
 }
 
 // What is held between the steps when the process ends is refused, since the first step's values are no answer; what
@@ -166,12 +166,12 @@
 	for _, in := range []int{0, 1, 2} {
 		r := newRig(t)
 		q, c, _ := r.firstStep("q", twoStep, 3)
-		r.do(decision.Answer{ID: q, Whole: true})
+		r.do(decision.Respond{ID: q, Complete: true})
 		second := []decision.Part{event[decision.Part](r), event[decision.Part](r)}
 		var values []broker.Value
 		for i := range in {
 			r.send(second[i].ID, server(i+1)).Done(scored(0, "second"))
-			event[decision.Ended](r)
+			event[decision.AttemptFinished](r)
 			values = append(values, broker.Value{Shard: i + 1, Data: []byte("second")})
 		}
 		r.b.EndBy(time.Now().Add(50 * time.Millisecond))
@@ -192,28 +192,28 @@
 func TestTheFirstStepIsOver(t *testing.T) {
 	r := newRig(t)
 	q, first, c, _ := r.take("q", twoStepPartial, 4, 2*time.Second)
-	r.list(decision.ListDelta, "s3", 3, decision.Ready)
+	r.list(decision.DeltaUpdate, "s3", 3, decision.Ready)
 	for i := range 2 {
 		r.send(first+decision.RequestID(i), server(i+1)).Done(scored(int64(i), "first"))
-		event[decision.Ended](r)
+		event[decision.AttemptFinished](r)
 	}
 	late := r.send(first+2, "s3")
 	require.True(t, late.Begin())
 	waiting := r.send(first+3, "s0")
-	r.do(decision.Answer{ID: q})
-	require.Equal(t, first+3, event[decision.Ended](r).ID)
+	r.do(decision.Respond{ID: q})
+	require.Equal(t, first+3, event[decision.AttemptFinished](r).ID)
 	require.False(t, waiting.Begin())
 	a, b := event[decision.Part](r), event[decision.Part](r)
 	require.Equal(t, []int{2, 1}, []int{a.Shard, b.Shard})
 	late.Done(scored(9, "late"))
-	require.Equal(t, first+2, event[decision.Ended](r).ID)
+	require.Equal(t, first+2, event[decision.AttemptFinished](r).ID)
 	r.do(decision.Send{ID: first + 2, Server: "s3"})
 	require.Empty(t, r.sent)
 	for _, pt := range []decision.Part{a, b} {
 		r.send(pt.ID, server(pt.Shard)).Done(scored(0, "second"))
-		event[decision.Ended](r)
+		event[decision.AttemptFinished](r)
 	}
-	r.do(decision.Answer{ID: q, Whole: true})
+	r.do(decision.Respond{ID: q, Complete: true})
 	got := <-c
 	require.False(t, got.Whole)
 	slices.SortFunc(got.Values, func(a, b broker.Value) int { return cmp.Compare(a.Shard, b.Shard) })
@@ -227,11 +227,11 @@
 	full := make(client, 1)
 	r.b.Take(&broker.Request{ID: "q2", Arrived: time.Now(), Patience: time.Second, Parts: make([]broker.Part, 1)}, full)
 	require.Equal(t, broker.Refused, (<-full).Outcome)
-	r.do(decision.Answer{ID: q, Whole: true})
+	r.do(decision.Respond{ID: q, Complete: true})
 	r.take("q3", safe, 3, time.Second)
 	r.b.Take(&broker.Request{ID: "q4", Arrived: time.Now(), Patience: time.Second, Parts: make([]broker.Part, 1)}, full)
 	require.Equal(t, broker.Refused, (<-full).Outcome)
-	r.do(decision.Refuse{ID: q})
+	r.do(decision.Reject{ID: q})
 	require.Equal(t, broker.Refused, (<-c).Outcome)
 	r.take("q5", safe, 2, time.Second)
 }
--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -239,17 +239,17 @@
 	defer k.mu.Unlock()
 	for _, e := range events {
 		switch e := e.(type) {
-		case decision.List:
+		case decision.EndpointUpdate:
 			k.learner.List(e)
 			if !*told && len(e.Servers) > 0 && k.found != nil {
 				*told = true
 				events = append(events, recovery.Restore(k.found, e.Servers, now)...)
 			}
-		case decision.Ended:
-			k.learner.Saw(now, e.Server, e.Status, e.Latency, e.Load)
-		case decision.Probed:
-			if e.Status != decision.OK || e.Load != decision.NoLoad {
-				k.learner.Saw(now, e.Server, decision.NotSent, 0, e.Load)
+		case decision.AttemptFinished:
+			k.learner.Saw(now, e.Server, e.Status, e.Latency, e.LoadReport)
+		case decision.HealthChecked:
+			if e.Status != decision.OK || e.LoadReport != decision.NoLoadReport {
+				k.learner.Saw(now, e.Server, decision.NotSent, 0, e.LoadReport)
 			}
 		}
 	}
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -38,12 +38,12 @@
 func teach(k *Saver, servers int) {
 	w := k.Watch(deaf{})
 	now := float64(time.Now().UnixNano()) / 1e9
-	l := decision.List{Mode: decision.ListFull}
+	l := decision.EndpointUpdate{Mode: decision.FullUpdate}
 	events := []decision.Event{nil}
 	for i := range servers {
 		id := fmt.Sprintf("s-%08x", i)
 		l.Servers = append(l.Servers, decision.Server{ID: id})
-		events = append(events, decision.Ended{Server: id, Latency: 0.01, Load: decision.Load{Busy: 0.5}})
+		events = append(events, decision.AttemptFinished{Server: id, Latency: 0.01, LoadReport: decision.LoadReport{Utilization: 0.5}})
 	}
 	events[0] = l
 	w.Handle(now, events)
@@ -95,12 +95,12 @@
 	var heard int
 	w := k.Watch(listener(func(events []decision.Event) {
 		for _, e := range events {
-			if h, ok := e.(decision.Heard); ok && h.Load.Busy == 0.5 {
+			if h, ok := e.(decision.PeerObservation); ok && h.LoadReport.Utilization == 0.5 {
 				heard++
 			}
 		}
 	}))
-	list := decision.List{Mode: decision.ListCached, Servers: []decision.Server{{ID: "s-00000001"}, {ID: "s-00000002", Started: 5}}}
+	list := decision.EndpointUpdate{Mode: decision.CachedUpdate, Servers: []decision.Server{{ID: "s-00000001"}, {ID: "s-00000002", Started: 5}}}
 	for range 2 {
 		w.Handle(k.now(), []decision.Event{list})
 	}
@@ -336,7 +336,7 @@
 	k, _ := open(b.TempDir(), nil)
 	teach(k, 200)
 	w := k.Watch(deaf{})
-	events := []decision.Event{decision.Ended{Server: "s-00000001", Latency: 0.01, Load: decision.Load{Busy: 0.5}}}
+	events := []decision.Event{decision.AttemptFinished{Server: "s-00000001", Latency: 0.01, LoadReport: decision.LoadReport{Utilization: 0.5}}}
 	b.ReportAllocs()
 	for i := range b.N {
 		w.Handle(float64(i)/1000, events)
--- a/internal/checkpoint/restart_test.go
+++ b/internal/checkpoint/restart_test.go
@@ -51,7 +51,7 @@
 	b := broker.New(broker.Options{Settings: restartSettings, Log: slog.New(slog.NewTextHandler(io.Discard, nil))},
 		k.Watch(decision.New(restartSettings, seed)), link)
 	go b.Run(ctx)
-	b.Update(broker.List{Mode: decision.ListCached, Servers: fleet.Entries()})
+	b.Update(broker.List{Mode: decision.CachedUpdate, Servers: fleet.Entries()})
 	const bin = 100 * time.Millisecond
 	asked, served := make([]float64, d/bin+1), make([]float64, d/bin+1)
 	var mu sync.Mutex
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -187,7 +187,7 @@
 		}
 		c.Version = f.Known.Version
 	}
-	c.Known.Mode = decision.ListCached
+	c.Known.Mode = decision.CachedUpdate
 	return c, nil
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -45,7 +45,7 @@
 		[]any{c.Name, c.Listen, c.Discovery, c.Seed, c.MemoryMB, c.Sockets})
 	require.Equal(t, []any{9, 8, 7, 3 * time.Second, 500 * time.Millisecond, map[string]int{"c": 0}, int64(41)},
 		[]any{c.OpenCap, c.Shards, c.Streams, c.ConnIdle, c.ConnectTimeout, c.Classes, c.Version})
-	require.Equal(t, decision.ListCached, c.Known.Mode)
+	require.Equal(t, decision.CachedUpdate, c.Known.Mode)
 	require.Equal(t, decision.Server{ID: "s1", Zone: 1, ReplicaSet: 3, State: decision.Draining, Capacity: 1.5, Started: 2.5},
 		c.Known.Servers[0].Server)
 	require.Equal(t, []time.Duration{2 * time.Second}, c.Patience())
@@ -252,11 +252,11 @@
 
 func (okLink) Send(c *broker.Call) {
 	if c.Begin() {
-		c.Done(broker.Reply{Status: decision.OK, Load: decision.NoLoad, Value: []byte("v")})
+		c.Done(broker.Reply{Status: decision.OK, Load: decision.NoLoadReport, Value: []byte("v")})
 	}
 }
 func (okLink) Cancel(*broker.Call)   {}
-func (okLink) Probe(p *broker.Probe) { p.Done(broker.Reply{Load: decision.NoLoad}) }
+func (okLink) Probe(p *broker.Probe) { p.Done(broker.Reply{Load: decision.NoLoadReport}) }
 
 type result chan broker.Result
 
@@ -267,7 +267,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go b.Run(ctx)
-	b.Update(broker.List{Mode: decision.ListFull, Servers: []broker.ListEntry{
+	b.Update(broker.List{Mode: decision.FullUpdate, Servers: []broker.ListEntry{
 		{Addr: "a", Server: decision.Server{ID: "a", Started: float64(time.Now().Unix())}}, {Addr: "b", Server: decision.Server{ID: "b", ReplicaSet: 1}}}})
 	answer := make(result, 1)
 	b.Take(&broker.Request{ID: "q", Arrived: time.Now(), Patience: 300 * time.Millisecond, Parts: []broker.Part{{Shard: 1, Share: 1}}}, answer)
--- a/internal/cores/bench_test.go
+++ b/internal/cores/bench_test.go
@@ -18,7 +18,7 @@
 		for _, cold := range []int{0, 20} {
 			b.Run(fmt.Sprintf("workers=%d/cold=%d", workers, cold), func(b *testing.B) {
 				s := newShare(workers, settings(200, 1e9), 1)
-				l := decision.List{Mode: decision.ListFull}
+				l := decision.EndpointUpdate{Mode: decision.FullUpdate}
 				for i := range 200 {
 					e := decision.Server{ID: fmt.Sprint("s", i), ReplicaSet: i}
 					if i < cold {
@@ -35,8 +35,8 @@
 				b.ReportAllocs()
 				for i := range b.N {
 					now := 100 + 0.0001*float64(i)
-					events[0] = decision.Ended{Server: l.Servers[i%200].ID, Status: decision.OK, Latency: 0.02,
-						Load: decision.Load{Busy: 0.5}}
+					events[0] = decision.AttemptFinished{Server: l.Servers[i%200].ID, Status: decision.OK, Latency: 0.02,
+						LoadReport: decision.LoadReport{Utilization: 0.5}}
 					ds[i%workers].Handle(now, events)
 				}
 			})
--- a/internal/cores/configure_test.go
+++ b/internal/cores/configure_test.go
@@ -21,7 +21,7 @@
 // is silent, and has its loop wait, or die, where a test says so by a Timer.
 type recorder struct {
 	mu     sync.Mutex
-	heard  []decision.Event // Configured and Query
+	heard  []decision.Event // ClassesChanged and Query
 	silent bool
 	hold   chan struct{} // a Timer with token tokenHold waits for it
 	holds  chan struct{} // and tells so
@@ -39,18 +39,18 @@
 func (d *recorder) Handle(_ float64, events []decision.Event) (actions []decision.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
-		case decision.Timer:
+		case decision.TimerFired:
 			if e.Token == tokenDie {
 				panic("as the test says")
 			}
 			d.holds <- struct{}{}
 			<-d.hold
-		case decision.Configured:
+		case decision.ClassesChanged:
 			d.keep(e)
 		case decision.Query:
 			d.keep(e)
 			if !d.silent {
-				actions = append(actions, decision.Refuse{ID: e.ID})
+				actions = append(actions, decision.Reject{ID: e.ID})
 			}
 		}
 	}
@@ -161,12 +161,12 @@
 		deadline, heard := settings(1, 0).Classes[0].Deadline, 0
 		for _, e := range d.heard {
 			switch e := e.(type) {
-			case decision.Configured:
+			case decision.ClassesChanged:
 				require.Equal(t, classesOf(float64(10+heard)), e.Classes)
 				deadline = e.Classes[0].Deadline
 				heard++
 			case decision.Query:
-				require.InDelta(t, deadline, e.Deadline-e.Came, 1e-3)
+				require.InDelta(t, deadline, e.Deadline-e.ReceivedAt, 1e-3)
 				queries++
 			}
 		}
@@ -188,7 +188,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newRecorded(t, 1, 2, true)
 			require.NoError(t, r.Configure(broker.Change{Classes: classesOf(0.2), OpenCap: 2}))
-			r.Tell(decision.Timer{Token: tokenHold})
+			r.Tell(decision.TimerFired{Token: tokenHold})
 			<-r.deciders[0].holds
 			early := r.query(c.parts)
 			done := make(chan error, 1)
@@ -208,7 +208,7 @@
 // While one worker is busy, the others serve under the new classes, and all within the old cap until it follows.
 func TestTheSharedCapWaitsForTheLastWorker(t *testing.T) {
 	r := newRecorded(t, 2, 2, true)
-	r.workers[0].b.Tell(decision.Timer{Token: tokenHold})
+	r.workers[0].b.Tell(decision.TimerFired{Token: tokenHold})
 	<-r.deciders[0].holds
 	done := make(chan error, 1)
 	go func() { done <- r.Configure(broker.Change{Classes: classesOf(0.4), OpenCap: 6}) }()
@@ -228,9 +228,9 @@
 // A worker that dies while a change comes holds it up for nobody, nor does one that is dead.
 func TestAChangeWithADeadWorker(t *testing.T) {
 	r := newRecorded(t, 2, 2, true)
-	r.workers[0].b.Tell(decision.Timer{Token: tokenHold})
+	r.workers[0].b.Tell(decision.TimerFired{Token: tokenHold})
 	<-r.deciders[0].holds
-	r.workers[0].b.Tell(decision.Timer{Token: tokenDie})
+	r.workers[0].b.Tell(decision.TimerFired{Token: tokenDie})
 	done := make(chan error, 1)
 	go func() { done <- r.Configure(broker.Change{Classes: classesOf(0.4), OpenCap: 6}) }()
 	time.Sleep(20 * time.Millisecond)
@@ -247,7 +247,7 @@
 	require.False(t, r.open.Take(3))
 	require.True(t, r.open.Take(2))
 	r.workers[0].dead.Store(true)
-	r.workers[1].b.Tell(decision.Timer{Token: tokenDie})
+	r.workers[1].b.Tell(decision.TimerFired{Token: tokenDie})
 	require.Eventually(t, r.workers[1].dead.Load, 5*time.Second, time.Millisecond)
 	require.ErrorIs(t, r.Configure(broker.Change{Classes: classesOf(0.6), OpenCap: 8}), broker.ErrEnded)
 }
--- a/internal/cores/cores.go
+++ b/internal/cores/cores.go
@@ -196,7 +196,7 @@
 
 // Tell hands each worker's Decider an event of a part that runs beside them.
 func (g *Group) Tell(e decision.Event) {
-	if f, ok := e.(decision.Fleet); ok {
+	if f, ok := e.(decision.FleetResized); ok {
 		g.share.resize(f.Brokers)
 	}
 	for _, w := range g.workers {
--- a/internal/cores/cores_test.go
+++ b/internal/cores/cores_test.go
@@ -81,7 +81,7 @@
 		defer r.share.mu.Unlock()
 		require.Zero(t, r.share.over, "parts were sent to a cold server beyond a lease")
 	})
-	r.Update(broker.List{Mode: decision.ListCached, Servers: fleet.Entries()})
+	r.Update(broker.List{Mode: decision.CachedUpdate, Servers: fleet.Entries()})
 	return r
 }
 
@@ -181,7 +181,7 @@
 	for range 1000 { // so many that one slow answer, on a machine that does much else, is long forgotten at the end
 		require.Equal(t, broker.Answered, r.ask(r.request(usage, 0, 1), 1).Outcome)
 		r.share.mu.Lock() // worker 0 tells of a connection of its own that breaks, again and again
-		r.share.see(0, r.now(), s.ID, decision.Reset, 0.001, decision.NoLoad)
+		r.share.see(0, r.now(), s.ID, decision.Reset, 0.001, decision.NoLoadReport)
 		r.share.mu.Unlock()
 	}
 	require.Greater(t, s.Arrived()-from, 200, "of 1000 parts that two servers hold")
@@ -201,7 +201,7 @@
 		}
 		fresh := r.fleet.Servers[2]
 		fresh.Restart()
-		r.Update(broker.List{Mode: decision.ListDelta, Version: 1, Servers: []broker.ListEntry{fresh.Entry(decision.Ready)}})
+		r.Update(broker.List{Mode: decision.DeltaUpdate, Version: 1, Servers: []broker.ListEntry{fresh.Entry(decision.Ready)}})
 		ends := r.load(8, 1600*time.Millisecond, func(c, n int) *broker.Request { return r.request(usage, c+n, 2) })
 		require.NotZero(t, ends[broker.Answered])
 		peak[i] = fresh.Worst(1500 * time.Millisecond)
@@ -230,12 +230,12 @@
 			switch v % 3 {
 			case 0, 1:
 				s.Restart()
-				r.Update(broker.List{Mode: decision.ListDelta, Version: v, Servers: []broker.ListEntry{s.Entry(decision.Ready)}})
+				r.Update(broker.List{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.ListEntry{s.Entry(decision.Ready)}})
 			case 2:
-				r.Update(broker.List{Mode: decision.ListDelta, Version: v, Servers: []broker.ListEntry{s.Entry(decision.Removed)}})
+				r.Update(broker.List{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.ListEntry{s.Entry(decision.Removed)}})
 				time.Sleep(20 * time.Millisecond)
 				v += 6 // its turn, and so its number, stays
-				r.Update(broker.List{Mode: decision.ListDelta, Version: v, Servers: []broker.ListEntry{s.Entry(decision.Ready)}})
+				r.Update(broker.List{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.ListEntry{s.Entry(decision.Ready)}})
 			}
 		}
 	})
@@ -278,7 +278,7 @@
 		time.Sleep(50 * time.Millisecond) // parts for all servers are decided and wait
 		s := r.fleet.Servers[1]
 		s.Drain()
-		r.Update(broker.List{Mode: decision.ListDelta, Version: 1, Servers: []broker.ListEntry{s.Entry(decision.Draining)}})
+		r.Update(broker.List{Mode: decision.DeltaUpdate, Version: 1, Servers: []broker.ListEntry{s.Entry(decision.Draining)}})
 		if late := time.Since(time.Unix(0, busy.Load())); late >= 0 {
 			t.Errorf("the watch of the list was held up until %v after the worker was free again", late)
 		}
@@ -455,7 +455,7 @@
 	for i := range 4 {
 		require.Equal(t, broker.Answered, r.ask(r.request(usage, i, 1)).Outcome)
 	}
-	r.Update(broker.List{Mode: decision.ListDelta, Version: 1, Servers: r.fleet.Entries()})
+	r.Update(broker.List{Mode: decision.DeltaUpdate, Version: 1, Servers: r.fleet.Entries()})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	r.Drain(ctx)
--- a/internal/cores/second_step_test.go
+++ b/internal/cores/second_step_test.go
@@ -21,7 +21,7 @@
 			r.fleet.Servers[1].Break()
 			time.Sleep(200 * time.Millisecond)
 			r.fleet.Servers[5].Hang(true)
-			r.Update(broker.List{Mode: decision.ListDelta,
+			r.Update(broker.List{Mode: decision.DeltaUpdate,
 				Servers: []broker.ListEntry{r.fleet.Servers[3].Entry(decision.Draining)}})
 			r.fleet.Servers[3].Drain()
 			time.Sleep(200 * time.Millisecond)
--- a/internal/cores/share.go
+++ b/internal/cores/share.go
@@ -13,7 +13,7 @@
 )
 
 // share is what the workers of a process have in common. Each worker's Decider is wrapped in a sharer, which puts
-// what the worker sees here and hands it what the others saw, as events that the module knows: Heard and Allowance.
+// what the worker sees here and hands it what the others saw, as events that the module knows: PeerObservation and SlowStartLease.
 // The lock is held for the few steps between a batch's events, never while a Decider decides.
 type share struct {
 	mu      sync.Mutex
@@ -28,7 +28,7 @@
 	over    int                // parts beyond a lease by workers that had been told; stays 0
 
 	entries map[string]decision.Server // the list as it is now
-	news    []decision.List            // the latest news, those from number first on
+	news    []decision.EndpointUpdate  // the latest news, those from number first on
 	first   int
 }
 
@@ -66,21 +66,21 @@
 
 // tell takes up news of the list, once for all workers, before any of them: from then on each worker decides with
 // it, also one whose loop has not come to the event yet.
-func (s *share) tell(l decision.List, now float64) {
+func (s *share) tell(l decision.EndpointUpdate, now float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l.Mode != decision.ListFailed {
+	if l.Mode != decision.FailedUpdate {
 		s.list(l, now)
 	}
 	s.news = append(s.news, l)
 	if len(s.news) > newsKept {
-		s.news = append([]decision.List(nil), s.news[1:]...)
+		s.news = append([]decision.EndpointUpdate(nil), s.news[1:]...)
 		s.first++
 	}
 }
 
-func (s *share) list(l decision.List, now float64) {
-	if l.Mode != decision.ListDelta { // those that it lacks are gone
+func (s *share) list(l decision.EndpointUpdate, now float64) {
+	if l.Mode != decision.DeltaUpdate { // those that it lacks are gone
 		here := map[string]bool{}
 		for _, e := range l.Servers {
 			here[e.ID] = true
@@ -124,7 +124,7 @@
 // catchUp is the news that a worker has not had, which had those before number got.
 func (s *share) catchUp(got int) (news []decision.Event) {
 	if got < s.first {
-		l := decision.List{Mode: decision.ListFull}
+		l := decision.EndpointUpdate{Mode: decision.FullUpdate}
 		for _, e := range s.entries {
 			l.Servers = append(l.Servers, e)
 		}
@@ -138,7 +138,7 @@
 }
 
 // see books an outcome.
-func (s *share) see(worker int, now float64, id string, status decision.Status, latency float64, load decision.Load) {
+func (s *share) see(worker int, now float64, id string, status decision.Status, latency float64, load decision.LoadReport) {
 	if _, listed := s.started[id]; !listed {
 		return // gone: nothing is kept of it
 	}
@@ -174,7 +174,7 @@
 		if g.Parts == 0 {
 			c.budget.Miss(worker, now)
 		}
-		events = append(events, decision.Allowance{Server: id, Parts: g.Parts, Until: g.Until})
+		events = append(events, decision.SlowStartLease{Server: id, Parts: g.Parts, ExpiresAt: g.Until})
 	}
 	return events
 }
@@ -196,13 +196,13 @@
 	d.got = d.first + len(d.news)
 	for _, e := range events {
 		switch e := e.(type) {
-		case decision.List:
+		case decision.EndpointUpdate:
 			continue // it is among the news, perhaps of a batch ago
-		case decision.Ended:
-			d.see(d.worker, now, e.Server, e.Status, e.Latency, e.Load)
-		case decision.Probed:
+		case decision.AttemptFinished:
+			d.see(d.worker, now, e.Server, e.Status, e.Latency, e.LoadReport)
+		case decision.HealthChecked:
 			if e.Status != decision.TimedOut {
-				d.see(d.worker, now, e.Server, e.Status, e.Latency, e.Load)
+				d.see(d.worker, now, e.Server, e.Status, e.Latency, e.LoadReport)
 			}
 		}
 		all = append(all, e)
@@ -237,7 +237,7 @@
 			if c := d.cold[a.Server]; c != nil && !c.budget.Spend(d.worker, 1, now) && c.told < d.got {
 				d.over++
 			}
-		case decision.Probe:
+		case decision.CheckHealth:
 			if at, asked := d.probed[a.Server]; asked && now-at < probeAgain {
 				continue // another worker asks it just now, and what it says is heard by all
 			}
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -97,13 +97,13 @@
 	Started    float64 // time of the last start; 0: long ago
 }
 
-// Load is a server's report of its own load. Absent values are negative.
-type Load struct {
-	InFlight, Queue, Busy, Latency, Rate, ErrorRate float64
+// LoadReport is a server's report of its own load. Absent values are negative.
+type LoadReport struct {
+	InFlight, QueueLength, Utilization, Latency, Rate, ErrorRate float64
 }
 
-// NoLoad is a report without any value.
-var NoLoad = Load{-1, -1, -1, -1, -1, -1}
+// NoLoadReport is a report without any value.
+var NoLoadReport = LoadReport{-1, -1, -1, -1, -1, -1}
 
 // Status is how an attempt or a probe ended.
 type Status int
@@ -122,102 +122,102 @@
 // Event is what happened: one of the types below.
 type Event interface{ event() }
 
-// ListMode tells what a List holds.
-type ListMode int
+// UpdateMode tells what a List holds.
+type UpdateMode int
 
 const (
-	ListDelta  ListMode = iota // changed entries only
-	ListFull                   // all servers; those missing are gone
-	ListCached                 // all servers as last known before a restart
-	ListFailed                 // nothing: a Watch or Fetch failed
+	DeltaUpdate  UpdateMode = iota // changed entries only
+	FullUpdate                     // all servers; those missing are gone
+	CachedUpdate                   // all servers as last known before a restart
+	FailedUpdate                   // nothing: a Watch or Fetch failed
 )
 
 type (
-	// List is news of the server list.
-	List struct {
-		Mode    ListMode
+	// EndpointUpdate is news of the server list.
+	EndpointUpdate struct {
+		Mode    UpdateMode
 		Version int64
 		Servers []Server
 	}
 	// Query is a query taken. Its parts follow in the same batch.
 	Query struct {
-		ID       RequestID
-		Number   int64 // names the query in its parts
-		Class    int
-		Tenant   int
-		Key      uint64
-		Parts    int
-		Deadline float64 // when the client gives this try up
-		Retry    bool    // the client marked it as a repeat
-		Work     float64 // expected work; 0: unknown
-		Write    bool
-		Came     float64 // when its last byte came, before the caller's own work on it; 0: now
+		ID         RequestID
+		Number     int64 // names the query in its parts
+		Class      int
+		Tenant     int
+		Key        uint64
+		Parts      int
+		Deadline   float64 // when the client gives this try up
+		Retry      bool    // the client marked it as a repeat
+		Work       float64 // expected work; 0: unknown
+		Write      bool
+		ReceivedAt float64 // when its last byte came, before the caller's own work on it; 0: now
 	}
 	// Part is one part of a query, read from one shard.
 	Part struct {
-		ID     RequestID
-		Number int64
-		Shard  int
-		Weight float64 // of its step; a step's weights sum to 1
-		Key    uint64
-		Work   float64
+		ID          RequestID
+		QueryNumber int64
+		Shard       int
+		Weight      float64 // of its step; a step's weights sum to 1
+		Key         uint64
+		Work        float64
 	}
-	// Started tells that an attempt's streamed answer has begun.
-	Started struct {
+	// ResponseStarted tells that an attempt's streamed answer has begun.
+	ResponseStarted struct {
 		ID      RequestID
 		Attempt int
 		Server  string
 	}
-	// Ended is an attempt's outcome. Each Send gets exactly one.
-	Ended struct {
-		ID      RequestID
-		Attempt int
-		Server  string
-		Status  Status
-		Latency float64
-		Closed  bool // the part is concluded
-		Load    Load
+	// AttemptFinished is an attempt's outcome. Each Send gets exactly one.
+	AttemptFinished struct {
+		ID            RequestID
+		Attempt       int
+		Server        string
+		Status        Status
+		Latency       float64
+		PartConcluded bool // the part is concluded
+		LoadReport    LoadReport
 	}
-	// ClientGone tells that the client of a query has left.
-	ClientGone struct{ ID RequestID }
-	// Probed is the result of a Probe.
-	Probed struct {
-		Server  string
-		Status  Status
-		Latency float64
-		Load    Load
+	// ClientDisconnected tells that the client of a query has left.
+	ClientDisconnected struct{ ID RequestID }
+	// HealthChecked is the result of a Probe.
+	HealthChecked struct {
+		Server     string
+		Status     Status
+		Latency    float64
+		LoadReport LoadReport
 	}
-	// Heard is hearsay of a server: what another loop of the same process saw of it, or the process before this
+	// PeerObservation is hearsay of a server: what another loop of the same process saw of it, or the process before this
 	// one. News of the broker's own that is not older wins over it.
-	Heard struct {
-		Server string
-		At     float64 // when it was so
-		Failed float64 // share of failed attempts, 0 to 1
-		Weight float64 // how far the broker's own mark moves there, 0 to 1
-		Pace   float64 // latency of a part there; 0: not told
-		Load   Load
-		LoadAt float64 // when the report came; 0: At
+	PeerObservation struct {
+		Server         string
+		At             float64 // when it was so
+		FailureRatio   float64 // share of failed attempts, 0 to 1
+		Weight         float64 // how far the broker's own mark moves there, 0 to 1
+		ServiceTime    float64 // latency of a part there; 0: not told
+		LoadReport     LoadReport
+		LoadReportedAt float64 // when the report came; 0: At
 	}
-	// Remembered is what the process before this one knew of the fleet. It counts while this one has seen nothing.
-	Remembered struct {
-		Pace float64 // latency of a part
-		Peak float64 // parts that a warm server answers this broker a second
+	// RestoredState is what the process before this one knew of the fleet. It counts while this one has seen nothing.
+	RestoredState struct {
+		ServiceTime    float64 // latency of a part
+		PeakThroughput float64 // parts that a warm server answers this broker a second
 	}
-	// Allowance tells how many more parts may go to a cold server until a time. A broker that hears so of a server
+	// SlowStartLease tells how many more parts may go to a cold server until a time. A broker that hears so of a server
 	// holds a share of a common budget and guesses none of its own.
-	Allowance struct {
-		Server string
-		Parts  int
-		Until  float64
+	SlowStartLease struct {
+		Server    string
+		Parts     int
+		ExpiresAt float64
 	}
-	// Configured tells that queries taken from now on belong to these classes: as many as before, in the same order,
+	// ClassesChanged tells that queries taken from now on belong to these classes: as many as before, in the same order,
 	// that differ in Aim, Deadline, Worth and LateWorth at most. Queries that are open end under the classes under
 	// which they were taken. Neither side writes to Classes afterwards, so that several Deciders may hold one slice.
-	Configured struct{ Classes []Class }
-	// Fleet tells how many brokers share what is common to all, where they know of each other.
-	Fleet struct{ Brokers int }
-	// Timer is a timer that fell due.
-	Timer struct{ Token uint64 }
+	ClassesChanged struct{ Classes []Class }
+	// FleetResized tells how many brokers share what is common to all, where they know of each other.
+	FleetResized struct{ Brokers int }
+	// TimerFired is a timer that fell due.
+	TimerFired struct{ Token uint64 }
 	// PeerMessage is a message from another broker.
 	PeerMessage struct {
 		From int
@@ -225,20 +225,20 @@
 	}
 )
 
-func (List) event()        {}
-func (Query) event()       {}
-func (Part) event()        {}
-func (Started) event()     {}
-func (Ended) event()       {}
-func (ClientGone) event()  {}
-func (Probed) event()      {}
-func (Heard) event()       {}
-func (Allowance) event()   {}
-func (Remembered) event()  {}
-func (Configured) event()  {}
-func (Fleet) event()       {}
-func (Timer) event()       {}
-func (PeerMessage) event() {}
+func (EndpointUpdate) event()     {}
+func (Query) event()              {}
+func (Part) event()               {}
+func (ResponseStarted) event()    {}
+func (AttemptFinished) event()    {}
+func (ClientDisconnected) event() {}
+func (HealthChecked) event()      {}
+func (PeerObservation) event()    {}
+func (SlowStartLease) event()     {}
+func (RestoredState) event()      {}
+func (ClassesChanged) event()     {}
+func (FleetResized) event()       {}
+func (TimerFired) event()         {}
+func (PeerMessage) event()        {}
 
 // Action is what the caller shall do: one of the types below.
 type Action interface{ action() }
@@ -250,13 +250,13 @@
 		Server  string
 		Timeout float64 // 0: until the client gives up
 	}
-	// Answer answers a query from the parts that are in.
-	Answer struct {
-		ID    RequestID
-		Whole bool
+	// Respond answers a query from the parts that are in.
+	Respond struct {
+		ID       RequestID
+		Complete bool
 	}
-	// Refuse turns a query away; the client may safely repeat it.
-	Refuse struct {
+	// Reject turns a query away; the client may safely repeat it.
+	Reject struct {
 		ID         RequestID
 		RetryAfter float64 // 0: no advice
 	}
@@ -272,26 +272,26 @@
 		Token uint64
 		At    float64
 	}
-	// Probe asks a server for its load.
-	Probe struct{ Server string }
-	// Watch subscribes to the server list.
-	Watch struct{ On bool }
-	// Fetch asks for the whole list once.
-	Fetch struct{}
+	// CheckHealth asks a server for its load.
+	CheckHealth struct{ Server string }
+	// WatchEndpoints subscribes to the server list.
+	WatchEndpoints struct{ On bool }
+	// FetchEndpoints asks for the whole list once.
+	FetchEndpoints struct{}
 	// Log adds a line to the broker's report.
 	Log struct{ Line string }
 )
 
-func (Send) action()     {}
-func (Answer) action()   {}
-func (Refuse) action()   {}
-func (Fail) action()     {}
-func (Cancel) action()   {}
-func (SetTimer) action() {}
-func (Probe) action()    {}
-func (Watch) action()    {}
-func (Fetch) action()    {}
-func (Log) action()      {}
+func (Send) action()           {}
+func (Respond) action()        {}
+func (Reject) action()         {}
+func (Fail) action()           {}
+func (Cancel) action()         {}
+func (SetTimer) action()       {}
+func (CheckHealth) action()    {}
+func (WatchEndpoints) action() {}
+func (FetchEndpoints) action() {}
+func (Log) action()            {}
 
 // Decider is what a broker runs. Policy is ours; a caller may put another in its place.
 type Decider interface {
--- a/internal/decision/bench_test.go
+++ b/internal/decision/bench_test.go
@@ -43,7 +43,7 @@
 	for i := range size {
 		f.list = append(f.list, decision.Server{ID: fmt.Sprint("server-", i), ReplicaSet: i, Zone: i % benchmarkZones})
 	}
-	f.policy.Handle(f.now, []decision.Event{decision.List{Mode: decision.ListFull, Servers: f.list}})
+	f.policy.Handle(f.now, []decision.Event{decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: f.list}})
 	for range benchmarkWarmUp {
 		f.query()
 	}
@@ -58,7 +58,7 @@
 	events := append(f.send[:0], decision.Query{ID: f.next, Number: int64(f.next), Parts: benchmarkParts,
 		Deadline: f.now + 2})
 	for i := range benchmarkParts {
-		events = append(events, decision.Part{ID: f.next + 1 + decision.RequestID(i), Number: int64(f.next),
+		events = append(events, decision.Part{ID: f.next + 1 + decision.RequestID(i), QueryNumber: int64(f.next),
 			Shard: f.random.IntN(size), Weight: 1.0 / benchmarkParts})
 	}
 	f.send = events
@@ -67,10 +67,10 @@
 	for len(out) > 0 {
 		send := out[0]
 		f.now += 0.00002
-		end := decision.Ended{ID: send.ID, Server: send.Server, Status: decision.OK, Latency: benchmarkReply, Closed: true,
-			Load: decision.Load{InFlight: 1, Queue: 1, Busy: 0.5, Latency: 0.02, Rate: 10}}
+		end := decision.AttemptFinished{ID: send.ID, Server: send.Server, Status: decision.OK, Latency: benchmarkReply, PartConcluded: true,
+			LoadReport: decision.LoadReport{InFlight: 1, QueueLength: 1, Utilization: 0.5, Latency: 0.02, Rate: 10}}
 		if f.random.Float64() < f.failShare {
-			end.Status, end.Closed = f.failure, false
+			end.Status, end.PartConcluded = f.failure, false
 		}
 		for _, more := range sends(f.policy.Handle(f.now, []decision.Event{end})) {
 			if more.ID == send.ID { // its next attempt is not answered
@@ -138,7 +138,7 @@
 			e := &f.list[f.random.IntN(size)]
 			e.State = decision.Draining - e.State
 			f.now += benchmarkGap
-			f.policy.Handle(f.now, []decision.Event{decision.List{Servers: []decision.Server{*e}}})
+			f.policy.Handle(f.now, []decision.Event{decision.EndpointUpdate{Servers: []decision.Server{*e}}})
 		}
 	})
 }
@@ -182,7 +182,7 @@
 func refused(parts int) []decision.Event {
 	events := []decision.Event{decision.Query{ID: 1, Number: 1, Class: -1}}
 	for range parts {
-		events = append(events, decision.Part{ID: 2, Number: 1})
+		events = append(events, decision.Part{ID: 2, QueryNumber: 1})
 	}
 	return events
 }
--- a/internal/decision/cold_test.go
+++ b/internal/decision/cold_test.go
@@ -20,7 +20,7 @@
 type due struct {
 	at     float64
 	broker *decision.Policy
-	ended  decision.Ended
+	ended  decision.AttemptFinished
 }
 
 type dues []due
@@ -72,7 +72,7 @@
 	fleet := make([][]*decision.Policy, d.brokers) // of each, its processes
 	blank := func(now float64) *decision.Policy {
 		p := decision.New(set, rng.Uint64())
-		p.Handle(now, []decision.Event{decision.List{Mode: decision.ListFull, Servers: list}})
+		p.Handle(now, []decision.Event{decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: list}})
 		return p
 	}
 	for i := range fleet {
@@ -89,9 +89,9 @@
 				arrivals[s.Server] = append(arrivals[s.Server], now)
 				bears *= math.Min(1, set.SlowStart.InitialFraction+(1-set.SlowStart.InitialFraction)*(now-at)/set.SlowStart.Duration)
 			}
-			e := decision.Ended{ID: s.ID, Server: s.Server, Status: decision.OK, Closed: true, Load: decision.NoLoad}
+			e := decision.AttemptFinished{ID: s.ID, Server: s.Server, Status: decision.OK, PartConcluded: true, LoadReport: decision.NoLoadReport}
 			if e.Latency = 0.001; free[s.Server] > now+1 {
-				e.Status, e.Closed = decision.Overloaded, false
+				e.Status, e.PartConcluded = decision.Overloaded, false
 			} else {
 				free[s.Server] = max(free[s.Server], now) + 2*rng.Float64()/bears
 				e.Latency = free[s.Server] - now + 0.01
@@ -114,7 +114,7 @@
 			}
 			for i := range fleet {
 				for _, p := range fleet[i] {
-					p.Handle(now, []decision.Event{decision.List{Mode: decision.ListFull, Servers: list}})
+					p.Handle(now, []decision.Event{decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: list}})
 				}
 			}
 		}
@@ -160,7 +160,7 @@
 		ev := []decision.Event{decision.Query{ID: id, Number: int64(id), Parts: n, Deadline: next + 4}}
 		first := rng.IntN(d.servers)
 		for i := range n {
-			ev = append(ev, decision.Part{ID: id + 1 + decision.RequestID(i), Number: int64(id),
+			ev = append(ev, decision.Part{ID: id + 1 + decision.RequestID(i), QueryNumber: int64(id),
 				Shard: (first + i) % d.servers, Weight: 1 / float64(n)})
 		}
 		p := fleet[m][rng.IntN(len(fleet[m]))]
--- a/internal/decision/configured_test.go
+++ b/internal/decision/configured_test.go
@@ -14,7 +14,7 @@
 func (r *rig) silence(id decision.RequestID, until float64) (ended float64) {
 	for ; r.now < until; r.now += 0.001 {
 		for _, a := range finals(r.handle()) {
-			if f, ok := a.(decision.Refuse); ok && f.ID == id {
+			if f, ok := a.(decision.Reject); ok && f.ID == id {
 				return r.now
 			}
 		}
@@ -39,7 +39,7 @@
 			classes := slices.Clone(s.Classes)
 			classes[0].LatencyObjective = c.new
 			after, events := r.query(0, 1)
-			events = append([]decision.Event{decision.Configured{Classes: classes}}, events...)
+			events = append([]decision.Event{decision.ClassesChanged{Classes: classes}}, events...)
 			require.Len(t, sends(r.handle(events...)), 1)
 
 			first, second := before, after
@@ -71,7 +71,7 @@
 		r.handle(ended(id+1, 0, out[0].Server, decision.OK, 0.04))
 		r.now += 20
 		if configured {
-			r.handle(decision.Configured{Classes: []decision.Class{{LatencyObjective: 0.1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}}})
+			r.handle(decision.ClassesChanged{Classes: []decision.Class{{LatencyObjective: 0.1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}}})
 		}
 		for range 200 {
 			r.now += 2 // so that little is seen of the fleet
--- a/internal/decision/differential_test.go
+++ b/internal/decision/differential_test.go
@@ -95,7 +95,7 @@
 	var events []Event
 	if d.armed <= d.now {
 		d.armed = math.Inf(1)
-		events = append(events, Timer{Token: 1})
+		events = append(events, TimerFired{Token: 1})
 	}
 	later := d.due[:0]
 	for _, e := range d.due {
@@ -138,7 +138,7 @@
 		q.Class = 9 // unknown
 	}
 	if d.random.IntN(3) == 0 {
-		q.Came = d.now - 0.002
+		q.ReceivedAt = d.now - 0.002
 	}
 	d.requests = append(d.requests, id)
 	events := []Event{q}
@@ -148,7 +148,7 @@
 func (d *day) parts(number int64, id RequestID, n int) []Event {
 	var events []Event
 	for i := range n {
-		events = append(events, Part{ID: id + 1 + RequestID(i), Number: number, Shard: d.random.IntN(200),
+		events = append(events, Part{ID: id + 1 + RequestID(i), QueryNumber: number, Shard: d.random.IntN(200),
 			Weight: 1 / float64(n)})
 	}
 	return events
@@ -184,11 +184,11 @@
 			list = append(list, d.servers[r.IntN(len(d.servers))])
 		}
 		list = append(list, list[0])
-		return List{Mode: ListDelta, Servers: list}
+		return EndpointUpdate{Mode: DeltaUpdate, Servers: list}
 	case 2:
 		d.change()
-		list := List{Mode: []ListMode{ListFull, ListCached, ListFailed, ListFailed}[r.IntN(4)]}
-		if list.Mode == ListFull || list.Mode == ListCached {
+		list := EndpointUpdate{Mode: []UpdateMode{FullUpdate, CachedUpdate, FailedUpdate, FailedUpdate}[r.IntN(4)]}
+		if list.Mode == FullUpdate || list.Mode == CachedUpdate {
 			for _, i := range r.Perm(len(d.servers)) {
 				if r.IntN(10) > 0 || len(d.servers) < 4 {
 					list.Servers = append(list.Servers, d.servers[i])
@@ -197,18 +197,18 @@
 		}
 		return list
 	case 3:
-		return Heard{Server: s.ID, At: d.now - r.Float64(), Failed: float64(r.IntN(2)), Weight: r.Float64(),
-			Pace: 0.05 * float64(r.IntN(2)), Load: d.load()}
+		return PeerObservation{Server: s.ID, At: d.now - r.Float64(), FailureRatio: float64(r.IntN(2)), Weight: r.Float64(),
+			ServiceTime: 0.05 * float64(r.IntN(2)), LoadReport: d.load()}
 	case 4:
-		return Allowance{Server: s.ID, Parts: r.IntN(5), Until: d.now + r.Float64()}
+		return SlowStartLease{Server: s.ID, Parts: r.IntN(5), ExpiresAt: d.now + r.Float64()}
 	case 5:
-		return Fleet{Brokers: 1 + r.IntN(600)}
+		return FleetResized{Brokers: 1 + r.IntN(600)}
 	case 6:
 		if len(d.requests) > 0 {
-			return ClientGone{ID: d.requests[r.IntN(len(d.requests))]}
+			return ClientDisconnected{ID: d.requests[r.IntN(len(d.requests))]}
 		}
 	}
-	return Remembered{Pace: 0.02, Peak: 10 * r.Float64()}
+	return RestoredState{ServiceTime: 0.02, PeakThroughput: 10 * r.Float64()}
 }
 
 // change changes an entry of the server list: its state, start, place, or its machine.
@@ -231,11 +231,11 @@
 	}
 }
 
-func (d *day) load() Load {
+func (d *day) load() LoadReport {
 	if d.settings.ReportMode == ReportNone || d.random.IntN(4) == 0 {
-		return NoLoad
+		return NoLoadReport
 	}
-	return Load{InFlight: 5 * d.random.Float64(), Queue: 9*d.random.Float64() - 1, Busy: d.random.Float64(), Latency: 0.01,
+	return LoadReport{InFlight: 5 * d.random.Float64(), QueueLength: 9*d.random.Float64() - 1, Utilization: d.random.Float64(), Latency: 0.01,
 		Rate: 10}
 }
 
@@ -247,10 +247,10 @@
 			d.answer(a)
 		case SetTimer:
 			d.armed = min(d.armed, a.At)
-		case Probe:
+		case CheckHealth:
 			d.due = append(d.due, dueEvent{d.now + 0.02*d.random.Float64(),
-				Probed{Server: a.Server, Status: d.outcome(a.Server), Load: d.load()}})
-		case Answer:
+				HealthChecked{Server: a.Server, Status: d.outcome(a.Server), LoadReport: d.load()}})
+		case Respond:
 			if d.random.IntN(2) == 0 { // the parts of a second step
 				for _, e := range d.parts(int64(a.ID)/10_000, a.ID+500, 3) {
 					d.due = append(d.due, dueEvent{d.now, e})
@@ -275,8 +275,8 @@
 	if s.Timeout > 0 && latency > s.Timeout {
 		latency, status = s.Timeout, TimedOut
 	}
-	d.due = append(d.due, dueEvent{d.now + latency, Ended{ID: s.ID, Attempt: n, Server: s.Server, Status: status,
-		Latency: latency, Closed: status == OK || d.random.IntN(20) == 0, Load: d.load()}})
+	d.due = append(d.due, dueEvent{d.now + latency, AttemptFinished{ID: s.ID, Attempt: n, Server: s.Server, Status: status,
+		Latency: latency, PartConcluded: status == OK || d.random.IntN(20) == 0, LoadReport: d.load()}})
 }
 
 // The module must decide, to the bit of every time it names, what it decided when each batch walked all servers.
@@ -285,7 +285,7 @@
 	for seed := range uint64(*differentialDays) {
 		d := newDay(seed)
 		policy, plain := New(d.settings, seed), newReference(d.settings, seed)
-		first := []Event{List{Mode: ListFull, Servers: d.servers}}
+		first := []Event{EndpointUpdate{Mode: FullUpdate, Servers: d.servers}}
 		for batch := range differentialBatches {
 			events := first
 			if batch > 0 {
@@ -311,7 +311,7 @@
 			d.take(got)
 		}
 	}
-	for _, kind := range []string{"Send", "Answer", "Refuse", "Fail", "Cancel", "SetTimer", "Probe", "Watch"} {
+	for _, kind := range []string{"Send", "Respond", "Reject", "Fail", "Cancel", "SetTimer", "CheckHealth", "WatchEndpoints"} {
 		if kinds["decision."+kind] < 3 {
 			t.Errorf("the days hold %d actions %s, too few to tell anything: %v", kinds["decision."+kind], kind, kinds)
 		}
--- a/internal/decision/draw.go
+++ b/internal/decision/draw.go
@@ -52,7 +52,7 @@
 	if w >= 1 || window <= 0 {
 		return true
 	} else if s.allowance != nil {
-		return len(s.sends) < s.allowance.Parts && p.now <= s.allowance.Until
+		return len(s.sends) < s.allowance.Parts && p.now <= s.allowance.ExpiresAt
 	}
 	s.sends = slices.DeleteFunc(s.sends, func(t float64) bool { return t < p.now-window })
 	// Chance rounds this broker's share, anew in each window: up always would add up over the brokers.
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -14,25 +14,25 @@
 	}
 	p := decision.New(settings, 1)
 	p.Handle(0, []decision.Event{
-		decision.List{Mode: decision.ListFull, Servers: []decision.Server{{ID: "a:1"}}},
+		decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{{ID: "a:1"}}},
 	})
 	show := func(actions []decision.Action) {
 		for _, a := range actions {
 			switch a := a.(type) {
 			case decision.Send:
 				fmt.Println("send part", a.ID, "to", a.Server)
-			case decision.Answer:
-				fmt.Println("answer query", a.ID, "whole:", a.Whole)
+			case decision.Respond:
+				fmt.Println("answer query", a.ID, "whole:", a.Complete)
 			}
 		}
 	}
 	show(p.Handle(1, []decision.Event{
 		decision.Query{ID: 10, Number: 1, Parts: 1, Deadline: 3},
-		decision.Part{ID: 11, Number: 1, Shard: 0, Weight: 1},
+		decision.Part{ID: 11, QueryNumber: 1, Shard: 0, Weight: 1},
 	}))
 	show(p.Handle(1.2, []decision.Event{
-		decision.Ended{ID: 11, Attempt: 0, Server: "a:1", Status: decision.OK, Latency: 0.2, Closed: true,
-			Load: decision.NoLoad},
+		decision.AttemptFinished{ID: 11, Attempt: 0, Server: "a:1", Status: decision.OK, Latency: 0.2, PartConcluded: true,
+			LoadReport: decision.NoLoadReport},
 	}))
 	// Output:
 	// send part 11 to a:1
--- a/internal/decision/failures_test.go
+++ b/internal/decision/failures_test.go
@@ -27,7 +27,7 @@
 				case decision.Cancel:
 					srv := serverOf(out, a.ID, a.Attempt)
 					next = append(next, ended(a.ID, a.Attempt, srv, decision.Cancelled, 0.3))
-				case decision.Refuse:
+				case decision.Reject:
 					refused++
 				}
 			}
@@ -69,7 +69,7 @@
 			if e == nil {
 				break
 			}
-			end := e.(decision.Ended)
+			end := e.(decision.AttemptFinished)
 			end.Attempt = k
 			out = sends(r.at(r.now+0.005, end))
 		}
@@ -123,7 +123,7 @@
 		if len(out) != 2 || len(finals(r.at(r.now+0.4))) > 0 {
 			t.Fatalf("%d parts sent, want 2 and no final answer within 0.4 s", len(out))
 		}
-		r.handle(decision.ClientGone{ID: id}, ended(out[0].ID, 0, out[0].Server, decision.OK, 0.1),
+		r.handle(decision.ClientDisconnected{ID: id}, ended(out[0].ID, 0, out[0].Server, decision.OK, 0.1),
 			ended(out[1].ID, 0, out[1].Server, decision.Cancelled, 0.4))
 		r.now += 5 // long enough for the parts that were cancelled to be forgotten
 	}
@@ -134,7 +134,7 @@
 	}
 	r.at(r.now+0.1, ended(out[0].ID, 0, out[0].Server, decision.OK, 0.1))
 	got := finals(r.at(r.now + 0.29))
-	if len(got) != 1 || got[0] != (decision.Answer{ID: id}) {
+	if len(got) != 1 || got[0] != (decision.Respond{ID: id}) {
 		t.Errorf("just before clients leave: %v, want an answer in part", got)
 	}
 }
@@ -177,7 +177,7 @@
 		}
 		return ended(snd.ID, 0, snd.Server, decision.OK, 0.01)
 	})
-	r.handle(decision.List{Servers: []decision.Server{{ID: "s0", Started: r.now}}})
+	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now}}})
 	first := share(r, 12, func(snd decision.Send) decision.Event {
 		return ended(snd.ID, 0, snd.Server, decision.OK, 0.01)
 	})
@@ -277,14 +277,14 @@
 	for m := range brokers {
 		r := newRig(t, s, servers(4)...)
 		r.p = decision.New(s, uint64(m))
-		r.handle(decision.List{Mode: decision.ListFull, Servers: servers(4)})
+		r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers(4)})
 		for range 60 { // this broker's share of what four servers answer
 			_, ev := r.query(0, 1)
 			for _, snd := range sends(r.handle(ev...)) {
 				r.at(r.now+brokers/4.0/warmRate, ended(snd.ID, 0, snd.Server, decision.OK, 0.02))
 			}
 		}
-		r.handle(decision.List{Servers: []decision.Server{{ID: "s0", ReplicaSet: 1, Started: r.now}}})
+		r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", ReplicaSet: 1, Started: r.now}}})
 		for range 40 * windows { // a query whenever it likes, in each fall window
 			_, ev := r.query(0, 1)
 			pt := ev[1].(decision.Part)
@@ -350,12 +350,12 @@
 		resets = append(resets, ended(snd.ID, 0, snd.Server, decision.Reset, 0.02))
 	}
 	actions := r.at(r.now+0.02, resets...)
-	if got := finals(actions); len(got) != 1 || got[0] != (decision.Refuse{ID: id}) || len(sends(actions)) > 0 {
+	if got := finals(actions); len(got) != 1 || got[0] != (decision.Reject{ID: id}) || len(sends(actions)) > 0 {
 		t.Errorf("all parts broke their servers: %v, want a refusal and no further send", actions)
 	}
 	id, ev = r.query(0, 6)
 	actions = r.at(r.now+0.1, ev...)
-	if got := finals(actions); len(got) != 1 || got[0] != (decision.Refuse{ID: id}) || len(sends(actions)) > 0 {
+	if got := finals(actions); len(got) != 1 || got[0] != (decision.Reject{ID: id}) || len(sends(actions)) > 0 {
 		t.Errorf("its repeat: %v, want a refusal and no send", actions)
 	}
 	_, ev = r.query(0, 5)
@@ -442,7 +442,7 @@
 			continue
 		}
 		toSilent++
-		r.at(r.now+0.7, decision.ClientGone{ID: id},
+		r.at(r.now+0.7, decision.ClientDisconnected{ID: id},
 			ended(out[0].ID, 0, "s0", decision.Cancelled, 0.7))
 	}
 	if toSilent > 12 {
@@ -459,7 +459,7 @@
 	r.handle(ev...)
 	for range 20 {
 		r.now += s.Tick
-		for _, a := range r.p.Handle(r.now, []decision.Event{decision.Timer{Token: 1}}) {
+		for _, a := range r.p.Handle(r.now, []decision.Event{decision.TimerFired{Token: 1}}) {
 			if timer, ok := a.(decision.SetTimer); ok && timer.At <= r.now {
 				t.Fatal("a timer for at once, though nothing is due")
 			}
@@ -513,13 +513,13 @@
 			actions := r.at(r.now+0.05, ev...)
 			for _, a := range actions {
 				switch a := a.(type) {
-				case decision.Probe:
+				case decision.CheckHealth:
 					probed[a.Server] = true
 					status := decision.OK
 					if a.Server < "s7" { // seven in ten
 						status = st
 					}
-					r.handle(decision.Probed{Server: a.Server, Status: status, Load: decision.NoLoad})
+					r.handle(decision.HealthChecked{Server: a.Server, Status: status, LoadReport: decision.NoLoadReport})
 				case decision.Send:
 					status := decision.OK
 					if a.Server < "s7" {
@@ -590,13 +590,13 @@
 	})
 	sound := decision.Server{ID: "sound"}
 	ok := func(s decision.Send) decision.Event { return ended(s.ID, 0, s.Server, decision.OK, 0.005) }
-	r.handle(decision.List{Mode: decision.ListFull, Servers: []decision.Server{sound}})
+	r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{sound}})
 	share(r, 5, ok)
 	list := []decision.Server{sound}
 	for _, n := range []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8", "n9"} {
 		list = append(list, decision.Server{ID: n})
 	}
-	r.handle(decision.List{Mode: decision.ListFull, Servers: list})
+	r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: list})
 	if got := share(r, 20, ok)["sound"]; got > 6 {
 		t.Errorf("%d of 20 parts went to the one server known, want at most 6: ten new ones are as good", got)
 	}
@@ -660,7 +660,7 @@
 		if len(out) != 1 {
 			t.Fatal("a query was refused for the clients that left before")
 		}
-		r.at(r.now+0.001, decision.ClientGone{ID: id}, ended(out[0].ID, 0, out[0].Server, decision.Cancelled, 0.001))
+		r.at(r.now+0.001, decision.ClientDisconnected{ID: id}, ended(out[0].ID, 0, out[0].Server, decision.Cancelled, 0.001))
 		r.now += 4
 	}
 	_, ev := r.query(0, 1)
--- a/internal/decision/fitness.go
+++ b/internal/decision/fitness.go
@@ -13,8 +13,8 @@
 
 // queueOf is the reported queue or parts in flight, else this broker's own parts in flight.
 func (s *server) queueOf() float64 {
-	if s.load.Queue >= 0 {
-		return s.load.Queue
+	if s.load.QueueLength >= 0 {
+		return s.load.QueueLength
 	} else if s.load.InFlight >= 0 {
 		return s.load.InFlight
 	}
@@ -32,7 +32,8 @@
 	for _, s := range p.servers {
 		if s.heardAt > 0 {
 			queue := math.Max(0, 1-s.queueOf()/ceiling)
-			s.fitness = math.Max(queue*math.Pow(aggression, -100*math.Max(s.load.Busy, 0)), fitnessFloor)
+			idle := math.Pow(aggression, -100*math.Max(s.load.Utilization, 0))
+			s.fitness = math.Max(queue*idle, fitnessFloor)
 			if s.ready() {
 				total += s.fitness
 			}
--- a/internal/decision/fleet_test.go
+++ b/internal/decision/fleet_test.go
@@ -20,13 +20,13 @@
 		list = append(list, decision.Server{ID: fmt.Sprint("s", i), ReplicaSet: i})
 	}
 	p := decision.New(s, 7)
-	p.Handle(100, []decision.Event{decision.List{Mode: decision.ListFull, Servers: list}})
+	p.Handle(100, []decision.Event{decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: list}})
 	next := decision.RequestID(0)
 	return p, func(now float64, parts int) []decision.Event {
 		next += 1000
 		ev := []decision.Event{decision.Query{ID: next, Number: int64(next), Parts: parts, Deadline: now + 2}}
 		for i := range parts {
-			ev = append(ev, decision.Part{ID: next + 1 + decision.RequestID(i), Number: int64(next), Shard: i,
+			ev = append(ev, decision.Part{ID: next + 1 + decision.RequestID(i), QueryNumber: int64(next), Shard: i,
 				Weight: 1 / float64(parts)})
 		}
 		return ev
@@ -41,14 +41,14 @@
 	now := 101.0
 	answer := func(s decision.Send) {
 		now += 0.0002
-		p.Handle(now, []decision.Event{decision.Ended{ID: s.ID, Server: s.Server, Status: decision.OK,
-			Latency: 0.026, Closed: true, Load: decision.NoLoad}})
+		p.Handle(now, []decision.Event{decision.AttemptFinished{ID: s.ID, Server: s.Server, Status: decision.OK,
+			Latency: 0.026, PartConcluded: true, LoadReport: decision.NoLoadReport}})
 	}
 	for range 2 { // the first fills the figures
 		out := sends(p.Handle(now, query(now, n)))
 		for _, s := range out[1:] { // of those that go ahead; the first is answered below
-			out = append(out, sends(p.Handle(now, []decision.Event{decision.Ended{ID: s.ID, Server: s.Server,
-				Status: decision.OK, Latency: 0.026, Closed: true, Load: decision.NoLoad}}))...)
+			out = append(out, sends(p.Handle(now, []decision.Event{decision.AttemptFinished{ID: s.ID, Server: s.Server,
+				Status: decision.OK, Latency: 0.026, PartConcluded: true, LoadReport: decision.NoLoadReport}}))...)
 			now += 0.0002
 		}
 		if out = slices.DeleteFunc(out, func(s decision.Send) bool { return s.ID%1000 != 1 && (s.ID-1)%20 == 0 }); len(out) < n*9/10 {
@@ -108,8 +108,8 @@
 	for b.Loop() {
 		for _, s := range sends(p.Handle(now, query(now, 200))) {
 			now += 0.0002
-			p.Handle(now, []decision.Event{decision.Ended{ID: s.ID, Server: s.Server, Status: decision.OK,
-				Latency: 0.026, Closed: true, Load: decision.NoLoad}})
+			p.Handle(now, []decision.Event{decision.AttemptFinished{ID: s.ID, Server: s.Server, Status: decision.OK,
+				Latency: 0.026, PartConcluded: true, LoadReport: decision.NoLoadReport}})
 		}
 		now += 1
 	}
@@ -122,8 +122,8 @@
 	served := func(now float64, p *decision.Policy, out []decision.Send) []decision.Action {
 		var back []decision.Event
 		for _, s := range out {
-			back = append(back, decision.Ended{ID: s.ID, Server: s.Server, Status: decision.OK, Latency: 0.03,
-				Closed: true, Load: decision.NoLoad})
+			back = append(back, decision.AttemptFinished{ID: s.ID, Server: s.Server, Status: decision.OK, Latency: 0.03,
+				PartConcluded: true, LoadReport: decision.NoLoadReport})
 		}
 		return p.Handle(now, back)
 	}
@@ -142,10 +142,10 @@
 	ahead = sends(p.Handle(101, query(101, n)))
 	served(101.1, p, ahead[:5])
 	var refused bool
-	for _, a := range p.Handle(101.13, []decision.Event{decision.Timer{Token: 1}}) { // a quarter of the aim is over
+	for _, a := range p.Handle(101.13, []decision.Event{decision.TimerFired{Token: 1}}) { // a quarter of the aim is over
 		_, sent := a.(decision.Send)
 		require.False(t, sent)
-		_, r := a.(decision.Refuse)
+		_, r := a.(decision.Reject)
 		refused = refused || r
 	}
 	require.True(t, refused, "at once, not at its aim")
@@ -166,18 +166,18 @@
 		p, query := fleetRig(t, 200)
 		ev := query(101, 10)
 		q := ev[0].(decision.Query)
-		q.Came = 101 - lag
+		q.ReceivedAt = 101 - lag
 		ev[0] = q
 		var back []decision.Event
 		for _, s := range sends(p.Handle(101, ev))[:9] {
-			back = append(back, decision.Ended{ID: s.ID, Server: s.Server, Status: decision.OK, Latency: 0.03,
-				Closed: true, Load: decision.NoLoad})
+			back = append(back, decision.AttemptFinished{ID: s.ID, Server: s.Server, Status: decision.OK, Latency: 0.03,
+				PartConcluded: true, LoadReport: decision.NoLoadReport})
 		}
 		p.Handle(101.1, back)
-		due := q.Came + 0.5 - lag // the class's aim
+		due := q.ReceivedAt + 0.5 - lag // the class's aim
 		answered := func(at float64) (yes bool) {
-			for _, a := range p.Handle(at, []decision.Event{decision.Timer{Token: 1}}) {
-				_, ok := a.(decision.Answer)
+			for _, a := range p.Handle(at, []decision.Event{decision.TimerFired{Token: 1}}) {
+				_, ok := a.(decision.Respond)
 				yes = yes || ok
 			}
 			return yes
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -29,7 +29,7 @@
 
 func newRig(t *testing.T, s decision.Settings, servers ...decision.Server) *rig {
 	r := &rig{t: t, p: decision.New(s, 7), attempts: map[decision.RequestID]int{}, nextID: 100, now: 100}
-	r.handle(decision.List{Mode: decision.ListFull, Servers: servers})
+	r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers})
 	return r
 }
 
@@ -69,16 +69,16 @@
 	}
 	for i := range n {
 		events = append(events, decision.Part{
-			ID: id + 1 + decision.RequestID(i), Number: r.number, Shard: 0, Weight: 1 / float64(n),
+			ID: id + 1 + decision.RequestID(i), QueryNumber: r.number, Shard: 0, Weight: 1 / float64(n),
 		})
 	}
 	return id, events
 }
 
 func ended(id decision.RequestID, n int, server string, st decision.Status, lat float64,
-) decision.Ended {
-	return decision.Ended{ID: id, Attempt: n, Server: server, Status: st, Latency: lat,
-		Closed: st == decision.OK, Load: decision.NoLoad}
+) decision.AttemptFinished {
+	return decision.AttemptFinished{ID: id, Attempt: n, Server: server, Status: st, Latency: lat,
+		PartConcluded: st == decision.OK, LoadReport: decision.NoLoadReport}
 }
 
 func sends(actions []decision.Action) []decision.Send {
@@ -96,7 +96,7 @@
 	var list []decision.Action
 	for _, a := range actions {
 		switch a.(type) {
-		case decision.Answer, decision.Refuse, decision.Fail:
+		case decision.Respond, decision.Reject, decision.Fail:
 			list = append(list, a)
 		}
 	}
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -87,36 +87,36 @@
 	p.updateFleet()
 	for _, e := range events {
 		switch e := e.(type) {
-		case List:
+		case EndpointUpdate:
 			p.onList(e)
 		case Query:
 			p.onQuery(e)
 		case Part:
 			p.onPart(e)
-		case Ended:
+		case AttemptFinished:
 			p.onEnded(e)
-		case ClientGone:
+		case ClientDisconnected:
 			if q := p.byQuery[e.ID]; q != nil {
 				p.leftAges.Add(now - q.arrived)
 				p.leaving += leaveStep * (1 - p.leaving)
 				p.finish(q, nil)
 			}
-		case Probed:
+		case HealthChecked:
 			p.onProbed(e)
-		case Heard:
+		case PeerObservation:
 			p.onHeard(e)
-		case Remembered:
-			p.serviceTime.Mean = cmp.Or(p.serviceTime.Mean, e.Pace)
-			p.peak.Value = math.Max(p.peak.Value, e.Peak)
-		case Fleet:
+		case RestoredState:
+			p.serviceTime.Mean = cmp.Or(p.serviceTime.Mean, e.ServiceTime)
+			p.peak.Value = math.Max(p.peak.Value, e.PeakThroughput)
+		case FleetResized:
 			p.set.Brokers = e.Brokers
-		case Configured: // open queries keep the class that they point to; waits were for the old deadlines
+		case ClassesChanged: // open queries keep their class; waits were for the old deadlines
 			p.set.Classes, p.waits = e.Classes, make([]float64, len(p.waits))
-		case Allowance:
+		case SlowStartLease:
 			if s := p.byID[e.Server]; s != nil {
 				s.allowance, s.sends = &e, nil
 			}
-		case Timer:
+		case TimerFired:
 			if p.armed <= now+edgeSlack {
 				p.armed = math.Inf(1)
 			}
--- a/internal/decision/queries.go
+++ b/internal/decision/queries.go
@@ -48,11 +48,12 @@
 func (p *Policy) onQuery(e Query) {
 	p.budget.Request(p.now)
 	if e.Class < 0 || e.Class >= len(p.set.Classes) {
-		p.do(Refuse{ID: e.ID})
+		p.do(Reject{ID: e.ID})
 		return
 	}
 	c := &p.set.Classes[e.Class]
-	q := &query{Query: e, class: c, step: 1, arrived: cmp.Or(e.Came, p.now), fingerprint: uint64(e.Class + 1)}
+	q := &query{Query: e, class: c, step: 1, fingerprint: uint64(e.Class + 1)}
+	q.arrived = cmp.Or(e.ReceivedAt, p.now)
 	lead := p.lead() + p.now - q.arrived // the way out takes as long as the way in: this broker's own work
 	q.aim = math.Min(q.arrived+c.LatencyObjective+c.ObjectivePerWork*e.Work, e.Deadline) - lead
 	if q.end = q.aim; c.LateValue > 0 {
@@ -73,7 +74,7 @@
 
 func (p *Policy) onPart(e Part) {
 	p.budget.Request(p.now)
-	if q := p.queries[e.Number]; q != nil && !q.ended {
+	if q := p.queries[e.QueryNumber]; q != nil && !q.ended {
 		pt := &part{Part: e, q: q}
 		q.parts = append(q.parts, pt)
 		q.fingerprint = (q.fingerprint^uint64(e.Shard+1))*fingerprintPrime ^ math.Float64bits(e.Weight)
@@ -82,7 +83,7 @@
 	}
 }
 
-func (p *Policy) onEnded(e Ended) {
+func (p *Policy) onEnded(e AttemptFinished) {
 	pt := p.parts[e.ID]
 	if pt == nil || e.Attempt < 0 || e.Attempt >= len(pt.attempts) || !pt.attempts[e.Attempt].live {
 		return
@@ -90,7 +91,7 @@
 	a := &pt.attempts[e.Attempt]
 	a.live, a.mayRun = false, e.Status != Overloaded && e.Status != Unreachable && e.Status != NotSent
 	pt.live--
-	p.takeLoad(a.srv, e.Load, p.now)
+	p.takeLoad(a.srv, e.LoadReport, p.now)
 	p.learn(a, pt, e)
 	a.srv.own--
 	p.await(a.srv)
@@ -102,14 +103,14 @@
 		pt.in = true
 		p.cancelLive(pt)
 	default:
-		pt.dropped = e.Closed
+		pt.dropped = e.PartConcluded
 		if e.Status == Reset {
 			pt.q.resets++
 		}
 	}
 }
 
-func (p *Policy) learn(a *attempt, pt *part, e Ended) {
+func (p *Policy) learn(a *attempt, pt *part, e AttemptFinished) {
 	s := a.srv
 	p.countOutcome(s, e.Status)
 	if e.Status == TimedOut || e.Status == Cancelled {
@@ -179,7 +180,7 @@
 	if mayRun && q.class.Idempotency != Idempotent {
 		p.finish(q, Fail{ID: q.ID})
 	} else {
-		p.finish(q, Refuse{ID: q.ID, RetryAfter: p.set.MaxRetryAfter})
+		p.finish(q, Reject{ID: q.ID, RetryAfter: p.set.MaxRetryAfter})
 	}
 }
 
@@ -210,12 +211,12 @@
 	case whole || enough && (hopeless || late):
 		if q.step == 1 && c.SecondPhaseFanout > 0 && in > 0 {
 			p.release(q)
-			p.do(Answer{ID: q.ID, Whole: whole})
+			p.do(Respond{ID: q.ID, Complete: whole})
 			q.whole, q.step, q.parts = whole, 2, nil
 			p.wakeAt(q.end)
 			return
 		}
-		p.finish(q, Answer{ID: q.ID, Whole: whole && (q.step == 1 || q.whole)})
+		p.finish(q, Respond{ID: q.ID, Complete: whole && (q.step == 1 || q.whole)})
 	case late || hopeless && in+out < c.MinCompleteness-sumSlack ||
 		hopeless && c.MinCompleteness >= c.CompletenessThreshold:
 		p.giveUp(q)
--- a/internal/decision/reference_test.go
+++ b/internal/decision/reference_test.go
@@ -30,7 +30,7 @@
 // refServer is what this broker knows of one server.
 type refServer struct {
 	Server
-	load            Load
+	load            LoadReport
 	heardAt         float64 // when load came; 0: never
 	answeredAt      float64 // its latest success
 	passed          float64 // when the latest part was sent that it answered
@@ -43,10 +43,10 @@
 	own             int     // this broker's attempts out there
 	pace, paceAt    float64 // latency over crowd of its latest parts, and when it was so
 
-	sends           []float64  // times of sends within FallTime, for the cold cap
-	coldSince       float64    // start of the warm-up; -Inf: warm
-	luck, luckUntil float64    // how the present window's room is rounded
-	allowance       *Allowance // of a budget shared with other brokers; nil: there is none
+	sends           []float64       // times of sends within FallTime, for the cold cap
+	coldSince       float64         // start of the warm-up; -Inf: warm
+	luck, luckUntil float64         // how the present window's room is rounded
+	allowance       *SlowStartLease // of a budget shared with other brokers; nil: there is none
 
 	turn int     // the draw's turn that key belongs to
 	key  float64 // exponential variate / weight in that turn
@@ -147,33 +147,33 @@
 	p.survey()
 	for _, e := range events {
 		switch e := e.(type) {
-		case List:
+		case EndpointUpdate:
 			p.onList(e)
 		case Query:
 			p.onQuery(e)
 		case Part:
 			p.onPart(e)
-		case Ended:
+		case AttemptFinished:
 			p.onEnded(e)
-		case ClientGone:
+		case ClientDisconnected:
 			if q := p.byQuery[e.ID]; q != nil {
 				p.leftAges.Add(now - q.arrived)
 				p.leaving += leaveStep * (1 - p.leaving)
 				p.finish(q, nil)
 			}
-		case Probed:
+		case HealthChecked:
 			p.onProbed(e)
-		case Heard:
+		case PeerObservation:
 			p.onHeard(e)
-		case Remembered:
-			p.pace, p.peak = cmp.Or(p.pace, e.Pace), math.Max(p.peak, e.Peak)
-		case Fleet:
+		case RestoredState:
+			p.pace, p.peak = cmp.Or(p.pace, e.ServiceTime), math.Max(p.peak, e.PeakThroughput)
+		case FleetResized:
 			p.set.Brokers = e.Brokers
-		case Allowance:
+		case SlowStartLease:
 			if s := p.byID[e.Server]; s != nil {
 				s.allowance, s.sends = &e, nil
 			}
-		case Timer:
+		case TimerFired:
 			if p.armed <= now+edgeSlack {
 				p.armed = math.Inf(1)
 			}
@@ -198,8 +198,8 @@
 
 // ---- the server list ----
 
-func (p *refPolicy) onList(l List) {
-	if l.Mode == ListFailed {
+func (p *refPolicy) onList(l EndpointUpdate) {
+	if l.Mode == FailedUpdate {
 		// Ask again soon, then less often: a directory that is down is not helped by more calls.
 		p.watchFails++
 		if p.set.PollEndpoints {
@@ -207,10 +207,10 @@
 		}
 		return
 	}
-	if l.Mode != ListCached {
+	if l.Mode != CachedUpdate {
 		p.watchFails, p.watchAt = 0, math.Inf(1)
 	}
-	if l.Mode != ListDelta {
+	if l.Mode != DeltaUpdate {
 		for _, s := range p.servers {
 			s.State = Removed
 		}
@@ -220,13 +220,13 @@
 		p.zones = append(p.zones, make([]refMark, max(e.Zone+1-len(p.zones), 0))...)
 		s := p.byID[e.ID]
 		if s == nil {
-			s = &refServer{load: NoLoad, coldSince: math.Inf(-1)}
+			s = &refServer{load: NoLoadReport, coldSince: math.Inf(-1)}
 			p.byID[e.ID] = s
 			p.servers = append(p.servers, s)
 		}
 		if e.Started > 0 && e.Started != s.Started {
 			// A new process: what was known of the old one is void.
-			s.coldSince, s.load, s.heardAt, s.fitness, s.badShare, s.ghosts = e.Started, NoLoad, 0, 0, 0, nil
+			s.coldSince, s.load, s.heardAt, s.fitness, s.badShare, s.ghosts = e.Started, NoLoadReport, 0, 0, 0, nil
 		}
 		s.Server = e
 	}
@@ -255,28 +255,28 @@
 
 // ---- fitness ----
 
-func (p *refPolicy) onProbed(e Probed) {
+func (p *refPolicy) onProbed(e HealthChecked) {
 	if s := p.byID[e.Server]; s != nil {
 		if e.Status != OK || s.cut > 0 { // an answered probe says nothing of errors and full queues
 			p.mark(s, e.Status)
 		}
-		p.hear(s, e.Load, p.now)
+		p.hear(s, e.LoadReport, p.now)
 	}
 }
 
 // onHeard takes hearsay, unless this broker's own news is as new.
-func (p *refPolicy) onHeard(e Heard) {
+func (p *refPolicy) onHeard(e PeerObservation) {
 	s := p.byID[e.Server]
 	if s == nil || e.At < s.Started {
 		return
 	}
 	if e.Weight > 0 && e.At > s.badAt {
-		s.badShare, s.badAt = p.bad(s)+e.Weight*(e.Failed-p.bad(s)), e.At
+		s.badShare, s.badAt = p.bad(s)+e.Weight*(e.FailureRatio-p.bad(s)), e.At
 	}
-	if e.Pace > 0 && e.At > s.paceAt {
-		s.pace, s.paceAt = e.Pace, e.At
+	if e.ServiceTime > 0 && e.At > s.paceAt {
+		s.pace, s.paceAt = e.ServiceTime, e.At
 	}
-	p.hear(s, e.Load, cmp.Or(e.LoadAt, e.At))
+	p.hear(s, e.LoadReport, cmp.Or(e.LoadReportedAt, e.At))
 }
 
 // inquire probes, while attempts are often cut off, the server of which news is oldest, one a part at most.
@@ -292,7 +292,7 @@
 	}
 	if oldest != nil {
 		oldest.newsAt = p.now
-		p.do(Probe{oldest.ID})
+		p.do(CheckHealth{oldest.ID})
 	}
 }
 
@@ -314,15 +314,15 @@
 	s.cut, s.badAt, s.newsAt, z.at = cut, p.now, p.now, p.now
 }
 
-func (p *refPolicy) hear(s *refServer, l Load, at float64) {
-	if l != NoLoad && at >= s.heardAt {
+func (p *refPolicy) hear(s *refServer, l LoadReport, at float64) {
+	if l != NoLoadReport && at >= s.heardAt {
 		s.load, s.heardAt = l, at
 	}
 }
 
 func (p *refPolicy) upkeep() {
 	if p.now >= p.watchAt {
-		p.do(Watch{On: true})
+		p.do(WatchEndpoints{On: true})
 		p.watchAt = p.now + math.Max(p.set.PollInterval/2, 1) // in case no reply comes at all
 	}
 	if p.now >= p.probeAt {
@@ -331,7 +331,7 @@
 			p.rebuildAt = p.now + probeSettle
 			for _, s := range p.servers {
 				if s.ready() {
-					p.do(Probe{s.ID})
+					p.do(CheckHealth{s.ID})
 				}
 			}
 		}
@@ -345,8 +345,8 @@
 
 // queueOf is the reported queue or parts in flight, else this broker's own parts in flight.
 func (s *refServer) queueOf() float64 {
-	if s.load.Queue >= 0 {
-		return s.load.Queue
+	if s.load.QueueLength >= 0 {
+		return s.load.QueueLength
 	} else if s.load.InFlight >= 0 {
 		return s.load.InFlight
 	}
@@ -364,7 +364,7 @@
 	for _, s := range p.servers {
 		if s.heardAt > 0 {
 			queue := math.Max(0, 1-s.queueOf()/ceiling)
-			s.fitness = math.Max(queue*math.Pow(aggression, -100*math.Max(s.load.Busy, 0)), fitnessFloor)
+			s.fitness = math.Max(queue*math.Pow(aggression, -100*math.Max(s.load.Utilization, 0)), fitnessFloor)
 			if s.ready() {
 				total += s.fitness
 			}
@@ -481,7 +481,7 @@
 	if w >= 1 || p.set.SlowStart.OverloadWindow <= 0 {
 		return true
 	} else if s.allowance != nil {
-		return len(s.sends) < s.allowance.Parts && p.now <= s.allowance.Until
+		return len(s.sends) < s.allowance.Parts && p.now <= s.allowance.ExpiresAt
 	}
 	s.sends = slices.DeleteFunc(s.sends, func(t float64) bool { return t < p.now-p.set.SlowStart.OverloadWindow })
 	// Chance rounds this broker's share, anew in each window: up always would add up over the brokers.
@@ -532,11 +532,11 @@
 func (p *refPolicy) onQuery(e Query) {
 	p.taken = append(p.forget(p.taken, edgeSlack), p.now)
 	if e.Class < 0 || e.Class >= len(p.set.Classes) {
-		p.do(Refuse{ID: e.ID})
+		p.do(Reject{ID: e.ID})
 		return
 	}
 	c := &p.set.Classes[e.Class]
-	q := &refQuery{Query: e, class: c, step: 1, arrived: cmp.Or(e.Came, p.now), print: uint64(e.Class + 1)}
+	q := &refQuery{Query: e, class: c, step: 1, arrived: cmp.Or(e.ReceivedAt, p.now), print: uint64(e.Class + 1)}
 	lead := p.lead() + p.now - q.arrived // the way out takes as long as the way in: this broker's own work
 	q.aim = math.Min(q.arrived+c.LatencyObjective+c.ObjectivePerWork*e.Work, e.Deadline) - lead
 	if q.end = q.aim; c.LateValue > 0 {
@@ -557,7 +557,7 @@
 
 func (p *refPolicy) onPart(e Part) {
 	p.taken = append(p.forget(p.taken, edgeSlack), p.now)
-	if q := p.queries[e.Number]; q != nil && !q.ended {
+	if q := p.queries[e.QueryNumber]; q != nil && !q.ended {
 		pt := &refPart{Part: e, q: q}
 		q.parts = append(q.parts, pt)
 		q.print = (q.print^uint64(e.Shard+1))*fingerprintPrime ^ math.Float64bits(e.Weight)
@@ -566,7 +566,7 @@
 	}
 }
 
-func (p *refPolicy) onEnded(e Ended) {
+func (p *refPolicy) onEnded(e AttemptFinished) {
 	pt := p.parts[e.ID]
 	if pt == nil || e.Attempt < 0 || e.Attempt >= len(pt.attempts) || !pt.attempts[e.Attempt].live {
 		return
@@ -574,7 +574,7 @@
 	a := &pt.attempts[e.Attempt]
 	a.live, a.mayRun = false, e.Status != Overloaded && e.Status != Unreachable && e.Status != NotSent
 	pt.live--
-	p.hear(a.srv, e.Load, p.now)
+	p.hear(a.srv, e.LoadReport, p.now)
 	p.judge(a, pt, e)
 	a.srv.own--
 	switch {
@@ -585,7 +585,7 @@
 		pt.in = true
 		p.cancelLive(pt)
 	default:
-		pt.dropped = e.Closed
+		pt.dropped = e.PartConcluded
 		if e.Status == Reset {
 			pt.q.resets++
 		}
@@ -598,7 +598,7 @@
 	return p.breakers[q.print] > 0
 }
 
-func (p *refPolicy) judge(a *refAttempt, pt *refPart, e Ended) {
+func (p *refPolicy) judge(a *refAttempt, pt *refPart, e AttemptFinished) {
 	s := a.srv
 	p.mark(s, e.Status)
 	if e.Status == TimedOut || e.Status == Cancelled {
@@ -665,7 +665,7 @@
 	if mayRun && q.class.Idempotency != Idempotent {
 		p.finish(q, Fail{ID: q.ID})
 	} else {
-		p.finish(q, Refuse{ID: q.ID, RetryAfter: p.set.MaxRetryAfter})
+		p.finish(q, Reject{ID: q.ID, RetryAfter: p.set.MaxRetryAfter})
 	}
 }
 
@@ -695,12 +695,12 @@
 	case whole || enough && (hopeless || late):
 		if q.step == 1 && c.SecondPhaseFanout > 0 && in > 0 {
 			p.release(q)
-			p.do(Answer{ID: q.ID, Whole: whole})
+			p.do(Respond{ID: q.ID, Complete: whole})
 			q.whole, q.step, q.parts = whole, 2, nil
 			p.wakeAt(q.end)
 			return
 		}
-		p.finish(q, Answer{ID: q.ID, Whole: whole && (q.step == 1 || q.whole)})
+		p.finish(q, Respond{ID: q.ID, Complete: whole && (q.step == 1 || q.whole)})
 	case late || hopeless && in+out < c.MinCompleteness-sumSlack || hopeless && c.MinCompleteness >= c.CompletenessThreshold:
 		p.giveUp(q)
 	// All its attempts ended, more of them broken off than by chance: it brings down its servers.
--- a/internal/decision/rules_test.go
+++ b/internal/decision/rules_test.go
@@ -59,11 +59,11 @@
 	r := newRig(t, settings(), servers(2)...)
 	id, ev := r.query(0, 2)
 	r.handle(ev...)
-	got := r.handle(decision.ClientGone{ID: id})
+	got := r.handle(decision.ClientDisconnected{ID: id})
 	if len(finals(got)) != 0 || len(got) != 2 {
 		t.Errorf("after the client left: %v, want two cancels only", got)
 	}
-	if got := r.at(r.now+3, decision.ClientGone{ID: id}); len(got) != 0 {
+	if got := r.at(r.now+3, decision.ClientDisconnected{ID: id}); len(got) != 0 {
 		t.Errorf("a second notice led to %v", got)
 	}
 }
@@ -109,7 +109,7 @@
 				got = r.at(r.now+0.01, ended(again[0].ID, n, again[0].Server, c.status, 0.01))
 				n++
 			}
-			_, refused := finals(got)[0].(decision.Refuse)
+			_, refused := finals(got)[0].(decision.Reject)
 			if refused != c.refuse {
 				t.Errorf("final answer %v, want a refusal: %v", finals(got)[0], c.refuse)
 			}
@@ -135,11 +135,11 @@
 func TestNothingGoesToDrainingOrGoneServers(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		news decision.List
+		news decision.EndpointUpdate
 	}{
-		{"draining", decision.List{Servers: []decision.Server{{ID: "s0", State: decision.Draining}}}},
-		{"gone", decision.List{Servers: []decision.Server{{ID: "s0", State: decision.Removed}}}},
-		{"missing from a full list", decision.List{Mode: decision.ListFull, Servers: servers(2)[1:]}},
+		{"draining", decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", State: decision.Draining}}}},
+		{"gone", decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", State: decision.Removed}}}},
+		{"missing from a full list", decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers(2)[1:]}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRig(t, settings(), servers(2)...)
@@ -163,25 +163,25 @@
 	p := decision.New(s, 1)
 	watches := func(now float64, e ...decision.Event) (n int) {
 		for _, a := range p.Handle(now, e) {
-			if w, ok := a.(decision.Watch); ok && w.On {
+			if w, ok := a.(decision.WatchEndpoints); ok && w.On {
 				n++
 			}
 		}
 		return n
 	}
-	if watches(5, decision.List{Mode: decision.ListCached, Servers: servers(2)}) != 1 {
+	if watches(5, decision.EndpointUpdate{Mode: decision.CachedUpdate, Servers: servers(2)}) != 1 {
 		t.Fatal("no subscription at the start")
 	}
-	if watches(5.1, decision.List{Mode: decision.ListFailed}) != 0 {
+	if watches(5.1, decision.EndpointUpdate{Mode: decision.FailedUpdate}) != 0 {
 		t.Error("asked again at once after a failure")
 	}
 	if watches(8.5) != 1 {
 		t.Error("not asked again within a third of the time allowed")
 	}
-	if watches(8.6, decision.List{Mode: decision.ListDelta})+watches(60) != 0 {
+	if watches(8.6, decision.EndpointUpdate{Mode: decision.DeltaUpdate})+watches(60) != 0 {
 		t.Error("asked again although subscribed")
 	}
-	if watches(61, decision.List{Mode: decision.ListFailed})+watches(65) != 1 {
+	if watches(61, decision.EndpointUpdate{Mode: decision.FailedUpdate})+watches(65) != 1 {
 		t.Error("not asked again after the subscription broke")
 	}
 }
@@ -191,7 +191,7 @@
 	r := newRig(t, s, servers(4)...)
 	r.warm(200, 0.02)
 	cold := decision.Server{ID: "s0", Started: r.now}
-	r.handle(decision.List{Servers: []decision.Server{cold}})
+	r.handle(decision.EndpointUpdate{Servers: []decision.Server{cold}})
 	start, toCold, toAll := r.now, 0, 0
 	for r.now < start+1 {
 		_, ev := r.query(0, 1)
@@ -230,12 +230,12 @@
 		in, parts   int
 		want        decision.Action // with ID 0; nil: no answer before the end
 	}{
-		{"whole", 1, 1, 4, 4, decision.Answer{Whole: true}},
-		{"all needed, one missing", 1, 1, 3, 4, decision.Refuse{}},
-		{"partial at its floor", 1, 0.5, 2, 4, decision.Answer{}},
-		{"partial under its floor", 1, 0.5, 1, 4, decision.Refuse{}},
-		{"need under one", 0.5, 0.5, 2, 4, decision.Answer{Whole: true}},
-		{"thirds add up", 1, 1, 3, 3, decision.Answer{Whole: true}},
+		{"whole", 1, 1, 4, 4, decision.Respond{Complete: true}},
+		{"all needed, one missing", 1, 1, 3, 4, decision.Reject{}},
+		{"partial at its floor", 1, 0.5, 2, 4, decision.Respond{}},
+		{"partial under its floor", 1, 0.5, 1, 4, decision.Reject{}},
+		{"need under one", 0.5, 0.5, 2, 4, decision.Respond{Complete: true}},
+		{"thirds add up", 1, 1, 3, 3, decision.Respond{Complete: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -251,10 +251,10 @@
 			got = append(got, finals(r.at(r.now+1))...)
 			want := c.want
 			switch w := want.(type) {
-			case decision.Answer:
+			case decision.Respond:
 				w.ID = id
 				want = w
-			case decision.Refuse:
+			case decision.Reject:
 				w.ID = id
 				want = w
 			}
@@ -290,12 +290,12 @@
 			if c.first < 4 {
 				got = append(got, finals(r.at(r.now+1))...)
 			}
-			if len(got) != 1 || got[0] != (decision.Answer{ID: id, Whole: c.first == 4}) {
+			if len(got) != 1 || got[0] != (decision.Respond{ID: id, Complete: c.first == 4}) {
 				t.Fatalf("first answer %v", got)
 			}
 			out = sends(r.at(r.now+0.01,
-				decision.Part{ID: id + 50, Number: r.number, Weight: 0.5},
-				decision.Part{ID: id + 51, Number: r.number, Weight: 0.5}))
+				decision.Part{ID: id + 50, QueryNumber: r.number, Weight: 0.5},
+				decision.Part{ID: id + 51, QueryNumber: r.number, Weight: 0.5}))
 			if len(out) != 2 {
 				t.Fatalf("second step sent %d parts, want 2", len(out))
 			}
@@ -307,8 +307,8 @@
 			if len(got) != 1 {
 				t.Fatalf("final answers %v, want one", got)
 			}
-			a, ok := got[0].(decision.Answer)
-			if ok != c.answered || ok && a.Whole != c.whole {
+			a, ok := got[0].(decision.Respond)
+			if ok != c.answered || ok && a.Complete != c.whole {
 				t.Errorf("final answer %v, want answered %v, whole %v", got[0], c.answered, c.whole)
 			}
 		})
@@ -322,8 +322,8 @@
 	id, ev := r.query(0, 1)
 	out := sends(r.handle(ev...))
 	r.handle(ended(out[0].ID, 0, out[0].Server, decision.OK, 0))
-	r.handle(decision.Part{ID: id + 50, Number: r.number, Weight: 1})
-	r.handle(decision.List{Mode: decision.ListFull}) // no server is left
+	r.handle(decision.Part{ID: id + 50, QueryNumber: r.number, Weight: 1})
+	r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate}) // no server is left
 	if got := finals(r.at(r.now + 1)); len(got) != 1 || got[0] != (decision.Fail{ID: id}) {
 		t.Errorf("final answers %v, want one Fail: the first step has run", got)
 	}
@@ -400,7 +400,7 @@
 	run := func(seed uint64) (all []decision.Action) {
 		r := newRig(t, settings(), servers(5)...)
 		r.p = decision.New(settings(), seed)
-		r.handle(decision.List{Mode: decision.ListFull, Servers: servers(5)})
+		r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers(5)})
 		for range 50 {
 			_, ev := r.query(0, 4)
 			got := r.handle(ev...)
@@ -426,9 +426,9 @@
 	for _, batch := range []int{1, 8} {
 		s.MaxPartsPerCall = batch
 		r := newRig(t, s, servers(3)...)
-		load := func(server string) decision.Load {
-			l := decision.NoLoad
-			l.Busy, l.Queue = busy[server[1]-'0'], 0
+		load := func(server string) decision.LoadReport {
+			l := decision.NoLoadReport
+			l.Utilization, l.QueueLength = busy[server[1]-'0'], 0
 			return l
 		}
 		count, together, n := map[string]float64{}, 0, 4000
@@ -447,7 +447,7 @@
 			for _, snd := range out {
 				count[snd.Server]++
 				e := ended(snd.ID, 0, snd.Server, decision.OK, 0)
-				e.Load = load(snd.Server)
+				e.LoadReport = load(snd.Server)
 				r.handle(e)
 			}
 		}
@@ -508,13 +508,13 @@
 	p := decision.New(s, 1)
 	probes := func(now float64, e ...decision.Event) (n int) {
 		for _, a := range p.Handle(now, e) {
-			if _, ok := a.(decision.Probe); ok {
+			if _, ok := a.(decision.CheckHealth); ok {
 				n++
 			}
 		}
 		return n
 	}
-	if n := probes(0, decision.List{Mode: decision.ListFull, Servers: servers(4)}); n != 4 {
+	if n := probes(0, decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers(4)}); n != 4 {
 		t.Errorf("%d probes at the start, want 4", n)
 	}
 	if n := probes(9.9); n != 0 {
--- a/internal/decision/servers.go
+++ b/internal/decision/servers.go
@@ -20,7 +20,7 @@
 // server is what this broker knows of one server.
 type server struct {
 	Server
-	load        Load
+	load        LoadReport
 	heardAt     float64 // when load came; 0: never
 	answeredAt  float64 // its latest success
 	passed      float64 // when the latest part was sent that it answered
@@ -32,10 +32,10 @@
 	own         int     // this broker's attempts out there
 	serviceTime servicetime.Server
 
-	sends                  []float64  // times of sends within FallTime, for the cold cap
-	coldSince              float64    // start of the warm-up; -Inf: warm
-	rounding, roundedUntil float64    // how the present window's room is rounded
-	allowance              *Allowance // of a budget shared with other brokers; nil: there is none
+	sends                  []float64       // times of sends within FallTime, for the cold cap
+	coldSince              float64         // start of the warm-up; -Inf: warm
+	rounding, roundedUntil float64         // how the present window's room is rounded
+	allowance              *SlowStartLease // of a budget shared with other brokers; nil: there is none
 
 	turn int     // the draw's turn that key belongs to
 	key  float64 // exponential variate / weight in that turn
@@ -47,8 +47,8 @@
 func (s *server) ready() bool { return s.State == Ready }
 func number(s *server) int    { return s.number }
 
-func (p *Policy) onList(l List) {
-	if l.Mode == ListFailed {
+func (p *Policy) onList(l EndpointUpdate) {
+	if l.Mode == FailedUpdate {
 		// Ask again soon, then less often: a directory that is down is not helped by more calls.
 		p.watchFails++
 		if p.set.PollEndpoints {
@@ -56,10 +56,10 @@
 		}
 		return
 	}
-	if l.Mode != ListCached {
+	if l.Mode != CachedUpdate {
 		p.watchFails, p.watchAt = 0, math.Inf(1)
 	}
-	if l.Mode != ListDelta {
+	if l.Mode != DeltaUpdate {
 		for _, s := range p.servers {
 			s.State = Removed
 		}
@@ -70,14 +70,14 @@
 		s := p.byID[e.ID]
 		if s == nil {
 			p.numbered++
-			s = &server{load: NoLoad, coldSince: math.Inf(-1), number: p.numbered}
+			s = &server{load: NoLoadReport, coldSince: math.Inf(-1), number: p.numbered}
 			p.byID[e.ID] = s
 			p.servers = append(p.servers, s)
 		}
 		p.cells.Remove(s.ReplicaSet, s)
 		if e.Started > 0 && e.Started != s.Started {
 			// A new process: what was known of the old one is void.
-			s.coldSince, s.load, s.heardAt, s.fitness, s.abandoned = e.Started, NoLoad, 0, 0, nil
+			s.coldSince, s.load, s.heardAt, s.fitness, s.abandoned = e.Started, NoLoadReport, 0, 0, nil
 			s.failed.Share = 0
 			if !s.cold {
 				s.cold, p.cold = true, append(p.cold, s)
@@ -86,7 +86,7 @@
 		s.Server, s.failed.Zone = e, e.Zone
 		p.place(s)
 	}
-	if l.Mode != ListDelta {
+	if l.Mode != DeltaUpdate {
 		for _, s := range p.servers {
 			if s.State == Removed {
 				p.place(s)
@@ -130,32 +130,32 @@
 	}
 }
 
-func (p *Policy) onProbed(e Probed) {
+func (p *Policy) onProbed(e HealthChecked) {
 	if s := p.byID[e.Server]; s != nil {
 		if e.Status != OK || s.failed.Slow { // an answered probe says nothing of errors and full queues
 			p.countOutcome(s, e.Status)
 		}
-		p.takeLoad(s, e.Load, p.now)
+		p.takeLoad(s, e.LoadReport, p.now)
 	}
 }
 
 // onHeard takes hearsay, unless this broker's own news is as new.
-func (p *Policy) onHeard(e Heard) {
+func (p *Policy) onHeard(e PeerObservation) {
 	s := p.byID[e.Server]
 	if s == nil || e.At < s.Started {
 		return
 	}
 	if e.Weight > 0 && e.At > s.failed.At {
-		p.failed.Hear(&s.failed, e.Failed, e.Weight, e.At)
+		p.failed.Hear(&s.failed, e.FailureRatio, e.Weight, e.At)
 	}
-	if e.Pace > 0 && e.At > s.serviceTime.At {
-		s.serviceTime = servicetime.Server{Mean: e.Pace, At: e.At}
+	if e.ServiceTime > 0 && e.At > s.serviceTime.At {
+		s.serviceTime = servicetime.Server{Mean: e.ServiceTime, At: e.At}
 	}
-	p.takeLoad(s, e.Load, cmp.Or(e.LoadAt, e.At))
+	p.takeLoad(s, e.LoadReport, cmp.Or(e.LoadReportedAt, e.At))
 }
 
-func (p *Policy) takeLoad(s *server, l Load, at float64) {
-	if l != NoLoad && at >= s.heardAt {
+func (p *Policy) takeLoad(s *server, l LoadReport, at float64) {
+	if l != NoLoadReport && at >= s.heardAt {
 		s.load, s.heardAt = l, at
 	}
 }
@@ -168,7 +168,7 @@
 	idle := func(s *server) bool { return s.ready() && s.own == 0 } // others come back when they are
 	if oldest, found := p.news.Least(idle); found {
 		oldest.newsAt = p.now
-		p.do(Probe{oldest.ID})
+		p.do(CheckHealth{oldest.ID})
 	}
 }
 
@@ -181,7 +181,7 @@
 
 func (p *Policy) upkeep() {
 	if p.now >= p.watchAt {
-		p.do(Watch{On: true})
+		p.do(WatchEndpoints{On: true})
 		p.watchAt = p.now + math.Max(p.set.PollInterval/2, 1) // in case no reply comes at all
 	}
 	if p.now >= p.probeAt {
@@ -190,7 +190,7 @@
 			p.rebuildAt = p.now + probeSettle
 			for _, s := range p.servers {
 				if s.ready() {
-					p.do(Probe{s.ID})
+					p.do(CheckHealth{s.ID})
 				}
 			}
 		}
--- a/internal/decision/shared_test.go
+++ b/internal/decision/shared_test.go
@@ -25,7 +25,7 @@
 		return n
 	}
 	heard := func(r *rig, at, failed, weight float64) {
-		r.handle(decision.Heard{Server: "s0", At: at, Failed: failed, Weight: weight, Load: decision.NoLoad})
+		r.handle(decision.PeerObservation{Server: "s0", At: at, FailureRatio: failed, Weight: weight, LoadReport: decision.NoLoadReport})
 	}
 	r := newRig(t, settings(), servers(2)...)
 	require.InDelta(t, 50, share(r), 20)
@@ -37,8 +37,8 @@
 	heard(r, r.now+0.001, 0, 1)
 	require.Greater(t, share(r), 30)
 	heard(r, r.now, 1, 1)
-	r.handle(decision.Heard{Server: "unheard-of", At: r.now, Failed: 1, Weight: 1, Load: decision.NoLoad})
-	r.handle(decision.List{Servers: []decision.Server{{ID: "s0", Started: r.now + 1}}})
+	r.handle(decision.PeerObservation{Server: "unheard-of", At: r.now, FailureRatio: 1, Weight: 1, LoadReport: decision.NoLoadReport})
+	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now + 1}}})
 	heard(r, r.now, 1, 0.75) // of the process before
 	r.now += 30              // warm again
 	require.Greater(t, share(r), 30)
@@ -48,7 +48,7 @@
 func TestRoomOfASharedBudget(t *testing.T) {
 	r := newRig(t, settings(), servers(1)...)
 	r.warm(50, 0.01) // by its own estimate it would send several a second
-	r.handle(decision.List{Servers: []decision.Server{{ID: "s0", Started: r.now}}})
+	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now}}})
 	try := func(events ...decision.Event) int {
 		_, ev := r.query(0, 6)
 		out := sends(r.handle(append(events, ev...)...))
@@ -57,10 +57,10 @@
 		}
 		return len(out)
 	}
-	require.Equal(t, 2, try(decision.Allowance{Server: "s0", Parts: 2, Until: r.now + 0.1}))
+	require.Equal(t, 2, try(decision.SlowStartLease{Server: "s0", Parts: 2, ExpiresAt: r.now + 0.1}))
 	require.Zero(t, try())
-	require.Equal(t, 3, try(decision.Allowance{Server: "s0", Parts: 3, Until: r.now + 0.1}))
-	require.Zero(t, try(decision.Allowance{Server: "s0", Parts: 3, Until: r.now - 0.01}), "the lease has expired")
+	require.Equal(t, 3, try(decision.SlowStartLease{Server: "s0", Parts: 3, ExpiresAt: r.now + 0.1}))
+	require.Zero(t, try(decision.SlowStartLease{Server: "s0", Parts: 3, ExpiresAt: r.now - 0.01}), "the lease has expired")
 	r.now += 20
 	require.Equal(t, 6, try(), "warm again: no lease is needed")
 }
@@ -72,7 +72,7 @@
 		for seed := range uint64(400) {
 			r := newRig(t, settings(), servers(1)...)
 			r.p = decision.New(settings(), seed)
-			r.handle(append(events, decision.List{Mode: decision.ListFull,
+			r.handle(append(events, decision.EndpointUpdate{Mode: decision.FullUpdate,
 				Servers: []decision.Server{{ID: "s0", Started: r.now}}})...)
 			_, ev := r.query(0, 1)
 			n += len(sends(r.handle(ev...)))
@@ -80,6 +80,6 @@
 		return n
 	}
 	require.Equal(t, 400, tries(), "the settings tell of one broker")
-	require.InDelta(t, 100, tries(decision.Fleet{Brokers: 4}), 40)
-	require.Zero(t, tries(decision.Fleet{Brokers: 100_000}))
+	require.InDelta(t, 100, tries(decision.FleetResized{Brokers: 4}), 40)
+	require.Zero(t, tries(decision.FleetResized{Brokers: 100_000}))
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -52,9 +52,9 @@
 
 // List translates a message for the core.
 func (n Names) List(m Message) (broker.List, error) {
-	l := broker.List{Mode: decision.ListDelta, Version: m.Version}
+	l := broker.List{Mode: decision.DeltaUpdate, Version: m.Version}
 	if m.Full {
-		l.Mode = decision.ListFull
+		l.Mode = decision.FullUpdate
 	}
 	for i, e := range m.Servers {
 		state, ok := states[e.State]
--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -46,7 +46,7 @@
 type Seen struct {
 	Kind    Kind
 	Latency float64 // since the attempt was sent
-	Load    decision.Load
+	Load    decision.LoadReport
 }
 
 // view is what one worker knows of one server.
@@ -62,7 +62,7 @@
 type record struct {
 	id     string
 	views  []view
-	load   decision.Load
+	load   decision.LoadReport
 	loadAt float64
 	good   float64 // the latest answer to anyone
 }
@@ -83,7 +83,7 @@
 func (b *Board) record(id string) *record {
 	r := b.servers[id]
 	if r == nil {
-		r = &record{id: id, views: make([]view, b.workers), load: decision.NoLoad, loadAt: never, good: never}
+		r = &record{id: id, views: make([]view, b.workers), load: decision.NoLoadReport, loadAt: never, good: never}
 		for i := range r.views {
 			r.views[i] = view{good: never, bad: never, heard: never, told: never, loadAt: never}
 		}
@@ -104,7 +104,7 @@
 func (b *Board) See(worker int, id string, now float64, s Seen) {
 	r := b.record(id)
 	v := &r.views[worker]
-	fresh := s.Load != decision.NoLoad
+	fresh := s.Load != decision.NoLoadReport
 	if fresh {
 		r.load, r.loadAt, v.loadAt = s.Load, now, now
 	}
@@ -138,7 +138,7 @@
 func (b *Board) Waiting(worker int) bool { return len(b.queues[worker]) > 0 }
 
 // Take returns what a worker should hear now.
-func (b *Board) Take(worker int, now float64) (heard []decision.Heard) {
+func (b *Board) Take(worker int, now float64) (heard []decision.PeerObservation) {
 	queue := b.queues[worker]
 	keep := queue[:0]
 	for _, r := range queue {
@@ -162,11 +162,11 @@
 }
 
 // offer is what a worker should hear of a server, if anything.
-func (r *record) offer(worker int, now float64) (h decision.Heard, ok bool) {
+func (r *record) offer(worker int, now float64) (h decision.PeerObservation, ok bool) {
 	mine := &r.views[worker]
-	h = decision.Heard{Server: r.id, Load: decision.NoLoad}
+	h = decision.PeerObservation{Server: r.id, LoadReport: decision.NoLoadReport}
 	if r.loadAt > mine.loadAt && now-r.loadAt <= MaxAge && (mine.loadAt == never || r.loadAt-mine.loadAt >= loadAgain) {
-		h.Load, h.At, mine.loadAt, ok = r.load, r.loadAt, r.loadAt, true
+		h.LoadReport, h.At, mine.loadAt, ok = r.load, r.loadAt, r.loadAt, true
 	}
 	// The latest failure that others saw, and how many saw one at about that time.
 	bad, witnesses := never, 0
@@ -183,7 +183,7 @@
 	own := math.Max(mine.good, mine.bad)
 	switch {
 	case bad > own && bad > mine.told && bad >= r.good && now-bad <= MaxAge && witnesses > 0:
-		h.Failed, h.Weight, h.At = 1, oneWitness, bad
+		h.FailureRatio, h.Weight, h.At = 1, oneWitness, bad
 		if witnesses > 1 {
 			h.Weight = twoWitness
 		}
@@ -192,7 +192,7 @@
 		mine.told, mine.believes = bad, true
 		return h, true
 	case mine.believes && r.good > own && r.good > mine.told && now-r.good <= MaxAge:
-		h.Failed, h.At = 0, r.good
+		h.FailureRatio, h.At = 0, r.good
 		h.Weight = recoverMost * math.Exp2(-(now-r.good)/halfLife)
 		mine.told, mine.believes = r.good, false
 		return h, true
--- a/internal/evidence/evidence_test.go
+++ b/internal/evidence/evidence_test.go
@@ -12,7 +12,7 @@
 )
 
 func see(kind evidence.Kind) evidence.Seen {
-	return evidence.Seen{Kind: kind, Latency: 0.02, Load: decision.NoLoad}
+	return evidence.Seen{Kind: kind, Latency: 0.02, Load: decision.NoLoadReport}
 }
 
 func TestAFailureIsHeardByTheOthers(t *testing.T) {
@@ -21,7 +21,7 @@
 	require.Empty(t, b.Take(0, 10.01), "a worker hears nothing of its own")
 	one := b.Take(1, 10.01)
 	require.Len(t, one, 1)
-	require.Equal(t, 1.0, one[0].Failed)
+	require.Equal(t, 1.0, one[0].FailureRatio)
 	require.InDelta(t, 0.5, one[0].Weight, 0.01)
 	b.See(1, "s", 10.1, see(evidence.Failed))
 	two := b.Take(2, 10.2)
@@ -54,14 +54,14 @@
 	for _, w := range []int{0, 1} {
 		h := b.Take(w, 10.6)
 		require.Len(t, h, 1, "worker %d", w)
-		require.Equal(t, 0.0, h[0].Failed)
+		require.Equal(t, 0.0, h[0].FailureRatio)
 	}
 	require.Empty(t, b.Take(2, 10.7))
 }
 
 // A server that hangs ends no attempt. Waits that were given up tell of it, unless it answers others meanwhile.
 func TestSilenceIsToldFromSlowness(t *testing.T) {
-	given := evidence.Seen{Kind: evidence.Silent, Latency: 0.4, Load: decision.NoLoad}
+	given := evidence.Seen{Kind: evidence.Silent, Latency: 0.4, Load: decision.NoLoadReport}
 	b := evidence.NewBoard(2)
 	for i := range 50 {
 		b.See(0, "other", 9+0.01*float64(i), see(evidence.Good))
@@ -82,9 +82,9 @@
 	n := 0
 	for i := range 100 {
 		now := 10 + 0.01*float64(i)
-		b.See(0, "s", now, evidence.Seen{Kind: evidence.Good, Latency: 0.01, Load: decision.Load{Busy: now}})
+		b.See(0, "s", now, evidence.Seen{Kind: evidence.Good, Latency: 0.01, Load: decision.LoadReport{Utilization: now}})
 		for _, h := range b.Take(1, now) {
-			require.Equal(t, now, h.Load.Busy)
+			require.Equal(t, now, h.LoadReport.Utilization)
 			require.Zero(t, h.Weight)
 			n++
 		}
@@ -116,7 +116,7 @@
 			if rapid.Bool().Draw(t, "sees") {
 				k := evidence.Kind(rapid.IntRange(0, 2).Draw(t, "kind"))
 				latency := rapid.Float64Range(0, 1).Draw(t, "latency")
-				b.See(w, fmt.Sprint(s), now, evidence.Seen{Kind: k, Latency: latency, Load: decision.NoLoad})
+				b.See(w, fmt.Sprint(s), now, evidence.Seen{Kind: k, Latency: latency, Load: decision.NoLoadReport})
 				if k != evidence.Silent {
 					own[w][s] = now
 				}
@@ -148,7 +148,7 @@
 	for i := range ids {
 		ids[i] = fmt.Sprint("s", i)
 	}
-	load := decision.Load{Busy: 0.5}
+	load := decision.LoadReport{Utilization: 0.5}
 	for i := range b.N {
 		now := 10 + 0.0001*float64(i)
 		board.See(i%4, ids[i%200], now, evidence.Seen{Kind: evidence.Good, Latency: 0.02, Load: load})
--- a/internal/flight/deadline_test.go
+++ b/internal/flight/deadline_test.go
@@ -48,7 +48,7 @@
 		defer synctest.Wait()
 		defer stop()
 		go b.Run(running)
-		b.Update(broker.List{Mode: decision.ListFull, Servers: []broker.ListEntry{
+		b.Update(broker.List{Mode: decision.FullUpdate, Servers: []broker.ListEntry{
 			{Addr: "s0", Server: decision.Server{ID: "s0", State: decision.Ready}}}})
 		front := NewFront(Options{Classes: map[string]int{"charge-post": 0}}, b)
 		text, err := json.Marshal(Ticket{ID: "q1", Class: "charge-post", Body: httpwire.Body{
--- a/internal/flight/link.go
+++ b/internal/flight/link.go
@@ -218,7 +218,9 @@
 	return g.passed
 }
 
-func reply(s decision.Status) broker.Reply { return broker.Reply{Status: s, Load: decision.NoLoad} }
+func reply(s decision.Status) broker.Reply {
+	return broker.Reply{Status: s, Load: decision.NoLoadReport}
+}
 
 // get runs one call to its end.
 func (l *Link) get(ctx context.Context, c *broker.Call) broker.Reply {
@@ -251,7 +253,7 @@
 // readPart reads a part's stream to its status. Only a stream that ends well has brought the part: one that
 // breaks halfway leaves it not in.
 func readPart(stream flight.FlightService_DoGetClient) (broker.Reply, error) {
-	part := broker.Reply{Status: decision.OK, Load: decision.NoLoad, Value: []byte{}}
+	part := broker.Reply{Status: decision.OK, Load: decision.NoLoadReport, Value: []byte{}}
 	r, err := flight.NewRecordReader(stream)
 	if err != nil {
 		return part, err
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -36,7 +36,7 @@
 	Status decision.Status
 	Score  int64 // by which the shards of a second step are chosen
 	Scored bool  // the score could be read
-	Load   decision.Load
+	Load   decision.LoadReport
 	Value  []byte
 }
 
@@ -138,7 +138,7 @@
 	}
 	// The value is good whatever the report: one that cannot be read tells nothing and spoils nothing.
 	if r.Load, err = ParseLoad(report); err != nil {
-		r.Load = decision.NoLoad
+		r.Load = decision.NoLoadReport
 	}
 	r.Value = value
 	return r, nil
@@ -147,23 +147,23 @@
 // ParseLoad reads a load report: name=value pairs set apart by commas, or "-". A deployment's settings list
 // its names for the values (report.columns), which differ from the protocol's own; both are known here, any
 // other is ignored.
-func ParseLoad(p []byte) (decision.Load, error) {
-	l := decision.NoLoad
+func ParseLoad(p []byte) (decision.LoadReport, error) {
+	l := decision.NoLoadReport
 	for len(p) > 0 && string(p) != "-" {
 		var pair []byte
 		pair, p, _ = bytes.Cut(p, []byte{','})
 		name, number, ok := bytes.Cut(pair, []byte{'='})
 		v, err := strconv.ParseFloat(string(number), 64)
 		if !ok || err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
-			return decision.NoLoad, fmt.Errorf("a load report with %q", pair)
+			return decision.NoLoadReport, fmt.Errorf("a load report with %q", pair)
 		}
 		switch string(name) {
 		case "inflight", "rif":
 			l.InFlight = v
 		case "queue", "q":
-			l.Queue = v
+			l.QueueLength = v
 		case "util", "busy":
-			l.Busy = v
+			l.Utilization = v
 		case "latency_ms", "lat_ms":
 			l.Latency = v / 1000
 		case "qps", "rate":
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -30,7 +30,7 @@
 			}
 			if m.Letter == 'R' {
 				r := m.Reply
-				fmt.Fprintf(&said, "R %s %d %g/%g %q\n", r.ID, r.Status, r.Load.InFlight, r.Load.Busy, r.Value)
+				fmt.Fprintf(&said, "R %s %d %g/%g %q\n", r.ID, r.Status, r.Load.InFlight, r.Load.Utilization, r.Value)
 			} else {
 				fmt.Fprintf(&said, "%c %q\n", m.Letter, m.Rest)
 			}
--- a/internal/recovery/learner.go
+++ b/internal/recovery/learner.go
@@ -40,8 +40,8 @@
 }
 
 // List takes up the list.
-func (l *Learner) List(e decision.List) {
-	if e.Mode == decision.ListFailed {
+func (l *Learner) List(e decision.EndpointUpdate) {
+	if e.Mode == decision.FailedUpdate {
 		return
 	}
 	here := map[string]bool{}
@@ -51,10 +51,10 @@
 			l.forget(s.ID)
 		} else if old == nil || s.Started > old.Started { // of another process, nothing holds
 			delete(l.answered, s.ID)
-			l.servers[s.ID] = &snapshot.Server{ID: s.ID, Started: s.Started, Load: decision.NoLoad}
+			l.servers[s.ID] = &snapshot.Server{ID: s.ID, Started: s.Started, Load: decision.NoLoadReport}
 		}
 	}
-	if e.Mode != decision.ListDelta {
+	if e.Mode != decision.DeltaUpdate {
 		for id := range l.servers {
 			if !here[id] {
 				l.forget(id)
@@ -69,12 +69,12 @@
 }
 
 // Saw books how an attempt or a probe ended.
-func (l *Learner) Saw(now float64, server string, status decision.Status, latency float64, load decision.Load) {
+func (l *Learner) Saw(now float64, server string, status decision.Status, latency float64, load decision.LoadReport) {
 	s := l.servers[server]
 	if s == nil {
 		return
 	}
-	if load != decision.NoLoad {
+	if load != decision.NoLoadReport {
 		s.Load, s.LoadAt = load, now
 	}
 	failed := 1.0
--- a/internal/recovery/recovery.go
+++ b/internal/recovery/recovery.go
@@ -46,7 +46,7 @@
 		listed[e.ID] = e
 	}
 	if worth := half(now-s.Written, peakHalf); s.Pace > 0 && worth >= leastWorth {
-		events = append(events, decision.Remembered{Pace: s.Pace, Peak: s.Peak * worth})
+		events = append(events, decision.RestoredState{ServiceTime: s.Pace, PeakThroughput: s.Peak * worth})
 	}
 	for _, v := range s.Servers {
 		e, here := listed[v.ID]
@@ -63,19 +63,19 @@
 // heard is what is remembered of a server, as hearsay of the time when it was so: the older it is, the more the
 // module's first news of its own weighs against it. That a server was quick is not told at all. A blank start takes
 // each server for average, and hearsay of a good past would make its first bad news count for less.
-func heard(v snapshot.Server, s *snapshot.Snapshot, now float64) (h decision.Heard, ok bool) {
+func heard(v snapshot.Server, s *snapshot.Snapshot, now float64) (h decision.PeerObservation, ok bool) {
 	// Times within a snapshot that lie behind its end are no times.
 	at := func(t float64) float64 { return math.Min(t, s.Written) }
 	age := func(t float64) float64 { return now - at(t) }
-	h = decision.Heard{Server: v.ID, At: math.Min(at(math.Max(v.FailedAt, v.PaceAt)), now), Load: decision.NoLoad}
+	h = decision.PeerObservation{Server: v.ID, At: math.Min(at(math.Max(v.FailedAt, v.PaceAt)), now), LoadReport: decision.NoLoadReport}
 	if worth := half(age(v.FailedAt), illHalf); v.FailedAt > 0 && v.Failed >= illFrom && worth*v.Failed >= leastWorth {
-		h.Failed, h.Weight, ok = v.Failed, worth, true
+		h.FailureRatio, h.Weight, ok = v.Failed, worth, true
 	}
 	if worth := half(age(v.PaceAt), illHalf); v.PaceAt > 0 && s.Pace > 0 && v.Pace > slowFrom*s.Pace && worth >= leastWorth {
-		h.Pace, ok = s.Pace+(v.Pace-s.Pace)*worth, true
+		h.ServiceTime, ok = s.Pace+(v.Pace-s.Pace)*worth, true
 	}
 	if v.LoadAt > 0 && age(v.LoadAt) <= reportMost && age(v.LoadAt) >= 0 {
-		h.Load, h.LoadAt, ok = v.Load, math.Min(v.LoadAt, s.Written), true
+		h.LoadReport, h.LoadReportedAt, ok = v.Load, math.Min(v.LoadAt, s.Written), true
 	}
 	return h, ok
 }
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -14,29 +14,29 @@
 // taught is a snapshot written at 1000 by one that saw a quick, a slow and a failing server, and one that is cold.
 func taught() *snapshot.Snapshot {
 	l := recovery.NewLearner()
-	l.List(decision.List{Mode: decision.ListFull, Servers: []decision.Server{
+	l.List(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{
 		{ID: "quick"}, {ID: "slow"}, {ID: "fails"}, {ID: "cold", Started: 995}, {ID: "left"}}})
 	for i := range 100 {
 		now := 990 + 0.1*float64(i)
-		l.Saw(now, "quick", decision.OK, 0.01, decision.Load{Busy: 0.2})
-		l.Saw(now, "slow", decision.OK, 0.08, decision.NoLoad)
-		l.Saw(now, "fails", decision.Error, 0.001, decision.NoLoad)
-		l.Saw(now, "cold", decision.OK, 0.02, decision.NoLoad)
-		l.Saw(now, "left", decision.OK, 0.02, decision.NoLoad)
-		l.Saw(now, "unheard-of", decision.OK, 0.02, decision.NoLoad)
+		l.Saw(now, "quick", decision.OK, 0.01, decision.LoadReport{Utilization: 0.2})
+		l.Saw(now, "slow", decision.OK, 0.08, decision.NoLoadReport)
+		l.Saw(now, "fails", decision.Error, 0.001, decision.NoLoadReport)
+		l.Saw(now, "cold", decision.OK, 0.02, decision.NoLoadReport)
+		l.Saw(now, "left", decision.OK, 0.02, decision.NoLoadReport)
+		l.Saw(now, "unheard-of", decision.OK, 0.02, decision.NoLoadReport)
 	}
 	return l.Snapshot(1000)
 }
 
 var list = []decision.Server{{ID: "quick"}, {ID: "slow"}, {ID: "fails"}, {ID: "cold", Started: 995}}
 
-func restored(s *snapshot.Snapshot, list []decision.Server, now float64) (m map[string]decision.Heard, fleet *decision.Remembered) {
-	m = map[string]decision.Heard{}
+func restored(s *snapshot.Snapshot, list []decision.Server, now float64) (m map[string]decision.PeerObservation, fleet *decision.RestoredState) {
+	m = map[string]decision.PeerObservation{}
 	for _, e := range recovery.Restore(s, list, now) {
 		switch e := e.(type) {
-		case decision.Heard:
+		case decision.PeerObservation:
 			m[e.Server] = e
-		case decision.Remembered:
+		case decision.RestoredState:
 			fleet = &e
 		}
 	}
@@ -48,12 +48,12 @@
 	require.Len(t, s.Servers, 5, "nothing of a server that no list named")
 	m, fleet := restored(s, list, 1001)
 	require.NotNil(t, fleet)
-	require.InDelta(t, s.Peak, fleet.Peak, 0.05*s.Peak)
-	require.Zero(t, m["quick"].Pace, "that it was quick is not told")
-	require.Greater(t, m["slow"].Pace, 0.06)
-	require.Greater(t, m["fails"].Failed*m["fails"].Weight, 0.9)
+	require.InDelta(t, s.Peak, fleet.PeakThroughput, 0.05*s.Peak)
+	require.Zero(t, m["quick"].ServiceTime, "that it was quick is not told")
+	require.Greater(t, m["slow"].ServiceTime, 0.06)
+	require.Greater(t, m["fails"].FailureRatio*m["fails"].Weight, 0.9)
 	require.Zero(t, m["slow"].Weight)
-	require.Equal(t, 0.2, m["quick"].Load.Busy)
+	require.Equal(t, 0.2, m["quick"].LoadReport.Utilization)
 	require.NotContains(t, m, "left", "no longer on the list")
 }
 
@@ -62,9 +62,9 @@
 	s := taught()
 	m, fleet := restored(s, list, 1020)
 	require.NotContains(t, m, "quick", "its report is worth no word any more")
-	require.Greater(t, m["slow"].Pace, s.Pace)
+	require.Greater(t, m["slow"].ServiceTime, s.Pace)
 	require.InDelta(t, 0.5, m["fails"].Weight, 0.02)
-	require.Less(t, fleet.Peak, 0.7*s.Peak)
+	require.Less(t, fleet.PeakThroughput, 0.7*s.Peak)
 	m, fleet = restored(s, list, 1200)
 	require.Empty(t, m)
 	require.Nil(t, fleet)
@@ -84,27 +84,27 @@
 		require.Empty(t, m, what)
 	}
 	l := recovery.NewLearner() // nor while it learns
-	l.List(decision.List{Mode: decision.ListFull, Servers: []decision.Server{{ID: "a"}, {ID: "b"}}})
-	l.Saw(10, "a", decision.OK, 0.01, decision.NoLoad)
-	l.Saw(10, "b", decision.OK, 0.01, decision.NoLoad)
-	l.List(decision.List{Servers: []decision.Server{{ID: "a", Started: 11}, {ID: "b", State: decision.Removed}}})
+	l.List(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{{ID: "a"}, {ID: "b"}}})
+	l.Saw(10, "a", decision.OK, 0.01, decision.NoLoadReport)
+	l.Saw(10, "b", decision.OK, 0.01, decision.NoLoadReport)
+	l.List(decision.EndpointUpdate{Servers: []decision.Server{{ID: "a", Started: 11}, {ID: "b", State: decision.Removed}}})
 	require.Empty(t, l.Snapshot(12).Servers)
 }
 
 // A server that hangs is remembered by what was given up there; a slow one that answers meanwhile is not ill for it.
 func TestAHangIsRemembered(t *testing.T) {
 	l := recovery.NewLearner()
-	l.List(decision.List{Mode: decision.ListFull, Servers: []decision.Server{{ID: "well"}, {ID: "hangs"}, {ID: "slow"}}})
+	l.List(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{{ID: "well"}, {ID: "hangs"}, {ID: "slow"}}})
 	for i := range 30 {
 		now := 100 + 0.1*float64(i)
-		l.Saw(now, "well", decision.OK, 0.01, decision.NoLoad)
-		l.Saw(now, "slow", decision.OK, 0.2, decision.NoLoad)
-		l.Saw(now+0.01, "slow", decision.Cancelled, 0.2, decision.NoLoad)
-		l.Saw(now, "hangs", decision.TimedOut, 0.4, decision.NoLoad)
-		l.Saw(now, "well", decision.Cancelled, 0.005, decision.NoLoad) // no longer needed
+		l.Saw(now, "well", decision.OK, 0.01, decision.NoLoadReport)
+		l.Saw(now, "slow", decision.OK, 0.2, decision.NoLoadReport)
+		l.Saw(now+0.01, "slow", decision.Cancelled, 0.2, decision.NoLoadReport)
+		l.Saw(now, "hangs", decision.TimedOut, 0.4, decision.NoLoadReport)
+		l.Saw(now, "well", decision.Cancelled, 0.005, decision.NoLoadReport) // no longer needed
 	}
 	m, _ := restored(l.Snapshot(103), []decision.Server{{ID: "well"}, {ID: "hangs"}, {ID: "slow"}}, 103.5)
-	require.Greater(t, m["hangs"].Weight*m["hangs"].Failed, 0.9)
+	require.Greater(t, m["hangs"].Weight*m["hangs"].FailureRatio, 0.9)
 	require.Zero(t, m["slow"].Weight)
 	require.Zero(t, m["well"].Weight)
 }
@@ -117,8 +117,8 @@
 	require.Empty(t, recovery.Stale(s, 999.8), "within what clocks differ")
 	s.Servers[0].FailedAt, s.Servers[0].PaceAt, s.Servers[0].LoadAt = 5000, 5000, 5000 // times from the future
 	for _, e := range recovery.Restore(s, list, 1100) {
-		if h, ok := e.(decision.Heard); ok && h.Server == s.Servers[0].ID {
-			require.Equal(t, decision.NoLoad, h.Load)
+		if h, ok := e.(decision.PeerObservation); ok && h.Server == s.Servers[0].ID {
+			require.Equal(t, decision.NoLoadReport, h.LoadReport)
 			require.Less(t, h.Weight, 0.1)
 		}
 	}
@@ -132,20 +132,20 @@
 		s := &snapshot.Snapshot{Written: num("written"), Pace: num("pace"), Peak: num("peak")}
 		for _, id := range []string{"a", "b", "c"} {
 			s.Servers = append(s.Servers, snapshot.Server{ID: id, Started: num("started"), Pace: num("p"), PaceAt: num("pa"),
-				Failed: rapid.Float64Range(0, 1).Draw(t, "failed"), FailedAt: num("fa"), LoadAt: num("la"), Load: decision.Load{Busy: 1}})
+				Failed: rapid.Float64Range(0, 1).Draw(t, "failed"), FailedAt: num("fa"), LoadAt: num("la"), Load: decision.LoadReport{Utilization: 1}})
 		}
 		list := []decision.Server{{ID: "a", Started: s.Servers[0].Started}, {ID: "b", Started: num("other")},
 			{ID: "c", Started: s.Servers[2].Started, State: decision.Draining}}
 		now := num("now")
 		for _, e := range recovery.Restore(s, list, now) {
 			switch e := e.(type) {
-			case decision.Remembered:
-				if !(e.Peak <= s.Peak && e.Pace == s.Pace) {
+			case decision.RestoredState:
+				if !(e.PeakThroughput <= s.Peak && e.ServiceTime == s.Pace) {
 					t.Fatalf("%+v of %+v", e, s)
 				}
-			case decision.Heard:
+			case decision.PeerObservation:
 				same := e.Server == "a" || e.Server == "b" && list[1].Started == s.Servers[1].Started
-				if !same || e.Weight < 0 || e.Weight > 1 || e.Failed < 0 || e.Failed > 1 || e.At > now || e.LoadAt > now+0.5 || e.Pace < 0 {
+				if !same || e.Weight < 0 || e.Weight > 1 || e.FailureRatio < 0 || e.FailureRatio > 1 || e.At > now || e.LoadReportedAt > now+0.5 || e.ServiceTime < 0 {
 					t.Fatalf("%+v of %+v at %g", e, s, now)
 				}
 			}
@@ -165,12 +165,12 @@
 	for _, remembered := range []float64{0.01, 0.3} {
 		set := decision.Settings{Classes: []decision.Class{{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}}, Brokers: 1, ReplicaSets: 1,
 			ReplicationFactor: 1, MaxPartsPerCall: 1, MaxAttempts: 3, Tick: 0.005, CancelAllowed: true}
-		news := decision.List{Mode: decision.ListFull, Servers: []decision.Server{{ID: "a"}, {ID: "b"}}}
+		news := decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{{ID: "a"}, {ID: "b"}}}
 		l := recovery.NewLearner()
 		l.List(news)
 		for i := range 50 {
-			l.Saw(100+0.1*float64(i), "a", decision.OK, remembered, decision.NoLoad)
-			l.Saw(100+0.1*float64(i), "b", decision.OK, 0.02, decision.NoLoad)
+			l.Saw(100+0.1*float64(i), "a", decision.OK, remembered, decision.NoLoadReport)
+			l.Saw(100+0.1*float64(i), "b", decision.OK, 0.02, decision.NoLoadReport)
 		}
 		p, now := decision.New(set, 3), 108.0
 		p.Handle(now, append([]decision.Event{news}, recovery.Restore(l.Snapshot(105), news.Servers, now)...))
@@ -179,7 +179,7 @@
 			now += 0.3
 			q := decision.RequestID(10 * (i + 1))
 			for _, a := range p.Handle(now, []decision.Event{decision.Query{ID: q, Number: int64(q), Parts: 1, Deadline: now + 2},
-				decision.Part{ID: q + 1, Number: int64(q), Weight: 1}}) {
+				decision.Part{ID: q + 1, QueryNumber: int64(q), Weight: 1}}) {
 				if s, ok := a.(decision.Send); ok {
 					latency := 0.02
 					if s.Server == "a" && remembered < 0.1 {
@@ -189,7 +189,7 @@
 						toA++
 					}
 					now += latency
-					p.Handle(now, []decision.Event{decision.Ended{ID: s.ID, Server: s.Server, Latency: latency, Closed: true, Load: decision.NoLoad}})
+					p.Handle(now, []decision.Event{decision.AttemptFinished{ID: s.ID, Server: s.Server, Latency: latency, PartConcluded: true, LoadReport: decision.NoLoadReport}})
 				}
 			}
 		}
@@ -207,11 +207,11 @@
 	set := decision.Settings{Classes: []decision.Class{{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}}, Brokers: 1, ReplicaSets: 1,
 		ReplicationFactor: 1, MaxPartsPerCall: 1, MaxAttempts: 3, Tick: 0.005, CancelAllowed: true}
 	l := recovery.NewLearner()
-	news := decision.List{Mode: decision.ListFull, Servers: []decision.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
+	news := decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
 	l.List(news)
 	for i := range 60 {
 		for _, s := range news.Servers {
-			l.Saw(100+0.1*float64(i), s.ID, decision.Reset, 0.001, decision.NoLoad)
+			l.Saw(100+0.1*float64(i), s.ID, decision.Reset, 0.001, decision.NoLoadReport)
 		}
 	}
 	p := decision.New(set, 1)
@@ -222,10 +222,10 @@
 		now += 0.02
 		q := decision.RequestID(10 * (i + 1))
 		for _, a := range p.Handle(now, []decision.Event{decision.Query{ID: q, Number: int64(q), Parts: 1, Deadline: now + 2},
-			decision.Part{ID: q + 1, Number: int64(q), Weight: 1}}) {
+			decision.Part{ID: q + 1, QueryNumber: int64(q), Weight: 1}}) {
 			if s, ok := a.(decision.Send); ok {
 				served++
-				p.Handle(now+0.01, []decision.Event{decision.Ended{ID: s.ID, Server: s.Server, Latency: 0.01, Closed: true, Load: decision.NoLoad}})
+				p.Handle(now+0.01, []decision.Event{decision.AttemptFinished{ID: s.ID, Server: s.Server, Latency: 0.01, PartConcluded: true, LoadReport: decision.NoLoadReport}})
 			}
 		}
 	}
--- a/internal/scale/decision.go
+++ b/internal/scale/decision.go
@@ -72,7 +72,7 @@
 // duePart is an answer on its way.
 type duePart struct {
 	at    float64
-	ended decision.Ended
+	ended decision.AttemptFinished
 }
 
 type dueParts []duePart
@@ -92,7 +92,7 @@
 	c := &client{module: decision.New(targetSettings(servers, TargetBrokers), seed),
 		rng: rand.New(rand.NewPCG(seed, 11)), servers: servers, parts: parts, now: 100,
 		sent: map[decision.RequestID]int{}}
-	c.handle([]decision.Event{decision.List{Mode: decision.ListFull, Version: 1, Servers: targetList(servers)}})
+	c.handle([]decision.Event{decision.EndpointUpdate{Mode: decision.FullUpdate, Version: 1, Servers: targetList(servers)}})
 	return c
 }
 
@@ -105,7 +105,7 @@
 	first := c.rng.IntN(c.servers)
 	for i := range c.parts {
 		c.nextID++
-		events = append(events, decision.Part{ID: c.nextID, Number: c.number, Shard: (first + i) % c.servers,
+		events = append(events, decision.Part{ID: c.nextID, QueryNumber: c.number, Shard: (first + i) % c.servers,
 			Weight: 1 / float64(c.parts)})
 	}
 	return events
@@ -137,11 +137,11 @@
 		case decision.Send:
 			c.sends++
 			latency := AssumedWork * (0.5 + c.rng.Float64())
-			heap.Push(&c.due, duePart{c.now + latency, decision.Ended{ID: a.ID, Attempt: c.sent[a.ID], Server: a.Server,
-				Status: decision.OK, Latency: latency, Closed: true,
-				Load: decision.Load{InFlight: 1, Queue: -1, Busy: 0.3, Latency: -1, Rate: -1, ErrorRate: -1}}})
+			heap.Push(&c.due, duePart{c.now + latency, decision.AttemptFinished{ID: a.ID, Attempt: c.sent[a.ID], Server: a.Server,
+				Status: decision.OK, Latency: latency, PartConcluded: true,
+				LoadReport: decision.LoadReport{InFlight: 1, QueueLength: -1, Utilization: 0.3, Latency: -1, Rate: -1, ErrorRate: -1}}})
 			c.sent[a.ID]++
-		case decision.Answer:
+		case decision.Respond:
 			c.answers++
 		}
 	}
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -146,7 +146,7 @@
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if l.Mode == decision.ListFull {
+	if l.Mode == decision.FullUpdate {
 		t.wholes++
 		return
 	}
--- a/internal/scale/service.go
+++ b/internal/scale/service.go
@@ -44,7 +44,7 @@
 }
 
 func (c *core) update() {
-	c.Update(broker.List{Mode: decision.ListFull, Version: 1, Servers: c.known})
+	c.Update(broker.List{Mode: decision.FullUpdate, Version: 1, Servers: c.known})
 }
 
 func (c *core) stop() error {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -49,7 +49,7 @@
 	PaceAt   float64
 	Failed   float64 // share of failed attempts
 	FailedAt float64
-	Load     decision.Load
+	Load     decision.LoadReport
 	LoadAt   float64 // 0: no report has come
 }
 
@@ -80,7 +80,7 @@
 		p := &snapshotpb.Server{Id: v.ID, Started: v.Started, Pace: v.Pace, PaceAt: v.PaceAt, Failed: v.Failed, FailedAt: v.FailedAt}
 		if v.LoadAt > 0 {
 			l := v.Load
-			p.Report = &snapshotpb.Report{At: v.LoadAt, InFlight: l.InFlight, Queue: l.Queue, Busy: l.Busy,
+			p.Report = &snapshotpb.Report{At: v.LoadAt, InFlight: l.InFlight, Queue: l.QueueLength, Busy: l.Utilization,
 				Latency: l.Latency, Rate: l.Rate, ErrorRate: l.ErrorRate}
 		}
 		m.Servers = append(m.Servers, p)
@@ -134,10 +134,10 @@
 	}
 	seen := make(map[string]bool, len(m.Servers))
 	for _, p := range m.Servers {
-		v := Server{ID: p.Id, Started: p.Started, Pace: p.Pace, PaceAt: p.PaceAt, Failed: p.Failed, FailedAt: p.FailedAt, Load: decision.NoLoad}
+		v := Server{ID: p.Id, Started: p.Started, Pace: p.Pace, PaceAt: p.PaceAt, Failed: p.Failed, FailedAt: p.FailedAt, Load: decision.NoLoadReport}
 		if r := p.Report; r != nil {
 			v.LoadAt = r.At
-			v.Load = decision.Load{InFlight: r.InFlight, Queue: r.Queue, Busy: r.Busy, Latency: r.Latency, Rate: r.Rate, ErrorRate: r.ErrorRate}
+			v.Load = decision.LoadReport{InFlight: r.InFlight, QueueLength: r.Queue, Utilization: r.Busy, Latency: r.Latency, Rate: r.Rate, ErrorRate: r.ErrorRate}
 			if !sane(r.At) || math.IsNaN(r.InFlight+r.Queue+r.Busy+r.Latency+r.Rate+r.ErrorRate) {
 				return nil, fmt.Errorf("%w: the report of server %q", ErrContent, v.ID)
 			}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -17,9 +17,9 @@
 	s := &snapshot.Snapshot{Written: 1000, Instance: "n3", Settings: 42, Pace: 0.02, Peak: 31}
 	for i := range servers {
 		v := snapshot.Server{ID: fmt.Sprintf("s-%08x", i), Started: float64(i % 3), Pace: 0.01, PaceAt: 990, Failed: 0.2,
-			FailedAt: 995, Load: decision.NoLoad}
+			FailedAt: 995, Load: decision.NoLoadReport}
 		if i%2 == 0 {
-			v.Load, v.LoadAt = decision.Load{InFlight: 3, Queue: -1, Busy: 0.4, Latency: -1, Rate: -1, ErrorRate: -1}, 999
+			v.Load, v.LoadAt = decision.LoadReport{InFlight: 3, QueueLength: -1, Utilization: 0.4, Latency: -1, Rate: -1, ErrorRate: -1}, 999
 		}
 		s.Servers = append(s.Servers, v)
 	}
@@ -87,7 +87,7 @@
 		"a server twice":      func(s *snapshot.Snapshot) { s.Servers[1].ID = s.Servers[0].ID },
 		"a server of no name": func(s *snapshot.Snapshot) { s.Servers[0].ID = "" },
 		"more than all fail":  func(s *snapshot.Snapshot) { s.Servers[0].Failed = 1.5 },
-		"no report":           func(s *snapshot.Snapshot) { s.Servers[0].Load.Busy = math.NaN() },
+		"no report":           func(s *snapshot.Snapshot) { s.Servers[0].Load.Utilization = math.NaN() },
 	} {
 		s := example(3)
 		change(s)
--- a/internal/upstream/pace_test.go
+++ b/internal/upstream/pace_test.go
@@ -37,7 +37,7 @@
 	out := make(calls, 1)
 	b := broker.New(broker.Options{Settings: decision.Settings{Classes: []decision.Class{{Deadline: 9, CompletenessThreshold: 1, MinCompleteness: 1}}}}, asks{}, out)
 	go b.Run(t.Context())
-	b.Update(broker.List{Mode: decision.ListFull, Servers: []broker.ListEntry{{Server: decision.Server{ID: "s"}, Addr: "a"}}})
+	b.Update(broker.List{Mode: decision.FullUpdate, Servers: []broker.ListEntry{{Server: decision.Server{ID: "s"}, Addr: "a"}}})
 	b.Take(&broker.Request{ID: "q", Arrived: time.Now(), Patience: patience, Parts: []broker.Part{{Share: 1}}}, nobody{})
 	return <-out
 }
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -181,5 +181,5 @@
 }
 
 func unsent(status decision.Status) broker.Reply {
-	return broker.Reply{Status: status, Load: decision.NoLoad}
+	return broker.Reply{Status: status, Load: decision.NoLoadReport}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -21,7 +21,7 @@
 // script decides what the test says next.
 type script struct {
 	parts chan decision.Part
-	ended chan decision.Ended
+	ended chan decision.AttemptFinished
 	next  chan []decision.Action
 }
 
@@ -30,7 +30,7 @@
 		switch e := e.(type) {
 		case decision.Part:
 			s.parts <- e
-		case decision.Ended:
+		case decision.AttemptFinished:
 			s.ended <- e
 		}
 	}
@@ -59,12 +59,12 @@
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); l.Close() })
-	r := &rig{T: t, l: l, script: script{make(chan decision.Part, 9), make(chan decision.Ended, 999), make(chan []decision.Action, 9)}}
+	r := &rig{T: t, l: l, script: script{make(chan decision.Part, 9), make(chan decision.AttemptFinished, 999), make(chan []decision.Action, 9)}}
 	set := decision.Settings{ReplicaSets: 1, ReplicationFactor: 1, Classes: []decision.Class{
 		{Deadline: 9, CompletenessThreshold: 1, MinCompleteness: 1}, {Deadline: 9, CompletenessThreshold: 1, MinCompleteness: 1, Idempotency: decision.NonIdempotent}}}
 	r.b = broker.New(broker.Options{Settings: set}, r.script, upstream.New(ctx, opt))
 	go r.b.Run(ctx)
-	r.list = broker.List{Mode: decision.ListFull, Servers: []broker.ListEntry{
+	r.list = broker.List{Mode: decision.FullUpdate, Servers: []broker.ListEntry{
 		{Server: decision.Server{ID: "s0"}, Addr: l.Addr().String()}}}
 	r.b.Update(r.list)
 	return r
@@ -145,7 +145,7 @@
 	first.gets('S', "other.0") // the first connection is still of use to others
 	first.sends('R', "other.0 failed 1 inflight=3\n")
 	e := <-r.ended
-	require.Equal(t, []any{other, decision.Error, 3.0}, []any{e.ID, e.Status, e.Load.InFlight})
+	require.Equal(t, []any{other, decision.Error, 3.0}, []any{e.ID, e.Status, e.LoadReport.InFlight})
 	second.sends('R', "q.0 done 1 -\nnew")
 	e = <-r.ended
 	require.Equal(t, []any{id, 1, decision.OK}, []any{e.ID, e.Attempt, e.Status})
@@ -188,7 +188,7 @@
 
 func TestProbes(t *testing.T) {
 	r := newRig(t, options)
-	r.do(decision.Probe{Server: "s0"})
+	r.do(decision.CheckHealth{Server: "s0"})
 	p := r.accept()
 	p.gets('H', "")
 	p.sends('H', "done")
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -170,9 +170,9 @@
 	"withdrawn": decision.Cancelled, "void": decision.NotSent,
 }
 
-var listModes = map[string]decision.ListMode{
-	"patch": decision.ListDelta, "whole": decision.ListFull,
-	"stale_copy": decision.ListCached, "broken": decision.ListFailed,
+var listModes = map[string]decision.UpdateMode{
+	"patch": decision.DeltaUpdate, "whole": decision.FullUpdate,
+	"stale_copy": decision.CachedUpdate, "broken": decision.FailedUpdate,
 }
 
 // item translates one event line. ok is false for kinds that this version does not know.
@@ -193,8 +193,8 @@
 		if !known {
 			f.fail("mode", f.vals["mode"])
 		}
-		l := decision.List{Mode: mode, Version: f.optInteger("version", 0)}
-		if mode != decision.ListFailed {
+		l := decision.EndpointUpdate{Mode: mode, Version: f.optInteger("version", 0)}
+		if mode != decision.FailedUpdate {
 			id := f.integer("rosterId")
 			if f.err == nil && (id < 0 || id >= maxRosters || !d.known[id]) {
 				f.err = f.errorf("field rosterId: no census %d came before", id)
@@ -213,29 +213,29 @@
 			}
 		} else {
 			it.Event = decision.Part{
-				ID: f.request(), Number: f.integer("query"), Shard: int(shard),
+				ID: f.request(), QueryNumber: f.integer("query"), Shard: int(shard),
 				Weight: f.number("measure"), Key: uint64(f.optInteger("entity", 0)),
 				Work: f.optNumber("costS", 0),
 			}
 		}
 	case "begun":
-		it.Event = decision.Started{
+		it.Event = decision.ResponseStarted{
 			ID: f.request(), Attempt: int(f.integer("shot")), Server: f.text("searcher"),
 		}
 	case "finished":
-		it.Event = decision.Ended{
+		it.Event = decision.AttemptFinished{
 			ID: f.request(), Attempt: int(f.integer("shot")), Server: f.text("searcher"),
 			Status: f.status(), Latency: f.optNumber("spentS", 0),
-			Closed: f.optBool("closed"), Load: f.load(),
+			PartConcluded: f.optBool("closed"), LoadReport: f.load(),
 		}
 	case "hangup":
-		it.Event = decision.ClientGone{ID: f.request()}
+		it.Event = decision.ClientDisconnected{ID: f.request()}
 	case "probe_result":
-		it.Event = decision.Probed{
-			Server: f.text("searcher"), Status: f.status(), Latency: f.optNumber("spentS", 0), Load: f.load(),
+		it.Event = decision.HealthChecked{
+			Server: f.text("searcher"), Status: f.status(), Latency: f.optNumber("spentS", 0), LoadReport: f.load(),
 		}
 	case "reminder":
-		it.Event = decision.Timer{Token: uint64(f.integer("nonce"))}
+		it.Event = decision.TimerFired{Token: uint64(f.integer("nonce"))}
 	case "neighbour_says":
 		m := decision.PeerMessage{From: int(f.integer("srcPeer"))}
 		if raw := f.optText("raw", "-"); raw != "-" {
@@ -364,8 +364,8 @@
 }
 
 // load reads a load report: name:value pairs set apart by commas. Unknown names are ignored.
-func (f *fields) load() decision.Load {
-	l := decision.NoLoad
+func (f *fields) load() decision.LoadReport {
+	l := decision.NoLoadReport
 	v := f.optText("stats", "")
 	for v != "" && v != "-" {
 		var pair string
@@ -380,9 +380,9 @@
 		case "rif":
 			l.InFlight = n
 		case "q":
-			l.Queue = n
+			l.QueueLength = n
 		case "busy":
-			l.Busy = n
+			l.Utilization = n
 		case "lat_ms":
 			l.Latency = n / 1000
 		case "rate":
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -56,11 +56,11 @@
 		if a.Timeout != 0 {
 			e.seconds("withinS", a.Timeout)
 		}
-	case decision.Answer:
+	case decision.Respond:
 		e.begin("assemble", mixer)
 		e.integer("msgId", uint64(a.ID))
-		e.flag("complete", a.Whole)
-	case decision.Refuse:
+		e.flag("complete", a.Complete)
+	case decision.Reject:
 		e.begin("decline", mixer)
 		e.integer("msgId", uint64(a.ID))
 		if a.RetryAfter > 0 {
@@ -77,13 +77,13 @@
 		e.begin("after", mixer)
 		e.integer("nonce", a.Token)
 		e.seconds("alarmTimeS", a.At)
-	case decision.Probe:
+	case decision.CheckHealth:
 		e.begin("sample", mixer)
 		e.text("searcher", a.Server)
-	case decision.Watch:
+	case decision.WatchEndpoints:
 		e.begin("observe", mixer)
 		e.flag("complete", a.On)
-	case decision.Fetch:
+	case decision.FetchEndpoints:
 		e.begin("lookup", mixer)
 	case decision.Log:
 		e.begin("record", mixer)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -81,22 +81,22 @@
 const open3 = "open_instance mixer=3 rngSeed=9 profileData=" + profile
 
 func TestEvents(t *testing.T) {
-	const none = "{InFlight:-1 Queue:-1 Busy:-1 Latency:-1 Rate:-1 ErrorRate:-1}"
+	const none = "{InFlight:-1 QueueLength:-1 Utilization:-1 Latency:-1 Rate:-1 ErrorRate:-1}"
 	for _, c := range []struct{ line, want string }{
 		{"new_request mixer=3 msgId=5 entity=9 qos=1 slice=-1 query=2 clientDeadlineS=8.65 isRetry=1 costS=0.01" +
 			" clientGroup=4 update=1 measure=6",
-			"{ID:5 Number:2 Class:1 Tenant:4 Key:9 Parts:6 Deadline:8.65 Retry:true Work:0.01 Write:true Came:0}"},
+			"{ID:5 Number:2 Class:1 Tenant:4 Key:9 Parts:6 Deadline:8.65 Retry:true Work:0.01 Write:true ReceivedAt:0}"},
 		{"new_request measure=0.125 query=2 slice=7 msgId=6 mixer=3 future=x",
-			"{ID:6 Number:2 Shard:7 Weight:0.125 Key:0 Work:0}"},
+			"{ID:6 QueryNumber:2 Shard:7 Weight:0.125 Key:0 Work:0}"},
 		{"begun mixer=3 msgId=6 searcher=a:1 spentS=0.1 shot=1", "{ID:6 Attempt:1 Server:a:1}"},
 		{"finished mixer=3 msgId=6 shot=0 searcher=a:1 rc=success spentS=0.0185 closed=1",
-			"{ID:6 Attempt:0 Server:a:1 Status:0 Latency:0.0185 Closed:true Load:" + none + "}"},
+			"{ID:6 Attempt:0 Server:a:1 Status:0 Latency:0.0185 PartConcluded:true LoadReport:" + none + "}"},
 		{"finished mixer=3 msgId=6 shot=2 searcher=a:1 rc=void stats=q:3,busy:0.5,rif:4,lat_ms:90,rate:7,fail_rate:1,x:2",
-			"{ID:6 Attempt:2 Server:a:1 Status:7 Latency:0 Closed:false Load:" +
-				"{InFlight:4 Queue:3 Busy:0.5 Latency:0.09 Rate:7 ErrorRate:1}}"},
+			"{ID:6 Attempt:2 Server:a:1 Status:7 Latency:0 PartConcluded:false LoadReport:" +
+				"{InFlight:4 QueueLength:3 Utilization:0.5 Latency:0.09 Rate:7 ErrorRate:1}}"},
 		{"hangup mixer=3 msgId=5", "{ID:5}"},
 		{"probe_result mixer=3 searcher=a:1 rc=unreachable spentS=0.2",
-			"{Server:a:1 Status:4 Latency:0.2 Load:" + none + "}"},
+			"{Server:a:1 Status:4 Latency:0.2 LoadReport:" + none + "}"},
 		{"reminder mixer=3 nonce=77", "{Token:77}"},
 		{"neighbour_says mixer=3 srcPeer=1 raw=aGk=", "{From:1 Data:[104 105]}"},
 		{"update mixer=3 mode=broken version=4 rosterId=9", "{Mode:3 Version:4 Servers:[]}"},
@@ -136,16 +136,16 @@
 	}{
 		{decision.Send{ID: 6, Server: "a:1", Timeout: 0.08}, "dispatch mixer=3 msgId=6 searcher=a:1 withinS=0.080000"},
 		{decision.Send{ID: 6, Server: "a:1"}, "dispatch mixer=3 msgId=6 searcher=a:1"},
-		{decision.Answer{ID: 5, Whole: true}, "assemble mixer=3 msgId=5 complete=1"},
-		{decision.Answer{ID: 5}, "assemble mixer=3 msgId=5 complete=0"},
-		{decision.Refuse{ID: 5, RetryAfter: 0.5}, "decline mixer=3 msgId=5 notBeforeForS=0.500000"},
-		{decision.Refuse{ID: 5}, "decline mixer=3 msgId=5"},
+		{decision.Respond{ID: 5, Complete: true}, "assemble mixer=3 msgId=5 complete=1"},
+		{decision.Respond{ID: 5}, "assemble mixer=3 msgId=5 complete=0"},
+		{decision.Reject{ID: 5, RetryAfter: 0.5}, "decline mixer=3 msgId=5 notBeforeForS=0.500000"},
+		{decision.Reject{ID: 5}, "decline mixer=3 msgId=5"},
 		{decision.Fail{ID: 5}, "fail mixer=3 msgId=5"},
 		{decision.Cancel{ID: 6, Attempt: 2}, "retract mixer=3 msgId=6 shot=2"},
 		{decision.SetTimer{Token: 77, At: 8.91225}, "after mixer=3 nonce=77 alarmTimeS=8.912250"},
-		{decision.Probe{Server: "a:1"}, "sample mixer=3 searcher=a:1"},
-		{decision.Watch{On: true}, "observe mixer=3 complete=1"},
-		{decision.Fetch{}, "lookup mixer=3"},
+		{decision.CheckHealth{Server: "a:1"}, "sample mixer=3 searcher=a:1"},
+		{decision.WatchEndpoints{On: true}, "observe mixer=3 complete=1"},
+		{decision.FetchEndpoints{}, "lookup mixer=3"},
 		{decision.Log{Line: "two\nlines"}, "record mixer=3 line=two lines"},
 	} {
 		_, reply, err := serve(tick(open3, "reminder mixer=3 nonce=1"), c.action)
