--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -1,68 +1,89 @@
 package decision
 
-// Which queries and parts are refused at their arrival.
+// Which queries and parts are rejected at their arrival.
 
 import (
 	"maps"
 	"math"
 
+	"mothrouter/internal/clientpatience"
+	"mothrouter/internal/completeness"
+	"mothrouter/internal/queueing"
 	"mothrouter/internal/servicetime"
 )
 
 const (
-	admitStale = 0.4  // share of the time to the aim that the expected wait may take, where little is seen
-	admitFresh = 0.4  // and so much more where a server is heard of all the time
-	worthLeast = 0.7  // a narrower margin would refuse what an idle fleet serves at once
-	yieldShare = 0.3  // of that margin, for queries whose aim has passed, where little is seen of the fleet
-	waitsLess  = 0.95 // clients count the time left themselves
-	trialShare = 0.03 // of the parts too long in waiting that are let through
+	admitBlind         = 0.4  // of the time to the objective that the delay may take if little is seen
+	admitInformed      = 0.4  // and this much more where servers are heard of all the time
+	minWeightFactor    = 0.7  // a narrower margin would reject what an idle fleet serves at once
+	missedMargin       = 0.3  // of that margin, for queries past their objective, if little is seen
+	trialProbability   = 0.03 // with which a part that would be late is let through
+	poisonProbability  = 0.05 // so unlikely is it that so many attempts were broken off by chance
+	quarantineDuration = 30.0 // seconds: at size a broker meets such a query only once in so long
 )
 
-// known tells that a query like this one has broken its servers lately.
-func (p *Policy) known(q *query) bool {
-	maps.DeleteFunc(p.breakers, func(_ uint64, until float64) bool { return p.now > until })
-	return p.breakers[q.fingerprint] > 0
+// admission is what is known of the queries that came before.
+type admission struct {
+	patience                clientpatience.Estimate
+	waits                   clientpatience.Waits
+	poisonQueries           map[uint64]float64 // by fingerprint, queries that broke their servers: until when
+	quarantineUntil         []float64          // by class: until then one part of a query goes ahead
+	totalWeight, totalParts float64            // of all queries so far: priority weight, and parts needed
 }
 
-// wait is how long one more part of a shard is expected to take: harmonic means of its replicas' paces and
-// depths, since the draw avoids slow and deep ones. The share that is silent or cold makes it longer.
-func (p *Policy) wait(shard int) float64 {
-	all, able, idle, share := 0.0, 0.0, 0.0, 0.0
-	p.cells.Holders(shard, func(s *server) {
-		if s.ready() && p.admitsCold(s) {
-			w, pace := p.sound(s)*p.warmth(s), math.Max(p.serviceTime.Of(&s.serviceTime, p.now), 1e-6)
-			all, able = all+1, able+w
-			idle, share = idle+w/pace, share+w/pace/float64(1+s.depth(p.now))
+// breaksServers tells that all attempts of a query have ended, more of them broken off than by chance.
+func (p *Policy) breaksServers(q *query, g progress) bool {
+	return q.resets > 1 && g.Answered == 0 && g.live == 0 && q.phase == firstPhase &&
+		math.Pow(p.fleet.DisconnectRatio, float64(q.resets)) < poisonProbability
+}
+
+// isPoison tells that a query like this one has broken its servers lately.
+func (p *Policy) isPoison(q *query) bool {
+	maps.DeleteFunc(p.poisonQueries, func(_ uint64, until float64) bool { return p.now > until })
+	return p.poisonQueries[q.fingerprint] > 0
+}
+
+// expectedDelay is how long one more part of a shard is expected to take.
+func (p *Policy) expectedDelay(shard int) float64 {
+	var delay queueing.Delay
+	p.replicaSets.Holders(shard, func(s *server) {
+		if s.IsReady() && p.admitsSlowStart(s) {
+			capacity := p.usableFraction(s) * p.capacityFraction(s)
+			delay.Add(capacity, p.fleet.ServiceTime.Of(&s.ServiceTime, p.now), s.QueueDepth(p.now))
 		}
 	})
-	if all == 0 {
-		return math.Inf(1)
-	}
-	alone := able / idle
-	return alone + (able/share-alone)*all/able
+	return delay.Expected()
 }
 
-// wouldBeLate tells at a query's arrival that it would not be done within its aim. The less is seen of each
-// server the wider the margin. A few late parts are let through, to learn of its end. Where enough
-// other parts make an answer, only late ones are left out. Late repeats yield. Worth widens the margin.
-func (p *Policy) wouldBeLate(q *query) bool {
-	left, limit := 0.0, (admitStale+admitFresh/p.serviceTime.HalfLife)*(q.aim-p.now)
-	parts := q.class.CompletenessThreshold * float64(len(q.parts))
-	if !p.set.WeightByWork && q.class.PriorityWeight > 0 {
-		p.worthAsked, p.partsAsked = p.worthAsked+q.class.PriorityWeight, p.partsAsked+parts
-		relativeWorth := q.class.PriorityWeight / parts * p.partsAsked / p.worthAsked
-		limit = math.Min(limit*math.Max(math.Sqrt(relativeWorth), worthLeast), q.aim-p.now)
+// delayLimit is the expected delay up to which parts are admitted. The less is seen of each server, the wider
+// the margin. Priority widens it, a missed objective narrows it.
+func (p *Policy) delayLimit(q *query) float64 {
+	left := q.objectiveAt - p.now
+	limit := (admitBlind + admitInformed/p.fleet.ServiceTime.HalfLife) * left
+	if weight := q.class.PriorityWeight; !p.settings.WeightByWork && weight > 0 {
+		parts := q.class.CompletenessThreshold * float64(len(q.parts))
+		p.totalWeight += weight
+		p.totalParts += parts
+		relative := weight / parts * p.totalParts / p.totalWeight
+		limit = math.Min(limit*math.Max(math.Sqrt(relative), minWeightFactor), left)
 	}
-	if q.late {
-		limit *= math.Pow(yieldShare, 1-servicetime.MinHalfLife/p.serviceTime.HalfLife)
-	} else if p.wide(q) {
-		limit = q.aim - p.now // its parts that go ahead tell more
+	if q.objectiveMissed {
+		return limit * math.Pow(missedMargin, 1-servicetime.MinHalfLife/p.fleet.ServiceTime.HalfLife)
+	} else if p.needsCanary(q) {
+		return left // its canary parts tell more
 	}
+	return limit
+}
+
+// admissionRejects tells at a query's arrival that it would miss its objective. Some late parts are let
+// through, to learn of the end of a jam. Where the others are enough, only the late parts are left out.
+func (p *Policy) admissionRejects(q *query) bool {
+	admitted, limit := 0.0, p.delayLimit(q)
 	for _, pt := range q.parts {
-		pt.dropped = p.wait(pt.Shard) > limit && p.rng.Float64() >= trialShare
-		if !pt.dropped {
-			left += pt.Weight
+		pt.givenUp = p.expectedDelay(pt.Shard) > limit && p.rng.Float64() >= trialProbability
+		if !pt.givenUp {
+			admitted += pt.Weight
 		}
 	}
-	return left < math.Min(q.class.MinCompleteness, q.class.CompletenessThreshold)-sumSlack
+	return admitted < math.Min(q.class.MinCompleteness, q.class.CompletenessThreshold)-completeness.Slack
 }
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -9,6 +9,7 @@
 
 import (
 	"mothrouter/internal/retrybudget"
+	"mothrouter/internal/serverstats"
 	"mothrouter/internal/slowstart"
 )
 
@@ -98,12 +99,10 @@
 }
 
 // LoadReport is a server's report of its own load. Absent values are negative.
-type LoadReport struct {
-	InFlight, QueueLength, Utilization, Latency, Rate, ErrorRate float64
-}
+type LoadReport = serverstats.LoadReport
 
 // NoLoadReport is a report without any value.
-var NoLoadReport = LoadReport{-1, -1, -1, -1, -1, -1}
+var NoLoadReport = serverstats.NoLoadReport
 
 // Status is how an attempt or a probe ended.
 type Status int
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -1,127 +1,123 @@
 package decision
 
-// Attempts of parts: when they are sent, given up, copied and repeated.
+// Attempts of parts: when they are sent, cancelled, hedged and retried.
 
-import "math"
+import (
+	"math"
+
+	"mothrouter/internal/completeness"
+)
 
 const (
-	holdPoll     = 0.02 // seconds between looks at parts that no server may take yet
-	aheadTime    = 0.25 // of the time to the aim that others wait for the parts ahead
-	aheadLeast   = 8    // parts that go ahead of a wide query,
-	aheadMiss    = 0.3  // of which this share may be missing then
-	wideParts    = 20   // one of so many goes ahead where that is more
-	wideFrom     = 32   // parts of a wide query
-	wideBlind    = 3.0  // seconds in which a pace is half forgotten, from which a broker sees too little
-	copyTimes    = 1.5  // beyond what nineteen of twenty parts take, so that copies stay rare
-	giveUpTimes  = 3.0  // an attempt given up may run on: its work is lost, so it must be surer
-	passedTimes  = 2.0  // so much later a part was sent that was answered: cores side by side pass often
-	sounderTimes = 4.0  // how much sounder the copy's server must be, beyond chance
+	slowStartPoll      = 0.02 // seconds between looks at parts that no server may take yet
+	hedgePatience      = 1.5  // times the 95th percentile, so that hedges stay rare
+	cancelPatience     = 3.0  // a cancelled attempt may run on: its work is lost, so it must be surer
+	overtakenPatience  = 2.0  // so much later a part was sent that was answered: cores overtake often
+	minHealthAdvantage = 4.0  // times healthier the server of a hedge must be, beyond chance
 )
 
 type attempt struct {
-	srv          *server
-	sentAt       float64
-	live, mayRun bool
-	dropped      bool    // its Cancel is on the way
-	crowd        float64 // this broker's parts at the server then, this one included
+	server      *server
+	sentAt      float64
+	live        bool // in flight
+	mayRun      bool // it may have been executed
+	cancelled   bool
+	concurrency float64 // this broker's parts at the server when it was sent, itself included
 }
 
-// maySend tells whether the rules allow one more attempt of a part, now.
-func (p *Policy) maySend(pt *part) bool {
-	if pt.in || pt.dropped || p.set.MaxAttempts > 0 && len(pt.attempts) >= p.set.MaxAttempts {
+// mayAttempt tells whether the rules allow one more attempt of a part, now.
+func (p *Policy) mayAttempt(pt *part) bool {
+	if pt.answered || pt.givenUp || p.settings.MaxAttempts > 0 && len(pt.attempts) >= p.settings.MaxAttempts {
 		return false
 	}
+	c := pt.query.class
 	for _, a := range pt.attempts {
-		c := pt.q.class
+		if a.live && !p.settings.HedgingAllowed {
+			return false
+		}
 		expired := c.Idempotency == IdempotentWithKey && p.now > a.sentAt+c.IdempotencyWindow-edgeSlack
-		if a.live && !p.set.HedgingAllowed ||
-			(a.live || a.mayRun) && (c.Idempotency == NonIdempotent || expired) {
+		if (a.live || a.mayRun) && (c.Idempotency == NonIdempotent || expired) {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *Policy) sendParts(q *query, in float64) {
-	p.turn++
-	want, stride := in, p.stride(q, in)
+// sendParts sends the parts that may go, until those in flight would make a complete answer.
+func (p *Policy) sendParts(q *query, answered float64) {
+	p.drawRound++
+	stride := p.canaryStride(q, answered)
 	if stride == 0 {
-		p.giveUp(q)
+		p.rejectOrFail(q)
 		return
 	}
-	for i, pt := range q.parts {
-		if pt.in || pt.dropped || i%stride > 0 {
-			continue
-		}
-		if want >= q.class.CompletenessThreshold-sumSlack && q.step == 1 {
-			return // the parts that are out will make a whole answer
-		}
-		overdue := pt.live > 0 && p.overdue(pt)
-		if overdue && !p.set.HedgingAllowed {
-			p.cancelLive(pt) // then another may go
-		}
-		if pt.live > 0 && !(p.set.HedgingAllowed && overdue) {
-			if q.class.CompletenessThreshold > 1-sumSlack || q.step == 2 || !p.late(pt) {
-				want += pt.Weight
-			}
-			continue
-		}
-		if !p.maySend(pt) {
+	expected := answered
+	for i := 0; i < len(q.parts); i += stride {
+		pt := q.parts[i]
+		if pt.answered || pt.givenUp {
 			continue
 		}
-		if pt.live == 0 {
-			want += pt.Weight
+		if q.phase == firstPhase && expected >= q.class.CompletenessThreshold-completeness.Slack {
+			return
 		}
-		if p.set.MaxPartsPerCall <= 1 || len(pt.attempts) > 0 {
-			p.turn++ // nothing to share: a draw of its own
-		}
-		var s *server
-		if len(pt.attempts) == 0 || p.budget.Allows(p.now) {
-			s = p.draw(pt)
-		}
-		if s == nil {
-			p.wakeAt(p.now + holdPoll)
-			continue
+		if p.sendPart(pt) {
+			expected += pt.Weight
 		}
+	}
+}
+
+// sendPart sends an attempt of a part if one is due, and tells whether its answer is counted on.
+func (p *Policy) sendPart(pt *part) (counted bool) {
+	stalled := pt.live > 0 && p.isStalled(pt)
+	if stalled && !p.settings.HedgingAllowed {
+		p.cancelAttempts(pt) // then another may go
+	}
+	if pt.live > 0 && !(stalled && p.settings.HedgingAllowed) {
+		needsAll := pt.query.class.CompletenessThreshold > 1-completeness.Slack
+		return needsAll || pt.query.phase == secondPhase || !p.isSlow(pt)
+	}
+	if !p.mayAttempt(pt) {
+		return false
+	}
+	counted = pt.live == 0
+	if p.settings.MaxPartsPerCall <= 1 || len(pt.attempts) > 0 {
+		p.drawRound++ // there is no call to share: a draw of its own
+	}
+	if s := p.drawReplica(pt); s != nil {
 		p.send(pt, s)
+	} else {
+		p.wakeAt(p.now + slowStartPoll)
 	}
+	return counted
 }
 
-// wide tells of a query that loads much of a fleet of which this broker sees too little to know its state.
-func (p *Policy) wide(q *query) bool {
-	return len(q.parts) >= wideFrom && p.serviceTime.HalfLife > wideBlind && q.step == 1
+func (p *Policy) send(pt *part, s *server) {
+	if len(pt.attempts) > 0 {
+		p.retryBudget.Retry(p.now)
+	}
+	concurrency := float64(1 + s.QueueDepth(p.now))
+	a := attempt{server: s, sentAt: p.now, live: true, mayRun: true, concurrency: concurrency}
+	pt.attempts = append(pt.attempts, a)
+	pt.live++
+	s.Sent(p.now)
+	if p.capacityFraction(s) < 1 {
+		s.slowStartSends = append(s.slowStartSends, p.now)
+	}
+	p.emit(Send{ID: pt.ID, Server: s.ID, Timeout: pt.query.endsAt - p.now})
 }
 
-// stride tells which parts of a query may go: all (1), each so many-th, or none any more (0). Of a wide query
-// a few go ahead, since what was seen of the fleet is old: if they come back late, the rest would not be done
-// in time and make others late. Where queries bring down the servers that begin them, one goes ahead a while.
-func (p *Policy) stride(q *query, in float64) int {
-	cautious := in == 0 && (q.resets > 0 || p.now < p.cautiousUntil[q.Class])
-	if q.spread || !cautious && !p.wide(q) {
-		return 1
-	}
-	until, ahead := q.arrived+aheadTime*(q.aim-q.arrived), max(len(q.parts)/wideParts, aheadLeast)
-	stride, missing := max(len(q.parts)/ahead, 1), 0
-	for i := 0; i < len(q.parts); i += stride {
-		if !q.parts[i].in && !q.parts[i].dropped {
-			missing++
+func (p *Policy) cancelAttempts(pt *part) {
+	for i := range pt.attempts {
+		if a := &pt.attempts[i]; a.live && !a.cancelled && p.settings.CancelAllowed {
+			a.cancelled = true
+			p.emit(Cancel{ID: pt.ID, Attempt: i})
 		}
 	}
-	switch q.spread = p.wide(q) && p.now < until && float64(missing) <= aheadMiss*float64(ahead); {
-	case p.now >= until && p.wide(q):
-		return 0
-	case p.now >= until || q.spread:
-		return 1
-	case cautious:
-		stride = len(q.parts)
-	}
-	p.wakeAt(until)
-	return stride
 }
 
-// late tells that a running attempt takes longer than nearly all do: a spare part, if any, goes instead.
-func (p *Policy) late(pt *part) bool {
-	high := p.latency[pt.q.Class].Quantile(0.95)
+// isSlow tells that the latest attempt takes longer than nearly all do: a spare part, if any, goes instead.
+func (p *Policy) isSlow(pt *part) bool {
+	high := p.fleet.Latencies[pt.query.Query.Class].Quantile(0.95)
 	due := pt.attempts[len(pt.attempts)-1].sentAt + high
 	if p.now < due {
 		p.wakeAt(due)
@@ -129,48 +125,41 @@
 	return high > 0 && p.now >= due
 }
 
-// overdue tells whether a running attempt should make way for another, or have one beside it where copies may
-// be: for longer than patience its server has answered nothing since, or only what was sent later, so that
-// this answer is lost. A slow but living server is left alone: its work would go on.
-func (p *Policy) overdue(pt *part) bool {
-	a, high := &pt.attempts[len(pt.attempts)-1], p.latency[pt.q.Class].Quantile(0.95)
-	stays := pt.q.class.Idempotency != Idempotent || !p.set.CancelAllowed ||
-		len(pt.attempts) >= p.set.MaxAttempts
-	if high == 0 || pt.live != 1 || !a.live || a.dropped || p.now >= pt.q.aim ||
-		!p.set.HedgingAllowed && stays {
+// isStalled tells whether a live attempt should make way for another, or be hedged where that is allowed:
+// its server has long answered nothing since, or only what was sent later, so that this answer is lost. A
+// slow server that answers is left alone: its work would go on.
+func (p *Policy) isStalled(pt *part) bool {
+	a, high := &pt.attempts[len(pt.attempts)-1], p.fleet.Latencies[pt.query.Query.Class].Quantile(0.95)
+	if high == 0 || pt.live != 1 || !a.live || a.cancelled || p.now >= pt.query.objectiveAt {
 		return false
 	}
-	patience, passed := giveUpTimes*high, a.srv.passed > a.sentAt+passedTimes*high
-	if p.set.HedgingAllowed {
-		patience = copyTimes * high
+	patience := hedgePatience * high
+	if !p.settings.HedgingAllowed {
+		if pt.query.class.Idempotency != Idempotent || !p.settings.CancelAllowed ||
+			len(pt.attempts) >= p.settings.MaxAttempts {
+			return false
+		}
+		patience = cancelPatience * high
 	}
 	due := a.sentAt + patience
-	if !passed {
-		due = math.Max(due, a.srv.answeredAt+patience)
+	overtaken := a.server.NewestAnsweredAt > a.sentAt+overtakenPatience*high
+	if !overtaken {
+		due = math.Max(due, a.server.AnsweredAt+patience)
 	}
 	if p.now < due {
 		p.wakeAt(due)
 		return false
 	}
-	better := passed // in a group that is silent as a whole, more sends would only feed the jam
-	p.cells.Holders(pt.Shard, func(s *server) {
-		better = better || s != a.srv && s.ready() && p.sound(s) > sounderTimes*p.sound(a.srv)
-	})
-	return better && p.now+p.latency[pt.q.Class].Quantile(0.5) < pt.q.aim
+	inTime := p.now+p.fleet.Latencies[pt.query.Query.Class].Quantile(0.5) < pt.query.objectiveAt
+	return inTime && (overtaken || p.hasHealthierReplica(pt, a.server))
 }
 
-func (p *Policy) send(pt *part, s *server) {
-	if len(pt.attempts) > 0 {
-		p.budget.Retry(p.now)
-	}
-	a := attempt{srv: s, sentAt: p.now, live: true, mayRun: true, crowd: float64(1 + s.depth(p.now))}
-	pt.attempts = append(pt.attempts, a)
-	pt.live++
-	if s.own++; s.own == 1 || s.busySince <= s.answeredAt { // one that answers owes nothing older
-		s.busySince = p.now
-	}
-	if p.warmth(s) < 1 {
-		s.sends = append(s.sends, p.now)
-	}
-	p.do(Send{ID: pt.ID, Server: s.ID, Timeout: pt.q.end - p.now})
+// hasHealthierReplica tells whether another replica is in much better health: where all of them are silent,
+// more attempts would only feed the jam.
+func (p *Policy) hasHealthierReplica(pt *part, than *server) (found bool) {
+	p.replicaSets.Holders(pt.Shard, func(s *server) {
+		found = found || s != than && s.IsReady() &&
+			p.usableFraction(s) > minHealthAdvantage*p.usableFraction(than)
+	})
+	return found
 }
--- a/internal/decision/differential_test.go
+++ b/internal/decision/differential_test.go
@@ -295,12 +295,12 @@
 			if !reflect.DeepEqual(got, want) {
 				t.Fatalf("day %d, batch %d at %v:\n got %v\nwant %v\nof %v", seed, batch, d.now, got, want, events)
 			}
-			same := policy.fleetBad == plain.fleetBad || max(policy.fleetBad, math.Abs(plain.fleetBad)) < negligible
+			same := policy.fleet.MedianFailureRatio == plain.fleetBad || max(policy.fleet.MedianFailureRatio, math.Abs(plain.fleetBad)) < negligibleRatio
 			windows := math.Min(1, (plain.drawn+2)/(plain.chances+1))
-			if !same || policy.peak.Value != plain.peak || policy.windows.Fraction() != windows ||
-				policy.serviceTime.Mean != plain.pace || policy.serviceTime.HalfLife != plain.memory {
+			if !same || policy.fleet.PeakRate.Value != plain.peak || policy.fleet.SlowStartWindows.Fraction() != windows ||
+				policy.fleet.ServiceTime.Mean != plain.pace || policy.fleet.ServiceTime.HalfLife != plain.memory {
 				t.Fatalf("day %d, batch %d at %v: the fleet's figures differ: median %v, want %v; peak %v, want %v",
-					seed, batch, d.now, policy.fleetBad, plain.fleetBad, policy.peak.Value, plain.peak)
+					seed, batch, d.now, policy.fleet.MedianFailureRatio, plain.fleetBad, policy.fleet.PeakRate.Value, plain.peak)
 			}
 			for _, a := range got {
 				kinds[fmt.Sprintf("%T", a)]++
--- a/internal/decision/health.go
+++ b/internal/decision/health.go
@@ -1,81 +1,83 @@
 package decision
 
-// What outcomes tell of the health of servers, links and the fleet.
+// What the outcomes of attempts tell of servers, links and the fleet.
 
 import (
 	"math"
 	"slices"
 
-	"mothrouter/internal/servicetime"
+	"mothrouter/internal/serverstats"
 )
 
 const (
-	zoneStep        = 0.05  // weight of one outcome in a zone's failed share and in the share cut off
-	badStep         = 0.25  // weight of one outcome in a server's failed share
-	negligible      = 1e-33 // below 2^-108: 1 less a share and such a median rounds as 1 less the share does
-	failureHalfLife = 5.0   // seconds in which a bad mark halves; about a trouble's shortest span
-	failureExponent = 4.0   // a server that fails a third of its parts gets a fifth of its share
-	trustFloor      = 1e-4  // below a sound server's weight however crowded; forgiving brings the trickle
-	silentAfter     = 2.0   // paces without a word before a server is doubted
-	silentLeast     = 0.01  // seconds: shorter ones are chance
+	failureExponent = 4.0  // a server that fails a third of its parts gets a fifth of its share
+	minHealthWeight = 1e-4 // below a healthy server's weight however deep its queue; fading does the rest
+	stallPatience   = 2.0  // service times without an answer before a server is doubted
+	minStall        = 0.01 // seconds: shorter silences are chance
 )
 
-// countOutcome counts an outcome for or against a server, its zone and the links of this broker.
-func (p *Policy) countOutcome(s *server, status Status) {
-	failed, cut := 1.0, 0.0
+// recordOutcome counts an outcome for or against a server.
+func (p *Policy) recordOutcome(s *server, status Status) {
 	switch status {
-	case TimedOut, Cancelled, NotSent:
-		return
 	case OK:
-		failed = 0
+		p.fleet.RecordSuccess(&s.Stats)
+	case Error, Overloaded:
+		p.fleet.RecordFailure(&s.Stats, false)
 	case Reset, Unreachable:
-		cut = 1
+		p.fleet.RecordFailure(&s.Stats, true)
 	}
-	step := math.Max(badStep, servicetime.ObservationWeight(p.now-s.failed.At))
-	p.failed.Count(&s.failed, failed, step, cut > 0)
-	p.cut += zoneStep * (cut - p.cut)
-	s.newsAt = p.now
 }
 
-// trust falls with the share of attempts that lately failed there: a server that fails fast shows a short
-// queue. The draw compares plain shares: a median is itself bad where half of the servers fail. Elsewhere
-// what exceeds the usual counts. It could harm if one class alone fails.
-func (p *Policy) trust(s *server, usual float64) float64 {
-	excess := p.failed.Of(&s.failed) - usual
-	return math.Max(math.Pow(1-math.Max(excess, 0), failureExponent), trustFloor)
+// learnFromAttempt brings an outcome into what is known of its server and the fleet.
+func (p *Policy) learnFromAttempt(a *attempt, q *query, e AttemptFinished) {
+	s := a.server
+	p.recordOutcome(s, e.Status)
+	ended := serverstats.Attempt{
+		Class: q.Query.Class, SentAt: a.sentAt, Latency: e.Latency, Concurrency: a.concurrency,
+	}
+	switch e.Status {
+	case OK:
+		p.fleet.RecordAnswer(&s.Stats, ended, p.usableFraction(s), p.capacityFraction(s) >= 1)
+	case TimedOut:
+		p.fleet.RecordTimeout(&s.Stats, ended, p.usableFraction(s))
+	case Cancelled:
+		p.fleet.RecordCancel(&s.Stats, ended)
+	case Overloaded:
+		p.fleet.RecordOverload(q.class.LatencyObjective, p.usableFraction(s))
+	}
 }
 
-// silenceFactor falls while a server that owes answers is silent for longer than usual: it may hang.
-func (p *Policy) silenceFactor(s *server) float64 {
-	if s.own == 0 || p.serviceTime.Mean == 0 || s.busySince < s.answeredAt {
+// healthWeight falls with the fraction of attempts that lately failed: a server that fails fast shows a
+// short queue. Draws compare plain ratios, since a median is itself high where half of the servers fail.
+// Elsewhere what exceeds the median counts: it could harm if a single class fails.
+func (p *Policy) healthWeight(s *server, median float64) float64 {
+	excess := p.fleet.Failures.Of(&s.Failures) - median
+	return math.Max(math.Pow(1-math.Max(excess, 0), failureExponent), minHealthWeight)
+}
+
+// stallPenalty falls while a server with attempts in flight answers none for longer than usual.
+func (p *Policy) stallPenalty(s *server) float64 {
+	if p.fleet.ServiceTime.Mean == 0 {
 		return 1
 	}
-	silence := (p.now - s.busySince) / math.Max(silentAfter*p.serviceTime.Mean, silentLeast)
-	return math.Min(1, math.Pow(math.Max(silence, 1), -ownLoadExponent))
+	silence := s.Silence(p.now) / math.Max(stallPatience*p.fleet.ServiceTime.Mean, minStall)
+	return math.Min(1, math.Pow(math.Max(silence, 1), -concurrencyExponent))
 }
 
-// sound is how far a server does its work, by what this broker sees.
-func (p *Policy) sound(s *server) float64 { return p.trust(s, p.fleetBad) * p.silenceFactor(s) }
+// usableFraction is how much of its work a server does, by what this broker sees.
+func (p *Policy) usableFraction(s *server) float64 {
+	return p.healthWeight(s, p.fleet.MedianFailureRatio) * p.stallPenalty(s)
+}
 
-// updateFleet takes what all servers are compared with, once a batch.
-func (p *Policy) updateFleet() {
-	ready := p.failed.Len()
-	if ready > 0 {
-		p.fleetBad = p.failed.Median()
-	}
-	warm := ready
-	p.cold = slices.DeleteFunc(p.cold, func(s *server) bool {
-		s.cold = p.set.SlowStart.Duration > 0 && p.now-s.coldSince < p.set.SlowStart.Duration
-		if s.cold && s.ready() {
-			warm += int(p.warmth(s)) - 1 // which is 1 from then on
+// countWarming is how many ready servers have less than their whole capacity.
+func (p *Policy) countWarming() (warming int) {
+	duration := p.settings.SlowStart.Duration
+	p.warmingUp = slices.DeleteFunc(p.warmingUp, func(s *server) bool {
+		s.warming = duration > 0 && p.now-s.warmingSince < duration
+		if s.warming && s.IsReady() {
+			warming += 1 - int(p.capacityFraction(s))
 		}
-		return !s.cold
+		return !s.warming
 	})
-	elapsed := p.now - p.updatedAt
-	p.updatedAt = p.now
-	p.warm = float64(max(warm, len(p.servers)/3, 1))
-	p.windows.Advance(elapsed, float64(ready-warm), p.set.SlowStart.OverloadWindow)
-	p.peak.Advance(p.now, p.warm)
-	p.serviceTime.Advance(elapsed, p.warm)
-	p.failed.SlowHalfLife = p.serviceTime.HalfLife // cut-off links fade as slowly as service times
+	return warming
 }
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -4,136 +4,112 @@
 // unsuitable replicas and draws one in proportion to weight = fitness x factors; docs/design.md tells why.
 
 import (
-	"cmp"
 	"math"
 	"math/rand/v2"
 	"slices"
 
 	"mothrouter/internal/cells"
-	"mothrouter/internal/failures"
+	"mothrouter/internal/clientpatience"
 	"mothrouter/internal/lazyheap"
-	"mothrouter/internal/recent"
 	"mothrouter/internal/retrybudget"
-	"mothrouter/internal/servicetime"
-	"mothrouter/internal/slowstart"
+	"mothrouter/internal/serverstats"
 )
 
-const edgeSlack = 1e-6 // windows count by the microsecond; keep a whole one clear of their edges
+const (
+	edgeSlack  = 1e-6 // windows count by the microsecond; keep a whole one clear of their edges
+	seedStream = 0x9e3779b97f4a7c15
+)
 
 // Policy decides for one broker. It is not safe for concurrent use.
 type Policy struct {
-	set     Settings
-	rng     *rand.Rand
-	now     float64
-	out     []Action
-	servers []*server
-	byID    map[string]*server // looked up, never iterated
-	cells   cells.Index[*server]
-	going   []*server            // gone, with attempts out there
-	cold    []*server            // within their warm-up
-	failed  failures.Shares      // of attempts, by server
-	cut     float64              // averaged share of attempts cut off: refused connections and resets
-	parts   map[RequestID]*part  // looked up, never iterated
-	queries map[int64]*query     // looked up, never iterated
-	byQuery map[RequestID]*query // looked up, never iterated
-	open    []*query
-
-	probeAt, rebuildAt float64 // next round of probes, next rebuild
-	watchAt            float64 // when to ask for the list again; +Inf: subscribed or not needed
-	watchFails, turn   int
-	breakers           map[uint64]float64 // by fingerprint, queries that broke their servers: until when
-	wake, armed        float64            // earliest wish of this batch, earliest timer out
-
-	latency                []recent.Ring           // latest latencies by class
-	cautiousUntil          []float64               // by class: until then one part goes ahead
-	waits                  []float64               // by class: the longest that a client waits for one try
-	leftAges               recent.Ring             // ages of the latest queries whose clients left
-	leaving                float64                 // averaged share of queries whose clients leave
-	budget                 retrybudget.Budget      // of further attempts
-	updatedAt              float64                 // when updateFleet was last called
-	meanFitness            float64                 // what an unreported server counts as
-	fleetBad               float64                 // median share of failed attempts, 0 if negligible
-	news                   *lazyheap.Heap[*server] // those that may be probed; the first has the oldest news
-	numbered               int                     // servers numbered so far
-	serviceTime            servicetime.Fleet       // of a part
-	warm                   float64                 // warm servers, a third of all at least
-	worthAsked, partsAsked float64                 // of all queries so far, and the parts that they needed
-	windows                slowstart.WindowUsage   // of cold servers
-	peak                   slowstart.PeakRate      // of answers of a warm server
+	settings Settings
+	rng      *rand.Rand
+	now      float64
+	actions  []Action // of the present batch
+	wakeTime float64  // earliest time at which the present batch wants to be woken
+	timerAt  float64  // earliest timer that is set; +Inf: none
+	endpoints
+	healthChecks
+	fleet       serverstats.Fleet
+	retryBudget retrybudget.Budget // queries and parts are its requests
+	queryTable
+	admission
+	drawRound int // draws of one round share a variate for each server
 }
 
 // New returns the decisions of one broker. Equal settings, seeds and events give equal actions.
 func New(s Settings, seed uint64) *Policy {
-	n, p := len(s.Classes), &Policy{set: s, rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)),
-		armed: math.Inf(1), meanFitness: 1, byID: map[string]*server{}, breakers: map[uint64]float64{},
-		parts: map[RequestID]*part{}, queries: map[int64]*query{}, byQuery: map[RequestID]*query{}}
-	p.cells = cells.New(s.ReplicaSets, s.ReplicationFactor, number)
-	p.failed = failures.New(failureHalfLife, zoneStep, negligible)
-	p.news = lazyheap.New(func(s *server) float64 { return s.newsAt }, number)
-	p.latency, p.cautiousUntil, p.waits = make([]recent.Ring, n), make([]float64, n), make([]float64, n)
-	p.budget.Settings = s.RetryBudget
+	p := &Policy{settings: s, rng: rand.New(rand.NewPCG(seed, seedStream)), timerAt: math.Inf(1)}
+	p.fleet = serverstats.NewFleet(len(s.Classes))
+	p.retryBudget.Settings = s.RetryBudget
+	p.byID = map[string]*server{}
+	p.replicaSets = cells.New(s.ReplicaSets, s.ReplicationFactor, number)
 	if !s.PollEndpoints {
-		p.watchAt = math.Inf(1)
+		p.pollAt = math.Inf(1)
 	}
+	p.meanFitness = 1
+	p.stalest = lazyheap.New(func(s *server) float64 { return s.ObservedAt }, number)
+	p.queries, p.byQuery, p.parts = map[int64]*query{}, map[RequestID]*query{}, map[RequestID]*part{}
+	p.poisonQueries, p.quarantineUntil = map[uint64]float64{}, make([]float64, len(s.Classes))
 	if !s.RetryAfterSupported {
-		p.set.MaxRetryAfter = 0 // clients would not hear it
+		p.settings.MaxRetryAfter = 0 // clients would not hear it
 	}
 	return p
 }
 
 // Handle takes the events of one moment in their order and returns what to do, in order.
 func (p *Policy) Handle(now float64, events []Event) []Action {
-	p.now, p.failed.Now, p.out, p.wake = now, now, nil, math.Inf(1)
-	p.updateFleet()
+	p.now, p.actions, p.wakeTime = now, nil, math.Inf(1)
+	p.fleet.Advance(now, len(p.servers), p.countWarming(), p.settings.SlowStart.OverloadWindow)
 	for _, e := range events {
-		switch e := e.(type) {
-		case EndpointUpdate:
-			p.onList(e)
-		case Query:
-			p.onQuery(e)
-		case Part:
-			p.onPart(e)
-		case AttemptFinished:
-			p.onEnded(e)
-		case ClientDisconnected:
-			if q := p.byQuery[e.ID]; q != nil {
-				p.leftAges.Add(now - q.arrived)
-				p.leaving += leaveStep * (1 - p.leaving)
-				p.finish(q, nil)
-			}
-		case HealthChecked:
-			p.onProbed(e)
-		case PeerObservation:
-			p.onHeard(e)
-		case RestoredState:
-			p.serviceTime.Mean = cmp.Or(p.serviceTime.Mean, e.ServiceTime)
-			p.peak.Value = math.Max(p.peak.Value, e.PeakThroughput)
-		case FleetResized:
-			p.set.Brokers = e.Brokers
-		case ClassesChanged: // open queries keep their class; waits were for the old deadlines
-			p.set.Classes, p.waits = e.Classes, make([]float64, len(p.waits))
-		case SlowStartLease:
-			if s := p.byID[e.Server]; s != nil {
-				s.allowance, s.sends = &e, nil
-			}
-		case TimerFired:
-			if p.armed <= now+edgeSlack {
-				p.armed = math.Inf(1)
-			}
-		}
+		p.handleEvent(e)
 	}
-	p.upkeep()
-	for _, q := range p.open {
+	p.runPeriodicWork()
+	for _, q := range p.openQueries {
 		p.advance(q)
 	}
-	p.open = slices.DeleteFunc(p.open, func(q *query) bool { return q.ended })
-	if p.wake < p.armed {
-		p.armed = p.wake
-		p.out = append(p.out, SetTimer{Token: 1, At: math.Max(p.wake, now)})
+	p.openQueries = slices.DeleteFunc(p.openQueries, func(q *query) bool { return q.ended })
+	if p.wakeTime < p.timerAt {
+		p.timerAt = p.wakeTime
+		p.emit(SetTimer{Token: 1, At: math.Max(p.wakeTime, now)})
+	}
+	return p.actions
+}
+
+func (p *Policy) handleEvent(e Event) {
+	switch e := e.(type) {
+	case EndpointUpdate:
+		p.onEndpointUpdate(e)
+	case Query:
+		p.onQuery(e)
+	case Part:
+		p.onPart(e)
+	case AttemptFinished:
+		p.onAttemptFinished(e)
+	case ClientDisconnected:
+		p.onClientDisconnected(e)
+	case HealthChecked:
+		p.onHealthChecked(e)
+	case PeerObservation:
+		p.onPeerObservation(e)
+	case RestoredState:
+		p.fleet.Restore(e.ServiceTime, e.PeakThroughput)
+	case FleetResized:
+		p.settings.Brokers = e.Brokers
+	case ClassesChanged: // open queries keep their class; waits were for the old deadlines
+		p.settings.Classes, p.waits = e.Classes, clientpatience.Waits{}
+	case SlowStartLease:
+		if s := p.byID[e.Server]; s != nil {
+			s.lease, s.slowStartSends = &e, nil
+		}
+	case TimerFired:
+		if p.timerAt <= p.now+edgeSlack {
+			p.timerAt = math.Inf(1)
+		}
 	}
-	return p.out
 }
 
-func (p *Policy) do(a Action) { p.out = append(p.out, a) }
+func (p *Policy) emit(a Action) { p.actions = append(p.actions, a) }
 
-func (p *Policy) wakeAt(t float64) { p.wake = math.Min(p.wake, t) }
+// wakeAt has the next batch come at a time at the latest.
+func (p *Policy) wakeAt(t float64) { p.wakeTime = math.Min(p.wakeTime, t) }
--- a/internal/decision/reference_test.go
+++ b/internal/decision/reference_test.go
@@ -16,15 +16,29 @@
 
 // Constants of estimates that have left the module, as they were.
 const (
-	memoryLeast = 1.0
-	memoryMost  = 15.0
-	newsMost    = 0.9
-	newsSpan    = 2.0
-	paceFades   = 10.0
-	paceSpan    = 2.0
-	rateSpan    = 5.0
-	peakSpan    = 60.0
-	coldMargin  = 0.8
+	disconnectThreshold = 0.1
+	missedWaitRatio     = 0.95
+	sumSlack            = 1e-6
+	memoryLeast         = 1.0
+	memoryMost          = 15.0
+	newsMost            = 0.9
+	newsSpan            = 2.0
+	paceFades           = 10.0
+	paceSpan            = 2.0
+	rateSpan            = 5.0
+	peakSpan            = 60.0
+	aggression          = 1.02
+	disconnectWeight    = 0.05
+	failureHalfLife     = 5.0
+	failureWeight       = 0.25
+	minFitness          = 0.01
+	minQueueCeiling     = 8.0
+	negligibleRatio     = 1e-33
+	queueCeilingRatio   = 10.0
+	zoneWeight          = 0.05
+	abandonedLifetime   = 3.0
+	minFanoutForCanary  = 32
+	coldMargin          = 0.8
 )
 
 // refServer is what this broker knows of one server.
@@ -158,7 +172,7 @@
 		case ClientDisconnected:
 			if q := p.byQuery[e.ID]; q != nil {
 				p.leftAges.Add(now - q.arrived)
-				p.leaving += leaveStep * (1 - p.leaving)
+				p.leaving += disconnectWeight * (1 - p.leaving)
 				p.finish(q, nil)
 			}
 		case HealthChecked:
@@ -194,7 +208,7 @@
 func (p *refPolicy) do(a Action)      { p.out = append(p.out, a) }
 func (p *refPolicy) wakeAt(t float64) { p.wake = math.Min(p.wake, t) }
 func (s *refServer) ready() bool      { return s.State == Ready }
-func (p *refPolicy) lead() float64    { return answerLead * math.Max(p.set.Tick, 0.005) }
+func (p *refPolicy) lead() float64    { return respondLeadTicks * math.Max(p.set.Tick, 0.005) }
 
 // ---- the server list ----
 
@@ -281,7 +295,7 @@
 
 // inquire probes, while attempts are often cut off, the server of which news is oldest, one a part at most.
 func (p *refPolicy) inquire() {
-	if !p.set.HealthChecksAllowed || p.cut < probeAbove {
+	if !p.set.HealthChecksAllowed || p.cut < healthCheckThreshold {
 		return
 	}
 	var oldest *refServer
@@ -308,9 +322,9 @@
 		cut = 1
 	}
 	z := &p.zones[s.Zone]
-	s.badShare = p.bad(s) + math.Max(badStep, p.newsStep(s.badAt))*(failed-p.bad(s))
-	z.share = zoneStep*failed + (1-zoneStep)*z.share*math.Exp2(-(p.now-z.at)/failureHalfLife)
-	p.cut += zoneStep * (cut - p.cut)
+	s.badShare = p.bad(s) + math.Max(failureWeight, p.newsStep(s.badAt))*(failed-p.bad(s))
+	z.share = zoneWeight*failed + (1-zoneWeight)*z.share*math.Exp2(-(p.now-z.at)/failureHalfLife)
+	p.cut += zoneWeight * (cut - p.cut)
 	s.cut, s.badAt, s.newsAt, z.at = cut, p.now, p.now, p.now
 }
 
@@ -326,9 +340,9 @@
 		p.watchAt = p.now + math.Max(p.set.PollInterval/2, 1) // in case no reply comes at all
 	}
 	if p.now >= p.probeAt {
-		p.probeAt, p.rebuildAt = p.now+rebuildEvery, p.now
+		p.probeAt, p.rebuildAt = p.now+fitnessInterval, p.now
 		if p.set.ReportMode == ReportPull && p.set.HealthChecksAllowed {
-			p.rebuildAt = p.now + probeSettle
+			p.rebuildAt = p.now + healthCheckTimeout
 			for _, s := range p.servers {
 				if s.ready() {
 					p.do(CheckHealth{s.ID})
@@ -360,11 +374,11 @@
 			sum, n = sum+s.queueOf(), n+1
 		}
 	}
-	ceiling := math.Max(ceilingLeast, ceilingTimes*sum/math.Max(n, 1))
+	ceiling := math.Max(minQueueCeiling, queueCeilingRatio*sum/math.Max(n, 1))
 	for _, s := range p.servers {
 		if s.heardAt > 0 {
 			queue := math.Max(0, 1-s.queueOf()/ceiling)
-			s.fitness = math.Max(queue*math.Pow(aggression, -100*math.Max(s.load.Utilization, 0)), fitnessFloor)
+			s.fitness = math.Max(queue*math.Pow(aggression, -100*math.Max(s.load.Utilization, 0)), minFitness)
 			if s.ready() {
 				total += s.fitness
 			}
@@ -384,12 +398,12 @@
 
 // leisure falls with this broker's own parts in flight. What others pile up there is for speed to see.
 func (s *refServer) leisure(now float64) float64 {
-	return math.Pow(1+float64(s.depth(now)), -ownLoadExponent)
+	return math.Pow(1+float64(s.depth(now)), -concurrencyExponent)
 }
 
 // speed falls with how much longer than the fleet's a server's latest parts took, while that is remembered.
 func (p *refPolicy) speed(s *refServer) float64 {
-	return math.Pow(math.Max(p.paceOf(s)/math.Max(p.pace, 1e-6), speedLeast), -speedExponent)
+	return math.Pow(math.Max(p.paceOf(s)/math.Max(p.pace, 1e-6), minSpeedRatio), -speedExponent)
 }
 
 // paceOf is a server's own pace as far as it is remembered, else the fleet's.
@@ -407,7 +421,7 @@
 	if s.Zone == p.set.Zone || p.set.CrossZoneCost <= 0 {
 		return 1
 	}
-	return farShare
+	return remoteFactor
 }
 
 // trust falls with the share of attempts that lately failed there: a server that fails fast shows a short
@@ -415,7 +429,7 @@
 // what exceeds the usual counts. It could harm if one class alone fails.
 func (p *refPolicy) trust(s *refServer, usual float64) float64 {
 	excess := p.bad(s) - usual
-	return math.Max(math.Pow(1-math.Max(excess, 0), failureExponent), trustFloor)
+	return math.Max(math.Pow(1-math.Max(excess, 0), failureExponent), minHealthWeight)
 }
 
 // bad is the decayed share of failed attempts at a server. It fades towards its zone's: servers that fail
@@ -461,8 +475,8 @@
 	if s.own == 0 || p.pace == 0 || s.busySince < s.answeredAt {
 		return 1
 	}
-	silence := (p.now - s.busySince) / math.Max(silentAfter*p.pace, silentLeast)
-	return math.Min(1, math.Pow(math.Max(silence, 1), -ownLoadExponent))
+	silence := (p.now - s.busySince) / math.Max(stallPatience*p.pace, minStall)
+	return math.Min(1, math.Pow(math.Max(silence, 1), -concurrencyExponent))
 }
 
 // warmth is the share of its capacity that a server surely has: less than 1 while it warms up.
@@ -522,7 +536,7 @@
 func (pt *refPart) tried(s *refServer, now float64) (tried, just bool) {
 	for _, a := range pt.attempts {
 		tried = tried || a.srv == s
-		just = just || a.srv == s && (a.live || now < a.sentAt+holdPoll)
+		just = just || a.srv == s && (a.live || now < a.sentAt+slowStartPoll)
 	}
 	return
 }
@@ -544,13 +558,13 @@
 	}
 	// While many clients leave long before their stated deadline, aim at the time that most of them wait.
 	patience, usual := p.leftAges.Quantile(0.25), p.latency[e.Class].Quantile(0.95)
-	if p.leaving > leaveMany && patience > usual {
+	if p.leaving > disconnectThreshold && patience > usual {
 		q.aim = math.Min(q.aim, q.arrived+patience-lead)
 	}
 	// A client that waits for less than others has asked before: what is left is of the time for all tries.
 	wait := math.Min(e.Deadline-p.now, c.Deadline)
 	p.waits[e.Class] = math.Max(p.waits[e.Class], wait)
-	q.late = wait < waitsLess*p.waits[e.Class] && c.Deadline-wait > c.LatencyObjective
+	q.late = wait < missedWaitRatio*p.waits[e.Class] && c.Deadline-wait > c.LatencyObjective
 	p.queries[e.Number], p.byQuery[e.ID] = q, q
 	p.open = append(p.open, q)
 }
@@ -602,7 +616,7 @@
 	s := a.srv
 	p.mark(s, e.Status)
 	if e.Status == TimedOut || e.Status == Cancelled {
-		s.ghosts = append(s.ghosts, refGhost{a.sentAt, p.now + abandonedSpan})
+		s.ghosts = append(s.ghosts, refGhost{a.sentAt, p.now + abandonedLifetime})
 	}
 	// A full queue counts as a whole aim. Only sound servers tell how fast the fleet is, not a few that hang.
 	took, own := e.Latency/a.crowd, p.paceOf(s)
@@ -640,7 +654,7 @@
 	p.release(q)
 	if final != nil {
 		p.do(final)
-		p.leaving -= leaveStep * p.leaving
+		p.leaving -= disconnectWeight * p.leaving
 	}
 	delete(p.queries, q.Number)
 	delete(p.byQuery, q.ID)
@@ -705,8 +719,8 @@
 		p.giveUp(q)
 	// All its attempts ended, more of them broken off than by chance: it brings down its servers.
 	case q.resets > 1 && in+float64(live) == 0 && q.step == 1 &&
-		math.Pow(p.cut, float64(q.resets)) < breakChance:
-		p.waryUntil[q.Class] = p.now + cautiousFor
+		math.Pow(p.cut, float64(q.resets)) < poisonProbability:
+		p.waryUntil[q.Class] = p.now + quarantineDuration
 		p.breakers[q.print] = q.arrived + c.Deadline
 		p.giveUp(q)
 	case !q.sent && (p.known(q) || p.doomed(q)):
@@ -755,19 +769,19 @@
 // the wider the margin. A few parts are let through, to learn of its end. Where enough other parts make an
 // answer, only doomed ones are left out. Late repeats yield. Queries worth more have a wider margin.
 func (p *refPolicy) doomed(q *refQuery) bool {
-	left, limit := 0.0, (admitStale+admitFresh/p.memory)*(q.aim-p.now)
+	left, limit := 0.0, (admitBlind+admitInformed/p.memory)*(q.aim-p.now)
 	if parts := q.class.CompletenessThreshold * float64(len(q.parts)); !p.set.WeightByWork && q.class.PriorityWeight > 0 {
 		p.worthAsked, p.partsAsked = p.worthAsked+q.class.PriorityWeight, p.partsAsked+parts
 		merit := q.class.PriorityWeight / parts * p.partsAsked / p.worthAsked
-		limit = math.Min(limit*math.Max(math.Sqrt(merit), worthLeast), q.aim-p.now)
+		limit = math.Min(limit*math.Max(math.Sqrt(merit), minWeightFactor), q.aim-p.now)
 	}
 	if q.late {
-		limit *= math.Pow(yieldShare, 1-memoryLeast/p.memory)
+		limit *= math.Pow(missedMargin, 1-memoryLeast/p.memory)
 	} else if p.wide(q) {
 		limit = q.aim - p.now // its parts that go ahead tell more
 	}
 	for _, pt := range q.parts {
-		pt.dropped = p.wait(pt.Shard) > limit && p.rng.Float64() >= trialShare
+		pt.dropped = p.wait(pt.Shard) > limit && p.rng.Float64() >= trialProbability
 		if !pt.dropped {
 			left += pt.Weight
 		}
@@ -839,7 +853,7 @@
 			s = p.draw(pt)
 		}
 		if s == nil {
-			p.wakeAt(p.now + holdPoll)
+			p.wakeAt(p.now + slowStartPoll)
 			continue
 		}
 		p.send(pt, s)
@@ -848,7 +862,7 @@
 
 // wide tells of a query that loads much of a fleet of which this broker sees too little to know its state.
 func (p *refPolicy) wide(q *refQuery) bool {
-	return len(q.parts) >= wideFrom && p.memory > wideBlind && q.step == 1
+	return len(q.parts) >= minFanoutForCanary && p.memory > minBlindHalfLife && q.step == 1
 }
 
 // stride tells which parts of a query may go: all (1), each so many-th, or none any more (0). Of a wide query
@@ -859,14 +873,14 @@
 	if q.spread || !wary && !p.wide(q) {
 		return 1
 	}
-	until, ahead := q.arrived+aheadTime*(q.aim-q.arrived), max(len(q.parts)/wideParts, aheadLeast)
+	until, ahead := q.arrived+canaryTimeFraction*(q.aim-q.arrived), max(len(q.parts)/partsPerCanary, minCanaryParts)
 	stride, missing := max(len(q.parts)/ahead, 1), 0
 	for i := 0; i < len(q.parts); i += stride {
 		if !q.parts[i].in && !q.parts[i].dropped {
 			missing++
 		}
 	}
-	switch q.spread = p.wide(q) && p.now < until && float64(missing) <= aheadMiss*float64(ahead); {
+	switch q.spread = p.wide(q) && p.now < until && float64(missing) <= maxCanaryMissing*float64(ahead); {
 	case p.now >= until && p.wide(q):
 		return 0
 	case p.now >= until || q.spread:
@@ -897,9 +911,9 @@
 	if high == 0 || pt.live != 1 || !a.live || a.dropped || p.now >= pt.q.aim || !p.set.HedgingAllowed && stays {
 		return false
 	}
-	patience, passed := giveUpTimes*high, a.srv.passed > a.sentAt+passedTimes*high
+	patience, passed := cancelPatience*high, a.srv.passed > a.sentAt+overtakenPatience*high
 	if p.set.HedgingAllowed {
-		patience = copyTimes * high
+		patience = hedgePatience * high
 	}
 	due := a.sentAt + patience
 	if !passed {
@@ -911,7 +925,7 @@
 	}
 	better := passed // in a group that is silent as a whole, more sends would only feed the jam
 	p.holders(pt.Shard, func(s *refServer) {
-		better = better || s != a.srv && s.ready() && p.sound(s) > sounderTimes*p.sound(a.srv)
+		better = better || s != a.srv && s.ready() && p.sound(s) > minHealthAdvantage*p.sound(a.srv)
 	})
 	return better && p.now+p.latency[pt.q.Class].Quantile(0.5) < pt.q.aim
 }
--- /dev/null
+++ b/internal/queueing/queueing_test.go
@@ -0,0 +1,40 @@
+package queueing_test
+
+import (
+	"math"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"mothrouter/internal/queueing"
+)
+
+func TestExpectedDelay(t *testing.T) {
+	type server struct {
+		capacity, serviceTime float64
+		queue                 int
+	}
+	for name, c := range map[string]struct {
+		servers []server
+		want    float64
+	}{
+		"none":                     {nil, math.Inf(1)},
+		"one idle":                 {[]server{{1, 0.1, 0}}, 0.1},
+		"one with a queue":         {[]server{{1, 0.1, 3}}, 0.4},
+		"a slow one is avoided":    {[]server{{1, 0.1, 0}, {1, 1e9, 0}}, 0.2},
+		"half of one can be used":  {[]server{{0.5, 0.1, 1}}, 0.3},
+		"no time at all is a time": {[]server{{1, 0, 0}}, 1e-6},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var d queueing.Delay
+			for _, s := range c.servers {
+				d.Add(s.capacity, s.serviceTime, s.queue)
+			}
+			if math.IsInf(c.want, 1) {
+				require.True(t, math.IsInf(d.Expected(), 1))
+				return
+			}
+			require.InDelta(t, c.want, d.Expected(), 1e-8)
+		})
+	}
+}
