--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -104,7 +104,7 @@
 	}
 	others, err := join(peers, p.cfg, p.log, func(n int) {
 		p.waits.Resize(n)
-		p.core.Tell(decision.FleetResized{Brokers: n})
+		p.core.Notify(decision.FleetResized{Brokers: n})
 		if p.revisions != nil {
 			p.revisions.Resize(n)
 		}
@@ -137,12 +137,12 @@
 		return decision.New(set, seed)
 	})
 	if p.files.cores == "" {
-		p.core = broker.New(broker.Options{Settings: p.cfg.Settings, OpenCap: p.cfg.OpenCap, Log: p.log},
+		p.core = broker.New(broker.Options{Settings: p.cfg.Settings, ConcurrencyLimit: p.cfg.ConcurrencyLimit, Log: p.log},
 			decider(0, p.cfg.Settings, p.cfg.Seed), link)
 		return
 	}
 	group := cores.New(cores.Options{
-		Workers: p.workers, Settings: p.cfg.Settings, OpenCap: p.cfg.OpenCap, Seed: p.cfg.Seed, Log: p.log,
+		Workers: p.workers, Settings: p.cfg.Settings, ConcurrencyLimit: p.cfg.ConcurrencyLimit, Seed: p.cfg.Seed, Log: p.log,
 		Decider: decider,
 	}, link)
 	p.core, p.died = group, group.Failed()
--- a/cmd/mothrouter/drained_test.go
+++ b/cmd/mothrouter/drained_test.go
@@ -14,7 +14,7 @@
 	taken int
 }
 
-func (t *taker) Take(*broker.Request, broker.Client) { t.taken++ }
+func (t *taker) Submit(*broker.Request, broker.Client) { t.taken++ }
 
 type answers chan broker.Result
 
@@ -25,10 +25,10 @@
 	inner, refuses := &taker{}, false
 	d := &drained{inner, func() bool { return refuses }, 0.5}
 	a := make(answers, 1)
-	d.Take(&broker.Request{}, a)
+	d.Submit(&broker.Request{}, a)
 	require.Equal(t, 1, inner.taken)
 	refuses = true
-	d.Take(&broker.Request{}, a)
+	d.Submit(&broker.Request{}, a)
 	require.Equal(t, 1, inner.taken)
-	require.Equal(t, broker.Result{Outcome: broker.Refused, RetryAfter: 0.5}, <-a)
+	require.Equal(t, broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}, <-a)
 }
--- a/cmd/mothrouter/process.go
+++ b/cmd/mothrouter/process.go
@@ -32,13 +32,13 @@
 type core interface {
 	front.Core
 	Run(context.Context)
-	Update(broker.List)
+	Update(broker.EndpointUpdate)
 	Drain(context.Context)
-	EndBy(time.Time)
+	SetShutdownDeadline(time.Time)
 	Gauges() (held, entries, avoided int)
-	Tell(decision.Event)
+	Notify(decision.Event)
 	Configure(broker.Change) error
-	Longest() time.Duration
+	LongestDeadline() time.Duration
 }
 
 // process is a broker's process: what it was told, and its running parts as they are put together.
--- a/cmd/mothrouter/serve.go
+++ b/cmd/mothrouter/serve.go
@@ -70,12 +70,12 @@
 	advice  float64
 }
 
-func (d *drained) Take(r *broker.Request, c broker.Client) {
+func (d *drained) Submit(r *broker.Request, c broker.Client) {
 	if d.refuses() {
-		c.Finish(broker.Result{Outcome: broker.Refused, RetryAfter: d.advice})
+		c.Finish(broker.Result{Outcome: broker.Rejected, RetryAfter: d.advice})
 		return
 	}
-	d.core.Take(r, c)
+	d.core.Submit(r, c)
 }
 
 // steered is the process as operators steer it.
--- a/cmd/mothrouter/shutdown.go
+++ b/cmd/mothrouter/shutdown.go
@@ -13,7 +13,7 @@
 func (p *process) end() error {
 	p.log.Info("ending")
 	since, plan := time.Now(), drain.PlanEnd(p.longest())
-	p.core.EndBy(since.Add(plan.Answers))
+	p.core.SetShutdownDeadline(since.Add(plan.Answers))
 	if p.cfg.AcceptFD != 0 { // the socket is not this process's alone: who comes is taken by the next one
 		if err := p.listener.Close(); err != nil {
 			p.log.Warn("the listener did not close", "err", err)
@@ -42,7 +42,7 @@
 // longest is the longest deadline of a class that is in force, or that a query held was taken under.
 func (p *process) longest() time.Duration {
 	if p.revisions != nil {
-		if longest := p.core.Longest(); longest > 0 { // 0: the loop has ended
+		if longest := p.core.LongestDeadline(); longest > 0 { // 0: the loop has ended
 			return longest
 		}
 	}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -19,20 +19,20 @@
 
 // Options are what the broker itself has to know of a deployment.
 type Options struct {
-	Settings decision.Settings
-	OpenCap  int           // queries and parts held at most; 0: no limit
-	Log      *slog.Logger  // nil: the default one
-	ProbeFor time.Duration // how long a probe's answer is waited for
-	Servers  *Servers      // shared with other loops, and told by whoever shares them; nil: its own
-	Open     Quota         // counts queries and parts for several loops together; nil: OpenCap alone counts
+	Settings           decision.Settings
+	ConcurrencyLimit   int                // queries and parts held at most; 0: no limit
+	Log                *slog.Logger       // nil: the default one
+	HealthCheckTimeout time.Duration      // how long a probe's answer is waited for
+	Endpoints          *Endpoints         // shared with other loops, and told by whoever shares them; nil: its own
+	SharedLimiter      ConcurrencyLimiter // counts queries and parts for several loops together; nil: OpenCap alone counts
 }
 
-// Quota is a budget that several loops draw on.
-type Quota interface {
-	// Take takes n, all or nothing.
-	Take(n int) bool
-	// Give gives n back.
-	Give(n int)
+// ConcurrencyLimiter is a budget that several loops draw on.
+type ConcurrencyLimiter interface {
+	// TryAcquire takes n, all or nothing.
+	TryAcquire(n int) bool
+	// Release gives n back.
+	Release(n int)
 }
 
 // Client is a front's end of one query.
@@ -41,17 +41,17 @@
 	Finish(Result)
 }
 
-// Leaver is a Client that wants to know when its query is forgotten without an answer, since it has left.
-type Leaver interface{ Left() }
+// DisconnectObserver is a Client that wants to know when its query is forgotten without an answer, since it has left.
+type DisconnectObserver interface{ Disconnected() }
 
 // Link carries calls and probes to record servers. Its methods are called by the loop and must not block.
 type Link interface {
-	// Send starts a call. The link asks Call.Begin just before the first byte and tells the end by Call.Done.
+	// Send starts a call. The link asks Call.TryStart just before the first byte and tells the end by Call.Finish.
 	Send(*Call)
 	// Cancel tells that a call is over. The link tells the server, if the server may have heard of it.
 	Cancel(*Call)
-	// Probe asks a server how it is.
-	Probe(*Probe)
+	// CheckHealth asks a server how it is.
+	CheckHealth(*HealthCheck)
 }
 
 // Broker is the core. Make it with New, then Run it.
@@ -65,18 +65,18 @@
 	stopped chan struct{}
 
 	// Owned by the loop.
-	batch   []decision.Event
-	lastID  decision.RequestID
-	open    int // queries and parts held
-	queries map[decision.RequestID]*query
-	parts   map[decision.RequestID]*part
-	byName  map[string]*query
-	servers *Servers
-	timers  map[*time.Timer]struct{}
-	idle    []chan struct{} // closed once no query is held
-	endBy   time.Time       // when all must be answered, since the process ends; zero: it does not
-
-	held atomic.Int64 // queries held, for whoever asks
+	batch            []decision.Event
+	lastID           decision.RequestID
+	inFlight         int // queries and parts held
+	queries          map[decision.RequestID]*query
+	parts            map[decision.RequestID]*part
+	byName           map[string]*query
+	endpoints        *Endpoints
+	timers           map[*time.Timer]struct{}
+	idleWaiters      []chan struct{} // closed once no query is held
+	shutdownDeadline time.Time       // when all must be answered, since the process ends; zero: it does not
+
+	inFlightQueries atomic.Int64 // queries held, for whoever asks
 }
 
 // New makes a broker that decides with d and sends by link.
@@ -84,18 +84,18 @@
 	if opt.Log == nil {
 		opt.Log = slog.Default()
 	}
-	if opt.ProbeFor <= 0 {
-		opt.ProbeFor = 250 * time.Millisecond
+	if opt.HealthCheckTimeout <= 0 {
+		opt.HealthCheckTimeout = 250 * time.Millisecond
 	}
-	servers := opt.Servers
+	servers := opt.Endpoints
 	if servers == nil {
-		servers = NewServers()
+		servers = NewEndpoints()
 	}
 	return &Broker{
 		opt: opt, decider: d, link: link, clock: newClock(), log: opt.Log,
 		inbox: inbox{wake: make(chan struct{}, 1)}, stopped: make(chan struct{}),
 		queries: map[decision.RequestID]*query{}, parts: map[decision.RequestID]*part{},
-		byName: map[string]*query{}, servers: servers, timers: map[*time.Timer]struct{}{},
+		byName: map[string]*query{}, endpoints: servers, timers: map[*time.Timer]struct{}{},
 	}
 }
 
@@ -113,7 +113,7 @@
 			return
 		case <-b.inbox.wake:
 		}
-		for _, f := range b.inbox.take() {
+		for _, f := range b.inbox.drain() {
 			f()
 		}
 		b.decide()
@@ -130,7 +130,7 @@
 	wake   chan struct{}
 }
 
-func (i *inbox) take() []func() {
+func (i *inbox) drain() []func() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	funcs := i.funcs
@@ -153,8 +153,8 @@
 	return !closed
 }
 
-// Behind is how many events wait for the loop.
-func (b *Broker) Behind() int {
+// Backlog is how many events wait for the loop.
+func (b *Broker) Backlog() int {
 	b.inbox.mu.Lock()
 	defer b.inbox.mu.Unlock()
 	return len(b.inbox.funcs)
@@ -170,16 +170,16 @@
 			b.perform(a)
 		}
 	}
-	b.held.Store(int64(len(b.queries)))
+	b.inFlightQueries.Store(int64(len(b.queries)))
 	if len(b.queries) == 0 {
-		for _, c := range b.idle {
+		for _, c := range b.idleWaiters {
 			close(c)
 		}
-		b.idle = nil
+		b.idleWaiters = nil
 	}
 }
 
-func (b *Broker) tell(e decision.Event) { b.batch = append(b.batch, e) }
+func (b *Broker) enqueueEvent(e decision.Event) { b.batch = append(b.batch, e) }
 
 // perform carries out one action. What the rules forbid is not done, whoever asks for it.
 func (b *Broker) perform(action decision.Action) {
@@ -187,26 +187,26 @@
 	case decision.Send:
 		b.send(a)
 	case decision.Cancel:
-		if pt := b.parts[a.ID]; pt != nil && pt.live != nil && pt.live.number == a.Attempt {
-			b.giveUp(pt.live, decision.Cancelled)
+		if pt := b.parts[a.ID]; pt != nil && pt.call != nil && pt.call.attempt == a.Attempt {
+			b.abandonCall(pt.call, decision.Cancelled)
 		}
 	case decision.Respond:
 		if q := b.queries[a.ID]; q != nil {
-			b.answer(q, a.Complete)
+			b.respond(q, a.Complete)
 		}
 	case decision.Reject:
 		if q := b.queries[a.ID]; q != nil {
 			b.forget(q) // first: what has not begun by now never will, so that the refusal holds
-			q.client.Finish(q.refusal(a.RetryAfter))
+			q.client.Finish(q.rejection(a.RetryAfter))
 		}
 	case decision.Fail:
 		if q := b.queries[a.ID]; q != nil {
 			b.finish(q, Result{Outcome: Failed})
 		}
 	case decision.SetTimer:
-		b.after(b.clock.until(a.At), func() { b.tell(decision.TimerFired{Token: a.Token}) })
+		b.after(b.clock.until(a.At), func() { b.enqueueEvent(decision.TimerFired{Token: a.Token}) })
 	case decision.CheckHealth:
-		b.probe(a.Server)
+		b.checkHealth(a.Server)
 	case decision.Log:
 		b.log.Info(a.Line)
 	case decision.WatchEndpoints, decision.FetchEndpoints:
@@ -214,8 +214,8 @@
 	}
 }
 
-// Tell hands the Decider an event of a part that runs beside the loop. It does not wait.
-func (b *Broker) Tell(e decision.Event) { b.post(func() { b.tell(e) }) }
+// Notify hands the Decider an event of a part that runs beside the loop. It does not wait.
+func (b *Broker) Notify(e decision.Event) { b.post(func() { b.enqueueEvent(e) }) }
 
 // after runs f on the loop after d. The loop calls it. The timer is the wait's own; the returned function
 // stops it.
@@ -236,10 +236,10 @@
 	}
 }
 
-// Serving tells whether the broker knows record servers and so can serve.
-func (b *Broker) Serving() bool {
+// Ready tells whether the broker knows record servers and so can serve.
+func (b *Broker) Ready() bool {
 	ready := make(chan bool, 1)
-	b.post(func() { ready <- b.servers.Listed() })
+	b.post(func() { ready <- b.endpoints.Known() })
 	select {
 	case r := <-ready:
 		return r
@@ -255,7 +255,7 @@
 	b.inbox.mu.Lock()
 	b.inbox.closed = true
 	b.inbox.mu.Unlock()
-	for _, f := range b.inbox.take() {
+	for _, f := range b.inbox.drain() {
 		func() {
 			defer func() { _ = recover() }() // what killed the loop may stand in here as well
 			f()
@@ -264,16 +264,16 @@
 	for _, q := range b.queries {
 		b.finish(q, Result{Outcome: Failed})
 	}
-	for _, c := range b.idle {
+	for _, c := range b.idleWaiters {
 		close(c)
 	}
-	b.idle = nil
+	b.idleWaiters = nil
 }
 
 // Gauges are what is held and known now: queries, record servers on the list, and those of them that get no work.
 func (b *Broker) Gauges() (held, entries, avoided int) {
-	entries, avoided = b.servers.Count()
-	return int(b.held.Load()), entries, avoided
+	entries, avoided = b.endpoints.Count()
+	return int(b.inFlightQueries.Load()), entries, avoided
 }
 
 // Drain waits until no query is held, or ctx ends.
@@ -284,7 +284,7 @@
 			close(c)
 			return
 		}
-		b.idle = append(b.idle, c)
+		b.idleWaiters = append(b.idleWaiters, c)
 	})
 	select {
 	case <-c:
@@ -305,10 +305,10 @@
 
 func (c clock) now() float64 { return c.at(time.Now()) }
 
-func (c clock) until(t float64) time.Duration { return seconds(t - c.now()) }
+func (c clock) until(t float64) time.Duration { return secondsToDuration(t - c.now()) }
 
-// seconds is a duration of so many; what no duration can hold is the longest one.
-func seconds(s float64) time.Duration {
+// secondsToDuration is a duration of so many; what no duration can hold is the longest one.
+func secondsToDuration(s float64) time.Duration {
 	return time.Duration(max(min(s, maxSeconds), -maxSeconds) * float64(time.Second))
 }
 
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -37,8 +37,8 @@
 
 func (l link) Send(c *broker.Call)   { l.sent <- c }
 func (l link) Cancel(c *broker.Call) { l.cancelled <- c }
-func (l link) Probe(p *broker.Probe) {
-	p.Done(broker.Reply{Status: decision.OK, Load: decision.NoLoadReport})
+func (l link) CheckHealth(p *broker.HealthCheck) {
+	p.Finish(broker.CallResult{Status: decision.OK, LoadReport: decision.NoLoadReport})
 }
 
 type client chan broker.Result
@@ -72,7 +72,7 @@
 			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 1, Idempotency: decision.IdempotentWithKey, IdempotencyWindow: 0.2},
 			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 1, SecondPhaseFanout: 2},
 			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 0.5, SecondPhaseFanout: 2}}}
-	r.b = broker.New(broker.Options{Settings: set, OpenCap: 7}, r.script, r.link)
+	r.b = broker.New(broker.Options{Settings: set, ConcurrencyLimit: 7}, r.script, r.link)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go r.b.Run(ctx)
@@ -82,9 +82,9 @@
 
 // list tells id, cell and state of servers.
 func (r *rig) list(mode decision.UpdateMode, entries ...any) {
-	l := broker.List{Mode: mode}
+	l := broker.EndpointUpdate{Mode: mode}
 	for i := 0; i < len(entries); i += 3 {
-		l.Servers = append(l.Servers, broker.ListEntry{Addr: entries[i].(string), Server: decision.Server{
+		l.Servers = append(l.Servers, broker.Endpoint{Addr: entries[i].(string), Server: decision.Server{
 			ID: entries[i].(string), ReplicaSet: entries[i+1].(int), State: entries[i+2].(decision.State)}})
 	}
 	r.b.Update(l)
@@ -108,13 +108,13 @@
 
 // take hands a query of equal parts at shards 1, 2 ... over and returns the ids of query and first part.
 func (r *rig) take(name string, class, parts int, patience time.Duration) (decision.RequestID, decision.RequestID, client, *broker.Request) {
-	req := &broker.Request{ID: name, Class: class, Arrived: time.Now(), Patience: patience, Text: []byte("x")}
+	req := &broker.Request{ID: name, Class: class, ReceivedAt: time.Now(), Timeout: patience, Payload: []byte("x")}
 	for i := range parts {
-		req.Parts = append(req.Parts, broker.Part{Shard: i + 1, Share: 1 / float64(parts)})
+		req.Parts = append(req.Parts, broker.Part{Shard: i + 1, Weight: 1 / float64(parts)})
 	}
-	require.NoError(r, req.Check(24))
+	require.NoError(r, req.Normalize(24))
 	c := make(client, 1)
-	r.b.Take(req, c)
+	r.b.Submit(req, c)
 	q := event[decision.Query](r)
 	first := event[decision.Part](r).ID
 	for range parts - 1 {
@@ -134,8 +134,8 @@
 	return <-r.sent
 }
 
-func done(status decision.Status) broker.Reply {
-	return broker.Reply{Status: status, Load: decision.NoLoadReport, Value: []byte("v")}
+func done(status decision.Status) broker.CallResult {
+	return broker.CallResult{Status: status, LoadReport: decision.NoLoadReport, Value: []byte("v")}
 }
 
 func TestForbiddenSendsAreStopped(t *testing.T) {
@@ -149,7 +149,7 @@
 	}
 	stopped("unheard-of")
 	stopped("s0") // shard 1 is held by cells 1 and 2
-	r.send(part, "s2").Done(done(decision.OK))
+	r.send(part, "s2").Finish(done(decision.OK))
 	require.Equal(t, decision.OK, event[decision.AttemptFinished](r).Status)
 }
 
@@ -161,12 +161,12 @@
 		r := newRig(t)
 		q, part, c, _ := r.take("q", unsafe, 1, time.Second)
 		call := r.send(part, "s1")
-		require.True(t, call.Begin())
-		call.Done(done(status))
+		require.True(t, call.TryStart())
+		call.Finish(done(status))
 		event[decision.AttemptFinished](r)
 		r.do(decision.Send{ID: part, Server: "s2"})
 		if again {
-			(<-r.sent).Done(done(decision.Overloaded))
+			(<-r.sent).Finish(done(decision.Overloaded))
 		}
 		event[decision.AttemptFinished](r)
 		require.Empty(t, r.sent)
@@ -174,7 +174,7 @@
 		r.do(decision.Reject{ID: q, RetryAfter: 0.5})
 		want := broker.Result{Outcome: broker.Failed}
 		if again {
-			want = broker.Result{Outcome: broker.Refused, RetryAfter: 0.5}
+			want = broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}
 		}
 		require.Equal(t, want, <-c)
 	}
@@ -186,9 +186,9 @@
 	call := r.send(part, "s1")
 	r.do(decision.Send{ID: part, Server: "s2"}) // while one is out
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
-	call.Done(done(decision.Error))
+	call.Finish(done(decision.Error))
 	event[decision.AttemptFinished](r)
-	r.send(part, "s2").Done(done(decision.Error))
+	r.send(part, "s2").Finish(done(decision.Error))
 	event[decision.AttemptFinished](r)
 	r.do(decision.Send{ID: part, Server: "s1"}) // the fourth of three
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
@@ -200,7 +200,7 @@
 	_, part, _, _ := r.take("q", safe, 1, time.Second)
 	waiting := r.send(part, "s1") // no connection yet when the list speaks
 	r.list(decision.DeltaUpdate, "s1", 1, decision.Draining)
-	require.False(t, waiting.Begin())
+	require.False(t, waiting.TryStart())
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	r.do(decision.Send{ID: part, Server: "s1"})
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
@@ -214,16 +214,16 @@
 	r := newRig(t)
 	q, part, c, _ := r.take("q", safe, 1, time.Second)
 	old := r.send(part, "s1")
-	require.True(t, old.Begin())
+	require.True(t, old.TryStart())
 	r.do(decision.Cancel{ID: part, Attempt: 0})
 	require.Equal(t, old, <-r.cancelled)
 	require.Equal(t, decision.Cancelled, event[decision.AttemptFinished](r).Status)
 	young := r.send(part, "s2")
-	old.Done(broker.Reply{Status: decision.OK, Value: []byte("old")})
-	young.Done(broker.Reply{Status: decision.OK, Value: []byte("new")})
+	old.Finish(broker.CallResult{Status: decision.OK, Value: []byte("old")})
+	young.Finish(broker.CallResult{Status: decision.OK, Value: []byte("new")})
 	require.Equal(t, 1, event[decision.AttemptFinished](r).Attempt)
 	r.do(decision.Respond{ID: q, Complete: true})
-	require.Equal(t, broker.Result{Whole: true, Values: []broker.Value{{1, []byte("new")}}}, <-c)
+	require.Equal(t, broker.Result{Complete: true, Values: []broker.Value{{1, []byte("new")}}}, <-c)
 }
 
 func TestWhatWasNeverBegunCannotHaveRun(t *testing.T) {
@@ -232,14 +232,14 @@
 	r.do(decision.Send{ID: part, Server: "s1", Timeout: 0.02})
 	waiting := <-r.sent
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
-	require.False(t, waiting.Begin())
+	require.False(t, waiting.TryStart())
 	r.send(part, "s2")
 }
 
 func TestNoAnswerUnderTheFloor(t *testing.T) {
 	r := newRig(t)
 	q, part, c, _ := r.take("q", partial, 2, time.Second)
-	r.send(part, "s1").Done(done(decision.OK))
+	r.send(part, "s1").Finish(done(decision.OK))
 	event[decision.AttemptFinished](r)
 	r.do(decision.Respond{ID: q, Complete: true}) // half of it: the floor is 0.8
 	require.Equal(t, broker.Result{Outcome: broker.Failed}, <-c)
@@ -247,12 +247,12 @@
 
 func TestAPartialAnswerIsNotMarkedWhole(t *testing.T) {
 	r := newRig(t)
-	req := &broker.Request{ID: "q", Class: partial, Arrived: time.Now(), Patience: time.Second,
-		Parts: []broker.Part{{Shard: 1, Share: 0.85}, {Shard: 2, Share: 0.15}}}
+	req := &broker.Request{ID: "q", Class: partial, ReceivedAt: time.Now(), Timeout: time.Second,
+		Parts: []broker.Part{{Shard: 1, Weight: 0.85}, {Shard: 2, Weight: 0.15}}}
 	c := make(client, 1)
-	r.b.Take(req, c)
+	r.b.Submit(req, c)
 	q := event[decision.Query](r)
-	r.send(event[decision.Part](r).ID, "s1").Done(done(decision.OK))
+	r.send(event[decision.Part](r).ID, "s1").Finish(done(decision.OK))
 	event[decision.AttemptFinished](r)
 	r.do(decision.Respond{ID: q.ID, Complete: true})
 	require.Equal(t, broker.Result{Values: []broker.Value{{1, []byte("v")}}}, <-c)
@@ -261,8 +261,8 @@
 func TestEachQueryEndsInTimeAndOnce(t *testing.T) {
 	r := newRig(t)
 	q, _, c, req := r.take("q", safe, 1, 50*time.Millisecond)
-	require.Equal(t, broker.Overdue, (<-c).Outcome) // the Decider has forgotten it
-	require.Less(t, time.Since(req.Arrived), 50*time.Millisecond)
+	require.Equal(t, broker.DeadlineExceeded, (<-c).Outcome) // the Decider has forgotten it
+	require.Less(t, time.Since(req.ReceivedAt), 50*time.Millisecond)
 	event[decision.ClientDisconnected](r)
 	r.do(decision.Fail{ID: q}, decision.Respond{ID: q}, decision.Reject{ID: q})
 	require.Empty(t, c)
@@ -272,11 +272,11 @@
 	r := newRig(t) // 7 queries and parts
 	_, _, first, req := r.take("q", safe, 4, time.Second)
 	more := make(client, 1)
-	r.b.Take(&broker.Request{ID: "q", Arrived: time.Now(), Patience: time.Second, Parts: make([]broker.Part, 1)}, more)
+	r.b.Submit(&broker.Request{ID: "q", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, more)
 	require.Equal(t, broker.Duplicate, (<-more).Outcome)
-	r.b.Take(&broker.Request{ID: "q2", Arrived: time.Now(), Patience: time.Second, Parts: make([]broker.Part, 2)}, more)
-	require.Equal(t, broker.Result{Outcome: broker.Refused, RetryAfter: 0.5}, <-more)
-	r.b.Leave(req)
+	r.b.Submit(&broker.Request{ID: "q2", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 2)}, more)
+	require.Equal(t, broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}, <-more)
+	r.b.Disconnect(req)
 	event[decision.ClientDisconnected](r)
 	r.take("q", safe, 5, time.Second)
 	require.Empty(t, first)
@@ -285,18 +285,18 @@
 func TestCheckNamesWhatIsWrong(t *testing.T) {
 	for want, change := range map[string]func(*broker.Request){
 		"id":                   func(r *broker.Request) { r.ID = "a b" },
-		"deadline":             func(r *broker.Request) { r.Patience = 0 },
+		"deadline":             func(r *broker.Request) { r.Timeout = 0 },
 		"targets: a":           func(r *broker.Request) { r.Parts = nil },
 		"targets[1].partition": func(r *broker.Request) { r.Parts[1].Shard = 1 },
-		"targets[1].share":     func(r *broker.Request) { r.Parts[1].Share = -1 },
+		"targets[1].share":     func(r *broker.Request) { r.Parts[1].Weight = -1 },
 		"targets[0].est_us":    func(r *broker.Request) { r.Parts[0].Work = -1 },
-		"targets: the shares":  func(r *broker.Request) { r.Parts[0].Share = 0.1 },
+		"targets: the shares":  func(r *broker.Request) { r.Parts[0].Weight = 0.1 },
 	} {
-		r := &broker.Request{ID: "q", Patience: time.Second, Parts: []broker.Part{{Shard: 1, Share: 0.5}, {Shard: 2, Share: 0.4999}}}
-		require.NoError(t, r.Check(24))
-		require.InDelta(t, 1, r.Parts[0].Share+r.Parts[1].Share, 1e-9) // rounded shares still make a whole
+		r := &broker.Request{ID: "q", Timeout: time.Second, Parts: []broker.Part{{Shard: 1, Weight: 0.5}, {Shard: 2, Weight: 0.4999}}}
+		require.NoError(t, r.Normalize(24))
+		require.InDelta(t, 1, r.Parts[0].Weight+r.Parts[1].Weight, 1e-9) // rounded shares still make a whole
 		change(r)
-		require.ErrorContains(t, r.Check(24), want)
+		require.ErrorContains(t, r.Normalize(24), want)
 	}
 }
 
@@ -306,28 +306,28 @@
 	r := newRig(t)
 	_, part, _, req := r.take("q", unsafe, 1, time.Second)
 	waiting := r.send(part, "s1")
-	r.b.Leave(req)
+	r.b.Disconnect(req)
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	event[decision.ClientDisconnected](r)
-	require.False(t, waiting.Begin())
+	require.False(t, waiting.TryStart())
 	require.Same(t, waiting, <-r.cancelled)
 
 	_, part, _, req = r.take("q2", safe, 1, time.Second)
-	req.Left = new(atomic.Bool)
+	req.Disconnected = new(atomic.Bool)
 	waiting = r.send(part, "s1")
-	req.Left.Store(true) // the front knows; the loop is busy
-	require.False(t, waiting.Begin())
+	req.Disconnected.Store(true) // the front knows; the loop is busy
+	require.False(t, waiting.TryStart())
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	r.do(decision.Send{ID: part, Server: "s2"})
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	require.Empty(t, r.sent)
-	r.b.Leave(req)
+	r.b.Disconnect(req)
 	event[decision.ClientDisconnected](r)
 
-	gone := &broker.Request{ID: "q3", Arrived: time.Now(), Patience: time.Second, Parts: []broker.Part{{Shard: 1, Share: 1}}, Left: new(atomic.Bool)}
-	gone.Left.Store(true)
+	gone := &broker.Request{ID: "q3", ReceivedAt: time.Now(), Timeout: time.Second, Parts: []broker.Part{{Shard: 1, Weight: 1}}, Disconnected: new(atomic.Bool)}
+	gone.Disconnected.Store(true)
 	c := make(client, 1)
-	r.b.Take(gone, c)
+	r.b.Submit(gone, c)
 	r.list(decision.DeltaUpdate)
 	require.Empty(t, c)
 	require.Empty(t, r.events, "the Decider has not heard of it")
@@ -339,9 +339,9 @@
 	q, part, c, _ := r.take("q", safe, 1, time.Second)
 	waiting := r.send(part, "s1")
 	r.do(decision.Reject{ID: q, RetryAfter: 0.5})
-	require.Equal(t, broker.Refused, (<-c).Outcome)
+	require.Equal(t, broker.Rejected, (<-c).Outcome)
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
-	require.False(t, waiting.Begin())
+	require.False(t, waiting.TryStart())
 }
 
 // Servers drop repeats for a while only. A repeat that has waited for its connection until that is over must not go.
@@ -349,22 +349,22 @@
 	r := newRig(t)
 	_, part, _, _ := r.take("q", keyed, 1, 2*time.Second)
 	first := r.send(part, "s1")
-	require.True(t, first.Begin())
-	first.Done(done(decision.Reset))
+	require.True(t, first.TryStart())
+	first.Finish(done(decision.Reset))
 	event[decision.AttemptFinished](r)
 	again := r.send(part, "s2") // within the window of 0.2 s
 	time.Sleep(220 * time.Millisecond)
-	require.False(t, again.Begin())
+	require.False(t, again.TryStart())
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	r.do(decision.Send{ID: part, Server: "s1"})
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	require.Empty(t, r.sent)
 
 	_, part, _, _ = r.take("q2", keyed, 1, 2*time.Second)
-	r.send(part, "s1").Done(done(decision.Unreachable)) // cannot have run: no window
+	r.send(part, "s1").Finish(done(decision.Unreachable)) // cannot have run: no window
 	event[decision.AttemptFinished](r)
 	time.Sleep(220 * time.Millisecond)
-	require.True(t, r.send(part, "s2").Begin())
+	require.True(t, r.send(part, "s2").TryStart())
 }
 
 // The process will be killed. What it holds, and what it takes until then, has its answer before: from the parts that
@@ -377,21 +377,21 @@
 func testAllIsAnsweredByTheEnd(t *testing.T) {
 	r := newRig(t)
 	_, part, in, _ := r.take("q", partial, 1, 4*time.Second)
-	r.send(part, "s1").Done(done(decision.OK))
+	r.send(part, "s1").Finish(done(decision.OK))
 	event[decision.AttemptFinished](r)
 	_, part, ran, _ := r.take("q2", unsafe, 1, 4*time.Second)
-	require.True(t, r.send(part, "s1").Begin())
+	require.True(t, r.send(part, "s1").TryStart())
 	end := time.Now().Add(100 * time.Millisecond)
-	r.b.EndBy(end)
+	r.b.SetShutdownDeadline(end)
 	q, _, later, _ := r.take("q3", safe, 1, 4*time.Second)
 	require.NotZero(t, q)
-	require.Equal(t, broker.Result{Whole: true, Values: []broker.Value{{1, []byte("v")}}}, <-in)
+	require.Equal(t, broker.Result{Complete: true, Values: []broker.Value{{1, []byte("v")}}}, <-in)
 	require.Equal(t, broker.Result{Outcome: broker.Failed}, <-ran)
-	require.Equal(t, broker.Result{Outcome: broker.Refused, RetryAfter: 0.5}, <-later)
+	require.Equal(t, broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}, <-later)
 	require.WithinRange(t, time.Now(), end.Add(-50*time.Millisecond), end)
 	last := make(client, 1)
-	r.b.Take(&broker.Request{ID: "q4", Arrived: time.Now(), Patience: time.Second, Parts: make([]broker.Part, 1)}, last)
-	require.Equal(t, broker.Refused, (<-last).Outcome, "at once")
+	r.b.Submit(&broker.Request{ID: "q4", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, last)
+	require.Equal(t, broker.Rejected, (<-last).Outcome, "at once")
 }
 
 // stuck is a client that holds up the loop until the test lets it go.
@@ -405,12 +405,12 @@
 	_, part, _, req := r.take("q", safe, 1, time.Second)
 	waiting := r.send(part, "s1")
 	loop := make(stuck)
-	r.b.Take(req, loop) // a second of its name
+	r.b.Submit(req, loop) // a second of its name
 	<-loop
-	go r.b.Update(broker.List{Mode: decision.DeltaUpdate, Servers: []broker.ListEntry{{Addr: "s1",
+	go r.b.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Servers: []broker.Endpoint{{Addr: "s1",
 		Server: decision.Server{ID: "s1", ReplicaSet: 1, State: decision.Draining}}}})
-	require.Eventually(t, waiting.Server.Leaving, time.Second, time.Millisecond)
-	require.False(t, waiting.Begin())
+	require.Eventually(t, waiting.Server.Unavailable, time.Second, time.Millisecond)
+	require.False(t, waiting.TryStart())
 	loop <- struct{}{}
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 }
@@ -418,21 +418,21 @@
 // A probe that has waited for a connection is asked again like a call.
 func TestNoProbeToAServerThatLeaves(t *testing.T) {
 	r := newRig(t)
-	probes := make(chan *broker.Probe, 1)
+	probes := make(chan *broker.HealthCheck, 1)
 	r.b = broker.New(broker.Options{Settings: decision.Settings{ReplicaSets: 4, ReplicationFactor: 2}}, r.script, keeps{r.link, probes})
 	go r.b.Run(t.Context())
 	r.list(decision.FullUpdate, "s0", 0, decision.Ready, "s1", 1, decision.Ready)
 	r.do(decision.CheckHealth{Server: "s0"}, decision.CheckHealth{Server: "s1"})
 	stays, leaves := <-probes, <-probes
 	r.list(decision.DeltaUpdate, "s1", 1, decision.Draining)
-	require.True(t, stays.Begin())
-	require.False(t, leaves.Begin())
+	require.True(t, stays.TryStart())
+	require.False(t, leaves.TryStart())
 	require.Equal(t, decision.NotSent, event[decision.HealthChecked](r).Status)
 }
 
 type keeps struct {
 	link
-	probes chan *broker.Probe
+	probes chan *broker.HealthCheck
 }
 
-func (k keeps) Probe(p *broker.Probe) { k.probes <- p }
+func (k keeps) CheckHealth(p *broker.HealthCheck) { k.probes <- p }
--- a/internal/broker/call.go
+++ b/internal/broker/call.go
@@ -9,25 +9,25 @@
 
 // Server is a record server as a link sees it.
 type Server struct {
-	ID, Addr string
-	Cell     int
-	leaving  atomic.Bool  // draining or gone; links read it
-	failures atomic.Int64 // attempts that failed since the latest that did not
-	failed   atomic.Int64 // when the latest did, in Unix nanoseconds
+	ID, Addr       string
+	ReplicaSet     int
+	unavailable    atomic.Bool  // draining or gone; links read it
+	failuresInARow atomic.Int64 // attempts that failed since the latest that did not
+	lastFailure    atomic.Int64 // when the latest did, in Unix nanoseconds
 }
 
-// Leaving tells that the server drains or is gone, or that its address has changed.
-func (s *Server) Leaving() bool { return s.leaving.Load() }
+// Unavailable tells that the server drains or is gone, or that its address has changed.
+func (s *Server) Unavailable() bool { return s.unavailable.Load() }
 
-// book counts failures in a row. The counts tell operators what the Decider most likely avoids; nothing is decided
+// recordOutcome counts failures in a row. The counts tell operators what the Decider most likely avoids; nothing is decided
 // by them.
-func (s *Server) book(status decision.Status) {
+func (s *Server) recordOutcome(status decision.Status) {
 	switch status {
 	case decision.OK:
-		s.failures.Store(0)
+		s.failuresInARow.Store(0)
 	case decision.Error, decision.Reset, decision.Unreachable, decision.TimedOut:
-		s.failures.Add(1)
-		s.failed.Store(time.Now().UnixNano())
+		s.failuresInARow.Add(1)
+		s.lastFailure.Store(time.Now().UnixNano())
 	}
 }
 
@@ -37,77 +37,77 @@
 )
 
 func (s *Server) avoided(now time.Time) bool {
-	return s.failures.Load() >= avoidedFailures && now.UnixNano()-s.failed.Load() < int64(avoidedFor)
+	return s.failuresInARow.Load() >= avoidedFailures && now.UnixNano()-s.lastFailure.Load() < int64(avoidedFor)
 }
 
-// Reply is how a call ended, as the link saw it.
-type Reply struct {
-	Status decision.Status
-	Score  int64 // of a served part: those with the highest scores are chosen for a second step
-	Scored bool  // the server told a score
-	Load   decision.LoadReport
-	Value  []byte // of a served part; must outlive the call
+// CallResult is how a call ended, as the link saw it.
+type CallResult struct {
+	Status     decision.Status
+	Score      int64 // of a served part: those with the highest scores are chosen for a second step
+	Scored     bool  // the server told a score
+	LoadReport decision.LoadReport
+	Value      []byte // of a served part; must outlive the call
 }
 
 // Call is one attempt of a part at a record server.
 type Call struct {
-	Query    string // the query's name
-	Shard    int
-	Class    int
-	Unsafe   bool // it must not run twice
-	Text     []byte
-	Second   *FirstStep // of a part of a second step: what the first step brought; nil: a part of the first
-	Server   *Server
-	Addr     string
-	Deadline time.Time
+	Query         string // the query's name
+	Shard         int
+	Class         int
+	NonIdempotent bool // it must not run twice
+	Payload       []byte
+	FirstPhase    *FirstPhase // of a part of a second step: what the first step brought; nil: a part of the first
+	Server        *Server
+	Addr          string
+	Deadline      time.Time
 
-	begin  time.Time // the last moment for its first byte: Deadline, or before that the end of its class's window
-	b      *Broker
-	pt     *part
-	number int
-	sent   float64
-	state  atomic.Int32
-	stop   func() // the time-out's timer; the loop's
+	startBy   time.Time // the last moment for its first byte: Deadline, or before that the end of its class's window
+	b         *Broker
+	pt        *part
+	attempt   int
+	sentAt    float64
+	state     atomic.Int32
+	stopTimer func() // the time-out's timer; the loop's
 }
 
 // The state of a call: bits that are set once and stay set, so that one that is over still tells whether it began.
 const (
-	callWaiting int32 = 0
-	callBegun   int32 = 1 << iota // its first byte is being written, or was
-	callOver
+	callQueued  int32 = 0
+	callStarted int32 = 1 << iota // its first byte is being written, or was
+	callFinished
 )
 
-// Begin is asked just before the first byte of a call is written. If it returns false, nothing may be sent:
+// TryStart is asked just before the first byte of a call is written. If it returns false, nothing may be sent:
 // the call is over, its time or its class's window for repeats is up, its client has gone, or its server drains or is
 // gone. Guards against sends that have waited for a connection longer than the rules allow. What ended here is told
 // to the core.
-func (c *Call) Begin() bool {
-	if !c.MayBegin() {
-		c.Done(Reply{Status: decision.NotSent, Load: decision.NoLoadReport})
+func (c *Call) TryStart() bool {
+	if !c.MayStart() {
+		c.Finish(CallResult{Status: decision.NotSent, LoadReport: decision.NoLoadReport})
 		return false
 	}
-	return c.state.CompareAndSwap(callWaiting, callBegun)
+	return c.state.CompareAndSwap(callQueued, callStarted)
 }
 
-// MayBegin tells whether the rules still allow the first byte of a call, whatever its state: a link asks again where
+// MayStart tells whether the rules still allow the first byte of a call, whatever its state: a link asks again where
 // Begin has returned true and the server took none of its bytes for a while.
-func (c *Call) MayBegin() bool {
-	return !c.Server.Leaving() && !c.pt.q.req.gone() && time.Now().Before(c.begin)
+func (c *Call) MayStart() bool {
+	return !c.Server.Unavailable() && !c.pt.q.req.disconnected() && time.Now().Before(c.startBy)
 }
 
-// Over tells whether nobody waits for the call any more.
-func (c *Call) Over() bool { return c.state.Load()&callOver != 0 }
+// Finished tells whether nobody waits for the call any more.
+func (c *Call) Finished() bool { return c.state.Load()&callFinished != 0 }
 
-// begun tells whether the call may have run, though its end may not have been read yet.
-func (c *Call) begun() bool { return c.state.Load()&callBegun != 0 }
+// started tells whether the call may have run, though its end may not have been read yet.
+func (c *Call) started() bool { return c.state.Load()&callStarted != 0 }
 
-// Done tells how a call ended. Only the first end counts: a late answer to an attempt that was timed out or
+// Finish tells how a call ended. Only the first end counts: a late answer to an attempt that was timed out or
 // cancelled must not end another, nor count.
-func (c *Call) Done(r Reply) {
-	if c.state.Or(callOver)&callOver != 0 {
+func (c *Call) Finish(r CallResult) {
+	if c.state.Or(callFinished)&callFinished != 0 {
 		return
 	}
-	c.b.post(func() { c.b.ended(c, r) })
+	c.b.post(func() { c.b.onCallFinished(c, r) })
 }
 
 // send starts an attempt, if the rules allow it.
@@ -116,53 +116,53 @@
 	if pt == nil {
 		return // its query has ended and nothing of it is out
 	}
-	c := &Call{b: b, pt: pt, number: pt.attempts, sent: b.clock.now()}
+	c := &Call{b: b, pt: pt, attempt: pt.attempts, sentAt: b.clock.now()}
 	pt.attempts++
-	s := b.servers.get(a.Server)
-	if why := b.forbids(pt, s); why != "" {
+	s := b.endpoints.get(a.Server)
+	if why := b.checkRules(pt, s); why != "" {
 		b.log.Warn("a send was stopped", "why", why, "server", a.Server, "query", pt.q.req.ID)
-		b.tell(decision.AttemptFinished{
-			ID: pt.id, Attempt: c.number, Server: a.Server, Status: decision.NotSent,
-			PartConcluded: pt.in || pt.over, LoadReport: decision.NoLoadReport,
+		b.enqueueEvent(decision.AttemptFinished{
+			ID: pt.id, Attempt: c.attempt, Server: a.Server, Status: decision.NotSent,
+			PartConcluded: pt.answered || pt.finished, LoadReport: decision.NoLoadReport,
 		})
 		return
 	}
 	q := pt.q
-	c.Query, c.Shard, c.Class, c.Text, c.Second = q.req.ID, pt.Shard, q.req.Class, q.req.Text, pt.second
-	c.Unsafe = q.class.Idempotency == decision.NonIdempotent
+	c.Query, c.Shard, c.Class, c.Payload, c.FirstPhase = q.req.ID, pt.Shard, q.req.Class, q.req.Payload, pt.firstPhase
+	c.NonIdempotent = q.class.Idempotency == decision.NonIdempotent
 	c.Server, c.Addr = s, s.Addr
 	c.Deadline = q.deadline
-	if t := time.Now().Add(seconds(a.Timeout)); a.Timeout > 0 && t.Before(c.Deadline) {
+	if t := time.Now().Add(secondsToDuration(a.Timeout)); a.Timeout > 0 && t.Before(c.Deadline) {
 		c.Deadline = t
 	}
-	c.begin = c.Deadline
-	if !pt.until.IsZero() && pt.until.Before(c.begin) {
-		c.begin = pt.until
+	c.startBy = c.Deadline
+	if !pt.retryUntil.IsZero() && pt.retryUntil.Before(c.startBy) {
+		c.startBy = pt.retryUntil
 	}
-	pt.live = c
-	c.stop = b.after(time.Until(c.Deadline), func() { b.giveUp(c, decision.TimedOut) })
+	pt.call = c
+	c.stopTimer = b.after(time.Until(c.Deadline), func() { b.abandonCall(c, decision.TimedOut) })
 	b.link.Send(c)
 }
 
-// forbids names the rule that a send would break; "" means that it may go.
-func (b *Broker) forbids(pt *part, s *Server) string {
+// checkRules names the rule that a send would break; "" means that it may go.
+func (b *Broker) checkRules(pt *part, s *Server) string {
 	set := &b.opt.Settings
 	switch {
-	case pt.over || pt.in:
+	case pt.finished || pt.answered:
 		return "the part is over"
-	case pt.live != nil:
+	case pt.call != nil:
 		return "an attempt of the part is out"
 	case set.MaxAttempts > 0 && pt.attempts > set.MaxAttempts:
 		return "the part has had all its attempts"
 	case pt.mayRun && pt.q.class.Idempotency == decision.NonIdempotent:
 		return "the part may have run and must not run twice"
-	case !pt.until.IsZero() && !time.Now().Before(pt.until):
+	case !pt.retryUntil.IsZero() && !time.Now().Before(pt.retryUntil):
 		return "the part may have run and its window for repeats is over"
-	case pt.q.req.gone():
+	case pt.q.req.disconnected():
 		return "the client has gone"
-	case s == nil || s.Leaving():
+	case s == nil || s.Unavailable():
 		return "the server drains, is gone or was never listed"
-	case !holds(set, s.Cell, pt.Shard):
+	case !holdsShard(set, s.ReplicaSet, pt.Shard):
 		return "the server does not hold the shard"
 	case !time.Now().Before(pt.q.deadline):
 		return "the client's time is up"
@@ -170,8 +170,8 @@
 	return ""
 }
 
-// holds tells whether the servers of a cell hold a shard.
-func holds(set *decision.Settings, cell, shard int) bool {
+// holdsShard tells whether the servers of a cell hold a shard.
+func holdsShard(set *decision.Settings, cell, shard int) bool {
 	if set.ReplicaSets <= 0 {
 		return true
 	}
@@ -179,97 +179,97 @@
 	return ahead < max(set.ReplicationFactor, 1)
 }
 
-// giveUp ends the wait for a call. One whose first byte was never written cannot have run.
-func (b *Broker) giveUp(c *Call, status decision.Status) {
-	was := c.state.Or(callOver)
-	if was&callOver != 0 {
+// abandonCall ends the wait for a call. One whose first byte was never written cannot have run.
+func (b *Broker) abandonCall(c *Call, status decision.Status) {
+	was := c.state.Or(callFinished)
+	if was&callFinished != 0 {
 		return // its end is on the way here
 	}
-	if was == callWaiting {
+	if was == callQueued {
 		status = decision.NotSent
 	}
 	b.link.Cancel(c)
-	b.ended(c, Reply{Status: status, Load: decision.NoLoadReport})
+	b.onCallFinished(c, CallResult{Status: status, LoadReport: decision.NoLoadReport})
 }
 
-// ended books the end of a call and tells the Decider.
-func (b *Broker) ended(c *Call, r Reply) {
+// onCallFinished books the end of a call and tells the Decider.
+func (b *Broker) onCallFinished(c *Call, r CallResult) {
 	pt := c.pt
-	c.stop()
-	if r.Status == decision.OK && !r.Scored && pt.ranked() {
+	c.stopTimer()
+	if r.Status == decision.OK && !r.Scored && pt.selectsSecondPhase() {
 		r.Status = decision.Error // the second step could not be chosen by it: a spoilt answer
 	}
-	c.Server.book(r.Status)
-	pt.live = nil
+	c.Server.recordOutcome(r.Status)
+	pt.call = nil
 	switch r.Status {
 	case decision.Overloaded, decision.Unreachable, decision.NotSent:
 	default:
 		// Where servers drop repeats, they do so for a time from the first attempt that may have run.
 		if class := &pt.q.class; !pt.mayRun && class.Idempotency == decision.IdempotentWithKey {
-			pt.until = time.Now().Add(b.clock.until(c.sent + class.IdempotencyWindow - windowLead))
+			pt.retryUntil = time.Now().Add(b.clock.until(c.sentAt + class.IdempotencyWindow - idempotencyMargin))
 		}
 		pt.mayRun = true
 	}
-	if r.Status == decision.OK && !pt.over {
-		pt.in, pt.value, pt.score = true, r.Value, r.Score
+	if r.Status == decision.OK && !pt.finished {
+		pt.answered, pt.value, pt.score = true, r.Value, r.Score
 	}
-	if pt.over {
+	if pt.finished {
 		delete(b.parts, pt.id)
 	}
-	b.tell(decision.AttemptFinished{
-		ID: pt.id, Attempt: c.number, Server: c.Server.ID, Status: r.Status,
-		Latency: b.clock.now() - c.sent, PartConcluded: pt.in || pt.over, LoadReport: r.Load,
+	b.enqueueEvent(decision.AttemptFinished{
+		ID: pt.id, Attempt: c.attempt, Server: c.Server.ID, Status: r.Status,
+		Latency: b.clock.now() - c.sentAt, PartConcluded: pt.answered || pt.finished, LoadReport: r.LoadReport,
 	})
 }
 
-// Probe asks a record server how it is.
-type Probe struct {
-	Server   *Server
-	Addr     string
-	Load     bool // the report is wanted
-	Deadline time.Time
+// HealthCheck asks a record server how it is.
+type HealthCheck struct {
+	Server          *Server
+	Addr            string
+	WantsLoadReport bool // the report is wanted
+	Deadline        time.Time
 
-	b    *Broker
-	sent float64
-	over atomic.Bool
-	stop func()
+	b         *Broker
+	sentAt    float64
+	finished  atomic.Bool
+	stopTimer func()
 }
 
-// Done tells a probe's result. Only the first counts.
-func (p *Probe) Done(r Reply) {
-	if !p.over.Swap(true) {
-		p.b.post(func() { p.b.probed(p, r) })
+// Finish tells a probe's result. Only the first counts.
+func (p *HealthCheck) Finish(r CallResult) {
+	if !p.finished.Swap(true) {
+		p.b.post(func() { p.b.onHealthChecked(p, r) })
 	}
 }
 
-// Begin is asked just before the first byte of a probe is written, as for a call.
-func (p *Probe) Begin() bool {
-	if p.Server.Leaving() || !time.Now().Before(p.Deadline) {
-		p.Done(Reply{Status: decision.NotSent, Load: decision.NoLoadReport})
+// TryStart is asked just before the first byte of a probe is written, as for a call.
+func (p *HealthCheck) TryStart() bool {
+	if p.Server.Unavailable() || !time.Now().Before(p.Deadline) {
+		p.Finish(CallResult{Status: decision.NotSent, LoadReport: decision.NoLoadReport})
 	}
-	return !p.over.Load()
+	return !p.finished.Load()
 }
 
-func (b *Broker) probe(id string) {
-	s := b.servers.get(id)
-	if s == nil || s.Leaving() {
+func (b *Broker) checkHealth(id string) {
+	s := b.endpoints.get(id)
+	if s == nil || s.Unavailable() {
 		return
 	}
-	p := &Probe{
-		b: b, Server: s, Addr: s.Addr, Load: b.opt.Settings.ReportMode != decision.ReportNone,
-		sent: b.clock.now(), Deadline: time.Now().Add(b.opt.ProbeFor),
+	p := &HealthCheck{
+		b: b, Server: s, Addr: s.Addr, WantsLoadReport: b.opt.Settings.ReportMode != decision.ReportNone,
+		sentAt: b.clock.now(), Deadline: time.Now().Add(b.opt.HealthCheckTimeout),
 	}
-	p.stop = b.after(b.opt.ProbeFor, func() {
-		if !p.over.Swap(true) {
-			b.probed(p, Reply{Status: decision.TimedOut, Load: decision.NoLoadReport})
+	p.stopTimer = b.after(b.opt.HealthCheckTimeout, func() {
+		if !p.finished.Swap(true) {
+			b.onHealthChecked(p, CallResult{Status: decision.TimedOut, LoadReport: decision.NoLoadReport})
 		}
 	})
-	b.link.Probe(p)
+	b.link.CheckHealth(p)
 }
 
-func (b *Broker) probed(p *Probe, r Reply) {
-	p.stop()
-	b.tell(decision.HealthChecked{
-		Server: p.Server.ID, Status: r.Status, Latency: b.clock.now() - p.sent, LoadReport: r.Load,
+func (b *Broker) onHealthChecked(p *HealthCheck, r CallResult) {
+	p.stopTimer()
+	b.enqueueEvent(decision.HealthChecked{
+		Server: p.Server.ID, Status: r.Status, Latency: b.clock.now() - p.sentAt, LoadReport: r.LoadReport,
 	})
 }
--- a/internal/broker/configure.go
+++ b/internal/broker/configure.go
@@ -12,31 +12,31 @@
 // Change is what a revision of the configuration changes in a core that serves. Nobody writes to it once it is handed
 // over.
 type Change struct {
-	Classes []decision.Class // all of them; against those in force, only Aim, Deadline, Worth and LateWorth may differ
-	OpenCap int              // queries and parts held at most, by all loops together; 0: no limit
+	Classes          []decision.Class // all of them; against those in force, only Aim, Deadline, Worth and LateWorth may differ
+	ConcurrencyLimit int              // queries and parts held at most, by all loops together; 0: no limit
 }
 
-// fits tells why a change cannot be taken into force while classes are; nil: it can.
-func (c Change) fits(classes []decision.Class) error {
+// validate tells why a change cannot be taken into force while classes are; nil: it can.
+func (c Change) validate(classes []decision.Class) error {
 	if len(c.Classes) != len(classes) {
 		return fmt.Errorf("classes: there are %d, not %d", len(classes), len(c.Classes))
 	}
-	if c.OpenCap < 0 {
-		return fmt.Errorf("open cap: %d is negative", c.OpenCap)
+	if c.ConcurrencyLimit < 0 {
+		return fmt.Errorf("open cap: %d is negative", c.ConcurrencyLimit)
 	}
 	for i, class := range c.Classes {
 		if !(class.LatencyObjective > 0 && class.Deadline > 0) {
 			return fmt.Errorf("classes[%d]: %g s and %g s are no aim and deadline", i, class.LatencyObjective, class.Deadline)
 		}
-		if fixed(class) != fixed(classes[i]) {
+		if immutableFields(class) != immutableFields(classes[i]) {
 			return fmt.Errorf("classes[%d]: more than aim, deadline, worth and late worth differs", i)
 		}
 	}
 	return nil
 }
 
-// fixed is what of a class cannot change in service.
-func fixed(class decision.Class) decision.Class {
+// immutableFields is what of a class cannot change in service.
+func immutableFields(class decision.Class) decision.Class {
 	class.LatencyObjective, class.Deadline, class.PriorityWeight, class.LateValue = 0, 0, 0, 0
 	return class
 }
@@ -45,15 +45,15 @@
 // that the loop takes before is held, guarded, answered and refused under the settings before, to its end; one that
 // it takes after belongs to the new ones altogether. What is held beyond a smaller open cap stays held. After an
 // error the settings before hold. It returns ErrEnded if the loop has ended.
-func (b *Broker) Configure(c Change) error { return b.PostChange(c, func() {})() }
+func (b *Broker) Configure(c Change) error { return b.ConfigureAsync(c, func() {})() }
 
 // ErrEnded tells that a loop has ended, and takes nothing into force any more.
 var ErrEnded = errors.New("the loop has ended")
 
-// PostChange is Configure in two steps, for several loops: it does not wait, and the returned function does, once.
+// ConfigureAsync is Configure in two steps, for several loops: it does not wait, and the returned function does, once.
 // Where loops share an open count, applied is called by the loop at the point where the change is in force, so that
 // whoever owns the count can resize it there.
-func (b *Broker) PostChange(c Change, applied func()) (wait func() error) {
+func (b *Broker) ConfigureAsync(c Change, applied func()) (wait func() error) {
 	taken := make(chan error, 1)
 	b.post(func() {
 		err := b.configure(c)
@@ -75,31 +75,31 @@
 // configure is the one point at which a change comes into force. The loop calls it.
 func (b *Broker) configure(c Change) error {
 	set := &b.opt.Settings
-	if err := c.fits(set.Classes); err != nil {
+	if err := c.validate(set.Classes); err != nil {
 		return err
 	}
-	if b.opt.Open == nil {
-		b.opt.OpenCap = c.OpenCap
+	if b.opt.SharedLimiter == nil {
+		b.opt.ConcurrencyLimit = c.ConcurrencyLimit
 	}
 	if slices.Equal(c.Classes, set.Classes) {
 		return nil // the Decider has nothing to hear
 	}
 	set.Classes = slices.Clone(c.Classes) // the old ones are not written to: queries and the Decider may point there
-	b.tell(decision.ClassesChanged{Classes: set.Classes})
+	b.enqueueEvent(decision.ClassesChanged{Classes: set.Classes})
 	return nil
 }
 
-// patience is how long a query's client waits.
-func (b *Broker) patience(r *Request) time.Duration {
-	if r.Unstated {
-		return min(seconds(b.opt.Settings.Classes[r.Class].Deadline), maxPatience)
+// timeout is how long a query's client waits.
+func (b *Broker) timeout(r *Request) time.Duration {
+	if r.TimeoutUnstated {
+		return min(secondsToDuration(b.opt.Settings.Classes[r.Class].Deadline), maxTimeout)
 	}
-	return r.Patience
+	return r.Timeout
 }
 
-// Longest is the longest deadline of a class in force, or of one that a query which is held was taken under. A process
+// LongestDeadline is the longest deadline of a class in force, or of one that a query which is held was taken under. A process
 // that ends plans by it. It is 0 if the loop has ended.
-func (b *Broker) Longest() time.Duration {
+func (b *Broker) LongestDeadline() time.Duration {
 	longest := make(chan float64, 1)
 	b.post(func() {
 		most := 0.0
@@ -113,7 +113,7 @@
 	})
 	select {
 	case most := <-longest:
-		return seconds(most)
+		return secondsToDuration(most)
 	case <-b.stopped:
 		return 0
 	}
--- a/internal/broker/configure_test.go
+++ b/internal/broker/configure_test.go
@@ -63,7 +63,7 @@
 	set := decision.Settings{ReplicaSets: 1, ReplicationFactor: 1, MaxAttempts: 3, RetryAfterSupported: true, MaxRetryAfter: 0.5,
 		Classes: classes(oldDeadline)}
 	h.start = set.Classes
-	h.b = broker.New(broker.Options{Settings: set, OpenCap: oldCap}, h.gate, h.link)
+	h.b = broker.New(broker.Options{Settings: set, ConcurrencyLimit: oldCap}, h.gate, h.link)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go h.b.Run(ctx)
@@ -72,7 +72,7 @@
 
 // stop holds the loop: all that is handed over from now on comes to it at once, in its order, when go on is called.
 func (h *held) stop() (goOn func(...decision.Action)) {
-	h.b.Tell(decision.TimerFired{Token: 7})
+	h.b.Notify(decision.TimerFired{Token: 7})
 	for {
 		batch := h.batch()
 		if slices.Contains(batch, decision.Event(decision.TimerFired{Token: 7})) {
@@ -98,12 +98,12 @@
 // query hands over a query that states no time and has parts at shards 0, 1 ... .
 func (h *held) query(name string, class, parts int) client {
 	c := make(client, 1)
-	r := &broker.Request{ID: name, Class: class, Unstated: true, Arrived: time.Now(), Text: []byte("x")}
+	r := &broker.Request{ID: name, Class: class, TimeoutUnstated: true, ReceivedAt: time.Now(), Payload: []byte("x")}
 	for i := range parts {
-		r.Parts = append(r.Parts, broker.Part{Shard: i, Share: 1 / float64(parts)})
+		r.Parts = append(r.Parts, broker.Part{Shard: i, Weight: 1 / float64(parts)})
 	}
-	require.NoError(h, r.Check(0))
-	h.b.Take(r, c)
+	require.NoError(h, r.Normalize(0))
+	h.b.Submit(r, c)
 	return c
 }
 
@@ -120,7 +120,7 @@
 }
 
 // post hands over a change and returns how to wait for it.
-func (h *held) post(c broker.Change) func() error { return h.b.PostChange(c, func() {}) }
+func (h *held) post(c broker.Change) func() error { return h.b.ConfigureAsync(c, func() {}) }
 
 // Queries, changes and more queries that come to the loop at once: each query is taken whole under the settings before
 // or those after, by its place in the order, with its deadline, the cap and what the Decider hears; and the Decider
@@ -131,13 +131,13 @@
 	fits := h.query("before", 0, 1)
 	refused := h.query("beyond-the-old-cap", 0, 2)
 	full := h.query("full-before", 1, 1)
-	wait := h.post(broker.Change{Classes: classes(newDeadline), OpenCap: newCap})
+	wait := h.post(broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: newCap})
 	more := h.query("full-still", 0, 2)
 	goOn()
 	require.NoError(t, wait())
-	require.Equal(t, broker.Refused, h.result(refused).Outcome)
-	require.Equal(t, broker.Refused, h.result(full).Outcome, "one query of one part fills the old cap")
-	require.Equal(t, broker.Refused, h.result(more).Outcome, "the cap counts what is held")
+	require.Equal(t, broker.Rejected, h.result(refused).Outcome)
+	require.Equal(t, broker.Rejected, h.result(full).Outcome, "one query of one part fills the old cap")
+	require.Equal(t, broker.Rejected, h.result(more).Outcome, "the cap counts what is held")
 	batch := h.batch()
 	taken := slices.IndexFunc(batch, func(e decision.Event) bool { _, ok := e.(decision.Query); return ok })
 	told := slices.IndexFunc(batch, func(e decision.Event) bool { _, ok := e.(decision.ClassesChanged); return ok })
@@ -145,7 +145,7 @@
 	require.Equal(t, classes(newDeadline), batch[told].(decision.ClassesChanged).Classes)
 	early := batch[taken].(decision.Query)
 	require.InDelta(t, oldDeadline, early.Deadline-early.ReceivedAt, 1e-3)
-	require.Equal(t, broker.Overdue, h.result(fits).Outcome)
+	require.Equal(t, broker.DeadlineExceeded, h.result(fits).Outcome)
 
 	after := h.query("after", 0, 2)
 	var late *decision.Query
@@ -158,7 +158,7 @@
 	}
 	require.Equal(t, 2, late.Parts)
 	require.InDelta(t, newDeadline, late.Deadline-late.ReceivedAt, 1e-3)
-	require.Equal(t, broker.Overdue, h.result(after).Outcome)
+	require.Equal(t, broker.DeadlineExceeded, h.result(after).Outcome)
 }
 
 // What stands before a change in the loop's order is judged by the settings before, also the smaller cap: a change is
@@ -168,7 +168,7 @@
 		name string
 		cap  int
 		want broker.Outcome
-	}{{"larger cap", newCap, broker.Refused}, {"smaller cap", 1, broker.Overdue}} {
+	}{{"larger cap", newCap, broker.Rejected}, {"smaller cap", 1, broker.DeadlineExceeded}} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHeld(t)
 			goOn := h.stop()
@@ -177,7 +177,7 @@
 				parts = 2
 			}
 			query := h.query("before", 0, parts)
-			wait := h.post(broker.Change{Classes: classes(newDeadline), OpenCap: c.cap})
+			wait := h.post(broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: c.cap})
 			goOn()
 			require.NoError(t, wait())
 			from := time.Now()
@@ -195,8 +195,8 @@
 	}{{"longer deadlines", oldDeadline, newDeadline}, {"shorter deadlines", newDeadline, oldDeadline}} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newHeld(t)
-			require.NoError(t, h.b.Configure(broker.Change{Classes: classes(c.old), OpenCap: 20}))
-			h.b.Update(broker.List{Mode: decision.FullUpdate, Servers: []broker.ListEntry{
+			require.NoError(t, h.b.Configure(broker.Change{Classes: classes(c.old), ConcurrencyLimit: 20}))
+			h.b.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Servers: []broker.Endpoint{
 				{Addr: "s0", Server: decision.Server{ID: "s0"}}}})
 			start := time.Now()
 			silent := h.query("silent", 0, 1)
@@ -212,20 +212,20 @@
 					}
 				}
 			}
-			require.NoError(t, h.b.Configure(broker.Change{Classes: classes(c.new), OpenCap: 20}))
-			require.Equal(t, newDeadline, h.b.Longest().Seconds(), "the longest that is held or in force")
+			require.NoError(t, h.b.Configure(broker.Change{Classes: classes(c.new), ConcurrencyLimit: 20}))
+			require.Equal(t, newDeadline, h.b.LongestDeadline().Seconds(), "the longest that is held or in force")
 			h.stop()(decision.Send{ID: first, Server: "s0"})
 			call := <-h.sent
 			require.InDelta(t, c.old, call.Deadline.Sub(start).Seconds(), 0.2)
-			require.True(t, call.Begin())
-			call.Done(done(decision.OK))
+			require.True(t, call.TryStart())
+			call.Finish(done(decision.OK))
 			h.stop()(decision.Respond{ID: name, Complete: true})
 			answered := h.result(half)
 			require.Equal(t, broker.Answered, answered.Outcome, "half of it is its floor")
 			require.Len(t, answered.Values, 1)
-			require.Equal(t, broker.Overdue, h.result(silent).Outcome)
+			require.Equal(t, broker.DeadlineExceeded, h.result(silent).Outcome)
 			require.InDelta(t, c.old, time.Since(start).Seconds(), 0.25)
-			require.Equal(t, c.new, h.b.Longest().Seconds(), "nothing is held any more")
+			require.Equal(t, c.new, h.b.LongestDeadline().Seconds(), "nothing is held any more")
 		})
 	}
 }
@@ -237,12 +237,12 @@
 	spoil := func(f func(*decision.Class)) broker.Change {
 		c := classes(newDeadline)
 		f(&c[1])
-		return broker.Change{Classes: c, OpenCap: newCap}
+		return broker.Change{Classes: c, ConcurrencyLimit: newCap}
 	}
 	for name, c := range map[string]broker.Change{
-		"fewer":    {Classes: classes(newDeadline)[:1], OpenCap: newCap},
-		"more":     {Classes: append(classes(newDeadline), classes(newDeadline)[0]), OpenCap: newCap},
-		"cap":      {Classes: classes(newDeadline), OpenCap: -1},
+		"fewer":    {Classes: classes(newDeadline)[:1], ConcurrencyLimit: newCap},
+		"more":     {Classes: append(classes(newDeadline), classes(newDeadline)[0]), ConcurrencyLimit: newCap},
+		"cap":      {Classes: classes(newDeadline), ConcurrencyLimit: -1},
 		"repeat":   spoil(func(c *decision.Class) { c.Idempotency = decision.NonIdempotent }),
 		"window":   spoil(func(c *decision.Class) { c.IdempotencyWindow = 9 }),
 		"need":     spoil(func(c *decision.Class) { c.CompletenessThreshold = 0.1 }),
@@ -254,9 +254,9 @@
 	} {
 		require.Error(t, h.b.Configure(c), name)
 	}
-	require.NoError(t, h.b.Configure(broker.Change{Classes: classes(oldDeadline), OpenCap: oldCap}))
-	require.Equal(t, oldDeadline, h.b.Longest().Seconds())
-	require.Equal(t, broker.Refused, h.result(h.query("beyond", 0, 2)).Outcome)
+	require.NoError(t, h.b.Configure(broker.Change{Classes: classes(oldDeadline), ConcurrencyLimit: oldCap}))
+	require.Equal(t, oldDeadline, h.b.LongestDeadline().Seconds())
+	require.Equal(t, broker.Rejected, h.result(h.query("beyond", 0, 2)).Outcome)
 	h.stop()()
 	require.Empty(t, h.batches, "the Decider has heard of a change")
 }
@@ -268,20 +268,20 @@
 	cancel()
 	b.Run(ctx)
 	require.ErrorIs(t, b.Configure(broker.Change{Classes: classes(newDeadline)}), broker.ErrEnded)
-	require.Zero(t, b.Longest())
+	require.Zero(t, b.LongestDeadline())
 }
 
 // Classes that a Decider or the caller may hold are not written to, by this change nor by the next one.
 func TestChangesAreNotMadeInPlace(t *testing.T) {
 	h := newHeld(t)
-	c := broker.Change{Classes: classes(newDeadline), OpenCap: newCap}
+	c := broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: newCap}
 	require.NoError(t, h.b.Configure(c))
 	told := h.batch()[0].(decision.ClassesChanged).Classes
-	require.NoError(t, h.b.Configure(broker.Change{Classes: classes(9), OpenCap: newCap}))
+	require.NoError(t, h.b.Configure(broker.Change{Classes: classes(9), ConcurrencyLimit: newCap}))
 	require.Equal(t, classes(oldDeadline), h.start)
 	require.Equal(t, classes(newDeadline), told)
 	require.Equal(t, classes(newDeadline), c.Classes)
 	c.Classes[0].Deadline = 99 // the caller's affair
-	require.Equal(t, 9., h.b.Longest().Seconds())
+	require.Equal(t, 9., h.b.LongestDeadline().Seconds())
 	require.Equal(t, classes(newDeadline), told)
 }
--- a/internal/broker/refusal_test.go
+++ b/internal/broker/refusal_test.go
@@ -15,14 +15,14 @@
 func TestNoRefusalWhileTheEndOfABegunCallIsUnread(t *testing.T) {
 	r := newRig(t)
 	other := make(stuck)
-	r.b.Take(&broker.Request{ID: "other", Class: safe, Arrived: time.Now(), Patience: 3 * time.Second}, other)
+	r.b.Submit(&broker.Request{ID: "other", Class: safe, ReceivedAt: time.Now(), Timeout: 3 * time.Second}, other)
 	otherID := event[decision.Query](r).ID
 	id, part, c, _ := r.take("q", unsafe, 1, 3*time.Second)
 	call := r.send(part, "s1")
-	require.True(t, call.Begin())
+	require.True(t, call.TryStart())
 	r.do(decision.Reject{ID: otherID}, decision.Reject{ID: id})
 	<-other // the loop waits here, between the two refusals
-	call.Done(done(decision.Reset))
+	call.Finish(done(decision.Reset))
 	other <- struct{}{}
 	require.Equal(t, broker.Failed, (<-c).Outcome)
 }
@@ -36,14 +36,14 @@
 		r.cancelled <- nil // so that the loop waits where it cancels the first call
 	}
 	r.do(decision.Reject{ID: id})
-	require.Eventually(t, calls[0].Over, 2*time.Second, time.Millisecond)
-	require.False(t, calls[0].Begin())
-	begun := calls[1].Begin()
+	require.Eventually(t, calls[0].Finished, 2*time.Second, time.Millisecond)
+	require.False(t, calls[0].TryStart())
+	begun := calls[1].TryStart()
 	for range cap(r.cancelled) {
 		<-r.cancelled
 	}
 	outcome := (<-c).Outcome
-	require.False(t, begun && outcome == broker.Refused, "the client may send again what runs")
+	require.False(t, begun && outcome == broker.Rejected, "the client may send again what runs")
 	require.Equal(t, begun, outcome == broker.Failed)
-	require.Equal(t, !begun, outcome == broker.Refused)
+	require.Equal(t, !begun, outcome == broker.Rejected)
 }
--- a/internal/broker/request.go
+++ b/internal/broker/request.go
@@ -10,45 +10,45 @@
 
 // Request is one query as a front took it. The core keeps Text and Parts: they must outlive the call.
 type Request struct {
-	ID       string // the client's name for it
-	Class    int
-	Key      uint64 // what it is about; 0: not told
-	Retry    bool
-	Arrived  time.Time
-	Patience time.Duration // how long the client waits
-	Unstated bool          // it has not said so: Patience is the deadline of its class when the query is taken
-	Parts    []Part
-	Text     []byte // what each part carries
-	// Left is set by the front, on whatever goroutine, the moment it learns that the client has gone: no attempt begins
+	ID              string // the client's name for it
+	Class           int
+	Key             uint64 // what it is about; 0: not told
+	Retry           bool
+	ReceivedAt      time.Time
+	Timeout         time.Duration // how long the client waits
+	TimeoutUnstated bool          // it has not said so: Patience is the deadline of its class when the query is taken
+	Parts           []Part
+	Payload         []byte // what each part carries
+	// Disconnected is set by the front, on whatever goroutine, the moment it learns that the client has gone: no attempt begins
 	// from then on, however long the loop needs to hear of it. Nil: that cannot be learnt.
-	Left *atomic.Bool
+	Disconnected *atomic.Bool
 }
 
-// gone tells that the client has left.
-func (r *Request) gone() bool { return r.Left != nil && r.Left.Load() }
+// disconnected tells that the client has left.
+func (r *Request) disconnected() bool { return r.Disconnected != nil && r.Disconnected.Load() }
 
 // Part is one part of a request.
 type Part struct {
-	Shard int
-	Share float64 // of the whole answer
-	Work  float64 // seconds expected; 0: unknown
-	Route uint64
+	Shard    int
+	Weight   float64 // of the whole answer
+	Work     float64 // seconds expected; 0: unknown
+	RouteKey uint64
 }
 
 const (
-	maxID       = 64
-	shareSlack  = 0.05 // clients round shares
-	maxPatience = time.Hour
+	maxIDLength = 64
+	weightSlack = 0.05 // clients round shares
+	maxTimeout  = time.Hour
 )
 
-// Check tells what is wrong with a request, whatever front it came by, and has its shares sum to 1: clients
+// Normalize tells what is wrong with a request, whatever front it came by, and has its shares sum to 1: clients
 // round them, and a whole answer must not be missed by a rounding. There are so many shards; 0: not told.
-func (r *Request) Check(shards int) error {
+func (r *Request) Normalize(shards int) error {
 	if !validID(r.ID) {
 		return fmt.Errorf("id: cannot use %q", r.ID)
 	}
-	if !r.Unstated && (r.Patience <= 0 || r.Patience > maxPatience) {
-		return fmt.Errorf("deadline: %v is no time to wait", r.Patience)
+	if !r.TimeoutUnstated && (r.Timeout <= 0 || r.Timeout > maxTimeout) {
+		return fmt.Errorf("deadline: %v is no time to wait", r.Timeout)
 	}
 	if len(r.Parts) == 0 {
 		return fmt.Errorf("targets: a query has a part at least")
@@ -58,24 +58,24 @@
 		switch {
 		case p.Shard < 0 || seen[p.Shard] || shards > 0 && p.Shard >= shards:
 			return fmt.Errorf("targets[%d].partition: %d does not exist or stands twice", i, p.Shard)
-		case !(p.Share >= 0 && p.Share <= 1+shareSlack):
-			return fmt.Errorf("targets[%d].share: %g is outside 0 to 1", i, p.Share)
+		case !(p.Weight >= 0 && p.Weight <= 1+weightSlack):
+			return fmt.Errorf("targets[%d].share: %g is outside 0 to 1", i, p.Weight)
 		case !(p.Work >= 0) || math.IsInf(p.Work, 0):
 			return fmt.Errorf("targets[%d].est_us: %g s is no time", i, p.Work)
 		}
 		seen[p.Shard] = true
-		sum += p.Share
+		sum += p.Weight
 	}
-	if math.Abs(sum-1) > shareSlack {
+	if math.Abs(sum-1) > weightSlack {
 		return fmt.Errorf("targets: the shares sum to %g, not 1", sum)
 	}
 	for i := range r.Parts {
-		r.Parts[i].Share /= sum
+		r.Parts[i].Weight /= sum
 	}
 	return nil
 }
 
 // validID tells whether a query's name can stand in a line of a record server's protocol.
 func validID(id string) bool {
-	return id != "" && len(id) <= maxID && strings.IndexFunc(id, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
+	return id != "" && len(id) <= maxIDLength && strings.IndexFunc(id, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
 }
--- a/internal/broker/step_test.go
+++ b/internal/broker/step_test.go
@@ -14,8 +14,8 @@
 )
 
 // scored is a served part with a score.
-func scored(score int64, value string) broker.Reply {
-	return broker.Reply{Status: decision.OK, Score: score, Scored: true, Load: decision.NoLoadReport, Value: []byte(value)}
+func scored(score int64, value string) broker.CallResult {
+	return broker.CallResult{Status: decision.OK, Score: score, Scored: true, LoadReport: decision.NoLoadReport, Value: []byte(value)}
 }
 
 // firstStep plays the first step of a query of so many parts at s1: all come in with scores that fall with their shard.
@@ -23,7 +23,7 @@
 	query, first, c, req := r.take(name, class, parts, 2*time.Second)
 	r.list(decision.DeltaUpdate, "s1", 1, decision.Ready, "s2", 2, decision.Ready, "s3", 3, decision.Ready, "s0", 0, decision.Ready)
 	for i := range parts {
-		r.send(first+decision.RequestID(i), server(i+1)).Done(scored(int64(-i), "first"))
+		r.send(first+decision.RequestID(i), server(i+1)).Finish(scored(int64(-i), "first"))
 		event[decision.AttemptFinished](r)
 	}
 	return query, c, req
@@ -65,7 +65,7 @@
 				continue
 			}
 			scores[i+1] = int64(rng.IntN(3)) // with equal ones among them
-			r.send(first+decision.RequestID(i), server(i+1)).Done(scored(scores[i+1], "first"))
+			r.send(first+decision.RequestID(i), server(i+1)).Finish(scored(scores[i+1], "first"))
 			event[decision.AttemptFinished](r)
 			from = append(from, i+1)
 		}
@@ -82,22 +82,22 @@
 			require.Equal(t, want[i], pt.Shard)
 			require.InDelta(t, 1/float64(len(want)), pt.Weight, 1e-9)
 			call := r.send(pt.ID, server(pt.Shard))
-			require.Equal(t, &broker.FirstStep{From: from, Whole: missing == 0}, call.Second)
-			call.Done(broker.Reply{Status: decision.OK, Load: decision.NoLoadReport, Value: []byte("second")}) // scores are over
+			require.Equal(t, &broker.FirstPhase{AnsweredShards: from, Complete: missing == 0}, call.FirstPhase)
+			call.Finish(broker.CallResult{Status: decision.OK, LoadReport: decision.NoLoadReport, Value: []byte("second")}) // scores are over
 			event[decision.AttemptFinished](r)
 			values = append(values, broker.Value{Shard: pt.Shard, Data: []byte("second")})
 		}
 		r.do(decision.Respond{ID: q, Complete: true})
-		require.Equal(t, broker.Result{Whole: missing == 0, Values: values}, <-c, "seed %d", seed)
+		require.Equal(t, broker.Result{Complete: missing == 0, Values: values}, <-c, "seed %d", seed)
 	}
 }
 
 func TestAnAnswerWithoutAScoreCannotBeRanked(t *testing.T) {
 	r := newRig(t)
 	_, part, _, _ := r.take("q", twoStep, 1, time.Second)
-	r.send(part, "s1").Done(done(decision.OK))
+	r.send(part, "s1").Finish(done(decision.OK))
 	require.Equal(t, decision.Error, event[decision.AttemptFinished](r).Status)
-	r.send(part, "s2").Done(scored(1, "v"))
+	r.send(part, "s2").Finish(scored(1, "v"))
 	require.Equal(t, decision.OK, event[decision.AttemptFinished](r).Status)
 }
 
@@ -105,7 +105,7 @@
 	for class, want := range map[int]broker.Outcome{twoStep: broker.Failed, twoStepPartial: broker.Failed} {
 		r := newRig(t)
 		q, part, c, _ := r.take("q", class, 3, time.Second)
-		r.send(part, "s1").Done(scored(1, "v"))
+		r.send(part, "s1").Finish(scored(1, "v"))
 		event[decision.AttemptFinished](r)
 		r.do(decision.Respond{ID: q, Complete: true})
 		require.Equal(t, broker.Result{Outcome: want}, <-c)
@@ -121,7 +121,7 @@
 		r := newRig(t)
 		q, c, _ := r.firstStep("q", class, 3)
 		r.do(decision.Respond{ID: q, Complete: true})
-		r.send(event[decision.Part](r).ID, "s1").Done(scored(0, "second")) // one of two
+		r.send(event[decision.Part](r).ID, "s1").Finish(scored(0, "second")) // one of two
 		event[decision.AttemptFinished](r)
 		r.do(decision.Respond{ID: q, Complete: true})
 		require.Equal(t, want, <-c)
@@ -134,10 +134,10 @@
 	r.do(decision.Respond{ID: q, Complete: true})
 	second, other := event[decision.Part](r).ID, event[decision.Part](r).ID
 	waiting := r.send(second, "s1")
-	r.b.Leave(req)
+	r.b.Disconnect(req)
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	require.Equal(t, q, event[decision.ClientDisconnected](r).ID)
-	require.False(t, waiting.Begin())
+	require.False(t, waiting.TryStart())
 	r.do(decision.Send{ID: other, Server: "s2"}, decision.Respond{ID: q, Complete: true})
 	require.Empty(t, r.sent)
 	require.Empty(t, c)
@@ -151,18 +151,18 @@
 	second := event[decision.Part](r).ID
 	waiting := r.send(second, "s1")
 	r.list(decision.DeltaUpdate, "s1", 1, decision.Draining)
-	require.False(t, waiting.Begin())
+	require.False(t, waiting.TryStart())
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	r.do(decision.Send{ID: second, Server: "s1"})
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
-	r.send(second, "s2").Done(scored(0, "second"))
+	r.send(second, "s2").Finish(scored(0, "second"))
 	require.Equal(t, decision.OK, event[decision.AttemptFinished](r).Status)
 }
 
 // What is held between the steps when the process ends is refused, since the first step's values are no answer; what
 // has the second step's is answered. A query whose steps may not run twice has failed: its first step has run.
 func TestTheProcessEndsBetweenTheSteps(t *testing.T) {
-	refused := broker.Result{Outcome: broker.Refused, RetryAfter: 0.5}
+	refused := broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}
 	for _, in := range []int{0, 1, 2} {
 		r := newRig(t)
 		q, c, _ := r.firstStep("q", twoStep, 3)
@@ -170,20 +170,20 @@
 		second := []decision.Part{event[decision.Part](r), event[decision.Part](r)}
 		var values []broker.Value
 		for i := range in {
-			r.send(second[i].ID, server(i+1)).Done(scored(0, "second"))
+			r.send(second[i].ID, server(i+1)).Finish(scored(0, "second"))
 			event[decision.AttemptFinished](r)
 			values = append(values, broker.Value{Shard: i + 1, Data: []byte("second")})
 		}
-		r.b.EndBy(time.Now().Add(50 * time.Millisecond))
+		r.b.SetShutdownDeadline(time.Now().Add(50 * time.Millisecond))
 		want := refused
 		if in == 2 {
-			want = broker.Result{Whole: true, Values: values}
+			want = broker.Result{Complete: true, Values: values}
 		}
 		require.Equal(t, want, <-c)
 	}
 	r := newRig(t)
 	_, c, _ := r.firstStep("q", twoStep, 3) // all of the first step is in, the second has not begun
-	r.b.EndBy(time.Now().Add(50 * time.Millisecond))
+	r.b.SetShutdownDeadline(time.Now().Add(50 * time.Millisecond))
 	require.Equal(t, refused, <-c)
 }
 
@@ -194,28 +194,28 @@
 	q, first, c, _ := r.take("q", twoStepPartial, 4, 2*time.Second)
 	r.list(decision.DeltaUpdate, "s3", 3, decision.Ready)
 	for i := range 2 {
-		r.send(first+decision.RequestID(i), server(i+1)).Done(scored(int64(i), "first"))
+		r.send(first+decision.RequestID(i), server(i+1)).Finish(scored(int64(i), "first"))
 		event[decision.AttemptFinished](r)
 	}
 	late := r.send(first+2, "s3")
-	require.True(t, late.Begin())
+	require.True(t, late.TryStart())
 	waiting := r.send(first+3, "s0")
 	r.do(decision.Respond{ID: q})
 	require.Equal(t, first+3, event[decision.AttemptFinished](r).ID)
-	require.False(t, waiting.Begin())
+	require.False(t, waiting.TryStart())
 	a, b := event[decision.Part](r), event[decision.Part](r)
 	require.Equal(t, []int{2, 1}, []int{a.Shard, b.Shard})
-	late.Done(scored(9, "late"))
+	late.Finish(scored(9, "late"))
 	require.Equal(t, first+2, event[decision.AttemptFinished](r).ID)
 	r.do(decision.Send{ID: first + 2, Server: "s3"})
 	require.Empty(t, r.sent)
 	for _, pt := range []decision.Part{a, b} {
-		r.send(pt.ID, server(pt.Shard)).Done(scored(0, "second"))
+		r.send(pt.ID, server(pt.Shard)).Finish(scored(0, "second"))
 		event[decision.AttemptFinished](r)
 	}
 	r.do(decision.Respond{ID: q, Complete: true})
 	got := <-c
-	require.False(t, got.Whole)
+	require.False(t, got.Complete)
 	slices.SortFunc(got.Values, func(a, b broker.Value) int { return cmp.Compare(a.Shard, b.Shard) })
 	require.Equal(t, []broker.Value{{1, []byte("second")}, {2, []byte("second")}}, got.Values)
 }
@@ -225,13 +225,13 @@
 	r := newRig(t)
 	q, c, _ := r.firstStep("q", twoStep, 6)
 	full := make(client, 1)
-	r.b.Take(&broker.Request{ID: "q2", Arrived: time.Now(), Patience: time.Second, Parts: make([]broker.Part, 1)}, full)
-	require.Equal(t, broker.Refused, (<-full).Outcome)
+	r.b.Submit(&broker.Request{ID: "q2", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, full)
+	require.Equal(t, broker.Rejected, (<-full).Outcome)
 	r.do(decision.Respond{ID: q, Complete: true})
 	r.take("q3", safe, 3, time.Second)
-	r.b.Take(&broker.Request{ID: "q4", Arrived: time.Now(), Patience: time.Second, Parts: make([]broker.Part, 1)}, full)
-	require.Equal(t, broker.Refused, (<-full).Outcome)
+	r.b.Submit(&broker.Request{ID: "q4", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, full)
+	require.Equal(t, broker.Rejected, (<-full).Outcome)
 	r.do(decision.Reject{ID: q})
-	require.Equal(t, broker.Refused, (<-c).Outcome)
+	require.Equal(t, broker.Rejected, (<-c).Outcome)
 	r.take("q5", safe, 2, time.Second)
 }
--- a/internal/checkpoint/restart_test.go
+++ b/internal/checkpoint/restart_test.go
@@ -51,7 +51,7 @@
 	b := broker.New(broker.Options{Settings: restartSettings, Log: slog.New(slog.NewTextHandler(io.Discard, nil))},
 		k.Watch(decision.New(restartSettings, seed)), link)
 	go b.Run(ctx)
-	b.Update(broker.List{Mode: decision.CachedUpdate, Servers: fleet.Entries()})
+	b.Update(broker.EndpointUpdate{Mode: decision.CachedUpdate, Servers: fleet.Entries()})
 	const bin = 100 * time.Millisecond
 	asked, served := make([]float64, d/bin+1), make([]float64, d/bin+1)
 	var mu sync.Mutex
@@ -64,16 +64,16 @@
 			break
 		}
 		time.Sleep(time.Until(begin.Add(due)))
-		q := &broker.Request{ID: fmt.Sprintf("q%d-%d", seed, n), Class: 1, Arrived: time.Now(), Patience: 400 * time.Millisecond, Text: []byte("x")}
+		q := &broker.Request{ID: fmt.Sprintf("q%d-%d", seed, n), Class: 1, ReceivedAt: time.Now(), Timeout: 400 * time.Millisecond, Payload: []byte("x")}
 		from := rng.IntN(restartServers)
 		for i := range 4 {
-			q.Parts = append(q.Parts, broker.Part{Shard: (from + i) % restartServers, Share: 0.25})
+			q.Parts = append(q.Parts, broker.Part{Shard: (from + i) % restartServers, Weight: 0.25})
 		}
 		asked[due/bin]++
 		all.Go(func() {
 			r := make(reply, 1)
-			b.Take(q, r)
-			if res := <-r; res.Outcome == broker.Answered && time.Since(q.Arrived).Seconds() <= restartAim {
+			b.Submit(q, r)
+			if res := <-r; res.Outcome == broker.Answered && time.Since(q.ReceivedAt).Seconds() <= restartAim {
 				mu.Lock()
 				served[due/bin]++
 				mu.Unlock()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,14 +35,14 @@
 	Settings decision.Settings
 	Classes  map[string]int // class by name
 	Names    discovery.Names
-	Known    broker.List // the list as last known
-	Version  int64       // its version
-
-	OpenCap        int
-	Shards         int
-	Streams        int
-	ConnIdle       time.Duration
-	ConnectTimeout time.Duration
+	Known    broker.EndpointUpdate // the list as last known
+	Version  int64                 // its version
+
+	ConcurrencyLimit int
+	Shards           int
+	Streams          int
+	ConnIdle         time.Duration
+	ConnectTimeout   time.Duration
 
 	getenv func(string) string
 	file   file // as read
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -44,7 +44,7 @@
 	require.Equal(t, []any{"n4", "127.0.0.1:9", "127.0.0.1:8500", uint64(0x8c1f30d27a5be964), 128, 512},
 		[]any{c.Name, c.Listen, c.Discovery, c.Seed, c.MemoryMB, c.Sockets})
 	require.Equal(t, []any{9, 8, 7, 3 * time.Second, 500 * time.Millisecond, map[string]int{"c": 0}, int64(41)},
-		[]any{c.OpenCap, c.Shards, c.Streams, c.ConnIdle, c.ConnectTimeout, c.Classes, c.Version})
+		[]any{c.ConcurrencyLimit, c.Shards, c.Streams, c.ConnIdle, c.ConnectTimeout, c.Classes, c.Version})
 	require.Equal(t, decision.CachedUpdate, c.Known.Mode)
 	require.Equal(t, decision.Server{ID: "s1", Zone: 1, ReplicaSet: 3, State: decision.Draining, Capacity: 1.5, Started: 2.5},
 		c.Known.Servers[0].Server)
@@ -103,7 +103,7 @@
 		write(step.old, step.new)
 		next, waiting, err := c.Reload()
 		require.NoError(t, err)
-		require.Equal(t, []any{step.want, step.waiting, 512, 9}, []any{next.Discovery, waiting, next.Sockets, next.OpenCap})
+		require.Equal(t, []any{step.want, step.waiting, 512, 9}, []any{next.Discovery, waiting, next.Sockets, next.ConcurrencyLimit})
 		c = next
 	}
 	for old, new := range map[string]string{`"127.0.0.1:8500"`: `"x"`, `"deadlineS":2`: `"deadlineS":-2`, `{"name"`: ``} {
@@ -251,26 +251,28 @@
 type okLink struct{}
 
 func (okLink) Send(c *broker.Call) {
-	if c.Begin() {
-		c.Done(broker.Reply{Status: decision.OK, Load: decision.NoLoadReport, Value: []byte("v")})
+	if c.TryStart() {
+		c.Finish(broker.CallResult{Status: decision.OK, LoadReport: decision.NoLoadReport, Value: []byte("v")})
 	}
 }
-func (okLink) Cancel(*broker.Call)   {}
-func (okLink) Probe(p *broker.Probe) { p.Done(broker.Reply{Load: decision.NoLoadReport}) }
+func (okLink) Cancel(*broker.Call) {}
+func (okLink) CheckHealth(p *broker.HealthCheck) {
+	p.Finish(broker.CallResult{LoadReport: decision.NoLoadReport})
+}
 
 type result chan broker.Result
 
 func (r result) Finish(x broker.Result) { r <- x }
 
 func serves(t *testing.T, c *config.Config, what string) {
-	b := broker.New(broker.Options{Settings: c.Settings, OpenCap: c.OpenCap}, decision.New(c.Settings, 1), okLink{})
+	b := broker.New(broker.Options{Settings: c.Settings, ConcurrencyLimit: c.ConcurrencyLimit}, decision.New(c.Settings, 1), okLink{})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go b.Run(ctx)
-	b.Update(broker.List{Mode: decision.FullUpdate, Servers: []broker.ListEntry{
+	b.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Servers: []broker.Endpoint{
 		{Addr: "a", Server: decision.Server{ID: "a", Started: float64(time.Now().Unix())}}, {Addr: "b", Server: decision.Server{ID: "b", ReplicaSet: 1}}}})
 	answer := make(result, 1)
-	b.Take(&broker.Request{ID: "q", Arrived: time.Now(), Patience: 300 * time.Millisecond, Parts: []broker.Part{{Shard: 1, Share: 1}}}, answer)
+	b.Submit(&broker.Request{ID: "q", ReceivedAt: time.Now(), Timeout: 300 * time.Millisecond, Parts: []broker.Part{{Shard: 1, Weight: 1}}}, answer)
 	select {
 	case <-answer:
 	case <-time.After(2 * time.Second):
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -73,7 +73,7 @@
 	if err := c.settings(f.Settings); err != nil {
 		return nil, err
 	}
-	d.OpenCap, d.Classes = c.OpenCap, c.Settings.Classes
+	d.OpenCap, d.Classes = c.ConcurrencyLimit, c.Settings.Classes
 	return d, nil
 }
 
@@ -255,7 +255,7 @@
 
 // Change is what the document changes of a broker's core.
 func (d *Document) Change() broker.Change {
-	return broker.Change{Classes: d.Classes, OpenCap: d.OpenCap}
+	return broker.Change{Classes: d.Classes, ConcurrencyLimit: d.OpenCap}
 }
 
 // Document is the document of the file that the broker was started with. The error is a *KeyError: a file may be larger
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -44,7 +44,7 @@
 		d.Classes[0].LateValue})
 	change := d.Change()
 	require.Equal(t, d.Classes, change.Classes)
-	require.Equal(t, d.OpenCap, change.OpenCap)
+	require.Equal(t, d.OpenCap, change.ConcurrencyLimit)
 }
 
 // The document of the file that a broker was started with is the one that says the same.
@@ -60,7 +60,7 @@
 		require.NoError(t, err)
 		require.Equal(t, c.want, start.Discovery)
 		require.Equal(t, loaded.Settings.Classes, start.Classes)
-		require.Equal(t, loaded.OpenCap, start.OpenCap)
+		require.Equal(t, loaded.ConcurrencyLimit, start.OpenCap)
 		require.NoError(t, parse(t, document).Changes(start))
 		require.NoError(t, start.Changes(parse(t, document)))
 	}
@@ -222,7 +222,7 @@
 		if refusal == nil {
 			require.NoError(t, wrong)
 			require.Equal(t, fmt.Sprint(loaded.Settings.Classes), fmt.Sprint(d.Classes))
-			require.Equal(t, loaded.OpenCap, d.OpenCap)
+			require.Equal(t, loaded.ConcurrencyLimit, d.OpenCap)
 			require.Equal(t, loaded.Discovery, d.Discovery)
 			return
 		}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -65,8 +65,8 @@
 	if t := c.Settings.MaxRetryAfter; t < 0 || t > mostSeconds {
 		return bad("settings.caps.maxRetryAfterS", "%g is outside 0 to %g", t, mostSeconds)
 	}
-	if c.OpenCap, c.Shards = s.Caps.OpenCap, s.Family.Shards; c.OpenCap < 0 {
-		return bad("settings.caps.openCap", "%d is negative", c.OpenCap)
+	if c.ConcurrencyLimit, c.Shards = s.Caps.OpenCap, s.Family.Shards; c.ConcurrencyLimit < 0 {
+		return bad("settings.caps.openCap", "%d is negative", c.ConcurrencyLimit)
 	}
 	c.Names = discovery.Names{Zones: s.Zones, Kinds: s.Kinds}
 	if n := s.Caps.Streams; n != nil {
--- a/internal/cores/bench_test.go
+++ b/internal/cores/bench_test.go
@@ -52,10 +52,10 @@
 		name := fmt.Sprint(i)
 		g.mu.Lock()
 		for w := range g.workers {
-			g.loads[w].Behind = g.workers[w].b.Behind()
+			g.loads[w].Behind = g.workers[w].b.Backlog()
 		}
 		g.names.Claim(name, 0)
 		g.mu.Unlock()
-		(&client{g: g, name: name}).Left()
+		(&client{g: g, name: name}).Disconnected()
 	}
 }
--- a/internal/cores/configure.go
+++ b/internal/cores/configure.go
@@ -27,12 +27,12 @@
 	left.Store(int64(len(living)))
 	applied := func() {
 		if left.Add(-1) == 0 {
-			g.open.Resize(c.OpenCap)
+			g.open.Resize(c.ConcurrencyLimit)
 		}
 	}
 	var waits []func() error
 	for _, w := range living {
-		waits = append(waits, w.b.PostChange(c, applied))
+		waits = append(waits, w.b.ConfigureAsync(c, applied))
 	}
 	inForce := 0
 	for _, wait := range waits {
@@ -46,15 +46,15 @@
 	if inForce == 0 {
 		return broker.ErrEnded
 	}
-	g.open.Resize(c.OpenCap) // one that has died meanwhile has not counted
+	g.open.Resize(c.ConcurrencyLimit) // one that has died meanwhile has not counted
 	return nil
 }
 
-// Longest is the longest deadline of a class in force, or of one that a query which is held was taken under.
-func (g *Group) Longest() (longest time.Duration) {
+// LongestDeadline is the longest deadline of a class in force, or of one that a query which is held was taken under.
+func (g *Group) LongestDeadline() (longest time.Duration) {
 	for _, w := range g.workers {
 		if !w.dead.Load() {
-			longest = max(longest, w.b.Longest())
+			longest = max(longest, w.b.LongestDeadline())
 		}
 	}
 	return longest
--- a/internal/cores/configure_test.go
+++ b/internal/cores/configure_test.go
@@ -73,7 +73,7 @@
 
 func newRecorded(t *testing.T, workers, openCap int, silent bool) *recorded {
 	r := &recorded{T: t}
-	r.Group = New(Options{Workers: workers, Settings: settings(1, 0), OpenCap: openCap, Seed: 7,
+	r.Group = New(Options{Workers: workers, Settings: settings(1, 0), ConcurrencyLimit: openCap, Seed: 7,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Decider: func(int, decision.Settings, uint64) decision.Decider {
 			d := &recorder{hold: make(chan struct{}), holds: make(chan struct{}, 1), silent: silent}
@@ -108,11 +108,11 @@
 // query hands over a query of so many parts that waits for its class's deadline.
 func (r *recorded) query(parts int) answer {
 	a := make(answer, 1)
-	q := &broker.Request{ID: fmt.Sprint("q", r.next.Add(1)), Unstated: true, Arrived: time.Now()}
+	q := &broker.Request{ID: fmt.Sprint("q", r.next.Add(1)), TimeoutUnstated: true, ReceivedAt: time.Now()}
 	for i := range parts {
-		q.Parts = append(q.Parts, broker.Part{Shard: i, Share: 1 / float64(parts)})
+		q.Parts = append(q.Parts, broker.Part{Shard: i, Weight: 1 / float64(parts)})
 	}
-	r.Take(q, a)
+	r.Submit(q, a)
 	return a
 }
 
@@ -151,7 +151,7 @@
 	for i := range changes {
 		before := asked.Load()
 		require.NoError(t, r.Configure(broker.Change{Classes: classesOf(float64(10 + i))}))
-		require.Equal(t, float64(10+i), r.Longest().Seconds())
+		require.Equal(t, float64(10+i), r.LongestDeadline().Seconds())
 		require.Eventually(t, func() bool { return asked.Load() > before+workers }, 5*time.Second, time.Millisecond)
 	}
 	close(ended)
@@ -182,19 +182,19 @@
 		cap, parts    int
 		before, after broker.Outcome
 	}{
-		{"larger", 5, 3, broker.Refused, broker.Overdue},
-		{"smaller", 1, 1, broker.Overdue, broker.Refused},
+		{"larger", 5, 3, broker.Rejected, broker.DeadlineExceeded},
+		{"smaller", 1, 1, broker.DeadlineExceeded, broker.Rejected},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRecorded(t, 1, 2, true)
-			require.NoError(t, r.Configure(broker.Change{Classes: classesOf(0.2), OpenCap: 2}))
-			r.Tell(decision.TimerFired{Token: tokenHold})
+			require.NoError(t, r.Configure(broker.Change{Classes: classesOf(0.2), ConcurrencyLimit: 2}))
+			r.Notify(decision.TimerFired{Token: tokenHold})
 			<-r.deciders[0].holds
 			early := r.query(c.parts)
 			done := make(chan error, 1)
-			behind := r.workers[0].b.Behind()
-			go func() { done <- r.Configure(broker.Change{Classes: classesOf(0.3), OpenCap: c.cap}) }()
-			require.Eventually(t, func() bool { return r.workers[0].b.Behind() > behind }, 5*time.Second,
+			behind := r.workers[0].b.Backlog()
+			go func() { done <- r.Configure(broker.Change{Classes: classesOf(0.3), ConcurrencyLimit: c.cap}) }()
+			require.Eventually(t, func() bool { return r.workers[0].b.Backlog() > behind }, 5*time.Second,
 				time.Millisecond)
 			late := r.query(c.parts)
 			r.deciders[0].goOn()
@@ -208,48 +208,48 @@
 // While one worker is busy, the others serve under the new classes, and all within the old cap until it follows.
 func TestTheSharedCapWaitsForTheLastWorker(t *testing.T) {
 	r := newRecorded(t, 2, 2, true)
-	r.workers[0].b.Tell(decision.TimerFired{Token: tokenHold})
+	r.workers[0].b.Notify(decision.TimerFired{Token: tokenHold})
 	<-r.deciders[0].holds
 	done := make(chan error, 1)
-	go func() { done <- r.Configure(broker.Change{Classes: classesOf(0.4), OpenCap: 6}) }()
+	go func() { done <- r.Configure(broker.Change{Classes: classesOf(0.4), ConcurrencyLimit: 6}) }()
 	require.Eventually(t, func() bool {
 		d := r.deciders[1]
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		return len(d.heard) == 1
 	}, 5*time.Second, time.Millisecond)
-	require.False(t, r.open.Take(3), "the cap came into force ahead of a worker's classes")
+	require.False(t, r.open.TryAcquire(3), "the cap came into force ahead of a worker's classes")
 	r.deciders[0].goOn()
 	require.NoError(t, <-done)
-	require.True(t, r.open.Take(6))
-	require.False(t, r.open.Take(1))
+	require.True(t, r.open.TryAcquire(6))
+	require.False(t, r.open.TryAcquire(1))
 }
 
 // A worker that dies while a change comes holds it up for nobody, nor does one that is dead.
 func TestAChangeWithADeadWorker(t *testing.T) {
 	r := newRecorded(t, 2, 2, true)
-	r.workers[0].b.Tell(decision.TimerFired{Token: tokenHold})
+	r.workers[0].b.Notify(decision.TimerFired{Token: tokenHold})
 	<-r.deciders[0].holds
-	r.workers[0].b.Tell(decision.TimerFired{Token: tokenDie})
+	r.workers[0].b.Notify(decision.TimerFired{Token: tokenDie})
 	done := make(chan error, 1)
-	go func() { done <- r.Configure(broker.Change{Classes: classesOf(0.4), OpenCap: 6}) }()
+	go func() { done <- r.Configure(broker.Change{Classes: classesOf(0.4), ConcurrencyLimit: 6}) }()
 	time.Sleep(20 * time.Millisecond)
 	r.deciders[0].goOn()
 	require.NoError(t, <-done)
 	<-r.Failed()
-	require.True(t, r.open.Take(6))
-	r.open.Give(6)
-	require.NoError(t, r.Configure(broker.Change{Classes: classesOf(0.5), OpenCap: 7}))
-	require.True(t, r.open.Take(7))
-	require.Equal(t, 0.5, r.Longest().Seconds())
+	require.True(t, r.open.TryAcquire(6))
+	r.open.Release(6)
+	require.NoError(t, r.Configure(broker.Change{Classes: classesOf(0.5), ConcurrencyLimit: 7}))
+	require.True(t, r.open.TryAcquire(7))
+	require.Equal(t, 0.5, r.LongestDeadline().Seconds())
 	r.workers[0].dead.Store(false) // as for a worker that dies between the look at it and the post
-	require.NoError(t, r.Configure(broker.Change{Classes: classesOf(0.5), OpenCap: 9}))
-	require.False(t, r.open.Take(3))
-	require.True(t, r.open.Take(2))
+	require.NoError(t, r.Configure(broker.Change{Classes: classesOf(0.5), ConcurrencyLimit: 9}))
+	require.False(t, r.open.TryAcquire(3))
+	require.True(t, r.open.TryAcquire(2))
 	r.workers[0].dead.Store(true)
-	r.workers[1].b.Tell(decision.TimerFired{Token: tokenDie})
+	r.workers[1].b.Notify(decision.TimerFired{Token: tokenDie})
 	require.Eventually(t, r.workers[1].dead.Load, 5*time.Second, time.Millisecond)
-	require.ErrorIs(t, r.Configure(broker.Change{Classes: classesOf(0.6), OpenCap: 8}), broker.ErrEnded)
+	require.ErrorIs(t, r.Configure(broker.Change{Classes: classesOf(0.6), ConcurrencyLimit: 8}), broker.ErrEnded)
 }
 
 // A change that does not fit changes nothing in any worker, nor the cap.
@@ -257,9 +257,9 @@
 	r := newRecorded(t, 3, 2, true)
 	spoilt := classesOf(0.4)
 	spoilt[2].MinCompleteness = 0.1
-	require.Error(t, r.Configure(broker.Change{Classes: spoilt, OpenCap: 9}))
-	require.False(t, r.open.Take(3))
-	require.Equal(t, 2., r.Longest().Seconds())
+	require.Error(t, r.Configure(broker.Change{Classes: spoilt, ConcurrencyLimit: 9}))
+	require.False(t, r.open.TryAcquire(3))
+	require.Equal(t, 2., r.LongestDeadline().Seconds())
 	for _, d := range r.deciders {
 		require.Empty(t, d.heard)
 	}
--- a/internal/cores/cores.go
+++ b/internal/cores/cores.go
@@ -23,11 +23,11 @@
 
 // Options are what a Group needs.
 type Options struct {
-	Workers  int
-	Settings decision.Settings
-	OpenCap  int // queries and parts held by all workers together; 0: no limit
-	Seed     uint64
-	Log      *slog.Logger
+	Workers          int
+	Settings         decision.Settings
+	ConcurrencyLimit int // queries and parts held by all workers together; 0: no limit
+	Seed             uint64
+	Log              *slog.Logger
 	// Decider makes a worker's Decider; nil: the module's.
 	Decider func(worker int, set decision.Settings, seed uint64) decision.Decider
 }
@@ -35,8 +35,8 @@
 // Group is the workers. To fronts it is one core.
 type Group struct {
 	log     *slog.Logger
-	servers *broker.Servers
-	open    *lease.Count
+	servers *broker.Endpoints
+	open    *lease.Semaphore
 	share   *share
 	workers []*worker
 	failed  chan struct{} // closed when a worker has died
@@ -67,7 +67,7 @@
 	}
 	n := max(opt.Workers, 1)
 	g := &Group{
-		log: opt.Log, servers: broker.NewServers(), open: lease.NewCount(opt.OpenCap),
+		log: opt.Log, servers: broker.NewEndpoints(), open: lease.NewSemaphore(opt.ConcurrencyLimit),
 		share: newShare(n, opt.Settings, opt.Seed), failed: make(chan struct{}),
 		names: placement.NewNames(), loads: make([]placement.Load, n),
 		rng: rand.New(rand.NewPCG(opt.Seed, 0xa54ff53a5f1d36f1)),
@@ -75,7 +75,7 @@
 	for i := range n {
 		d := opt.Decider(i, opt.Settings, opt.Seed^uint64(i)*0x9e3779b97f4a7c15)
 		g.workers = append(g.workers, &worker{b: broker.New(broker.Options{
-			Settings: opt.Settings, Log: opt.Log.With("worker", i), Servers: g.servers, Open: g.open,
+			Settings: opt.Settings, Log: opt.Log.With("worker", i), Endpoints: g.servers, SharedLimiter: g.open,
 		}, &sharer{share: g.share, worker: i, inner: d}, link)})
 	}
 	return g
@@ -117,24 +117,24 @@
 }
 
 func (c *client) Finish(r broker.Result) {
-	c.Left()
+	c.Disconnected()
 	c.Client.Finish(r)
 }
 
-// Left implements broker.Leaver.
-func (c *client) Left() {
+// Disconnected implements broker.DisconnectObserver.
+func (c *client) Disconnected() {
 	c.g.mu.Lock()
 	defer c.g.mu.Unlock()
 	c.g.names.Release(c.name)
 	c.g.loads[c.worker].Open -= c.size
 }
 
-// Take hands a query to a worker.
-func (g *Group) Take(r *broker.Request, c broker.Client) {
+// Submit hands a query to a worker.
+func (g *Group) Submit(r *broker.Request, c broker.Client) {
 	mine := &client{Client: c, g: g, name: r.ID, size: 1 + len(r.Parts)}
 	g.mu.Lock()
 	for i, w := range g.workers {
-		g.loads[i].Behind = w.b.Behind()
+		g.loads[i].Behind = w.b.Backlog()
 	}
 	mine.worker = placement.Choose(g.loads, g.rng)
 	taken := mine.worker >= 0 && g.names.Claim(r.ID, mine.worker)
@@ -144,7 +144,7 @@
 	g.mu.Unlock()
 	switch {
 	case taken:
-		g.workers[mine.worker].b.Take(r, mine)
+		g.workers[mine.worker].b.Submit(r, mine)
 	case mine.worker < 0:
 		c.Finish(broker.Result{Outcome: broker.Failed})
 	default:
@@ -152,21 +152,21 @@
 	}
 }
 
-// Leave tells that the client of a query has gone away.
-func (g *Group) Leave(r *broker.Request) {
+// Disconnect tells that the client of a query has gone away.
+func (g *Group) Disconnect(r *broker.Request) {
 	g.mu.Lock()
 	w, served := g.names.Worker(r.ID)
 	g.mu.Unlock()
 	if served {
-		g.workers[w].b.Leave(r)
+		g.workers[w].b.Disconnect(r)
 	}
 }
 
-// Serving tells whether record servers are known and a worker lives.
-func (g *Group) Serving() bool {
+// Ready tells whether record servers are known and a worker lives.
+func (g *Group) Ready() bool {
 	for _, w := range g.workers {
 		if !w.dead.Load() {
-			return g.servers.Listed()
+			return g.servers.Known()
 		}
 	}
 	return false
@@ -174,7 +174,7 @@
 
 // Update hands news of the server list to all workers. When it returns, nothing new is begun at a server that
 // leaves, whether or not each worker has had the time to take note of it.
-func (g *Group) Update(l broker.List) {
+func (g *Group) Update(l broker.EndpointUpdate) {
 	g.servers.Apply(l)
 	g.share.tell(l.Event(), float64(time.Now().UnixNano())/1e9)
 	limit := time.NewTimer(tellWait)
@@ -182,7 +182,7 @@
 	var taken []<-chan struct{}
 	for _, w := range g.workers {
 		if !w.dead.Load() {
-			taken = append(taken, w.b.News(l))
+			taken = append(taken, w.b.UpdateAsync(l))
 		}
 	}
 	for _, t := range taken {
@@ -194,14 +194,14 @@
 	}
 }
 
-// Tell hands each worker's Decider an event of a part that runs beside them.
-func (g *Group) Tell(e decision.Event) {
+// Notify hands each worker's Decider an event of a part that runs beside them.
+func (g *Group) Notify(e decision.Event) {
 	if f, ok := e.(decision.FleetResized); ok {
 		g.share.resize(f.Brokers)
 	}
 	for _, w := range g.workers {
 		if !w.dead.Load() {
-			w.b.Tell(e)
+			w.b.Notify(e)
 		}
 	}
 }
@@ -215,11 +215,11 @@
 	}
 }
 
-// EndBy has all workers answer what they hold by then.
-func (g *Group) EndBy(t time.Time) {
+// SetShutdownDeadline has all workers answer what they hold by then.
+func (g *Group) SetShutdownDeadline(t time.Time) {
 	for _, w := range g.workers {
 		if !w.dead.Load() {
-			w.b.EndBy(t)
+			w.b.SetShutdownDeadline(t)
 		}
 	}
 }
--- a/internal/cores/cores_test.go
+++ b/internal/cores/cores_test.go
@@ -64,7 +64,7 @@
 	link := upstream.New(ctx, upstream.Options{Streams: 100, Conns: o.conns, Idle: 15 * time.Second,
 		ConnectTimeout: 250 * time.Millisecond})
 	r := &rig{T: t, fleet: fleet, Group: New(Options{Workers: o.workers, Settings: settings(o.servers, o.warmUp),
-		OpenCap: o.openCap, Seed: 7, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Decider: o.decider}, link)}
+		ConcurrencyLimit: o.openCap, Seed: 7, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Decider: o.decider}, link)}
 	ended := make(chan struct{})
 	go func() {
 		r.Group.Run(ctx)
@@ -81,7 +81,7 @@
 		defer r.share.mu.Unlock()
 		require.Zero(t, r.share.over, "parts were sent to a cold server beyond a lease")
 	})
-	r.Update(broker.List{Mode: decision.CachedUpdate, Servers: fleet.Entries()})
+	r.Update(broker.EndpointUpdate{Mode: decision.CachedUpdate, Servers: fleet.Entries()})
 	return r
 }
 
@@ -93,9 +93,9 @@
 func (r *rig) request(class, shard, parts int) *broker.Request {
 	n := r.next.Add(1)
 	q := &broker.Request{ID: fmt.Sprintf("%s%d", []string{"usage", "charge", "report", "docket"}[class], n), Class: class,
-		Arrived: time.Now(), Patience: 1500 * time.Millisecond, Text: []byte("x")}
+		ReceivedAt: time.Now(), Timeout: 1500 * time.Millisecond, Payload: []byte("x")}
 	for i := range parts {
-		q.Parts = append(q.Parts, broker.Part{Shard: (shard + i) % len(r.fleet.Servers), Share: 1 / float64(parts)})
+		q.Parts = append(q.Parts, broker.Part{Shard: (shard + i) % len(r.fleet.Servers), Weight: 1 / float64(parts)})
 	}
 	return q
 }
@@ -104,17 +104,17 @@
 func (r *rig) ask(q *broker.Request, worker ...int) broker.Result {
 	a := make(answer, 2)
 	if len(worker) > 0 {
-		r.workers[worker[0]].b.Take(q, a)
+		r.workers[worker[0]].b.Submit(q, a)
 	} else {
-		r.Take(q, a)
+		r.Submit(q, a)
 	}
 	select {
 	case res := <-a:
-		if late := time.Since(q.Arrived) - q.Patience; late > 50*time.Millisecond {
+		if late := time.Since(q.ReceivedAt) - q.Timeout; late > 50*time.Millisecond {
 			r.Errorf("%s was answered %v late", q.ID, late)
 		}
 		return res
-	case <-time.After(q.Patience + time.Second):
+	case <-time.After(q.Timeout + time.Second):
 		r.Errorf("%s was never answered", q.ID)
 		return broker.Result{Outcome: broker.Failed}
 	}
@@ -201,7 +201,7 @@
 		}
 		fresh := r.fleet.Servers[2]
 		fresh.Restart()
-		r.Update(broker.List{Mode: decision.DeltaUpdate, Version: 1, Servers: []broker.ListEntry{fresh.Entry(decision.Ready)}})
+		r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: 1, Servers: []broker.Endpoint{fresh.Entry(decision.Ready)}})
 		ends := r.load(8, 1600*time.Millisecond, func(c, n int) *broker.Request { return r.request(usage, c+n, 2) })
 		require.NotZero(t, ends[broker.Answered])
 		peak[i] = fresh.Worst(1500 * time.Millisecond)
@@ -230,12 +230,12 @@
 			switch v % 3 {
 			case 0, 1:
 				s.Restart()
-				r.Update(broker.List{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.ListEntry{s.Entry(decision.Ready)}})
+				r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.Endpoint{s.Entry(decision.Ready)}})
 			case 2:
-				r.Update(broker.List{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.ListEntry{s.Entry(decision.Removed)}})
+				r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.Endpoint{s.Entry(decision.Removed)}})
 				time.Sleep(20 * time.Millisecond)
 				v += 6 // its turn, and so its number, stays
-				r.Update(broker.List{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.ListEntry{s.Entry(decision.Ready)}})
+				r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.Endpoint{s.Entry(decision.Ready)}})
 			}
 		}
 	})
@@ -278,7 +278,7 @@
 		time.Sleep(50 * time.Millisecond) // parts for all servers are decided and wait
 		s := r.fleet.Servers[1]
 		s.Drain()
-		r.Update(broker.List{Mode: decision.DeltaUpdate, Version: 1, Servers: []broker.ListEntry{s.Entry(decision.Draining)}})
+		r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: 1, Servers: []broker.Endpoint{s.Entry(decision.Draining)}})
 		if late := time.Since(time.Unix(0, busy.Load())); late >= 0 {
 			t.Errorf("the watch of the list was held up until %v after the worker was free again", late)
 		}
@@ -358,7 +358,7 @@
 		for range 8 {
 			all.Go(func() {
 				again := *q
-				again.Arrived = time.Now()
+				again.ReceivedAt = time.Now()
 				ends[r.ask(&again).Outcome].Add(1)
 			})
 		}
@@ -373,9 +373,9 @@
 	r := newRig(t, rigOptions{workers: 2, servers: 2, openCap: 4, work: 200 * time.Millisecond})
 	for range 5 {
 		q := r.request(usage, 0, 2)
-		r.Take(q, make(answer, 1))
-		r.Leave(q)
-		require.Eventually(t, func() bool { return r.open.Used() == 0 && r.Serves() == 0 }, time.Second, time.Millisecond)
+		r.Submit(q, make(answer, 1))
+		r.Disconnect(q)
+		require.Eventually(t, func() bool { return r.open.Acquired() == 0 && r.Serves() == 0 }, time.Second, time.Millisecond)
 	}
 	require.Equal(t, []int{0, 0}, r.Held())
 	require.Equal(t, broker.Answered, r.ask(r.request(usage, 0, 1)).Outcome)
@@ -391,7 +391,7 @@
 			switch res := r.ask(r.request(usage, 0, 2)); res.Outcome { // three of nine each
 			case broker.Answered:
 				served.Add(1)
-			case broker.Refused:
+			case broker.Rejected:
 				require.Equal(t, 0.5, res.RetryAfter)
 				refused.Add(1)
 			}
@@ -405,14 +405,14 @@
 func TestMoreWorkersThanCores(t *testing.T) {
 	r := newRig(t, rigOptions{workers: 3 * runtime.NumCPU(), servers: 6, work: 2 * time.Millisecond, warmUp: 3})
 	ends := r.load(24, time.Second, r.mixed)
-	require.Greater(t, ends[broker.Answered], 9*(ends[broker.Failed]+ends[broker.Overdue]))
+	require.Greater(t, ends[broker.Answered], 9*(ends[broker.Failed]+ends[broker.DeadlineExceeded]))
 }
 
 // Six connections for four servers and four workers: calls share them, and no worker starves.
 func TestAHandfulOfDescriptors(t *testing.T) {
 	r := newRig(t, rigOptions{workers: 4, servers: 4, conns: 6, work: 2 * time.Millisecond})
 	ends := r.load(12, time.Second, r.mixed)
-	require.Greater(t, ends[broker.Answered], 9*(ends[broker.Failed]+ends[broker.Overdue]))
+	require.Greater(t, ends[broker.Answered], 9*(ends[broker.Failed]+ends[broker.DeadlineExceeded]))
 	conns := 0
 	for _, s := range r.fleet.Servers {
 		conns += s.Conns()
@@ -451,11 +451,11 @@
 	require.Less(t, time.Since(began), 200*time.Millisecond)
 	<-r.Failed()
 	require.Equal(t, broker.Failed, r.ask(r.request(usage, 0, 1), 0).Outcome, "posted to a loop that is gone")
-	require.True(t, r.Serving())
+	require.True(t, r.Ready())
 	for i := range 4 {
 		require.Equal(t, broker.Answered, r.ask(r.request(usage, i, 1)).Outcome)
 	}
-	r.Update(broker.List{Mode: decision.DeltaUpdate, Version: 1, Servers: r.fleet.Entries()})
+	r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: 1, Servers: r.fleet.Entries()})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	r.Drain(ctx)
--- a/internal/cores/second_step_test.go
+++ b/internal/cores/second_step_test.go
@@ -21,8 +21,8 @@
 			r.fleet.Servers[1].Break()
 			time.Sleep(200 * time.Millisecond)
 			r.fleet.Servers[5].Hang(true)
-			r.Update(broker.List{Mode: decision.DeltaUpdate,
-				Servers: []broker.ListEntry{r.fleet.Servers[3].Entry(decision.Draining)}})
+			r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate,
+				Servers: []broker.Endpoint{r.fleet.Servers[3].Entry(decision.Draining)}})
 			r.fleet.Servers[3].Drain()
 			time.Sleep(200 * time.Millisecond)
 			r.fleet.Servers[5].Hang(false)
@@ -31,11 +31,11 @@
 		ends := r.load(6, 1200*time.Millisecond, func(client, n int) *broker.Request {
 			return r.request(docket, client+n, 5)
 		})
-		require.Greater(t, ends[broker.Answered], 9*(ends[broker.Refused]+ends[broker.Overdue]+ends[broker.Failed]))
+		require.Greater(t, ends[broker.Answered], 9*(ends[broker.Rejected]+ends[broker.DeadlineExceeded]+ends[broker.Failed]))
 	}
 	r := newRig(t, rigOptions{workers: 2, servers: 8, work: time.Millisecond})
 	res := r.ask(r.request(docket, 0, 5))
 	require.Equal(t, broker.Answered, res.Outcome)
-	require.True(t, res.Whole)
+	require.True(t, res.Complete)
 	require.Len(t, res.Values, 2)
 }
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -31,8 +31,8 @@
 	totalWeight, totalParts float64            // of all queries so far: priority weight, and parts needed
 }
 
-// breaksServers tells that all attempts of a query have ended, more of them broken off than by chance.
-func (p *Policy) breaksServers(q *query, g progress) bool {
+// crashesServers tells that all attempts of a query have ended, more of them broken off than by chance.
+func (p *Policy) crashesServers(q *query, g progress) bool {
 	return q.resets > 1 && g.Answered == 0 && g.live == 0 && q.phase == firstPhase &&
 		math.Pow(p.fleet.DisconnectRatio, float64(q.resets)) < poisonProbability
 }
@@ -47,7 +47,7 @@
 func (p *Policy) expectedDelay(shard int) float64 {
 	var delay queueing.Delay
 	p.replicaSets.Holders(shard, func(s *server) {
-		if s.IsReady() && p.admitsSlowStart(s) {
+		if s.IsReady() && p.hasSlowStartBudget(s) {
 			capacity := p.usableFraction(s) * p.capacityFraction(s)
 			delay.Add(capacity, p.fleet.ServiceTime.Of(&s.ServiceTime, p.now), s.QueueDepth(p.now))
 		}
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -103,7 +103,7 @@
 	if p.capacityFraction(s) < 1 {
 		s.slowStartSends = append(s.slowStartSends, p.now)
 	}
-	p.emit(Send{ID: pt.ID, Server: s.ID, Timeout: pt.query.endsAt - p.now})
+	p.emit(Send{ID: pt.ID, Server: s.ID, Timeout: pt.query.expiresAt - p.now})
 }
 
 func (p *Policy) cancelAttempts(pt *part) {
--- a/internal/decision/health.go
+++ b/internal/decision/health.go
@@ -69,8 +69,8 @@
 	return p.healthWeight(s, p.fleet.MedianFailureRatio) * p.stallPenalty(s)
 }
 
-// countWarming is how many ready servers have less than their whole capacity.
-func (p *Policy) countWarming() (warming int) {
+// warmingServers is how many ready servers have less than their whole capacity.
+func (p *Policy) warmingServers() (warming int) {
 	duration := p.settings.SlowStart.Duration
 	p.warmingUp = slices.DeleteFunc(p.warmingUp, func(s *server) bool {
 		s.warming = duration > 0 && p.now-s.warmingSince < duration
--- a/internal/decision/healthchecks.go
+++ b/internal/decision/healthchecks.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// awaitHealthCheck queues a server whose health may be checked.
-func (p *Policy) awaitHealthCheck(s *server) {
+// enqueueHealthCheck queues a server whose health may be checked.
+func (p *Policy) enqueueHealthCheck(s *server) {
 	if p.settings.HealthChecksAllowed && s.IsReady() && s.InFlight == 0 {
 		p.stalest.Push(s)
 	}
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -60,7 +60,7 @@
 // Handle takes the events of one moment in their order and returns what to do, in order.
 func (p *Policy) Handle(now float64, events []Event) []Action {
 	p.now, p.actions, p.wakeTime = now, nil, math.Inf(1)
-	p.fleet.Advance(now, len(p.servers), p.countWarming(), p.settings.SlowStart.OverloadWindow)
+	p.fleet.Advance(now, len(p.servers), p.warmingServers(), p.settings.SlowStart.OverloadWindow)
 	for _, e := range events {
 		p.handleEvent(e)
 	}
--- a/internal/decision/queries.go
+++ b/internal/decision/queries.go
@@ -37,7 +37,7 @@
 	firstComplete   bool // the first phase was complete
 	receivedAt      float64
 	objectiveAt     float64 // until then an answer earns its full value
-	endsAt          float64 // until then it earns anything, or the client waits
+	expiresAt       float64 // until then it earns anything, or the client waits
 	objectiveMissed bool    // it has passed since the client's first try
 	admitted, ended bool
 	fannedOut       bool   // its canary parts have come back soon enough
@@ -78,9 +78,9 @@
 	lead := respondLeadTicks*math.Max(p.settings.Tick, minTick) + p.now - q.receivedAt
 	objective := q.receivedAt + c.LatencyObjective + c.ObjectivePerWork*q.Work
 	q.objectiveAt = math.Min(objective, q.Deadline) - lead
-	q.endsAt = q.objectiveAt
+	q.expiresAt = q.objectiveAt
 	if c.LateValue > 0 {
-		q.endsAt = q.Deadline - lead
+		q.expiresAt = q.Deadline - lead
 	}
 	if patience := p.patience.Short(); patience > p.fleet.Latencies[q.Query.Class].Quantile(0.95) {
 		q.objectiveAt = math.Min(q.objectiveAt, q.receivedAt+patience-lead)
@@ -117,7 +117,7 @@
 	a.server.RecordLoadReport(e.LoadReport, p.now)
 	p.learnFromAttempt(a, pt.query, e)
 	a.server.InFlight--
-	p.awaitHealthCheck(a.server)
+	p.enqueueHealthCheck(a.server)
 	switch {
 	case pt.finished && pt.live == 0:
 		delete(p.parts, e.ID)
@@ -197,19 +197,19 @@
 
 // advance does what a query needs now: respond, give up, send, send again.
 func (p *Policy) advance(q *query) {
-	if q.ended || len(q.parts) == 0 && q.phase == secondPhase && p.now < q.endsAt {
-		p.wakeAt(q.endsAt)
+	if q.ended || len(q.parts) == 0 && q.phase == secondPhase && p.now < q.expiresAt {
+		p.wakeAt(q.expiresAt)
 		return
 	}
 	g := p.progressOf(q)
 	complete, enough := g.Tally.Complete(g.Thresholds), g.Enough(g.Thresholds)
-	late := p.now >= q.endsAt || p.now >= q.objectiveAt && enough
+	late := p.now >= q.expiresAt || p.now >= q.objectiveAt && enough
 	switch {
 	case complete || enough && (late || g.CannotComplete(g.Thresholds)):
 		p.respond(q, complete, g.Answered)
 	case late || g.CannotAnswer(g.Thresholds):
 		p.rejectOrFail(q)
-	case p.breaksServers(q, g):
+	case p.crashesServers(q, g):
 		p.quarantineUntil[q.Query.Class] = p.now + quarantineDuration
 		p.poisonQueries[q.fingerprint] = q.receivedAt + q.class.Deadline
 		p.rejectOrFail(q)
@@ -218,7 +218,7 @@
 	default:
 		q.admitted = true
 		p.sendParts(q, g.Answered)
-		p.wakeAt(q.endsAt)
+		p.wakeAt(q.expiresAt)
 		if p.now < q.objectiveAt {
 			p.wakeAt(q.objectiveAt)
 		}
@@ -234,5 +234,5 @@
 	p.finishParts(q)
 	p.emit(Respond{ID: q.ID, Complete: complete})
 	q.firstComplete, q.phase, q.parts = complete, secondPhase, nil
-	p.wakeAt(q.endsAt)
+	p.wakeAt(q.expiresAt)
 }
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -57,7 +57,7 @@
 func (p *Policy) drawAmong(pt *part, triedToo bool) (best *server) {
 	p.replicaSets.Holders(pt.Shard, func(s *server) {
 		tried, justTried := pt.triedAt(s, p.now)
-		if !s.IsReady() || justTried || tried && !triedToo || !p.admitsSlowStart(s) {
+		if !s.IsReady() || justTried || tried && !triedToo || !p.hasSlowStartBudget(s) {
 			return
 		}
 		if s.keyRound != p.drawRound {
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -19,9 +19,9 @@
 	return p.settings.SlowStart.CapacityFraction(p.now - s.warmingSince)
 }
 
-// admitsSlowStart tells whether a server may get one more part, if it warms up. What warm ones answer bounds
+// hasSlowStartBudget tells whether a server that warms up may get one more part. What warm ones answer bounds
 // what it bears from below, and each broker keeps to its own share of that.
-func (p *Policy) admitsSlowStart(s *server) bool {
+func (p *Policy) hasSlowStartBudget(s *server) bool {
 	capacity := p.capacityFraction(s)
 	window := p.settings.SlowStart.OverloadWindow
 	if capacity >= 1 || window <= 0 {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -51,8 +51,8 @@
 }
 
 // List translates a message for the core.
-func (n Names) List(m Message) (broker.List, error) {
-	l := broker.List{Mode: decision.DeltaUpdate, Version: m.Version}
+func (n Names) List(m Message) (broker.EndpointUpdate, error) {
+	l := broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: m.Version}
 	if m.Full {
 		l.Mode = decision.FullUpdate
 	}
@@ -64,7 +64,7 @@
 		if e.ID == "" || e.Addr == "" && state != decision.Removed {
 			return l, fmt.Errorf("servers[%d]: an entry without id or addr", i)
 		}
-		l.Servers = append(l.Servers, broker.ListEntry{
+		l.Servers = append(l.Servers, broker.Endpoint{
 			Server: decision.Server{
 				ID: e.ID, Zone: slices.Index(n.Zones, e.Zone), Kind: slices.Index(n.Kinds, e.Kind),
 				ReplicaSet: e.Cell, State: state, Capacity: e.Weight, Started: e.StartedMS / 1000,
@@ -81,7 +81,7 @@
 	Addr   string // where the first watch goes; Move names another
 	Names  Names
 	Since  int64 // version of the list as known
-	Update func(broker.List)
+	Update func(broker.EndpointUpdate)
 	Log    *slog.Logger
 	// Waits decides when a watch is started. All brokers share one discovery.
 	Waits *backoff.Backoff
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for i := range here {
-		w := &discovery.Watcher{Addr: d.Addr().String(), Update: func(broker.List) {},
+		w := &discovery.Watcher{Addr: d.Addr().String(), Update: func(broker.EndpointUpdate) {},
 			Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Waits: backoff.New(fleet, uint64(i))}
 		go w.Run(ctx)
 	}
@@ -135,11 +135,11 @@
 func says(text string) func(net.Conn) { return func(c net.Conn) { fmt.Fprint(c, text) } }
 
 // follow runs a watcher of a small fleet and hands on its news.
-func follow(t *testing.T, addr string) chan broker.List {
-	news := make(chan broker.List, 10)
+func follow(t *testing.T, addr string) chan broker.EndpointUpdate {
+	news := make(chan broker.EndpointUpdate, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	w := &discovery.Watcher{Addr: addr, Since: 5, Update: func(l broker.List) { news <- l },
+	w := &discovery.Watcher{Addr: addr, Since: 5, Update: func(l broker.EndpointUpdate) { news <- l },
 		Names: discovery.Names{Zones: []string{"a"}, Kinds: []string{"m"}},
 		Log:   slog.New(slog.NewTextHandler(io.Discard, nil)), Waits: backoff.New(3, 1)}
 	go w.Run(ctx)
--- a/internal/flight/deadline_test.go
+++ b/internal/flight/deadline_test.go
@@ -22,11 +22,11 @@
 type silentLink struct{ sent chan *broker.Call }
 
 func (l silentLink) Send(c *broker.Call) {
-	c.Begin()
+	c.TryStart()
 	l.sent <- c
 }
-func (l silentLink) Cancel(*broker.Call) {}
-func (l silentLink) Probe(*broker.Probe) {}
+func (l silentLink) Cancel(*broker.Call)             {}
+func (l silentLink) CheckHealth(*broker.HealthCheck) {}
 
 // serverStream is the server's end of a call that a test makes without a socket.
 type serverStream struct {
@@ -48,7 +48,7 @@
 		defer synctest.Wait()
 		defer stop()
 		go b.Run(running)
-		b.Update(broker.List{Mode: decision.FullUpdate, Servers: []broker.ListEntry{
+		b.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Servers: []broker.Endpoint{
 			{Addr: "s0", Server: decision.Server{ID: "s0", State: decision.Ready}}}})
 		front := NewFront(Options{Classes: map[string]int{"charge-post": 0}}, b)
 		text, err := json.Marshal(Ticket{ID: "q1", Class: "charge-post", Body: httpwire.Body{
--- a/internal/flight/flight.go
+++ b/internal/flight/flight.go
@@ -47,10 +47,10 @@
 // partTicket is the ticket of a call.
 func partTicket(c *broker.Call) PartTicket {
 	t := PartTicket{
-		ID: frame.PartID(c.Query, c.Shard, c.Second != nil), Partition: c.Shard, Query: string(c.Text),
+		ID: frame.PartID(c.Query, c.Shard, c.FirstPhase != nil), Partition: c.Shard, Query: string(c.Payload),
 	}
-	if c.Second != nil {
-		t.FirstStep = &FirstStep{From: c.Second.From, Whole: c.Second.Whole}
+	if c.FirstPhase != nil {
+		t.FirstStep = &FirstStep{From: c.FirstPhase.AnsweredShards, Whole: c.FirstPhase.Complete}
 	}
 	return t
 }
@@ -81,19 +81,19 @@
 // The status mapping. UNAVAILABLE with RetryInfo says that trying again is harmless; gRPC itself makes
 // UNAVAILABLE too, of a connection that broke, and then without RetryInfo.
 var codeOf = map[broker.Outcome]codes.Code{
-	broker.Refused: codes.Unavailable, broker.Failed: codes.Aborted,
-	broker.Overdue: codes.DeadlineExceeded, broker.Duplicate: codes.AlreadyExists,
+	broker.Rejected: codes.Unavailable, broker.Failed: codes.Aborted,
+	broker.DeadlineExceeded: codes.DeadlineExceeded, broker.Duplicate: codes.AlreadyExists,
 }
 
 var saidOf = map[broker.Outcome]string{
-	broker.Refused: "refused: trying again is harmless", broker.Failed: "failed: parts may have run",
-	broker.Overdue: "the time is up", broker.Duplicate: "a query of this id is being served",
+	broker.Rejected: "refused: trying again is harmless", broker.Failed: "failed: parts may have run",
+	broker.DeadlineExceeded: "the time is up", broker.Duplicate: "a query of this id is being served",
 }
 
 // statusOf is the status of a query that was not answered.
 func statusOf(r broker.Result) error {
 	s := status.New(codeOf[r.Outcome], saidOf[r.Outcome])
-	if r.Outcome != broker.Refused {
+	if r.Outcome != broker.Rejected {
 		return s.Err()
 	}
 	detailed, err := s.WithDetails(&errdetails.RetryInfo{
--- a/internal/flight/flight_test.go
+++ b/internal/flight/flight_test.go
@@ -14,9 +14,9 @@
 
 func TestStatusOfEachOutcome(t *testing.T) {
 	seen := map[codes.Code]bool{}
-	for _, o := range []broker.Outcome{broker.Refused, broker.Failed, broker.Overdue, broker.Duplicate} {
+	for _, o := range []broker.Outcome{broker.Rejected, broker.Failed, broker.DeadlineExceeded, broker.Duplicate} {
 		err := statusOf(broker.Result{Outcome: o, RetryAfter: 0.5})
-		require.Equal(t, o == broker.Refused, refused(err))
+		require.Equal(t, o == broker.Rejected, refused(err))
 		require.False(t, seen[status.Code(err)], "two outcomes have one code")
 		seen[status.Code(err)] = true
 	}
@@ -25,7 +25,7 @@
 
 // What ends a call that has begun may have run, unless the server says that it has not.
 func TestBrokenCalls(t *testing.T) {
-	refusal := statusOf(broker.Result{Outcome: broker.Refused})
+	refusal := statusOf(broker.Result{Outcome: broker.Rejected})
 	for _, c := range []struct {
 		err  error
 		gate *gate
--- a/internal/flight/front.go
+++ b/internal/flight/front.go
@@ -25,8 +25,8 @@
 
 // Core is what the front needs of the broker.
 type Core interface {
-	Take(*broker.Request, broker.Client)
-	Leave(*broker.Request)
+	Submit(*broker.Request, broker.Client)
+	Disconnect(*broker.Request)
 }
 
 // Options are what the deployment fixes.
@@ -85,7 +85,7 @@
 		defer func() { <-f.slots }()
 		return next(srv, stream)
 	default:
-		return statusOf(broker.Result{Outcome: broker.Refused, RetryAfter: 1})
+		return statusOf(broker.Result{Outcome: broker.Rejected, RetryAfter: 1})
 	}
 }
 
@@ -101,14 +101,14 @@
 		return nil, nil, status.Errorf(codes.NotFound, "class: no class of query is named %q", t.Class)
 	}
 	r := &broker.Request{
-		ID: t.ID, Class: class, Retry: t.Retry, Arrived: now, Unstated: true,
-		Text: []byte(t.Query),
+		ID: t.ID, Class: class, Retry: t.Retry, ReceivedAt: now, TimeoutUnstated: true,
+		Payload: []byte(t.Query),
 	}
 	if d, ok := ctx.Deadline(); ok {
-		r.Patience, r.Unstated = d.Sub(now), false
+		r.Timeout, r.TimeoutUnstated = d.Sub(now), false
 	}
 	if r.Parts, err = t.Parts(); err == nil {
-		err = r.Check(f.opt.Shards)
+		err = r.Normalize(f.opt.Shards)
 	}
 	if err != nil {
 		return nil, nil, status.Error(codes.InvalidArgument, err.Error())
@@ -130,8 +130,8 @@
 		return err
 	}
 	c := make(client, 1)
-	r.Left = new(atomic.Bool)
-	f.core.Take(r, c)
+	r.Disconnected = new(atomic.Bool)
+	f.core.Submit(r, c)
 	select {
 	case res := <-c:
 		if res.Outcome != broker.Answered {
@@ -139,8 +139,8 @@
 		}
 		return writeAnswer(stream, t, res)
 	case <-ctx.Done():
-		r.Left.Store(true)
-		f.core.Leave(r)
+		r.Disconnected.Store(true)
+		f.core.Disconnect(r)
 		return status.FromContextError(ctx.Err()).Err()
 	}
 }
@@ -160,7 +160,7 @@
 	if err := w.Write(rec); err != nil {
 		return status.Error(codes.Aborted, err.Error())
 	}
-	closing, err := json.Marshal(Closing{ID: t.ID, Class: t.Class, Whole: res.Whole, Parts: len(res.Values)})
+	closing, err := json.Marshal(Closing{ID: t.ID, Class: t.Class, Whole: res.Complete, Parts: len(res.Values)})
 	if err == nil {
 		err = w.WriteMetadata(closing)
 	}
--- a/internal/flight/link.go
+++ b/internal/flight/link.go
@@ -169,7 +169,7 @@
 		l.mu.Lock()
 		delete(l.calls, c)
 		l.mu.Unlock()
-		c.Done(r)
+		c.Finish(r)
 	}()
 }
 
@@ -201,7 +201,7 @@
 	if g.passed {
 		return nil, errShut
 	}
-	if !g.call.Begin() {
+	if !g.call.TryStart() {
 		g.shut = true
 		return nil, errShut
 	}
@@ -218,12 +218,12 @@
 	return g.passed
 }
 
-func reply(s decision.Status) broker.Reply {
-	return broker.Reply{Status: s, Load: decision.NoLoadReport}
+func reply(s decision.Status) broker.CallResult {
+	return broker.CallResult{Status: s, LoadReport: decision.NoLoadReport}
 }
 
 // get runs one call to its end.
-func (l *Link) get(ctx context.Context, c *broker.Call) broker.Reply {
+func (l *Link) get(ctx context.Context, c *broker.Call) broker.CallResult {
 	ch, err := l.acquire(c.Addr)
 	if err != nil {
 		return reply(decision.NotSent) // which tells nothing of the server
@@ -252,8 +252,8 @@
 
 // readPart reads a part's stream to its status. Only a stream that ends well has brought the part: one that
 // breaks halfway leaves it not in.
-func readPart(stream flight.FlightService_DoGetClient) (broker.Reply, error) {
-	part := broker.Reply{Status: decision.OK, Load: decision.NoLoadReport, Value: []byte{}}
+func readPart(stream flight.FlightService_DoGetClient) (broker.CallResult, error) {
+	part := broker.CallResult{Status: decision.OK, LoadReport: decision.NoLoadReport, Value: []byte{}}
 	r, err := flight.NewRecordReader(stream)
 	if err != nil {
 		return part, err
@@ -286,12 +286,12 @@
 
 // readMetadata takes the load report and the score from a message's metadata, name=value pairs set apart by commas.
 // What cannot be read spoils no value.
-func readMetadata(text []byte, part *broker.Reply) {
+func readMetadata(text []byte, part *broker.CallResult) {
 	if len(text) == 0 {
 		return
 	}
 	if report, err := frame.ParseLoad(text); err == nil {
-		part.Load = report
+		part.LoadReport = report
 	}
 	for pair := range bytes.SplitSeq(text, []byte{','}) {
 		name, number, _ := bytes.Cut(pair, []byte{'='})
@@ -307,7 +307,7 @@
 // broken is the outcome of a call that ended without an answer. Nothing can have run if its header was
 // never written, or if the server says so; anything else may have run, and above all a stream that ends
 // without a status.
-func broken(err error, g *gate) broker.Reply {
+func broken(err error, g *gate) broker.CallResult {
 	switch {
 	case g.shut:
 		return reply(decision.NotSent)
@@ -325,16 +325,16 @@
 	return reply(decision.Error)
 }
 
-// Probe asks a server for its load by the action "load".
-func (l *Link) Probe(p *broker.Probe) {
+// CheckHealth asks a server for its load by the action "load".
+func (l *Link) CheckHealth(p *broker.HealthCheck) {
 	go func() {
 		ctx, cancel := context.WithDeadline(l.ctx, p.Deadline)
 		defer cancel()
-		p.Done(l.ask(ctx, p))
+		p.Finish(l.ask(ctx, p))
 	}()
 }
 
-func (l *Link) ask(ctx context.Context, p *broker.Probe) broker.Reply {
+func (l *Link) ask(ctx context.Context, p *broker.HealthCheck) broker.CallResult {
 	ch, err := l.acquire(p.Addr)
 	if err != nil {
 		return reply(decision.NotSent)
@@ -356,7 +356,7 @@
 	}
 	r := reply(decision.OK)
 	if load, err := frame.ParseLoad(res.GetBody()); err == nil {
-		r.Load = load
+		r.LoadReport = load
 	}
 	return r
 }
@@ -380,5 +380,5 @@
 // Cancel ends a call.
 func (m *Mixed) Cancel(c *broker.Call) { m.to(c.Server).Cancel(c) }
 
-// Probe asks a server how it is.
-func (m *Mixed) Probe(p *broker.Probe) { m.to(p.Server).Probe(p) }
+// CheckHealth asks a server how it is.
+func (m *Mixed) CheckHealth(p *broker.HealthCheck) { m.to(p.Server).CheckHealth(p) }
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -187,13 +187,13 @@
 		c.reader.Filled(e.n)
 		c.reads.add(e.n, e.at)
 	} else if c.behind += e.n; c.behind > behindMost {
-		c.f.core.Leave(c.held)
+		c.f.core.Disconnect(c.held)
 		c.refuse(errFlood)
 		return false
 	}
 	if e.err != nil && !errors.Is(e.err, os.ErrDeadlineExceeded) {
 		if c.held != nil {
-			c.f.core.Leave(c.held)
+			c.f.core.Disconnect(c.held)
 		}
 		return false
 	}
@@ -215,7 +215,7 @@
 func (c *conn) holds() int {
 	n := c.reader.Size()
 	if c.held != nil {
-		n += len(c.held.Text)
+		n += len(c.held.Payload)
 	}
 	return max(n-keepMost, 0)
 }
@@ -236,7 +236,7 @@
 	case req.Path == "/up":
 		if resp.Status = 200; req.Method != "GET" && req.Method != "HEAD" {
 			resp.Status, resp.Allow = 405, "GET, HEAD"
-		} else if down || !c.f.core.Serving() {
+		} else if down || !c.f.core.Ready() {
 			resp.Status = 503
 		}
 	case !known:
@@ -252,7 +252,7 @@
 		}
 		if err == nil {
 			c.held, c.closes, c.behind = r, req.Close, 0
-			c.f.core.Take(r, c)
+			c.f.core.Submit(r, c)
 			return true
 		}
 		var e *httpwire.Error
@@ -271,8 +271,8 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Class, r.Arrived, r.Left = class, c.reads.lastByte(c.reader.Unread()), &c.left
-	if err := r.Check(c.f.opt.Shards); err != nil {
+	r.Class, r.ReceivedAt, r.Disconnected = class, c.reads.lastByte(c.reader.Unread()), &c.left
+	if err := r.Normalize(c.f.opt.Shards); err != nil {
 		return nil, &httpwire.Error{Status: 400, Reason: err.Error()}
 	}
 	return r, nil
@@ -349,15 +349,15 @@
 	resp := httpwire.Response{Close: closes}
 	switch r.Outcome {
 	case broker.Answered:
-		a := httpwire.Answer{Whole: r.Whole, Results: make([]httpwire.Hit, 0, len(r.Values))}
+		a := httpwire.Answer{Whole: r.Complete, Results: make([]httpwire.Hit, 0, len(r.Values))}
 		for _, v := range r.Values {
 			a.Results = append(a.Results, httpwire.Hit{Partition: v.Shard, Value: string(v.Data)})
 		}
 		resp.Status, resp.Body = 200, a
-	case broker.Refused:
+	case broker.Rejected:
 		resp.Status, resp.RetryAfter = 503, r.RetryAfter
 		resp.Body = problem{"refused: trying again is harmless"}
-	case broker.Overdue:
+	case broker.DeadlineExceeded:
 		resp.Status, resp.Body = 504, problem{"the time is up"}
 	case broker.Duplicate:
 		resp.Status, resp.Body = 409, problem{"a query of this id is being served"}
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -28,9 +28,9 @@
 	broker.Client
 }
 
-func (h held) Take(r *broker.Request, c broker.Client) { h.taken <- taken{r, c} }
-func (h held) Leave(r *broker.Request)                 { h.left <- r }
-func (h held) Serving() bool                           { return true }
+func (h held) Submit(r *broker.Request, c broker.Client) { h.taken <- taken{r, c} }
+func (h held) Disconnect(r *broker.Request)              { h.left <- r }
+func (h held) Ready() bool                               { return true }
 
 // gated is a listener whose connections, once told to, keep what they have read from the loopback socket until somebody
 // wants the read to end: so the front looks at a connection in just the moment in which a request was read.
@@ -139,7 +139,7 @@
 	select {
 	case q := <-x.taken:
 		require.Equal(x, id, q.ID)
-		q.Finish(broker.Result{Whole: true, Values: []broker.Value{{Data: []byte("v")}}})
+		q.Finish(broker.Result{Complete: true, Values: []broker.Value{{Data: []byte("v")}}})
 	case <-time.After(2 * time.Second):
 		require.FailNow(x, "the request was never taken")
 	}
@@ -224,7 +224,7 @@
 			q := <-x.taken
 			_, err := c.Write(make([]byte, behind))
 			require.NoError(t, err)
-			q.Finish(broker.Result{Whole: true, Values: []broker.Value{{Data: []byte("v")}}})
+			q.Finish(broker.Result{Complete: true, Values: []broker.Value{{Data: []byte("v")}}})
 			time.Sleep(20 * time.Millisecond)
 			_, err = fmt.Fprint(c, ask("late")) // crosses the end
 			require.NoError(t, err)
@@ -250,7 +250,7 @@
 	select {
 	case r := <-x.left:
 		require.Same(t, q.Request, r)
-		require.True(t, r.Left.Load())
+		require.True(t, r.Disconnected.Load())
 	case <-time.After(time.Second):
 		require.FailNow(t, "its close was not noticed")
 	}
@@ -294,10 +294,10 @@
 	fmt.Fprint(c, ask("q1"), ask("q2"))
 	q := <-x.taken
 	time.Sleep(50 * time.Millisecond)
-	q.Finish(broker.Result{Whole: true})
+	q.Finish(broker.Result{Complete: true})
 	require.Equal(t, "HTTP/1.1 200 OK", answer(t, in))
 	q2 := <-x.taken
-	require.Less(t, q2.Arrived.Sub(q.Arrived), 40*time.Millisecond)
+	require.Less(t, q2.ReceivedAt.Sub(q.ReceivedAt), 40*time.Millisecond)
 }
 
 // A request that waits behind another counts from its own last byte, not from bytes that followed it meanwhile.
@@ -313,12 +313,12 @@
 		third = third[len(third)/2:]
 	}
 	time.Sleep(20 * time.Millisecond)
-	arrived := []time.Time{q1.Arrived}
+	arrived := []time.Time{q1.ReceivedAt}
 	for q := range 2 {
-		q1.Finish(broker.Result{Whole: true})
+		q1.Finish(broker.Result{Complete: true})
 		require.Equal(t, "HTTP/1.1 200 OK", answer(t, in), "request %d", q)
 		q1 = <-x.taken
-		arrived = append(arrived, q1.Arrived)
+		arrived = append(arrived, q1.ReceivedAt)
 		if q == 0 {
 			fmt.Fprint(c, third)
 			time.Sleep(20 * time.Millisecond)
@@ -355,7 +355,7 @@
 			time.Sleep(20 * time.Millisecond)
 			go x.f.End(x.Context(), drain.End{Answers: time.Second, Idle: 500 * time.Millisecond})
 			require.Eventually(t, func() bool { return x.f.state().closing }, time.Second, time.Millisecond)
-			q.Finish(broker.Result{Whole: true})
+			q.Finish(broker.Result{Complete: true})
 			require.Equal(t, "HTTP/1.1 200 OK", answer(t, in))
 			fmt.Fprint(c, ask("q2")[len(second):])
 			x.finish(in, "q2")
@@ -427,7 +427,7 @@
 		require.Contains(t, string(all), "Retry-After: 0.5\r\n")
 		s.Close()
 	}
-	q.Finish(broker.Result{Whole: true})
+	q.Finish(broker.Result{Complete: true})
 	require.Equal(t, "HTTP/1.1 200 OK", answer(t, in))
 	require.Empty(t, x.taken)
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -34,9 +34,9 @@
 
 // Core is what the front needs of the broker.
 type Core interface {
-	Take(*broker.Request, broker.Client)
-	Leave(*broker.Request)
-	Serving() bool
+	Submit(*broker.Request, broker.Client)
+	Disconnect(*broker.Request)
+	Ready() bool
 }
 
 // Options are what the deployment fixes.
@@ -316,7 +316,7 @@
 	f.mu.Lock()
 	takes := !f.end.closing && f.drain.Up()
 	f.mu.Unlock()
-	return takes && f.core.Serving()
+	return takes && f.core.Ready()
 }
 
 // Refuses tells whether a drain has come so far that requests are refused, by whatever front.
--- a/internal/httpwire/query.go
+++ b/internal/httpwire/query.go
@@ -32,10 +32,10 @@
 func (b *Body) Parts() ([]broker.Part, error) {
 	parts := make([]broker.Part, 0, len(b.Targets))
 	for i, t := range b.Targets {
-		p := broker.Part{Shard: t.Partition, Share: t.Share, Work: t.EstUS / 1e6}
+		p := broker.Part{Shard: t.Partition, Weight: t.Share, Work: t.EstUS / 1e6}
 		if t.Route != "" {
 			var err error
-			if p.Route, err = strconv.ParseUint(t.Route, 16, 64); err != nil {
+			if p.RouteKey, err = strconv.ParseUint(t.Route, 16, 64); err != nil {
 				return nil, fmt.Errorf("targets[%d].route: cannot read %q", i, t.Route)
 			}
 		}
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, malformed("body: %v", err)
 	}
-	if q.Patience, err = parseDeadline(r.Header.Get("X-Deadline")); err != nil {
+	if q.Timeout, err = parseDeadline(r.Header.Get("X-Deadline")); err != nil {
 		return nil, err
 	}
 	if q.Parts, err = body.Parts(); err != nil {
@@ -70,7 +70,7 @@
 	if q.Key, err = parseKey(r.Query); err != nil {
 		return nil, err
 	}
-	q.Text = []byte(body.Query)
+	q.Payload = []byte(body.Query)
 	return q, nil
 }
 
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -124,13 +124,13 @@
 }
 
 func TestCountIsExact(t *testing.T) {
-	c := lease.NewCount(10)
-	require.True(t, c.Take(7))
-	require.False(t, c.Take(4))
-	require.True(t, c.Take(3))
-	c.Give(7)
-	require.Equal(t, 3, c.Used())
-	require.True(t, lease.NewCount(0).Take(1_000_000))
+	c := lease.NewSemaphore(10)
+	require.True(t, c.TryAcquire(7))
+	require.False(t, c.TryAcquire(4))
+	require.True(t, c.TryAcquire(3))
+	c.Release(7)
+	require.Equal(t, 3, c.Acquired())
+	require.True(t, lease.NewSemaphore(0).TryAcquire(1_000_000))
 }
 
 // A process of four workers bears on a cold server as one of a single worker does.
@@ -162,18 +162,18 @@
 
 // A budget that shrinks takes nothing back, and one that grows, or loses its bound, holds at once.
 func TestCountIsResized(t *testing.T) {
-	c := lease.NewCount(10)
-	require.True(t, c.Take(8))
+	c := lease.NewSemaphore(10)
+	require.True(t, c.TryAcquire(8))
 	c.Resize(5)
-	require.False(t, c.Take(1))
-	c.Give(4)
-	require.True(t, c.Take(1))
-	require.False(t, c.Take(1))
+	require.False(t, c.TryAcquire(1))
+	c.Release(4)
+	require.True(t, c.TryAcquire(1))
+	require.False(t, c.TryAcquire(1))
 	c.Resize(7)
-	require.True(t, c.Take(2))
-	require.False(t, c.Take(1))
+	require.True(t, c.TryAcquire(2))
+	require.False(t, c.TryAcquire(1))
 	c.Resize(0)
-	require.True(t, c.Take(1_000))
+	require.True(t, c.TryAcquire(1_000))
 	c.Resize(7)
-	require.False(t, c.Take(1))
+	require.False(t, c.TryAcquire(1))
 }
--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -161,10 +161,10 @@
 }
 
 // entries are the child's record servers as discovery would tell them.
-func (c *child) entries() []broker.ListEntry {
-	list := make([]broker.ListEntry, len(c.lines))
+func (c *child) entries() []broker.Endpoint {
+	list := make([]broker.Endpoint, len(c.lines))
 	for i, addr := range c.lines {
-		list[i] = broker.ListEntry{Addr: addr, Server: decision.Server{ID: serverID(i), Zone: i / cellsOfZone % TargetZones,
+		list[i] = broker.Endpoint{Addr: addr, Server: decision.Server{ID: serverID(i), Zone: i / cellsOfZone % TargetZones,
 			ReplicaSet: i, Capacity: 1}}
 	}
 	return list
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -75,7 +75,7 @@
 	servers := int(at.Of(axisServers))
 	whole := encodeList(servers, 1)
 	module := decision.New(targetSettings(servers, TargetBrokers), seed)
-	known := broker.NewServers()
+	known := broker.NewEndpoints()
 	before := memoryInUse()
 	meter := Start()
 	for range wholes {
@@ -107,7 +107,7 @@
 }
 
 // takeList is what a broker does with one object of the list.
-func takeList(text []byte, known *broker.Servers, module *decision.Policy) error {
+func takeList(text []byte, known *broker.Endpoints, module *decision.Policy) error {
 	var m discovery.Message
 	if err := json.Unmarshal(text, &m); err != nil {
 		return err
@@ -142,7 +142,7 @@
 	late    []float64 // seconds from telling to hearing
 }
 
-func (t *tally) update(l broker.List) {
+func (t *tally) update(l broker.EndpointUpdate) {
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/scale/service.go
+++ b/internal/scale/service.go
@@ -25,7 +25,7 @@
 	*broker.Broker
 	child  *child
 	cancel context.CancelFunc
-	known  []broker.ListEntry
+	known  []broker.Endpoint
 }
 
 func startCore(servers int, reports decision.ReportMode, seed uint64) (*core, error) {
@@ -38,13 +38,13 @@
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = servicePatient.Seconds(), servicePatient.Seconds()
 	ctx, cancel := context.WithCancel(context.Background())
 	link := upstream.New(ctx, upstream.Options{Streams: 100, Idle: time.Hour, ConnectTimeout: 5 * time.Second})
-	b := broker.New(broker.Options{Settings: set, Log: nobody, ProbeFor: openWithin}, decision.New(set, seed), link)
+	b := broker.New(broker.Options{Settings: set, Log: nobody, HealthCheckTimeout: openWithin}, decision.New(set, seed), link)
 	go b.Run(ctx)
 	return &core{b, c, cancel, c.entries()}, nil
 }
 
 func (c *core) update() {
-	c.Update(broker.List{Mode: decision.FullUpdate, Version: 1, Servers: c.known})
+	c.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Version: 1, Servers: c.known})
 }
 
 func (c *core) stop() error {
@@ -74,18 +74,18 @@
 	out := 0
 	for asked, ended := 0, 0; ended < queries; {
 		for ; out < serviceAtOnce && asked < queries; asked++ {
-			r := &broker.Request{ID: fmt.Sprint(name, asked), Arrived: time.Now(), Patience: servicePatient, Text: text}
+			r := &broker.Request{ID: fmt.Sprint(name, asked), ReceivedAt: time.Now(), Timeout: servicePatient, Payload: text}
 			first := rng.IntN(len(c.known))
 			for i := range parts {
-				r.Parts = append(r.Parts, broker.Part{Shard: (first + i) % len(c.known), Share: 1 / float64(parts)})
+				r.Parts = append(r.Parts, broker.Part{Shard: (first + i) % len(c.known), Weight: 1 / float64(parts)})
 			}
-			c.Take(r, done)
+			c.Submit(r, done)
 			out++
 		}
 		result := <-done
 		out--
-		if ended++; result.Outcome != broker.Answered || !result.Whole {
-			return fmt.Errorf("scale: a query ended as %d, whole: %t", result.Outcome, result.Whole)
+		if ended++; result.Outcome != broker.Answered || !result.Complete {
+			return fmt.Errorf("scale: a query ended as %d, whole: %t", result.Outcome, result.Complete)
 		}
 	}
 	return nil
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -105,7 +105,7 @@
 }
 
 // Entries is the list of all servers as discovery would tell it.
-func (f *Fleet) Entries() (list []broker.ListEntry) {
+func (f *Fleet) Entries() (list []broker.Endpoint) {
 	for _, s := range f.Servers {
 		list = append(list, s.Entry(decision.Ready))
 	}
@@ -113,10 +113,10 @@
 }
 
 // Entry is a server's entry on the list.
-func (s *Server) Entry(state decision.State) broker.ListEntry {
+func (s *Server) Entry(state decision.State) broker.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := broker.ListEntry{Addr: s.Addr, Server: decision.Server{ID: s.ID, ReplicaSet: s.Cell, State: state, Capacity: 1}}
+	e := broker.Endpoint{Addr: s.Addr, Server: decision.Server{ID: s.ID, ReplicaSet: s.Cell, State: state, Capacity: 1}}
 	if !s.started.IsZero() {
 		e.Started = float64(s.started.UnixNano()) / 1e9
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -42,7 +42,7 @@
 // job is one call or probe on a connection.
 type job struct {
 	call  *broker.Call
-	probe *broker.Probe
+	probe *broker.HealthCheck
 	id    string
 	state jobState
 	at    time.Time // when it was written
@@ -79,7 +79,7 @@
 	idle    *time.Timer     // runs while nothing is out
 }
 
-func partID(c *broker.Call) string { return frame.PartID(c.Query, c.Shard, c.Second != nil) }
+func partID(c *broker.Call) string { return frame.PartID(c.Query, c.Shard, c.FirstPhase != nil) }
 
 func newConn(l *Link, addr string, server *broker.Server) *conn {
 	return &conn{
@@ -158,7 +158,7 @@
 func (cn *conn) reserved() bool {
 	if len(cn.calls) == 1 {
 		for _, j := range cn.calls {
-			return j.call.Unsafe
+			return j.call.NonIdempotent
 		}
 	}
 	return false
@@ -282,11 +282,11 @@
 	}
 	j.state = jobOver
 	if j.probe != nil {
-		j.probe.Done(unsent(status))
+		j.probe.Finish(unsent(status))
 		return
 	}
 	delete(cn.calls, j.id)
-	j.call.Done(unsent(status))
+	j.call.Finish(unsent(status))
 }
 
 // write writes what is queued, cancels first: they free work.
@@ -353,19 +353,19 @@
 		return buf, false
 	}
 	if j.probe != nil {
-		if !j.probe.Begin() {
+		if !j.probe.TryStart() {
 			j.state = jobOver
 			return buf, false
 		}
 		letter := byte('H')
-		if j.probe.Load {
+		if j.probe.WantsLoadReport {
 			letter = 'M'
 		}
 		j.state = jobWritten
 		cn.probes = append(cn.probes, j)
 		return frame.Append(buf, letter, ""), true
 	}
-	if !j.call.Begin() {
+	if !j.call.TryStart() {
 		j.state = jobOver
 		delete(cn.calls, j.id)
 		return buf, false
@@ -377,9 +377,9 @@
 // appendCall appends a call's frame with the time that is left now.
 func (j *job) appendCall(buf []byte) []byte {
 	wait := max(int(time.Until(j.call.Deadline)/time.Millisecond), 1)
-	call := frame.Call{ID: j.id, Shard: j.call.Shard, WaitMS: wait, Text: j.call.Text}
-	if second := j.call.Second; second != nil {
-		call.Second, call.From, call.Whole = true, second.From, second.Whole
+	call := frame.Call{ID: j.id, Shard: j.call.Shard, WaitMS: wait, Text: j.call.Payload}
+	if second := j.call.FirstPhase; second != nil {
+		call.Second, call.From, call.Whole = true, second.AnsweredShards, second.Complete
 	}
 	return frame.AppendCall(buf, call)
 }
@@ -396,7 +396,7 @@
 	for {
 		cn.sock.SetWriteDeadline(time.Now().Add(renewAfter))
 		n, err = cn.sock.Write(buf)
-		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !j.call.MayBegin() || !time.Now().Before(limit) {
+		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !j.call.MayStart() || !time.Now().Before(limit) {
 			return n, err
 		}
 		buf = j.appendCall(buf[:0])
@@ -470,7 +470,7 @@
 			}
 			break
 		}
-		r := broker.Reply{Status: m.Reply.Status, Score: m.Reply.Score, Scored: m.Reply.Scored, Load: m.Reply.Load}
+		r := broker.CallResult{Status: m.Reply.Status, Score: m.Reply.Score, Scored: m.Reply.Scored, LoadReport: m.Reply.Load}
 		if r.Status == decision.OK && !utf8.Valid(m.Reply.Value) {
 			return fmt.Errorf("%w: a value that no answer can carry", errSpoilt)
 		}
@@ -483,7 +483,7 @@
 			}
 			r.Value = append([]byte{}, m.Reply.Value...) // it outlives the buffer
 		}
-		j.call.Done(r)
+		j.call.Finish(r)
 	case 'H', 'M':
 		if len(cn.probes) == 0 {
 			return fmt.Errorf("%w: an answer to no probe", errSpoilt)
@@ -495,9 +495,9 @@
 		if string(m.Rest) == "failed" {
 			r.Status = decision.Error
 		} else if load, err := frame.ParseLoad(m.Rest); m.Letter == 'M' && err == nil {
-			r.Load = load
+			r.LoadReport = load
 		}
-		j.probe.Done(r)
+		j.probe.Finish(r)
 	default:
 		return fmt.Errorf("%w: a frame of the letter %q", errSpoilt, m.Letter)
 	}
--- a/internal/upstream/pace_test.go
+++ b/internal/upstream/pace_test.go
@@ -24,9 +24,9 @@
 
 type calls chan *broker.Call
 
-func (c calls) Send(x *broker.Call) { c <- x }
-func (calls) Cancel(*broker.Call)   {}
-func (calls) Probe(*broker.Probe)   {}
+func (c calls) Send(x *broker.Call)           { c <- x }
+func (calls) Cancel(*broker.Call)             {}
+func (calls) CheckHealth(*broker.HealthCheck) {}
 
 type nobody struct{}
 
@@ -37,8 +37,8 @@
 	out := make(calls, 1)
 	b := broker.New(broker.Options{Settings: decision.Settings{Classes: []decision.Class{{Deadline: 9, CompletenessThreshold: 1, MinCompleteness: 1}}}}, asks{}, out)
 	go b.Run(t.Context())
-	b.Update(broker.List{Mode: decision.FullUpdate, Servers: []broker.ListEntry{{Server: decision.Server{ID: "s"}, Addr: "a"}}})
-	b.Take(&broker.Request{ID: "q", Arrived: time.Now(), Patience: patience, Parts: []broker.Part{{Share: 1}}}, nobody{})
+	b.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Servers: []broker.Endpoint{{Server: decision.Server{ID: "s"}, Addr: "a"}}})
+	b.Submit(&broker.Request{ID: "q", ReceivedAt: time.Now(), Timeout: patience, Parts: []broker.Part{{Weight: 1}}}, nobody{})
 	return <-out
 }
 
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -47,8 +47,8 @@
 	l.enqueue(c.Addr, c.Server, &job{call: c, id: partID(c)})
 }
 
-// Probe asks a server how it is, on a connection like a call's.
-func (l *Link) Probe(p *broker.Probe) {
+// CheckHealth asks a server how it is, on a connection like a call's.
+func (l *Link) CheckHealth(p *broker.HealthCheck) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.enqueue(p.Addr, p.Server, &job{probe: p})
@@ -75,9 +75,9 @@
 	}
 	// No descriptor is left for it, so nothing can have run; and it tells nothing of the server.
 	if j.probe != nil {
-		j.probe.Done(unsent(decision.NotSent))
+		j.probe.Finish(unsent(decision.NotSent))
 	} else {
-		j.call.Done(unsent(decision.NotSent))
+		j.call.Finish(unsent(decision.NotSent))
 	}
 }
 
@@ -87,7 +87,7 @@
 // connection useless for all that is out on it, and it could not be sent again.
 func (l *Link) pick(addr string, server *broker.Server, j *job) *conn {
 	full := l.opt.Conns > 0 && l.held >= l.opt.Conns
-	unsafe := j.call != nil && j.call.Unsafe
+	unsafe := j.call != nil && j.call.NonIdempotent
 	var best, other, rested *conn
 	for _, cn := range l.conns[addr] {
 		if cn.retired || len(cn.calls) >= l.opt.Streams || cn.had(j.id) || cn.silent(l.patience()) {
@@ -130,11 +130,11 @@
 	var spare *conn
 	for _, conns := range l.conns { // in no order
 		for _, cn := range conns {
-			if cn.sock != nil && !cn.busy() && (spare == nil || cn.server.Leaving()) {
+			if cn.sock != nil && !cn.busy() && (spare == nil || cn.server.Unavailable()) {
 				spare = cn
 			}
 		}
-		if spare != nil && spare.server.Leaving() {
+		if spare != nil && spare.server.Unavailable() {
 			break
 		}
 	}
@@ -180,6 +180,6 @@
 	return d.DialContext(l.ctx, "tcp", addr)
 }
 
-func unsent(status decision.Status) broker.Reply {
-	return broker.Reply{Status: status, Load: decision.NoLoadReport}
+func unsent(status decision.Status) broker.CallResult {
+	return broker.CallResult{Status: status, LoadReport: decision.NoLoadReport}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -51,7 +51,7 @@
 	script
 	b    *broker.Broker
 	l    net.Listener
-	list broker.List
+	list broker.EndpointUpdate
 }
 
 func newRig(t *testing.T, opt upstream.Options) *rig {
@@ -64,7 +64,7 @@
 		{Deadline: 9, CompletenessThreshold: 1, MinCompleteness: 1}, {Deadline: 9, CompletenessThreshold: 1, MinCompleteness: 1, Idempotency: decision.NonIdempotent}}}
 	r.b = broker.New(broker.Options{Settings: set}, r.script, upstream.New(ctx, opt))
 	go r.b.Run(ctx)
-	r.list = broker.List{Mode: decision.FullUpdate, Servers: []broker.ListEntry{
+	r.list = broker.EndpointUpdate{Mode: decision.FullUpdate, Servers: []broker.Endpoint{
 		{Server: decision.Server{ID: "s0"}, Addr: l.Addr().String()}}}
 	r.b.Update(r.list)
 	return r
@@ -81,8 +81,8 @@
 
 // askOf asks in a class; parts of class 1 must not run twice.
 func (r *rig) askOf(class int, name string) decision.RequestID {
-	r.b.Take(&broker.Request{ID: name, Class: class, Arrived: time.Now(), Patience: 5 * time.Second,
-		Parts: []broker.Part{{Share: 1}}, Text: []byte("x")}, nobody{})
+	r.b.Submit(&broker.Request{ID: name, Class: class, ReceivedAt: time.Now(), Timeout: 5 * time.Second,
+		Parts: []broker.Part{{Weight: 1}}, Payload: []byte("x")}, nobody{})
 	return (<-r.parts).ID
 }
 
@@ -326,7 +326,7 @@
 	next, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer next.Close()
-	r.list.Servers[0] = broker.ListEntry{Server: decision.Server{ID: "s1"}, Addr: next.Addr().String()}
+	r.list.Servers[0] = broker.Endpoint{Server: decision.Server{ID: "s1"}, Addr: next.Addr().String()}
 	r.b.Update(r.list)
 	r.l = next
 	r.do(decision.Send{ID: r.ask("b"), Server: "s1"})
@@ -342,8 +342,8 @@
 	text := bytes.Repeat([]byte("x"), 60<<10)
 	var ids []decision.RequestID
 	for i := range 300 { // more than what the system takes off the writer's hands
-		r.b.Take(&broker.Request{ID: fmt.Sprint("q", i), Arrived: time.Now(), Patience: 9 * time.Second,
-			Parts: []broker.Part{{Share: 1}}, Text: text}, nobody{})
+		r.b.Submit(&broker.Request{ID: fmt.Sprint("q", i), ReceivedAt: time.Now(), Timeout: 9 * time.Second,
+			Parts: []broker.Part{{Weight: 1}}, Payload: text}, nobody{})
 		id := (<-r.parts).ID
 		r.do(send(id))
 		ids = append(ids, id)
