--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -23,10 +23,7 @@
 // assemble puts the process together. Beside the loops run the parts; a part that rests on another is added, and so
 // started, after it.
 func (p *process) assemble() error {
-	p.figures = metrics.New(p.cfg.Classes, func() (g metrics.Gauges) {
-		g.Open, g.Entries, g.Avoided = p.core.Gauges()
-		return g
-	})
+	p.figures = metrics.New(p.cfg.Classes, func() metrics.Gauges { return metrics.Gauges(p.core.Gauges()) })
 	link := p.link()
 	if err := p.addState(); err != nil {
 		return err
--- a/cmd/mothrouter/process.go
+++ b/cmd/mothrouter/process.go
@@ -35,7 +35,7 @@
 	Update(broker.EndpointUpdate)
 	Drain(context.Context)
 	SetShutdownDeadline(time.Time)
-	Gauges() (held, entries, avoided int)
+	Gauges() broker.Gauges
 	Notify(decision.Event)
 	Configure(broker.Change) error
 	LongestDeadline() time.Duration
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,12 +1,11 @@
 // Package broker is the core of mothrouter. It deals in requests, attempts and outcomes and knows no wire.
-// One goroutine owns the Decider and all state; fronts, links and the server list post what happened to it.
+// One goroutine owns the Decider and all state; fronts, links and the endpoint list post what happened to it.
 // The Decider decides; this package carries out, and is the last guard of the rules.
 package broker
 
 import (
 	"context"
 	"log/slog"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -14,24 +13,27 @@
 )
 
 const (
-	answerLead = 8 * time.Millisecond // before the client's time is up, the last moment for an answer
+	// answerLead is how long before the client's deadline the last moment for an answer is.
+	answerLead = 8 * time.Millisecond
+
+	defaultHealthCheckTimeout = 250 * time.Millisecond
 )
 
 // Options are what the broker itself has to know of a deployment.
 type Options struct {
 	Settings           decision.Settings
-	ConcurrencyLimit   int                // queries and parts held at most; 0: no limit
+	ConcurrencyLimit   int                // queries and parts in flight; 0: no limit
+	SharedLimiter      ConcurrencyLimiter // counts queries and parts of several loops together; nil: there is none
+	HealthCheckTimeout time.Duration      // 0: 250 ms
+	Endpoints          *Endpoints         // shared with other loops, and updated by their owner; nil: its own
 	Log                *slog.Logger       // nil: the default one
-	HealthCheckTimeout time.Duration      // how long a probe's answer is waited for
-	Endpoints          *Endpoints         // shared with other loops, and told by whoever shares them; nil: its own
-	SharedLimiter      ConcurrencyLimiter // counts queries and parts for several loops together; nil: OpenCap alone counts
 }
 
-// ConcurrencyLimiter is a budget that several loops draw on.
+// ConcurrencyLimiter limits what several loops have in flight.
 type ConcurrencyLimiter interface {
-	// TryAcquire takes n, all or nothing.
+	// TryAcquire takes n slots, all or none, and does not wait.
 	TryAcquire(n int) bool
-	// Release gives n back.
+	// Release gives n slots back.
 	Release(n int)
 }
 
@@ -41,16 +43,16 @@
 	Finish(Result)
 }
 
-// DisconnectObserver is a Client that wants to know when its query is forgotten without an answer, since it has left.
+// DisconnectObserver is a Client that wants to know when its query is forgotten without an answer, since it has gone.
 type DisconnectObserver interface{ Disconnected() }
 
-// Link carries calls and probes to record servers. Its methods are called by the loop and must not block.
+// Link carries calls and health checks to record servers. Its methods are called by the loop and must not block.
 type Link interface {
 	// Send starts a call. The link asks Call.TryStart just before the first byte and tells the end by Call.Finish.
 	Send(*Call)
-	// Cancel tells that a call is over. The link tells the server, if the server may have heard of it.
+	// Cancel tells that a call has finished. The link tells the server, if the server may have heard of it.
 	Cancel(*Call)
-	// CheckHealth asks a server how it is.
+	// CheckHealth asks a server for its health.
 	CheckHealth(*HealthCheck)
 }
 
@@ -62,21 +64,21 @@
 	clock   clock
 	log     *slog.Logger
 	inbox   inbox
-	stopped chan struct{}
+	stopped chan struct{} // closed when Run returns
 
 	// Owned by the loop.
 	batch            []decision.Event
 	lastID           decision.RequestID
-	inFlight         int // queries and parts held
+	inFlight         int // queries and parts
 	queries          map[decision.RequestID]*query
 	parts            map[decision.RequestID]*part
 	byName           map[string]*query
 	endpoints        *Endpoints
 	timers           map[*time.Timer]struct{}
-	idleWaiters      []chan struct{} // closed once no query is held
+	idleWaiters      []chan struct{} // closed once no query is in flight
 	shutdownDeadline time.Time       // when all must be answered, since the process ends; zero: it does not
 
-	inFlightQueries atomic.Int64 // queries held, for whoever asks
+	inFlightQueries atomic.Int64 // for whoever asks
 }
 
 // New makes a broker that decides with d and sends by link.
@@ -85,7 +87,7 @@
 		opt.Log = slog.Default()
 	}
 	if opt.HealthCheckTimeout <= 0 {
-		opt.HealthCheckTimeout = 250 * time.Millisecond
+		opt.HealthCheckTimeout = defaultHealthCheckTimeout
 	}
 	servers := opt.Endpoints
 	if servers == nil {
@@ -99,7 +101,7 @@
 	}
 }
 
-// Run is the loop. It returns when ctx ends; what is held then is lost, so Drain first.
+// Run is the loop. It returns when ctx ends; queries in flight are lost then, so Drain first.
 func (b *Broker) Run(ctx context.Context) {
 	defer close(b.stopped)
 	defer func() {
@@ -120,46 +122,6 @@
 	}
 }
 
-// inbox holds what the loop has to run. Posting never waits, so that neither the loop nor a link that holds
-// a lock can be stopped by the other. It is bounded by those who post: each call, timer, probe, list and
-// client connection has one event in it at most.
-type inbox struct {
-	mu     sync.Mutex
-	funcs  []func()
-	closed bool // its loop has died
-	wake   chan struct{}
-}
-
-func (i *inbox) drain() []func() {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	funcs := i.funcs
-	i.funcs = nil
-	return funcs
-}
-
-// post has the loop run f. It returns false if the loop has died, and f is not run.
-func (b *Broker) post(f func()) bool {
-	b.inbox.mu.Lock()
-	closed := b.inbox.closed
-	if !closed {
-		b.inbox.funcs = append(b.inbox.funcs, f)
-	}
-	b.inbox.mu.Unlock()
-	select {
-	case b.inbox.wake <- struct{}{}:
-	default:
-	}
-	return !closed
-}
-
-// Backlog is how many events wait for the loop.
-func (b *Broker) Backlog() int {
-	b.inbox.mu.Lock()
-	defer b.inbox.mu.Unlock()
-	return len(b.inbox.funcs)
-}
-
 // decide hands the batch to the Decider and carries out its actions. What an action brings about at once
 // is the next batch's.
 func (b *Broker) decide() {
@@ -214,11 +176,10 @@
 	}
 }
 
-// Notify hands the Decider an event of a part that runs beside the loop. It does not wait.
+// Notify hands the Decider an event from a component beside the loop. It does not wait.
 func (b *Broker) Notify(e decision.Event) { b.post(func() { b.enqueueEvent(e) }) }
 
-// after runs f on the loop after d. The loop calls it. The timer is the wait's own; the returned function
-// stops it.
+// after runs f on the loop after d, unless the returned function is called before. Only the loop may call either.
 func (b *Broker) after(d time.Duration, f func()) (stop func()) {
 	var t *time.Timer
 	t = time.AfterFunc(max(d, 0), func() {
@@ -248,7 +209,7 @@
 	}
 }
 
-// Abort fails all that is held, for a loop that has died: its clients must not wait for nothing. It may be called
+// Abort fails all queries in flight, for a loop that has died: their clients must not wait for nothing. It may be called
 // only once Run has ended.
 func (b *Broker) Abort() {
 	<-b.stopped
@@ -257,7 +218,7 @@
 	b.inbox.mu.Unlock()
 	for _, f := range b.inbox.drain() {
 		func() {
-			defer func() { _ = recover() }() // what killed the loop may stand in here as well
+			defer func() { _ = recover() }() // a boundary: what killed the loop may be among these as well
 			f()
 		}()
 	}
@@ -270,13 +231,20 @@
 	b.idleWaiters = nil
 }
 
-// Gauges are what is held and known now: queries, record servers on the list, and those of them that get no work.
-func (b *Broker) Gauges() (held, entries, avoided int) {
-	entries, avoided = b.endpoints.Count()
-	return int(b.inFlightQueries.Load()), entries, avoided
+// Gauges are figures of the present moment.
+type Gauges struct {
+	Queries   int // in flight
+	Endpoints int // record servers on the list
+	Avoided   int // of those, the ones that get no work
+}
+
+// Gauges returns the present figures. Any goroutine may ask.
+func (b *Broker) Gauges() Gauges {
+	listed, avoided := b.endpoints.Count()
+	return Gauges{Queries: int(b.inFlightQueries.Load()), Endpoints: listed, Avoided: avoided}
 }
 
-// Drain waits until no query is held, or ctx ends.
+// Drain waits until no query is in flight, or ctx ends.
 func (b *Broker) Drain(ctx context.Context) {
 	c := make(chan struct{})
 	b.post(func() {
@@ -292,24 +260,3 @@
 	case <-b.stopped:
 	}
 }
-
-// clock counts Unix seconds, anchored once and advanced monotonically: a step of the system's clock
-// would otherwise move deadlines.
-type clock struct{ anchor time.Time }
-
-func newClock() clock { return clock{time.Now()} }
-
-func (c clock) at(t time.Time) float64 {
-	return float64(c.anchor.UnixNano())/1e9 + t.Sub(c.anchor).Seconds()
-}
-
-func (c clock) now() float64 { return c.at(time.Now()) }
-
-func (c clock) until(t float64) time.Duration { return secondsToDuration(t - c.now()) }
-
-// secondsToDuration is a duration of so many; what no duration can hold is the longest one.
-func secondsToDuration(s float64) time.Duration {
-	return time.Duration(max(min(s, maxSeconds), -maxSeconds) * float64(time.Second))
-}
-
-const maxSeconds = 1e9
--- a/internal/broker/call.go
+++ b/internal/broker/call.go
@@ -1,52 +1,21 @@
 package broker
 
 import (
+	"errors"
+	"fmt"
 	"sync/atomic"
 	"time"
 
 	"mothrouter/internal/decision"
 )
 
-// Server is a record server as a link sees it.
-type Server struct {
-	ID, Addr       string
-	ReplicaSet     int
-	unavailable    atomic.Bool  // draining or gone; links read it
-	failuresInARow atomic.Int64 // attempts that failed since the latest that did not
-	lastFailure    atomic.Int64 // when the latest did, in Unix nanoseconds
-}
-
-// Unavailable tells that the server drains or is gone, or that its address has changed.
-func (s *Server) Unavailable() bool { return s.unavailable.Load() }
-
-// recordOutcome counts failures in a row. The counts tell operators what the Decider most likely avoids; nothing is decided
-// by them.
-func (s *Server) recordOutcome(status decision.Status) {
-	switch status {
-	case decision.OK:
-		s.failuresInARow.Store(0)
-	case decision.Error, decision.Reset, decision.Unreachable, decision.TimedOut:
-		s.failuresInARow.Add(1)
-		s.lastFailure.Store(time.Now().UnixNano())
-	}
-}
-
-const (
-	avoidedFailures = 3 // in a row
-	avoidedFor      = 5 * time.Second
-)
-
-func (s *Server) avoided(now time.Time) bool {
-	return s.failuresInARow.Load() >= avoidedFailures && now.UnixNano()-s.lastFailure.Load() < int64(avoidedFor)
-}
-
 // CallResult is how a call ended, as the link saw it.
 type CallResult struct {
 	Status     decision.Status
-	Score      int64 // of a served part: those with the highest scores are chosen for a second step
+	Score      int64 // of an answered part: those with the highest scores are chosen for a second phase
 	Scored     bool  // the server told a score
 	LoadReport decision.LoadReport
-	Value      []byte // of a served part; must outlive the call
+	Value      []byte // of an answered part; must outlive the call
 }
 
 // Call is one attempt of a part at a record server.
@@ -56,31 +25,30 @@
 	Class         int
 	NonIdempotent bool // it must not run twice
 	Payload       []byte
-	FirstPhase    *FirstPhase // of a part of a second step: what the first step brought; nil: a part of the first
+	FirstPhase    *FirstPhase // of a part of a second phase: what the first one brought; nil: a part of the first
 	Server        *Server
 	Addr          string
 	Deadline      time.Time
 
-	startBy   time.Time // the last moment for its first byte: Deadline, or before that the end of its class's window
-	b         *Broker
-	pt        *part
+	broker    *Broker
+	part      *part
 	attempt   int
 	sentAt    float64
+	startBy   time.Time // the last moment for its first byte: Deadline, or before that the end of its class's window
 	state     atomic.Int32
-	stopTimer func() // the time-out's timer; the loop's
+	stopTimer func() // the time-out's; owned by the loop
 }
 
-// The state of a call: bits that are set once and stay set, so that one that is over still tells whether it began.
+// The state of a call: bits that are set once and stay set, so that one that has finished still tells whether it started.
 const (
 	callQueued  int32 = 0
 	callStarted int32 = 1 << iota // its first byte is being written, or was
 	callFinished
 )
 
-// TryStart is asked just before the first byte of a call is written. If it returns false, nothing may be sent:
-// the call is over, its time or its class's window for repeats is up, its client has gone, or its server drains or is
-// gone. Guards against sends that have waited for a connection longer than the rules allow. What ended here is told
-// to the core.
+// TryStart is asked by the link just before the first byte of a call is written. If it returns false, nothing may be sent:
+// the call has finished, or MayStart forbids it, and then the core is told. It guards against calls that have waited for a
+// connection for longer than the rules allow.
 func (c *Call) TryStart() bool {
 	if !c.MayStart() {
 		c.Finish(CallResult{Status: decision.NotSent, LoadReport: decision.NoLoadReport})
@@ -89,101 +57,136 @@
 	return c.state.CompareAndSwap(callQueued, callStarted)
 }
 
-// MayStart tells whether the rules still allow the first byte of a call, whatever its state: a link asks again where
-// Begin has returned true and the server took none of its bytes for a while.
+// MayStart tells whether the rules still allow the first byte of a call, whatever its state: its time and its class's
+// idempotency window are not over, its client is there and its server takes calls. A link asks again where TryStart has
+// returned true and the server took none of its bytes for a while.
 func (c *Call) MayStart() bool {
-	return !c.Server.Unavailable() && !c.pt.q.req.disconnected() && time.Now().Before(c.startBy)
+	return !c.Server.Unavailable() && !c.part.query.req.disconnected() && time.Now().Before(c.startBy)
 }
 
-// Finished tells whether nobody waits for the call any more.
+// Finished tells whether the call's result is in, or is not wanted any more.
 func (c *Call) Finished() bool { return c.state.Load()&callFinished != 0 }
 
 // started tells whether the call may have run, though its end may not have been read yet.
 func (c *Call) started() bool { return c.state.Load()&callStarted != 0 }
 
-// Finish tells how a call ended. Only the first end counts: a late answer to an attempt that was timed out or
-// cancelled must not end another, nor count.
+// Finish tells how a call ended. Only the first end counts: a late answer to an attempt that was timed out or cancelled
+// must not end another, nor count.
 func (c *Call) Finish(r CallResult) {
 	if c.state.Or(callFinished)&callFinished != 0 {
 		return
 	}
-	c.b.post(func() { c.b.onCallFinished(c, r) })
+	c.broker.post(func() { c.broker.onCallFinished(c, r) })
 }
 
 // send starts an attempt, if the rules allow it.
 func (b *Broker) send(a decision.Send) {
 	pt := b.parts[a.ID]
 	if pt == nil {
-		return // its query has ended and nothing of it is out
+		return // its query has ended and nothing of it is in flight
 	}
-	c := &Call{b: b, pt: pt, attempt: pt.attempts, sentAt: b.clock.now()}
+	attempt := pt.attempts
 	pt.attempts++
-	s := b.endpoints.get(a.Server)
-	if why := b.checkRules(pt, s); why != "" {
-		b.log.Warn("a send was stopped", "why", why, "server", a.Server, "query", pt.q.req.ID)
+	server := b.endpoints.get(a.Server)
+	if err := b.checkRules(pt, server); err != nil {
+		b.log.Warn("attempt stopped by a rule", "error", err, "server", a.Server, "query", pt.query.req.ID)
 		b.enqueueEvent(decision.AttemptFinished{
-			ID: pt.id, Attempt: c.attempt, Server: a.Server, Status: decision.NotSent,
+			ID: pt.id, Attempt: attempt, Server: a.Server, Status: decision.NotSent,
 			PartConcluded: pt.answered || pt.finished, LoadReport: decision.NoLoadReport,
 		})
 		return
 	}
-	q := pt.q
-	c.Query, c.Shard, c.Class, c.Payload, c.FirstPhase = q.req.ID, pt.Shard, q.req.Class, q.req.Payload, pt.firstPhase
-	c.NonIdempotent = q.class.Idempotency == decision.NonIdempotent
-	c.Server, c.Addr = s, s.Addr
-	c.Deadline = q.deadline
-	if t := time.Now().Add(secondsToDuration(a.Timeout)); a.Timeout > 0 && t.Before(c.Deadline) {
+	c := b.newCall(pt, attempt, server, a.Timeout)
+	pt.call = c
+	c.stopTimer = b.after(time.Until(c.Deadline), func() { b.abandonCall(c, decision.TimedOut) })
+	b.link.Send(c)
+}
+
+// newCall makes an attempt's call, which is given up after a time-out in seconds; 0: when its client's time is up.
+func (b *Broker) newCall(pt *part, attempt int, server *Server, timeout float64) *Call {
+	q := pt.query
+	c := &Call{
+		Query: q.req.ID, Shard: pt.Shard, Class: q.req.Class, Payload: q.req.Payload, FirstPhase: pt.firstPhase,
+		NonIdempotent: q.class.Idempotency == decision.NonIdempotent,
+		Server:        server, Addr: server.Addr, Deadline: q.deadline,
+		broker: b, part: pt, attempt: attempt, sentAt: b.clock.now(),
+	}
+	if t := time.Now().Add(secondsToDuration(timeout)); timeout > 0 && t.Before(c.Deadline) {
 		c.Deadline = t
 	}
 	c.startBy = c.Deadline
 	if !pt.retryUntil.IsZero() && pt.retryUntil.Before(c.startBy) {
 		c.startBy = pt.retryUntil
 	}
-	pt.call = c
-	c.stopTimer = b.after(time.Until(c.Deadline), func() { b.abandonCall(c, decision.TimedOut) })
-	b.link.Send(c)
+	return c
+}
+
+// The rules that an attempt may break, whatever the Decider says.
+var (
+	errPartFinished      = errors.New("the part has finished")
+	errAttemptInFlight   = errors.New("an attempt of the part is in flight")
+	errNotIdempotent     = errors.New("the part may have run and must not run twice")
+	errWindowOver        = errors.New("the part may have run and its idempotency window is over")
+	errDisconnected      = errors.New("the client has disconnected")
+	errServerUnavailable = errors.New("the server drains, is removed or was never listed")
+	errDeadlineOver      = errors.New("the client's deadline is over")
+)
+
+// maxAttemptsError tells that a part has had all its attempts.
+type maxAttemptsError int
+
+func (e maxAttemptsError) Error() string {
+	return fmt.Sprintf("the part has had its %d attempts", int(e))
 }
 
-// checkRules names the rule that a send would break; "" means that it may go.
-func (b *Broker) checkRules(pt *part, s *Server) string {
-	set := &b.opt.Settings
+// wrongShardError tells that a server does not hold a shard.
+type wrongShardError struct{ shard, replicaSet int }
+
+func (e wrongShardError) Error() string {
+	return fmt.Sprintf("shard %d is not held by replica set %d", e.shard, e.replicaSet)
+}
+
+// checkRules returns the rule that an attempt would break; nil: it may go.
+func (b *Broker) checkRules(pt *part, s *Server) error {
+	settings := &b.opt.Settings
 	switch {
 	case pt.finished || pt.answered:
-		return "the part is over"
+		return errPartFinished
 	case pt.call != nil:
-		return "an attempt of the part is out"
-	case set.MaxAttempts > 0 && pt.attempts > set.MaxAttempts:
-		return "the part has had all its attempts"
-	case pt.mayRun && pt.q.class.Idempotency == decision.NonIdempotent:
-		return "the part may have run and must not run twice"
+		return errAttemptInFlight
+	case settings.MaxAttempts > 0 && pt.attempts > settings.MaxAttempts:
+		return maxAttemptsError(settings.MaxAttempts)
+	case pt.mayRun && pt.query.class.Idempotency == decision.NonIdempotent:
+		return errNotIdempotent
 	case !pt.retryUntil.IsZero() && !time.Now().Before(pt.retryUntil):
-		return "the part may have run and its window for repeats is over"
-	case pt.q.req.disconnected():
-		return "the client has gone"
+		return errWindowOver
+	case pt.query.req.disconnected():
+		return errDisconnected
 	case s == nil || s.Unavailable():
-		return "the server drains, is gone or was never listed"
-	case !holdsShard(set, s.ReplicaSet, pt.Shard):
-		return "the server does not hold the shard"
-	case !time.Now().Before(pt.q.deadline):
-		return "the client's time is up"
+		return errServerUnavailable
+	case !holdsShard(settings, s.ReplicaSet, pt.Shard):
+		return wrongShardError{pt.Shard, s.ReplicaSet}
+	case !time.Now().Before(pt.query.deadline):
+		return errDeadlineOver
 	}
-	return ""
+	return nil
 }
 
-// holdsShard tells whether the servers of a cell hold a shard.
-func holdsShard(set *decision.Settings, cell, shard int) bool {
-	if set.ReplicaSets <= 0 {
+// holdsShard tells whether the servers of a replica set hold a shard.
+func holdsShard(settings *decision.Settings, replicaSet, shard int) bool {
+	n := settings.ReplicaSets
+	if n <= 0 {
 		return true
 	}
-	ahead := (cell - shard%set.ReplicaSets + set.ReplicaSets) % set.ReplicaSets
-	return ahead < max(set.ReplicationFactor, 1)
+	offset := (replicaSet - shard%n + n) % n
+	return offset < max(settings.ReplicationFactor, 1)
 }
 
 // abandonCall ends the wait for a call. One whose first byte was never written cannot have run.
 func (b *Broker) abandonCall(c *Call, status decision.Status) {
 	was := c.state.Or(callFinished)
 	if was&callFinished != 0 {
-		return // its end is on the way here
+		return // its result is on the way here
 	}
 	if was == callQueued {
 		status = decision.NotSent
@@ -192,20 +195,18 @@
 	b.onCallFinished(c, CallResult{Status: status, LoadReport: decision.NoLoadReport})
 }
 
-// onCallFinished books the end of a call and tells the Decider.
+// onCallFinished records the end of a call and tells the Decider.
 func (b *Broker) onCallFinished(c *Call, r CallResult) {
-	pt := c.pt
+	pt := c.part
 	c.stopTimer()
 	if r.Status == decision.OK && !r.Scored && pt.selectsSecondPhase() {
-		r.Status = decision.Error // the second step could not be chosen by it: a spoilt answer
+		r.Status = decision.Error // the second phase could not be chosen by it
 	}
 	c.Server.recordOutcome(r.Status)
 	pt.call = nil
-	switch r.Status {
-	case decision.Overloaded, decision.Unreachable, decision.NotSent:
-	default:
-		// Where servers drop repeats, they do so for a time from the first attempt that may have run.
-		if class := &pt.q.class; !pt.mayRun && class.Idempotency == decision.IdempotentWithKey {
+	if mayHaveRun(r.Status) {
+		// Where servers drop duplicates, they do so for a time from the first attempt that may have run.
+		if class := &pt.query.class; !pt.mayRun && class.Idempotency == decision.IdempotentWithKey {
 			pt.retryUntil = time.Now().Add(b.clock.until(c.sentAt + class.IdempotencyWindow - idempotencyMargin))
 		}
 		pt.mayRun = true
@@ -222,54 +223,11 @@
 	})
 }
 
-// HealthCheck asks a record server how it is.
-type HealthCheck struct {
-	Server          *Server
-	Addr            string
-	WantsLoadReport bool // the report is wanted
-	Deadline        time.Time
-
-	b         *Broker
-	sentAt    float64
-	finished  atomic.Bool
-	stopTimer func()
-}
-
-// Finish tells a probe's result. Only the first counts.
-func (p *HealthCheck) Finish(r CallResult) {
-	if !p.finished.Swap(true) {
-		p.b.post(func() { p.b.onHealthChecked(p, r) })
-	}
-}
-
-// TryStart is asked just before the first byte of a probe is written, as for a call.
-func (p *HealthCheck) TryStart() bool {
-	if p.Server.Unavailable() || !time.Now().Before(p.Deadline) {
-		p.Finish(CallResult{Status: decision.NotSent, LoadReport: decision.NoLoadReport})
-	}
-	return !p.finished.Load()
-}
-
-func (b *Broker) checkHealth(id string) {
-	s := b.endpoints.get(id)
-	if s == nil || s.Unavailable() {
-		return
-	}
-	p := &HealthCheck{
-		b: b, Server: s, Addr: s.Addr, WantsLoadReport: b.opt.Settings.ReportMode != decision.ReportNone,
-		sentAt: b.clock.now(), Deadline: time.Now().Add(b.opt.HealthCheckTimeout),
+// mayHaveRun tells whether an attempt that ended so may have run.
+func mayHaveRun(status decision.Status) bool {
+	switch status {
+	case decision.Overloaded, decision.Unreachable, decision.NotSent:
+		return false
 	}
-	p.stopTimer = b.after(b.opt.HealthCheckTimeout, func() {
-		if !p.finished.Swap(true) {
-			b.onHealthChecked(p, CallResult{Status: decision.TimedOut, LoadReport: decision.NoLoadReport})
-		}
-	})
-	b.link.CheckHealth(p)
-}
-
-func (b *Broker) onHealthChecked(p *HealthCheck, r CallResult) {
-	p.stopTimer()
-	b.enqueueEvent(decision.HealthChecked{
-		Server: p.Server.ID, Status: r.Status, Latency: b.clock.now() - p.sentAt, LoadReport: r.LoadReport,
-	})
+	return true
 }
--- a/internal/broker/configure.go
+++ b/internal/broker/configure.go
@@ -9,11 +9,11 @@
 	"mothrouter/internal/decision"
 )
 
-// Change is what a revision of the configuration changes in a core that serves. Nobody writes to it once it is handed
+// Change is what a revision of the configuration changes in a core that serves. It is not written to once it is handed
 // over.
 type Change struct {
-	Classes          []decision.Class // all of them; against those in force, only Aim, Deadline, Worth and LateWorth may differ
-	ConcurrencyLimit int              // queries and parts held at most, by all loops together; 0: no limit
+	Classes          []decision.Class // all of them; LatencyObjective, Deadline, PriorityWeight and LateValue may differ
+	ConcurrencyLimit int              // queries and parts in flight, of all loops together; 0: no limit
 }
 
 // validate tells why a change cannot be taken into force while classes are; nil: it can.
@@ -41,18 +41,18 @@
 	return class
 }
 
-// Configure takes a change into force, and returns once it is. It is applied whole at one point of the loop: a query
-// that the loop takes before is held, guarded, answered and refused under the settings before, to its end; one that
-// it takes after belongs to the new ones altogether. What is held beyond a smaller open cap stays held. After an
-// error the settings before hold. It returns ErrEnded if the loop has ended.
+// Configure applies a change, and returns once it is in force. It is applied at one point of the loop: a query that was
+// accepted before is served, answered and rejected under the settings before, to its end; one that is accepted after
+// belongs to the new ones altogether. What is in flight beyond a smaller limit stays. After an error the settings before
+// hold. It returns ErrEnded if the loop has ended.
 func (b *Broker) Configure(c Change) error { return b.ConfigureAsync(c, func() {})() }
 
-// ErrEnded tells that a loop has ended, and takes nothing into force any more.
+// ErrEnded tells that a loop has ended, and applies no change any more.
 var ErrEnded = errors.New("the loop has ended")
 
 // ConfigureAsync is Configure in two steps, for several loops: it does not wait, and the returned function does, once.
-// Where loops share an open count, applied is called by the loop at the point where the change is in force, so that
-// whoever owns the count can resize it there.
+// applied is called by the loop at the point where the change is in force, so that the owner of a limit that loops share
+// can resize it there.
 func (b *Broker) ConfigureAsync(c Change, applied func()) (wait func() error) {
 	taken := make(chan error, 1)
 	b.post(func() {
@@ -82,7 +82,7 @@
 		b.opt.ConcurrencyLimit = c.ConcurrencyLimit
 	}
 	if slices.Equal(c.Classes, set.Classes) {
-		return nil // the Decider has nothing to hear
+		return nil // nothing changes for the Decider
 	}
 	set.Classes = slices.Clone(c.Classes) // the old ones are not written to: queries and the Decider may point there
 	b.enqueueEvent(decision.ClassesChanged{Classes: set.Classes})
@@ -97,23 +97,23 @@
 	return r.Timeout
 }
 
-// LongestDeadline is the longest deadline of a class in force, or of one that a query which is held was taken under. A process
-// that ends plans by it. It is 0 if the loop has ended.
+// LongestDeadline is the longest deadline of a class in force, or of one that a query in flight was accepted under. A
+// process that shuts down plans by it. It is 0 if the loop has ended.
 func (b *Broker) LongestDeadline() time.Duration {
 	longest := make(chan float64, 1)
 	b.post(func() {
-		most := 0.0
+		deadline := 0.0
 		for _, class := range b.opt.Settings.Classes {
-			most = max(most, class.Deadline)
+			deadline = max(deadline, class.Deadline)
 		}
 		for _, q := range b.queries {
-			most = max(most, q.class.Deadline)
+			deadline = max(deadline, q.class.Deadline)
 		}
-		longest <- most
+		longest <- deadline
 	})
 	select {
-	case most := <-longest:
-		return secondsToDuration(most)
+	case deadline := <-longest:
+		return secondsToDuration(deadline)
 	case <-b.stopped:
 		return 0
 	}
--- a/internal/broker/query.go
+++ b/internal/broker/query.go
@@ -7,18 +7,18 @@
 	"mothrouter/internal/decision"
 )
 
-// sumSlack is the rounding of shares; the rules allow 0.0001.
-const sumSlack = 1e-6
+// idempotencyMargin is for a retry's way to its server: the idempotency window counts up to its last byte.
+const idempotencyMargin = 0.005 // seconds
 
 // Outcome is how a query ended.
 type Outcome int
 
 const (
 	Answered         Outcome = iota
-	Rejected                 // no unsafe part of it can have run: trying again is harmless
+	Rejected                 // no non-idempotent part of it can have run: a retry does no harm
 	Failed                   // nothing is promised
 	DeadlineExceeded         // failed because its time was up
-	Duplicate                // a query of the same name is still held; this one was not taken
+	Duplicate                // a query of the same name is still in flight; this one was not accepted
 )
 
 // Result is a query's final answer.
@@ -40,31 +40,28 @@
 	client     Client
 	id         decision.RequestID
 	class      decision.Class
-	parts      []*part     // of the present step
-	firstPhase *FirstPhase // what the first step brought; nil: it is the present one
+	parts      []*part     // of the present phase
+	firstPhase *FirstPhase // what the first phase brought; nil: it is the present one
 	deadline   time.Time
-	stopTimer  func() // the deadline's timer
+	stopTimer  func() // the deadline's
 }
 
 type part struct {
 	Part
 	id         decision.RequestID
-	q          *query
+	query      *query
 	attempts   int
-	call       *Call
+	call       *Call     // in flight; nil: none is
 	mayRun     bool      // an attempt that ended may have run
-	retryUntil time.Time // then no repeat begins any more, since servers do not drop it; zero: nothing forbids it
+	retryUntil time.Time // the end of the idempotency window; zero: nothing limits retries
 	answered   bool
-	finished   bool // its step or its query has ended
+	finished   bool // its phase or its query has ended
 	value      []byte
 	score      int64
-	firstPhase *FirstPhase // of a part of a second step; nil: of the first
+	firstPhase *FirstPhase // of a part of a second phase; nil: of the first
 }
 
-// idempotencyMargin is for a repeat's way to its server: the window counts up to its last byte.
-const idempotencyMargin = 0.005 // seconds
-
-// Submit hands a query to the core. The client hears of its end once, unless it leaves before.
+// Submit hands a query to the core. The client gets its final answer once, unless it disconnects before.
 func (b *Broker) Submit(r *Request, c Client) {
 	if !b.post(func() { b.accept(r, c) }) {
 		c.Finish(Result{Outcome: Failed})
@@ -76,19 +73,22 @@
 	b.post(func() {
 		if q := b.byName[r.ID]; q != nil && q.req == r {
 			b.forget(q)
-			if c, ok := q.client.(DisconnectObserver); ok {
-				c.Disconnected()
-			}
+			notifyDisconnected(q.client)
 			b.enqueueEvent(decision.ClientDisconnected{ID: q.id})
 		}
 	})
 }
 
+func notifyDisconnected(c Client) {
+	if o, ok := c.(DisconnectObserver); ok {
+		o.Disconnected()
+	}
+}
+
+// accept takes a query in, unless it cannot be served.
 func (b *Broker) accept(r *Request, c Client) {
 	if r.disconnected() { // before the loop came to it
-		if c, ok := c.(DisconnectObserver); ok {
-			c.Disconnected()
-		}
+		notifyDisconnected(c)
 		return
 	}
 	// Part ids on the wire are made of the query's name: two of one name could not be told apart.
@@ -96,32 +96,33 @@
 		c.Finish(Result{Outcome: Duplicate})
 		return
 	}
-	deadline := r.ReceivedAt.Add(b.timeout(r))
-	if !b.shutdownDeadline.IsZero() && deadline.After(b.shutdownDeadline) {
-		deadline = b.shutdownDeadline
-	}
-	if over := !b.shutdownDeadline.IsZero() && time.Until(b.shutdownDeadline) <= answerLead; over ||
-		b.opt.ConcurrencyLimit > 0 && b.inFlight+1+len(r.Parts) > b.opt.ConcurrencyLimit ||
-		b.opt.SharedLimiter != nil && !b.opt.SharedLimiter.TryAcquire(1+len(r.Parts)) {
+	if b.shuttingDownSoon() || !b.acquireSlots(1+len(r.Parts)) {
 		c.Finish(Result{Outcome: Rejected, RetryAfter: b.retryAfter()})
 		return
 	}
 	q := &query{req: r, client: c, id: b.nextID(), class: b.opt.Settings.Classes[r.Class]}
-	q.deadline = deadline
+	q.deadline = r.ReceivedAt.Add(b.timeout(r))
+	if !b.shutdownDeadline.IsZero() && q.deadline.After(b.shutdownDeadline) {
+		q.deadline = b.shutdownDeadline
+	}
 	b.queries[q.id], b.byName[r.ID] = q, q
-	b.inFlight += 1 + len(r.Parts)
 	work := 0.0
 	for _, p := range r.Parts {
-		pt := &part{Part: p, id: b.nextID(), q: q}
+		pt := &part{Part: p, id: b.nextID(), query: q}
 		q.parts = append(q.parts, pt)
 		b.parts[pt.id] = pt
 		work += p.Work
 	}
 	b.armDeadline(q)
+	b.enqueueQuery(q, work)
+}
+
+// enqueueQuery tells the Decider of a query and its parts.
+func (b *Broker) enqueueQuery(q *query, work float64) {
+	r := q.req
 	b.enqueueEvent(decision.Query{
 		ID: q.id, Number: int64(q.id), Class: r.Class, Key: r.Key, Parts: len(r.Parts),
-		Deadline: b.clock.at(q.deadline), Retry: r.Retry, Work: work,
-		ReceivedAt: b.clock.at(r.ReceivedAt),
+		Deadline: b.clock.at(q.deadline), Retry: r.Retry, Work: work, ReceivedAt: b.clock.at(r.ReceivedAt),
 	})
 	for _, pt := range q.parts {
 		b.enqueueEvent(decision.Part{
@@ -130,11 +131,35 @@
 	}
 }
 
-// armDeadline sees to it that a query has its final answer before the client's time or the process's is up, even if the
+// shuttingDownSoon tells that the process ends too soon for a further query.
+func (b *Broker) shuttingDownSoon() bool {
+	return !b.shutdownDeadline.IsZero() && time.Until(b.shutdownDeadline) <= answerLead
+}
+
+// acquireSlots takes n of the concurrency limit's slots, all or none.
+func (b *Broker) acquireSlots(n int) bool {
+	if limit := b.opt.ConcurrencyLimit; limit > 0 && b.inFlight+n > limit {
+		return false
+	}
+	if b.opt.SharedLimiter != nil && !b.opt.SharedLimiter.TryAcquire(n) {
+		return false
+	}
+	b.inFlight += n
+	return true
+}
+
+func (b *Broker) releaseSlots(n int) {
+	b.inFlight -= n
+	if b.opt.SharedLimiter != nil {
+		b.opt.SharedLimiter.Release(n)
+	}
+}
+
+// armDeadline sees to it that a query has its final answer before the client's deadline or the process's, even if the
 // Decider forgets it or ends it too late.
 func (b *Broker) armDeadline(q *query) {
 	q.stopTimer = b.after(time.Until(q.deadline)-answerLead, func() {
-		b.forget(q) // first: what has not begun by now never will, so that a refusal holds
+		b.forget(q) // first: what has not started by now never will, so that a rejection holds
 		last := Result{Outcome: DeadlineExceeded}
 		if q.deadline.Equal(b.shutdownDeadline) { // the client would wait on
 			last = q.bestEffortResult(b.retryAfter())
@@ -144,8 +169,8 @@
 	})
 }
 
-// SetShutdownDeadline has every query that is held, and every later one, answered by then: the process will be killed. One that
-// its client would wait for longer is answered from the parts that are in, refused or failed.
+// SetShutdownDeadline has every query in flight, and every later one, answered by then: the process will be killed. One
+// that its client would wait for longer is answered from the parts that are in, rejected or failed.
 func (b *Broker) SetShutdownDeadline(t time.Time) {
 	b.post(func() {
 		b.shutdownDeadline = t
@@ -164,7 +189,7 @@
 	return b.lastID
 }
 
-// retryAfter is when a client that is refused for want of room should come back.
+// retryAfter is when, in seconds, a client that is rejected for want of capacity should retry; 0: no advice.
 func (b *Broker) retryAfter() float64 {
 	if b.opt.Settings.RetryAfterSupported {
 		return b.opt.Settings.MaxRetryAfter
@@ -178,7 +203,7 @@
 	q.client.Finish(r)
 }
 
-// forget drops a query. Its attempts may still be out; each part is kept until its attempt has ended.
+// forget drops a query. Its attempts may still be in flight; each part is kept until its attempt has ended.
 func (b *Broker) forget(q *query) {
 	q.stopTimer()
 	delete(b.queries, q.id)
@@ -187,22 +212,14 @@
 	b.finishPhase(q)
 }
 
-// releaseSlots gives room for so many queries and parts back.
-func (b *Broker) releaseSlots(n int) {
-	b.inFlight -= n
-	if b.opt.SharedLimiter != nil {
-		b.opt.SharedLimiter.Release(n)
-	}
-}
-
-// finishPhase drops the parts of the present step.
+// finishPhase drops the parts of the present phase.
 func (b *Broker) finishPhase(q *query) {
 	for _, pt := range q.parts {
 		pt.finished = true
 		if pt.call == nil {
 			delete(b.parts, pt.id)
 		} else if pt.call.state.CompareAndSwap(callQueued, callFinished) {
-			// Guards against an attempt that still waits for a connection and would begin for nobody: whether or not
+			// Guards against an attempt that still waits for a connection and would start for nothing: whether or not
 			// cancels are allowed, nothing of it has gone out.
 			b.link.Cancel(pt.call)
 			b.onCallFinished(pt.call, CallResult{Status: decision.NotSent, LoadReport: decision.NoLoadReport})
@@ -210,7 +227,7 @@
 	}
 }
 
-// bestEffortResult is the answer to a query that is cut short: from the parts that are in, if they are enough.
+// bestEffortResult ends a query early: with the parts that are in, if they are enough.
 func (q *query) bestEffortResult(retryAfter float64) Result {
 	if r := q.result(true); r.Outcome == Answered && len(r.Values) > 0 {
 		return r
@@ -218,13 +235,14 @@
 	return q.rejection(retryAfter)
 }
 
-// result makes the answer from the parts that are in. Under the class's floor there is none, and it is
-// marked whole only if it is, whatever the Decider says.
-func (q *query) result(whole bool) Result {
-	if q.awaitsSecondPhase() || !q.enough() {
+// result makes the answer from the parts that are in. Under the class's least completeness there is none, and it is marked
+// complete only if it is, whatever the Decider says.
+func (q *query) result(complete bool) Result {
+	tally := q.tally()
+	if q.awaitsSecondPhase() || !tally.Enough(q.thresholds()) {
 		return Result{Outcome: Failed}
 	}
-	r := Result{Outcome: Answered, Complete: whole && q.isComplete()}
+	r := Result{Outcome: Answered, Complete: complete && q.isComplete()}
 	for _, pt := range q.parts {
 		if pt.answered {
 			r.Values = append(r.Values, Value{pt.Shard, pt.value})
@@ -233,45 +251,19 @@
 	return r
 }
 
-// answeredWeight is that of the present step's parts that are in.
-func (q *query) answeredWeight() (in float64) {
-	for _, pt := range q.parts {
-		if pt.answered {
-			in += pt.Weight
-		}
-	}
-	return in
-}
-
-// threshold is the weight of the present step's parts that makes it whole: a second step needs all of them.
-func (q *query) threshold() float64 {
-	if q.firstPhase != nil {
-		return 1
-	}
-	return q.class.CompletenessThreshold
-}
-
-// enough tells whether the present step may be closed with the parts that are in. The class's floor holds for each step.
-func (q *query) enough() bool {
-	least := q.threshold()
-	if q.class.MinCompleteness < q.class.CompletenessThreshold {
-		least = min(q.class.MinCompleteness, least)
-	}
-	return q.answeredWeight() >= least-sumSlack
-}
-
-// isComplete tells whether the present step is whole, and the one before it was.
+// isComplete tells whether the present phase is complete, and the one before it was.
 func (q *query) isComplete() bool {
-	return q.answeredWeight() >= q.threshold()-sumSlack && (q.firstPhase == nil || q.firstPhase.Complete)
+	tally := q.tally()
+	return tally.Complete(q.thresholds()) && (q.firstPhase == nil || q.firstPhase.Complete)
 }
 
-// rejection refuses a query, unless an unsafe part of it may have run: then it has failed. The query has been forgotten,
-// so that none of its calls can begin any more.
+// rejection rejects a query, unless a non-idempotent part of it may have run: then it has failed. The query has been
+// forgotten, so that none of its calls can start any more.
 func (q *query) rejection(retryAfter float64) Result {
-	ran := q.firstPhase != nil || slices.ContainsFunc(q.parts, func(pt *part) bool {
+	mayRun := q.firstPhase != nil || slices.ContainsFunc(q.parts, func(pt *part) bool {
 		return pt.mayRun || pt.answered || pt.call != nil && pt.call.started()
 	})
-	if ran && q.class.Idempotency != decision.Idempotent {
+	if mayRun && q.class.Idempotency != decision.Idempotent {
 		return Result{Outcome: Failed}
 	}
 	return Result{Outcome: Rejected, RetryAfter: retryAfter}
--- a/internal/broker/request.go
+++ b/internal/broker/request.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Request is one query as a front took it. The core keeps Text and Parts: they must outlive the call.
+// Request is one query as a front received it. The core keeps Payload and Parts: they must outlive the call.
 type Request struct {
 	ID              string // the client's name for it
 	Class           int
@@ -16,15 +16,15 @@
 	Retry           bool
 	ReceivedAt      time.Time
 	Timeout         time.Duration // how long the client waits
-	TimeoutUnstated bool          // it has not said so: Patience is the deadline of its class when the query is taken
+	TimeoutUnstated bool          // it has not said so: Timeout is the deadline of its class when the query is accepted
 	Parts           []Part
 	Payload         []byte // what each part carries
-	// Disconnected is set by the front, on whatever goroutine, the moment it learns that the client has gone: no attempt begins
-	// from then on, however long the loop needs to hear of it. Nil: that cannot be learnt.
+	// Disconnected is set by the front, on any goroutine, the moment it learns that the client has gone: no attempt starts
+	// from then on, however long the loop needs to hear of it. Nil: the front cannot learn it.
 	Disconnected *atomic.Bool
 }
 
-// disconnected tells that the client has left.
+// disconnected tells that the client has gone.
 func (r *Request) disconnected() bool { return r.Disconnected != nil && r.Disconnected.Load() }
 
 // Part is one part of a request.
@@ -41,8 +41,9 @@
 	maxTimeout  = time.Hour
 )
 
-// Normalize tells what is wrong with a request, whatever front it came by, and has its shares sum to 1: clients
-// round them, and a whole answer must not be missed by a rounding. There are so many shards; 0: not told.
+// Normalize checks a request, whatever front it came by, and has its weights sum to 1: clients round them, and a complete
+// answer must not be missed by a rounding. There are so many shards; 0: not told. Its errors name the field as clients
+// know it.
 func (r *Request) Normalize(shards int) error {
 	if !validID(r.ID) {
 		return fmt.Errorf("id: cannot use %q", r.ID)
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// validID tells whether a query's name can stand in a line of a record server's protocol.
+// validID tells whether a query's name can be part of a line of the record servers' protocol.
 func validID(id string) bool {
 	return id != "" && len(id) <= maxIDLength && strings.IndexFunc(id, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
 }
--- a/internal/cores/cores.go
+++ b/internal/cores/cores.go
@@ -231,10 +231,10 @@
 	return g.names.Len()
 }
 
-// Gauges are what all workers hold and know.
-func (g *Group) Gauges() (held, entries, avoided int) {
-	entries, avoided = g.servers.Count()
-	return g.Serves(), entries, avoided
+// Gauges returns the present figures of all workers together.
+func (g *Group) Gauges() broker.Gauges {
+	listed, avoided := g.servers.Count()
+	return broker.Gauges{Queries: g.Serves(), Endpoints: listed, Avoided: avoided}
 }
 
 // Held is how many queries and parts each worker holds.
--- /dev/null
+++ b/internal/lease/semaphore.go
@@ -0,0 +1,38 @@
+package lease
+
+import "sync/atomic"
+
+// Semaphore is a weighted semaphore whose capacity can change, for queries and parts in flight or for descriptors. Workers
+// draw on one: what one does not use, another may, and the sum is exact at any time. (golang.org/x/sync/semaphore cannot be
+// resized.) It may be used by several goroutines.
+type Semaphore struct {
+	capacity atomic.Int64
+	acquired atomic.Int64
+}
+
+// NewSemaphore returns a semaphore of so many units; 0: it has no bound.
+func NewSemaphore(capacity int) *Semaphore {
+	s := &Semaphore{}
+	s.Resize(capacity)
+	return s
+}
+
+// Resize changes the capacity; 0: it has no bound. What is acquired beyond a smaller one stays acquired, and nothing more is
+// until enough of it has been released.
+func (s *Semaphore) Resize(capacity int) { s.capacity.Store(int64(capacity)) }
+
+// TryAcquire acquires n units, all or none, and does not wait.
+func (s *Semaphore) TryAcquire(n int) bool {
+	capacity := s.capacity.Load()
+	if s.acquired.Add(int64(n)) > capacity && capacity > 0 {
+		s.acquired.Add(-int64(n))
+		return false
+	}
+	return true
+}
+
+// Release gives n units back.
+func (s *Semaphore) Release(n int) { s.acquired.Add(-int64(n)) }
+
+// Acquired is how many units are acquired.
+func (s *Semaphore) Acquired() int { return int(s.acquired.Load()) }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -11,11 +11,11 @@
 // Class counts the requests of one class by how they ended, and the attempts of their parts.
 type Class struct{ Fulfilled, Throttled, Faulted, Relayed atomic.Uint64 }
 
-// Gauges are what holds at a moment.
+// Gauges are figures of the present moment.
 type Gauges struct {
-	Open    int // requests taken and not yet ended
-	Entries int // record servers on the list
-	Avoided int // of them those that get no work now: they drain, or fail each time
+	Queries   int // in flight
+	Endpoints int // record servers on the list
+	Avoided   int // of those, the ones that get no work now: they drain, or fail each time
 }
 
 // Counters is a process's counts. Make it with New.
@@ -75,8 +75,8 @@
 		line(name+"relayed", c.Relayed.Load(), 'c')
 	}
 	g := t.gauges()
-	line("open_requests", uint64(max(g.Open, 0)), 'g')
-	line("registry_entries", uint64(max(g.Entries, 0)), 'g')
+	line("open_requests", uint64(max(g.Queries, 0)), 'g')
+	line("registry_entries", uint64(max(g.Endpoints, 0)), 'g')
 	line("out_of_rotation", uint64(max(g.Avoided, 0)), 'g')
 	return b
 }
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestFigures(t *testing.T) {
-	c := metrics.New(map[string]int{"b": 0, "a": 1}, func() metrics.Gauges { return metrics.Gauges{Open: 3, Entries: 12, Avoided: 1} })
+	c := metrics.New(map[string]int{"b": 0, "a": 1}, func() metrics.Gauges { return metrics.Gauges{Queries: 3, Endpoints: 12, Avoided: 1} })
 	for _, status := range []int{200, 200, 503, 429, 500, 504, 400} {
 		c.Ended(1, status)
 	}
