--- a/cmd/mothrouter/followed_test.go
+++ b/cmd/mothrouter/followed_test.go
@@ -80,9 +80,9 @@
 	require.Equal(t, 2., p.cfg.Settings.Classes[0].Deadline, "the start's classes were written to")
 
 	// with is a document whose settings have one text in place of another.
-	with := func(old, new string) string {
-		require.Contains(t, settings, old)
-		return `{"discovery":"127.0.0.1:4",` + strings.Replace(settings, old, new, 1)
+	with := func(before, after string) string {
+		require.Contains(t, settings, before)
+		return `{"discovery":"127.0.0.1:4",` + strings.Replace(settings, before, after, 1)
 	}
 	long := with(`{"peersTotal"`, `{"`+strings.Repeat("é", 300)+`":1,"peersTotal"`)
 	for key, document := range map[string]string{
--- a/cmd/mothrouter/serve.go
+++ b/cmd/mothrouter/serve.go
@@ -56,7 +56,9 @@
 	}
 	f := os.NewFile(uintptr(cfg.AcceptFD), "PROXY_ACCEPT_FD")
 	l, err := net.FileListener(f)
-	f.Close() // the listener has one of its own
+	if closeErr := f.Close(); err == nil && closeErr != nil { // the listener has a descriptor of its own
+		err = closeErr
+	}
 	if err != nil {
 		return nil, fmt.Errorf("PROXY_ACCEPT_FD: %d is no listening socket: %w", cfg.AcceptFD, err)
 	}
--- a/cmd/mothrouter/state_test.go
+++ b/cmd/mothrouter/state_test.go
@@ -21,6 +21,7 @@
 }
 
 func state(t *testing.T, args ...string) (string, error) {
+	t.Helper()
 	out, err := exec.Command(program, append([]string{"state"}, args...)...).CombinedOutput()
 	return string(out), err
 }
--- a/internal/assembly/assembly_test.go
+++ b/internal/assembly/assembly_test.go
@@ -50,12 +50,12 @@
 		a.Add(p)
 	}
 	a.Add(assembly.Part{Name: "nothing to run"})
-	make := a.Decider(func(worker int, _ decision.Settings, _ uint64) decision.Decider {
+	decider := a.Decider(func(worker int, _ decision.Settings, _ uint64) decision.Decider {
 		return named{[]string{"zero", "one"}[worker], nil}
 	})
 	for worker, name := range []string{"zero", "one"} {
 		require.Equal(t, []decision.Action{decision.Log{Line: name}, decision.Log{Line: "first"}, decision.Log{Line: "third"}},
-			make(worker, decision.Settings{}, 1).Handle(0, nil))
+			decider(worker, decision.Settings{}, 1).Handle(0, nil))
 	}
 	a.Start()
 	for range 3 {
--- a/internal/broker/phase_test.go
+++ b/internal/broker/phase_test.go
@@ -18,9 +18,9 @@
 	return broker.CallResult{Status: decision.OK, Score: score, Scored: true, LoadReport: decision.NoLoadReport, Value: []byte(value)}
 }
 
-// firstStep plays the first step of a query of so many parts at s1: all come in with scores that fall with their shard.
-func (r *rig) firstStep(name string, class, parts int) (query decision.RequestID, c client, req *broker.Request) {
-	query, first, c, req := r.take(name, class, parts, 2*time.Second)
+// firstPhase plays the first phase of the query q of so many parts at s1: all come in with scores that fall with their shard.
+func (r *rig) firstPhase(class, parts int) (query decision.RequestID, c client, req *broker.Request) {
+	query, first, c, req := r.take("q", class, parts, 2*time.Second)
 	r.list(decision.DeltaUpdate, "s1", 1, decision.Ready, "s2", 2, decision.Ready, "s3", 3, decision.Ready, "s0", 0, decision.Ready)
 	for i := range parts {
 		r.send(first+decision.RequestID(i), server(i+1)).Finish(scored(int64(-i), "first"))
@@ -119,7 +119,7 @@
 		twoStepPartial: {Values: []broker.Value{{Shard: 1, Data: []byte("second")}}},
 	} {
 		r := newRig(t)
-		q, c, _ := r.firstStep("q", class, 3)
+		q, c, _ := r.firstPhase(class, 3)
 		r.do(decision.Respond{ID: q, Complete: true})
 		r.send(event[decision.Part](r).ID, "s1").Finish(scored(0, "second")) // one of two
 		event[decision.AttemptFinished](r)
@@ -130,7 +130,7 @@
 
 func TestTheClientLeavesBetweenTheSteps(t *testing.T) {
 	r := newRig(t)
-	q, c, req := r.firstStep("q", twoStep, 3)
+	q, c, req := r.firstPhase(twoStep, 3)
 	r.do(decision.Respond{ID: q, Complete: true})
 	second, other := event[decision.Part](r).ID, event[decision.Part](r).ID
 	waiting := r.send(second, "s1")
@@ -146,7 +146,7 @@
 
 func TestAServerDrainsBetweenTheSteps(t *testing.T) {
 	r := newRig(t)
-	q, _, _ := r.firstStep("q", twoStep, 3)
+	q, _, _ := r.firstPhase(twoStep, 3)
 	r.do(decision.Respond{ID: q, Complete: true})
 	second := event[decision.Part](r).ID
 	waiting := r.send(second, "s1")
@@ -165,7 +165,7 @@
 	refused := broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}
 	for _, in := range []int{0, 1, 2} {
 		r := newRig(t)
-		q, c, _ := r.firstStep("q", twoStep, 3)
+		q, c, _ := r.firstPhase(twoStep, 3)
 		r.do(decision.Respond{ID: q, Complete: true})
 		second := []decision.Part{event[decision.Part](r), event[decision.Part](r)}
 		var values []broker.Value
@@ -182,7 +182,7 @@
 		require.Equal(t, want, <-c)
 	}
 	r := newRig(t)
-	_, c, _ := r.firstStep("q", twoStep, 3) // all of the first step is in, the second has not begun
+	_, c, _ := r.firstPhase(twoStep, 3) // all of the first step is in, the second has not begun
 	r.b.SetShutdownDeadline(time.Now().Add(50 * time.Millisecond))
 	require.Equal(t, refused, <-c)
 }
@@ -223,7 +223,7 @@
 // Of 7 queries and parts, a query of six parts holds all, and three once its second step has begun.
 func TestRoomBetweenTheSteps(t *testing.T) {
 	r := newRig(t)
-	q, c, _ := r.firstStep("q", twoStep, 6)
+	q, c, _ := r.firstPhase(twoStep, 6)
 	full := make(client, 1)
 	r.b.Submit(&broker.Request{ID: "q2", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, full)
 	require.Equal(t, broker.Rejected, (<-full).Outcome)
--- a/internal/broker/query.go
+++ b/internal/broker/query.go
@@ -13,6 +13,7 @@
 // Outcome is how a query ended.
 type Outcome int
 
+// How queries end.
 const (
 	Answered         Outcome = iota
 	Rejected                 // no non-idempotent part of it can have run: a retry does no harm
--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it was only read
 	return io.ReadAll(io.LimitReader(f, snapshot.Most+1))
 }
 
@@ -132,7 +132,9 @@
 func (k *Saver) sweep() {
 	left, _ := filepath.Glob(filepath.Join(k.opt.Folder, "."+FileName+"*"))
 	for _, path := range left {
-		os.Remove(path)
+		if err := os.Remove(path); err != nil {
+			k.opt.Log.Warn("stale temporary file not removed", "path", path, "error", err)
+		}
 	}
 }
 
@@ -146,7 +148,7 @@
 		if err1 == nil && err2 == nil && os.SameFile(held, there) {
 			return true
 		}
-		k.lock.Close() // the folder is gone, or another: what was locked guards nothing
+		_ = k.lock.Close() // the folder is gone, or another: what was locked guards nothing
 		k.lock = nil
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
@@ -155,7 +157,7 @@
 		return false
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
+		_ = f.Close() // nothing was written to it
 		k.tell("another process writes to the folder of what is learned", err)
 		return false
 	}
@@ -205,16 +207,16 @@
 		select {
 		case <-ctx.Done():
 			t.Stop()
-			k.Save()
+			_ = k.Save() // it has logged why it failed
 			k.saving.Lock()
 			defer k.saving.Unlock()
 			if k.lock != nil {
-				k.lock.Close()
+				_ = k.lock.Close() // nothing was written to it
 				k.lock = nil
 			}
 			return
 		case <-t.C:
-			k.Save()
+			_ = k.Save() // it has logged why it failed, and is tried again
 		}
 	}
 }
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -28,7 +28,7 @@
 		k := Open(Options{Folder: folder, Interval: time.Hour, Instance: "n1", Settings: 7, Log: slog.New(slog.DiscardHandler)})
 		for n := 0; ; n++ {
 			teach(k, 1+n%200)
-			k.Save()
+			_ = k.Save() // it is killed at any moment; what it leaves behind is checked
 		}
 	}
 	os.Exit(m.Run())
@@ -322,7 +322,7 @@
 	layer := &stuck{entered: make(chan struct{}), free: make(chan struct{})}
 	k, _ := open(t.TempDir(), layer)
 	teach(k, 200)
-	go k.Save()
+	go func() { _ = k.Save() }() // the disk hangs, so it has no result
 	<-layer.entered
 	began := time.Now()
 	for range 100 {
--- a/internal/completeness/completeness.go
+++ b/internal/completeness/completeness.go
@@ -54,7 +54,10 @@
 
 // CannotComplete tells that too many parts are lost for a complete answer.
 func (t *Tally) CannotComplete(at Thresholds) bool {
-	return t.Answered+t.pending < at.Complete-Slack && !(at.EveryPart && t.missing == 0)
+	if at.EveryPart && t.missing == 0 {
+		return false
+	}
+	return t.Answered+t.pending < at.Complete-Slack
 }
 
 // CannotAnswer tells that too many parts are lost for any answer.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -83,8 +83,8 @@
 // nothing, and its key is named.
 func TestReload(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	write := func(old, new string) {
-		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(good, old, new, 1)), 0o600))
+	write := func(before, after string) {
+		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(good, before, after, 1)), 0o600))
 	}
 	write("", "")
 	c, err := config.Load(func(key string) string {
--- a/internal/config/control_test.go
+++ b/internal/config/control_test.go
@@ -14,13 +14,13 @@
 
 const deployedControl = "../../deploy/control.toml"
 
-// loadEdited loads deploy/control.toml after replacing old by new once.
-func loadEdited(t *testing.T, old, new string) (*config.ControlMachine, error) {
+// loadEdited loads deploy/control.toml after replacing one text once.
+func loadEdited(t *testing.T, before, after string) (*config.ControlMachine, error) {
 	text, err := os.ReadFile(deployedControl)
 	require.NoError(t, err)
-	require.Contains(t, string(text), old)
+	require.Contains(t, string(text), before)
 	path := filepath.Join(t.TempDir(), "control.toml")
-	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(string(text), old, new, 1)), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(string(text), before, after, 1)), 0o600))
 	return config.LoadControl(path)
 }
 
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -130,11 +130,11 @@
 			}
 			key := token.(string) // as the text is valid
 			below = join(path, key)
-			if folded := fold(key); seen[folded] {
+			folded := fold(key)
+			if seen[folded] {
 				return bad(below, "stands twice")
-			} else {
-				seen[folded] = true
 			}
+			seen[folded] = true
 		}
 		if err := checkUnique(in, below); err != nil {
 			return err
--- a/internal/configclient/configclient_test.go
+++ b/internal/configclient/configclient_test.go
@@ -92,15 +92,15 @@
 	return append([]uint64(nil), b.applied...)
 }
 
-// startBroker runs a broker until the test ends.
-func startBroker(t testing.TB, name string, refuse map[uint64]*configpb.Refusal, addresses ...string) *broker {
+// startBroker runs the broker b1 until the test ends.
+func startBroker(t testing.TB, refuse map[uint64]*configpb.Refusal, addresses ...string) *broker {
 	b := &broker{refuse: refuse}
 	var machines []distribution.Machine
 	for _, address := range addresses {
 		machines = append(machines, distribution.Machine{Address: address})
 	}
 	client, err := configclient.New(configclient.Options{
-		Name:    name,
+		Name:    "b1",
 		Started: time.Now(),
 		Zone:    "a",
 		Control: machines,
@@ -129,7 +129,7 @@
 		s := startServer(t, "127.0.0.1:0")
 		require.NoError(t, s.hub.SetNewest(revisionOf(1, "one"), time.Now()))
 		refusal := &configpb.Refusal{Key: "settings.port", Reason: "needs a restart"}
-		b := startBroker(t, "b1", map[uint64]*configpb.Refusal{2: refusal}, s.address)
+		b := startBroker(t, map[uint64]*configpb.Refusal{2: refusal}, s.address)
 		require.Eventually(t, func() bool { return b.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
 		require.NoError(t, s.hub.SetNewest(revisionOf(2, "two"), time.Now()))
 		require.Eventually(t, func() bool { return b.Status().Refusal.GetNumber() == 2 }, 5*time.Second, 5*time.Millisecond)
@@ -158,7 +158,7 @@
 			require.NoError(t, s.hub.SetNewest(revisionOf(1, "one"), time.Now()))
 			servers, addresses = append(servers, s), append(addresses, s.address)
 		}
-		b := startBroker(t, "b1", nil, addresses...)
+		b := startBroker(t, nil, addresses...)
 		require.Eventually(t, func() bool { return b.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
 		for _, s := range servers {
 			if s.address == b.Status().Control {
@@ -179,7 +179,7 @@
 		require.NoError(t, err)
 		address := listener.Addr().String()
 		require.NoError(t, listener.Close())
-		b := startBroker(t, "b1", nil, address)
+		b := startBroker(t, nil, address)
 		require.Eventually(t, func() bool { return b.Status().Counts.Ended > 1 }, 8*time.Second, 5*time.Millisecond)
 		require.False(t, b.Status().Known)
 		require.Zero(t, b.Status().InForce)
@@ -195,7 +195,7 @@
 	defer goleak.VerifyNone(t)
 	t.Run("", func(t *testing.T) {
 		s := startServer(t, "127.0.0.1:0")
-		b := startBroker(t, "b1", nil, s.address)
+		b := startBroker(t, nil, s.address)
 		b.hold.Lock()
 		for number := uint64(1); number <= 5; number++ {
 			require.NoError(t, s.hub.SetNewest(revisionOf(number, fmt.Sprint(number)), time.Now()))
@@ -215,10 +215,10 @@
 	t.Run("", func(t *testing.T) {
 		s := startServer(t, "127.0.0.1:0")
 		require.NoError(t, s.hub.SetNewest(revisionOf(1, "one"), time.Now()))
-		old := startBroker(t, "b1", nil, s.address)
+		old := startBroker(t, nil, s.address)
 		require.Eventually(t, func() bool { return old.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
 		time.Sleep(2 * time.Millisecond) // instances are told apart by the millisecond of their start
-		restarted := startBroker(t, "b1", nil, s.address)
+		restarted := startBroker(t, nil, s.address)
 		require.Eventually(t, func() bool { return restarted.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
 		require.Eventually(t, func() bool { return old.Status().Counts.Ended > 0 }, 8*time.Second, 5*time.Millisecond)
 		require.Len(t, s.hub.Status().Brokers, 1)
--- a/internal/configpb/bounds.go
+++ b/internal/configpb/bounds.go
@@ -1,3 +1,5 @@
+// Package configpb is the wire form of configuration revisions and the reports of brokers on them, with its bounds and
+// errors. The .pb.go files are generated from config.proto.
 package configpb
 
 import (
--- a/internal/consensus/message_test.go
+++ b/internal/consensus/message_test.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"errors"
 	"testing"
 	"time"
 
@@ -136,7 +137,7 @@
 				continue
 			}
 			err = node.Step(message) // any error will do, but no panic
-			require.Equal(t, node.Err() != nil, err != nil && node.Err() == err)
+			require.Equal(t, node.Err() != nil, err != nil && errors.Is(err, node.Err()))
 			for ready := node.Ready(); ready != nil; ready = node.Ready() {
 				saveToMemory(t, g.disks[2], ready)
 				node.Advance()
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -13,9 +13,11 @@
 	wholeLimit = 600 * time.Millisecond // for a call to come whole; a reply is due within 1 s
 	writeLimit = 300 * time.Millisecond // for a caller to take its reply
 	lingerFor  = 100 * time.Millisecond
-	Callers    = 24 // at once; the one that has been silent longest makes room for another
 )
 
+// Callers is how many callers are served at once; the one that has been silent longest makes room for another.
+const Callers = 24
+
 // Process is what operators steer. Its methods are called by any goroutine and must not wait for a loop.
 type Process interface {
 	// Takes tells whether clients are taken.
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -1,6 +1,7 @@
 package control_test
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -34,7 +35,7 @@
 					got = c
 				}
 			}
-			if want == control.ErrMore && piece == 1 {
+			if err, ok := want.(error); ok && errors.Is(err, control.ErrMore) && piece == 1 {
 				continue // the first line is whole before the second has begun to come
 			}
 			require.Equal(t, want, got, "%q by %d", text, piece)
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -10,6 +10,7 @@
 // Call is what a caller wants.
 type Call int
 
+// What callers may want.
 const (
 	Health Call = iota // does this process take clients?
 	Dump               // the figures
--- a/internal/controlrig/check.go
+++ b/internal/controlrig/check.go
@@ -77,7 +77,7 @@
 	return list
 }
 
-// CheckOneContent: each number has one content, whoever was told of it, and that was published by somebody.
+// CheckOneContent checks that each number has one content, whoever was told of it, and that was published by somebody.
 func (h *History) CheckOneContent() (faults []error) {
 	published := map[uint64]bool{}
 	for _, p := range h.Publications {
@@ -100,7 +100,7 @@
 	return faults
 }
 
-// CheckOneNumber: no two requests have the same number.
+// CheckOneNumber checks that no two requests have the same number.
 func (h *History) CheckOneNumber() (faults []error) {
 	requests := map[uint64]uint64{} // by number
 	for _, p := range h.Publications {
@@ -115,7 +115,7 @@
 	return faults
 }
 
-// CheckOrder: what was acknowledged before another publication began has the lower number.
+// CheckOrder checks that what was acknowledged before another publication began has the lower number.
 func (h *History) CheckOrder() (faults []error) {
 	for _, a := range h.Publications {
 		for _, b := range h.Publications {
@@ -128,7 +128,7 @@
 	return faults
 }
 
-// CheckNeverBack: numbers rise at each follower.
+// CheckNeverBack checks that numbers rise at each follower.
 func (h *History) CheckNeverBack() (faults []error) {
 	newest := map[string]uint64{}
 	for _, a := range h.Applied {
@@ -141,7 +141,7 @@
 	return faults
 }
 
-// CheckNothingLost: at the end each machine holds all revisions without gaps, up to the newest that anybody was told
+// CheckNothingLost checks that at the end each machine holds all revisions without gaps, up to the newest that anybody was told
 // of.
 func (h *History) CheckNothingLost() (faults []error) {
 	newest := uint64(0)
@@ -165,7 +165,7 @@
 	return faults
 }
 
-// CheckInForce: each acknowledged revision, or a later one, is in force at each follower within a time of its
+// CheckInForce checks that each acknowledged revision, or a later one, is in force at each follower within a time of its
 // acknowledgement, or of the end of an excuse that touches this time.
 func (h *History) CheckInForce(within time.Duration) (faults []error) {
 	for _, p := range h.Publications {
--- a/internal/controlrig/rig_test.go
+++ b/internal/controlrig/rig_test.go
@@ -82,7 +82,7 @@
 	running.Go(func() {
 		for ctx.Err() == nil {
 			ctx, cancel := context.WithTimeout(ctx, patience/2)
-			rig.Publish(ctx, addresses) // booked; that it is late or has no answer is for the checkers
+			_, _ = rig.Publish(ctx, addresses) // recorded; that it is late or has no answer is for the checkers
 			cancel()
 			time.Sleep(publishEvery)
 		}
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -157,8 +157,8 @@
 		publisher: newPublisher(self.ID, owner, o.Validate),
 		self:      self, members: o.Members, replica: owner, hub: hub, reachable: received.reachable,
 	}
-	control.publisher.forward = streams.forward
-	control.publisher.describe = func(id uint64) string {
+	control.forward = streams.forward
+	control.describe = func(id uint64) string {
 		leader := control.member(id)
 		return fmt.Sprintf("%s at %s", leader.Name, leader.Address)
 	}
@@ -179,7 +179,7 @@
 	for err == nil && ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
-			waitFor(control.publisher.stop(), stopTimeout)
+			waitFor(control.stop(), stopTimeout)
 		case err = <-failed:
 		case <-counts.C:
 			report.tell(received.envelopes(), streams.dropped())
--- a/internal/cores/cores_test.go
+++ b/internal/cores/cores_test.go
@@ -121,14 +121,14 @@
 }
 
 // load asks queries from so many clients for a time, and counts how they ended.
-func (r *rig) load(clients int, d time.Duration, make func(client, n int) *broker.Request) (ends [5]int) {
+func (r *rig) load(clients int, d time.Duration, request func(client, n int) *broker.Request) (ends [5]int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	stop := time.Now().Add(d)
 	for c := range clients {
 		all.Go(func() {
 			for n := 0; time.Now().Before(stop); n++ {
-				res := r.ask(make(c, n))
+				res := r.ask(request(c, n))
 				mu.Lock()
 				ends[res.Outcome]++
 				mu.Unlock()
@@ -435,7 +435,7 @@
 // A worker that panics leaves nobody hanging: what it held fails at once, the others serve on.
 func TestAWorkerThatPanicsLeavesNobodyHanging(t *testing.T) {
 	r := newRig(t, rigOptions{workers: 2, servers: 4, work: 150 * time.Millisecond,
-		decider: func(w int, set decision.Settings, seed uint64) decision.Decider {
+		decider: func(_ int, set decision.Settings, seed uint64) decision.Decider {
 			return doomed{decision.New(set, seed)}
 		}})
 	held := make(chan broker.Result, 4)
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -46,6 +46,7 @@
 // ReportMode tells how servers' load reports arrive.
 type ReportMode int
 
+// The report modes.
 const (
 	ReportNone      ReportMode = iota // never
 	ReportPiggyback                   // with every attempt's outcome and health check
@@ -84,6 +85,7 @@
 // State is a server's state on the endpoint list. A draining server gets no attempt from the moment the list says so.
 type State int
 
+// The states of a server.
 const (
 	Ready    State = iota
 	Draining       // finishes its work, accepts no attempt
@@ -110,6 +112,7 @@
 // Status is how an attempt or a health check ended.
 type Status int
 
+// How attempts and health checks end.
 const (
 	OK          Status = iota
 	Error              // the server answered with an error; the attempt may have run
@@ -127,6 +130,7 @@
 // UpdateMode tells what an EndpointUpdate holds.
 type UpdateMode int
 
+// What endpoint updates hold.
 const (
 	DeltaUpdate  UpdateMode = iota // changed entries only
 	FullUpdate                     // all servers; those missing are removed
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -72,7 +72,7 @@
 	if stalled && !p.settings.HedgingAllowed {
 		p.cancelAttempts(pt) // then another may go
 	}
-	if pt.live > 0 && !(stalled && p.settings.HedgingAllowed) {
+	if pt.live > 0 && (!stalled || !p.settings.HedgingAllowed) {
 		needsAll := pt.query.class.CompletenessThreshold > 1-completeness.Slack
 		return needsAll || pt.query.phase == secondPhase || !p.isSlow(pt)
 	}
@@ -117,7 +117,7 @@
 
 // isSlow tells that the latest attempt takes longer than nearly all do: a spare part, if any, goes instead.
 func (p *Policy) isSlow(pt *part) bool {
-	high := p.fleet.Latencies[pt.query.Query.Class].Quantile(0.95)
+	high := p.fleet.Latencies[pt.query.Class].Quantile(0.95)
 	due := pt.attempts[len(pt.attempts)-1].sentAt + high
 	if p.now < due {
 		p.wakeAt(due)
@@ -129,7 +129,7 @@
 // its server has long answered nothing since, or only what was sent later, so that this answer is lost. A
 // slow server that answers is left alone: its work would go on.
 func (p *Policy) isStalled(pt *part) bool {
-	a, high := &pt.attempts[len(pt.attempts)-1], p.fleet.Latencies[pt.query.Query.Class].Quantile(0.95)
+	a, high := &pt.attempts[len(pt.attempts)-1], p.fleet.Latencies[pt.query.Class].Quantile(0.95)
 	if high == 0 || pt.live != 1 || !a.live || a.cancelled || p.now >= pt.query.objectiveAt {
 		return false
 	}
@@ -150,7 +150,7 @@
 		p.wakeAt(due)
 		return false
 	}
-	inTime := p.now+p.fleet.Latencies[pt.query.Query.Class].Quantile(0.5) < pt.query.objectiveAt
+	inTime := p.now+p.fleet.Latencies[pt.query.Class].Quantile(0.5) < pt.query.objectiveAt
 	return inTime && (overtaken || p.hasHealthierReplica(pt, a.server))
 }
 
--- a/internal/decision/canary.go
+++ b/internal/decision/canary.go
@@ -21,7 +21,7 @@
 // fan-out is large a few go ahead, since what was seen of the fleet is old: if they come back late, the rest
 // would be late and make others late. In quarantine a single part goes ahead for a while.
 func (p *Policy) canaryStride(q *query, answered float64) int {
-	inQuarantine := answered == 0 && (q.resets > 0 || p.now < p.quarantineUntil[q.Query.Class])
+	inQuarantine := answered == 0 && (q.resets > 0 || p.now < p.quarantineUntil[q.Class])
 	largeFanout := p.needsCanary(q)
 	if q.fannedOut || !inQuarantine && !largeFanout {
 		return 1
--- a/internal/decision/failures_test.go
+++ b/internal/decision/failures_test.go
@@ -218,7 +218,7 @@
 	rare := func(n int) int {
 		count := 0
 		for range n {
-			r.now += 1
+			r.now++
 			count += share(r, 1, answer)["s0"]
 		}
 		return count
--- a/internal/decision/fleet_test.go
+++ b/internal/decision/fleet_test.go
@@ -12,6 +12,7 @@
 
 // fleetRig is a broker of many that knows 200 servers, each shard held by two, and the wide class of the site.
 func fleetRig(t testing.TB, n int) (*decision.Policy, func(now float64, parts int) []decision.Event) {
+	t.Helper()
 	s := settings()
 	s.Brokers, s.ReplicaSets, s.ReplicationFactor, s.ReportMode = 300, n, 2, decision.ReportPiggyback
 	s.Classes = []decision.Class{{LatencyObjective: 0.5, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 0.8, PriorityWeight: 1}}
@@ -62,7 +63,7 @@
 		for _, s := range out[i:] {
 			answer(s)
 		}
-		now += 1
+		now++
 	}
 }
 
@@ -111,7 +112,7 @@
 			p.Handle(now, []decision.Event{decision.AttemptFinished{ID: s.ID, Server: s.Server, Status: decision.OK,
 				Latency: 0.026, PartConcluded: true, LoadReport: decision.NoLoadReport}})
 		}
-		now += 1
+		now++
 	}
 }
 
--- a/internal/decision/health.go
+++ b/internal/decision/health.go
@@ -33,7 +33,7 @@
 	s := a.server
 	p.recordOutcome(s, e.Status)
 	ended := serverstats.Attempt{
-		Class: q.Query.Class, SentAt: a.sentAt, Latency: e.Latency, Concurrency: a.concurrency,
+		Class: q.Class, SentAt: a.sentAt, Latency: e.Latency, Concurrency: a.concurrency,
 	}
 	switch e.Status {
 	case OK:
--- a/internal/decision/queries.go
+++ b/internal/decision/queries.go
@@ -82,7 +82,7 @@
 	if c.LateValue > 0 {
 		q.expiresAt = q.Deadline - lead
 	}
-	if patience := p.patience.Short(); patience > p.fleet.Latencies[q.Query.Class].Quantile(0.95) {
+	if patience := p.patience.Short(); patience > p.fleet.Latencies[q.Class].Quantile(0.95) {
 		q.objectiveAt = math.Min(q.objectiveAt, q.receivedAt+patience-lead)
 	}
 }
@@ -210,7 +210,7 @@
 	case late || g.CannotAnswer(g.Thresholds):
 		p.rejectOrFail(q)
 	case p.crashesServers(q, g):
-		p.quarantineUntil[q.Query.Class] = p.now + quarantineDuration
+		p.quarantineUntil[q.Class] = p.now + quarantineDuration
 		p.poisonQueries[q.fingerprint] = q.receivedAt + q.class.Deadline
 		p.rejectOrFail(q)
 	case !q.admitted && (p.isPoison(q) || p.admissionRejects(q)):
--- a/internal/decision/reference_test.go
+++ b/internal/decision/reference_test.go
@@ -833,7 +833,7 @@
 		if overdue && !p.set.HedgingAllowed {
 			p.cancelLive(pt) // then another may go
 		}
-		if pt.live > 0 && !(p.set.HedgingAllowed && overdue) {
+		if pt.live > 0 && (!p.set.HedgingAllowed || !overdue) {
 			if q.class.CompletenessThreshold > 1-sumSlack || q.step == 2 || !p.late(pt) {
 				want += pt.Weight
 			}
--- a/internal/distribution/checkers_test.go
+++ b/internal/distribution/checkers_test.go
@@ -58,7 +58,7 @@
 
 func newCheckers(s *simulation) *checkers {
 	c := &checkers{sim: s}
-	for range s.simOptions.brokers {
+	for range s.brokers {
 		c.brokers = append(c.brokers, &watched{})
 	}
 	return c
--- a/internal/distribution/follower_receive.go
+++ b/internal/distribution/follower_receive.go
@@ -1,6 +1,7 @@
 package distribution
 
 import (
+	"errors"
 	"time"
 
 	"mothrouter/internal/configpb"
@@ -61,12 +62,12 @@
 	if revision == nil {
 		return true
 	}
-	switch CheckRevision(revision) {
-	case nil:
-	case ErrTooLarge:
+	switch err := CheckRevision(revision); {
+	case err == nil:
+	case errors.Is(err, ErrTooLarge):
 		f.counts.Oversized++
 		return false
-	case ErrNoNumber:
+	case errors.Is(err, ErrNoNumber):
 		f.counts.Malformed++
 		return false
 	default:
--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -35,6 +35,7 @@
 // Kind is what a worker saw.
 type Kind int
 
+// What workers see.
 const (
 	Good   Kind = iota // an answer
 	Failed             // an error, a broken or refused connection, a full queue
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -104,7 +104,7 @@
 			p.send(p.view.Leave(time.Since(p.began)))
 			time.Sleep(farewell)
 			p.send(p.view.Leave(time.Since(p.began)))
-			p.conn.Close()
+			_ = p.conn.Close() // the process ends
 			<-read
 			return
 		case d := <-p.inbox:
@@ -167,7 +167,7 @@
 	if len(out) == 0 {
 		return
 	}
-	p.conn.SetWriteDeadline(time.Now().Add(sendLimit))
+	_ = p.conn.SetWriteDeadline(time.Now().Add(sendLimit)) // a closed socket fails at the write below
 	for _, s := range out {
 		b, err := plane.Append(p.out[:0], s.Data)
 		if err != nil {
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -289,7 +289,7 @@
 func (c *conn) makeRoom() {
 	resp := c.refusal(errFull)
 	c.sock.SetWriteDeadline(time.Now().Add(roomWait))
-	c.sock.Write(resp.Append(nil)) // the connection ends whether or not its client takes the answer
+	_, _ = c.sock.Write(resp.Append(nil)) // the connection ends whether or not its client takes the answer
 }
 
 // refusal is the last answer on a connection whose input cannot be served.
@@ -313,7 +313,7 @@
 	if !ok || c.left.Load() {
 		return
 	}
-	half.CloseWrite()
+	_ = half.CloseWrite() // a socket on which it fails has ended
 	c.f.lingers(c)
 	wait := time.NewTimer(lingerFor)
 	defer wait.Stop()
--- a/internal/listwatch/listwatch_test.go
+++ b/internal/listwatch/listwatch_test.go
@@ -40,11 +40,11 @@
 	}
 }
 
-// play runs to a time in steps of 10 ms. It returns when the agent, which is down from one time to another, was last
+// play runs from the start to a time in steps of 10 ms. It returns when the agent, which is down from one time to another, was last
 // heard.
-func (a *agent) play(from, to, down, up time.Duration) (heard time.Duration) {
+func (a *agent) play(to, down, up time.Duration) (heard time.Duration) {
 	heard = -1
-	for at := from; at < to; at += 10 * time.Millisecond {
+	for at := time.Duration(0); at < to; at += 10 * time.Millisecond {
 		now := start.Add(at)
 		if w := a.Wake(); !w.IsZero() && !now.Before(w) {
 			a.do(at, a.Tick(now))
@@ -72,7 +72,7 @@
 		a := newAgent(300, seed)
 		up := 5*time.Second + time.Duration(seed)*37*time.Millisecond/10*10
 		up = up / (10 * time.Millisecond) * (10 * time.Millisecond)
-		require.Equal(t, up, a.play(0, up+10*time.Millisecond, 300*time.Millisecond, up))
+		require.Equal(t, up, a.play(up+10*time.Millisecond, 300*time.Millisecond, up))
 		require.LessOrEqual(t, a.most, 2)
 	}
 }
@@ -82,7 +82,7 @@
 	for _, callers := range []int{1, 3, 80, 300, 100_000} {
 		for seed := range uint64(100) {
 			a := newAgent(callers, seed)
-			a.play(0, time.Second, 0, 0)
+			a.play(time.Second, 0, 0)
 			first := a.opened[0]
 			for at := time.Second; len(a.opened) < 2; at += 10 * time.Millisecond {
 				if now := start.Add(at); !now.Before(a.Wake()) {
@@ -98,7 +98,7 @@
 func TestAMoveIsFollowedInTimeAndTheOldAddressIsHeardUntilThen(t *testing.T) {
 	for seed := range uint64(100) {
 		a := newAgent(300, seed)
-		a.play(0, 10*time.Second, 0, 0)
+		a.play(10*time.Second, 0, 0)
 		old := len(a.opened)
 		a.do(10*time.Second, a.Moved(start.Add(10*time.Second)))
 		require.Len(t, a.open, 1)
@@ -162,7 +162,7 @@
 		for seed := range uint64(200) {
 			rng := rand.New(rand.NewPCG(seed, uint64(callers)))
 			a := newAgent(callers, seed)
-			a.play(0, time.Second, 0, 0) // heard, then lost: by a reset, or in silence
+			a.play(time.Second, 0, 0) // heard, then lost: by a reset, or in silence
 			up := time.Second + time.Duration(rng.IntN(3000))*10*time.Millisecond
 			ends := map[int]time.Duration{}
 			if rng.IntN(2) == 0 {
--- a/internal/membership/instance.go
+++ b/internal/membership/instance.go
@@ -11,6 +11,7 @@
 // Status is what a member is taken for.
 type Status uint8
 
+// What members are taken for.
 const (
 	Alive Status = iota
 	Lost         // silent to all who were asked: dead, or cut off
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -116,7 +116,7 @@
 func TestACutOfOnePairRemovesNobody(t *testing.T) {
 	for _, both := range []bool{true, false} {
 		t.Run(fmt.Sprint("both directions: ", both), func(t *testing.T) {
-			cases(t, func(t *testing.T, w *network) {
+			cases(t, func(_ *testing.T, w *network) {
 				a := w.nodes[w.rng.IntN(len(w.nodes))]
 				for range 6 { // with one after the other
 					b := w.nodes[w.rng.IntN(len(w.nodes))]
--- a/internal/membership/net_test.go
+++ b/internal/membership/net_test.go
@@ -81,7 +81,7 @@
 }
 
 // start starts the broker of a number, or another process of it.
-func (w *network) start(i int) *node {
+func (w *network) start(i int) {
 	x := &node{i: i, zone: i % 2, addr: addrOf(i), lostAt: map[string]time.Duration{}, backAt: map[string]time.Duration{}}
 	x.View = membership.New(membership.Options{
 		Self:  membership.Instance{Name: fmt.Sprint("n", i), Start: uint64(w.now) + 1, Addr: x.addr},
@@ -101,13 +101,12 @@
 			w.nodes[j] = x
 			w.byAddr[x.addr] = x
 			w.push(event{at: w.now, to: x})
-			return x
+			return
 		}
 	}
 	w.nodes = append(w.nodes, x)
 	w.byAddr[x.addr] = x
 	w.push(event{at: w.now + time.Duration(w.rng.Int64N(int64(membership.TickEvery))), to: x})
-	return x
 }
 
 func (w *network) push(e event) { heap.Push(&w.events, e) }
--- a/internal/scale/configuration_hub.go
+++ b/internal/scale/configuration_hub.go
@@ -67,7 +67,7 @@
 // confirm does what the log does while it has a leader, until the process ends.
 func (h *hubChild) confirm() {
 	for {
-		h.hub.SetNewest(nil, time.Now())
+		_ = h.hub.SetNewest(nil, time.Now()) // without a revision nothing can be wrong with it
 		time.Sleep(confirmEvery)
 	}
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -127,9 +127,9 @@
 	residual, total, spread := 0.0, 0.0, 0.0
 	center := stat.Mean(xs, weights)
 	for i, w := range weights {
-		residual += w * math.Pow(ys[i]-slope.Base-slope.Rate*xs[i], 2)
+		residual += w * square(ys[i]-slope.Base-slope.Rate*xs[i])
 		total += w
-		spread += w * math.Pow(xs[i]-center, 2)
+		spread += w * square(xs[i]-center)
 	}
 	n := float64(len(samples))
 	variance := residual / (n - float64(free))
@@ -227,3 +227,5 @@
 	n := float64(len(values))
 	return mean, around(mean, studentHalf(n-1)*stat.StdDev(values, nil)/math.Sqrt(n))
 }
+
+func square(x float64) float64 { return x * x }
--- a/internal/scale/membership.go
+++ b/internal/scale/membership.go
@@ -39,7 +39,7 @@
 	brokers := int(at.Of(axisBrokers))
 	before := memoryInUse()
 	w := newNetwork(brokers, seed)
-	began, err := w.until(nil, agreeWithin)
+	began, err := w.untilAgreed()
 	if err != nil {
 		return nil, err
 	}
@@ -82,7 +82,7 @@
 func playFaults(at Sizes, seed uint64) ([]Reading, error) {
 	brokers := int(at.Of(axisBrokers))
 	w := newNetwork(brokers, seed)
-	if _, err := w.until(nil, agreeWithin); err != nil {
+	if _, err := w.untilAgreed(); err != nil {
 		return nil, err
 	}
 	if err := w.run(w.now + faultFor); err != nil {
@@ -96,7 +96,7 @@
 	for _, i := range rack {
 		w.start(i)
 	}
-	rackBack, err := w.until(nil, agreeWithin)
+	rackBack, err := w.untilAgreed()
 	if err != nil {
 		return nil, err
 	}
@@ -124,7 +124,7 @@
 	}
 	known := t.agreed
 	if known == 0 {
-		if _, err := w.until(nil, agreeWithin); err != nil {
+		if _, err := w.untilAgreed(); err != nil {
 			return 0, t.traffic, err
 		}
 		known = (w.now - from).Seconds()
@@ -171,7 +171,7 @@
 // playCut cuts a region off and heals it. The seeds stand in three zones and so in all regions.
 func playCut(at Sizes, seed uint64) ([]Reading, error) {
 	w := newNetwork(cutBrokers, seed)
-	if _, err := w.until(nil, agreeWithin); err != nil {
+	if _, err := w.untilAgreed(); err != nil {
 		return nil, err
 	}
 	alone := func(x *node) bool { return x.region == TargetRegions-1 }
@@ -196,7 +196,7 @@
 		}
 	}
 	w.cut = func(_, _ *node) bool { return false }
-	healed, err := w.until(nil, agreeWithin)
+	healed, err := w.untilAgreed()
 	if err != nil {
 		return nil, err
 	}
@@ -227,7 +227,7 @@
 	brokers := int(at.Of(axisBrokers))
 	interval := time.Duration(at.Of(axisInterval) * float64(time.Second))
 	w := newNetwork(brokers, seed)
-	if _, err := w.until(nil, agreeWithin); err != nil {
+	if _, err := w.untilAgreed(); err != nil {
 		return nil, err
 	}
 	if err := w.run(w.now + faultFor); err != nil {
@@ -253,7 +253,7 @@
 			}
 		}
 	}
-	settled, err := w.until(nil, agreeWithin)
+	settled, err := w.untilAgreed()
 	if err != nil {
 		return nil, err
 	}
@@ -278,7 +278,7 @@
 // others go on to ping that one, at the same address.
 func playReturn(at Sizes, seed uint64) ([]Reading, error) {
 	w := newNetwork(int(at.Of(axisBrokers)), seed)
-	if _, err := w.until(nil, agreeWithin); err != nil {
+	if _, err := w.untilAgreed(); err != nil {
 		return nil, err
 	}
 	if err := w.run(w.now + faultFor); err != nil {
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -186,10 +186,10 @@
 	return true
 }
 
-// until plays until all of a set agree, and returns how many seconds that took; limit, if they never did.
-func (w *network) until(in func(*node) bool, limit time.Duration) (float64, error) {
+// untilAgreed plays until all agree, and returns how many seconds that took; agreeWithin, if they never did.
+func (w *network) untilAgreed() (float64, error) {
 	from := w.now
-	for !w.agree(in) && w.now-from < limit {
+	for !w.agree(nil) && w.now-from < agreeWithin {
 		if err := w.run(w.now + lookEvery); err != nil {
 			return 0, err
 		}
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -87,7 +87,7 @@
 	}
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrContent, err)
+		return nil, fmt.Errorf("%w: %w", ErrContent, err)
 	}
 	if headSize+len(body) > Most {
 		return nil, ErrTooLarge
@@ -126,7 +126,7 @@
 	}
 	var m snapshotpb.Snapshot
 	if err := proto.Unmarshal(body, &m); err != nil {
-		return nil, fmt.Errorf("%w: %v", ErrContent, err)
+		return nil, fmt.Errorf("%w: %w", ErrContent, err)
 	}
 	s := &Snapshot{Written: m.Written, Instance: m.Instance, Settings: m.Settings, Pace: m.Pace, Peak: m.Peak}
 	if len(m.Servers) > ServersMost || !sane(m.Written, m.Pace, m.Peak) {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -111,13 +111,18 @@
 func FuzzDecode(f *testing.F) {
 	b, _ := snapshot.Encode(example(3))
 	f.Add(b)
-	f.Fuzz(func(t *testing.T, b []byte) { snapshot.Decode(b) })
+	f.Fuzz(func(t *testing.T, b []byte) {
+		s, err := snapshot.Decode(b)
+		require.Equal(t, err == nil, s != nil, "either a snapshot or an error")
+	})
 }
 
 func BenchmarkEncode200(b *testing.B) {
 	s := example(200)
 	b.ReportAllocs()
 	for range b.N {
-		snapshot.Encode(s)
+		if _, err := snapshot.Encode(s); err != nil {
+			b.Fatal(err)
+		}
 	}
 }
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -418,7 +418,7 @@
 		for {
 			m, ok, err := in.Next()
 			if err != nil {
-				return fmt.Errorf("%w: %v", errSpoilt, err)
+				return fmt.Errorf("%w: %w", errSpoilt, err)
 			}
 			if !ok {
 				break
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -18,6 +18,7 @@
 // ItemKind tells what an Item is.
 type ItemKind int
 
+// The kinds of Item.
 const (
 	ItemEvent ItemKind = iota
 	ItemOpen           // an instance starts: Settings and Seed are set
@@ -142,9 +143,9 @@
 			return e.errorf("expected a searcher line")
 		}
 		s := decision.Server{
-			ID: e.text("searcher"), Zone: int(e.optInteger("locality", 0)), Kind: int(e.optInteger("sku", 0)),
-			ReplicaSet: int(e.optInteger("cell", 0)), Capacity: e.optNumber("capacityHint", 0),
-			Started: e.optNumber("lastStartS", 0),
+			ID: e.text("searcher"), Zone: int(e.optInteger("locality")), Kind: int(e.optInteger("sku")),
+			ReplicaSet: int(e.optInteger("cell")), Capacity: e.optNumber("capacityHint"),
+			Started: e.optNumber("lastStartS"),
 		}
 		switch state := e.text("status"); state {
 		case "IN":
@@ -193,7 +194,7 @@
 		if !known {
 			f.fail("mode", f.vals["mode"])
 		}
-		l := decision.EndpointUpdate{Mode: mode, Version: f.optInteger("version", 0)}
+		l := decision.EndpointUpdate{Mode: mode, Version: f.optInteger("version")}
 		if mode != decision.FailedUpdate {
 			id := f.integer("rosterId")
 			if f.err == nil && (id < 0 || id >= maxRosters || !d.known[id]) {
@@ -206,16 +207,16 @@
 	case "new_request":
 		if shard := f.number("slice"); shard < 0 {
 			it.Event = decision.Query{
-				ID: f.request(), Number: f.integer("query"), Class: int(f.optInteger("qos", 0)),
-				Tenant: int(f.optInteger("clientGroup", 0)), Key: uint64(f.optInteger("entity", 0)),
-				Parts: int(f.optNumber("measure", 0)), Deadline: f.number("clientDeadlineS"),
-				Retry: f.optBool("isRetry"), Work: f.optNumber("costS", 0), Write: f.optBool("update"),
+				ID: f.request(), Number: f.integer("query"), Class: int(f.optInteger("qos")),
+				Tenant: int(f.optInteger("clientGroup")), Key: uint64(f.optInteger("entity")),
+				Parts: int(f.optNumber("measure")), Deadline: f.number("clientDeadlineS"),
+				Retry: f.optBool("isRetry"), Work: f.optNumber("costS"), Write: f.optBool("update"),
 			}
 		} else {
 			it.Event = decision.Part{
 				ID: f.request(), QueryNumber: f.integer("query"), Shard: int(shard),
-				Weight: f.number("measure"), Key: uint64(f.optInteger("entity", 0)),
-				Work: f.optNumber("costS", 0),
+				Weight: f.number("measure"), Key: uint64(f.optInteger("entity")),
+				Work: f.optNumber("costS"),
 			}
 		}
 	case "begun":
@@ -225,14 +226,14 @@
 	case "finished":
 		it.Event = decision.AttemptFinished{
 			ID: f.request(), Attempt: int(f.integer("shot")), Server: f.text("searcher"),
-			Status: f.status(), Latency: f.optNumber("spentS", 0),
+			Status: f.status(), Latency: f.optNumber("spentS"),
 			PartConcluded: f.optBool("closed"), LoadReport: f.load(),
 		}
 	case "hangup":
 		it.Event = decision.ClientDisconnected{ID: f.request()}
 	case "probe_result":
 		it.Event = decision.HealthChecked{
-			Server: f.text("searcher"), Status: f.status(), Latency: f.optNumber("spentS", 0), LoadReport: f.load(),
+			Server: f.text("searcher"), Status: f.status(), Latency: f.optNumber("spentS"), LoadReport: f.load(),
 		}
 	case "reminder":
 		it.Event = decision.TimerFired{Token: uint64(f.integer("nonce"))}
@@ -318,9 +319,10 @@
 	return n
 }
 
-func (f *fields) optInteger(name string, absent int64) int64 {
+// optInteger is 0 where the field is absent.
+func (f *fields) optInteger(name string) int64 {
 	if _, ok := f.vals[name]; !ok {
-		return absent
+		return 0
 	}
 	return f.integer(name)
 }
@@ -334,9 +336,10 @@
 	return n
 }
 
-func (f *fields) optNumber(name string, absent float64) float64 {
+// optNumber is 0 where the field is absent.
+func (f *fields) optNumber(name string) float64 {
 	if _, ok := f.vals[name]; !ok {
-		return absent
+		return 0
 	}
 	return f.number(name)
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
 	"io"
 	"reflect"
@@ -215,7 +216,7 @@
 		d := wire.NewDecoder(strings.NewReader(in))
 		for {
 			if _, err := d.Next(); err != nil {
-				if err != io.EOF && !strings.Contains(err.Error(), "line ") {
+				if !errors.Is(err, io.EOF) && !strings.Contains(err.Error(), "line ") {
 					t.Errorf("error %q names no line", err)
 				}
 				return
