--- a/internal/cores/bench_test.go
+++ b/internal/cores/bench_test.go
@@ -17,7 +17,7 @@
 	for _, workers := range []int{1, 2, 4} {
 		for _, cold := range []int{0, 20} {
 			b.Run(fmt.Sprintf("workers=%d/cold=%d", workers, cold), func(b *testing.B) {
-				s := newShare(workers, settings(200, 1e9), 1)
+				s := newProcessState(workers, settings(200, 1e9), 1)
 				l := decision.EndpointUpdate{Mode: decision.FullUpdate}
 				for i := range 200 {
 					e := decision.Server{ID: fmt.Sprint("s", i), ReplicaSet: i}
@@ -26,10 +26,10 @@
 					}
 					l.Servers = append(l.Servers, e)
 				}
-				s.tell(l, 100)
-				ds := make([]*sharer, workers)
+				s.applyUpdate(l, 100)
+				ds := make([]*sharedDecider, workers)
 				for w := range ds {
-					ds[w] = &sharer{share: s, worker: w, inner: nothing{}}
+					ds[w] = &sharedDecider{processState: s, worker: w, inner: nothing{}}
 				}
 				events := make([]decision.Event, 1)
 				b.ReportAllocs()
@@ -52,10 +52,10 @@
 		name := fmt.Sprint(i)
 		g.mu.Lock()
 		for w := range g.workers {
-			g.loads[w].Behind = g.workers[w].b.Backlog()
+			g.loads[w].Backlog = g.workers[w].broker.Backlog()
 		}
 		g.names.Claim(name, 0)
 		g.mu.Unlock()
-		(&client{g: g, name: name}).Disconnected()
+		(&client{group: g, name: name}).Disconnected()
 	}
 }
--- a/internal/cores/configure_test.go
+++ b/internal/cores/configure_test.go
@@ -192,9 +192,9 @@
 			<-r.deciders[0].holds
 			early := r.query(c.parts)
 			done := make(chan error, 1)
-			behind := r.workers[0].b.Backlog()
+			behind := r.workers[0].broker.Backlog()
 			go func() { done <- r.Configure(broker.Change{Classes: classesOf(0.3), ConcurrencyLimit: c.cap}) }()
-			require.Eventually(t, func() bool { return r.workers[0].b.Backlog() > behind }, 5*time.Second,
+			require.Eventually(t, func() bool { return r.workers[0].broker.Backlog() > behind }, 5*time.Second,
 				time.Millisecond)
 			late := r.query(c.parts)
 			r.deciders[0].goOn()
@@ -208,7 +208,7 @@
 // While one worker is busy, the others serve under the new classes, and all within the old cap until it follows.
 func TestTheSharedCapWaitsForTheLastWorker(t *testing.T) {
 	r := newRecorded(t, 2, 2, true)
-	r.workers[0].b.Notify(decision.TimerFired{Token: tokenHold})
+	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenHold})
 	<-r.deciders[0].holds
 	done := make(chan error, 1)
 	go func() { done <- r.Configure(broker.Change{Classes: classesOf(0.4), ConcurrencyLimit: 6}) }()
@@ -218,36 +218,36 @@
 		defer d.mu.Unlock()
 		return len(d.heard) == 1
 	}, 5*time.Second, time.Millisecond)
-	require.False(t, r.open.TryAcquire(3), "the cap came into force ahead of a worker's classes")
+	require.False(t, r.limiter.TryAcquire(3), "the cap came into force ahead of a worker's classes")
 	r.deciders[0].goOn()
 	require.NoError(t, <-done)
-	require.True(t, r.open.TryAcquire(6))
-	require.False(t, r.open.TryAcquire(1))
+	require.True(t, r.limiter.TryAcquire(6))
+	require.False(t, r.limiter.TryAcquire(1))
 }
 
 // A worker that dies while a change comes holds it up for nobody, nor does one that is dead.
 func TestAChangeWithADeadWorker(t *testing.T) {
 	r := newRecorded(t, 2, 2, true)
-	r.workers[0].b.Notify(decision.TimerFired{Token: tokenHold})
+	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenHold})
 	<-r.deciders[0].holds
-	r.workers[0].b.Notify(decision.TimerFired{Token: tokenDie})
+	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenDie})
 	done := make(chan error, 1)
 	go func() { done <- r.Configure(broker.Change{Classes: classesOf(0.4), ConcurrencyLimit: 6}) }()
 	time.Sleep(20 * time.Millisecond)
 	r.deciders[0].goOn()
 	require.NoError(t, <-done)
 	<-r.Failed()
-	require.True(t, r.open.TryAcquire(6))
-	r.open.Release(6)
+	require.True(t, r.limiter.TryAcquire(6))
+	r.limiter.Release(6)
 	require.NoError(t, r.Configure(broker.Change{Classes: classesOf(0.5), ConcurrencyLimit: 7}))
-	require.True(t, r.open.TryAcquire(7))
+	require.True(t, r.limiter.TryAcquire(7))
 	require.Equal(t, 0.5, r.LongestDeadline().Seconds())
 	r.workers[0].dead.Store(false) // as for a worker that dies between the look at it and the post
 	require.NoError(t, r.Configure(broker.Change{Classes: classesOf(0.5), ConcurrencyLimit: 9}))
-	require.False(t, r.open.TryAcquire(3))
-	require.True(t, r.open.TryAcquire(2))
+	require.False(t, r.limiter.TryAcquire(3))
+	require.True(t, r.limiter.TryAcquire(2))
 	r.workers[0].dead.Store(true)
-	r.workers[1].b.Notify(decision.TimerFired{Token: tokenDie})
+	r.workers[1].broker.Notify(decision.TimerFired{Token: tokenDie})
 	require.Eventually(t, r.workers[1].dead.Load, 5*time.Second, time.Millisecond)
 	require.ErrorIs(t, r.Configure(broker.Change{Classes: classesOf(0.6), ConcurrencyLimit: 8}), broker.ErrEnded)
 }
@@ -258,7 +258,7 @@
 	spoilt := classesOf(0.4)
 	spoilt[2].MinCompleteness = 0.1
 	require.Error(t, r.Configure(broker.Change{Classes: spoilt, ConcurrencyLimit: 9}))
-	require.False(t, r.open.TryAcquire(3))
+	require.False(t, r.limiter.TryAcquire(3))
 	require.Equal(t, 2., r.LongestDeadline().Seconds())
 	for _, d := range r.deciders {
 		require.Empty(t, d.heard)
--- a/internal/cores/cores.go
+++ b/internal/cores/cores.go
@@ -1,6 +1,6 @@
-// Package cores runs several workers, each a core loop with a Decider of its own, behind the same fronts and the
-// same link. It is the driver beside the packages that decide: placement (which worker serves a query), lease (what
-// all may send to a cold server together) and evidence (what one learns from the others).
+// Package cores runs several workers, each a core loop with a Decider of its own, behind the same fronts and the same
+// link. It is the driver beside the packages that decide: placement (which worker serves a query), lease (what all may
+// send to a server in slow start together) and observations (what one learns from the others).
 package cores
 
 import (
@@ -18,17 +18,17 @@
 	"mothrouter/internal/placement"
 )
 
-// tellWait is how long Update waits for a worker that is busy. Links know of a drain before any worker does.
-const tellWait = 200 * time.Millisecond
+// updateTimeout is how long Update waits for a worker that is busy. Links know of a drain before any worker does.
+const updateTimeout = 200 * time.Millisecond
 
 // Options are what a Group needs.
 type Options struct {
 	Workers          int
 	Settings         decision.Settings
-	ConcurrencyLimit int // queries and parts held by all workers together; 0: no limit
+	ConcurrencyLimit int // queries and parts in flight, of all workers together; 0: no limit
 	Seed             uint64
 	Log              *slog.Logger
-	// Decider makes a worker's Decider; nil: the module's.
+	// Decider makes a worker's Decider; nil: decision.New.
 	Decider func(worker int, set decision.Settings, seed uint64) decision.Decider
 }
 
@@ -36,23 +36,23 @@
 type Group struct {
 	log     *slog.Logger
 	servers *broker.Endpoints
-	open    *lease.Semaphore
-	share   *share
+	limiter *lease.Semaphore
+	state   *processState
 	workers []*worker
 	failed  chan struct{} // closed when a worker has died
 	once    sync.Once
 
-	configuring sync.Mutex // held while a change comes into force: all workers take changes in one order
+	configuring sync.Mutex // held while a change is applied: all workers apply changes in one order
 
 	mu    sync.Mutex // guards names, rng and the loads' Open and Dead
-	names *placement.Names
-	loads []placement.Load
+	names *placement.NameRegistry
+	loads []placement.WorkerLoad
 	rng   *rand.Rand
 }
 
 type worker struct {
-	b    *broker.Broker
-	dead atomic.Bool
+	broker *broker.Broker
+	dead   atomic.Bool
 }
 
 // New makes a group whose workers send by one link: record servers see the connections of one broker.
@@ -67,55 +67,56 @@
 	}
 	n := max(opt.Workers, 1)
 	g := &Group{
-		log: opt.Log, servers: broker.NewEndpoints(), open: lease.NewSemaphore(opt.ConcurrencyLimit),
-		share: newShare(n, opt.Settings, opt.Seed), failed: make(chan struct{}),
-		names: placement.NewNames(), loads: make([]placement.Load, n),
+		log: opt.Log, servers: broker.NewEndpoints(), limiter: lease.NewSemaphore(opt.ConcurrencyLimit),
+		state: newProcessState(n, opt.Settings, opt.Seed), failed: make(chan struct{}),
+		names: placement.NewNameRegistry(), loads: make([]placement.WorkerLoad, n),
 		rng: rand.New(rand.NewPCG(opt.Seed, 0xa54ff53a5f1d36f1)),
 	}
 	for i := range n {
 		d := opt.Decider(i, opt.Settings, opt.Seed^uint64(i)*0x9e3779b97f4a7c15)
-		g.workers = append(g.workers, &worker{b: broker.New(broker.Options{
-			Settings: opt.Settings, Log: opt.Log.With("worker", i), Endpoints: g.servers, SharedLimiter: g.open,
-		}, &sharer{share: g.share, worker: i, inner: d}, link)})
+		g.workers = append(g.workers, &worker{broker: broker.New(broker.Options{
+			Settings: opt.Settings, Log: opt.Log.With("worker", i), Endpoints: g.servers, SharedLimiter: g.limiter,
+		}, &sharedDecider{processState: g.state, worker: i, inner: d}, link)})
 	}
 	return g
 }
 
-// Run runs the workers until ctx ends. A worker that panics is ended alone: what it held fails at once, nothing
-// more is given to it, and Failed tells, so that the process can end cleanly.
+// Run runs the workers until ctx ends. A worker that panics ends alone: its queries in flight fail at once, it gets no
+// more of them, and Failed tells, so that the process can end cleanly.
 func (g *Group) Run(ctx context.Context) {
 	var all sync.WaitGroup
 	for i, w := range g.workers {
 		all.Go(func() {
 			defer func() {
 				if why := recover(); why != nil {
-					g.log.Error("a worker has died", "worker", i, "why", why, "stack", string(debug.Stack()))
+					g.log.Error("worker panicked", "worker", i, "panic", why, "stack", string(debug.Stack()))
 					g.mu.Lock()
 					g.loads[i].Dead = true
 					g.mu.Unlock()
 					w.dead.Store(true)
-					w.b.Abort()
+					w.broker.Abort()
 					g.once.Do(func() { close(g.failed) })
 				}
 			}()
-			w.b.Run(ctx)
+			w.broker.Run(ctx)
 		})
 	}
 	all.Wait()
 }
 
-// Failed is closed once a worker has died.
+// Failed is closed once a worker has panicked.
 func (g *Group) Failed() <-chan struct{} { return g.failed }
 
-// client is a query's client with what has to be freed at its end.
+// client is a query's client with what has to be released at its end.
 type client struct {
 	broker.Client
-	g      *Group
+	group  *Group
 	name   string
 	worker int
 	size   int
 }
 
+// Finish implements broker.Client.
 func (c *client) Finish(r broker.Result) {
 	c.Disconnected()
 	c.Client.Finish(r)
@@ -123,28 +124,28 @@
 
 // Disconnected implements broker.DisconnectObserver.
 func (c *client) Disconnected() {
-	c.g.mu.Lock()
-	defer c.g.mu.Unlock()
-	c.g.names.Release(c.name)
-	c.g.loads[c.worker].Open -= c.size
+	c.group.mu.Lock()
+	defer c.group.mu.Unlock()
+	c.group.names.Release(c.name)
+	c.group.loads[c.worker].InFlight -= c.size
 }
 
 // Submit hands a query to a worker.
 func (g *Group) Submit(r *broker.Request, c broker.Client) {
-	mine := &client{Client: c, g: g, name: r.ID, size: 1 + len(r.Parts)}
+	mine := &client{Client: c, group: g, name: r.ID, size: 1 + len(r.Parts)}
 	g.mu.Lock()
 	for i, w := range g.workers {
-		g.loads[i].Behind = w.b.Backlog()
+		g.loads[i].Backlog = w.broker.Backlog()
 	}
 	mine.worker = placement.Choose(g.loads, g.rng)
 	taken := mine.worker >= 0 && g.names.Claim(r.ID, mine.worker)
 	if taken {
-		g.loads[mine.worker].Open += mine.size
+		g.loads[mine.worker].InFlight += mine.size
 	}
 	g.mu.Unlock()
 	switch {
 	case taken:
-		g.workers[mine.worker].b.Submit(r, mine)
+		g.workers[mine.worker].broker.Submit(r, mine)
 	case mine.worker < 0:
 		c.Finish(broker.Result{Outcome: broker.Failed})
 	default:
@@ -158,7 +159,7 @@
 	w, served := g.names.Worker(r.ID)
 	g.mu.Unlock()
 	if served {
-		g.workers[w].b.Disconnect(r)
+		g.workers[w].broker.Disconnect(r)
 	}
 }
 
@@ -172,17 +173,17 @@
 	return false
 }
 
-// Update hands news of the server list to all workers. When it returns, nothing new is begun at a server that
-// leaves, whether or not each worker has had the time to take note of it.
+// Update hands an update of the endpoint list to all workers. When it returns, no attempt starts at a server that drains
+// or is removed, whether or not each worker has had the time to take note of it.
 func (g *Group) Update(l broker.EndpointUpdate) {
 	g.servers.Apply(l)
-	g.share.tell(l.Event(), float64(time.Now().UnixNano())/1e9)
-	limit := time.NewTimer(tellWait)
+	g.state.applyUpdate(l.Event(), float64(time.Now().UnixNano())/1e9)
+	limit := time.NewTimer(updateTimeout)
 	defer limit.Stop()
 	var taken []<-chan struct{}
 	for _, w := range g.workers {
 		if !w.dead.Load() {
-			taken = append(taken, w.b.UpdateAsync(l))
+			taken = append(taken, w.broker.UpdateAsync(l))
 		}
 	}
 	for _, t := range taken {
@@ -194,38 +195,38 @@
 	}
 }
 
-// Notify hands each worker's Decider an event of a part that runs beside them.
+// Notify hands each worker's Decider an event from a component beside the workers. It does not wait.
 func (g *Group) Notify(e decision.Event) {
 	if f, ok := e.(decision.FleetResized); ok {
-		g.share.resize(f.Brokers)
+		g.state.resize(f.Brokers)
 	}
 	for _, w := range g.workers {
 		if !w.dead.Load() {
-			w.b.Notify(e)
+			w.broker.Notify(e)
 		}
 	}
 }
 
-// Drain waits until no worker holds a query, or ctx ends.
+// Drain waits until no query is in flight, or ctx ends.
 func (g *Group) Drain(ctx context.Context) {
 	for _, w := range g.workers {
 		if !w.dead.Load() {
-			w.b.Drain(ctx)
+			w.broker.Drain(ctx)
 		}
 	}
 }
 
-// SetShutdownDeadline has all workers answer what they hold by then.
+// SetShutdownDeadline has all workers answer their queries by then.
 func (g *Group) SetShutdownDeadline(t time.Time) {
 	for _, w := range g.workers {
 		if !w.dead.Load() {
-			w.b.SetShutdownDeadline(t)
+			w.broker.SetShutdownDeadline(t)
 		}
 	}
 }
 
-// Serves is how many queries are being served.
-func (g *Group) Serves() int {
+// InFlight is how many queries are in flight.
+func (g *Group) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.names.Len()
@@ -234,15 +235,15 @@
 // Gauges returns the present figures of all workers together.
 func (g *Group) Gauges() broker.Gauges {
 	listed, avoided := g.servers.Count()
-	return broker.Gauges{Queries: g.Serves(), Endpoints: listed, Avoided: avoided}
+	return broker.Gauges{Queries: g.InFlight(), Endpoints: listed, Avoided: avoided}
 }
 
-// Held is how many queries and parts each worker holds.
-func (g *Group) Held() (open []int) {
+// InFlightByWorker is how many queries and parts each worker has in flight.
+func (g *Group) InFlightByWorker() (open []int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range g.loads {
-		open = append(open, l.Open)
+		open = append(open, l.InFlight)
 	}
 	return open
 }
--- a/internal/cores/cores_test.go
+++ b/internal/cores/cores_test.go
@@ -16,6 +16,7 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
+	"mothrouter/internal/observations"
 	"mothrouter/internal/slowstart"
 	"mothrouter/internal/standin"
 	"mothrouter/internal/upstream"
@@ -77,9 +78,9 @@
 		broken, parts := fleet.Broken()
 		require.Empty(t, broken)
 		require.NotZero(t, parts)
-		r.share.mu.Lock()
-		defer r.share.mu.Unlock()
-		require.Zero(t, r.share.over, "parts were sent to a cold server beyond a lease")
+		r.state.mu.Lock()
+		defer r.state.mu.Unlock()
+		require.Zero(t, r.state.overspent, "parts were sent to a cold server beyond a lease")
 	})
 	r.Update(broker.EndpointUpdate{Mode: decision.CachedUpdate, Servers: fleet.Entries()})
 	return r
@@ -104,7 +105,7 @@
 func (r *rig) ask(q *broker.Request, worker ...int) broker.Result {
 	a := make(answer, 2)
 	if len(worker) > 0 {
-		r.workers[worker[0]].b.Submit(q, a)
+		r.workers[worker[0]].broker.Submit(q, a)
 	} else {
 		r.Submit(q, a)
 	}
@@ -180,9 +181,9 @@
 	from := s.Arrived()
 	for range 1000 { // so many that one slow answer, on a machine that does much else, is long forgotten at the end
 		require.Equal(t, broker.Answered, r.ask(r.request(usage, 0, 1), 1).Outcome)
-		r.share.mu.Lock() // worker 0 tells of a connection of its own that breaks, again and again
-		r.share.see(0, r.now(), s.ID, decision.Reset, 0.001, decision.NoLoadReport)
-		r.share.mu.Unlock()
+		r.state.mu.Lock() // worker 0 tells of a connection of its own that breaks, again and again
+		r.state.recordOutcome(0, r.now(), s.ID, decision.Reset, observations.Observation{Latency: 0.001, LoadReport: decision.NoLoadReport})
+		r.state.mu.Unlock()
 	}
 	require.Greater(t, s.Arrived()-from, 200, "of 1000 parts that two servers hold")
 }
@@ -243,10 +244,10 @@
 	close(stop)
 	all.Wait()
 	require.NotZero(t, ends[broker.Answered])
-	r.share.mu.Lock()
-	defer r.share.mu.Unlock()
-	require.LessOrEqual(t, len(r.share.cold), 6)
-	require.LessOrEqual(t, r.share.board.Len(), 6)
+	r.state.mu.Lock()
+	defer r.state.mu.Unlock()
+	require.LessOrEqual(t, len(r.state.warmingUp), 6)
+	require.LessOrEqual(t, r.state.observations.Len(), 6)
 }
 
 // slow is a Decider that takes its time now and then, as one does whose core is taken away.
@@ -286,7 +287,7 @@
 	ends := r.load(8, 1500*time.Millisecond, func(c, n int) *broker.Request { return r.request(usage, c+n, 4) })
 	told.Wait()
 	require.NotZero(t, ends[broker.Answered])
-	require.LessOrEqual(t, tellWait, 200*time.Millisecond, "a watch waits for a busy worker no longer than this")
+	require.LessOrEqual(t, updateTimeout, 200*time.Millisecond, "a watch waits for a busy worker no longer than this")
 }
 
 // All load comes by one connection, one query after the other: it is spread all the same.
@@ -301,7 +302,7 @@
 	}
 	require.Greater(t, asked[0].Load(), int64(25))
 	require.Greater(t, asked[1].Load(), int64(25))
-	require.Equal(t, []int{0, 0}, r.Held())
+	require.Equal(t, []int{0, 0}, r.InFlightByWorker())
 }
 
 type counting struct {
@@ -366,7 +367,7 @@
 		require.Equal(t, int64(1), ends[broker.Answered].Load())
 		require.Equal(t, int64(7), ends[broker.Duplicate].Load())
 	}
-	require.Zero(t, r.Serves())
+	require.Zero(t, r.InFlight())
 }
 
 func TestAClientThatLeavesFreesWhatItHeld(t *testing.T) {
@@ -375,9 +376,9 @@
 		q := r.request(usage, 0, 2)
 		r.Submit(q, make(answer, 1))
 		r.Disconnect(q)
-		require.Eventually(t, func() bool { return r.open.Acquired() == 0 && r.Serves() == 0 }, time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return r.limiter.Acquired() == 0 && r.InFlight() == 0 }, time.Second, time.Millisecond)
 	}
-	require.Equal(t, []int{0, 0}, r.Held())
+	require.Equal(t, []int{0, 0}, r.InFlightByWorker())
 	require.Equal(t, broker.Answered, r.ask(r.request(usage, 0, 1)).Outcome)
 }
 
--- /dev/null
+++ b/internal/cores/state.go
@@ -0,0 +1,195 @@
+package cores
+
+import (
+	"math/rand/v2"
+	"slices"
+	"strings"
+	"sync"
+
+	"mothrouter/internal/decision"
+	"mothrouter/internal/lease"
+	"mothrouter/internal/observations"
+	"mothrouter/internal/slowstart"
+)
+
+const (
+	healthCheckInterval = 0.25 // seconds in which a server's health is checked once, by whichever worker
+	maxUpdates          = 64   // a worker that lags behind more updates gets the whole list instead
+	capacitySeedStream  = 0x3c6ef372fe94f82b
+)
+
+// processState is what the workers of a process have in common. Its lock is held for the few steps between a batch's
+// events, never while a Decider decides.
+type processState struct {
+	mu           sync.Mutex
+	workers      int
+	observations *observations.Shared
+	capacity     *lease.CapacityEstimate
+	slowStart    slowstart.Settings
+	warmingUp    map[string]*warmingServer
+	checkedAt    map[string]float64 // when a server's health was last checked, by whichever worker
+	overspent    int                // parts beyond a lease by workers that knew of it; stays 0
+
+	entries     map[string]decision.Server // the endpoint list
+	started     map[string]float64         // the latest start of each server on it
+	updates     []decision.EndpointUpdate  // the latest ones, those from number firstUpdate on
+	firstUpdate int
+}
+
+// warmingServer is a server in slow start.
+type warmingServer struct {
+	budget          *lease.Budget
+	started         float64
+	roundingVariate float64 // rounds the budget of the present window,
+	windowEnd       float64 // which ends then
+	announcedAt     int     // number of the update that brought it
+}
+
+func newProcessState(workers int, settings decision.Settings, seed uint64) *processState {
+	rng := rand.New(rand.NewPCG(seed, capacitySeedStream))
+	return &processState{
+		workers: workers, observations: observations.NewShared(workers), slowStart: settings.SlowStart,
+		capacity:  lease.NewCapacityEstimate(settings.SlowStart, settings.Brokers, rng),
+		warmingUp: map[string]*warmingServer{}, checkedAt: map[string]float64{}, entries: map[string]decision.Server{},
+		started: map[string]float64{},
+	}
+}
+
+// resize takes note of how many brokers share the budget of a server in slow start.
+func (s *processState) resize(brokers int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.capacity.Resize(brokers)
+}
+
+// warmServers is how many servers are warm, at least a third of all, as the module counts.
+func (s *processState) warmServers() int {
+	return max(len(s.entries)-len(s.warmingUp), len(s.entries)/3, 1)
+}
+
+// applyUpdate takes up an update of the endpoint list, once for all workers, before any of them: from then on each worker
+// decides with it, also one whose loop has not come to the event yet.
+func (s *processState) applyUpdate(u decision.EndpointUpdate, now float64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if u.Mode == decision.FullUpdate || u.Mode == decision.CachedUpdate {
+		s.removeUnlisted(u.Servers)
+	}
+	for _, e := range u.Servers {
+		if e.State == decision.Removed {
+			s.remove(e.ID)
+		} else {
+			s.put(e, now)
+		}
+	}
+	s.updates = append(s.updates, u)
+	if len(s.updates) > maxUpdates {
+		s.updates = slices.Clone(s.updates[1:])
+		s.firstUpdate++
+	}
+}
+
+// removeUnlisted removes all servers but those listed.
+func (s *processState) removeUnlisted(listed []decision.Server) {
+	keep := map[string]bool{}
+	for _, e := range listed {
+		keep[e.ID] = true
+	}
+	for id := range s.entries {
+		if !keep[id] {
+			s.remove(id)
+		}
+	}
+}
+
+// put takes up one entry of the list.
+func (s *processState) put(e decision.Server, now float64) {
+	started, known := s.started[e.ID]
+	s.entries[e.ID] = e
+	if known && e.Started <= started {
+		return
+	}
+	if known {
+		s.observations.Forget(e.ID) // what was observed of the old process is void
+	}
+	s.started[e.ID] = e.Started
+	delete(s.warmingUp, e.ID)
+	if s.slowStart.OverloadWindow > 0 && s.capacity.CapacityFraction(e.Started, now) < 1 {
+		s.warmingUp[e.ID] = &warmingServer{
+			budget:  lease.NewBudget(s.workers, s.slowStart.OverloadWindow),
+			started: e.Started, announcedAt: s.firstUpdate + len(s.updates),
+		}
+	}
+}
+
+func (s *processState) remove(id string) {
+	delete(s.entries, id)
+	delete(s.started, id)
+	delete(s.warmingUp, id)
+	delete(s.checkedAt, id)
+	s.observations.Forget(id)
+}
+
+// missedUpdates are the updates that a worker has not had, which has had those before number seen.
+func (s *processState) missedUpdates(seen int) (missed []decision.Event) {
+	if seen < s.firstUpdate {
+		return []decision.Event{s.fullUpdate()}
+	}
+	for _, u := range s.updates[seen-s.firstUpdate:] {
+		missed = append(missed, u)
+	}
+	return missed
+}
+
+// fullUpdate is the whole list, in the order of the ids.
+func (s *processState) fullUpdate() decision.EndpointUpdate {
+	u := decision.EndpointUpdate{Mode: decision.FullUpdate}
+	for _, e := range s.entries {
+		u.Servers = append(u.Servers, e)
+	}
+	slices.SortFunc(u.Servers, func(a, b decision.Server) int { return strings.Compare(a.ID, b.ID) })
+	return u
+}
+
+// recordOutcome shares the outcome of an attempt or a health check.
+func (s *processState) recordOutcome(worker int, now float64, id string, status decision.Status, o observations.Observation) {
+	if _, listed := s.entries[id]; !listed {
+		return
+	}
+	switch status {
+	case decision.OK:
+		o.Kind = observations.Answered
+		if s.warmingUp[id] == nil {
+			s.capacity.Answered(now, s.warmServers())
+		}
+	case decision.TimedOut, decision.Cancelled:
+		o.Kind = observations.TimedOut
+	case decision.NotSent:
+		return
+	default:
+		o.Kind = observations.Failed
+	}
+	s.observations.Record(worker, id, now, o)
+}
+
+// leases appends a worker's leases of all servers in slow start.
+func (s *processState) leases(worker int, now float64, events []decision.Event) []decision.Event {
+	for id, w := range s.warmingUp {
+		fraction := s.capacity.CapacityFraction(w.started, now)
+		if fraction >= 1 {
+			delete(s.warmingUp, id)
+			continue
+		}
+		if now >= w.windowEnd {
+			w.roundingVariate = s.capacity.RoundingVariate()
+			w.windowEnd = now + s.slowStart.OverloadWindow
+		}
+		budget := s.capacity.Budget(fraction, w.roundingVariate, now, s.warmServers())
+		l := w.budget.Renew(worker, budget, now)
+		if l.Parts == 0 {
+			w.budget.RecordUnmetDemand(worker, now)
+		}
+		events = append(events, decision.SlowStartLease{Server: id, Parts: l.Parts, ExpiresAt: l.ExpiresAt})
+	}
+	return events
+}
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,10 +1,10 @@
-// Package lease divides budgets that belong to a whole process over its workers. It does no I/O and keeps no
-// clock: the caller hands in the time and holds a lock.
+// Package lease divides budgets that belong to a whole process over its workers. It does no I/O and keeps no clock: the
+// caller hands in the time, in seconds, and holds a lock.
 //
-// A Budget is that of one cold server: how many parts may go there in any window of a length. Each worker
-// holds a lease of some parts, good until a time. What all leases grant and what has been sent within the window
-// never sum to more than the whole, so workers that send at the same moment cannot push the server over. Leases
-// expire, and what was not used goes to those that ask for more.
+// A Budget is that of one server in slow start: how many parts may go there in any window. Each worker has a lease of some
+// parts, good until a time. What all leases grant and what has been sent within the window never sum to more than the
+// capacity, so workers that send at the same moment cannot overload the server. Leases expire, and what was not used goes
+// to those that ask for more.
 package lease
 
 import (
@@ -13,133 +13,136 @@
 )
 
 const (
-	// Life is how long a lease lasts. A worker that is busy or has no use for it keeps its parts from the others
-	// for so long at most, so it is short beside the windows, which last a second or more.
-	Life = 0.1
+	// Duration is how long a lease lasts, in seconds. A worker that is busy or has no use for its parts keeps them from
+	// the others for so long at most, so it is short beside the windows, which last a second or more.
+	Duration = 0.1
 
-	demandSpan = 0.5 // seconds over which a worker's use is averaged
-	demandMin  = 0.1 // what a worker without any use counts as, so that it is offered a part now and then
+	demandSpan    = 0.5  // seconds over which a worker's use is averaged
+	roundingSlack = 1e-9 // of a capacity that is a whole number but for its computation
+	minDemand     = 0.1  // what a worker without any use counts as, so that it is offered a part now and then
 )
 
-// Grant is what a worker may send to a server.
-type Grant struct {
-	Parts int
-	Until float64
+// Lease is what a worker may send to a server until it expires.
+type Lease struct {
+	Parts     int
+	ExpiresAt float64
 }
 
 // Budget is the budget of one server.
 type Budget struct {
-	window  float64
-	holders []holder
-	sent    []float64 // times of parts sent by all, within the window
-	turn    int       // whose turn it is where the whole is less than the workers
+	window     float64
+	workers    []workerLease
+	sent       []float64 // times of parts sent by all, within the window
+	nextWorker int       // the next to get a single part, where there are fewer parts than workers
 }
 
-type holder struct {
-	grant    Grant
-	deciding bool    // between Renew and Settle: it does not expire under the decision
-	demand   float64 // averaged parts used or missed a second
+type workerLease struct {
+	lease    Lease
+	deciding bool    // between Renew and EndDecision: it does not expire under the decision
+	demand   float64 // decayed count of parts used or missed
 	demandAt float64
 }
 
 // NewBudget returns the budget of a server for so many workers, counted over windows of so many seconds.
 func NewBudget(workers int, window float64) *Budget {
-	return &Budget{window: window, holders: make([]holder, max(workers, 1))}
+	return &Budget{window: window, workers: make([]workerLease, max(workers, 1))}
 }
 
-// Spend books parts that a worker has sent. It returns false where they were more than its lease, which a worker
-// that keeps to its grants never sees; they count all the same.
+// Spend counts parts that a worker has sent. It returns false where they were more than its lease, which a worker that
+// keeps to its leases never sees; they count all the same.
 func (b *Budget) Spend(worker int, parts int, now float64) bool {
-	h := &b.holders[worker]
-	covered := parts <= h.grant.Parts && now <= h.grant.Until
-	h.grant.Parts = max(h.grant.Parts-parts, 0)
+	w := &b.workers[worker]
+	covered := parts <= w.lease.Parts && now <= w.lease.ExpiresAt
+	w.lease.Parts = max(w.lease.Parts-parts, 0)
 	for range parts {
 		b.sent = append(b.sent, now)
 	}
-	h.note(float64(parts), now)
+	w.recordDemand(float64(parts), now)
 	return covered
 }
 
-// Settle ends a worker's decision: what it held and has not spent may expire again.
-func (b *Budget) Settle(worker int) { b.holders[worker].deciding = false }
+// EndDecision ends a worker's decision: what its lease has left may expire again.
+func (b *Budget) EndDecision(worker int) { b.workers[worker].deciding = false }
 
-// Miss tells that a worker could have used more than it had.
-func (b *Budget) Miss(worker int, now float64) { b.holders[worker].note(1, now) }
+// RecordUnmetDemand tells that a worker could have used more than its lease.
+func (b *Budget) RecordUnmetDemand(worker int, now float64) { b.workers[worker].recordDemand(1, now) }
 
-func (h *holder) note(parts, now float64) {
-	h.demand = h.demand*math.Exp(-(now-h.demandAt)/demandSpan) + parts
-	h.demandAt = now
+func (w *workerLease) recordDemand(parts, now float64) {
+	w.demand = w.demand*math.Exp(-(now-w.demandAt)/demandSpan) + parts
+	w.demandAt = now
 }
 
-func (h *holder) wants(now float64) float64 {
-	return demandMin + h.demand*math.Exp(-(now-h.demandAt)/demandSpan)
+func (w *workerLease) currentDemand(now float64) float64 {
+	return minDemand + w.demand*math.Exp(-(now-w.demandAt)/demandSpan)
 }
 
-// Held is what is sent within the window that ends now, and what leases still grant.
-func (b *Budget) Held(now float64) (sent, granted int) {
+// Outstanding is what was sent within the window that ends now, and what leases still grant.
+func (b *Budget) Outstanding(now float64) (sent, granted int) {
 	b.expire(now)
-	for _, h := range b.holders {
-		granted += h.grant.Parts
+	for _, w := range b.workers {
+		granted += w.lease.Parts
 	}
 	return len(b.sent), granted
 }
 
 func (b *Budget) expire(now float64) {
 	b.sent = slices.DeleteFunc(b.sent, func(t float64) bool { return t <= now-b.window })
-	for i := range b.holders {
-		if h := &b.holders[i]; now > h.grant.Until && !h.deciding {
-			h.grant.Parts = 0
+	for i := range b.workers {
+		if w := &b.workers[i]; now > w.lease.ExpiresAt && !w.deciding {
+			w.lease.Parts = 0
 		}
 	}
 }
 
-// Renew returns a worker's lease for a decision that Settle ends. The times of workers that decide side by side are
-// not in order: one that is slow must not find its lease given to another that came later. A lease that has expired is made anew; one that holds is returned as it is, and
-// grows where there is room that others do not want. The whole is what the server bears within one window now.
-// Where it has shrunk below what is granted, nothing is taken back: a lease is a promise, and short.
-func (b *Budget) Renew(worker int, whole float64, now float64) Grant {
+// Renew returns a worker's lease for a decision that EndDecision ends. The times of workers that decide side by side are
+// not in order: one that is slow must not find its lease given to another that came later. A lease that has expired is
+// made anew; one that is good is returned as it is, and grows where there is budget that others do not want. The capacity
+// is what the server bears within one window now. Where it has shrunk below what is granted, nothing is revoked: a lease
+// is a promise, and short.
+func (b *Budget) Renew(worker int, capacity float64, now float64) Lease {
 	b.expire(now)
-	sent, granted := len(b.sent), 0
-	mine := &b.holders[worker]
-	mine.deciding = true
-	others := 0.0
-	for i := range b.holders {
-		granted += b.holders[i].grant.Parts
+	own := &b.workers[worker]
+	own.deciding = true
+	granted, othersDemand := 0, 0.0
+	for i := range b.workers {
+		granted += b.workers[i].lease.Parts
 		if i != worker {
-			others += b.holders[i].wants(now)
+			othersDemand += b.workers[i].currentDemand(now)
 		}
 	}
-	free := int(math.Floor(whole+1e-9)) - sent - granted
+	free := int(math.Floor(capacity+roundingSlack)) - len(b.sent) - granted
 	if free <= 0 {
-		return mine.grant
+		return own.lease
 	}
-	// A share in proportion to use. Of what rounds to nothing, single parts go round in turns.
-	share := float64(free+mine.grant.Parts) * mine.wants(now) / (mine.wants(now) + others)
-	parts := int(share) - mine.grant.Parts
-	if parts <= 0 && mine.grant.Parts == 0 && b.next(worker, now) {
+	// Parts go in proportion to demand. Where that rounds to nothing, single parts go round.
+	demand := own.currentDemand(now)
+	fair := float64(free+own.lease.Parts) * demand / (demand + othersDemand)
+	parts := int(fair) - own.lease.Parts
+	if parts <= 0 && own.lease.Parts == 0 && b.isNext(worker, now) {
 		parts = 1
 	}
-	if parts = min(max(parts, 0), free); parts > 0 || mine.grant.Parts == 0 {
-		mine.grant.Parts += parts
-		mine.grant.Until = now + Life
+	parts = min(max(parts, 0), free)
+	if parts > 0 || own.lease.Parts == 0 {
+		own.lease.Parts += parts
+		own.lease.ExpiresAt = now + Duration
 	}
-	return mine.grant
+	return own.lease
 }
 
-// next tells whether it is a worker's turn to get a single part, and passes the turn on if so. A worker that has
-// not asked for a lease's life is passed over: it must not hold up the others.
-func (b *Budget) next(worker int, now float64) bool {
-	n := len(b.holders)
+// isNext tells whether a worker is the next to get a single part, and moves on to the one behind it if so. Workers without
+// recent demand are passed over: they must not hold up the others.
+func (b *Budget) isNext(worker int, now float64) bool {
+	n := len(b.workers)
 	for range n {
-		i := b.turn % n
+		i := b.nextWorker % n
 		if i == worker {
-			b.turn = i + 1
+			b.nextWorker = i + 1
 			return true
 		}
-		if h := b.holders[i]; now-h.demandAt < demandSpan && h.grant.Parts == 0 && h.demand > 0 {
+		if w := b.workers[i]; now-w.demandAt < demandSpan && w.lease.Parts == 0 && w.demand > 0 {
 			return false
 		}
-		b.turn = i + 1
+		b.nextWorker = i + 1
 	}
 	return true
 }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -22,7 +22,7 @@
 		now, whole := 100.0, 0
 		type decision struct {
 			at    float64
-			grant lease.Grant
+			grant lease.Lease
 		}
 		deciding := make([]*decision, workers)
 		type told struct {
@@ -35,17 +35,17 @@
 			w := rapid.IntRange(0, workers-1).Draw(t, "worker")
 			if d := deciding[w]; d != nil {
 				n := rapid.IntRange(0, d.grant.Parts).Draw(t, "sent")
-				if n > 0 && d.at <= d.grant.Until && !r.Spend(w, n, d.at) {
+				if n > 0 && d.at <= d.grant.ExpiresAt && !r.Spend(w, n, d.at) {
 					t.Fatalf("%d parts are beyond a lease of %+v", n, d.grant)
 				}
-				r.Settle(w)
+				r.EndDecision(w)
 				deciding[w] = nil
 			} else {
 				whole = rapid.IntRange(max(0, whole-1), whole+2).Draw(t, "whole")
 				wholes = append(wholes, told{now, whole})
 				g := r.Renew(w, float64(whole), now)
-				if g.Parts > 0 && (now > g.Until || g.Until > now+lease.Life+1e-9) {
-					t.Fatalf("a lease until %g at %g", g.Until, now)
+				if g.Parts > 0 && (now > g.ExpiresAt || g.ExpiresAt > now+lease.Duration+1e-9) {
+					t.Fatalf("a lease until %g at %g", g.ExpiresAt, now)
 				}
 				deciding[w] = &decision{now, g}
 			}
@@ -57,11 +57,11 @@
 			}
 			bound := 0
 			for _, o := range wholes {
-				if o.at >= oldest-window-lease.Life-0.2 {
+				if o.at >= oldest-window-lease.Duration-0.2 {
 					bound = max(bound, o.whole)
 				}
 			}
-			if sent, granted := r.Held(now); sent+granted > bound {
+			if sent, granted := r.Outstanding(now); sent+granted > bound {
 				t.Fatalf("%d sent and %d granted of %d", sent, granted, bound)
 			}
 		}
@@ -71,12 +71,12 @@
 func TestALeaseThatExpiredSendsNothing(t *testing.T) {
 	r := lease.NewBudget(2, 1.5)
 	require.Equal(t, 4, r.Renew(0, 8, 10).Parts)
-	r.Settle(0)
-	require.False(t, r.Spend(0, 1, 10+lease.Life+0.01))
+	r.EndDecision(0)
+	require.False(t, r.Spend(0, 1, 10+lease.Duration+0.01))
 	r = lease.NewBudget(2, 1.5)
 	r.Renew(0, 8, 10)
-	require.True(t, r.Spend(0, 4, 10+lease.Life/2))
-	require.False(t, r.Spend(0, 1, 10+lease.Life/2))
+	require.True(t, r.Spend(0, 4, 10+lease.Duration/2))
+	require.False(t, r.Spend(0, 1, 10+lease.Duration/2))
 }
 
 // What one worker does not use goes to the one that does.
@@ -87,7 +87,7 @@
 		now := 10 + 0.01*float64(i)
 		for w := range 4 {
 			g := r.Renew(w, 20, now)
-			r.Settle(w)
+			r.EndDecision(w)
 			if w == 2 && g.Parts > 0 {
 				require.True(t, r.Spend(w, 1, now))
 				busy++
@@ -109,9 +109,9 @@
 		now := 10 + 0.01*float64(i)
 		for w := range 3 { // the fourth never asks
 			g := r.Renew(w, 1, now)
-			r.Settle(w)
+			r.EndDecision(w)
 			if g.Parts == 0 {
-				r.Miss(w, now)
+				r.RecordUnmetDemand(w, now)
 			} else if r.Spend(w, 1, now) {
 				got[w]++
 			}
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,30 +1,30 @@
 // Package placement decides which worker serves a query, and sees that a query's name is served once. It does no
 // I/O and keeps no clock.
 //
-// A query is placed when it comes, not its connection: a connection that brings all the load is spread over the
-// workers like any other, and nothing has to be moved off a worker that falls behind; it gets no more.
+// A query is placed when it arrives, not its connection: a connection that brings all the load is spread over the workers
+// like any other, and nothing has to migrate off a worker that falls behind; it gets no more.
 package placement
 
 import "math/rand/v2"
 
-// Load is what one worker holds.
-type Load struct {
-	Open   int  // queries and parts held, or on their way to it
-	Behind int  // events that wait for its loop
-	Dead   bool // its loop has ended
+// WorkerLoad is what one worker has to do.
+type WorkerLoad struct {
+	InFlight int  // queries and parts, including those on their way to it
+	Backlog  int  // functions that wait for its loop
+	Dead     bool // its loop has ended
 }
 
 const (
-	// An event that waits for the loop delays all that the worker holds; a part that is out only waits for its
-	// record server. So a worker that is behind counts as so much fuller.
-	behindWeight = 4
+	// backlogWeight is what a function that waits for the loop counts as: it delays all that the worker has in flight,
+	// while a part in flight only waits for its record server.
+	backlogWeight = 4
 )
 
-func (l Load) cost() int { return l.Open + behindWeight*l.Behind }
+func (l WorkerLoad) cost() int { return l.InFlight + backlogWeight*l.Backlog }
 
-// Choose returns the worker for a query: the less loaded of two drawn at random, since loads are a moment old and
-// all that look for the least would meet there. -1: none lives.
-func Choose(loads []Load, rng *rand.Rand) int {
+// Choose returns the worker for a query: the less loaded of two drawn at random (the power of two choices), since loads
+// are a moment old and all queries that look for the least loaded would meet there. -1: none lives.
+func Choose(loads []WorkerLoad, rng *rand.Rand) int {
 	alive := 0
 	for _, l := range loads {
 		if !l.Dead {
@@ -57,14 +57,14 @@
 	return first
 }
 
-// Names are the names of the queries that are being served, each by one worker.
-type Names struct{ worker map[string]int }
+// NameRegistry holds the names of the queries in flight, each with its worker.
+type NameRegistry struct{ worker map[string]int }
 
-// NewNames returns none.
-func NewNames() *Names { return &Names{worker: map[string]int{}} }
+// NewNameRegistry returns an empty registry.
+func NewNameRegistry() *NameRegistry { return &NameRegistry{worker: map[string]int{}} }
 
-// Claim gives a name to a worker. It returns false where a query of that name is being served, by whichever.
-func (n *Names) Claim(name string, worker int) bool {
+// Claim gives a name to a worker. It returns false where a query of that name is in flight at any of them.
+func (n *NameRegistry) Claim(name string, worker int) bool {
 	if _, taken := n.worker[name]; taken {
 		return false
 	}
@@ -72,14 +72,14 @@
 	return true
 }
 
-// Worker is who serves a name.
-func (n *Names) Worker(name string) (int, bool) {
+// Worker returns the worker that serves a name; false: none does.
+func (n *NameRegistry) Worker(name string) (int, bool) {
 	w, ok := n.worker[name]
 	return w, ok
 }
 
 // Release frees a name once its query has ended.
-func (n *Names) Release(name string) { delete(n.worker, name) }
+func (n *NameRegistry) Release(name string) { delete(n.worker, name) }
 
-// Len is how many queries are being served.
-func (n *Names) Len() int { return len(n.worker) }
+// Len is how many queries are in flight.
+func (n *NameRegistry) Len() int { return len(n.worker) }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -12,29 +12,29 @@
 
 func TestQueriesGoToWorkersThatHoldLess(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
-	loads := make([]placement.Load, 4)
+	loads := make([]placement.WorkerLoad, 4)
 	for range 4000 {
-		loads[placement.Choose(loads, rng)].Open++
+		loads[placement.Choose(loads, rng)].InFlight++
 	}
 	for _, l := range loads {
-		require.InDelta(t, 1000, l.Open, 20)
+		require.InDelta(t, 1000, l.InFlight, 20)
 	}
 	// One that is behind gets next to none until it has caught up.
-	loads[1].Behind = 500
-	before := loads[1].Open
+	loads[1].Backlog = 500
+	before := loads[1].InFlight
 	for range 400 {
-		loads[placement.Choose(loads, rng)].Open++
+		loads[placement.Choose(loads, rng)].InFlight++
 	}
-	require.Equal(t, before, loads[1].Open)
+	require.Equal(t, before, loads[1].InFlight)
 }
 
 func TestNothingGoesToTheDead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		loads := make([]placement.Load, rapid.IntRange(1, 6).Draw(t, "workers"))
+		loads := make([]placement.WorkerLoad, rapid.IntRange(1, 6).Draw(t, "workers"))
 		alive := 0
 		for i := range loads {
-			loads[i] = placement.Load{Open: rapid.IntRange(0, 9).Draw(t, "open"), Dead: rapid.Bool().Draw(t, "dead")}
+			loads[i] = placement.WorkerLoad{InFlight: rapid.IntRange(0, 9).Draw(t, "open"), Dead: rapid.Bool().Draw(t, "dead")}
 			if !loads[i].Dead {
 				alive++
 			}
@@ -51,7 +51,7 @@
 }
 
 func TestANameIsServedOnce(t *testing.T) {
-	n := placement.NewNames()
+	n := placement.NewNameRegistry()
 	require.True(t, n.Claim("q", 0))
 	require.False(t, n.Claim("q", 1))
 	w, ok := n.Worker("q")
