--- a/cmd/mothrouter/configuration.go
+++ b/cmd/mothrouter/configuration.go
@@ -90,7 +90,7 @@
 	for range hup {
 		next, waiting, err := cfg.Reload()
 		if err != nil {
-			log.Error("the new configuration cannot be used, the old one holds", "err", err)
+			log.Error("the new configuration cannot be used, the old one holds", "error", err)
 			continue
 		}
 		if next.Discovery != cfg.Discovery {
--- a/cmd/mothrouter/shutdown.go
+++ b/cmd/mothrouter/shutdown.go
@@ -16,7 +16,7 @@
 	p.core.SetShutdownDeadline(since.Add(plan.Answers))
 	if p.cfg.AcceptFD != 0 { // the socket is not this process's alone: who comes is taken by the next one
 		if err := p.listener.Close(); err != nil {
-			p.log.Warn("the listener did not close", "err", err)
+			p.log.Warn("the listener did not close", "error", err)
 		}
 	}
 	wait := time.NewTimer(plan.Accepts)
--- a/cmd/mothrouter/state.go
+++ b/cmd/mothrouter/state.go
@@ -33,24 +33,24 @@
 			}
 			now := float64(time.Now().UnixNano()) / 1e9
 			out := c.OutOrStdout()
-			fmt.Fprintf(out, "broker %s, settings %016x, %d bytes, written %.1f s ago\n", s.Instance, s.Settings, size, now-s.Written)
-			if why := recovery.Stale(s, now); why != "" {
-				fmt.Fprintln(out, "a start would be blank:", why)
+			fmt.Fprintf(out, "broker %s, settings %016x, %d bytes, written %.1f s ago\n", s.Instance, s.SettingsFingerprint, size, now-s.WrittenAt)
+			if err := recovery.CheckAge(s, now); err != nil {
+				fmt.Fprintln(out, "a start would be blank:", err)
 			}
-			fmt.Fprintf(out, "a part takes %.1f ms, a warm server answers %.2f parts a second to this broker\n", 1000*s.Pace, s.Peak)
+			fmt.Fprintf(out, "a part takes %.1f ms, a warm server answers %.2f parts a second to this broker\n", 1000*s.ServiceTime, s.PeakThroughput)
 			fmt.Fprintf(out, "%-24s %-10s %-9s %-8s %s\n", "server", "started", "pace ms", "failed", "report")
 			for _, v := range s.Servers {
 				started, report := "long ago", "-"
 				if v.Started > 0 {
 					started = fmt.Sprintf("%.0f s", now-v.Started)
 				}
-				if v.LoadAt > 0 {
-					report = fmt.Sprintf("%.1f s old", now-v.LoadAt)
-					if v.Load.Utilization != decision.NoLoadReport.Utilization {
-						report += fmt.Sprintf(", busy %.0f %%", 100*v.Load.Utilization)
+				if v.LoadReportedAt > 0 {
+					report = fmt.Sprintf("%.1f s old", now-v.LoadReportedAt)
+					if v.LoadReport.Utilization != decision.NoLoadReport.Utilization {
+						report += fmt.Sprintf(", busy %.0f %%", 100*v.LoadReport.Utilization)
 					}
 				}
-				fmt.Fprintf(out, "%-24s %-10s %-9.1f %-8s %s\n", v.ID, started, 1000*v.Pace, fmt.Sprintf("%.0f %%", 100*v.Failed), report)
+				fmt.Fprintf(out, "%-24s %-10s %-9.1f %-8s %s\n", v.ID, started, 1000*v.ServiceTime, fmt.Sprintf("%.0f %%", 100*v.FailureRatio), report)
 			}
 			return nil
 		},
@@ -66,7 +66,7 @@
 	}, &cobra.Command{
 		Use: "delete FOLDER", Short: "Delete the file, and one that was set aside: the next start is blank", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			for _, name := range []string{checkpoint.FileName, checkpoint.AsideName} {
+			for _, name := range []string{checkpoint.FileName, checkpoint.QuarantineName} {
 				err := os.Remove(filepath.Join(args[0], name))
 				if err == nil {
 					fmt.Fprintln(c.OutOrStdout(), "deleted", name)
--- a/cmd/mothrouter/state_test.go
+++ b/cmd/mothrouter/state_test.go
@@ -37,7 +37,7 @@
 				flags = append(flags, "-cores", "../../deploy/cores.toml")
 			}
 			first := operateWith(t, flags)
-			require.Contains(t, first.log.String(), "nothing learned was found")
+			require.Contains(t, first.log.String(), "no saved state, starting blank")
 			for n := range 20 {
 				require.Contains(t, first.dial().asks(query(fmt.Sprint("s", n))), " 200 ")
 			}
@@ -51,7 +51,7 @@
 			require.Contains(t, out, "broker n1")
 			require.Contains(t, out, "s1 ")
 			second := operateWith(t, flags)
-			require.Contains(t, second.log.String(), "what was learned is taken up")
+			require.Contains(t, second.log.String(), "saved state restored")
 			require.Contains(t, second.dial().asks(query("again")), " 200 ")
 			require.NoError(t, second.cmd.Process.Kill())
 			second.cmd.Wait()
@@ -62,11 +62,11 @@
 			require.NoError(t, os.WriteFile(path, b[:len(b)-1], 0o600))
 			out, err = state(t, "verify", folder)
 			require.Error(t, err)
-			require.Contains(t, out, "torn")
+			require.Contains(t, out, "truncated")
 			third := operateWith(t, flags)
-			require.Contains(t, third.log.String(), "torn")
+			require.Contains(t, third.log.String(), "truncated")
 			require.Contains(t, third.dial().asks(query("blank")), " 200 ")
-			require.Contains(t, first.log.String()+third.log.String(), "start is blank")
+			require.Contains(t, first.log.String()+third.log.String(), "starting blank")
 			_, err = state(t, "delete", folder)
 			require.NoError(t, err)
 			require.NoFileExists(t, filepath.Join(folder, "learned.moth.bad"))
--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -25,9 +25,9 @@
 
 // Names of the files in the folder.
 const (
-	FileName  = "learned.moth"
-	AsideName = "learned.moth.bad" // the latest file that could not be used
-	lockName  = "lock"
+	FileName       = "learned.moth"
+	QuarantineName = "learned.moth.bad" // the latest file that could not be used
+	lockName       = "lock"
 
 	jitter = 0.25 // of the interval, either way: brokers that started together do not save together
 )
@@ -50,7 +50,7 @@
 		return nil, err
 	}
 	defer func() { _ = f.Close() }() // it was only read
-	return io.ReadAll(io.LimitReader(f, snapshot.Most+1))
+	return io.ReadAll(io.LimitReader(f, snapshot.MaxSize+1))
 }
 
 // Replace writes, syncs and renames.
@@ -61,6 +61,9 @@
 // Rename renames.
 func (Disk) Rename(from, to string) error { return os.Rename(from, to) }
 
+// errNotLocked tells that another process is the folder's writer.
+var errNotLocked = errors.New("the state folder is locked by another process")
+
 // Options are what a deployment fixes.
 type Options struct {
 	Folder   string
@@ -72,64 +75,65 @@
 	Log      *slog.Logger
 }
 
-// Saver keeps one broker's learned state. Make it with Open.
+// Saver saves the server-health state of one broker. Make it with Open.
 type Saver struct {
 	opt Options
 	rng *rand.Rand
 	now func() float64
 
-	mu      sync.Mutex // guards learner; held for the few steps of a batch, never across I/O
-	learner *recovery.Learner
-	found   *snapshot.Snapshot // what the process before has left; nil: nothing of use
+	mu        sync.Mutex // guards learner; held for the few steps of a batch, never across I/O
+	collector *recovery.Collector
+	restored  *snapshot.Snapshot // what the process before has left; nil: nothing usable
 
-	saving sync.Mutex // guards what follows, and the folder
-	lock   *os.File
-	silent string // the trouble that was told of last; it is told once
+	saving     sync.Mutex // guards what follows, and the folder
+	lock       *os.File
+	lastLogged string // the failure that was logged last; it is logged once
 }
 
-// Open takes the folder and reads what it holds. It never fails: without a folder or file of use the start is blank,
-// and one log line says why.
+// Open locks the folder and reads the state in it. It never fails: without a usable folder or file the start is blank, and
+// one log line says why.
 func Open(opt Options) *Saver {
 	if opt.Files == nil {
 		opt.Files = Disk{}
 	}
-	k := &Saver{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0x510e527fade682d1)), learner: recovery.NewLearner(),
+	k := &Saver{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0x510e527fade682d1)), collector: recovery.NewCollector(),
 		now: func() float64 { return float64(time.Now().UnixNano()) / 1e9 }}
 	k.saving.Lock()
 	defer k.saving.Unlock()
-	mine := k.locked()
+	mine := k.tryLock()
 	if mine {
-		k.sweep()
+		k.removeTemporaryFiles()
 	}
 	path := filepath.Join(opt.Folder, FileName)
 	b, err := opt.Files.Read(path)
 	if errors.Is(err, fs.ErrNotExist) {
-		opt.Log.Info("nothing learned was found, the start is blank", "folder", opt.Folder)
+		opt.Log.Info("no saved state, starting blank", "folder", opt.Folder)
 		return k
 	}
 	var s *snapshot.Snapshot
 	if err == nil {
 		if s, err = snapshot.Decode(b); err == nil {
-			err = s.Fits(opt.Instance, opt.Settings)
+			err = s.CheckOwner(opt.Instance, opt.Settings)
 		}
 	}
 	switch {
-	case err != nil && mine: // kept for a look, and out of the way
-		aside := filepath.Join(opt.Folder, AsideName)
-		opt.Log.Warn("what was learned cannot be used, the start is blank", "err", err, "set aside as", aside, "moved", opt.Files.Rename(path, aside) == nil)
+	case err != nil && mine: // kept for inspection, and out of the way
+		aside := filepath.Join(opt.Folder, QuarantineName)
+		opt.Log.Warn("saved state unusable, starting blank", "error", err, "quarantine", aside, "moved", opt.Files.Rename(path, aside) == nil)
 	case err != nil:
-		opt.Log.Warn("what was learned cannot be used, the start is blank", "err", err)
-	case recovery.Stale(s, k.now()) != "":
-		opt.Log.Info("what was learned is stale, the start is blank", "why", recovery.Stale(s, k.now()))
+		opt.Log.Warn("saved state unusable, starting blank", "error", err)
+	case recovery.CheckAge(s, k.now()) != nil:
+		opt.Log.Info("saved state too old, starting blank", "error", recovery.CheckAge(s, k.now()))
 	default:
-		k.found = s
-		opt.Log.Info("what was learned is taken up", "servers", len(s.Servers), "age", fmt.Sprintf("%.1f s", k.now()-s.Written))
+		k.restored = s
+		opt.Log.Info("saved state restored", "servers", len(s.Servers), "age", fmt.Sprintf("%.1f s", k.now()-s.WrittenAt))
 	}
 	return k
 }
 
-// sweep removes what writers that were killed have left half written: else they would fill the folder in time.
-func (k *Saver) sweep() {
+// removeTemporaryFiles removes what writers that were killed have left half written: else they would fill the folder in
+// time.
+func (k *Saver) removeTemporaryFiles() {
 	left, _ := filepath.Glob(filepath.Join(k.opt.Folder, "."+FileName+"*"))
 	for _, path := range left {
 		if err := os.Remove(path); err != nil {
@@ -138,9 +142,9 @@
 	}
 }
 
-// locked tells whether this process is the folder's writer, and tries to become it. A process that takes over from
-// another reads at once and writes once the other has ended. The caller holds saving.
-func (k *Saver) locked() bool {
+// tryLock tells whether this process is the folder's writer, and tries to become it. A process that takes over from another
+// reads at once and writes once the other has ended. The caller holds saving.
+func (k *Saver) tryLock() bool {
 	path := filepath.Join(k.opt.Folder, lockName)
 	if k.lock != nil {
 		held, err1 := k.lock.Stat()
@@ -153,48 +157,48 @@
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		k.tell("the folder of what is learned cannot be used", err)
+		k.logOnce("state folder unusable", err)
 		return false
 	}
 	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = f.Close() // nothing was written to it
-		k.tell("another process writes to the folder of what is learned", err)
+		k.logOnce("state folder locked by another process", err)
 		return false
 	}
 	k.lock = f
 	return true
 }
 
-// tell logs a trouble once, until another comes or it is over. The caller holds saving.
-func (k *Saver) tell(what string, err error) {
-	if k.silent != what {
-		k.silent = what
-		k.opt.Log.Warn(what, "err", err, "folder", k.opt.Folder)
+// logOnce logs a failure once, until another follows or it is over. The caller holds saving.
+func (k *Saver) logOnce(what string, err error) {
+	if k.lastLogged != what {
+		k.lastLogged = what
+		k.opt.Log.Warn(what, "error", err, "folder", k.opt.Folder)
 	}
 }
 
-// Save writes what is known now.
+// Save writes the present state. It logs a failure before it returns it; errNotLocked: another process owns the folder.
 func (k *Saver) Save() error {
 	k.mu.Lock()
-	s := k.learner.Snapshot(k.now())
+	s := k.collector.Snapshot(k.now())
 	k.mu.Unlock()
 	k.saving.Lock()
 	defer k.saving.Unlock()
-	if !k.locked() {
-		return errors.New("the folder is not this process's")
+	if !k.tryLock() {
+		return errNotLocked
 	}
-	s.Instance, s.Settings = k.opt.Instance, k.opt.Settings
+	s.Instance, s.SettingsFingerprint = k.opt.Instance, k.opt.Settings
 	b, err := snapshot.Encode(s)
 	if err == nil {
 		err = k.opt.Files.Replace(filepath.Join(k.opt.Folder, FileName), b)
 	}
 	if err != nil {
-		k.tell("what is learned cannot be saved, and is not until this is over", err)
+		k.logOnce("state not saved", err)
 		return err
 	}
-	if k.silent != "" {
-		k.silent = ""
-		k.opt.Log.Info("what is learned is saved again")
+	if k.lastLogged != "" {
+		k.lastLogged = ""
+		k.opt.Log.Info("state saved again")
 	}
 	return nil
 }
@@ -221,37 +225,39 @@
 	}
 }
 
-// Watch wraps a Decider: what it sees is learned, and what the process before knew is told to it with its first list.
-func (k *Saver) Watch(d decision.Decider) decision.Decider { return &watch{k: k, inner: d} }
+// Watch wraps a Decider: its events are collected, and the restored state follows its first endpoint update.
+func (k *Saver) Watch(d decision.Decider) decision.Decider {
+	return &watchedDecider{saver: k, inner: d}
+}
 
-type watch struct {
-	k     *Saver
-	inner decision.Decider
-	told  bool
+type watchedDecider struct {
+	saver        *Saver
+	inner        decision.Decider
+	restoredOnce bool
 }
 
 // Handle implements decision.Decider.
-func (w *watch) Handle(now float64, events []decision.Event) []decision.Action {
-	return w.inner.Handle(now, w.k.see(now, events, &w.told))
+func (w *watchedDecider) Handle(now float64, events []decision.Event) []decision.Action {
+	return w.inner.Handle(now, w.saver.collect(now, events, &w.restoredOnce))
 }
 
-// see learns of the events, and adds what was remembered to the first list.
-func (k *Saver) see(now float64, events []decision.Event, told *bool) []decision.Event {
+// collect collects from the events, and adds the restored state behind the first endpoint update.
+func (k *Saver) collect(now float64, events []decision.Event, restoredOnce *bool) []decision.Event {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, e := range events {
 		switch e := e.(type) {
 		case decision.EndpointUpdate:
-			k.learner.List(e)
-			if !*told && len(e.Servers) > 0 && k.found != nil {
-				*told = true
-				events = append(events, recovery.Restore(k.found, e.Servers, now)...)
+			k.collector.UpdateEndpoints(e)
+			if !*restoredOnce && len(e.Servers) > 0 && k.restored != nil {
+				*restoredOnce = true
+				events = append(events, recovery.Restore(k.restored, e.Servers, now)...)
 			}
 		case decision.AttemptFinished:
-			k.learner.Saw(now, e.Server, e.Status, e.Latency, e.LoadReport)
+			k.collector.RecordOutcome(now, e.Server, e.Status, e.Latency, e.LoadReport)
 		case decision.HealthChecked:
 			if e.Status != decision.OK || e.LoadReport != decision.NoLoadReport {
-				k.learner.Saw(now, e.Server, decision.NotSent, 0, e.LoadReport)
+				k.collector.RecordOutcome(now, e.Server, decision.NotSent, 0, e.LoadReport)
 			}
 		}
 	}
--- a/internal/checkpoint/checkpoint_test.go
+++ b/internal/checkpoint/checkpoint_test.go
@@ -79,7 +79,7 @@
 func TestWhatWasSavedIsTakenUp(t *testing.T) {
 	folder := t.TempDir()
 	k, out := open(folder, nil)
-	require.Equal(t, 1, out.count("start is blank"))
+	require.Equal(t, 1, out.count("starting blank"))
 	teach(k, 20)
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -89,9 +89,9 @@
 	cancel() // a clean end saves once more, also while a save is under way
 	all.Wait()
 	k, out = open(folder, nil)
-	require.NotNil(t, k.found)
-	require.Len(t, k.found.Servers, 40)
-	require.Equal(t, 1, out.count("is taken up"))
+	require.NotNil(t, k.restored)
+	require.Len(t, k.restored.Servers, 40)
+	require.Equal(t, 1, out.count("saved state restored"))
 	var heard int
 	w := k.Watch(listener(func(events []decision.Event) {
 		for _, e := range events {
@@ -140,7 +140,7 @@
 	t.Logf("%d kills, a whole file after %d of them", kills, whole)
 	require.Greater(t, whole, kills/2)
 	k, _ := open(folder, nil)
-	require.NotNil(t, k.found)
+	require.NotNil(t, k.restored)
 	left, err := os.ReadDir(folder)
 	require.NoError(t, err)
 	require.Len(t, left, 2, "the file and the lock: what was half written is swept up")
@@ -194,15 +194,15 @@
 			}
 			k, out := open(folder, nil)
 			if torn && layer.whole {
-				require.Len(t, k.found.Servers, 2)
+				require.Len(t, k.restored.Servers, 2)
 			} else if torn {
-				require.Nil(t, k.found, "cut at %d", steps)
-				require.Equal(t, 1, out.count("cannot be used"))
-				require.FileExists(t, filepath.Join(folder, AsideName))
+				require.Nil(t, k.restored, "cut at %d", steps)
+				require.Equal(t, 1, out.count("saved state unusable"))
+				require.FileExists(t, filepath.Join(folder, QuarantineName))
 				require.NoFileExists(t, filepath.Join(folder, FileName))
 			} else {
-				require.NotNil(t, k.found, "cut at %d", steps)
-				require.Len(t, k.found.Servers, 1)
+				require.NotNil(t, k.restored, "cut at %d", steps)
+				require.Len(t, k.restored.Servers, 1)
 			}
 			k.lock.Close()
 			require.Less(t, steps, 3*len(old))
@@ -211,22 +211,22 @@
 }
 
 func TestFilesThatCannotBeUsedAreSetAside(t *testing.T) {
-	good, err := snapshot.Encode(&snapshot.Snapshot{Written: float64(time.Now().Unix()), Instance: "n1", Settings: 7})
+	good, err := snapshot.Encode(&snapshot.Snapshot{WrittenAt: float64(time.Now().Unix()), Instance: "n1", SettingsFingerprint: 7})
 	require.NoError(t, err)
-	other, err := snapshot.Encode(&snapshot.Snapshot{Written: float64(time.Now().Unix()), Instance: "n1", Settings: 8})
+	other, err := snapshot.Encode(&snapshot.Snapshot{WrittenAt: float64(time.Now().Unix()), Instance: "n1", SettingsFingerprint: 8})
 	require.NoError(t, err)
 	newer := append([]byte{}, good...)
 	newer[9] = 9
 	for why, b := range map[string][]byte{
-		"no snapshot": []byte("hello"), "torn": good[:len(good)-1], "too large": make([]byte, snapshot.Most+10),
+		"no snapshot": []byte("hello"), "truncated": good[:len(good)-1], "too large": make([]byte, snapshot.MaxSize+10),
 		"of another version": newer, "of another broker or fleet": other,
 	} {
 		folder := t.TempDir()
 		require.NoError(t, os.WriteFile(filepath.Join(folder, FileName), b, 0o600))
 		k, out := open(folder, nil)
-		require.Nil(t, k.found)
+		require.Nil(t, k.restored)
 		require.Equal(t, 1, out.count(why), why)
-		require.FileExists(t, filepath.Join(folder, AsideName))
+		require.FileExists(t, filepath.Join(folder, QuarantineName))
 		teach(k, 3)
 		require.NoError(t, k.Save())
 	}
@@ -256,11 +256,11 @@
 		for range 20 {
 			require.ErrorIs(t, k.Save(), err)
 		}
-		require.Equal(t, 1, out.count("cannot be saved"))
+		require.Equal(t, 1, out.count("state not saved"))
 		layer.err = nil
 		require.NoError(t, k.Save())
 		require.NoError(t, k.Save())
-		require.Equal(t, 1, out.count("saved again"))
+		require.Equal(t, 1, out.count("state saved again"))
 	}
 }
 
@@ -270,20 +270,20 @@
 	teach(first, 3)
 	require.NoError(t, first.Save())
 	second, out := open(folder, nil) // takes over while the first still runs: it reads, and does not write
-	require.NotNil(t, second.found)
-	require.Equal(t, 1, out.count("another process writes"))
+	require.NotNil(t, second.restored)
+	require.Equal(t, 1, out.count("locked by another process"))
 	teach(second, 9)
 	for range 5 {
 		require.Error(t, second.Save())
 	}
-	require.Equal(t, 1, out.count("another process writes"))
+	require.Equal(t, 1, out.count("locked by another process"))
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	first.Run(ctx) // its clean end
 	require.NoError(t, second.Save())
-	require.Equal(t, 1, out.count("saved again"))
+	require.Equal(t, 1, out.count("state saved again"))
 	third, _ := open(folder, nil)
-	require.Len(t, third.found.Servers, 9)
+	require.Len(t, third.restored.Servers, 9)
 }
 
 func TestAFolderThatDisappearsAndComesBack(t *testing.T) {
@@ -297,7 +297,7 @@
 	for range 5 {
 		require.Error(t, k.Save())
 	}
-	require.Equal(t, 2, out.count("cannot be used"), "once for each time")
+	require.Equal(t, 2, out.count("state folder unusable"), "once for each time")
 	require.NoError(t, os.Mkdir(folder, 0o700))
 	other, _ := open(folder, nil)
 	require.NotNil(t, other.lock)
--- a/internal/checkpoint/restart_test.go
+++ b/internal/checkpoint/restart_test.go
@@ -129,7 +129,7 @@
 		opt.Folder = t.TempDir()
 	}
 	k = Open(opt)
-	require.Equal(t, restored, k.found != nil)
+	require.Equal(t, restored, k.restored != nil)
 	const d = 2500 * time.Millisecond
 	shares := life(fleet, k, seed+1000, d)
 	for r.full = 0; r.full < 2; r.full += 0.1 {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -49,7 +49,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			s.log.Warn("accept at the control address failed", "err", err)
+			s.log.Warn("accept at the control address failed", "error", err)
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
--- a/internal/controlserver/replica.go
+++ b/internal/controlserver/replica.go
@@ -102,7 +102,7 @@
 	for range maxMessagesAtOnce {
 		if err := r.node.Step(message); errors.Is(err, consensus.ErrMessage) {
 			r.malformed++
-			r.log.Warn("message of a control machine refused", "err", err)
+			r.log.Warn("message of a control machine refused", "error", err)
 		}
 		select {
 		case message = <-r.inbox:
--- a/internal/controlserver/transport.go
+++ b/internal/controlserver/transport.go
@@ -127,7 +127,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		t.log.Warn("stream to a control machine ended", "peer", p.name, "err", err)
+		t.log.Warn("stream to a control machine ended", "peer", p.name, "error", err)
 		if time.Since(began) > aliveFor {
 			wait = reconnectFirst
 		}
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -46,7 +46,7 @@
 // expectedDelay is how long one more part of a shard is expected to take.
 func (p *Policy) expectedDelay(shard int) float64 {
 	var delay queueing.Delay
-	p.replicaSets.Holders(shard, func(s *server) {
+	p.replicaSets.Replicas(shard, func(s *server) {
 		if s.IsReady() && p.hasSlowStartBudget(s) {
 			capacity := p.usableFraction(s) * p.capacityFraction(s)
 			delay.Add(capacity, p.fleet.ServiceTime.Of(&s.ServiceTime, p.now), s.QueueDepth(p.now))
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -157,7 +157,7 @@
 // hasHealthierReplica tells whether another replica is in much better health: where all of them are silent,
 // more attempts would only feed the jam.
 func (p *Policy) hasHealthierReplica(pt *part, than *server) (found bool) {
-	p.replicaSets.Holders(pt.Shard, func(s *server) {
+	p.replicaSets.Replicas(pt.Shard, func(s *server) {
 		found = found || s != than && s.IsReady() &&
 			p.usableFraction(s) > minHealthAdvantage*p.usableFraction(than)
 	})
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -7,7 +7,7 @@
 	"math"
 	"slices"
 
-	"mothrouter/internal/cells"
+	"mothrouter/internal/replicasets"
 	"mothrouter/internal/serverstats"
 )
 
@@ -21,7 +21,7 @@
 type endpoints struct {
 	servers     []*server
 	byID        map[string]*server // looked up, never iterated
-	replicaSets cells.Index[*server]
+	replicaSets replicasets.Index[*server]
 	removed     []*server // off the list, with attempts in flight
 	warmingUp   []*server // in slow start
 	lastNumber  int       // servers numbered so far
--- a/internal/decision/healthchecks.go
+++ b/internal/decision/healthchecks.go
@@ -48,7 +48,7 @@
 		return
 	}
 	idle := func(s *server) bool { return s.IsReady() && s.InFlight == 0 } // others come back when they are
-	if oldest, found := p.stalest.Least(idle); found {
+	if oldest, found := p.stalest.Min(idle); found {
 		oldest.ObservedAt = p.now
 		p.emit(CheckHealth{oldest.ID})
 	}
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -8,9 +8,9 @@
 	"math/rand/v2"
 	"slices"
 
-	"mothrouter/internal/cells"
 	"mothrouter/internal/clientpatience"
 	"mothrouter/internal/lazyheap"
+	"mothrouter/internal/replicasets"
 	"mothrouter/internal/retrybudget"
 	"mothrouter/internal/serverstats"
 )
@@ -43,7 +43,7 @@
 	p.fleet = serverstats.NewFleet(len(s.Classes))
 	p.retryBudget.Settings = s.RetryBudget
 	p.byID = map[string]*server{}
-	p.replicaSets = cells.New(s.ReplicaSets, s.ReplicationFactor, number)
+	p.replicaSets = replicasets.New(s.ReplicaSets, s.ReplicationFactor, number)
 	if !s.PollEndpoints {
 		p.pollAt = math.Inf(1)
 	}
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -55,7 +55,7 @@
 }
 
 func (p *Policy) drawAmong(pt *part, triedToo bool) (best *server) {
-	p.replicaSets.Holders(pt.Shard, func(s *server) {
+	p.replicaSets.Replicas(pt.Shard, func(s *server) {
 		tried, justTried := pt.triedAt(s, p.now)
 		if !s.IsReady() || justTried || tried && !triedToo || !p.hasSlowStartBudget(s) {
 			return
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -160,7 +160,7 @@
 				do(watch.Word(time.Now(), said.call))
 				break
 			}
-			w.Log.Info("a watch of the server list ended", "err", err, "since", w.Since)
+			w.Log.Info("a watch of the server list ended", "error", err, "since", w.Since)
 			end()
 			delete(open, said.call)
 			do(watch.Ended(time.Now(), said.call))
--- a/internal/failures/failures_test.go
+++ b/internal/failures/failures_test.go
@@ -16,23 +16,23 @@
 // fleet is what a broker sees of servers in zones that fail now and then.
 type fleet struct {
 	random  *rand.Rand
-	shares  failures.Shares
-	records []*failures.Record
-	in      map[*failures.Record]bool
+	shares  failures.Ratios
+	records []*failures.Server
+	in      map[*failures.Server]bool
 }
 
 func newFleet(seed uint64, servers, zones int) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(seed, 3)), shares: failures.New(5, 0.05, negligible),
-		in: map[*failures.Record]bool{}}
+		in: map[*failures.Server]bool{}}
 	for i := range servers {
-		r := &failures.Record{Zone: i % zones}
+		r := &failures.Server{Zone: i % zones}
 		f.records = append(f.records, r)
 		f.include(r)
 	}
 	return f
 }
 
-func (f *fleet) include(r *failures.Record) {
+func (f *fleet) include(r *failures.Server) {
 	f.shares.Include(r)
 	f.in[r] = true
 }
@@ -50,16 +50,16 @@
 		f.shares.Exclude(r)
 		delete(f.in, r)
 	case 1:
-		r.Share = 0
+		r.Ratio = 0
 		f.include(r)
 	case 2:
-		f.shares.Hear(r, float64(f.random.IntN(2)), f.random.Float64(), f.shares.Now+0.1*(f.random.Float64()-0.5))
+		f.shares.RecordPeer(r, float64(f.random.IntN(2)), f.random.Float64(), f.shares.Now+0.1*(f.random.Float64()-0.5))
 	default:
 		failed := 0.0
 		if f.random.Float64() < failShare {
 			failed = 1
 		}
-		f.shares.Count(r, failed, 0.25+0.6*f.random.Float64(), failed == 1 && f.random.IntN(2) == 0)
+		f.shares.Record(r, failed, 0.25+0.6*f.random.Float64(), failed == 1 && f.random.IntN(2) == 0)
 	}
 }
 
@@ -101,10 +101,10 @@
 		f := newFleet(1, 10, zones)
 		f.shares.Now = 10
 		for range 50 {
-			f.shares.Count(f.records[0], 1, 0.25, false)
+			f.shares.Record(f.records[0], 1, 0.25, false)
 		}
 		f.shares.Now = 60
-		f.shares.Count(f.records[0], 1, 0.25, false)
+		f.shares.Record(f.records[0], 1, 0.25, false)
 		other := f.shares.Of(f.records[2])
 		require.Equal(t, zones > 1, other > 0.01, "%d zones: its neighbour's share is %v", zones, other)
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -103,7 +103,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			f.log.Warn("accept failed", "err", err)
+			f.log.Warn("accept failed", "error", err)
 			time.Sleep(10 * time.Millisecond) // out of descriptors: some will come free
 			continue
 		}
@@ -279,7 +279,7 @@
 			return
 		}
 		if err := f.listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-			f.log.Warn("the listener did not close", "err", err)
+			f.log.Warn("the listener did not close", "error", err)
 		}
 	})
 	done := make(chan struct{})
--- a/internal/lazyheap/lazyheap.go
+++ b/internal/lazyheap/lazyheap.go
@@ -25,12 +25,12 @@
 	}
 }
 
-// Least is the item with the least key of those that fit. Items that do not fit are taken out, until pushed again.
-func (h *Heap[T]) Least(fits func(T) bool) (least T, found bool) {
+// Min is the item with the least key of those that fit. Items that do not fit are taken out, until pushed again.
+func (h *Heap[T]) Min(accept func(T) bool) (min T, found bool) {
 	for len(h.items) > 0 {
 		top := &h.items[0]
 		switch now := h.key(top.item); {
-		case !fits(top.item):
+		case !accept(top.item):
 			delete(h.in, top.item)
 			heap.Pop(&h.items)
 		case top.key < now:
@@ -40,14 +40,14 @@
 			return top.item, true
 		}
 	}
-	return least, false
+	return min, false
 }
 
 // Remove takes items out. It walks all.
-func (h *Heap[T]) Remove(gone func(T) bool) {
+func (h *Heap[T]) Remove(drop func(T) bool) {
 	kept := h.items[:0]
 	for _, e := range h.items {
-		if gone(e.item) {
+		if drop(e.item) {
 			delete(h.in, e.item)
 		} else {
 			kept = append(kept, e)
--- a/internal/lazyheap/lazyheap_test.go
+++ b/internal/lazyheap/lazyheap_test.go
@@ -42,7 +42,7 @@
 					want = i
 				}
 			}
-			got, found := h.Least(func(i *item) bool { return i.fits })
+			got, found := h.Min(func(i *item) bool { return i.fits })
 			require.Equal(t, want != nil, found)
 			require.Same(t, want, got)
 		}
--- a/internal/median/median.go
+++ b/internal/median/median.go
@@ -1,13 +1,12 @@
-// Package median keeps the lower median of many figures that drift within stated bounds, without computing all of
-// them each time. Of most figures the bounds tell on which side of the median they are; only those near it are
-// computed.
+// Package median keeps the lower median of many values that drift within stated bounds, without computing all of them each
+// time. Of most values the bounds tell on which side of the median they are; only those near it are computed.
 package median
 
 import "slices"
 
 const (
-	bandWidth  = 1.25 // the band reaches from the median over this to the median times this
-	scansWorth = 2    // a new band pays once it would have saved computing all figures this many times
+	bandWidth    = 1.25 // the band reaches from the median over this to the median times this
+	scansPerBand = 2    // a new band pays once computing all values this many times was saved
 )
 
 type side uint8
@@ -18,7 +17,7 @@
 	near
 )
 
-// Entry is the place of one figure in a Tracker. The zero Entry is in none.
+// Entry is the place of one value in a Tracker. The zero Entry is in none.
 type Entry[T any] struct {
 	Item  T
 	side  side
@@ -26,9 +25,9 @@
 	index int // in Tracker.near
 }
 
-// Tracker keeps the lower median of figures that are rarely negative. It is not safe for concurrent use.
+// Tracker keeps the lower median of values that are rarely negative. It is not safe for concurrent use.
 type Tracker[T any] struct {
-	// Negligible is the figure up to which the caller does not care what the median is: 0 is told instead.
+	// Negligible is the value up to which the caller does not care what the median is: 0 is told instead.
 	Negligible float64
 
 	low, high    float64 // the band around the median
@@ -36,11 +35,11 @@
 	below, above int
 	near         []*Entry[T]
 	values       []float64
-	fresh        int // figures near the band when it was new; -1: it has not been asked since
-	wasted       int // figures computed since beyond these
+	nearAtReset  int // values near the band when it was new; -1: the median was not asked for since
+	wasted       int // values computed since beyond these
 }
 
-// Len is the number of figures.
+// Len is the number of values.
 func (t *Tracker[T]) Len() int { return t.below + t.above + len(t.near) }
 
 // Remove takes an entry out. It may be in or not.
@@ -63,15 +62,15 @@
 	e.side = 0
 }
 
-// Place puts an entry in, or moves it: its figure is from least to most until it is placed again.
-func (t *Tracker[T]) Place(e *Entry[T], least, most float64) {
+// Put puts an entry in, or moves it: its value is from least to most until it is placed again.
+func (t *Tracker[T]) Put(e *Entry[T], lower, upper float64) {
 	t.Remove(e)
 	e.epoch = t.epoch
 	switch {
-	case most <= t.low:
+	case upper <= t.low:
 		e.side = below
 		t.below++
-	case least >= t.high:
+	case lower >= t.high:
 		e.side = above
 		t.above++
 	default:
@@ -85,29 +84,29 @@
 func (t *Tracker[T]) Reset(median float64) {
 	t.low, t.high = max(median/bandWidth, t.Negligible), max(median*bandWidth, t.Negligible)
 	t.epoch++
-	t.below, t.above, t.fresh, t.wasted = 0, 0, -1, 0
+	t.below, t.above, t.nearAtReset, t.wasted = 0, 0, -1, 0
 	clear(t.near)
 	t.near = t.near[:0]
 }
 
-// Median is the lower median of the figures: the one at (n-1)/2 in their order from 0. It is false where the bounds
-// do not tell, or there is no figure: the caller computes it by Lower, and calls Reset.
-func (t *Tracker[T]) Median(figure func(T) float64) (float64, bool) {
+// Median is the lower median of the values: the one at (n-1)/2 in their order from 0. It is false where the bounds
+// do not tell, or there is no value: the caller computes it by Lower, and calls Reset.
+func (t *Tracker[T]) Median(value func(T) float64) (float64, bool) {
 	rank := (t.Len() - 1) / 2
 	if rank < t.below {
-		// Only figures near the band can be negative. There are too few of them to be the median.
+		// Only values near the band can be negative. There are too few of them to be the median.
 		return 0, t.low == t.Negligible && len(t.near) <= rank
 	}
-	if t.Len() == 0 || rank >= t.below+len(t.near) || t.wasted > scansWorth*t.Len() {
+	if t.Len() == 0 || rank >= t.below+len(t.near) || t.wasted > scansPerBand*t.Len() {
 		return 0, false
 	}
-	if t.fresh < 0 {
-		t.fresh = len(t.near)
+	if t.nearAtReset < 0 {
+		t.nearAtReset = len(t.near)
 	}
-	t.wasted += max(len(t.near)-t.fresh, 0)
+	t.wasted += max(len(t.near)-t.nearAtReset, 0)
 	t.values = t.values[:0]
 	for _, e := range t.near {
-		t.values = append(t.values, figure(e.Item))
+		t.values = append(t.values, value(e.Item))
 	}
 	v := choose(t.values, rank-t.below)
 	if v >= 0 && v < t.Negligible && t.low == t.Negligible {
--- a/internal/median/median_test.go
+++ b/internal/median/median_test.go
@@ -44,7 +44,7 @@
 			}
 			f.most = f.least * (1 + 0.2*r.Float64())
 			f.now = f.least
-			tracker.Place(&f.entry, f.least, f.most)
+			tracker.Put(&f.entry, f.least, f.most)
 			f.in = true
 		}
 		for i := range figures {
@@ -87,7 +87,7 @@
 			tracker.Reset(want)
 			for _, f := range figures {
 				if f.in {
-					tracker.Place(&f.entry, f.least, f.most)
+					tracker.Put(&f.entry, f.least, f.most)
 				}
 			}
 		}
@@ -104,9 +104,9 @@
 	for i := range entries {
 		if i < 3 {
 			entries[i].Item = -1
-			tracker.Place(&entries[i], math.Inf(-1), math.Inf(1))
+			tracker.Put(&entries[i], math.Inf(-1), math.Inf(1))
 		} else {
-			tracker.Place(&entries[i], 0, 0)
+			tracker.Put(&entries[i], 0, 0)
 		}
 	}
 	got, ok := tracker.Median(func(v float64) float64 { return v })
--- a/internal/recent/recent.go
+++ b/internal/recent/recent.go
@@ -1,27 +1,27 @@
-// Package recent keeps the latest of some figures and tells their quantiles.
+// Package recent keeps the latest of some values and tells their quantiles.
 package recent
 
 import "slices"
 
 const (
-	most  = 64 // latest figures kept; enough for a steady p95
-	least = 8  // fewer tell nothing
+	capacity        = 64 // values; enough for a steady 95th percentile
+	minQuantileSize = 8  // fewer have no quantile
 )
 
-// Ring keeps the latest figures of a kind. Its zero value is empty. They are sorted once a change: each part that is
-// out asks at each event.
+// Ring keeps the latest values of a kind. Its zero value is empty. They are sorted once a change, since quantiles are asked
+// for far more often.
 type Ring struct{ latest, sorted []float64 }
 
-// Add keeps one more figure and forgets the oldest of too many.
+// Add adds a value and forgets the oldest of too many.
 func (r *Ring) Add(v float64) {
-	if r.latest, r.sorted = append(r.latest, v), r.sorted[:0]; len(r.latest) > most {
+	if r.latest, r.sorted = append(r.latest, v), r.sorted[:0]; len(r.latest) > capacity {
 		r.latest = r.latest[1:]
 	}
 }
 
-// Quantile is a quantile, 0 to 1, of what is kept; 0 where that is too little.
+// Quantile is a quantile, 0 to 1, of the values; 0 where there are too few.
 func (r *Ring) Quantile(f float64) float64 {
-	if len(r.latest) < least {
+	if len(r.latest) < minQuantileSize {
 		return 0
 	}
 	if len(r.sorted) == 0 {
--- a/internal/recovery/recovery_test.go
+++ b/internal/recovery/recovery_test.go
@@ -13,17 +13,17 @@
 
 // taught is a snapshot written at 1000 by one that saw a quick, a slow and a failing server, and one that is cold.
 func taught() *snapshot.Snapshot {
-	l := recovery.NewLearner()
-	l.List(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{
+	l := recovery.NewCollector()
+	l.UpdateEndpoints(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{
 		{ID: "quick"}, {ID: "slow"}, {ID: "fails"}, {ID: "cold", Started: 995}, {ID: "left"}}})
 	for i := range 100 {
 		now := 990 + 0.1*float64(i)
-		l.Saw(now, "quick", decision.OK, 0.01, decision.LoadReport{Utilization: 0.2})
-		l.Saw(now, "slow", decision.OK, 0.08, decision.NoLoadReport)
-		l.Saw(now, "fails", decision.Error, 0.001, decision.NoLoadReport)
-		l.Saw(now, "cold", decision.OK, 0.02, decision.NoLoadReport)
-		l.Saw(now, "left", decision.OK, 0.02, decision.NoLoadReport)
-		l.Saw(now, "unheard-of", decision.OK, 0.02, decision.NoLoadReport)
+		l.RecordOutcome(now, "quick", decision.OK, 0.01, decision.LoadReport{Utilization: 0.2})
+		l.RecordOutcome(now, "slow", decision.OK, 0.08, decision.NoLoadReport)
+		l.RecordOutcome(now, "fails", decision.Error, 0.001, decision.NoLoadReport)
+		l.RecordOutcome(now, "cold", decision.OK, 0.02, decision.NoLoadReport)
+		l.RecordOutcome(now, "left", decision.OK, 0.02, decision.NoLoadReport)
+		l.RecordOutcome(now, "unheard-of", decision.OK, 0.02, decision.NoLoadReport)
 	}
 	return l.Snapshot(1000)
 }
@@ -48,7 +48,7 @@
 	require.Len(t, s.Servers, 5, "nothing of a server that no list named")
 	m, fleet := restored(s, list, 1001)
 	require.NotNil(t, fleet)
-	require.InDelta(t, s.Peak, fleet.PeakThroughput, 0.05*s.Peak)
+	require.InDelta(t, s.PeakThroughput, fleet.PeakThroughput, 0.05*s.PeakThroughput)
 	require.Zero(t, m["quick"].ServiceTime, "that it was quick is not told")
 	require.Greater(t, m["slow"].ServiceTime, 0.06)
 	require.Greater(t, m["fails"].FailureRatio*m["fails"].Weight, 0.9)
@@ -62,9 +62,9 @@
 	s := taught()
 	m, fleet := restored(s, list, 1020)
 	require.NotContains(t, m, "quick", "its report is worth no word any more")
-	require.Greater(t, m["slow"].ServiceTime, s.Pace)
+	require.Greater(t, m["slow"].ServiceTime, s.ServiceTime)
 	require.InDelta(t, 0.5, m["fails"].Weight, 0.02)
-	require.Less(t, fleet.PeakThroughput, 0.7*s.Peak)
+	require.Less(t, fleet.PeakThroughput, 0.7*s.PeakThroughput)
 	m, fleet = restored(s, list, 1200)
 	require.Empty(t, m)
 	require.Nil(t, fleet)
@@ -83,25 +83,25 @@
 		m, _ := restored(s, []decision.Server{e}, 1001)
 		require.Empty(t, m, what)
 	}
-	l := recovery.NewLearner() // nor while it learns
-	l.List(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{{ID: "a"}, {ID: "b"}}})
-	l.Saw(10, "a", decision.OK, 0.01, decision.NoLoadReport)
-	l.Saw(10, "b", decision.OK, 0.01, decision.NoLoadReport)
-	l.List(decision.EndpointUpdate{Servers: []decision.Server{{ID: "a", Started: 11}, {ID: "b", State: decision.Removed}}})
+	l := recovery.NewCollector() // nor while it learns
+	l.UpdateEndpoints(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{{ID: "a"}, {ID: "b"}}})
+	l.RecordOutcome(10, "a", decision.OK, 0.01, decision.NoLoadReport)
+	l.RecordOutcome(10, "b", decision.OK, 0.01, decision.NoLoadReport)
+	l.UpdateEndpoints(decision.EndpointUpdate{Servers: []decision.Server{{ID: "a", Started: 11}, {ID: "b", State: decision.Removed}}})
 	require.Empty(t, l.Snapshot(12).Servers)
 }
 
 // A server that hangs is remembered by what was given up there; a slow one that answers meanwhile is not ill for it.
 func TestAHangIsRemembered(t *testing.T) {
-	l := recovery.NewLearner()
-	l.List(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{{ID: "well"}, {ID: "hangs"}, {ID: "slow"}}})
+	l := recovery.NewCollector()
+	l.UpdateEndpoints(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{{ID: "well"}, {ID: "hangs"}, {ID: "slow"}}})
 	for i := range 30 {
 		now := 100 + 0.1*float64(i)
-		l.Saw(now, "well", decision.OK, 0.01, decision.NoLoadReport)
-		l.Saw(now, "slow", decision.OK, 0.2, decision.NoLoadReport)
-		l.Saw(now+0.01, "slow", decision.Cancelled, 0.2, decision.NoLoadReport)
-		l.Saw(now, "hangs", decision.TimedOut, 0.4, decision.NoLoadReport)
-		l.Saw(now, "well", decision.Cancelled, 0.005, decision.NoLoadReport) // no longer needed
+		l.RecordOutcome(now, "well", decision.OK, 0.01, decision.NoLoadReport)
+		l.RecordOutcome(now, "slow", decision.OK, 0.2, decision.NoLoadReport)
+		l.RecordOutcome(now+0.01, "slow", decision.Cancelled, 0.2, decision.NoLoadReport)
+		l.RecordOutcome(now, "hangs", decision.TimedOut, 0.4, decision.NoLoadReport)
+		l.RecordOutcome(now, "well", decision.Cancelled, 0.005, decision.NoLoadReport) // no longer needed
 	}
 	m, _ := restored(l.Snapshot(103), []decision.Server{{ID: "well"}, {ID: "hangs"}, {ID: "slow"}}, 103.5)
 	require.Greater(t, m["hangs"].Weight*m["hangs"].FailureRatio, 0.9)
@@ -111,11 +111,11 @@
 
 func TestClocksThatLie(t *testing.T) {
 	s := taught()
-	require.NotEmpty(t, recovery.Stale(s, 990), "the clock went back")
+	require.ErrorIs(t, recovery.CheckAge(s, 990), recovery.ErrFuture)
 	require.Empty(t, recovery.Restore(s, list, 990))
-	require.NotEmpty(t, recovery.Stale(s, 1000+recovery.MaxAge+1))
-	require.Empty(t, recovery.Stale(s, 999.8), "within what clocks differ")
-	s.Servers[0].FailedAt, s.Servers[0].PaceAt, s.Servers[0].LoadAt = 5000, 5000, 5000 // times from the future
+	require.ErrorIs(t, recovery.CheckAge(s, 1000+recovery.MaxAge+1), recovery.ErrStale)
+	require.NoError(t, recovery.CheckAge(s, 999.8), "within what clocks differ")
+	s.Servers[0].FailureRatioAt, s.Servers[0].ServiceTimeAt, s.Servers[0].LoadReportedAt = 5000, 5000, 5000 // times from the future
 	for _, e := range recovery.Restore(s, list, 1100) {
 		if h, ok := e.(decision.PeerObservation); ok && h.Server == s.Servers[0].ID {
 			require.Equal(t, decision.NoLoadReport, h.LoadReport)
@@ -129,10 +129,10 @@
 func TestRestoreIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		num := func(name string) float64 { return rapid.Float64Range(0, 2000).Draw(t, name) }
-		s := &snapshot.Snapshot{Written: num("written"), Pace: num("pace"), Peak: num("peak")}
+		s := &snapshot.Snapshot{WrittenAt: num("written"), ServiceTime: num("pace"), PeakThroughput: num("peak")}
 		for _, id := range []string{"a", "b", "c"} {
-			s.Servers = append(s.Servers, snapshot.Server{ID: id, Started: num("started"), Pace: num("p"), PaceAt: num("pa"),
-				Failed: rapid.Float64Range(0, 1).Draw(t, "failed"), FailedAt: num("fa"), LoadAt: num("la"), Load: decision.LoadReport{Utilization: 1}})
+			s.Servers = append(s.Servers, snapshot.Server{ID: id, Started: num("started"), ServiceTime: num("p"), ServiceTimeAt: num("pa"),
+				FailureRatio: rapid.Float64Range(0, 1).Draw(t, "failed"), FailureRatioAt: num("fa"), LoadReportedAt: num("la"), LoadReport: decision.LoadReport{Utilization: 1}})
 		}
 		list := []decision.Server{{ID: "a", Started: s.Servers[0].Started}, {ID: "b", Started: num("other")},
 			{ID: "c", Started: s.Servers[2].Started, State: decision.Draining}}
@@ -140,7 +140,7 @@
 		for _, e := range recovery.Restore(s, list, now) {
 			switch e := e.(type) {
 			case decision.RestoredState:
-				if !(e.PeakThroughput <= s.Peak && e.ServiceTime == s.Pace) {
+				if !(e.PeakThroughput <= s.PeakThroughput && e.ServiceTime == s.ServiceTime) {
 					t.Fatalf("%+v of %+v", e, s)
 				}
 			case decision.PeerObservation:
@@ -150,8 +150,8 @@
 				}
 			}
 		}
-		young, _ := restored(s, list, s.Written+1)
-		old, _ := restored(s, list, s.Written+30)
+		young, _ := restored(s, list, s.WrittenAt+1)
+		old, _ := restored(s, list, s.WrittenAt+30)
 		for id, o := range old {
 			if y, ok := young[id]; ok && o.Weight > y.Weight {
 				t.Fatalf("%s is worth more when older: %+v, %+v", id, y, o)
@@ -166,11 +166,11 @@
 		set := decision.Settings{Classes: []decision.Class{{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}}, Brokers: 1, ReplicaSets: 1,
 			ReplicationFactor: 1, MaxPartsPerCall: 1, MaxAttempts: 3, Tick: 0.005, CancelAllowed: true}
 		news := decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{{ID: "a"}, {ID: "b"}}}
-		l := recovery.NewLearner()
-		l.List(news)
+		l := recovery.NewCollector()
+		l.UpdateEndpoints(news)
 		for i := range 50 {
-			l.Saw(100+0.1*float64(i), "a", decision.OK, remembered, decision.NoLoadReport)
-			l.Saw(100+0.1*float64(i), "b", decision.OK, 0.02, decision.NoLoadReport)
+			l.RecordOutcome(100+0.1*float64(i), "a", decision.OK, remembered, decision.NoLoadReport)
+			l.RecordOutcome(100+0.1*float64(i), "b", decision.OK, 0.02, decision.NoLoadReport)
 		}
 		p, now := decision.New(set, 3), 108.0
 		p.Handle(now, append([]decision.Event{news}, recovery.Restore(l.Snapshot(105), news.Servers, now)...))
@@ -206,12 +206,12 @@
 func TestAFleetWideFaultIsNotRememberedForLong(t *testing.T) {
 	set := decision.Settings{Classes: []decision.Class{{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}}, Brokers: 1, ReplicaSets: 1,
 		ReplicationFactor: 1, MaxPartsPerCall: 1, MaxAttempts: 3, Tick: 0.005, CancelAllowed: true}
-	l := recovery.NewLearner()
+	l := recovery.NewCollector()
 	news := decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}}
-	l.List(news)
+	l.UpdateEndpoints(news)
 	for i := range 60 {
 		for _, s := range news.Servers {
-			l.Saw(100+0.1*float64(i), s.ID, decision.Reset, 0.001, decision.NoLoadReport)
+			l.RecordOutcome(100+0.1*float64(i), s.ID, decision.Reset, 0.001, decision.NoLoadReport)
 		}
 	}
 	p := decision.New(set, 1)
--- a/internal/cells/cells_test.go
+++ b/internal/replicasets/replicasets_test.go
@@ -1,4 +1,4 @@
-package cells_test
+package replicasets_test
 
 import (
 	"slices"
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"mothrouter/internal/cells"
+	"mothrouter/internal/replicasets"
 )
 
 // Holders are those of a walk over all items, in order, whatever comes and goes.
 func TestHoldersAreThoseOfAWalk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count, reach := rapid.IntRange(1, 6).Draw(t, "cells"), rapid.IntRange(0, 8).Draw(t, "reach")
-		index := cells.New(count, reach, func(i int) int { return i })
+		index := replicasets.New(count, reach, func(i int) int { return i })
 		in := map[int]int{} // item: its cell
 		for range rapid.IntRange(0, 100).Draw(t, "steps") {
 			item, cell := rapid.IntRange(0, 30).Draw(t, "item"), rapid.IntRange(-1, count).Draw(t, "cell")
@@ -44,7 +44,7 @@
 			}
 			want = append(want, slices.Sorted(slices.Values(cell))...)
 		}
-		index.Holders(shard, func(i int) { got = append(got, i) })
+		index.Replicas(shard, func(i int) { got = append(got, i) })
 		require.Equal(t, want, got)
 	})
 }
--- a/internal/serverstats/fleet.go
+++ b/internal/serverstats/fleet.go
@@ -19,7 +19,7 @@
 
 // Fleet compares the servers of one broker. Use NewFleet.
 type Fleet struct {
-	Failures           failures.Shares // of attempts, by server; those included are ready
+	Failures           failures.Ratios // of attempts, by server; those included are ready
 	MedianFailureRatio float64         // 0 if negligible
 	DisconnectRatio    float64         // averaged fraction of attempts that were refused or reset
 	Latencies          []recent.Ring   // latest ones of parts, by class
@@ -79,7 +79,7 @@
 
 func (f *Fleet) recordOutcome(s *Stats, failed, disconnected float64) {
 	weight := math.Max(failureWeight, servicetime.ObservationWeight(f.now-s.Failures.At))
-	f.Failures.Count(&s.Failures, failed, weight, disconnected > 0)
+	f.Failures.Record(&s.Failures, failed, weight, disconnected > 0)
 	f.DisconnectRatio += zoneWeight * (disconnected - f.DisconnectRatio)
 	s.ObservedAt = f.now
 }
@@ -129,7 +129,7 @@
 // ratio with a weight from 0 to 1, and a service time; 0: not told.
 func (f *Fleet) RecordPeer(s *Stats, at, failureRatio, weight, serviceTime float64) {
 	if weight > 0 && at > s.Failures.At {
-		f.Failures.Hear(&s.Failures, failureRatio, weight, at)
+		f.Failures.RecordPeer(&s.Failures, failureRatio, weight, at)
 	}
 	if serviceTime > 0 && at > s.ServiceTime.At {
 		s.ServiceTime = servicetime.Server{Mean: serviceTime, At: at}
--- a/internal/serverstats/serverstats.go
+++ b/internal/serverstats/serverstats.go
@@ -21,7 +21,7 @@
 	NewestAnsweredAt float64 // when the latest attempt was sent that it answered
 	BusySince        float64 // when the first attempt was sent after its latest success
 	ObservedAt       float64 // its latest outcome, or when its health was last checked
-	Failures         failures.Record
+	Failures         failures.Server
 	ServiceTime      servicetime.Server
 	LoadReport       LoadReport
 	LoadReportedAt   float64 // 0: never
@@ -41,7 +41,7 @@
 	s.LoadReport = NoLoadReport
 	s.LoadReportedAt = 0
 	s.Fitness = 0
-	s.Failures.Share = 0
+	s.Failures.Ratio = 0
 	s.abandoned = nil
 }
 
--- a/internal/serverstats/serverstats_test.go
+++ b/internal/serverstats/serverstats_test.go
@@ -88,7 +88,7 @@
 	require.Zero(t, f.Failures.Of(&s.Failures))
 	f.Advance(11, 1, 0, 1)
 	f.RecordPeer(&s.Stats, 10.5, 1, 0.5, 0.2)
-	require.InDelta(t, 0.5, s.Failures.Share, 1e-9)
+	require.InDelta(t, 0.5, s.Failures.Ratio, 1e-9)
 	require.Equal(t, 0.2, s.ServiceTime.Mean)
 	f.RecordPeer(&s.Stats, 10.4, 0, 0, 9)
 	require.Equal(t, 0.2, s.ServiceTime.Mean)
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,7 +1,8 @@
-// Package snapshot is the file in which a broker's learned state lasts: a model and its codec. It does no I/O.
+// Package snapshot is the file of a broker's server-health state: a model and its codec. It does no I/O.
 //
-// The file is a head (magic, version, length, checksum) and a protobuf message. It is replaced whole, so a file that
-// is cut, mixed or flipped can only come of a fault below; the head finds it out, and such a file is not used at all.
+// The file is a header (magic, version, length, checksum) and a protobuf message, whose names are those of the file's first
+// version. It is replaced at once, so a file that is cut, mixed or flipped can only come of a fault below; the header shows
+// it, and such a file is not used at all. Times are Unix seconds, durations seconds.
 package snapshot
 
 import (
@@ -22,65 +23,65 @@
 const (
 	magic   = "MOTHSNAP"
 	version = 1
-	// Most is the largest file that is read or written. 200 servers take some 20 KB.
-	Most     = 4 << 20
-	headSize = len(magic) + 2 + 4 + 4
-	// ServersMost is how many servers a snapshot holds.
-	ServersMost = 20_000
-	idMost      = 256
+	// MaxSize is the largest file that is read or written, in bytes. 200 servers take some 20 KB.
+	MaxSize    = 4 << 20
+	headerSize = len(magic) + 2 + 4 + 4
+	// MaxServers is how many servers a snapshot may hold.
+	MaxServers  = 20_000
+	maxIDLength = 256
 )
 
 // What can be wrong with a file.
 var (
-	ErrTooLarge = errors.New("too large")
-	ErrNoHead   = errors.New("no snapshot")
-	ErrVersion  = errors.New("of another version")
-	ErrTorn     = errors.New("torn")
-	ErrChecksum = errors.New("the checksum does not fit")
-	ErrContent  = errors.New("the content cannot be used")
-	ErrForeign  = errors.New("of another broker or fleet")
+	ErrTooLarge  = errors.New("too large")
+	ErrNoHeader  = errors.New("no snapshot")
+	ErrVersion   = errors.New("of another version")
+	ErrTruncated = errors.New("truncated")
+	ErrChecksum  = errors.New("the checksum does not fit")
+	ErrContent   = errors.New("the content cannot be used")
+	ErrForeign   = errors.New("of another broker or fleet")
 )
 
-// Server is what was learned of one server.
+// Server is the state of one server.
 type Server struct {
-	ID       string
-	Started  float64 // start mark on the list
-	Pace     float64 // mean latency of its parts; 0: not known
-	PaceAt   float64
-	Failed   float64 // share of failed attempts
-	FailedAt float64
-	Load     decision.LoadReport
-	LoadAt   float64 // 0: no report has come
+	ID             string
+	Started        float64 // its start, as the endpoint list names it
+	ServiceTime    float64 // mean latency of its parts; 0: not known
+	ServiceTimeAt  float64
+	FailureRatio   float64 // of attempts, 0 to 1
+	FailureRatioAt float64
+	LoadReport     decision.LoadReport
+	LoadReportedAt float64 // 0: never
 }
 
-// Snapshot is all that lasts.
+// Snapshot is the state of one broker.
 type Snapshot struct {
-	Written  float64 // Unix seconds
-	Instance string
-	Settings uint64 // fingerprint
-	Pace     float64
-	Peak     float64
-	Servers  []Server
+	WrittenAt           float64 // Unix seconds
+	Instance            string
+	SettingsFingerprint uint64 // tells deployments apart
+	ServiceTime         float64
+	PeakThroughput      float64
+	Servers             []Server
 }
 
 var table = crc32.MakeTable(crc32.Castagnoli)
 
-// Fingerprint tells settings, and so fleets, apart.
+// Fingerprint tells settings, and so deployments, apart.
 func Fingerprint(settings []byte) uint64 {
 	return uint64(crc32.Checksum(settings, table))<<32 | uint64(crc32.ChecksumIEEE(settings))
 }
 
-// Encode makes the file's bytes.
+// Encode makes the file's bytes. It returns ErrTooLarge or ErrContent.
 func Encode(s *Snapshot) ([]byte, error) {
-	if len(s.Servers) > ServersMost {
+	if len(s.Servers) > MaxServers {
 		return nil, ErrTooLarge
 	}
-	m := &snapshotpb.Snapshot{Written: s.Written, Instance: s.Instance, Settings: s.Settings, Pace: s.Pace, Peak: s.Peak}
+	m := &snapshotpb.Snapshot{Written: s.WrittenAt, Instance: s.Instance, Settings: s.SettingsFingerprint, Pace: s.ServiceTime, Peak: s.PeakThroughput}
 	for _, v := range s.Servers {
-		p := &snapshotpb.Server{Id: v.ID, Started: v.Started, Pace: v.Pace, PaceAt: v.PaceAt, Failed: v.Failed, FailedAt: v.FailedAt}
-		if v.LoadAt > 0 {
-			l := v.Load
-			p.Report = &snapshotpb.Report{At: v.LoadAt, InFlight: l.InFlight, Queue: l.QueueLength, Busy: l.Utilization,
+		p := &snapshotpb.Server{Id: v.ID, Started: v.Started, Pace: v.ServiceTime, PaceAt: v.ServiceTimeAt, Failed: v.FailureRatio, FailedAt: v.FailureRatioAt}
+		if v.LoadReportedAt > 0 {
+			l := v.LoadReport
+			p.Report = &snapshotpb.Report{At: v.LoadReportedAt, InFlight: l.InFlight, Queue: l.QueueLength, Busy: l.Utilization,
 				Latency: l.Latency, Rate: l.Rate, ErrorRate: l.ErrorRate}
 		}
 		m.Servers = append(m.Servers, p)
@@ -89,38 +90,38 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrContent, err)
 	}
-	if headSize+len(body) > Most {
+	if headerSize+len(body) > MaxSize {
 		return nil, ErrTooLarge
 	}
-	b := append(make([]byte, 0, headSize+len(body)), magic...)
+	b := append(make([]byte, 0, headerSize+len(body)), magic...)
 	b = binary.BigEndian.AppendUint16(b, version)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
 	b = binary.BigEndian.AppendUint32(b, sum(b, body))
 	return append(b, body...), nil
 }
 
-// sum is the checksum of what stands before it in the head and of the body.
+// sum is the checksum of what precedes it in the header, and of the body.
 func sum(head, body []byte) uint32 { return crc32.Update(crc32.Checksum(head, table), table, body) }
 
-// Decode reads a file's bytes. What it returns has been checked whole; errors name what is wrong.
+// Decode reads a file's bytes. What it returns has been checked throughout; its errors wrap those above.
 func Decode(b []byte) (*Snapshot, error) {
-	if len(b) > Most {
+	if len(b) > MaxSize {
 		return nil, ErrTooLarge
 	}
 	if len(b) < len(magic) || string(b[:len(magic)]) != magic {
-		return nil, ErrNoHead
+		return nil, ErrNoHeader
 	}
-	if len(b) < headSize {
-		return nil, ErrTorn
+	if len(b) < headerSize {
+		return nil, ErrTruncated
 	}
 	at := len(magic)
 	if v := binary.BigEndian.Uint16(b[at:]); v != version {
 		return nil, fmt.Errorf("%w: %d, not %d", ErrVersion, v, version)
 	}
-	if n := binary.BigEndian.Uint32(b[at+2:]); int(n) != len(b)-headSize {
-		return nil, fmt.Errorf("%w: %d bytes of %d", ErrTorn, len(b)-headSize, n)
+	if n := binary.BigEndian.Uint32(b[at+2:]); int(n) != len(b)-headerSize {
+		return nil, fmt.Errorf("%w: %d bytes of %d", ErrTruncated, len(b)-headerSize, n)
 	}
-	body := b[headSize:]
+	body := b[headerSize:]
 	if binary.BigEndian.Uint32(b[at+6:]) != sum(b[:at+6], body) {
 		return nil, ErrChecksum
 	}
@@ -128,21 +129,21 @@
 	if err := proto.Unmarshal(body, &m); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrContent, err)
 	}
-	s := &Snapshot{Written: m.Written, Instance: m.Instance, Settings: m.Settings, Pace: m.Pace, Peak: m.Peak}
-	if len(m.Servers) > ServersMost || !sane(m.Written, m.Pace, m.Peak) {
+	s := &Snapshot{WrittenAt: m.Written, Instance: m.Instance, SettingsFingerprint: m.Settings, ServiceTime: m.Pace, PeakThroughput: m.Peak}
+	if len(m.Servers) > MaxServers || !sane(m.Written, m.Pace, m.Peak) {
 		return nil, ErrContent
 	}
 	seen := make(map[string]bool, len(m.Servers))
 	for _, p := range m.Servers {
-		v := Server{ID: p.Id, Started: p.Started, Pace: p.Pace, PaceAt: p.PaceAt, Failed: p.Failed, FailedAt: p.FailedAt, Load: decision.NoLoadReport}
+		v := Server{ID: p.Id, Started: p.Started, ServiceTime: p.Pace, ServiceTimeAt: p.PaceAt, FailureRatio: p.Failed, FailureRatioAt: p.FailedAt, LoadReport: decision.NoLoadReport}
 		if r := p.Report; r != nil {
-			v.LoadAt = r.At
-			v.Load = decision.LoadReport{InFlight: r.InFlight, QueueLength: r.Queue, Utilization: r.Busy, Latency: r.Latency, Rate: r.Rate, ErrorRate: r.ErrorRate}
+			v.LoadReportedAt = r.At
+			v.LoadReport = decision.LoadReport{InFlight: r.InFlight, QueueLength: r.Queue, Utilization: r.Busy, Latency: r.Latency, Rate: r.Rate, ErrorRate: r.ErrorRate}
 			if !sane(r.At) || math.IsNaN(r.InFlight+r.Queue+r.Busy+r.Latency+r.Rate+r.ErrorRate) {
 				return nil, fmt.Errorf("%w: the report of server %q", ErrContent, v.ID)
 			}
 		}
-		if v.ID == "" || len(v.ID) > idMost || seen[v.ID] || !sane(v.Started, v.Pace, v.PaceAt, v.Failed, v.FailedAt) || v.Failed > 1 {
+		if v.ID == "" || len(v.ID) > maxIDLength || seen[v.ID] || !sane(v.Started, v.ServiceTime, v.ServiceTimeAt, v.FailureRatio, v.FailureRatioAt) || v.FailureRatio > 1 {
 			return nil, fmt.Errorf("%w: server %q", ErrContent, v.ID)
 		}
 		seen[v.ID] = true
@@ -161,9 +162,9 @@
 	return true
 }
 
-// Fits tells whether a snapshot is this broker's, of this fleet.
-func (s *Snapshot) Fits(instance string, settings uint64) error {
-	if s.Instance != instance || s.Settings != settings {
+// CheckOwner tells whether a snapshot is this broker's, of this fleet.
+func (s *Snapshot) CheckOwner(instance string, settings uint64) error {
+	if s.Instance != instance || s.SettingsFingerprint != settings {
 		return fmt.Errorf("%w: of %q", ErrForeign, s.Instance)
 	}
 	return nil
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -4,6 +4,7 @@
 	"encoding/binary"
 	"fmt"
 	"math"
+	"os"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -14,12 +15,12 @@
 )
 
 func example(servers int) *snapshot.Snapshot {
-	s := &snapshot.Snapshot{Written: 1000, Instance: "n3", Settings: 42, Pace: 0.02, Peak: 31}
+	s := &snapshot.Snapshot{WrittenAt: 1000, Instance: "n3", SettingsFingerprint: 42, ServiceTime: 0.02, PeakThroughput: 31}
 	for i := range servers {
-		v := snapshot.Server{ID: fmt.Sprintf("s-%08x", i), Started: float64(i % 3), Pace: 0.01, PaceAt: 990, Failed: 0.2,
-			FailedAt: 995, Load: decision.NoLoadReport}
+		v := snapshot.Server{ID: fmt.Sprintf("s-%08x", i), Started: float64(i % 3), ServiceTime: 0.01, ServiceTimeAt: 990, FailureRatio: 0.2,
+			FailureRatioAt: 995, LoadReport: decision.NoLoadReport}
 		if i%2 == 0 {
-			v.Load, v.LoadAt = decision.LoadReport{InFlight: 3, QueueLength: -1, Utilization: 0.4, Latency: -1, Rate: -1, ErrorRate: -1}, 999
+			v.LoadReport, v.LoadReportedAt = decision.LoadReport{InFlight: 3, QueueLength: -1, Utilization: 0.4, Latency: -1, Rate: -1, ErrorRate: -1}, 999
 		}
 		s.Servers = append(s.Servers, v)
 	}
@@ -29,9 +30,9 @@
 func TestWhatIsWrittenIsRead(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := example(rapid.IntRange(0, 50).Draw(t, "servers"))
-		s.Written = rapid.Float64Range(0, 1e10).Draw(t, "written")
+		s.WrittenAt = rapid.Float64Range(0, 1e10).Draw(t, "written")
 		s.Instance = rapid.StringN(0, 20, -1).Draw(t, "instance")
-		s.Settings = rapid.Uint64().Draw(t, "settings")
+		s.SettingsFingerprint = rapid.Uint64().Draw(t, "settings")
 		b, err := snapshot.Encode(s)
 		if err != nil {
 			t.Fatal(err)
@@ -65,10 +66,10 @@
 		}
 	}
 	_, err = snapshot.Decode(append(b, 0))
-	require.ErrorIs(t, err, snapshot.ErrTorn)
+	require.ErrorIs(t, err, snapshot.ErrTruncated)
 	_, err = snapshot.Decode(nil)
-	require.ErrorIs(t, err, snapshot.ErrNoHead)
-	_, err = snapshot.Decode(make([]byte, snapshot.Most+1))
+	require.ErrorIs(t, err, snapshot.ErrNoHeader)
+	_, err = snapshot.Decode(make([]byte, snapshot.MaxSize+1))
 	require.ErrorIs(t, err, snapshot.ErrTooLarge)
 	for _, v := range []uint16{0, 2, 65535} { // older and newer
 		other := append([]byte{}, b...)
@@ -81,13 +82,13 @@
 // What the checksum vouches for may still be nonsense.
 func TestContentIsChecked(t *testing.T) {
 	for what, change := range map[string]func(*snapshot.Snapshot){
-		"a time before time":  func(s *snapshot.Snapshot) { s.Written = -1 },
-		"no number":           func(s *snapshot.Snapshot) { s.Pace = math.NaN() },
-		"without end":         func(s *snapshot.Snapshot) { s.Peak = math.Inf(1) },
+		"a time before time":  func(s *snapshot.Snapshot) { s.WrittenAt = -1 },
+		"no number":           func(s *snapshot.Snapshot) { s.ServiceTime = math.NaN() },
+		"without end":         func(s *snapshot.Snapshot) { s.PeakThroughput = math.Inf(1) },
 		"a server twice":      func(s *snapshot.Snapshot) { s.Servers[1].ID = s.Servers[0].ID },
 		"a server of no name": func(s *snapshot.Snapshot) { s.Servers[0].ID = "" },
-		"more than all fail":  func(s *snapshot.Snapshot) { s.Servers[0].Failed = 1.5 },
-		"no report":           func(s *snapshot.Snapshot) { s.Servers[0].Load.Utilization = math.NaN() },
+		"more than all fail":  func(s *snapshot.Snapshot) { s.Servers[0].FailureRatio = 1.5 },
+		"no report":           func(s *snapshot.Snapshot) { s.Servers[0].LoadReport.Utilization = math.NaN() },
 	} {
 		s := example(3)
 		change(s)
@@ -96,15 +97,15 @@
 		_, err = snapshot.Decode(b)
 		require.ErrorIs(t, err, snapshot.ErrContent, what)
 	}
-	_, err := snapshot.Encode(&snapshot.Snapshot{Servers: make([]snapshot.Server, snapshot.ServersMost+1)})
+	_, err := snapshot.Encode(&snapshot.Snapshot{Servers: make([]snapshot.Server, snapshot.MaxServers+1)})
 	require.ErrorIs(t, err, snapshot.ErrTooLarge)
 }
 
 func TestAnotherFleetsFileIsForeign(t *testing.T) {
 	s := example(1)
-	require.NoError(t, s.Fits("n3", 42))
-	require.ErrorIs(t, s.Fits("n4", 42), snapshot.ErrForeign)
-	require.ErrorIs(t, s.Fits("n3", 43), snapshot.ErrForeign)
+	require.NoError(t, s.CheckOwner("n3", 42))
+	require.ErrorIs(t, s.CheckOwner("n4", 42), snapshot.ErrForeign)
+	require.ErrorIs(t, s.CheckOwner("n3", 43), snapshot.ErrForeign)
 	require.NotEqual(t, snapshot.Fingerprint([]byte("a")), snapshot.Fingerprint([]byte("b")))
 }
 
@@ -126,3 +127,25 @@
 		}
 	}
 }
+
+// A file that was written before the names in the code changed is read as it was meant.
+func TestDecodeReadsAFileOfTheFirstVersion(t *testing.T) {
+	b, err := os.ReadFile("testdata/as-found.moth")
+	require.NoError(t, err)
+	s, err := snapshot.Decode(b)
+	require.NoError(t, err)
+	require.Equal(t, &snapshot.Snapshot{
+		WrittenAt: 1000.5, Instance: "broker-1", SettingsFingerprint: 0xfeedc0ffee, ServiceTime: 0.021, PeakThroughput: 48.5,
+		Servers: []snapshot.Server{
+			{ID: "server-a", Started: 12.25, ServiceTime: 0.02, ServiceTimeAt: 999, FailureRatio: 0.125, FailureRatioAt: 998.5,
+				LoadReport: decision.LoadReport{
+					InFlight: 3, QueueLength: 2, Utilization: 0.5, Latency: 0.09, Rate: 7, ErrorRate: 1,
+				}, LoadReportedAt: 997},
+			{ID: "server-b", ServiceTime: 0.08, ServiceTimeAt: 1000, FailureRatio: 0.75, FailureRatioAt: 1000,
+				LoadReport: decision.NoLoadReport},
+		},
+	}, s)
+	again, err := snapshot.Encode(s)
+	require.NoError(t, err)
+	require.Equal(t, b, again, "to the byte")
+}
