--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -118,7 +118,7 @@
 func join(peers *config.Fleet, cfg *config.Config, log *slog.Logger, changed func(n int)) (*fleet.Plane, error) {
 	return fleet.Listen(fleet.Options{
 		Listen: peers.Listen, Advertise: peers.Advertise, Fleet: peers.Fleet, Name: peers.Name, Seeds: peers.Seeds,
-		Seed: cfg.Seed, Log: log, Changed: func(c membership.Count) {
+		Seed: cfg.Seed, Log: log, Changed: func(c membership.FleetSize) {
 			n := max(c.Sharing, cfg.Settings.Brokers)
 			if c.Fenced {
 				n = backoff.MostCallers
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -160,8 +160,8 @@
 
 func controlMember(key string, row controlFileMember) (ControlMember, error) {
 	m := ControlMember{Name: row.Name, ID: row.ID, Region: row.Region, Voter: row.Role == "voter"}
-	if row.Name == "" || len(row.Name) > plane.NameMost {
-		return m, bad(key+".name", "%q is empty or longer than %d bytes", row.Name, plane.NameMost)
+	if row.Name == "" || len(row.Name) > plane.MaxNameLength {
+		return m, bad(key+".name", "%q is empty or longer than %d bytes", row.Name, plane.MaxNameLength)
 	}
 	if row.ID == 0 {
 		return m, bad(key+".id", "is missing or 0")
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -41,8 +41,8 @@
 	if f.Fleet == "" {
 		return nil, bad("fleet.fleet", "is missing")
 	}
-	if f.Name == "" || len(f.Name) > plane.NameMost {
-		return nil, bad("fleet.name", "%q is empty or longer than %d bytes", f.Name, plane.NameMost)
+	if f.Name == "" || len(f.Name) > plane.MaxNameLength {
+		return nil, bad("fleet.name", "%q is empty or longer than %d bytes", f.Name, plane.MaxNameLength)
 	}
 	out := &Fleet{Fleet: f.Fleet, Name: f.Name}
 	if out.Listen, err = netip.ParseAddrPort(f.Listen); err != nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	inboxMost  = 512                    // datagrams read and not yet looked at; more are dropped and counted
-	sendLimit  = 5 * time.Millisecond   // a send that the system cannot take at once is dropped: it may be lost anyway
-	reportTime = 10 * time.Second       // between two lines of dropped datagrams
-	farewell   = 100 * time.Millisecond // between the two farewells: one may be lost
+	maxInbox    = 512                    // datagrams read and not yet looked at; more are dropped and counted
+	sendLimit   = 5 * time.Millisecond   // a send that the system cannot take at once is dropped: it may be lost anyway
+	logInterval = 10 * time.Second       // between two lines of dropped datagrams
+	farewell    = 100 * time.Millisecond // between the two farewells: one may be lost
 )
 
 // Options are what a deployment fixes.
@@ -37,23 +37,23 @@
 	Seed      uint64
 	Log       *slog.Logger
 	// Changed is told, by the loop, of each change of the fleet's count. It must not block.
-	Changed func(membership.Count)
+	Changed func(membership.FleetSize)
 }
 
 // Plane is this process's end of the plane. Make it with Listen, then Run it.
 type Plane struct {
-	opt   Options
-	conn  *net.UDPConn
-	fleet uint64
-	view  *membership.View
-	began time.Time // the clock of the view, which runs on when the system's is set
-	inbox chan datagram
-	count atomic.Pointer[membership.Count]
+	opt       Options
+	conn      *net.UDPConn
+	fleet     uint64
+	view      *membership.View
+	began     time.Time // the clock of the view, which runs on when the system's is set
+	inbox     chan datagram
+	fleetSize atomic.Pointer[membership.FleetSize]
 
-	crowded atomic.Int64 // datagrams dropped because the loop was behind
-	drops   map[string]int
-	told    time.Time // when drops were last reported
-	out     []byte
+	crowded  atomic.Int64 // datagrams dropped because the loop was behind
+	drops    map[string]int
+	notified time.Time // when drops were last reported
+	out      []byte
 }
 
 type datagram struct {
@@ -72,7 +72,7 @@
 		opt.Advertise = conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	}
 	p := &Plane{opt: opt, conn: conn, fleet: plane.Fleet(opt.Fleet), began: time.Now(),
-		inbox: make(chan datagram, inboxMost), drops: map[string]int{}, told: time.Now()}
+		inbox: make(chan datagram, maxInbox), drops: map[string]int{}, notified: time.Now()}
 	seeds := slices.DeleteFunc(slices.Clone(opt.Seeds), func(a netip.AddrPort) bool { return a == opt.Advertise })
 	p.view = membership.New(membership.Options{
 		Self:  membership.Instance{Name: opt.Name, Start: uint64(p.began.UnixNano()), Addr: opt.Advertise},
@@ -81,13 +81,13 @@
 			opt.Log.Info("a broker of the fleet", "member", m.Name, "start", m.Start, "addr", m.Addr, "is", m.Status)
 		},
 	})
-	first := p.view.Count()
-	p.count.Store(&first)
+	first := p.view.FleetSize()
+	p.fleetSize.Store(&first)
 	return p, nil
 }
 
-// Count tells how the fleet stood when the loop last looked. Any goroutine may ask.
-func (p *Plane) Count() membership.Count { return *p.count.Load() }
+// FleetSize tells how the fleet stood when the loop last looked. Any goroutine may ask.
+func (p *Plane) FleetSize() membership.FleetSize { return *p.fleetSize.Load() }
 
 // Run is the loop. It returns when ctx ends, after a farewell.
 func (p *Plane) Run(ctx context.Context) {
@@ -123,15 +123,15 @@
 
 // look takes up what has changed.
 func (p *Plane) look() {
-	c := p.view.Count()
-	if old := p.count.Swap(&c); *old != c {
+	c := p.view.FleetSize()
+	if old := p.fleetSize.Swap(&c); *old != c {
 		p.opt.Log.Info("the fleet", "alive", c.Alive, "known", c.Known, "sharing", c.Sharing, "fenced", c.Fenced)
 		if p.opt.Changed != nil {
 			p.opt.Changed(c)
 		}
 	}
-	if now := time.Now(); now.Sub(p.told) >= reportTime {
-		p.told = now
+	if now := time.Now(); now.Sub(p.notified) >= logInterval {
+		p.notified = now
 		if n := p.crowded.Swap(0); n > 0 {
 			p.drops["crowded out"] += int(n)
 		}
@@ -144,7 +144,7 @@
 
 // read reads datagrams until the socket is closed. What cannot be used costs no more than its reading.
 func (p *Plane) read() {
-	buf := make([]byte, plane.Most+1)
+	buf := make([]byte, plane.MaxSize+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -60,11 +60,11 @@
 	c, _, endC := start(t, io.Discard, "3", seed)
 	defer endC()
 	for _, p := range []*fleet.Plane{a, b, c} {
-		require.Eventually(t, func() bool { return p.Count().Alive == 3 }, 10*time.Second, 20*time.Millisecond)
+		require.Eventually(t, func() bool { return p.FleetSize().Alive == 3 }, 10*time.Second, 20*time.Millisecond)
 	}
 	endB()
 	require.Eventually(t, func() bool {
-		return a.Count() == membership.Count{Alive: 2, Known: 2, Sharing: 2} && c.Count().Alive == 2
+		return a.FleetSize() == membership.FleetSize{Alive: 2, Known: 2, Sharing: 2} && c.FleetSize().Alive == 2
 	}, 3*time.Second, 20*time.Millisecond)
 }
 
@@ -89,5 +89,5 @@
 		s := log.String()
 		return strings.Contains(s, "of another fleet") && strings.Contains(s, "torn") && strings.Contains(s, "oversized")
 	}, 15*time.Second, 50*time.Millisecond)
-	require.Equal(t, 1, p.Count().Alive)
+	require.Equal(t, 1, p.FleetSize().Alive)
 }
--- a/internal/membership/count_test.go
+++ b/internal/membership/count_test.go
@@ -38,7 +38,7 @@
 	for name, s := range best {
 		if s == Alive {
 			alive++
-		} else if v.now-latest[name] < 2*fencedTime {
+		} else if v.now-latest[name] < 2*fenceDelay {
 			lately++
 		}
 	}
@@ -70,30 +70,30 @@
 				v.forget()
 			}
 			alive, known, lately := recount(v)
-			c := v.Count()
+			c := v.FleetSize()
 			require.Equal(t, [2]int{alive, known}, [2]int{c.Alive, c.Known}, "seed %d, step %d", seed, step)
 			require.Contains(t, []int{alive + lately, known}, c.Sharing)
-			require.Equal(t, lately, v.brokers.lostWithin(2*fencedTime, v.now))
+			require.Equal(t, lately, v.brokers.lostWithin(2*fenceDelay, v.now))
 		}
 	}
 }
 
 func BenchmarkCount(b *testing.B) {
-	v := viewOf(Most)
+	v := viewOf(MaxMembers)
 	for b.Loop() {
-		v.Count()
+		v.FleetSize()
 	}
 }
 
 func BenchmarkAssignObservers(b *testing.B) {
-	v := viewOf(Most)
+	v := viewOf(MaxMembers)
 	for b.Loop() {
 		v.assignObservers()
 	}
 }
 
 func BenchmarkTick(b *testing.B) {
-	v := viewOf(Most)
+	v := viewOf(MaxMembers)
 	for b.Loop() {
 		v.Tick(v.now + TickEvery)
 	}
--- a/internal/membership/count.go
+++ b/internal/membership/fleetsize.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Count is how a broker's fleet stands. Brokers are names: the two processes of a replacement are one.
-type Count struct {
+// FleetSize is the size of a broker's fleet, as it sees it. Brokers are names: the two processes of a replacement are one.
+type FleetSize struct {
 	Alive   int // brokers that live, this one included
 	Known   int // brokers that live or are lost, but have not left
-	Sharing int // brokers to divide a common share by
+	Sharing int // brokers to divide a common budget by
 	Fenced  bool
 }
 
-// Count tells how the fleet stands. Who is cut off looks like one who is dead, so the lost keep their part of what is
-// shared: only a side that sees more than half of all may divide it by those that it sees, and only once those that it
-// lost must know that they are the minority. A broker that has been in a minority for that long is fenced: it uses no
-// part at all. A fleet that truly lost most of its brokers is fenced as well, until they are back or forgotten.
-func (v *View) Count() Count {
+// FleetSize returns the size of the fleet. A broker that is cut off looks like one that is dead, so the lost keep their part
+// of what is shared: only a side that sees more than half of all may divide it by those that it sees, and only once those
+// that it lost must know that they are the minority. A broker that has been in a minority for that long is fenced: it uses
+// no part at all. A fleet that truly lost most of its brokers is fenced as well, until they are back or forgotten.
+func (v *View) FleetSize() FleetSize {
 	if v.brokersChanged {
-		v.brokers, v.brokersChanged = v.countBrokers(), false
+		v.brokers, v.brokersChanged = v.groupBrokers(), false
 	}
-	c := Count{Alive: v.brokers.alive, Known: v.brokers.alive + len(v.brokers.lostAt)}
+	c := FleetSize{Alive: v.brokers.alive, Known: v.brokers.alive + len(v.brokers.lostAt)}
 	if 2*c.Alive > c.Known && !v.isolated() {
 		v.minoritySince = -1
-		c.Sharing = c.Alive + v.brokers.lostWithin(2*fencedTime, v.now)
+		c.Sharing = c.Alive + v.brokers.lostWithin(2*fenceDelay, v.now)
 		return c
 	}
 	if v.minoritySince < 0 {
 		v.minoritySince = v.now
 	}
-	c.Sharing, c.Fenced = c.Known, v.now-v.minoritySince >= fencedTime
+	c.Sharing, c.Fenced = c.Known, v.now-v.minoritySince >= fenceDelay
 	return c
 }
 
@@ -38,7 +38,7 @@
 	lostAt []time.Duration // of each that is lost: since when its latest instance is
 }
 
-func (v *View) countBrokers() (b brokers) {
+func (v *View) groupBrokers() (b brokers) {
 	alive := map[string]bool{}
 	lostAt := map[string]time.Duration{}
 	for _, m := range v.roster {
--- a/internal/membership/fuzz_test.go
+++ b/internal/membership/fuzz_test.go
@@ -25,7 +25,7 @@
 		now, bytes, seq := time.Duration(0), 0, uint64(0)
 		spend := func(out []membership.Send) {
 			for _, s := range out {
-				require.LessOrEqual(t, plane.Size(s.Data), plane.Most+plane.Overhead)
+				require.LessOrEqual(t, plane.Size(s.Data), plane.MaxSize+plane.Overhead)
 				bytes += plane.Size(s.Data)
 			}
 		}
@@ -62,7 +62,7 @@
 				require.Equal(t, membership.Alive, m.Status)
 			}
 		}
-		c := v.Count()
+		c := v.FleetSize()
 		require.LessOrEqual(t, c.Alive, c.Known)
 		require.GreaterOrEqual(t, c.Sharing, c.Alive)
 		require.Less(t, float64(bytes), 4000*now.Seconds()+10_000+100*float64(took)) // beside a pong for each that came
--- a/internal/membership/gossip.go
+++ b/internal/membership/gossip.go
@@ -9,16 +9,16 @@
 
 // push tells some others of what is new. A vector says it all to those with the same roster, and only to them.
 func (v *View) push() {
-	differs, told := v.now-v.differedAt < differFor, fanout
+	differs, told := v.now-v.differedAt < divergenceWindow, fanout
 	if differs {
 		// While rosters differ, what another lacks is better sent when it asks: then it is only that.
-		told, v.pushAt = 1, v.now+pushEvery
+		told, v.pushAt = 1, v.now+pushInterval
 	}
 	var news []*member
 	for _, m := range v.roster {
-		if m.news {
+		if m.gossipPending {
 			news = append(news, m)
-			m.news = false
+			m.gossipPending = false
 		}
 	}
 	for _, m := range v.pick(told, anyMember) {
@@ -26,7 +26,7 @@
 		if differs {
 			d.Vector = nil
 			for i := range news {
-				if d.Entries = append(d.Entries, v.entry(news[i])); plane.Size(d) > entriesMost {
+				if d.Entries = append(d.Entries, v.entry(news[i])); plane.Size(d) > maxEntriesSize {
 					d.Entries = d.Entries[:len(d.Entries)-1]
 					break
 				}
@@ -80,7 +80,7 @@
 
 // acceptOwnState answers a verdict on this member itself: it lives, and says so, unless it ends.
 func (v *View) acceptOwnState(s state) {
-	if s.supersedes(v.self.state) && s.status() != Left && !v.leaving {
+	if s.supersedes(v.self.state) && s.status() != Left && !v.left {
 		v.sum(v.self, -1)
 		v.self.state, v.self.since = s, v.now // what others hold of it, until one has had its answer to a ping
 		v.sum(v.self, 1)
@@ -96,9 +96,9 @@
 		v.acceptOwnState(s)
 	case m != nil:
 		v.set(m, s)
-	case len(v.roster) >= rosterMost || s.status() == Alive && v.living >= Most:
+	case len(v.roster) >= maxRoster || s.status() == Alive && v.living >= MaxMembers:
 	default:
 		m = v.add(i, s)
-		m.since -= time.Duration(min(e.Age, uint32(forgetTime/time.Second))) * time.Second
+		m.since -= time.Duration(min(e.Age, uint32(lostRetention/time.Second))) * time.Second
 	}
 }
--- a/internal/membership/instance.go
+++ b/internal/membership/instance.go
@@ -14,8 +14,8 @@
 // What members are taken for.
 const (
 	Alive Status = iota
-	Lost         // silent to all who were asked: dead, or cut off
-	Left         // has said so
+	Lost         // silent to all that were asked: dead, or cut off
+	Left         // has left by itself
 )
 
 func (s Status) String() string { return [...]string{"alive", "lost", "left", "unknown"}[min(s, 3)] }
@@ -41,22 +41,22 @@
 // member is an instance with what this view knows of it.
 type member struct {
 	Instance
-	id    uint64
-	state state
-	since time.Duration // of the state
-	heard time.Duration // when a datagram of it came, or another heard of it; 0: never
-
-	seq  uint64 // the highest taken
-	seen uint64 // bit i: seq - i was taken
-
-	observed      bool
-	suspected     bool          // observed because it did not answer a ping, whoever else observes it
-	unanswered    time.Duration // when a ping was sent that it never answered, the first since it was heard; 0: none
-	silentSince   time.Duration // as its observer: when it was last known to live, from this process's own wakefulness on
-	askedAt       time.Duration
-	confirmations map[uint64]time.Duration // helpers that found it silent, and when
-
-	news bool // its entry has to be told to others
+	id        uint64
+	state     state
+	since     time.Duration // of the state
+	lastHeard time.Duration // when a datagram of it was received, or a helper heard of it; 0: never
+
+	seq       uint64 // the highest accepted
+	seqWindow uint64 // bit i: seq - i was accepted
+
+	observed       bool
+	suspected      bool          // observed because it did not answer a ping, whoever else observes it
+	unanswered     time.Duration // when a ping was sent that it never answered, the first since it was heard; 0: none
+	silentSince    time.Duration // as its observer: when it was last known to live, from this process's own wakefulness on
+	indirectPingAt time.Duration
+	confirmations  map[uint64]time.Duration // helpers that found it silent, and when
+
+	gossipPending bool // its entry has to be gossiped
 }
 
 // state is an epoch, which each revival raises, with a status. The later epoch wins, in it the worse status.
@@ -84,16 +84,16 @@
 	return s.status() > o.status()
 }
 
-// acceptSeq takes a number once. Those that are far behind the latest count as taken.
+// acceptSeq accepts a sequence number once. Those that are far behind the latest count as accepted before.
 func (m *member) acceptSeq(seq uint64) bool {
 	switch {
 	case seq > m.seq:
-		m.seen = m.seen<<min(seq-m.seq, 64) | 1
+		m.seqWindow = m.seqWindow<<min(seq-m.seq, 64) | 1
 		m.seq = seq
 		return true
-	case m.seq-seq >= 64 || m.seen>>(m.seq-seq)&1 == 1:
+	case m.seq-seq >= 64 || m.seqWindow>>(m.seq-seq)&1 == 1:
 		return false
 	}
-	m.seen |= 1 << (m.seq - seq)
+	m.seqWindow |= 1 << (m.seq - seq)
 	return true
 }
--- a/internal/membership/limits.go
+++ b/internal/membership/limits.go
@@ -2,57 +2,77 @@
 
 import "time"
 
+// Sizes.
 const (
-	// Most is how many members there may be. Instances of the past take room until they are forgotten. All states go
-	// into one datagram, a byte an instance: of plane.Most, 1,200 bytes, 1,156 are left beside the header, enough for a
-	// roster of 1,000. docs/fleet.md (Open) tells what binds a larger one.
-	Most       = 500
-	rosterMost = 2 * Most
-
-	rings          = 6                      // of observers; each member has as many, and observes as many
-	heartbeatEvery = 250 * time.Millisecond // to each observer
-	// lostAfter is how long a member must have been silent: longer than the longest pause that it may make (4 s) and a
+	// MaxMembers is how many members there may be. Instances of the past take a place until they are forgotten. All states
+	// go into one datagram, a byte an instance: of plane.MaxSize, 1,200 bytes, 1,156 are left beside the header, enough for
+	// a roster of 1,000. docs/fleet.md (Open) tells what limits a larger one.
+	MaxMembers = 500
+
+	maxRoster        = 2 * MaxMembers
+	rings            = 6    // of observers; each member has as many, and observes as many
+	helpers          = 2    // members that are asked at once to ping a silent one
+	maxConfirmations = 2    // helpers that have to find it silent too
+	maxSuspected     = 3    // members observed at once because they did not answer a ping
+	maxExtraPings    = 3    // lost members pinged beside the one, where as many of those observed are silent
+	fanout           = 5    // members that an update is pushed to at once
+	rosterSlices     = 8    // a roster is asked for in slices, so that asking costs less than what is answered
+	maxEntriesSize   = 1100 // bytes of a datagram of instances, with IP and UDP headers
+	maxOpenPings     = 256  // numbers that wait for a pong
+)
+
+// Failure detection.
+const (
+	heartbeatInterval = 250 * time.Millisecond // to each observer
+
+	// lossTimeout is how long a member must have been silent: longer than the longest pause that it may make (4 s) and a
 	// heartbeat, and short enough that all know of a death within 5 s.
-	lostAfter = 4450 * time.Millisecond
-	// Of silence, others are asked, and again. That is twice before the verdict: where most members die at once, each
-	// that is left observes several of the dead, and all that is asked has to fit into what may be sent.
-	askAfter          = 2200 * time.Millisecond
-	askEvery          = 1500 * time.Millisecond
-	askWait           = 300 * time.Millisecond  // that a helper waits for an answer
-	helpers           = 2                       // asked at once
-	confirmationsMost = 2                       // helpers that have to find it silent too
-	confirmationFor   = 2500 * time.Millisecond // for which a helper's word counts
-	pausedAfter       = 500 * time.Millisecond  // between two looks at the clock: this process was stopped, or its clock jumped
-	probeEvery        = 500 * time.Millisecond  // one lost member is pinged: a cut may have healed
-	pushEvery         = 500 * time.Millisecond  // news are pushed, while rosters differ
-	introduceEvery    = 200 * time.Millisecond  // one unknown instance is asked who it is
-	joinEvery         = 250 * time.Millisecond  // a newcomer asks for the roster
-	seedEvery         = 5 * time.Second         // a seed that is no member is asked: two fleets may have begun apart
-	syncEvery         = 300 * time.Millisecond  // while rosters differ, another's is asked for what is missing of a slice
-	rosterSlices      = 8                       // so that asking costs less than what is answered
-	differFor         = time.Second             // rosters that differed so lately may still
-	pingFor           = 2 * time.Second         // a ping's number is good
-	recent            = time.Second             // a member heard of within it lives for sure
-	helperHeardFor    = 3 * time.Second         // and within it can be asked for help
-	suspectedMost     = 3                       // members observed at once because they did not answer a ping
-	extraProbesMost   = 3                       // members pinged beside the one, where as many of those observed are silent
-	fanout            = 5                       // members that hear of news at once
-	forgetTime        = 90 * time.Minute        // after which an instance that is lost is forgotten, see below
-	leftTime          = 10 * time.Second        // the same where it has left, or another of its name lives
-	forgetLead        = 3 * time.Second         // before that, it is no longer told of
-	fencedTime        = 20 * time.Second        // in a minority, after which a broker uses no part of a common share
-	entriesMost       = 1100                    // bytes of a datagram of instances, with IP and UDP
-
-	// forgetTime is longer than regions lose each other for (an hour) with half of that to spare. A side that forgot the
-	// other within a cut would take itself for the whole fleet and use all of what is shared, as the other does. What it
-	// costs is bounded: an instance whose broker is back is forgotten after leftTime, so that in 90 minutes only brokers
-	// that never came back pile up. With 27 machines failed a day those are 2, with a zone of ten lost 60 of 590 beside;
-	// each takes a place in the roster, a byte in the vector and no more pings, of which there is one a probeEvery.
-
-	// What is sent beside heartbeats and pongs, in bytes a second on the wire: to find out who lives, and to tell of it.
-	// With the heartbeats, that is under 4 KB/s over any 10 s.
-	probeBytes, probeBurst   = 800, 2000
-	gossipBytes, gossipBurst = 1700, 2000
-
-	openPingsMost = 256 // numbers that wait for a pong
+	lossTimeout = 4450 * time.Millisecond
+
+	// A silent member is pinged indirectly, by helpers, and again. That is twice before the verdict: where most members die
+	// at once, each that is left observes several of the dead, and all requests have to fit into what may be sent.
+	indirectPingAfter    = 2200 * time.Millisecond
+	indirectPingInterval = 1500 * time.Millisecond
+	indirectPingTimeout  = 300 * time.Millisecond // that a helper waits for an answer
+
+	confirmationLifetime = 2500 * time.Millisecond // for which a helper's finding counts
+	pauseThreshold       = 500 * time.Millisecond  // between two ticks: this process was stopped, or its clock jumped
+	lostPingInterval     = 500 * time.Millisecond  // a lost member is pinged: a cut may have healed
+	pingTimeout          = 2 * time.Second         // for which a ping's number is good
+	aliveWindow          = time.Second             // a member heard of within it is proven alive
+	helperWindow         = 3 * time.Second         // and within it may be a helper
+)
+
+// Dissemination.
+const (
+	pushInterval      = 500 * time.Millisecond // updates are pushed, while rosters differ
+	introduceInterval = 200 * time.Millisecond // an unknown instance is asked who it is
+	joinInterval      = 250 * time.Millisecond // a newcomer asks for the roster
+	seedInterval      = 5 * time.Second        // a seed that is no member is asked: two fleets may have begun apart
+	syncInterval      = 300 * time.Millisecond // while rosters differ, another's is asked for what is missing of a slice
+	divergenceWindow  = time.Second            // rosters that differed so lately may still
+)
+
+// Retention.
+const (
+	// lostRetention is after how long an instance that is lost is forgotten. It is longer than regions lose each other for
+	// (an hour) with half of that to spare. A side that forgot the other within a cut would take itself for the whole fleet
+	// and use all of what is shared, as the other does. What it costs is bounded: an instance whose broker is back is
+	// forgotten after leftRetention, so that in 90 minutes only brokers that never came back pile up. With 27 machines
+	// failed a day those are 2, with a zone of ten lost 60 of 590 beside; each takes a place in the roster, a byte in the
+	// vector and no more pings, of which there is one a lostPingInterval.
+	lostRetention = 90 * time.Minute
+
+	leftRetention  = 10 * time.Second // the same where it has left, or another of its name lives
+	gossipStopLead = 3 * time.Second  // before that, it is gossiped no more
+	fenceDelay     = 20 * time.Second // in a minority, after which a broker uses no part of what is shared
+)
+
+// Token buckets, in bytes on the wire: what is sent beside heartbeats and pongs, to find out who lives and to gossip it.
+// With the heartbeats, that is under 4 KB/s over any 10 s.
+const (
+	pingBytesPerSecond   = 800
+	pingBurstBytes       = 2000
+	gossipBytesPerSecond = 1700
+	gossipBurstBytes     = 2000
 )
--- a/internal/membership/limits_test.go
+++ b/internal/membership/limits_test.go
@@ -19,12 +19,12 @@
 // grew further could tell no states any more.
 func TestTheVectorOfAFullRosterFitsADatagram(t *testing.T) {
 	v := viewOf(1)
-	for i := 0; len(v.roster) < rosterMost; i++ {
+	for i := 0; len(v.roster) < maxRoster; i++ {
 		v.add(Instance{Name: fmt.Sprint("b", i), Start: 1, Addr: v.self.Addr}, 0)
 	}
 	v.seq = math.MaxUint64 - 1
 	require.True(t, v.send(v.self.Addr, &planepb.Datagram{Vector: v.vector()}, nil))
 	size := plane.Size(v.flush()[0].Data) - plane.Overhead
-	require.LessOrEqual(t, size, plane.Most)
-	require.LessOrEqual(t, size-rosterMost, vectorHeader, "the arithmetic beside rosterMost")
+	require.LessOrEqual(t, size, plane.MaxSize)
+	require.LessOrEqual(t, size-maxRoster, vectorHeader, "the arithmetic beside rosterMost")
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,11 +1,12 @@
-// Package membership keeps one broker's view of which brokers of its fleet live. It does no I/O and keeps no clock: a
-// driver hands in the time and the datagrams that came, and sends those that it returns. docs/fleet.md weighs the
-// options and tells how the parts work together.
+// Package membership keeps one broker's view of which brokers of its fleet live, in the manner of SWIM with Lifeguard's
+// refinements and Rapid's rings of observers. It does no I/O and keeps no clock: a driver hands in the time and the
+// datagrams received, and sends those that it returns. docs/fleet.md weighs the options and tells how the parts work
+// together.
 //
 // Members are instances: a broker's name with the start of its process. Each sends heartbeats to a few observers, its successors
 // on several rings of all members. An observer that has heard nothing of a member for some time has others ping it, and
-// only with their word that it is silent for them too, and not merely for the observer, takes it for lost. States
-// travel as one vector of the whole fleet, a byte a member, and the later one always wins.
+// takes it for lost only once they confirm that it is silent for them too. States are gossiped as one vector of the whole
+// fleet, a byte a member, and the later one always wins.
 package membership
 
 import (
@@ -38,36 +39,36 @@
 	observers []*member // of self
 	observed  []*member // whom self observes
 
-	pings         map[uint32]ping
-	lastPing      uint32
-	heartbeatAt   time.Duration
-	joinAt        time.Duration
-	syncAt        time.Duration
-	pushAt        time.Duration
-	probeAt       time.Duration
-	introduceAt   time.Duration
-	minoritySince time.Duration // since when fewer than half are seen; -1: they are not
-	lastSlice     uint32        // asked for last
-	differedAt    time.Duration // when a roster other than this one was last heard of
-	probeBudget   tokenBucket
-	gossipBudget  tokenBucket
-	lastTick      time.Duration // the latest Tick
-	began         bool          // Tick has been called
-	pushPending   bool          // the vector has news
-	leaving       bool
-	Drops         int // datagrams that were replayed, old or of nobody known
+	pings            map[uint32]ping
+	lastPing         uint32
+	heartbeatAt      time.Duration
+	joinAt           time.Duration
+	syncAt           time.Duration
+	pushAt           time.Duration
+	lostPingAt       time.Duration
+	introduceAt      time.Duration
+	minoritySince    time.Duration // since when fewer than half are seen; -1: they are not
+	lastSlice        uint32        // the latest that was asked for
+	differedAt       time.Duration // when a roster other than this one was last heard of
+	pingBudget       tokenBucket
+	gossipBudget     tokenBucket
+	lastTick         time.Duration // the latest Tick
+	began            bool          // Tick has been called
+	pushPending      bool          // the vector has changed
+	left             bool
+	DroppedDatagrams int // that were replayed, old or of an unknown sender
 }
 
 // sums are hashes of all instances, and of all instances with their states.
 type sums struct{ roster, states uint32 }
 
-// Options are what a broker tells of itself.
+// Options describe a broker and how it joins.
 type Options struct {
 	Self  Instance
 	Fleet uint64
 	Seeds []netip.AddrPort // to join by
 	Seed  uint64           // for random numbers
-	// Changed is told of each change of a member's status, and of new members; nil: nobody is.
+	// Changed is called for each change of a member's status, and for new members; nil: it is not.
 	Changed func(Member)
 }
 
@@ -77,12 +78,12 @@
 	Data *planepb.Datagram
 }
 
-// New returns the view of a broker that knows nobody yet.
+// New returns the view of a broker that knows no other yet.
 func New(opt Options) *View {
 	v := &View{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0x510e527fade682d1)), byID: map[uint64]*member{},
-		pings: map[uint32]ping{}, minoritySince: -1, differedAt: -differFor,
-		probeBudget:  tokenBucket{rate: probeBytes, burst: probeBurst, left: probeBurst},
-		gossipBudget: tokenBucket{rate: gossipBytes, burst: gossipBurst, left: gossipBurst}}
+		pings: map[uint32]ping{}, minoritySince: -1, differedAt: -divergenceWindow,
+		pingBudget:   tokenBucket{rate: pingBytesPerSecond, burst: pingBurstBytes, tokens: pingBurstBytes},
+		gossipBudget: tokenBucket{rate: gossipBytesPerSecond, burst: gossipBurstBytes, tokens: gossipBurstBytes}}
 	v.self = v.add(opt.Self, 0)
 	return v
 }
@@ -101,7 +102,7 @@
 	var all []Member
 	for _, m := range v.roster {
 		s := m.state.status()
-		if m == v.self && !v.leaving {
+		if m == v.self && !v.left {
 			s = Alive
 		}
 		all = append(all, Member{m.Instance, s})
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -149,7 +149,7 @@
 				}
 				require.Empty(t, a.removed)
 				if deaf {
-					require.True(t, a.Count().Fenced, "it knows that it is cut off")
+					require.True(t, a.FleetSize().Fenced, "it knows that it is cut off")
 				}
 				w.cut = func(_, _ *node) bool { return false }
 				w.run(w.now + 5*time.Second)
@@ -172,7 +172,7 @@
 				w.run(w.now + time.Second)
 				parts := 0.0
 				for _, x := range w.nodes {
-					if c := x.Count(); !c.Fenced {
+					if c := x.FleetSize(); !c.Fenced {
 						parts += 1 / float64(c.Sharing)
 					}
 				}
@@ -239,11 +239,11 @@
 		w.byAddr[old.addr] = old
 		w.start(old.i)
 		w.run(w.now + 5*time.Second)
-		require.Equal(t, len(w.nodes), w.nodes[0].Count().Alive)
+		require.Equal(t, len(w.nodes), w.nodes[0].FleetSize().Alive)
 		old.dead = true
 		w.run(w.now + 6*time.Second)
-		require.Equal(t, len(w.nodes), w.nodes[0].Count().Alive)
-		require.Equal(t, len(w.nodes), w.nodes[0].Count().Known)
+		require.Equal(t, len(w.nodes), w.nodes[0].FleetSize().Alive)
+		require.Equal(t, len(w.nodes), w.nodes[0].FleetSize().Known)
 	})
 }
 
@@ -277,13 +277,13 @@
 		w.run(w.now + time.Second)
 		w.hold = func(_, _ *node) bool { return false }
 		first := w.held[0]
-		drops := first.to.Drops
+		drops := first.to.DroppedDatagrams
 		w.carry(first.to, first.to.Receive(w.now, first.from, first.data))
-		require.Equal(t, drops, first.to.Drops)
+		require.Equal(t, drops, first.to.DroppedDatagrams)
 		for range 3 {
 			w.carry(first.to, first.to.Receive(w.now, first.from, first.data))
 		}
-		require.Equal(t, drops+3, first.to.Drops)
+		require.Equal(t, drops+3, first.to.DroppedDatagrams)
 	})
 }
 
@@ -299,7 +299,7 @@
 		w.run(w.now + 30*time.Second)
 		parts := 0.0
 		for _, x := range w.nodes {
-			c := x.Count()
+			c := x.FleetSize()
 			require.Equal(t, 5, c.Known, "n%d has forgotten others after %v", x.i, w.now)
 			if !c.Fenced {
 				parts += 1 / float64(c.Sharing)
@@ -308,7 +308,7 @@
 		require.LessOrEqual(t, parts, 1.0001, "after %v", w.now)
 	}
 	for _, x := range w.nodes {
-		require.Equal(t, region(x), x.Count().Fenced)
+		require.Equal(t, region(x), x.FleetSize().Fenced)
 	}
 	w.cut = func(_, _ *node) bool { return false }
 	w.run(w.now + 5*time.Second)
--- a/internal/membership/net_test.go
+++ b/internal/membership/net_test.go
@@ -148,7 +148,7 @@
 func (w *network) carry(x *node, out []membership.Send) {
 	for _, s := range out {
 		size := plane.Size(s.Data)
-		if size > plane.Most+plane.Overhead {
+		if size > plane.MaxSize+plane.Overhead {
 			w.t.Fatalf("a datagram of %d bytes", size)
 		}
 		x.sent += size
--- a/internal/membership/ping.go
+++ b/internal/membership/ping.go
@@ -8,28 +8,28 @@
 )
 
 type ping struct {
-	to    uint64
-	at    time.Duration
-	until time.Duration
-	asker uint64 // who wants to know; 0: nobody
-	ask   uint32
+	to            uint64
+	at            time.Duration
+	until         time.Duration
+	requester     uint64 // a member that wants to know; 0: this one
+	requestNumber uint32
 }
 
 // ping sends a ping, and remembers for whom. It tells whether it was sent.
-func (v *View) ping(to netip.AddrPort, id uint64, d *planepb.Datagram, asker uint64, ask uint32) bool {
-	if len(v.pings) >= openPingsMost {
+func (v *View) ping(to netip.AddrPort, id uint64, d *planepb.Datagram, requester uint64, requestNumber uint32) bool {
+	if len(v.pings) >= maxOpenPings {
 		return false
 	}
 	v.lastPing = max(v.lastPing+1, 1)
-	wait := pingFor
-	if asker != 0 {
-		wait = askWait
+	wait := pingTimeout
+	if requester != 0 {
+		wait = indirectPingTimeout
 	}
 	d.Ping = v.lastPing
-	if !v.send(to, d, &v.probeBudget) {
+	if !v.send(to, d, &v.pingBudget) {
 		return false
 	}
-	v.pings[v.lastPing] = ping{id, v.now, v.now + wait, asker, ask}
+	v.pings[v.lastPing] = ping{id, v.now, v.now + wait, requester, requestNumber}
 	return true
 }
 
@@ -39,13 +39,13 @@
 		return
 	}
 	if d.Who {
-		v.send(m.Addr, &planepb.Datagram{Pong: d.Ping, Self: v.entry(v.self)}, &v.probeBudget)
+		v.send(m.Addr, &planepb.Datagram{Pong: d.Ping, Self: v.entry(v.self)}, &v.pingBudget)
 		return
 	}
 	v.send(m.Addr, &planepb.Datagram{Pong: d.Ping}, nil)
 }
 
-// receivePong takes an answer to a ping: a sign of life for this member, or for one that asked for help.
+// receivePong takes an answer to a ping, sent by this member for itself or for one that asked for an indirect ping.
 func (v *View) receivePong(m *member, d *planepb.Datagram) {
 	p, ok := v.pings[d.Pong]
 	if d.Pong == 0 || !ok || p.to != m.id {
@@ -55,8 +55,8 @@
 	if m.state.status() == Lost {
 		v.set(m, m.state.revived())
 	}
-	m.heard, m.silentSince = v.now, v.now
-	if asker := v.byID[p.asker]; asker != nil {
-		v.send(asker.Addr, &planepb.Datagram{About: m.id, Tell: p.ask, Heard: true}, &v.probeBudget)
+	m.lastHeard, m.silentSince = v.now, v.now
+	if asker := v.byID[p.requester]; asker != nil {
+		v.send(asker.Addr, &planepb.Datagram{About: m.id, Tell: p.requestNumber, Heard: true}, &v.pingBudget)
 	}
 }
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -13,13 +13,13 @@
 	m := v.byID[d.From]
 	switch {
 	case m == v.self:
-		v.Drops++ // one of its own, or of another that claims to be it
+		v.DroppedDatagrams++ // one of its own, or of another that claims to be it
 		return nil
 	case m == nil:
 		v.receiveUnknown(addr, d)
 		return v.flush()
 	case !m.acceptSeq(d.Seq):
-		v.Drops++
+		v.DroppedDatagrams++
 		return nil
 	}
 	switch m.state.status() {
@@ -33,7 +33,7 @@
 			return v.flush()
 		}
 	default:
-		m.heard, m.silentSince = v.now, v.now
+		m.lastHeard, m.silentSince = v.now, v.now
 		clear(m.confirmations)
 	}
 	v.answerPing(m, d)
@@ -55,10 +55,10 @@
 func (v *View) receiveUnknown(addr netip.AddrPort, d *planepb.Datagram) {
 	p, ok := v.pings[d.Pong]
 	if !ok || d.Pong == 0 || p.to != 0 && p.to != d.From || d.Self == nil {
-		v.Drops++
+		v.DroppedDatagrams++
 		met := v.now >= v.introduceAt || d.Ping != 0
 		if met {
-			v.introduceAt = v.now + introduceEvery
+			v.introduceAt = v.now + introduceInterval
 			met = v.ping(addr, 0, &planepb.Datagram{Pong: d.Ping, Self: v.entry(v.self), Who: true}, 0, 0)
 		}
 		if !met && d.Ping != 0 {
@@ -67,12 +67,12 @@
 		return
 	}
 	delete(v.pings, d.Pong)
-	if len(v.roster) >= rosterMost || v.living >= Most {
+	if len(v.roster) >= maxRoster || v.living >= MaxMembers {
 		return
 	}
 	m := v.add(instance(d.Self), 0)
 	m.acceptSeq(d.Seq)
-	m.heard = v.now
+	m.lastHeard = v.now
 	v.answerPing(m, d)
 	v.learn(m, d)
 }
@@ -80,7 +80,7 @@
 // Leave returns the farewell of this member. It is told to the neighbours and some others, who spread it.
 func (v *View) Leave(now time.Duration) []Send {
 	v.advance(now)
-	v.leaving = true
+	v.left = true
 	v.sum(v.self, -1)
 	v.self.state = v.self.state.in(Left)
 	v.sum(v.self, 1)
--- a/internal/membership/roster.go
+++ b/internal/membership/roster.go
@@ -10,7 +10,7 @@
 
 // add takes an instance into the roster.
 func (v *View) add(i Instance, s state) *member {
-	m := &member{Instance: i, id: i.ID(), state: s, since: v.now, confirmations: map[uint64]time.Duration{}, news: true}
+	m := &member{Instance: i, id: i.ID(), state: s, since: v.now, confirmations: map[uint64]time.Duration{}, gossipPending: true}
 	v.byID[m.id] = m
 	at, _ := slices.BinarySearchFunc(v.roster, m.id, func(o *member, id uint64) int { return cmp.Compare(o.id, id) })
 	v.roster = slices.Insert(v.roster, at, m)
@@ -45,7 +45,7 @@
 	m.state, m.since = s, v.now
 	v.sum(m, 1)
 	clear(m.confirmations)
-	m.news, v.pushPending = true, true
+	m.gossipPending, v.pushPending = true, true
 	if s.status() != was {
 		v.changed(m)
 	}
@@ -104,8 +104,8 @@
 		return 1<<63 - 1
 	case Lost:
 		if !slices.ContainsFunc(v.roster, func(o *member) bool { return o.Name == m.Name && v.alive(o) }) {
-			return forgetTime
+			return lostRetention
 		}
 	}
-	return leftTime
+	return leftRetention
 }
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -10,18 +10,18 @@
 
 // tokenBucket bounds what is sent a second.
 type tokenBucket struct {
-	rate, burst, left float64
-	at                time.Duration
+	rate, burst, tokens float64
+	at                  time.Duration
 }
 
 // take takes n bytes, all or nothing.
 func (b *tokenBucket) take(now time.Duration, n int) bool {
-	b.left = min(b.left+(now-b.at).Seconds()*b.rate, b.burst)
+	b.tokens = min(b.tokens+(now-b.at).Seconds()*b.rate, b.burst)
 	b.at = now
-	if b.left < float64(n) {
+	if b.tokens < float64(n) {
 		return false
 	}
-	b.left -= float64(n)
+	b.tokens -= float64(n)
 	return true
 }
 
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -7,7 +7,7 @@
 	"mothrouter/internal/plane/planepb"
 )
 
-// checkObserved looks after those whom this member observes.
+// checkObserved checks the members that this one observes.
 func (v *View) checkObserved() {
 	v.expirePings()
 	if v.ringsChanged {
@@ -29,17 +29,17 @@
 			continue
 		}
 		delete(v.pings, n)
-		if m := v.byID[p.to]; m != nil && m.heard < p.at && m.unanswered <= m.heard {
+		if m := v.byID[p.to]; m != nil && m.lastHeard < p.at && m.unanswered <= m.lastHeard {
 			m.unanswered = p.at
 		}
-		if m := v.byID[p.to]; m != nil && p.asker == 0 && !m.observed && m.heard < p.at && v.alive(m) &&
-			len(v.observed) < rings+suspectedMost {
+		if m := v.byID[p.to]; m != nil && p.requester == 0 && !m.observed && m.lastHeard < p.at && v.alive(m) &&
+			len(v.observed) < rings+maxSuspected {
 			// Where many die at once, all that observed one may be among them.
 			m.suspected, m.silentSince, v.ringsChanged = true, p.at, true
 			clear(m.confirmations)
 		}
-		if asker := v.byID[p.asker]; asker != nil {
-			v.send(asker.Addr, &planepb.Datagram{About: p.to, Tell: p.ask}, &v.probeBudget)
+		if asker := v.byID[p.requester]; asker != nil {
+			v.send(asker.Addr, &planepb.Datagram{About: p.to, Tell: p.requestNumber}, &v.pingBudget)
 		}
 	}
 }
@@ -48,42 +48,42 @@
 // that it has helpers asked, and clears one that was heard of again.
 func (v *View) check(m *member) {
 	age := v.now - m.silentSince
-	if age < askAfter {
+	if age < indirectPingAfter {
 		v.ringsChanged = v.ringsChanged || m.suspected
 		m.suspected = false
 		return
 	}
 	confirmed := 0
 	for _, at := range m.confirmations {
-		if v.now-at < confirmationFor {
+		if v.now-at < confirmationLifetime {
 			confirmed++
 		}
 	}
 	switch {
-	case age >= lostAfter && confirmed >= v.confirmationsNeeded(m):
+	case age >= lossTimeout && confirmed >= v.confirmationsNeeded(m):
 		v.set(m, m.state.in(Lost))
-	case m.askedAt == 0 || v.now-m.askedAt >= askEvery:
-		v.askHelpers(m)
+	case m.indirectPingAt == 0 || v.now-m.indirectPingAt >= indirectPingInterval:
+		v.pingIndirectly(m)
 	}
 }
 
-// askHelpers pings a silent member and asks others to do the same.
-func (v *View) askHelpers(m *member) {
-	m.askedAt = v.now
+// pingIndirectly pings a silent member and asks helpers to do the same.
+func (v *View) pingIndirectly(m *member) {
+	m.indirectPingAt = v.now
 	v.ping(m.Addr, m.id, &planepb.Datagram{}, 0, 0)
 	for _, h := range v.helpers(m) {
 		v.lastPing = max(v.lastPing+1, 1)
-		v.send(h.Addr, &planepb.Datagram{About: m.id, Ask: v.lastPing}, &v.probeBudget)
+		v.send(h.Addr, &planepb.Datagram{About: m.id, Ask: v.lastPing}, &v.pingBudget)
 	}
 }
 
-// confirmationsNeeded is how many helpers have to find a member silent too: as many of two as there are to ask. One who
-// hears nobody has none to ask and gives no verdict, but where there are only two members.
+// confirmationsNeeded is how many helpers have to find a member silent too: two, or as many as there are. A member that
+// hears no other has no helper and gives no verdict, except where there are only two members.
 func (v *View) confirmationsNeeded(about *member) int {
 	if v.living <= 2 {
 		return 0
 	}
-	able := v.pick(confirmationsMost, func(h *member) bool { return h != about && v.canHelp(h) })
+	able := v.pick(maxConfirmations, func(h *member) bool { return h != about && v.canHelp(h) })
 	return max(len(able), 1)
 }
 
@@ -109,32 +109,32 @@
 	})...)
 }
 
-// canHelp tells that a member was heard of so lately that it is sure to live.
-func (v *View) canHelp(h *member) bool { return h.heard > 0 && v.now-h.heard < helperHeardFor }
+// canHelp tells that a member was heard of so lately that it is proven alive.
+func (v *View) canHelp(h *member) bool { return h.lastHeard > 0 && v.now-h.lastHeard < helperWindow }
 
-// receiveIndirect pings a member for another, and takes what helpers tell.
+// receiveIndirect pings a member for another, and takes the findings of helpers.
 func (v *View) receiveIndirect(m *member, d *planepb.Datagram) {
 	about := v.byID[d.About]
 	switch {
 	case about == nil:
 	case d.Ask != 0 && about == v.self:
-		v.send(m.Addr, &planepb.Datagram{}, &v.probeBudget)
-	case d.Ask != 0 && v.now-about.heard < recent && about.heard > 0:
-		v.send(m.Addr, &planepb.Datagram{About: about.id, Tell: d.Ask, Heard: true}, &v.probeBudget)
+		v.send(m.Addr, &planepb.Datagram{}, &v.pingBudget)
+	case d.Ask != 0 && v.now-about.lastHeard < aliveWindow && about.lastHeard > 0:
+		v.send(m.Addr, &planepb.Datagram{About: about.id, Tell: d.Ask, Heard: true}, &v.pingBudget)
 	case d.Ask != 0:
 		v.ping(about.Addr, about.id, &planepb.Datagram{}, m.id, d.Ask)
 	case d.Tell != 0 && d.Heard:
-		about.silentSince, about.heard = v.now, v.now
+		about.silentSince, about.lastHeard = v.now, v.now
 		clear(about.confirmations)
-	case d.Tell != 0 && about.observed && v.now-about.silentSince >= askAfter && len(about.confirmations) < rosterMost:
+	case d.Tell != 0 && about.observed && v.now-about.silentSince >= indirectPingAfter && len(about.confirmations) < maxRoster:
 		about.confirmations[m.id] = v.now
 	}
 }
 
-// isolated tells that nobody whom this member observes is heard: more likely it is cut off than all of them are dead.
+// isolated tells that all members that this one observes are silent: it is more likely cut off than all of them are dead.
 func (v *View) isolated() bool {
 	for _, m := range v.observed {
-		if !m.suspected && v.now-m.silentSince < lostAfter {
+		if !m.suspected && v.now-m.silentSince < lossTimeout {
 			return false
 		}
 	}
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -9,11 +9,11 @@
 
 // sync asks another for what this roster lacks, while there are others than it.
 func (v *View) sync() {
-	if v.now < v.syncAt || v.now-v.differedAt >= differFor {
+	if v.now < v.syncAt || v.now-v.differedAt >= divergenceWindow {
 		return
 	}
-	v.syncAt = v.now + syncEvery/2 + time.Duration(v.rng.Int64N(int64(syncEvery)))
-	known := v.pick(1, func(m *member) bool { return v.now-m.heard < recent && m.heard > 0 })
+	v.syncAt = v.now + syncInterval/2 + time.Duration(v.rng.Int64N(int64(syncInterval)))
+	known := v.pick(1, func(m *member) bool { return v.now-m.lastHeard < aliveWindow && m.lastHeard > 0 })
 	if len(known) == 0 {
 		known = v.pick(1, anyMember)
 	}
@@ -27,7 +27,7 @@
 	v.lastSlice = (v.lastSlice + 1) % rosterSlices
 	d.Sync, d.Seq, d.Slice = true, v.next(), v.lastSlice
 	for _, m := range v.roster {
-		if h := entryHash(m, d.Seq); m.id%rosterSlices == uint64(v.lastSlice) && len(d.Have) < entriesMost-100 {
+		if h := entryHash(m, d.Seq); m.id%rosterSlices == uint64(v.lastSlice) && len(d.Have) < maxEntriesSize-100 {
 			d.Have = append(d.Have, byte(h), byte(h>>8))
 		}
 	}
@@ -52,7 +52,7 @@
 		if o.id%rosterSlices != uint64(d.Slice) || has[entryHash(o, d.Seq)] || v.nearlyForgotten(o) {
 			continue
 		}
-		if page.Entries = append(page.Entries, v.entry(o)); plane.Size(page) > entriesMost {
+		if page.Entries = append(page.Entries, v.entry(o)); plane.Size(page) > maxEntriesSize {
 			page.Entries = page.Entries[:len(page.Entries)-1]
 			break
 		}
@@ -65,7 +65,7 @@
 // nearlyForgotten tells that an instance is about to be forgotten and is no longer told of, so that it does not come
 // back from one that forgets it later.
 func (v *View) nearlyForgotten(m *member) bool {
-	return !v.alive(m) && v.now-m.since > v.lasts(m)-forgetLead
+	return !v.alive(m) && v.now-m.since > v.lasts(m)-gossipStopLead
 }
 
 // entry is an instance as it is told to others.
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -17,7 +17,7 @@
 	v.advance(now)
 	if v.lastTick = now; !v.began {
 		v.began = true
-	} else if away > pausedAfter || away < 0 {
+	} else if away > pauseThreshold || away < 0 {
 		v.resumed()
 	}
 	if v.ringsChanged {
@@ -28,7 +28,7 @@
 		v.push()
 	}
 	if v.now >= v.heartbeatAt {
-		v.heartbeatAt = v.now + heartbeatEvery
+		v.heartbeatAt = v.now + heartbeatInterval
 		for _, m := range v.observers {
 			v.send(m.Addr, &planepb.Datagram{}, nil)
 		}
@@ -36,7 +36,7 @@
 	v.checkObserved()
 	v.join()
 	v.sync()
-	v.probe()
+	v.pingLost()
 	return v.flush()
 }
 
@@ -44,7 +44,7 @@
 // it for lost, so that it sends heartbeats at once.
 func (v *View) resumed() {
 	for _, m := range v.observed {
-		m.silentSince, m.askedAt = v.now, 0
+		m.silentSince, m.indirectPingAt = v.now, 0
 		clear(m.confirmations)
 	}
 	clear(v.pings) // what came back meanwhile was not seen either
@@ -57,8 +57,8 @@
 	if v.now < v.joinAt {
 		return
 	}
-	if v.joinAt = v.now + seedEvery; v.living < 2 {
-		v.joinAt = v.now + joinEvery
+	if v.joinAt = v.now + seedInterval; v.living < 2 {
+		v.joinAt = v.now + joinInterval
 	}
 	if n := len(v.opt.Seeds); n > 0 {
 		seed := v.opt.Seeds[v.rng.IntN(n)]
@@ -68,37 +68,37 @@
 	}
 }
 
-// probe pings one of the lost, since a cut may have healed, and one of whom nothing was heard lately: whoever observes it
+// pingLost pings one of the lost, since a cut may have healed, and one of whom nothing was heard lately: whoever observes it
 // may be gone with it.
-func (v *View) probe() {
-	if v.now < v.probeAt {
+func (v *View) pingLost() {
+	if v.now < v.lostPingAt {
 		return
 	}
-	v.probeAt = v.now + probeEvery
+	v.lostPingAt = v.now + lostPingInterval
 	v.forget()
-	v.Count() // so that a minority is noticed whether or not anybody asks
+	v.FleetSize() // so that a minority is noticed whether or not anybody asks
 	var lost, unheard []*member
 	for _, m := range v.roster {
 		switch {
 		case m == v.self:
 		case m.state.status() == Lost:
 			lost = append(lost, m)
-		case v.alive(m) && !m.observed && v.now-m.heard >= recent:
+		case v.alive(m) && !m.observed && v.now-m.lastHeard >= aliveWindow:
 			unheard = append(unheard, m)
 		}
 	}
 	silent := 0
 	for _, m := range v.observed {
-		if v.now-m.silentSince >= recent {
+		if v.now-m.silentSince >= aliveWindow {
 			silent++
 		}
 	}
-	v.probeAny(lost, 1)
-	v.probeAny(unheard, 1+min(silent, extraProbesMost)) // the more are silent, the more may have no observer left
+	v.pingAnyLost(lost, 1)
+	v.pingAnyLost(unheard, 1+min(silent, maxExtraPings)) // the more are silent, the more may have no observer left
 }
 
-// probeAny pings n members drawn from a list, with repetition.
-func (v *View) probeAny(of []*member, n int) {
+// pingAnyLost pings n members drawn from a list, with repetition.
+func (v *View) pingAnyLost(of []*member, n int) {
 	if len(of) == 0 {
 		return
 	}
--- a/internal/plane/plane.go
+++ b/internal/plane/plane.go
@@ -19,12 +19,12 @@
 const (
 	// Version is of this form of the plane.
 	Version = 1
-	// Most is the largest datagram: it goes through any path without being cut.
-	Most = 1200
+	// MaxSize is the largest datagram: it goes through any path without being cut.
+	MaxSize = 1200
 	// Overhead is what IP and UDP add to a datagram.
 	Overhead = 28
-	// NameMost is the longest name of a broker.
-	NameMost = 64
+	// MaxNameLength is the longest name of a broker.
+	MaxNameLength = 64
 )
 
 // Why a datagram is dropped.
@@ -59,7 +59,7 @@
 
 // Append appends a message. It fails where that is longer than a datagram may be.
 func Append(b []byte, m *planepb.Datagram) ([]byte, error) {
-	if proto.Size(m) > Most {
+	if proto.Size(m) > MaxSize {
 		return b, ErrOversized
 	}
 	return proto.MarshalOptions{}.MarshalAppend(b, m)
@@ -67,7 +67,7 @@
 
 // Parse reads a datagram of a fleet and checks all that can be checked without knowing the members.
 func Parse(b []byte, fleet uint64) (*planepb.Datagram, error) {
-	if len(b) > Most {
+	if len(b) > MaxSize {
 		return nil, ErrOversized
 	}
 	m := &planepb.Datagram{}
@@ -95,7 +95,7 @@
 func valid(e *planepb.Entry) bool {
 	addr := Addr(e)
 	return addr.Port() != 0 && !addr.Addr().IsUnspecified() && !addr.Addr().IsMulticast() &&
-		e.Name != "" && len(e.Name) <= NameMost && e.Start != 0 && e.Start <= math.MaxInt64 && e.State <= math.MaxUint8
+		e.Name != "" && len(e.Name) <= MaxNameLength && e.Start != 0 && e.Start <= math.MaxInt64 && e.State <= math.MaxUint8
 }
 
 // Addr is an entry's address; the zero one where it has none that can be read.
--- a/internal/plane/plane_test.go
+++ b/internal/plane/plane_test.go
@@ -63,10 +63,10 @@
 	require.NoError(t, err)
 	_, err = plane.Parse(b[:len(b)-1], fleet)
 	require.ErrorIs(t, err, plane.ErrTorn)
-	_, err = plane.Parse(make([]byte, plane.Most+1), fleet)
+	_, err = plane.Parse(make([]byte, plane.MaxSize+1), fleet)
 	require.ErrorIs(t, err, plane.ErrOversized)
 	large := good()
-	large.Vector = make([]byte, plane.Most)
+	large.Vector = make([]byte, plane.MaxSize)
 	_, err = plane.Append(nil, large)
 	require.ErrorIs(t, err, plane.ErrOversized)
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -111,7 +111,7 @@
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		seen = len(planes)
 		for _, p := range planes {
-			seen = min(seen, p.Count().Alive)
+			seen = min(seen, p.FleetSize().Alive)
 		}
 		if seen == len(planes) {
 			return nil
--- a/internal/scale/membership.go
+++ b/internal/scale/membership.go
@@ -16,8 +16,8 @@
 	rackLeast   = 4 // a rack is TargetRack machines, and never more than one in so many of the fleet
 )
 
-// membershipSizes end at 490: internal/membership holds membership.Most instances at most, those just restarted too.
-var membershipSizes = []float64{40, 100, 200, 300, membership.Most - 10}
+// membershipSizes end at 490: internal/membership holds membership.MaxMembers instances at most, those just restarted too.
+var membershipSizes = []float64{40, 100, 200, 300, membership.MaxMembers - 10}
 
 func virtualMembership(what string) Provenance {
 	return Provenance{Hollow: "internal/membership: brokers without clients",
@@ -64,7 +64,7 @@
 		{"objects", "objects a broker and second", float64(used.Objects) / seconds},
 		{"memory", "bytes a broker", max(held/float64(brokers), 1)},
 	}
-	_ = w.nodes[0].Count() // the network has to live until its memory was read
+	_ = w.nodes[0].FleetSize() // the network has to live until its memory was read
 	return readings, nil
 }
 
@@ -183,15 +183,15 @@
 	fenced, known, minority := 0.0, 0.0, 0.0
 	for _, x := range w.alive(alone) {
 		minority++
-		if x.Count().Fenced {
+		if x.FleetSize().Fenced {
 			fenced++
 		}
-		known += float64(x.Count().Known)
+		known += float64(x.FleetSize().Known)
 	}
 	others, fencedOthers := 0.0, 0.0
 	for _, x := range w.alive(func(x *node) bool { return !alone(x) }) {
 		others++
-		if x.Count().Fenced {
+		if x.FleetSize().Fenced {
 			fencedOthers++
 		}
 	}
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -168,7 +168,7 @@
 func (w *network) agree(in func(*node) bool) bool {
 	live := w.alive(in)
 	for _, x := range live {
-		if x.Count().Alive != len(live) {
+		if x.FleetSize().Alive != len(live) {
 			return false
 		}
 	}
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -43,7 +43,7 @@
 		"beyond": p.beyond, "reaches": p.reaches,
 		"callBytes": callBytes, "answerBytes": answerBytes, "openCap": func() float64 { return exampleOpenCap },
 		"connections": func() float64 { return exampleSockets * serverShare }, "line": func() float64 { return listLine },
-		"body": func() float64 { return httpwire.MaxBody }, "most": func() float64 { return membership.Most },
+		"body": func() float64 { return httpwire.MaxBody }, "most": func() float64 { return membership.MaxMembers },
 		"slice3": func() []float64 { return partSizes }, "late": p.late, "hedged": p.hedged,
 		"distributed": p.distributed, "listChanges": listChanges, "value": func() float64 { return assumedValue },
 	}).Parse(pageText)
@@ -423,7 +423,7 @@
 			BudgetBytes / 1e3, "KB/s"},
 		{"queries and parts held by one broker, in the example's openCap", "a larger cap", TargetParts + 1, exampleOpenCap,
 			"units"},
-		{"members", "a larger bound, or views by region", TargetBrokers, membership.Most, "members"},
+		{"members", "a larger bound, or views by region", TargetBrokers, membership.MaxMembers, "members"},
 		{"a whole list on one line of a watch", "none needed yet", size / 1e6, listLine / 1e6, "MB"},
 		{"sum of what all brokers send to one cold server", "shares of the peak (`internal/lease`)", cold, 1, "of the limit"},
 		{"control of an idle broker, processor, at 200 brokers", "not known at 590", control, BudgetCore, "cores"},
