--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -44,8 +44,8 @@
 // link is the way to the record servers.
 func (p *process) link() broker.Link {
 	frames := upstream.New(p.ctx, upstream.Options{
-		Streams: p.cfg.Streams, Conns: p.cfg.ServerConns, Idle: p.cfg.ConnIdle, ConnectTimeout: p.cfg.ConnectTimeout,
-		Relayed: p.figures.Relayed,
+		MaxStreams: p.cfg.Streams, MaxConns: p.cfg.ServerConns, IdleTimeout: p.cfg.ConnIdle, ConnectTimeout: p.cfg.ConnectTimeout,
+		OnSent: p.figures.RecordSent,
 	})
 	if p.partners != nil {
 		return mixed(p.ctx, p.cfg, p.partners, frames)
@@ -60,7 +60,7 @@
 		speaks[id] = true
 	}
 	return &flight.Mixed{Frames: frames, Speaks: speaks, Flight: flight.NewLink(ctx, flight.LinkOptions{
-		Streams: cfg.Streams, Conns: partners.ServerConns, Idle: cfg.ConnIdle, ConnectTimeout: cfg.ConnectTimeout,
+		MaxStreams: cfg.Streams, MaxConns: partners.ServerConns, IdleTimeout: cfg.ConnIdle, ConnectTimeout: cfg.ConnectTimeout,
 	})}
 }
 
--- a/cmd/mothrouter/flight_test.go
+++ b/cmd/mothrouter/flight_test.go
@@ -210,7 +210,7 @@
 	a, err := get(soon(t), c, ticket("q1", "tariff-report", 5))
 	require.NoError(t, err)
 	require.Equal(t, map[int32]string{0: "v0", 1: "v1", 2: "v2", 3: "v3", 4: "v4"}, a.values)
-	require.Equal(t, &mothflight.Closing{ID: "q1", Class: "tariff-report", Whole: true, Parts: 5}, a.closing)
+	require.Equal(t, &mothflight.Closing{ID: "q1", Class: "tariff-report", Complete: true, Parts: 5}, a.closing)
 	md := a.schema.Metadata()
 	require.Equal(t, map[string]string{"mothrouter.id": "q1", "mothrouter.class": "tariff-report"}, md.ToMap())
 	require.Len(t, s0.parts(), 5)
@@ -218,7 +218,7 @@
 	require.NoError(t, err)
 	a, err = get(soon(t), c, info.Endpoint[0].Ticket.Ticket)
 	require.NoError(t, err)
-	require.True(t, a.closing.Whole)
+	require.True(t, a.closing.Complete)
 }
 
 func TestFlightStatuses(t *testing.T) {
@@ -283,7 +283,7 @@
 	a, err := get(soon(t), c, ticket("q1", "tariff-report", 1))
 	require.NoError(t, err)
 	require.Equal(t, map[int32]string{0: "v0"}, a.values)
-	require.True(t, a.closing.Whole)
+	require.True(t, a.closing.Complete)
 	require.Equal(t, []string{"q1.0", "q1.0"}, append(servers[0].parts(), servers[1].parts()...))
 }
 
@@ -324,7 +324,7 @@
 	c := p.startFlight(`"s0", "s1", "s2"`, "s0", "s1")
 	a, err := get(soon(t), c, ticket("q1", "charge-post", 1))
 	require.NoError(t, err)
-	require.True(t, a.closing.Whole)
+	require.True(t, a.closing.Complete)
 	require.Len(t, append(s0.parts(), s1.parts()...), 2)
 
 	p = newPlayer(t)
@@ -372,7 +372,7 @@
 		return !isRefusal(err)
 	}, patience, time.Millisecond)
 	require.NoError(t, err)
-	require.True(t, a.closing.Whole)
+	require.True(t, a.closing.Complete)
 	require.Equal(t, []string{"q1.0", "q1.0"}, s0.parts(), "what was refused was sent all the same")
 }
 
--- a/cmd/mothrouter/mixed_test.go
+++ b/cmd/mothrouter/mixed_test.go
@@ -106,7 +106,7 @@
 					if err != nil || !ok {
 						break
 					}
-					id, _, _ := bytes.Cut(m.Rest, []byte{' '})
+					id, _, _ := bytes.Cut(m.Body, []byte{' '})
 					name := string(id)
 					if drop := drops[name]; m.Letter == 'C' && drop != nil {
 						close(drop)
@@ -186,7 +186,7 @@
 				ok := false
 				if mixed && w%2 == 1 {
 					a, err := get(soon(t), c, ticket(id, class, parts))
-					ok = err == nil && a.closing.Whole && len(a.values) == parts
+					ok = err == nil && a.closing.Complete && len(a.values) == parts
 				} else {
 					ok = askHTTP(t, conn, in, id, class, parts)
 				}
--- a/cmd/mothrouter/serve.go
+++ b/cmd/mothrouter/serve.go
@@ -19,8 +19,8 @@
 		return err
 	}
 	p.clients = front.New(front.Options{
-		Classes: p.cfg.Classes, Shards: p.cfg.Shards, ConnsMax: p.cfg.ClientConns, IdleMost: p.cfg.IdleConns,
-		Buffers: p.cfg.Buffers, Advice: p.cfg.Advice(), Metrics: p.figures,
+		Classes: p.cfg.Classes, Shards: p.cfg.Shards, MaxConns: p.cfg.ClientConns, MaxIdleConns: p.cfg.IdleConns,
+		MaxBufferedBytes: p.cfg.Buffers, RetryAfter: p.cfg.Advice(), Metrics: p.figures,
 	}, p.core, p.log)
 	go func() { p.served <- p.clients.Serve(p.listener) }()
 	if p.cfg.Control != "" {
@@ -37,8 +37,8 @@
 			return fmt.Errorf("flight.listen: %w", err)
 		}
 		p.flights = flight.NewFront(flight.Options{
-			Classes: p.cfg.Classes, Shards: p.cfg.Shards, ConnsMax: p.partners.Connections,
-		}, &drained{p.core, p.clients.Refuses, p.cfg.Advice()})
+			Classes: p.cfg.Classes, Shards: p.cfg.Shards, MaxConns: p.partners.Connections,
+		}, &drained{p.core, p.clients.RejectsRequests, p.cfg.Advice()})
 		go func() { p.served <- p.flights.Serve(l, p.log) }()
 	}
 	p.log.Info("serving", "listen", p.cfg.Listen, "servers", len(p.cfg.Known.Servers))
@@ -86,7 +86,7 @@
 	figures *metrics.Counters
 }
 
-func (s steered) Takes() bool             { return s.clients.Takes() }
+func (s steered) Takes() bool             { return s.clients.AcceptsClients() }
 func (s steered) Leave()                  { s.clients.Drain() }
 func (s steered) Join()                   { s.clients.Rejoin() }
 func (s steered) Figures(b []byte) []byte { return s.figures.Append(b) }
--- a/cmd/mothrouter/shutdown.go
+++ b/cmd/mothrouter/shutdown.go
@@ -12,14 +12,14 @@
 // a front that ended before its time. The plan stands from here on: a revision that comes later moves no moment of it.
 func (p *process) end() error {
 	p.log.Info("ending")
-	since, plan := time.Now(), drain.PlanEnd(p.longest())
-	p.core.SetShutdownDeadline(since.Add(plan.Answers))
+	since, plan := time.Now(), drain.PlanShutdown(p.longest())
+	p.core.SetShutdownDeadline(since.Add(plan.AnswerBy))
 	if p.cfg.AcceptFD != 0 { // the socket is not this process's alone: who comes is taken by the next one
 		if err := p.listener.Close(); err != nil {
 			p.log.Warn("the listener did not close", "error", err)
 		}
 	}
-	wait := time.NewTimer(plan.Accepts)
+	wait := time.NewTimer(plan.AnnounceClose)
 	select {
 	case err := <-p.served:
 		if wait.Stop(); err != nil {
@@ -27,10 +27,10 @@
 		}
 	case <-wait.C:
 	}
-	last, stop := context.WithDeadline(p.ctx, since.Add(plan.Gone))
+	last, stop := context.WithDeadline(p.ctx, since.Add(plan.ExitBy))
 	defer stop()
 	var ends sync.WaitGroup
-	ends.Go(func() { p.clients.End(last, plan) })
+	ends.Go(func() { p.clients.Shutdown(last, plan) })
 	if p.flights != nil {
 		ends.Go(func() { p.flights.Stop(last) })
 	}
--- a/internal/checkpoint/restart_test.go
+++ b/internal/checkpoint/restart_test.go
@@ -47,7 +47,7 @@
 func life(fleet *standin.Fleet, k *Saver, seed uint64, d time.Duration) []float64 {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	link := upstream.New(ctx, upstream.Options{Streams: 100, Idle: 15 * time.Second, ConnectTimeout: 250 * time.Millisecond})
+	link := upstream.New(ctx, upstream.Options{MaxStreams: 100, IdleTimeout: 15 * time.Second, ConnectTimeout: 250 * time.Millisecond})
 	b := broker.New(broker.Options{Settings: restartSettings, Log: slog.New(slog.NewTextHandler(io.Discard, nil))},
 		k.Watch(decision.New(restartSettings, seed)), link)
 	go b.Run(ctx)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -278,9 +278,9 @@
 	case <-time.After(2 * time.Second):
 		require.FailNow(t, "no answer", what)
 	}
-	end := drain.PlanEnd(c.Longest())
-	require.Positive(t, end.Accepts, what)
-	require.Less(t, end.Gone, 4*time.Second, what)
+	end := drain.PlanShutdown(c.Longest())
+	require.Positive(t, end.AnnounceClose, what)
+	require.Less(t, end.ExitBy, 4*time.Second, what)
 	require.GreaterOrEqual(t, c.ConnectTimeout, time.Millisecond, what)
 	require.Positive(t, c.Buffers, what)
 }
--- a/internal/cores/cores_test.go
+++ b/internal/cores/cores_test.go
@@ -62,7 +62,7 @@
 		Unsafe: func(id string) bool { return strings.HasPrefix(id, "charge") }})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	link := upstream.New(ctx, upstream.Options{Streams: 100, Conns: o.conns, Idle: 15 * time.Second,
+	link := upstream.New(ctx, upstream.Options{MaxStreams: 100, MaxConns: o.conns, IdleTimeout: 15 * time.Second,
 		ConnectTimeout: 250 * time.Millisecond})
 	r := &rig{T: t, fleet: fleet, Group: New(Options{Workers: o.workers, Settings: settings(o.servers, o.warmUp),
 		ConcurrencyLimit: o.openCap, Seed: 7, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Decider: o.decider}, link)}
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,80 +1,87 @@
-// Package drain decides what a process does for its clients while operators drain it, and when it is told to end. It
-// does no I/O and keeps no clock. A drain goes in steps, since fronts and clients hear of it one after the other: first the
-// process is not up any more and says so on each answer; then connections that wait for nothing are closed; then
-// requests that come all the same are refused. A drain that ends undoes all of it at once.
+// Package drain decides what a process does for its clients while operators drain it, and when it shuts down. It does no I/O
+// and keeps no clock. Both go in steps, since fronts and clients learn of it one after the other: first the process is not up
+// any more and answers announce that the connection closes; then idle connections are closed; then requests that come all the
+// same are rejected. A drain that is cancelled undoes all of it at once.
 package drain
 
 import "time"
 
+// Drains.
 const (
-	// idleAfter leaves clients the time to use a connection once more that they have: fronts stop sending new ones
+	// closeIdleDelay leaves clients the time to use a connection once more that they have: fronts stop sending new ones
 	// 0.2 s after the process is not up.
-	idleAfter = 1500 * time.Millisecond
-	// refuseAfter is when requests are refused. From 4 s on nothing may be held that came in the last 2 s.
-	refuseAfter = 1900 * time.Millisecond
-	// LastAnswers is for how long a connection that is new then may wait for its request.
-	LastAnswers = 300 * time.Millisecond
+	closeIdleDelay = 1500 * time.Millisecond
+	// rejectDelay is when requests are rejected. From 4 s on nothing may be in flight that came in the last 2 s.
+	rejectDelay = 1900 * time.Millisecond
 )
 
-// End is the plan of a process that is told to end (SIGTERM): what it does so long after that.
-type End struct {
-	// Accepts is for how long nothing changes: fronts still hand it clients for 0.4 s.
-	Accepts time.Duration
-	// Idle is when nobody is accepted any more and connections between requests are closed. Answers from Accepts on
-	// say that the connection closes, so that clients leave one by one.
-	Idle time.Duration
-	// Answers is when all that was taken has its final answer.
-	Answers time.Duration
-	// Gone is when the process has ended, whatever its clients do.
-	Gone time.Duration
+// LastRequestTimeout is for how long a connection that is accepted after idle ones were closed may wait for its request.
+const LastRequestTimeout = 300 * time.Millisecond
+
+// ShutdownPlan is what a process does how long after it is told to end (SIGTERM).
+type ShutdownPlan struct {
+	// AnnounceClose is for how long nothing changes: fronts still hand it clients for 0.4 s. From then on answers announce
+	// that the connection closes, so that clients leave one by one.
+	AnnounceClose time.Duration
+	// CloseIdle is when no connection is accepted any more and idle ones are closed.
+	CloseIdle time.Duration
+	// AnswerBy is when all requests have their final answers.
+	AnswerBy time.Duration
+	// ExitBy is when the process has ended, whatever its clients do.
+	ExitBy time.Duration
 }
 
+// Shutdowns. SIGKILL comes killDelay after the longest deadline at the earliest.
 const (
-	accepts     = 500 * time.Millisecond
-	asksAgain   = time.Second            // for clients to use once more a connection that they have
-	killedAfter = 700 * time.Millisecond // no sooner than the longest deadline and this comes SIGKILL,
-	longestMost = 3 * time.Second        // a longer one counting as this
-	killLead    = 200 * time.Millisecond // before that all is answered
-	goneLead    = 100 * time.Millisecond
+	killDelay          = 700 * time.Millisecond
+	maxCountedDeadline = 3 * time.Second        // a longer deadline counts as this
+	killLead           = 200 * time.Millisecond // before SIGKILL all is answered,
+	exitLead           = 100 * time.Millisecond // and the process has ended
+	maxAnnounceClose   = 500 * time.Millisecond
+	maxCloseIdleDelay  = time.Second // for clients to use once more a connection that they have
 )
 
-// PlanEnd plans the end where so long is the longest time that a client waits. Guards against short deadlines: a
-// request taken late would be found unanswered by SIGKILL.
-func PlanEnd(longest time.Duration) End {
-	killed := min(longest, longestMost) + killedAfter
-	e := End{Answers: killed - killLead, Gone: killed - goneLead}
-	e.Accepts = min(accepts, e.Answers*2/3)
-	e.Idle = e.Accepts + min(asksAgain, (e.Answers-e.Accepts)/2)
-	return e
+// PlanShutdown plans the shutdown where clients wait for so long at most. With short deadlines its steps move together: a
+// request that is accepted late would be found unanswered by SIGKILL.
+func PlanShutdown(longestDeadline time.Duration) ShutdownPlan {
+	kill := min(longestDeadline, maxCountedDeadline) + killDelay
+	p := ShutdownPlan{AnswerBy: kill - killLead, ExitBy: kill - exitLead}
+	p.AnnounceClose = min(maxAnnounceClose, p.AnswerBy*2/3)
+	p.CloseIdle = p.AnnounceClose + min(maxCloseIdleDelay, (p.AnswerBy-p.AnnounceClose)/2)
+	return p
 }
 
-// State is a drain. The zero value is none. Its methods take the time.
+// State is a drain. Its zero value is none. Its methods take the time.
 type State struct {
-	on    bool
-	since time.Time
+	started bool
+	since   time.Time
 }
 
-// Leave begins the drain; one that is on goes on from its begin.
-func (s *State) Leave(now time.Time) {
-	if !s.on {
-		s.on, s.since = true, now
+// Start starts the drain; one that is under way goes on.
+func (s *State) Start(now time.Time) {
+	if !s.started {
+		s.started, s.since = true, now
 	}
 }
 
-// Join ends it.
-func (s *State) Join() { s.on = false }
+// Cancel ends the drain.
+func (s *State) Cancel() { s.started = false }
 
-// Up tells whether the process may say that it is up.
-func (s *State) Up() bool { return !s.on }
+// IsUp tells whether the process may say that it is up.
+func (s *State) IsUp() bool { return !s.started }
 
-// Closing tells whether answers say that the connection closes.
-func (s *State) Closing() bool { return s.on }
+// AnnouncesClose tells whether answers announce that the connection closes.
+func (s *State) AnnouncesClose() bool { return s.started }
 
-// ClosesIdle tells whether connections that wait for nothing are closed.
-func (s *State) ClosesIdle(now time.Time) bool { return s.on && now.Sub(s.since) >= idleAfter }
+// ClosesIdle tells whether idle connections are closed.
+func (s *State) ClosesIdle(now time.Time) bool {
+	return s.started && now.Sub(s.since) >= closeIdleDelay
+}
 
-// Refuses tells whether requests are refused.
-func (s *State) Refuses(now time.Time) bool { return s.on && now.Sub(s.since) >= refuseAfter }
+// RejectsRequests tells whether requests are rejected.
+func (s *State) RejectsRequests(now time.Time) bool {
+	return s.started && now.Sub(s.since) >= rejectDelay
+}
 
-// Next is how long after its begin the drain's next step comes that closes connections.
-func Next() time.Duration { return idleAfter }
+// CloseIdleDelay is how long after a drain's start idle connections are closed.
+func CloseIdleDelay() time.Duration { return closeIdleDelay }
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -14,20 +14,20 @@
 	t0 := time.Now()
 	at := func(d time.Duration) [4]bool {
 		now := t0.Add(d)
-		return [4]bool{s.Up(), s.Closing(), s.ClosesIdle(now), s.Refuses(now)}
+		return [4]bool{s.IsUp(), s.AnnouncesClose(), s.ClosesIdle(now), s.RejectsRequests(now)}
 	}
 	require.Equal(t, [4]bool{true, false, false, false}, at(time.Hour))
-	s.Leave(t0)
+	s.Start(t0)
 	require.Equal(t, [4]bool{false, true, false, false}, at(0))
 	require.Equal(t, [4]bool{false, true, false, false}, at(time.Second))
-	require.Equal(t, [4]bool{false, true, true, false}, at(drain.Next()))
+	require.Equal(t, [4]bool{false, true, true, false}, at(drain.CloseIdleDelay()))
 	// From 4 s on nothing may be held of the last 2 s, nor any connection idle.
 	require.Equal(t, [4]bool{false, true, true, true}, at(2*time.Second))
-	s.Leave(t0.Add(3 * time.Second)) // told again: it does not begin anew
+	s.Start(t0.Add(3 * time.Second)) // told again: it does not begin anew
 	require.Equal(t, [4]bool{false, true, true, true}, at(3*time.Second))
-	s.Join()
+	s.Cancel()
 	require.Equal(t, [4]bool{true, false, false, false}, at(3*time.Second))
-	s.Leave(t0.Add(5 * time.Second))
+	s.Start(t0.Add(5 * time.Second))
 	require.Equal(t, [4]bool{false, true, false, false}, at(6*time.Second))
 }
 
@@ -35,16 +35,16 @@
 // settings; clients come for 0.4 s after the word, and those that come until the last moment have some time left.
 func TestTheEndFitsBeforeTheKill(t *testing.T) {
 	for _, longest := range []time.Duration{time.Millisecond, 300 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, time.Hour} {
-		e := drain.PlanEnd(longest)
+		e := drain.PlanShutdown(longest)
 		killed := min(longest, 3*time.Second) + 700*time.Millisecond
-		require.Less(t, e.Gone, killed)
-		require.LessOrEqual(t, e.Answers, e.Gone-50*time.Millisecond)
-		require.LessOrEqual(t, e.Gone, killed-100*time.Millisecond)
-		require.Less(t, e.Idle, e.Answers)
-		require.GreaterOrEqual(t, e.Idle, e.Accepts)
+		require.Less(t, e.ExitBy, killed)
+		require.LessOrEqual(t, e.AnswerBy, e.ExitBy-50*time.Millisecond)
+		require.LessOrEqual(t, e.ExitBy, killed-100*time.Millisecond)
+		require.Less(t, e.CloseIdle, e.AnswerBy)
+		require.GreaterOrEqual(t, e.CloseIdle, e.AnnounceClose)
 		if longest >= 300*time.Millisecond {
-			require.GreaterOrEqual(t, e.Accepts, 450*time.Millisecond)
+			require.GreaterOrEqual(t, e.AnnounceClose, 450*time.Millisecond)
 		}
 	}
-	require.Equal(t, 1500*time.Millisecond, drain.PlanEnd(4*time.Second).Idle)
+	require.Equal(t, 1500*time.Millisecond, drain.PlanShutdown(4*time.Second).CloseIdle)
 }
--- a/internal/flight/flight.go
+++ b/internal/flight/flight.go
@@ -34,14 +34,14 @@
 	ID        string `json:"id"` // the query's id, a dot and the partition; behind them ".p2" in a second step
 	Partition int    `json:"partition"`
 	Query     string `json:"query"`
-	// FirstStep is what the first step brought, in a part of a second step; absent: a part of the first.
-	FirstStep *FirstStep `json:"first_step,omitempty"`
+	// FirstPhase is what the first phase brought, in a part of a second phase; absent: a part of the first.
+	FirstPhase *FirstPhase `json:"first_step,omitempty"`
 }
 
-// FirstStep is what a second step's parts tell of the first step.
-type FirstStep struct {
-	From  []int `json:"from"` // the partitions that were in, ascending
-	Whole bool  `json:"whole"`
+// FirstPhase is what the parts of a second phase tell of the first one.
+type FirstPhase struct {
+	AnsweredShards []int `json:"from"` // the partitions that were in, ascending
+	Complete       bool  `json:"whole"`
 }
 
 // partTicket is the ticket of a call.
@@ -50,17 +50,17 @@
 		ID: frame.PartID(c.Query, c.Shard, c.FirstPhase != nil), Partition: c.Shard, Query: string(c.Payload),
 	}
 	if c.FirstPhase != nil {
-		t.FirstStep = &FirstStep{From: c.FirstPhase.AnsweredShards, Whole: c.FirstPhase.Complete}
+		t.FirstPhase = &FirstPhase{AnsweredShards: c.FirstPhase.AnsweredShards, Complete: c.FirstPhase.Complete}
 	}
 	return t
 }
 
 // Closing is the metadata of an answer's last message. An answer without it has been cut and is not whole.
 type Closing struct {
-	ID    string `json:"id"`
-	Class string `json:"class"`
-	Whole bool   `json:"whole"`
-	Parts int    `json:"parts"` // so many rows came
+	ID       string `json:"id"`
+	Class    string `json:"class"`
+	Complete bool   `json:"whole"`
+	Parts    int    `json:"parts"` // so many rows came
 }
 
 // The schema's metadata carries these keys.
@@ -105,8 +105,8 @@
 	return detailed.Err()
 }
 
-// refused tells whether a status is a refusal: nothing unsafe has run.
-func refused(err error) bool {
+// isRejected tells whether a status is a refusal: nothing unsafe has run.
+func isRejected(err error) bool {
 	s, ok := status.FromError(err)
 	if !ok || s.Code() != codes.Unavailable {
 		return false
--- a/internal/flight/flight_test.go
+++ b/internal/flight/flight_test.go
@@ -16,11 +16,11 @@
 	seen := map[codes.Code]bool{}
 	for _, o := range []broker.Outcome{broker.Rejected, broker.Failed, broker.DeadlineExceeded, broker.Duplicate} {
 		err := statusOf(broker.Result{Outcome: o, RetryAfter: 0.5})
-		require.Equal(t, o == broker.Rejected, refused(err))
+		require.Equal(t, o == broker.Rejected, isRejected(err))
 		require.False(t, seen[status.Code(err)], "two outcomes have one code")
 		seen[status.Code(err)] = true
 	}
-	require.False(t, refused(status.Error(codes.Unavailable, "gRPC's own, of a broken connection")))
+	require.False(t, isRejected(status.Error(codes.Unavailable, "gRPC's own, of a broken connection")))
 }
 
 // What ends a call that has begun may have run, unless the server says that it has not.
@@ -33,21 +33,21 @@
 	}{
 		{status.Error(codes.Unavailable, ""), &gate{}, decision.Unreachable},
 		{status.Error(codes.DeadlineExceeded, ""), &gate{}, decision.Unreachable},
-		{errShut, &gate{shut: true}, decision.NotSent},
-		{errShut, &gate{passed: true}, decision.Error}, // gRPC wanted to send it again by itself
+		{errNotStarted, &gate{blocked: true}, decision.NotSent},
+		{errNotStarted, &gate{passed: true}, decision.Error}, // gRPC wanted to send it again by itself
 		{refusal, &gate{passed: true}, decision.Overloaded},
 		{status.Error(codes.Unavailable, ""), &gate{passed: true}, decision.Reset},
 		{status.Error(codes.Internal, ""), &gate{passed: true}, decision.Reset},
 		{status.Error(codes.DeadlineExceeded, ""), &gate{passed: true}, decision.TimedOut},
 		{status.Error(codes.Aborted, ""), &gate{passed: true}, decision.Error},
 	} {
-		require.Equal(t, c.want, broken(c.err, c.gate).Status, "%v", c.err)
+		require.Equal(t, c.want, failedResult(c.err, c.gate).Status, "%v", c.err)
 	}
 }
 
 // A server that is gone must leave no connection behind.
 func TestIdleConnectionsAreDropped(t *testing.T) {
-	l := NewLink(t.Context(), LinkOptions{Streams: 1, Idle: 50 * time.Millisecond})
+	l := NewLink(t.Context(), LinkOptions{MaxStreams: 1, IdleTimeout: 50 * time.Millisecond})
 	held := func() int {
 		l.mu.Lock()
 		defer l.mu.Unlock()
--- a/internal/flight/front.go
+++ b/internal/flight/front.go
@@ -33,13 +33,13 @@
 type Options struct {
 	Classes  map[string]int // class by name
 	Shards   int            // 0: not told
-	ConnsMax int            // connections held at most
+	MaxConns int            // connections held at most
 }
 
 const (
-	streamsMost = 16       // calls at once on a connection
-	callsMost   = 128      // queries at once on all of them
-	window      = 64 << 10 // bytes unread on a stream and on a connection; so set, gRPC does not widen it
+	maxStreams        = 16       // calls at once on a connection
+	maxCalls          = 128      // queries at once on all of them
+	flowControlWindow = 64 << 10 // bytes unread on a stream and on a connection; so set, gRPC does not widen it
 )
 
 // Front serves Flight clients on the same core as the platform's front.
@@ -53,10 +53,10 @@
 
 // NewFront makes a front to core.
 func NewFront(opt Options, core Core) *Front {
-	f := &Front{opt: opt, core: core, slots: make(chan struct{}, callsMost)}
+	f := &Front{opt: opt, core: core, slots: make(chan struct{}, maxCalls)}
 	f.server = grpc.NewServer(
-		grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(streamsMost),
-		grpc.InitialWindowSize(window), grpc.InitialConnWindowSize(window),
+		grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(maxStreams),
+		grpc.InitialWindowSize(flowControlWindow), grpc.InitialConnWindowSize(flowControlWindow),
 		grpc.StreamInterceptor(f.admit),
 		grpc.MaxHeaderListSize(8<<10), grpc.ConnectionTimeout(10*time.Second),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: 90 * time.Second}),
@@ -68,7 +68,7 @@
 // Serve accepts until Stop.
 func (f *Front) Serve(l net.Listener, log *slog.Logger) error {
 	log.Info("serving Arrow Flight", "listen", l.Addr().String())
-	return f.server.Serve(netutil.LimitListener(l, max(f.opt.ConnsMax, 1)))
+	return f.server.Serve(netutil.LimitListener(l, max(f.opt.MaxConns, 1)))
 }
 
 // Stop takes nothing new and waits for what is held; when ctx ends, it ends that too.
@@ -160,7 +160,7 @@
 	if err := w.Write(rec); err != nil {
 		return status.Error(codes.Aborted, err.Error())
 	}
-	closing, err := json.Marshal(Closing{ID: t.ID, Class: t.Class, Whole: res.Complete, Parts: len(res.Values)})
+	closing, err := json.Marshal(Closing{ID: t.ID, Class: t.Class, Complete: res.Complete, Parts: len(res.Values)})
 	if err == nil {
 		err = w.WriteMetadata(closing)
 	}
--- a/internal/flight/link.go
+++ b/internal/flight/link.go
@@ -28,9 +28,9 @@
 
 // LinkOptions are what the deployment fixes.
 type LinkOptions struct {
-	Streams        int           // calls that one connection carries at once
-	Conns          int           // connections held at most; 0: no bound
-	Idle           time.Duration // connections idle for so long are closed
+	MaxStreams     int           // calls that one connection carries at once
+	MaxConns       int           // connections held at most; 0: no bound
+	IdleTimeout    time.Duration // connections idle for so long are closed
 	ConnectTimeout time.Duration
 }
 
@@ -39,10 +39,10 @@
 	opt LinkOptions
 	ctx context.Context
 
-	mu    sync.Mutex // guards what follows
-	conns map[string][]*channel
-	held  int // connections in all
-	calls map[*broker.Call]context.CancelFunc
+	mu        sync.Mutex // guards what follows
+	conns     map[string][]*channel
+	connCount int // connections in all
+	calls     map[*broker.Call]context.CancelFunc
 }
 
 // channel is one gRPC connection and the calls on it.
@@ -55,7 +55,7 @@
 
 // NewLink makes a link whose connections end with ctx.
 func NewLink(ctx context.Context, opt LinkOptions) *Link {
-	opt.Streams = max(opt.Streams, 1)
+	opt.MaxStreams = max(opt.MaxStreams, 1)
 	l := &Link{opt: opt, ctx: ctx, conns: map[string][]*channel{}, calls: map[*broker.Call]context.CancelFunc{}}
 	context.AfterFunc(ctx, func() {
 		l.mu.Lock()
@@ -78,7 +78,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, ch := range l.conns[addr] {
-		if ch.calls < l.opt.Streams {
+		if ch.calls < l.opt.MaxStreams {
 			if ch.idle != nil {
 				ch.idle.Stop()
 				ch.idle = nil
@@ -87,14 +87,14 @@
 			return ch, nil
 		}
 	}
-	if l.opt.Conns > 0 && l.held >= l.opt.Conns && !l.makeRoom() {
+	if l.opt.MaxConns > 0 && l.connCount >= l.opt.MaxConns && !l.evictIdle() {
 		return nil, errNoConn
 	}
 	conn, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		// A part's attempts are the core's to decide: gRPC repeats none by itself.
 		grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(),
-		grpc.WithIdleTimeout(l.opt.Idle*4/5),
+		grpc.WithIdleTimeout(l.opt.IdleTimeout*4/5),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff:           backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second},
 			MinConnectTimeout: l.opt.ConnectTimeout,
@@ -106,18 +106,18 @@
 	}
 	ch := &channel{conn: conn, client: flight.NewClientFromConn(conn, nil), calls: 1}
 	l.conns[addr] = append(l.conns[addr], ch)
-	l.held++
+	l.connCount++
 	return ch, nil
 }
 
 var errNoConn = errors.New("no connection is left")
 
-// makeRoom closes a connection without calls. The caller holds mu.
-func (l *Link) makeRoom() bool {
+// evictIdle closes a connection without calls. The caller holds mu.
+func (l *Link) evictIdle() bool {
 	for addr, list := range l.conns {
 		for _, ch := range list {
 			if ch.calls == 0 {
-				l.drop(addr, ch)
+				l.remove(addr, ch)
 				return true
 			}
 		}
@@ -133,23 +133,23 @@
 	switch ch.calls--; {
 	case ch.calls > 0:
 	case len(l.conns[addr]) > 1:
-		l.drop(addr, ch)
+		l.remove(addr, ch)
 	default:
-		ch.idle = time.AfterFunc(l.opt.Idle*4/5, func() {
+		ch.idle = time.AfterFunc(l.opt.IdleTimeout*4/5, func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
 			if ch.calls == 0 {
-				l.drop(addr, ch)
+				l.remove(addr, ch)
 			}
 		})
 	}
 }
 
-// drop closes a connection and forgets it. The caller holds mu.
-func (l *Link) drop(addr string, ch *channel) {
+// remove closes a connection and forgets it. The caller holds mu.
+func (l *Link) remove(addr string, ch *channel) {
 	list := slices.DeleteFunc(l.conns[addr], func(other *channel) bool { return other == ch })
 	if len(list) < len(l.conns[addr]) {
-		l.held--
+		l.connCount--
 	}
 	if l.conns[addr] = list; len(list) == 0 {
 		delete(l.conns, addr)
@@ -186,24 +186,24 @@
 // the call is checked for the last time. It lets the header through once: gRPC would send a call again that
 // the server did not process, and then without asking the core.
 type gate struct {
-	call   *broker.Call
-	mu     sync.Mutex
-	passed bool
-	shut   bool // a call was stopped here before anything was written
+	call    *broker.Call
+	mu      sync.Mutex
+	passed  bool
+	blocked bool // a call was stopped here before anything was written
 }
 
-var errShut = status.Error(codes.FailedPrecondition, "the call may not be sent any more")
+var errNotStarted = status.Error(codes.FailedPrecondition, "the call may not be sent any more")
 
 // GetRequestMetadata is credentials.PerRPCCredentials'.
 func (g *gate) GetRequestMetadata(context.Context, ...string) (map[string]string, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.passed {
-		return nil, errShut
+		return nil, errNotStarted
 	}
 	if !g.call.TryStart() {
-		g.shut = true
-		return nil, errShut
+		g.blocked = true
+		return nil, errNotStarted
 	}
 	g.passed = true
 	return nil, nil
@@ -218,7 +218,7 @@
 	return g.passed
 }
 
-func reply(s decision.Status) broker.CallResult {
+func resultOf(s decision.Status) broker.CallResult {
 	return broker.CallResult{Status: s, LoadReport: decision.NoLoadReport}
 }
 
@@ -226,24 +226,24 @@
 func (l *Link) get(ctx context.Context, c *broker.Call) broker.CallResult {
 	ch, err := l.acquire(c.Addr)
 	if err != nil {
-		return reply(decision.NotSent) // which tells nothing of the server
+		return resultOf(decision.NotSent) // which tells nothing of the server
 	}
 	defer l.release(c.Addr, ch)
 	ticket, err := json.Marshal(partTicket(c))
 	if err != nil {
-		return reply(decision.NotSent)
+		return resultOf(decision.NotSent)
 	}
 	g := &gate{call: c}
 	stream, err := ch.client.DoGet(ctx, &flight.Ticket{Ticket: ticket}, grpc.PerRPCCredentials(g))
 	if err != nil {
-		return broken(err, g)
+		return failedResult(err, g)
 	}
 	r, err := readPart(stream)
 	switch {
 	case err != nil:
-		return broken(err, g)
+		return failedResult(err, g)
 	case !utf8.Valid(r.Value):
-		return reply(decision.Error) // no answer could carry it
+		return resultOf(decision.Error) // no answer could carry it
 	}
 	return r
 }
@@ -290,7 +290,7 @@
 	if len(text) == 0 {
 		return
 	}
-	if report, err := frame.ParseLoad(text); err == nil {
+	if report, err := frame.ParseLoadReport(text); err == nil {
 		part.LoadReport = report
 	}
 	for pair := range bytes.SplitSeq(text, []byte{','}) {
@@ -304,25 +304,25 @@
 	}
 }
 
-// broken is the outcome of a call that ended without an answer. Nothing can have run if its header was
+// failedResult is the outcome of a call that ended without an answer. Nothing can have run if its header was
 // never written, or if the server says so; anything else may have run, and above all a stream that ends
 // without a status.
-func broken(err error, g *gate) broker.CallResult {
+func failedResult(err error, g *gate) broker.CallResult {
 	switch {
-	case g.shut:
-		return reply(decision.NotSent)
+	case g.blocked:
+		return resultOf(decision.NotSent)
 	case !g.mayHaveRun():
-		return reply(decision.Unreachable)
-	case refused(err):
-		return reply(decision.Overloaded)
+		return resultOf(decision.Unreachable)
+	case isRejected(err):
+		return resultOf(decision.Overloaded)
 	}
 	switch status.Code(err) {
 	case codes.DeadlineExceeded:
-		return reply(decision.TimedOut)
+		return resultOf(decision.TimedOut)
 	case codes.Unavailable, codes.Internal, codes.Unknown, codes.Canceled:
-		return reply(decision.Reset)
+		return resultOf(decision.Reset)
 	}
-	return reply(decision.Error)
+	return resultOf(decision.Error)
 }
 
 // CheckHealth asks a server for its load by the action "load".
@@ -330,14 +330,14 @@
 	go func() {
 		ctx, cancel := context.WithDeadline(l.ctx, p.Deadline)
 		defer cancel()
-		p.Finish(l.ask(ctx, p))
+		p.Finish(l.queryLoad(ctx, p))
 	}()
 }
 
-func (l *Link) ask(ctx context.Context, p *broker.HealthCheck) broker.CallResult {
+func (l *Link) queryLoad(ctx context.Context, p *broker.HealthCheck) broker.CallResult {
 	ch, err := l.acquire(p.Addr)
 	if err != nil {
-		return reply(decision.NotSent)
+		return resultOf(decision.NotSent)
 	}
 	defer l.release(p.Addr, ch)
 	stream, err := ch.client.DoAction(ctx, &flight.Action{Type: "load"})
@@ -348,14 +348,14 @@
 	switch status.Code(err) {
 	case codes.OK:
 	case codes.Unavailable:
-		return reply(decision.Unreachable)
+		return resultOf(decision.Unreachable)
 	case codes.DeadlineExceeded, codes.Canceled:
-		return reply(decision.TimedOut)
+		return resultOf(decision.TimedOut)
 	default:
-		return reply(decision.Error)
+		return resultOf(decision.Error)
 	}
-	r := reply(decision.OK)
-	if load, err := frame.ParseLoad(res.GetBody()); err == nil {
+	r := resultOf(decision.OK)
+	if load, err := frame.ParseLoadReport(res.GetBody()); err == nil {
 		r.LoadReport = load
 	}
 	return r
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -16,28 +16,28 @@
 
 const (
 	// MaxFrame is the longest frame that is read: a value that fits an answer, and its line.
-	MaxFrame   = 64<<10 + 1024
-	headerSize = 4
-	readSize   = 4 << 10
-	keepMost   = 16 << 10 // room that is kept for the next frame
-	maxLine    = 512      // of an R: an id, an end, a score and a report
+	MaxFrame      = 64<<10 + 1024
+	headerSize    = 4
+	readSize      = 4 << 10
+	maxKeptBuffer = 16 << 10 // room that is kept for the next frame
+	maxLine       = 512      // of an R: an id, an end, a score and a report
 )
 
 // Message is one frame from a record server.
 type Message struct {
 	Letter byte
 	Reply  Reply  // of R
-	Rest   []byte // of the others
+	Body   []byte // of the others
 }
 
 // Reply is how a part ended.
 type Reply struct {
-	ID     []byte
-	Status decision.Status
-	Score  int64 // by which the shards of a second step are chosen
-	Scored bool  // the score could be read
-	Load   decision.LoadReport
-	Value  []byte
+	ID         []byte
+	Status     decision.Status
+	Score      int64 // by which the shards of a second step are chosen
+	Scored     bool  // the score could be read
+	LoadReport decision.LoadReport
+	Value      []byte
 }
 
 // Reader reads frames.
@@ -53,7 +53,7 @@
 		d.w = copy(d.b, d.b[d.r:d.w])
 		d.r = 0
 	}
-	if d.w == 0 && len(d.b) > keepMost {
+	if d.w == 0 && len(d.b) > maxKeptBuffer {
 		d.b = nil // a connection that once brought a large value must not keep its room for good
 	}
 	if len(d.b)-d.w < readSize/2 {
@@ -96,9 +96,9 @@
 		return m, false, nil
 	}
 	d.r += headerSize + int(n)
-	m.Letter, m.Rest = p[headerSize], p[headerSize+1:headerSize+int(n)]
+	m.Letter, m.Body = p[headerSize], p[headerSize+1:headerSize+int(n)]
 	if m.Letter == 'R' {
-		m.Reply, d.err = parseReply(m.Rest)
+		m.Reply, d.err = parseReply(m.Body)
 	}
 	return m, d.err == nil, d.err
 }
@@ -137,17 +137,17 @@
 		return r, fmt.Errorf("an R frame that ends with %q", end)
 	}
 	// The value is good whatever the report: one that cannot be read tells nothing and spoils nothing.
-	if r.Load, err = ParseLoad(report); err != nil {
-		r.Load = decision.NoLoadReport
+	if r.LoadReport, err = ParseLoadReport(report); err != nil {
+		r.LoadReport = decision.NoLoadReport
 	}
 	r.Value = value
 	return r, nil
 }
 
-// ParseLoad reads a load report: name=value pairs set apart by commas, or "-". A deployment's settings list
+// ParseLoadReport reads a load report: name=value pairs set apart by commas, or "-". A deployment's settings list
 // its names for the values (report.columns), which differ from the protocol's own; both are known here, any
 // other is ignored.
-func ParseLoad(p []byte) (decision.LoadReport, error) {
+func ParseLoadReport(p []byte) (decision.LoadReport, error) {
 	l := decision.NoLoadReport
 	for len(p) > 0 && string(p) != "-" {
 		var pair []byte
@@ -189,13 +189,13 @@
 
 // Call is one part in a frame S.
 type Call struct {
-	ID     string
-	Shard  int
-	WaitMS int    // how long the broker waits, in milliseconds
-	Text   []byte // the query's text
-	Second bool   // a part of a second step, whose list tells of the first one:
-	From   []int  // the shards that were in
-	Whole  bool   // whether it was whole
+	ID             string
+	Shard          int
+	WaitMS         int    // how long the broker waits, in milliseconds
+	Payload        []byte // the query's text
+	SecondPhase    bool   // a part of a second step, whose list tells of the first one:
+	AnsweredShards []int  // the shards that were in
+	FirstComplete  bool   // whether it was whole
 }
 
 // AppendCall writes a frame S with one part behind b.
@@ -204,15 +204,15 @@
 	b = append(append(append(b, 0, 0, 0, 0, 'S'), c.ID...), ' ')
 	b = strconv.AppendInt(b, int64(c.Shard), 10)
 	b = strconv.AppendInt(append(b, " d="...), int64(c.WaitMS), 10)
-	if c.Second {
-		b = appendFirstStep(b, c.From, c.Whole)
+	if c.SecondPhase {
+		b = appendFirstPhase(b, c.AnsweredShards, c.FirstComplete)
 	}
-	b = strconv.AppendInt(append(b, ' '), int64(len(c.Text)), 10)
-	return closeFrame(append(append(b, '\n'), c.Text...), at)
+	b = strconv.AppendInt(append(b, ' '), int64(len(c.Payload)), 10)
+	return closeFrame(append(append(b, '\n'), c.Payload...), at)
 }
 
-// appendFirstStep writes what a second step's list tells of the first step.
-func appendFirstStep(b []byte, from []int, whole bool) []byte {
+// appendFirstPhase writes what a second step's list tells of the first step.
+func appendFirstPhase(b []byte, from []int, whole bool) []byte {
 	b = append(b, ",from="...)
 	for i, shard := range from {
 		if i > 0 {
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -30,9 +30,9 @@
 			}
 			if m.Letter == 'R' {
 				r := m.Reply
-				fmt.Fprintf(&said, "R %s %d %g/%g %q\n", r.ID, r.Status, r.Load.InFlight, r.Load.Utilization, r.Value)
+				fmt.Fprintf(&said, "R %s %d %g/%g %q\n", r.ID, r.Status, r.LoadReport.InFlight, r.LoadReport.Utilization, r.Value)
 			} else {
-				fmt.Fprintf(&said, "%c %q\n", m.Letter, m.Rest)
+				fmt.Fprintf(&said, "%c %q\n", m.Letter, m.Body)
 			}
 		}
 	}
@@ -56,12 +56,12 @@
 }
 
 func TestAppend(t *testing.T) {
-	b := frame.AppendCall(nil, frame.Call{ID: frame.PartID("9b1f03aa5c7e2d41", 3, false), Shard: 3, WaitMS: 240, Text: []byte("c41e77d0")})
+	b := frame.AppendCall(nil, frame.Call{ID: frame.PartID("9b1f03aa5c7e2d41", 3, false), Shard: 3, WaitMS: 240, Payload: []byte("c41e77d0")})
 	require.Equal(t, "\x00\x00\x00\x26S9b1f03aa5c7e2d41.3 3 d=240 8\nc41e77d0", string(b))
-	second := frame.Call{ID: frame.PartID("q", 7, true), Shard: 7, WaitMS: 90, Text: []byte("x"), Second: true,
-		From: []int{3, 5, 7}, Whole: true}
+	second := frame.Call{ID: frame.PartID("q", 7, true), Shard: 7, WaitMS: 90, Payload: []byte("x"), SecondPhase: true,
+		AnsweredShards: []int{3, 5, 7}, FirstComplete: true}
 	require.Equal(t, "\x00\x00\x00\x25Sq.7.p2 7 d=90,from=3+5+7,whole=1 1\nx", string(frame.AppendCall(nil, second)))
-	second.From, second.Whole = []int{7}, false
+	second.AnsweredShards, second.FirstComplete = []int{7}, false
 	require.Equal(t, "\x00\x00\x00\x21Sq.7.p2 7 d=90,from=7,whole=0 1\nx", string(frame.AppendCall(nil, second)))
 	require.Equal(t, "\x00\x00\x00\x01M\x00\x00\x00\x04Cq.1", string(frame.Append(frame.Append(nil, 'M', ""), 'C', "q.1")))
 }
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -92,7 +92,7 @@
 }
 
 func start(t *testing.T, opt Options) *fixture {
-	opt.Classes, opt.Buffers, opt.Advice = map[string]int{"look": 0}, 1<<20, 0.5
+	opt.Classes, opt.MaxBufferedBytes, opt.RetryAfter = map[string]int{"look": 0}, 1<<20, 0.5
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	x := &fixture{T: t, held: held{make(chan taken, 9), make(chan *broker.Request, 9)}, l: &gated{TCPListener: l.(*net.TCPListener)}}
@@ -152,7 +152,7 @@
 	require.Eventually(x, func() bool {
 		x.f.mu.Lock()
 		defer x.f.mu.Unlock()
-		return x.f.kept.Len() == n
+		return x.f.idleConns.Len() == n
 	}, 2*time.Second, time.Millisecond)
 }
 
@@ -187,19 +187,19 @@
 			x.answered(c, in, "other")
 		},
 		"the process ends": func(x *fixture) {
-			go x.f.End(x.Context(), drain.End{Answers: time.Second})
+			go x.f.Shutdown(x.Context(), drain.ShutdownPlan{AnswerBy: time.Second})
 		},
 		"a drain": func(x *fixture) {
 			x.f.mu.Lock()
-			x.f.drain.Leave(time.Now().Add(-drain.Next()))
+			x.f.drain.Start(time.Now().Add(-drain.CloseIdleDelay()))
 			x.f.mu.Unlock()
 			x.f.wakeAll()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			opt := Options{ConnsMax: 1}
+			opt := Options{MaxConns: 1}
 			if name == "too many rest" {
-				opt = Options{ConnsMax: 2, IdleMost: 1}
+				opt = Options{MaxConns: 2, MaxIdleConns: 1}
 			}
 			x := start(t, opt)
 			c, in, gate := x.dial()
@@ -218,7 +218,7 @@
 func TestAnAnswerIsNotLostToWhatComesBehindIt(t *testing.T) {
 	for name, behind := range map[string]int{"another request": 300, "a flood": 200 << 10} {
 		t.Run(name, func(t *testing.T) {
-			x := start(t, Options{ConnsMax: 9})
+			x := start(t, Options{MaxConns: 9})
 			c, in, _ := x.dial()
 			fmt.Fprint(c, ask("q", "Connection: close\r\n"))
 			q := <-x.taken
@@ -239,7 +239,7 @@
 
 // A client that has sent much behind its request, and goes, has gone: nobody may work for it.
 func TestACloseBehindAFloodIsNoticed(t *testing.T) {
-	x := start(t, Options{ConnsMax: 9})
+	x := start(t, Options{MaxConns: 9})
 	c, _, _ := x.dial()
 	fmt.Fprint(c, ask("q"))
 	q := <-x.taken
@@ -258,7 +258,7 @@
 
 // One that goes on sending behind a request that is held is told off and ended, at no cost to the others.
 func TestAnEndlessFloodEnds(t *testing.T) {
-	x := start(t, Options{ConnsMax: 9})
+	x := start(t, Options{MaxConns: 9})
 	c, in, _ := x.dial()
 	fmt.Fprint(c, ask("q"))
 	q := <-x.taken
@@ -275,7 +275,7 @@
 
 // Newcomers find room among connections that rest or linger, however many come, and one that asks is answered soon.
 func TestAFloodOfConnectionsDoesNotHoldUpWhoAsks(t *testing.T) {
-	x := start(t, Options{ConnsMax: 8})
+	x := start(t, Options{MaxConns: 8})
 	began := time.Now()
 	for i := range 200 {
 		c, in, _ := x.dial()
@@ -289,7 +289,7 @@
 
 // A request that came behind another counts from when it came, not from when its turn was.
 func TestARequestCountsFromItsLastByte(t *testing.T) {
-	x := start(t, Options{ConnsMax: 8})
+	x := start(t, Options{MaxConns: 8})
 	c, in, _ := x.dial()
 	fmt.Fprint(c, ask("q1"), ask("q2"))
 	q := <-x.taken
@@ -302,7 +302,7 @@
 
 // A request that waits behind another counts from its own last byte, not from bytes that followed it meanwhile.
 func TestArrivalIsTheRequestsOwnLastByte(t *testing.T) {
-	x := start(t, Options{ConnsMax: 8})
+	x := start(t, Options{MaxConns: 8})
 	c, in, _ := x.dial()
 	fmt.Fprint(c, ask("q1"), ask("q2"))
 	q1 := <-x.taken
@@ -347,14 +347,14 @@
 func TestClosingServesRequestsThatWereRead(t *testing.T) {
 	for name, second := range map[string]string{"whole": ask("q2"), "in part": ask("q2")[:60]} {
 		t.Run(name, func(t *testing.T) {
-			x := start(t, Options{ConnsMax: 8})
+			x := start(t, Options{MaxConns: 8})
 			c, in, _ := x.dial()
 			fmt.Fprint(c, ask("q1"))
 			q := <-x.taken
 			fmt.Fprint(c, second)
 			time.Sleep(20 * time.Millisecond)
-			go x.f.End(x.Context(), drain.End{Answers: time.Second, Idle: 500 * time.Millisecond})
-			require.Eventually(t, func() bool { return x.f.state().closing }, time.Second, time.Millisecond)
+			go x.f.Shutdown(x.Context(), drain.ShutdownPlan{AnswerBy: time.Second, CloseIdle: 500 * time.Millisecond})
+			require.Eventually(t, func() bool { return x.f.stage().announceClose }, time.Second, time.Millisecond)
 			q.Finish(broker.Result{Complete: true})
 			require.Equal(t, "HTTP/1.1 200 OK", answer(t, in))
 			fmt.Fprint(c, ask("q2")[len(second):])
@@ -367,14 +367,14 @@
 
 // A connection that has to make room after a part of its request was read answers it.
 func TestEvictedRequestReadInPartIsAnswered(t *testing.T) {
-	x := start(t, Options{ConnsMax: 1})
+	x := start(t, Options{MaxConns: 1})
 	c, in, _ := x.dial()
 	x.answered(c, in, "first")
 	fmt.Fprint(c, ask("second")[:60])
 	require.Eventually(t, func() bool {
 		x.f.mu.Lock()
 		defer x.f.mu.Unlock()
-		return x.f.begun.Len() == 1
+		return x.f.receiving.Len() == 1
 	}, time.Second, time.Millisecond)
 	newcomer, newcomerIn, _ := x.dial()
 	require.Equal(t, "HTTP/1.1 503 Service Unavailable", answer(t, in))
@@ -383,7 +383,7 @@
 
 // Half a request is no request: told to end, the front waits for the rest, and no longer than its time allows.
 func TestHalfARequestAtTheEnd(t *testing.T) {
-	x := start(t, Options{ConnsMax: 8})
+	x := start(t, Options{MaxConns: 8})
 	c, in, _ := x.dial()
 	silent, silentIn, _ := x.dial()
 	text := ask("q")
@@ -393,7 +393,7 @@
 	ended := make(chan time.Time, 1)
 	began := time.Now()
 	go func() {
-		x.f.End(x.Context(), drain.End{Answers: 300 * time.Millisecond, Idle: 50 * time.Millisecond})
+		x.f.Shutdown(x.Context(), drain.ShutdownPlan{AnswerBy: 300 * time.Millisecond, CloseIdle: 50 * time.Millisecond})
 		ended <- time.Now()
 	}()
 	time.Sleep(100 * time.Millisecond)
@@ -407,7 +407,7 @@
 
 // Where all connections hold requests, one more is told when to come back, not reset over what it has sent.
 func TestWhoFindsNoRoomIsToldSo(t *testing.T) {
-	x := start(t, Options{ConnsMax: 1})
+	x := start(t, Options{MaxConns: 1})
 	c, in, _ := x.dial()
 	fmt.Fprint(c, ask("q"))
 	q := <-x.taken
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,4 +1,5 @@
-// Package front is the thin front for the platform's clients: it drives httpwire's machine over sockets.
+// Package front is the HTTP/1.1 front for the platform's clients: a thin driver of httpwire's state machine over sockets.
+// Each connection has a goroutine that serves it, which owns it, and one that reads; both end with the connection.
 package front
 
 import (
@@ -16,20 +17,23 @@
 )
 
 const (
-	writeLimit = 2 * time.Second // a client that takes no bytes for so long is given up
-	// FirstLimit is for a connection's first request to come whole, from the start: silent and half-sent
-	// ones hold descriptors that usual clients need.
-	FirstLimit = 2200 * time.Millisecond
-	wholeLimit = 2200 * time.Millisecond // for a later request to come whole, from its first byte
-	idleLimit  = 30 * time.Second        // between requests
-	freshGrace = 250 * time.Millisecond  // a client that has just connected is about to speak
-	roomWait   = 20 * time.Millisecond   // for a connection that makes room to be gone; nobody is accepted meanwhile
-	lingerFor  = 500 * time.Millisecond  // for a client to take its last answer and close
-	lingerMost = 256 << 10               // bytes taken and forgotten meanwhile
-	behindMost = 1 << 20                 // and behind a request that is held, beyond what is kept
-	awayMost   = 4                       // connections without room that are told so, at once
-	readMost   = 16 << 10                // bytes forgotten at once
-	keepMost   = 16 << 10                // bytes of a connection's write buffer that are kept for the next answer
+	// FirstRequestTimeout is for a connection's first request to come whole, from the start: silent and half-sent ones hold
+	// descriptors that usual clients need.
+	FirstRequestTimeout = 2200 * time.Millisecond
+
+	requestTimeout  = 2200 * time.Millisecond // for a later request to come whole, from its first byte
+	idleTimeout     = 30 * time.Second        // between requests
+	writeTimeout    = 2 * time.Second         // for a client to take bytes
+	newConnGrace    = 250 * time.Millisecond  // a client that has just connected is about to send
+	evictionTimeout = 20 * time.Millisecond   // for an evicted connection to end; no other is accepted meanwhile
+	lingerTimeout   = 500 * time.Millisecond  // for a client to take its last answer and close
+	acceptBackoff   = 10 * time.Millisecond   // after a failed accept
+
+	maxLingerBytes    = 256 << 10 // read and discarded while a connection lingers
+	maxPipelinedBytes = 1 << 20   // read and discarded behind a request in flight, beyond what is kept
+	discardSize       = 16 << 10  // bytes discarded at once
+	maxKeptBuffer     = 16 << 10  // of a connection's buffers for the next request and answer
+	maxRejecting      = 4         // connections over capacity that are answered at once; more are closed
 )
 
 // Core is what the front needs of the broker.
@@ -41,50 +45,50 @@
 
 // Options are what the deployment fixes.
 type Options struct {
-	Classes  map[string]int    // class by name
-	Shards   int               // 0: not told
-	ConnsMax int               // client connections held at most
-	IdleMost int               // of them between requests at most; 0: no bound
-	Buffers  int               // bytes of requests held at most, beside a few KiB for each connection
-	Advice   float64           // seconds after which a client that finds no room should come back; 0: not said
-	Metrics  *metrics.Counters // counts requests by how they ended; nil: nobody does
+	Classes          map[string]int    // class by name
+	Shards           int               // 0: not stated
+	MaxConns         int               // client connections at once
+	MaxIdleConns     int               // of them between requests; 0: no bound
+	MaxBufferedBytes int               // of requests, beside a few KiB for each connection
+	RetryAfter       float64           // seconds after which a client that is rejected should retry; 0: no advice
+	Metrics          *metrics.Counters // counts requests by how they ended; nil: they are not counted
 }
 
 // Front serves client connections.
 type Front struct {
-	opt   Options
-	core  Core
-	log   *slog.Logger
-	slots chan struct{}
-	away  chan struct{} // of connections that are turned away
-	wg    sync.WaitGroup
-
-	mu      sync.Mutex
-	end     ends // of the process
-	drain   drain.State
-	conns   map[*conn]struct{}
-	past    list.List // of conns that linger, by when they began to
-	fresh   list.List // of conns that have never sent a whole request, by when they came
-	kept    list.List // of conns between requests, by when they had their last answer
-	begun   list.List // of conns of which a further request has come in part, by when it began
-	buffers int       // bytes of requests held
+	opt       Options
+	core      Core
+	log       *slog.Logger
+	slots     chan struct{}
+	rejecting chan struct{} // slots of connections that are rejected over capacity
+	wg        sync.WaitGroup
+
+	mu            sync.Mutex
+	shutdown      shutdownStage // of the process
+	drain         drain.State
+	conns         map[*conn]struct{}
+	lingering     list.List // conns that linger, by when they began to
+	newConns      list.List // conns that have not sent a whole request, by when they were accepted
+	idleConns     list.List // conns between requests, by when they had their last answer
+	receiving     list.List // conns of which a further request has come in part, by when it began
+	bufferedBytes int       // of requests
 
 	listener net.Listener
-	accepted chan struct{} // closed when none is any more
+	accepted chan struct{} // closed when no connection is accepted any more
 }
 
-// ends is how far the front has come with sending its clients away.
-type ends struct {
-	closing bool // answers say Connection: close
-	idle    bool // connections between requests end
-	all     bool // so do those of which half a request has come
+// shutdownStage is how far a shutdown, or a drain, has come.
+type shutdownStage struct {
+	announceClose bool // answers say Connection: close
+	closeIdle     bool // connections between requests end
+	closeAll      bool // so do those that have received a request in part
 }
 
 // New makes a front to core.
 func New(opt Options, core Core, log *slog.Logger) *Front {
 	return &Front{
-		opt: opt, core: core, log: log, slots: make(chan struct{}, max(opt.ConnsMax, 1)),
-		away: make(chan struct{}, awayMost), conns: map[*conn]struct{}{}, accepted: make(chan struct{}),
+		opt: opt, core: core, log: log, slots: make(chan struct{}, max(opt.MaxConns, 1)),
+		rejecting: make(chan struct{}, maxRejecting), conns: map[*conn]struct{}{}, accepted: make(chan struct{}),
 	}
 }
 
@@ -93,7 +97,7 @@
 	defer close(f.accepted)
 	f.mu.Lock()
 	f.listener = l
-	if f.end.idle {
+	if f.shutdown.closeIdle {
 		l.Close()
 	}
 	f.mu.Unlock()
@@ -104,17 +108,17 @@
 				return nil
 			}
 			f.log.Warn("accept failed", "error", err)
-			time.Sleep(10 * time.Millisecond) // out of descriptors: some will come free
+			time.Sleep(acceptBackoff) // out of descriptors: some will come free
 			continue
 		}
-		c := &conn{f: f, sock: sock, reply: make(chan broker.Result, 1), wake: make(chan struct{}, 1)}
+		c := &conn{front: f, sock: sock, reply: make(chan broker.Result, 1), wake: make(chan struct{}, 1)}
 		if !f.admit() {
-			f.turnAway(c)
+			f.rejectOverCapacity(c)
 			continue
 		}
 		f.mu.Lock()
 		f.conns[c] = struct{}{}
-		f.queue(c, &f.fresh)
+		f.moveTo(c, &f.newConns)
 		f.mu.Unlock()
 		f.wg.Add(1)
 		go func() {
@@ -122,44 +126,44 @@
 			c.serve()
 			f.mu.Lock()
 			delete(f.conns, c)
-			f.queue(c, nil)
-			f.buffers -= c.buffered
+			f.moveTo(c, nil)
+			f.bufferedBytes -= c.reserved
 			f.mu.Unlock()
 			<-f.slots
 		}()
 	}
 }
 
-// turnAway tells a client that there are too many requests. Closing over its own would reset the connection, and the
-// answer with it; but only few are given the time to read it, since descriptors are what there is none left of.
-func (f *Front) turnAway(c *conn) {
+// rejectOverCapacity answers a client that there are too many requests. Closing over its own would reset the connection, and
+// the answer with it; but only a few get the time to read it, since descriptors have run out.
+func (f *Front) rejectOverCapacity(c *conn) {
 	select {
-	case f.away <- struct{}{}:
+	case f.rejecting <- struct{}{}:
 	default:
 		c.sock.Close()
 		return
 	}
 	f.wg.Go(func() {
-		defer func() { <-f.away }()
-		defer c.open()()
-		c.refuse(errFull)
+		defer func() { <-f.rejecting }()
+		defer c.startReader()()
+		c.rejectAndClose(errOverCapacity)
 	})
 }
 
-// admit takes a slot for one more connection. It guards usual clients against those that connect and say
-// nothing, send half a request or hold their connection for good: such a connection, which waits for no
-// answer, is closed where there is no other slot. Only requests that are held can fill the front.
+// admit takes a slot for one more connection. It guards usual clients against those that connect and send nothing, send half
+// a request or keep their connection for good: such a connection, which waits for no answer, is evicted where there is no
+// other slot. Only requests in flight can fill the front.
 func (f *Front) admit() bool {
 	select {
 	case f.slots <- struct{}{}:
 		return true
 	default:
 	}
-	if !f.evict(&f.past, 0) && !f.evict(&f.fresh, freshGrace) && !f.evict(&f.kept, 0) && !f.evict(&f.fresh, 0) &&
-		!f.evict(&f.begun, 0) {
+	if !f.evict(&f.lingering, 0) && !f.evict(&f.newConns, newConnGrace) && !f.evict(&f.idleConns, 0) && !f.evict(&f.newConns, 0) &&
+		!f.evict(&f.receiving, 0) {
 		return false
 	}
-	wait := time.NewTimer(roomWait)
+	wait := time.NewTimer(evictionTimeout)
 	defer wait.Stop()
 	select {
 	case f.slots <- struct{}{}:
@@ -169,97 +173,97 @@
 	}
 }
 
-// evict asks the connection that has been longest in a list to end, if it has been there for so long. It ends by
-// itself: only its own goroutine knows whether a request of it has just been read.
-func (f *Front) evict(l *list.List, least time.Duration) bool {
+// evict asks the connection that has been in a list for longest to end, if it has been there for so long. It ends by itself:
+// only its own goroutine knows whether a request of it has just been read.
+func (f *Front) evict(l *list.List, minAge time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	first := l.Front()
-	if first == nil || time.Since(first.Value.(*conn).since) < least {
+	if first == nil || time.Since(first.Value.(*conn).listedAt) < minAge {
 		return false
 	}
 	c := first.Value.(*conn)
-	f.queue(c, nil)
+	f.moveTo(c, nil)
 	c.evicted = true
-	c.nudge()
+	c.wakeUp()
 	return true
 }
 
-// evicts tells whether a connection's place is wanted.
-func (f *Front) evicts(c *conn) bool {
+// isEvicted tells whether a connection's place is wanted.
+func (f *Front) isEvicted(c *conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return c.evicted
 }
 
-// lingers puts a connection among those that have had their last answer, unless it had no place to give up.
-func (f *Front) lingers(c *conn) {
+// markLingering puts a connection among those that have had their last answer, unless it has no slot to give up.
+func (f *Front) markLingering(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, held := f.conns[c]; held {
-		f.queue(c, &f.past)
+		f.moveTo(c, &f.lingering)
 	}
 }
 
-// begin notes that a request has begun to come. Its connection is the last to make room, once it has had some.
-func (f *Front) begin(c *conn) {
+// markReceiving notes that a request has begun to come. Its connection is the last to be evicted, if it has had requests.
+func (f *Front) markReceiving(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if c.in != &f.fresh {
-		f.queue(c, &f.begun)
+	if c.list != &f.newConns {
+		f.moveTo(c, &f.receiving)
 		c.evicted = false
 	}
 }
 
-// queue moves a connection to the end of a list, or, with nil, out of its own. The caller holds mu.
-func (f *Front) queue(c *conn, l *list.List) {
-	if c.in != nil {
-		c.in.Remove(c.at)
+// moveTo moves a connection to the end of a list, or, with nil, out of its own. The caller holds mu.
+func (f *Front) moveTo(c *conn, l *list.List) {
+	if c.list != nil {
+		c.list.Remove(c.element)
 	}
-	if c.in = l; l != nil {
-		c.since, c.at = time.Now(), l.PushBack(c)
+	if c.list = l; l != nil {
+		c.listedAt, c.element = time.Now(), l.PushBack(c)
 	}
 }
 
-// rest puts a connection among those between requests, and closes the longest idle of too many. It guards
-// clients against each other: together they may hold only so many connections to a broker, and where some ask
-// once and hold theirs for good, the others could open none.
-func (f *Front) rest(c *conn) {
+// markIdle puts a connection among those between requests, and evicts the longest idle of too many. It guards clients against
+// each other: together they may have only so many connections to a broker, and where some send one request and keep theirs
+// for good, the others could open none.
+func (f *Front) markIdle(c *conn) {
 	f.mu.Lock()
 	if !c.evicted {
-		f.queue(c, &f.kept)
+		f.moveTo(c, &f.idleConns)
 	}
-	many := f.opt.IdleMost > 0 && f.kept.Len() > f.opt.IdleMost
+	many := f.opt.MaxIdleConns > 0 && f.idleConns.Len() > f.opt.MaxIdleConns
 	f.mu.Unlock()
 	if many {
-		f.evict(&f.kept, 0)
+		f.evict(&f.idleConns, 0)
 	}
 }
 
-// hold takes a connection off the lists, since its request has come. It makes no room any more.
-func (f *Front) hold(c *conn) {
+// markBusy takes a connection off the lists, since its request has come. It is not evicted any more.
+func (f *Front) markBusy(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.queue(c, nil)
+	f.moveTo(c, nil)
 	c.evicted = false
 }
 
-// buffer books what a connection holds of requests and tells whether it may. It guards the memory against
-// many large requests at once: each alone is within bounds.
-func (f *Front) buffer(c *conn, n int) bool {
+// reserveBuffer reserves what a connection holds of requests and tells whether it may. It guards the memory against many
+// large requests at once: each alone is within bounds.
+func (f *Front) reserveBuffer(c *conn, n int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	grows := n > c.buffered
-	f.buffers += n - c.buffered
-	c.buffered = n
-	return !grows || f.buffers <= f.opt.Buffers
+	grows := n > c.reserved
+	f.bufferedBytes += n - c.reserved
+	c.reserved = n
+	return !grows || f.bufferedBytes <= f.opt.MaxBufferedBytes
 }
 
-// End sends clients away as planned, from now on: answers say that the connection closes, and clients have a grace to
-// ask once more on those they have, since closing them all at once sends every client off at the same moment, perhaps
-// to nobody. Then nobody is accepted any more and connections that wait for nothing end, the others once they have
-// their answers. It returns when all have ended, or ctx has.
-func (f *Front) End(ctx context.Context, plan drain.End) {
+// Shutdown ends the front as planned, from now on: answers announce that the connection closes, and clients may use each
+// once more, since closing them all at once sends every client off at the same moment, perhaps to no broker at all. Then no
+// connection is accepted any more and idle ones end, the others once they have their answers. It returns when all have
+// ended, or ctx has.
+func (f *Front) Shutdown(ctx context.Context, plan drain.ShutdownPlan) {
 	step := func(wait time.Duration, change func()) {
 		t := time.NewTimer(wait)
 		defer t.Stop()
@@ -272,14 +276,14 @@
 		f.mu.Unlock()
 		f.wakeAll()
 	}
-	step(0, func() { f.end.closing = true })
-	step(plan.Idle-plan.Accepts, func() {
-		f.end.idle = true
+	step(0, func() { f.shutdown.announceClose = true })
+	step(plan.CloseIdle-plan.AnnounceClose, func() {
+		f.shutdown.closeIdle = true
 		if f.listener == nil {
 			return
 		}
 		if err := f.listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
-			f.log.Warn("the listener did not close", "error", err)
+			f.log.Warn("closing the listener failed", "error", err)
 		}
 	})
 	done := make(chan struct{})
@@ -288,7 +292,7 @@
 		f.wg.Wait()
 		close(done)
 	}()
-	last := time.AfterFunc(plan.Answers-plan.Idle, func() { step(0, func() { f.end.all = true }) })
+	last := time.AfterFunc(plan.AnswerBy-plan.CloseIdle, func() { step(0, func() { f.shutdown.closeAll = true }) })
 	defer last.Stop()
 	select {
 	case <-done:
@@ -296,33 +300,33 @@
 	}
 }
 
-// Drain sends clients away: operators want this process empty, but running. Rejoin takes them again.
+// Drain sends clients away, while the process runs on. Rejoin ends the drain.
 func (f *Front) Drain() {
 	f.mu.Lock()
-	f.drain.Leave(time.Now())
+	f.drain.Start(time.Now())
 	f.mu.Unlock()
-	time.AfterFunc(drain.Next(), f.wakeAll)
+	time.AfterFunc(drain.CloseIdleDelay(), f.wakeAll)
 }
 
 // Rejoin ends a drain.
 func (f *Front) Rejoin() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.drain.Join()
+	f.drain.Cancel()
 }
 
-// Takes tells whether clients are taken.
-func (f *Front) Takes() bool {
+// AcceptsClients tells whether clients should be sent here.
+func (f *Front) AcceptsClients() bool {
 	f.mu.Lock()
-	takes := !f.end.closing && f.drain.Up()
+	takes := !f.shutdown.announceClose && f.drain.IsUp()
 	f.mu.Unlock()
 	return takes && f.core.Ready()
 }
 
-// Refuses tells whether a drain has come so far that requests are refused, by whatever front.
-func (f *Front) Refuses() bool {
-	_, refuses := f.drained()
-	return refuses
+// RejectsRequests tells whether a drain has come so far that requests are rejected, by whatever front.
+func (f *Front) RejectsRequests() bool {
+	_, rejects := f.drainState()
+	return rejects
 }
 
 // wakeAll has each connection look at what has changed.
@@ -330,30 +334,30 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
-		c.nudge()
+		c.wakeUp()
 	}
 }
 
-// nudge has the connection look at what has changed.
-func (c *conn) nudge() {
+// wakeUp has the connection look at what has changed. It does not wait.
+func (c *conn) wakeUp() {
 	select {
 	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// state tells how far clients are sent away: for the process's end, or by a drain.
-func (f *Front) state() ends {
+// stage tells how far the shutdown or a drain has come, whichever is further.
+func (f *Front) stage() shutdownStage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e := f.end
-	e.closing, e.idle = e.closing || f.drain.Closing(), e.idle || f.drain.ClosesIdle(time.Now())
+	e := f.shutdown
+	e.announceClose, e.closeIdle = e.announceClose || f.drain.AnnouncesClose(), e.closeIdle || f.drain.ClosesIdle(time.Now())
 	return e
 }
 
-// drained tells whether the process is up for clients, and whether requests are refused.
-func (f *Front) drained() (down, refuses bool) {
+// drainState tells whether a drain has taken the process down for clients, and whether requests are rejected.
+func (f *Front) drainState() (down, rejects bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.drain.Up(), f.drain.Refuses(time.Now())
+	return !f.drain.IsUp(), f.drain.RejectsRequests(time.Now())
 }
--- /dev/null
+++ b/internal/front/respond.go
@@ -0,0 +1,199 @@
+package front
+
+import (
+	"errors"
+	"time"
+
+	"mothrouter/internal/broker"
+	"mothrouter/internal/httpwire"
+)
+
+// Errors of clients' input, with the statuses that answer them.
+var (
+	errRequestTimeout   = &httpwire.Error{Status: 408, Reason: "the request did not come whole in time"}
+	errTooMuchPipelined = &httpwire.Error{Status: 413, Reason: "too much came behind a request that is not answered yet"}
+	errOverCapacity     = &httpwire.Error{Status: 503, Reason: "too many requests are held"}
+	errBufferFull       = &httpwire.Error{Status: 503, Reason: "no room for a request of this size now"}
+)
+
+// handle answers a request or hands it to the core. It returns false where the connection ends.
+func (c *conn) handle(req *httpwire.Request) bool {
+	resp := httpwire.Response{Close: req.Close, NoBody: req.Method == "HEAD"}
+	index, known := c.front.opt.Classes[req.Class()]
+	down, rejects := c.front.drainState()
+	switch {
+	case req.Path == "/up":
+		if resp.Status = 200; req.Method != "GET" && req.Method != "HEAD" {
+			resp.Status, resp.Allow = 405, "GET, HEAD"
+		} else if down || !c.front.core.Ready() {
+			resp.Status = 503
+		}
+	case !known:
+		resp.Status, resp.Body = 404, problem{"no class of query has this name"}
+	case req.Method != "POST":
+		resp.Status, resp.Allow = 405, "POST"
+	default:
+		r, err := c.newRequest(req, index)
+		if err == nil && rejects {
+			resp.Status, resp.RetryAfter, resp.Body = 503, c.front.opt.RetryAfter, problem{"refused: this broker is being drained"}
+			c.front.opt.Metrics.RecordResponse(index, resp.Status)
+			break
+		}
+		if err == nil {
+			c.request, c.closeAfter, c.discarded = r, req.Close, 0
+			c.front.core.Submit(r, c)
+			return true
+		}
+		resp.Status, resp.Body = statusOf(err), problem{err.Error()}
+		c.front.opt.Metrics.RecordResponse(index, resp.Status)
+	}
+	return c.write(resp)
+}
+
+// newRequest makes the core's request of a query. Its errors are *httpwire.Error.
+func (c *conn) newRequest(req *httpwire.Request, class int) (*broker.Request, error) {
+	r, err := httpwire.ParseQuery(req)
+	if err != nil {
+		return nil, err
+	}
+	r.Class, r.ReceivedAt, r.Disconnected = class, c.received.lastByte(c.reader.Unread()), &c.disconnected
+	if err := r.Normalize(c.front.opt.Shards); err != nil {
+		return nil, &httpwire.Error{Status: 400, Reason: err.Error()}
+	}
+	return r, nil
+}
+
+// rejectAndClose answers input that breaks the protocol; the connection ends after it.
+func (c *conn) rejectAndClose(err error) {
+	c.write(c.finalError(err))
+	c.linger()
+}
+
+// rejectEvicted answers the request of which a part has been read, since the rest will not be read. The connection's place
+// is wanted now: it neither lingers nor waits for a client that takes no bytes.
+func (c *conn) rejectEvicted() {
+	resp := c.finalError(errOverCapacity)
+	c.sock.SetWriteDeadline(time.Now().Add(evictionTimeout))
+	_, _ = c.sock.Write(resp.Append(nil)) // the connection ends whether or not its client takes the answer
+}
+
+// statusOf is the status that answers an error of a client's input.
+func statusOf(err error) int {
+	var e *httpwire.Error
+	if errors.As(err, &e) {
+		return e.Status
+	}
+	return 400
+}
+
+// finalError is the last answer on a connection whose input cannot be served.
+func (c *conn) finalError(err error) httpwire.Response {
+	resp := httpwire.Response{Status: statusOf(err), Body: problem{err.Error()}, Close: true}
+	if resp.Status == 503 {
+		resp.RetryAfter = c.front.opt.RetryAfter
+	}
+	return resp
+}
+
+// linger is a lingering close: it ends the sending side and gives the client a moment to take the answer and to close.
+// Closing with bytes unread would reset the connection, and the answer could be lost with it. What comes meanwhile is
+// discarded. A connection that lingers is the first to make room.
+func (c *conn) linger() {
+	half, ok := c.sock.(interface{ CloseWrite() error })
+	if !ok || c.disconnected.Load() {
+		return
+	}
+	_ = half.CloseWrite() // a socket on which it fails has ended
+	c.front.markLingering(c)
+	wait := time.NewTimer(lingerTimeout)
+	defer wait.Stop()
+	discard := make([]byte, discardSize)
+	for remaining := maxLingerBytes; remaining > 0; {
+		if !c.reading {
+			c.readBuffers <- discard
+			c.reading = true
+		}
+		select {
+		case <-wait.C:
+			return
+		case <-c.wake:
+			if c.front.isEvicted(c) {
+				return
+			}
+		case e := <-c.readResults:
+			if c.reading = false; e.err != nil {
+				return
+			}
+			remaining -= e.n
+		}
+	}
+}
+
+// problem is the body of an answer that is not 200.
+type problem struct {
+	Error string `json:"error"`
+}
+
+// responseTo is a query's final answer as a response.
+func responseTo(r broker.Result, closes bool) httpwire.Response {
+	resp := httpwire.Response{Close: closes}
+	switch r.Outcome {
+	case broker.Answered:
+		a := httpwire.Answer{Complete: r.Complete, Results: make([]httpwire.Hit, 0, len(r.Values))}
+		for _, v := range r.Values {
+			a.Results = append(a.Results, httpwire.Hit{Partition: v.Shard, Value: string(v.Data)})
+		}
+		resp.Status, resp.Body = 200, a
+	case broker.Rejected:
+		resp.Status, resp.RetryAfter = 503, r.RetryAfter
+		resp.Body = problem{"refused: trying again is harmless"}
+	case broker.DeadlineExceeded:
+		resp.Status, resp.Body = 504, problem{"the time is up"}
+	case broker.Duplicate:
+		resp.Status, resp.Body = 409, problem{"a query of this id is being served"}
+	default:
+		resp.Status, resp.Body = 500, problem{"failed: parts may have run"}
+	}
+	return resp
+}
+
+// write sends a response and tells whether the connection goes on.
+func (c *conn) write(resp httpwire.Response) bool {
+	if !resp.Close {
+		last, ok := c.isLastResponse()
+		if !ok {
+			return false
+		}
+		resp.Close = last
+	}
+	c.out = resp.Append(c.out[:0])
+	sent := c.send(c.out)
+	if cap(c.out) > maxKeptBuffer {
+		c.out = nil
+	}
+	return sent && !resp.Close
+}
+
+// isLastResponse tells whether the answer that is about to be written is the connection's last. While clients are sent away,
+// a request of which bytes have been read is served first: its client could not know that it was read and dropped.
+// ok is false where the client has gone.
+func (c *conn) isLastResponse() (last, ok bool) {
+	end := c.front.stage()
+	if c.closeAfter || !end.announceClose {
+		return c.closeAfter, true
+	}
+	if _, ok := c.interruptRead(); !ok {
+		return true, false
+	}
+	return end.closeAll || c.closeAfter || !c.reader.Receiving(), true
+}
+
+// send writes bytes and tells whether all went.
+func (c *conn) send(b []byte) bool {
+	c.sock.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_, err := c.sock.Write(b)
+	if err != nil {
+		c.disconnected.Store(true)
+	}
+	return err == nil
+}
--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -14,11 +14,11 @@
 
 const (
 	// MaxBody is the largest body that either side may send.
-	MaxBody  = 64 << 10
-	maxHead  = 8 << 10
-	readSize = 4 << 10
-	keepMost = 16 << 10 // room that is kept for the next message
-	maxChunk = 64       // longest chunk-size line
+	MaxBody       = 64 << 10
+	maxHead       = 8 << 10
+	readSize      = 4 << 10
+	maxKeptBuffer = 16 << 10 // room that is kept for the next message
+	maxChunk      = 64       // longest chunk-size line
 )
 
 // Error is input that breaks the protocol, with the status that answers it.
@@ -43,7 +43,7 @@
 
 // space makes room for more, keeping what starts at from.
 func (b *buffer) space(from *int) []byte {
-	if b.r == b.w && *from == b.w && len(b.b) > keepMost {
+	if b.r == b.w && *from == b.w && len(b.b) > maxKeptBuffer {
 		// Guards the memory: a connection that once brought a large message must not keep its room for good.
 		*b, *from = buffer{}, 0
 	}
@@ -65,8 +65,8 @@
 	header textproto.MIMEHeader
 }
 
-// takeHead returns the head once it is complete.
-func (b *buffer) takeHead() (*head, error) {
+// readHead returns the head once it is complete.
+func (b *buffer) readHead() (*head, error) {
 	// Empty lines before a start line are skipped, as RFC 9112 advises.
 	for b.r < b.w && (b.b[b.r] == '\r' || b.b[b.r] == '\n') {
 		b.r++
@@ -149,9 +149,9 @@
 
 // chunks takes the framing off a chunked body.
 type chunks struct {
-	state chunkState
-	left  int
-	tail  int // bytes of the trailer so far
+	state     chunkState
+	remaining int
+	tail      int // bytes of the trailer so far
 }
 
 type chunkState int
@@ -168,8 +168,8 @@
 // where more must come first.
 func (c *chunks) next(p []byte) (used int, data []byte, err error) {
 	if c.state == chunkData {
-		n := min(c.left, len(p))
-		if c.left -= n; c.left == 0 {
+		n := min(c.remaining, len(p))
+		if c.remaining -= n; c.remaining == 0 {
 			c.state = chunkEnd
 		}
 		return n, p[:n], nil
@@ -196,7 +196,7 @@
 		if err != nil {
 			return 0, nil, malformed("chunk size: cannot read %q", size)
 		}
-		c.left, c.state = int(n), chunkData
+		c.remaining, c.state = int(n), chunkData
 		if n == 0 {
 			c.state = chunkTrailer
 		}
--- a/internal/httpwire/query.go
+++ b/internal/httpwire/query.go
@@ -109,8 +109,8 @@
 
 // Answer is the body of a served query.
 type Answer struct {
-	Whole   bool  `json:"whole"`
-	Results []Hit `json:"results"`
+	Complete bool  `json:"whole"`
+	Results  []Hit `json:"results"`
 }
 
 // Hit is the value of one part.
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -27,8 +27,8 @@
 	err     error
 }
 
-// Expects tells, once a request, that its client waits for a 100 (Continue) before it sends the body.
-func (d *RequestReader) Expects() bool {
+// TakeExpectContinue tells, once a request, that its client waits for a 100 (Continue) before it sends the body.
+func (d *RequestReader) TakeExpectContinue() bool {
 	waits := d.expects && d.req != nil && len(d.buf.unread()) == 0
 	d.expects = d.expects && !waits
 	return waits
@@ -52,14 +52,14 @@
 // Filled tells that n more bytes stand at the start of what Space returned.
 func (d *RequestReader) Filled(n int) { d.buf.w += n }
 
-// Size is how much room the reader holds.
-func (d *RequestReader) Size() int { return len(d.buf.b) }
+// Buffered is how much room the reader holds.
+func (d *RequestReader) Buffered() int { return len(d.buf.b) }
 
 // Unread is how many received bytes belong to no request that Next has returned.
 func (d *RequestReader) Unread() int { return len(d.buf.unread()) }
 
-// Begun tells that a request has come in part.
-func (d *RequestReader) Begun() bool { return d.req != nil || len(d.buf.unread()) > 0 }
+// Receiving tells that a request has come in part.
+func (d *RequestReader) Receiving() bool { return d.req != nil || len(d.buf.unread()) > 0 }
 
 // Full tells that so much is waiting that no more should be read before Next has taken it.
 func (d *RequestReader) Full() bool { return len(d.buf.unread()) > maxHead+MaxBody }
@@ -68,7 +68,7 @@
 // cannot be read on.
 func (d *RequestReader) Next() (*Request, error) {
 	if d.err == nil && d.req == nil {
-		d.err = d.begin()
+		d.err = d.readStart()
 	}
 	if d.err == nil && d.req != nil {
 		var done bool
@@ -82,8 +82,8 @@
 	return nil, d.err
 }
 
-func (d *RequestReader) begin() error {
-	h, err := d.buf.takeHead()
+func (d *RequestReader) readStart() error {
+	h, err := d.buf.readHead()
 	if h == nil || err != nil {
 		return err
 	}
--- a/internal/httpwire/response.go
+++ b/internal/httpwire/response.go
@@ -94,7 +94,7 @@
 }
 
 func (d *LineReader) begin() error {
-	h, err := d.buf.takeHead()
+	h, err := d.buf.readHead()
 	if h == nil || err != nil {
 		return err
 	}
@@ -121,7 +121,7 @@
 // between objects is whole and has none.
 func (o *Object) Add(line []byte) (text []byte, whole bool, err error) {
 	if o.depth == 0 {
-		if o.text = o.text[:0]; cap(o.text) > keepMost {
+		if o.text = o.text[:0]; cap(o.text) > maxKeptBuffer {
 			o.text = nil
 		}
 	}
--- a/internal/lazyheap/lazyheap.go
+++ b/internal/lazyheap/lazyheap.go
@@ -26,7 +26,7 @@
 }
 
 // Min is the item with the least key of those that fit. Items that do not fit are taken out, until pushed again.
-func (h *Heap[T]) Min(accept func(T) bool) (min T, found bool) {
+func (h *Heap[T]) Min(accept func(T) bool) (smallest T, found bool) {
 	for len(h.items) > 0 {
 		top := &h.items[0]
 		switch now := h.key(top.item); {
@@ -40,7 +40,7 @@
 			return top.item, true
 		}
 	}
-	return min, false
+	return smallest, false
 }
 
 // Remove takes items out. It walks all.
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -34,8 +34,8 @@
 	return t
 }
 
-// Ended counts a request by the status that its client was answered with.
-func (t *Counters) Ended(class, status int) {
+// RecordResponse counts a request by the status that its client was answered with.
+func (t *Counters) RecordResponse(class, status int) {
 	if t == nil || class < 0 || class >= len(t.classes) {
 		return
 	}
@@ -49,8 +49,8 @@
 	}
 }
 
-// Relayed counts an attempt that was written whole.
-func (t *Counters) Relayed(class int) {
+// RecordSent counts an attempt that was written whole.
+func (t *Counters) RecordSent(class int) {
 	if t != nil && class >= 0 && class < len(t.classes) {
 		t.classes[class].Relayed.Add(1)
 	}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -11,11 +11,11 @@
 func TestFigures(t *testing.T) {
 	c := metrics.New(map[string]int{"b": 0, "a": 1}, func() metrics.Gauges { return metrics.Gauges{Queries: 3, Endpoints: 12, Avoided: 1} })
 	for _, status := range []int{200, 200, 503, 429, 500, 504, 400} {
-		c.Ended(1, status)
+		c.RecordResponse(1, status)
 	}
-	c.Relayed(0)
-	c.Ended(7, 200) // of no class
-	(*metrics.Counters)(nil).Ended(0, 200)
+	c.RecordSent(0)
+	c.RecordResponse(7, 200) // of no class
+	(*metrics.Counters)(nil).RecordResponse(0, 200)
 	require.Equal(t, `svc.operations.a.fulfilled:2|c
 svc.operations.a.throttled:2|c
 svc.operations.a.faulted:3|c
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -62,7 +62,7 @@
 
 func callBytes() float64 {
 	id := frame.PartID(strings.Repeat("q", 16), 4000, false)
-	call := frame.Call{ID: id, Shard: 4000, WaitMS: 240, Text: make([]byte, serviceText)}
+	call := frame.Call{ID: id, Shard: 4000, WaitMS: 240, Payload: make([]byte, serviceText)}
 	return float64(len(frame.AppendCall(nil, call)))
 }
 
--- a/internal/scale/service.go
+++ b/internal/scale/service.go
@@ -37,7 +37,7 @@
 	set.ReportMode = reports
 	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = servicePatient.Seconds(), servicePatient.Seconds()
 	ctx, cancel := context.WithCancel(context.Background())
-	link := upstream.New(ctx, upstream.Options{Streams: 100, Idle: time.Hour, ConnectTimeout: 5 * time.Second})
+	link := upstream.New(ctx, upstream.Options{MaxStreams: 100, IdleTimeout: time.Hour, ConnectTimeout: 5 * time.Second})
 	b := broker.New(broker.Options{Settings: set, Log: nobody, HealthCheckTimeout: openWithin}, decision.New(set, seed), link)
 	go b.Run(ctx)
 	return &core{b, c, cancel, c.entries()}, nil
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -238,7 +238,7 @@
 			}
 			switch m.Letter {
 			case 'S':
-				line, _, _ := bytes.Cut(m.Rest, []byte{'\n'})
+				line, _, _ := bytes.Cut(m.Body, []byte{'\n'})
 				fields := strings.Fields(string(line))
 				id := fields[0]
 				shard, _ := strconv.Atoi(fields[1])
@@ -256,7 +256,7 @@
 					}
 				})
 			case 'C':
-				id := string(m.Rest)
+				id := string(m.Body)
 				if stop := cancels[id]; stop != nil {
 					close(stop)
 					delete(cancels, id)
--- /dev/null
+++ b/internal/upstream/connread.go
@@ -0,0 +1,150 @@
+package upstream
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"time"
+	"unicode/utf8"
+
+	"mothrouter/internal/broker"
+	"mothrouter/internal/decision"
+	"mothrouter/internal/frame"
+)
+
+const frameTimeout = 400 * time.Millisecond // for a frame to come whole: what does not may be noise
+
+// readLoop reads frames until the connection ends.
+func (cn *conn) readLoop() error {
+	var in frame.Reader
+	for {
+		n, err := cn.sock.Read(in.Space())
+		if errors.Is(err, os.ErrDeadlineExceeded) {
+			return fmt.Errorf("%w: a frame did not come whole within %v", errProtocol, frameTimeout)
+		}
+		if err != nil {
+			return err
+		}
+		in.Filled(n)
+		if err := cn.handleFrames(&in); err != nil {
+			return err
+		}
+		// Guards the calls that come next: with the rest of a frame behind an answer, theirs would be taken for more of it.
+		var deadline time.Time
+		if in.Pending() {
+			if !cn.awaitsAnswer() {
+				return fmt.Errorf("%w: bytes behind the last answer that is due", errProtocol)
+			}
+			deadline = time.Now().Add(frameTimeout)
+		}
+		cn.sock.SetReadDeadline(deadline)
+	}
+}
+
+// awaitsAnswer tells whether an answer is due, be it to a call that was cancelled.
+func (cn *conn) awaitsAnswer() bool {
+	cn.link.mu.Lock()
+	defer cn.link.mu.Unlock()
+	return len(cn.calls)+len(cn.healthChecks)+len(cn.abandoned) > 0
+}
+
+// handleFrames handles the frames that have come whole.
+func (cn *conn) handleFrames(in *frame.Reader) error {
+	for {
+		m, ok, err := in.Next()
+		if err != nil {
+			return fmt.Errorf("%w: %w", errProtocol, err)
+		}
+		if !ok {
+			return nil
+		}
+		if m.Letter == 'F' {
+			return errFrameRejected
+		}
+		cn.link.mu.Lock()
+		err = cn.handleMessage(m)
+		cn.link.mu.Unlock()
+		if err != nil {
+			return err
+		}
+	}
+}
+
+// handleMessage handles one message. Its errors wrap errProtocol and end the connection. The caller holds mu.
+func (cn *conn) handleMessage(m frame.Message) error {
+	cn.lastReceived = time.Now()
+	err := cn.dispatch(m)
+	cn.awaitingSince = time.Time{}
+	if len(cn.calls) > 0 {
+		cn.awaitingSince = cn.lastReceived
+	}
+	if err == nil {
+		cn.startIdleTimer()
+	}
+	return err
+}
+
+func (cn *conn) dispatch(m frame.Message) error {
+	switch m.Letter {
+	case 'R':
+		return cn.handleReply(&m.Reply)
+	case 'H', 'M':
+		return cn.handleHealth(m)
+	}
+	return fmt.Errorf("%w: a frame of the letter %q", errProtocol, m.Letter)
+}
+
+// handleReply handles an answer to a call.
+func (cn *conn) handleReply(reply *frame.Reply) error {
+	id := string(reply.ID)
+	j := cn.calls[id]
+	if j == nil || j.state == jobQueued {
+		return cn.handleUnexpectedReply(id)
+	}
+	r := broker.CallResult{Status: reply.Status, Score: reply.Score, Scored: reply.Scored, LoadReport: reply.LoadReport}
+	if r.Status == decision.OK && !utf8.Valid(reply.Value) {
+		return fmt.Errorf("%w: a value that is not UTF-8", errProtocol)
+	}
+	delete(cn.calls, id)
+	cn.markAnswered(id)
+	j.state = jobFinished
+	if r.Status == decision.OK {
+		if !j.writtenAt.IsZero() { // it may come before the writer has noted that all is written
+			cn.link.recordLatency(time.Since(j.writtenAt))
+		}
+		r.Value = append([]byte{}, reply.Value...) // it outlives the buffer
+	}
+	j.call.Finish(r)
+	return nil
+}
+
+// handleUnexpectedReply handles an answer that no call waits for: a late one to a call that was cancelled, or a duplicate,
+// which does no harm.
+func (cn *conn) handleUnexpectedReply(id string) error {
+	switch {
+	case cn.abandoned[id]:
+		delete(cn.abandoned, id)
+		cn.markAnswered(id)
+	case !cn.answered[id]:
+		return fmt.Errorf("%w: an answer to %q, which was never sent here", errProtocol, id)
+	}
+	return nil
+}
+
+// handleHealth handles an answer to a health check. They come in order.
+func (cn *conn) handleHealth(m frame.Message) error {
+	if len(cn.healthChecks) == 0 {
+		return fmt.Errorf("%w: an answer to no health check", errProtocol)
+	}
+	j := cn.healthChecks[0]
+	cn.healthChecks = cn.healthChecks[1:]
+	j.state = jobFinished
+	r := resultOf(decision.OK)
+	if string(m.Body) == "failed" {
+		r.Status = decision.Error
+	} else if report, err := frame.ParseLoadReport(m.Body); m.Letter == 'M' && err == nil {
+		r.LoadReport = report
+	}
+	j.healthCheck.Finish(r)
+	return nil
+}
--- /dev/null
+++ b/internal/upstream/connwrite.go
@@ -0,0 +1,150 @@
+package upstream
+
+import (
+	"errors"
+	"os"
+	"time"
+
+	"mothrouter/internal/decision"
+	"mothrouter/internal/frame"
+)
+
+const (
+	writeTimeout = 2 * time.Second        // for a peer to take bytes, before it is given up,
+	stallTimeout = 20 * time.Millisecond  // or this, once what is being written is cancelled
+	maxFrameAge  = 100 * time.Millisecond // age of the time left in a call's frame; the rules allow 150 ms
+)
+
+// writeLoop writes what is queued, until the connection ends.
+func (cn *conn) writeLoop() {
+	var buf []byte
+	for {
+		j, frames, ok := cn.nextWrite(buf[:0])
+		if !ok {
+			return
+		}
+		buf = frames
+		if len(frames) == 0 {
+			continue
+		}
+		n, err := cn.writeFrame(j, frames)
+		if j != nil && j.call != nil && n == len(frames) && cn.link.opt.OnSent != nil {
+			cn.link.opt.OnSent(j.call.Class)
+		}
+		cn.finishWrite(j, n == len(frames), err)
+	}
+}
+
+// nextWrite waits for something to write and appends it to buf: cancels first, since they free work, else a job's frame.
+// The job is nil for cancels, and nothing is appended for one that may not be sent any more. ok is false where the
+// connection has ended.
+func (cn *conn) nextWrite(buf []byte) (j *job, frames []byte, ok bool) {
+	for {
+		cn.link.mu.Lock()
+		switch {
+		case cn.closeErr != nil:
+			cn.link.mu.Unlock()
+			return nil, nil, false
+		case len(cn.pendingCancels) > 0:
+			for _, id := range cn.pendingCancels {
+				buf = frame.Append(buf, 'C', id)
+			}
+			cn.pendingCancels = cn.pendingCancels[:0]
+		case len(cn.queue) > 0:
+			j, cn.queue = cn.queue[0], cn.queue[1:]
+			buf = cn.appendFrame(j, buf)
+		default:
+			cn.startIdleTimer()
+			cn.link.mu.Unlock()
+			<-cn.wake
+			continue
+		}
+		cn.writingSince = time.Now()
+		cn.link.mu.Unlock()
+		return j, buf, true
+	}
+}
+
+// finishWrite records that a job's frame has been written, completely or not, and ends the connection after an error.
+func (cn *conn) finishWrite(j *job, complete bool, err error) {
+	cn.link.mu.Lock()
+	defer cn.link.mu.Unlock()
+	if j != nil && j.state == jobWriting {
+		j.state, j.writtenAt = jobWritten, time.Now()
+		if cn.awaitingSince.IsZero() {
+			cn.awaitingSince = j.writtenAt
+		}
+		if cn.closeErr != nil || err != nil {
+			// The connection ended meanwhile: it may have run only if its last byte was written.
+			status := cn.lostStatus()
+			if !complete {
+				status = decision.Unreachable
+			}
+			cn.finishJob(j, status)
+		}
+	}
+	if errors.Is(err, os.ErrDeadlineExceeded) {
+		cn.reset()
+	} else if err != nil {
+		cn.fail(err)
+	}
+}
+
+// appendFrame appends a job's frame to buf, if it may still be sent. The caller holds mu.
+func (cn *conn) appendFrame(j *job, buf []byte) []byte {
+	switch {
+	case j.state == jobFinished:
+		return buf
+	case j.healthCheck != nil:
+		return cn.appendHealthCheck(j, buf)
+	case !j.call.TryStart():
+		j.state = jobFinished
+		delete(cn.calls, j.id)
+		return buf
+	}
+	j.state = jobWriting
+	return j.appendCall(buf)
+}
+
+func (cn *conn) appendHealthCheck(j *job, buf []byte) []byte {
+	if !j.healthCheck.TryStart() {
+		j.state = jobFinished
+		return buf
+	}
+	letter := byte('H')
+	if j.healthCheck.WantsLoadReport {
+		letter = 'M'
+	}
+	j.state = jobWritten
+	cn.healthChecks = append(cn.healthChecks, j)
+	return frame.Append(buf, letter, "")
+}
+
+// appendCall appends a call's frame with the time that is left now.
+func (j *job) appendCall(buf []byte) []byte {
+	wait := max(int(time.Until(j.call.Deadline)/time.Millisecond), 1)
+	call := frame.Call{ID: j.id, Shard: j.call.Shard, WaitMS: wait, Payload: j.call.Payload}
+	if first := j.call.FirstPhase; first != nil {
+		call.SecondPhase, call.AnsweredShards, call.FirstComplete = true, first.AnsweredShards, first.Complete
+	}
+	return frame.AppendCall(buf, call)
+}
+
+// writeFrame writes a frame; j is nil for cancels. A call's frame tells the server how much time is left, so while the server
+// takes none of it, it is made anew every maxFrameAge, for writeTimeout at most; one that was taken in part ends there. A call
+// that may no longer start is not written. It returns how many bytes of the frame were taken.
+func (cn *conn) writeFrame(j *job, buf []byte) (n int, err error) {
+	limit := time.Now().Add(writeTimeout)
+	if j == nil || j.call == nil {
+		cn.sock.SetWriteDeadline(limit)
+		return cn.sock.Write(buf)
+	}
+	for {
+		cn.sock.SetWriteDeadline(time.Now().Add(maxFrameAge))
+		n, err = cn.sock.Write(buf)
+		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !j.call.MayStart() || !time.Now().Before(limit) {
+			return n, err
+		}
+		buf = j.appendCall(buf[:0])
+	}
+}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -13,48 +13,48 @@
 
 // Options are what the deployment fixes.
 type Options struct {
-	Streams        int           // calls that one connection carries at once
-	Conns          int           // connections held at most; 0: no bound
-	Idle           time.Duration // record servers close connections idle for so long
+	MaxStreams     int           // calls in flight on one connection
+	MaxConns       int           // 0: no bound
+	IdleTimeout    time.Duration // record servers close connections that are idle for so long
 	ConnectTimeout time.Duration
-	Fresh          time.Duration   // how long after a word a connection is sure to live; 0: 80 ms
-	Relayed        func(class int) // told of each call that was written whole; nil: nobody is
+	ProvenAliveFor time.Duration   // for how long after a message a connection counts as proven alive; 0: 80 ms
+	OnSent         func(class int) // called for each call that was written completely; nil: it is not
 }
 
 // Link is the link to all record servers.
 type Link struct {
-	opt   Options
-	ctx   context.Context
-	mu    sync.Mutex // guards everything below, and the conns' fields that say so
-	conns map[string][]*conn
-	held  int           // conns in all
-	pace  time.Duration // mean time of answers; 0: none has come
+	opt         Options
+	ctx         context.Context
+	mu          sync.Mutex // guards everything below, and the conns' fields that say so
+	conns       map[string][]*conn
+	connCount   int           // of all servers
+	meanLatency time.Duration // of answers; 0: there was none
 }
 
 // New makes a link whose connections end with ctx.
 func New(ctx context.Context, opt Options) *Link {
-	opt.Streams = max(opt.Streams, 1)
-	if opt.Fresh == 0 {
-		opt.Fresh = freshly
+	opt.MaxStreams = max(opt.MaxStreams, 1)
+	if opt.ProvenAliveFor == 0 {
+		opt.ProvenAliveFor = provenAliveFor
 	}
 	return &Link{opt: opt, ctx: ctx, conns: map[string][]*conn{}}
 }
 
-// Send starts a call on a connection with room, or opens one.
+// Send starts a call on a connection that takes one more, or on a new one.
 func (l *Link) Send(c *broker.Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.enqueue(c.Addr, c.Server, &job{call: c, id: partID(c)})
 }
 
-// CheckHealth asks a server how it is, on a connection like a call's.
+// CheckHealth asks a server for its health, on a connection like a call's.
 func (l *Link) CheckHealth(p *broker.HealthCheck) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.enqueue(p.Addr, p.Server, &job{probe: p})
+	l.enqueue(p.Addr, p.Server, &job{healthCheck: p})
 }
 
-// Cancel takes a call off its connection. If its frame may have been written, the server is told.
+// Cancel ends the wait for a call's answer. If its frame may have been written, the server is told.
 func (l *Link) Cancel(c *broker.Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,68 +69,68 @@
 
 // enqueue puts a job on a connection. The caller holds mu.
 func (l *Link) enqueue(addr string, server *broker.Server, j *job) {
-	if cn := l.pick(addr, server, j); cn != nil {
+	if cn := l.pickConn(addr, server, j); cn != nil {
 		cn.enqueue(j)
 		return
 	}
-	// No descriptor is left for it, so nothing can have run; and it tells nothing of the server.
-	if j.probe != nil {
-		j.probe.Finish(unsent(decision.NotSent))
+	// No descriptor is left for it, so nothing can have run, and nothing is known of the server.
+	if j.healthCheck != nil {
+		j.healthCheck.Finish(resultOf(decision.NotSent))
 	} else {
-		j.call.Finish(unsent(decision.NotSent))
+		j.call.Finish(resultOf(decision.NotSent))
 	}
 }
 
-// pick returns the connection for a job; nil: none may be opened. A part's id repeats with each attempt: an
-// attempt never shares a connection with an earlier one whose answer may still come, so that an R names one
-// attempt only. A part that must not run twice shares with no other: an answer that is spoilt makes its
-// connection useless for all that is out on it, and it could not be sent again.
-func (l *Link) pick(addr string, server *broker.Server, j *job) *conn {
-	full := l.opt.Conns > 0 && l.held >= l.opt.Conns
-	unsafe := j.call != nil && j.call.NonIdempotent
-	var best, other, rested *conn
+// pickConn returns the connection for a job; nil: none may be opened. A part's id repeats with each attempt: an attempt never
+// shares a connection with an earlier one whose answer may still come, so that an R names one attempt only. A part that must
+// not run twice shares with no other: an answer that breaks the protocol ends its connection and all jobs on it, and this one
+// could not be sent again. The caller holds mu.
+func (l *Link) pickConn(addr string, server *broker.Server, j *job) *conn {
+	full := l.opt.MaxConns > 0 && l.connCount >= l.opt.MaxConns
+	nonIdempotent := j.call != nil && j.call.NonIdempotent
+	var best, other, idle *conn
 	for _, cn := range l.conns[addr] {
-		if cn.retired || len(cn.calls) >= l.opt.Streams || cn.had(j.id) || cn.silent(l.patience()) {
+		if cn.retired || len(cn.calls) >= l.opt.MaxStreams || cn.hasUsed(j.id) || cn.isSilent(l.silenceTimeout()) {
 			continue
 		}
-		if !cn.busy() && time.Since(cn.heard) > l.opt.Fresh {
-			rested = cn
+		if !cn.isBusy() && time.Since(cn.lastReceived) > l.opt.ProvenAliveFor {
+			idle = cn
 		}
-		suits := !cn.reserved()
-		if unsafe {
-			suits = cn.sure()
+		suits := !cn.isReserved()
+		if nonIdempotent {
+			suits = cn.isProvenAlive()
 		}
-		if suits && (best == nil || cn.heard.After(best.heard)) {
+		if suits && (best == nil || cn.lastReceived.After(best.lastReceived)) {
 			best = cn
 		}
-		if other == nil || cn.heard.After(other.heard) {
+		if other == nil || cn.lastReceived.After(other.lastReceived) {
 			other = cn
 		}
 	}
 	if best != nil {
 		return best
 	}
-	if unsafe && rested != nil && len(l.conns[addr]) > 1 {
-		rested.fail(errIdle) // few connections: the new one takes its place
-	} else if full && !l.makeRoom() {
+	if nonIdempotent && idle != nil && len(l.conns[addr]) > 1 {
+		idle.fail(errIdle) // few connections: the new one takes its place
+	} else if full && !l.evictIdle() {
 		return other // any connection is better than none
 	}
 	cn := newConn(l, addr, server)
 	l.conns[addr] = append(l.conns[addr], cn)
-	l.held++
+	l.connCount++
 	go cn.run()
 	return cn
 }
 
-// makeRoom closes a connection on which nothing is out: one to a server that is gone or drains, else any. Guards
-// against a fleet of as many servers as descriptors: those that came late were not reached at all. Not the one that
-// rested longest: a query of many parts goes over all servers, and would close just what its next parts need.
+// evictIdle closes a connection on which nothing is in flight: one to an unavailable server, else any. It guards against a
+// fleet of as many servers as descriptors: those that came late were not reached at all. Not the one that was idle longest:
+// a query of many parts goes over all servers, and would close just what its next parts need. It tells whether there was one.
 // The caller holds mu.
-func (l *Link) makeRoom() bool {
+func (l *Link) evictIdle() bool {
 	var spare *conn
 	for _, conns := range l.conns { // in no order
 		for _, cn := range conns {
-			if cn.sock != nil && !cn.busy() && (spare == nil || cn.server.Unavailable()) {
+			if cn.sock != nil && !cn.isBusy() && (spare == nil || cn.server.Unavailable()) {
 				spare = cn
 			}
 		}
@@ -144,28 +144,12 @@
 	return spare != nil
 }
 
-// answered books how long an answer took, and patience is how long none may come before a connection is taken
-// for silent. The caller holds mu.
-func (l *Link) answered(took time.Duration) {
-	if l.pace == 0 {
-		l.pace = took
-	}
-	l.pace += time.Duration(paceStep * float64(took-l.pace))
-}
-
-func (l *Link) patience() time.Duration {
-	if l.pace == 0 {
-		return SilentFor
-	}
-	return min(max(silentTimes*l.pace, silentLeast), SilentFor)
-}
-
-// drop forgets a connection. The caller holds mu.
-func (l *Link) drop(cn *conn) {
+// remove forgets a connection. The caller holds mu.
+func (l *Link) remove(cn *conn) {
 	list := l.conns[cn.addr]
 	for i, other := range list {
 		if other == cn {
-			l.held--
+			l.connCount--
 			list = append(list[:i:i], list[i+1:]...)
 			break
 		}
@@ -180,6 +164,6 @@
 	return d.DialContext(l.ctx, "tcp", addr)
 }
 
-func unsent(status decision.Status) broker.CallResult {
+func resultOf(status decision.Status) broker.CallResult {
 	return broker.CallResult{Status: status, LoadReport: decision.NoLoadReport}
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -108,7 +108,7 @@
 		require.NoError(p, err)
 		if ok {
 			require.Equal(p, string(letter), string(m.Letter))
-			require.Contains(p, string(m.Rest), starts)
+			require.Contains(p, string(m.Body), starts)
 			return
 		}
 		require.NoError(p, p.SetReadDeadline(time.Now().Add(2*time.Second)))
@@ -125,7 +125,7 @@
 
 func send(id decision.RequestID) decision.Action { return decision.Send{ID: id, Server: "s0"} }
 
-var options = upstream.Options{Streams: 2, Idle: time.Minute, ConnectTimeout: 250 * time.Millisecond}
+var options = upstream.Options{MaxStreams: 2, IdleTimeout: time.Minute, ConnectTimeout: 250 * time.Millisecond}
 
 func TestAnAttemptSharesNoConnectionWithACancelledOneOfItsID(t *testing.T) {
 	r := newRig(t, options)
@@ -179,7 +179,7 @@
 	r.do(send(id))
 	first := r.accept()
 	first.gets('S', "q.0")
-	time.Sleep(upstream.SilentFor + 50*time.Millisecond)
+	time.Sleep(upstream.MaxSilence + 50*time.Millisecond)
 	r.do(decision.Cancel{ID: id})
 	<-r.ended
 	r.do(send(r.ask("next")))
@@ -199,7 +199,7 @@
 // A connection may fall silent alone. Once it has owed an answer for eight times what answers take, the next
 // call goes by a new one, and the server is asked no more by the old.
 func TestCallsAvoidASilentConnection(t *testing.T) {
-	r := newRig(t, upstream.Options{Streams: 9, Idle: time.Minute, ConnectTimeout: time.Second})
+	r := newRig(t, upstream.Options{MaxStreams: 9, IdleTimeout: time.Minute, ConnectTimeout: time.Second})
 	asked := time.Now()
 	r.do(send(r.ask("a")))
 	first := r.accept()
@@ -279,7 +279,7 @@
 // What ends a connection must not fail parts that cannot be sent again: they go alone, by a connection that spoke
 // a moment ago, else by a new one. One that has rested may be gone, and makes room for the new one.
 func TestUnsafePartsGoAloneBySureConnections(t *testing.T) {
-	r := newRig(t, upstream.Options{Streams: 9, Idle: time.Minute, ConnectTimeout: time.Second, Fresh: time.Second})
+	r := newRig(t, upstream.Options{MaxStreams: 9, IdleTimeout: time.Minute, ConnectTimeout: time.Second, ProvenAliveFor: time.Second})
 	r.do(send(r.ask("safe")))
 	first := r.accept()
 	first.gets('S', "safe.0")
@@ -303,7 +303,7 @@
 }
 
 func TestConnectionsAreBounded(t *testing.T) {
-	r := newRig(t, upstream.Options{Streams: 1, Conns: 1, Idle: time.Minute, ConnectTimeout: time.Second})
+	r := newRig(t, upstream.Options{MaxStreams: 1, MaxConns: 1, IdleTimeout: time.Minute, ConnectTimeout: time.Second})
 	r.do(send(r.ask("a")))
 	p := r.accept()
 	p.gets('S', "a.0")
@@ -317,7 +317,7 @@
 
 // Connections that rest, as those to servers that are gone, make room for one to a server that has none.
 func TestARestingConnectionMakesRoomForAnother(t *testing.T) {
-	r := newRig(t, upstream.Options{Streams: 1, Conns: 1, Idle: time.Minute, ConnectTimeout: time.Second})
+	r := newRig(t, upstream.Options{MaxStreams: 1, MaxConns: 1, IdleTimeout: time.Minute, ConnectTimeout: time.Second})
 	r.do(send(r.ask("a")))
 	p := r.accept()
 	p.gets('S', "a.0")
@@ -338,7 +338,7 @@
 // A server takes no bytes, and the call that is just being written is taken back. The rest of its frame must not come to
 // the server later, when another attempt may be out.
 func TestACallTakenBackHalfWrittenIsNeverDelivered(t *testing.T) {
-	r := newRig(t, upstream.Options{Streams: 1000, Idle: time.Minute, ConnectTimeout: 250 * time.Millisecond})
+	r := newRig(t, upstream.Options{MaxStreams: 1000, IdleTimeout: time.Minute, ConnectTimeout: 250 * time.Millisecond})
 	text := bytes.Repeat([]byte("x"), 60<<10)
 	var ids []decision.RequestID
 	for i := range 300 { // more than what the system takes off the writer's hands
--- a/internal/upstream/write_test.go
+++ b/internal/upstream/write_test.go
@@ -49,7 +49,7 @@
 		t.Run(fmt.Sprint(stall), func(t *testing.T) {
 			j := &job{call: newCall(t, 2*time.Second), id: "q.0"}
 			sock := &stalledSocket{until: time.Now().Add(stall)}
-			n, err := (&conn{sock: sock}).send(j, j.appendCall(nil))
+			n, err := (&conn{sock: sock}).writeFrame(j, j.appendCall(nil))
 			require.NoError(t, err)
 			require.Equal(t, len(sock.written), n)
 			left := j.call.Deadline.Sub(sock.at)
@@ -64,7 +64,7 @@
 	j := &job{call: newCall(t, 2*time.Second), id: "q.0"}
 	sock := &stalledSocket{held: 3}
 	whole := j.appendCall(nil)
-	n, err := (&conn{sock: sock}).send(j, whole)
+	n, err := (&conn{sock: sock}).writeFrame(j, whole)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	require.Equal(t, len(whole)-3, n)
 }
@@ -73,7 +73,7 @@
 func TestStalledCallWhoseClientLeftIsNotWritten(t *testing.T) {
 	j := &job{call: newCall(t, 150*time.Millisecond), id: "q.0"}
 	sock := &stalledSocket{until: time.Now().Add(450 * time.Millisecond)}
-	_, err := (&conn{sock: sock}).send(j, j.appendCall(nil))
+	_, err := (&conn{sock: sock}).writeFrame(j, j.appendCall(nil))
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	require.Empty(t, sock.written)
 }
