--- a/cmd/mothload/main.go
+++ b/cmd/mothload/main.go
@@ -61,8 +61,8 @@
 }
 
 func measure() error {
-	fleet, err := standin.New(standin.Options{Servers: *servers, Reach: 2, Work: *work, Seed: 1,
-		Unsafe: func(id string) bool { return strings.HasPrefix(id, "c") }})
+	fleet, err := standin.New(standin.Options{Servers: *servers, ReplicationFactor: 2, Work: *work, Seed: 1,
+		NonIdempotent: func(id string) bool { return strings.HasPrefix(id, "c") }})
 	if err != nil {
 		return err
 	}
--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -23,7 +23,7 @@
 // assemble puts the process together. Beside the loops run the parts; a part that rests on another is added, and so
 // started, after it.
 func (p *process) assemble() error {
-	p.figures = metrics.New(p.cfg.Classes, func() metrics.Gauges { return metrics.Gauges(p.core.Gauges()) })
+	p.metrics = metrics.New(p.cfg.Classes, func() metrics.Gauges { return metrics.Gauges(p.core.Gauges()) })
 	link := p.link()
 	if err := p.addState(); err != nil {
 		return err
@@ -34,21 +34,21 @@
 	}
 	p.makeCore(link)
 	p.watcher = &discovery.Watcher{
-		Addr: p.cfg.Discovery, Names: p.cfg.Names, Since: p.cfg.Version, Update: p.core.Update, Log: p.log,
-		Waits: p.waits,
+		Addr: p.cfg.Discovery, NameTable: p.cfg.NameTable, Since: p.cfg.Version, Update: p.core.Update, Log: p.log,
+		Backoff: p.backoff,
 	}
-	p.followed = &followed{address: p.cfg.Discovery, move: p.watcher.Move, log: p.log}
+	p.followed = &followed{address: p.cfg.Discovery, move: p.watcher.ChangeAddress, log: p.log}
 	return p.addConfiguration()
 }
 
 // link is the way to the record servers.
 func (p *process) link() broker.Link {
 	frames := upstream.New(p.ctx, upstream.Options{
-		MaxStreams: p.cfg.Streams, MaxConns: p.cfg.ServerConns, IdleTimeout: p.cfg.ConnIdle, ConnectTimeout: p.cfg.ConnectTimeout,
-		OnSent: p.figures.RecordSent,
+		MaxStreams: p.cfg.MaxStreams, MaxConns: p.cfg.MaxServerConns, IdleTimeout: p.cfg.ConnIdleTimeout, ConnectTimeout: p.cfg.ConnectTimeout,
+		OnSent: p.metrics.RecordSent,
 	})
-	if p.partners != nil {
-		return mixed(p.ctx, p.cfg, p.partners, frames)
+	if p.flight != nil {
+		return mixed(p.ctx, p.cfg, p.flight, frames)
 	}
 	return frames
 }
@@ -60,7 +60,7 @@
 		speaks[id] = true
 	}
 	return &flight.Mixed{Frames: frames, Speaks: speaks, Flight: flight.NewLink(ctx, flight.LinkOptions{
-		MaxStreams: cfg.Streams, MaxConns: partners.ServerConns, IdleTimeout: cfg.ConnIdle, ConnectTimeout: cfg.ConnectTimeout,
+		MaxStreams: cfg.MaxStreams, MaxConns: partners.ServerConns, IdleTimeout: cfg.ConnIdleTimeout, ConnectTimeout: cfg.ConnectTimeout,
 	})}
 }
 
@@ -82,12 +82,12 @@
 
 // shareWaits spreads calls of all brokers to what they share.
 func (p *process) shareWaits() {
-	callers, told := backoff.Callers(p.cfg.Settings.Brokers)
+	callers, told := backoff.ClampCallers(p.cfg.Settings.Brokers)
 	if !told {
 		p.log.Warn("settings.peersTotal: no size that a fleet can have",
 			"is", p.cfg.Settings.Brokers, "taken for", callers)
 	}
-	p.callers, p.waits = callers, backoff.New(callers, p.cfg.Seed)
+	p.fleetSize, p.backoff = callers, backoff.New(callers, p.cfg.Seed)
 }
 
 // addFleet has brokers know of each other.
@@ -100,7 +100,7 @@
 		return err
 	}
 	others, err := join(peers, p.cfg, p.log, func(n int) {
-		p.waits.Resize(n)
+		p.backoff.Resize(n)
 		p.core.Notify(decision.FleetResized{Brokers: n})
 		if p.revisions != nil {
 			p.revisions.Resize(n)
@@ -121,7 +121,7 @@
 		Seed: cfg.Seed, Log: log, Changed: func(c membership.FleetSize) {
 			n := max(c.Sharing, cfg.Settings.Brokers)
 			if c.Fenced {
-				n = backoff.MostCallers
+				n = backoff.MaxCallers
 			}
 			changed(n)
 		},
--- a/cmd/mothrouter/configuration.go
+++ b/cmd/mothrouter/configuration.go
@@ -28,7 +28,7 @@
 	applier := &applier{start: start, core: p.core, followed: p.followed, log: p.log}
 	p.revisions, err = configclient.New(configclient.Options{
 		Name: machines.Name, Started: p.started, Zone: machines.Zone, Region: machines.Region,
-		Control: machines.Control, Callers: p.callers, Seed: p.cfg.Seed, Log: p.log, Apply: applier.apply,
+		Control: machines.Control, Callers: p.fleetSize, Seed: p.cfg.Seed, Log: p.log, Apply: applier.apply,
 	})
 	if err != nil {
 		return err
--- a/cmd/mothrouter/drained_test.go
+++ b/cmd/mothrouter/drained_test.go
@@ -23,7 +23,7 @@
 // A drain that refuses requests refuses those of the other front too, at once and with when to come back.
 func TestADrainBindsTheOtherFront(t *testing.T) {
 	inner, refuses := &taker{}, false
-	d := &drained{inner, func() bool { return refuses }, 0.5}
+	d := &drainAwareCore{inner, func() bool { return refuses }, 0.5}
 	a := make(answers, 1)
 	d.Submit(&broker.Request{}, a)
 	require.Equal(t, 1, inner.taken)
--- a/cmd/mothrouter/followed_test.go
+++ b/cmd/mothrouter/followed_test.go
@@ -58,7 +58,7 @@
 	require.Nil(t, assembled(t, files{}).revisions)
 	p := assembled(t, files{configuration: "../../deploy/configuration.toml"})
 	require.NotNil(t, p.revisions)
-	require.Equal(t, 3*time.Second, p.cfg.Longest())
+	require.Equal(t, 3*time.Second, p.cfg.LongestDeadline())
 }
 
 // A revision is applied whole or refused by its key, and then changes neither the core nor discovery.
--- a/cmd/mothrouter/process.go
+++ b/cmd/mothrouter/process.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	memoryShare = 0.7 // of the limit, for the Go heap
+	memoryFraction = 0.7 // of the limit, for the Go heap
 )
 
 // core is one loop, or several.
@@ -43,20 +43,20 @@
 
 // process is a broker's process: what it was told, and its running parts as they are put together.
 type process struct {
-	files    files
-	started  time.Time
-	cfg      *config.Config // of the start
-	workers  int
-	partners *config.Flight // nil: Arrow Flight is off
-	log      *slog.Logger
-	hup      chan os.Signal // SIGHUP
-	term     chan os.Signal // SIGTERM and interrupts
-	ctx      context.Context
+	files   files
+	started time.Time
+	cfg     *config.Config // of the start
+	workers int
+	flight  *config.Flight // nil: Arrow Flight is off
+	log     *slog.Logger
+	hup     chan os.Signal // SIGHUP
+	term    chan os.Signal // SIGTERM and interrupts
+	ctx     context.Context
 
 	parts     *assembly.Assembly
-	callers   int // brokers that share discovery and control, by the settings
-	waits     *backoff.Backoff
-	figures   *metrics.Counters
+	fleetSize int // brokers that share discovery and control, by the settings
+	backoff   *backoff.Backoff
+	metrics   *metrics.Counters
 	core      core
 	died      <-chan struct{} // closed when a worker has died; nil, which never speaks, with one loop
 	watcher   *discovery.Watcher
@@ -117,12 +117,12 @@
 		}
 	}
 	runtime.GOMAXPROCS(min(p.workers, runtime.NumCPU())) // a broker on the platform has one core
-	debug.SetMemoryLimit(int64(memoryShare * float64(p.cfg.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(memoryFraction * float64(p.cfg.MemoryMB<<20)))
 	p.log = slog.New(slog.NewTextHandler(os.Stderr, nil)).With("broker", p.cfg.Name)
 	p.parts.Log = p.log
 	signal.Notify(p.term, syscall.SIGTERM, os.Interrupt)
 	if p.files.flight != "" {
-		p.partners, err = config.LoadFlight(p.files.flight, p.cfg)
+		p.flight, err = config.LoadFlight(p.files.flight, p.cfg)
 	}
 	return err
 }
--- a/cmd/mothrouter/serve.go
+++ b/cmd/mothrouter/serve.go
@@ -19,8 +19,8 @@
 		return err
 	}
 	p.clients = front.New(front.Options{
-		Classes: p.cfg.Classes, Shards: p.cfg.Shards, MaxConns: p.cfg.ClientConns, MaxIdleConns: p.cfg.IdleConns,
-		MaxBufferedBytes: p.cfg.Buffers, RetryAfter: p.cfg.Advice(), Metrics: p.figures,
+		Classes: p.cfg.Classes, Shards: p.cfg.Shards, MaxConns: p.cfg.MaxClientConns, MaxIdleConns: p.cfg.MaxIdleConns,
+		MaxBufferedBytes: p.cfg.MaxBufferedBytes, RetryAfter: p.cfg.RetryAfter(), Metrics: p.metrics,
 	}, p.core, p.log)
 	go func() { p.served <- p.clients.Serve(p.listener) }()
 	if p.cfg.Control != "" {
@@ -28,17 +28,17 @@
 		if err != nil {
 			return fmt.Errorf("control: %w", err)
 		}
-		operators := control.New(steered{p.clients, p.figures}, p.log)
+		operators := control.New(operatedProcess{p.clients, p.metrics}, p.log)
 		go func() { p.served <- operators.Serve(l) }()
 	}
-	if p.partners != nil {
-		l, err := net.Listen("tcp", p.partners.Listen)
+	if p.flight != nil {
+		l, err := net.Listen("tcp", p.flight.Listen)
 		if err != nil {
 			return fmt.Errorf("flight.listen: %w", err)
 		}
 		p.flights = flight.NewFront(flight.Options{
-			Classes: p.cfg.Classes, Shards: p.cfg.Shards, MaxConns: p.partners.Connections,
-		}, &drained{p.core, p.clients.RejectsRequests, p.cfg.Advice()})
+			Classes: p.cfg.Classes, Shards: p.cfg.Shards, MaxConns: p.flight.Connections,
+		}, &drainAwareCore{p.core, p.clients.RejectsRequests, p.cfg.RetryAfter()})
 		go func() { p.served <- p.flights.Serve(l, p.log) }()
 	}
 	p.log.Info("serving", "listen", p.cfg.Listen, "servers", len(p.cfg.Known.Servers))
@@ -65,28 +65,28 @@
 	return l, nil
 }
 
-// drained is the core as Flight sees it: a drain of operators binds it as it does the platform's front.
-type drained struct {
+// drainAwareCore is the core as Flight sees it: a drain of operators binds it as it does the platform's front.
+type drainAwareCore struct {
 	core
-	refuses func() bool
-	advice  float64
+	rejects    func() bool
+	retryAfter float64
 }
 
-func (d *drained) Submit(r *broker.Request, c broker.Client) {
-	if d.refuses() {
-		c.Finish(broker.Result{Outcome: broker.Rejected, RetryAfter: d.advice})
+func (d *drainAwareCore) Submit(r *broker.Request, c broker.Client) {
+	if d.rejects() {
+		c.Finish(broker.Result{Outcome: broker.Rejected, RetryAfter: d.retryAfter})
 		return
 	}
 	d.core.Submit(r, c)
 }
 
-// steered is the process as operators steer it.
-type steered struct {
+// operatedProcess is the process as operators steer it.
+type operatedProcess struct {
 	clients *front.Front
-	figures *metrics.Counters
+	metrics *metrics.Counters
 }
 
-func (s steered) Takes() bool             { return s.clients.AcceptsClients() }
-func (s steered) Leave()                  { s.clients.Drain() }
-func (s steered) Join()                   { s.clients.Rejoin() }
-func (s steered) Figures(b []byte) []byte { return s.figures.Append(b) }
+func (s operatedProcess) AcceptsClients() bool          { return s.clients.AcceptsClients() }
+func (s operatedProcess) StartDrain()                   { s.clients.Drain() }
+func (s operatedProcess) CancelDrain()                  { s.clients.Rejoin() }
+func (s operatedProcess) AppendMetrics(b []byte) []byte { return s.metrics.Append(b) }
--- a/cmd/mothrouter/shutdown.go
+++ b/cmd/mothrouter/shutdown.go
@@ -46,5 +46,5 @@
 			return longest
 		}
 	}
-	return p.cfg.Longest()
+	return p.cfg.LongestDeadline()
 }
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	base  = 100 * time.Millisecond // the shortest wait after a failure, but for its random part
-	share = 25 * time.Millisecond  // of the service's time that one caller's call may take
+	base         = 100 * time.Millisecond // the shortest wait after a failure, but for its random part
+	callDuration = 25 * time.Millisecond  // of the service's time that one caller's call may take
 
 	// The list that a caller knows at its start may be old, and a drain binds it 250 ms after it would have been
 	// told, had it asked. News that come while a watch is lost bind only after 6 s.
-	startMost = 200 * time.Millisecond
-	firstMost = 2 * time.Second
-	longLeast = time.Second
-	longMost  = 3 * time.Second
-	longTimes = 2 // the longest wait, in times that it takes to serve all callers once
+	maxStartWait      = 200 * time.Millisecond
+	maxFirstWait      = 2 * time.Second
+	minLongestWait    = time.Second
+	maxLongestWait    = 3 * time.Second
+	longestWaitFactor = 2 // the longest wait, in times that it takes to serve all callers once
 
 	// DefaultCallers is what a fleet counts that does not say its size, or says an absurd one.
 	DefaultCallers = 100
-	// MostCallers is the largest fleet that is believed.
-	MostCallers = 100_000
+	// MaxCallers is the largest fleet that is believed.
+	MaxCallers = 100_000
 )
 
-// Callers returns a fleet's size as far as it can be believed, and whether it could.
-func Callers(n int) (int, bool) {
-	if n < 1 || n > MostCallers {
+// ClampCallers returns a fleet's size as far as it can be believed, and whether it could.
+func ClampCallers(n int) (int, bool) {
+	if n < 1 || n > MaxCallers {
 		return DefaultCallers, false
 	}
 	return n, true
@@ -41,7 +41,7 @@
 type Backoff struct {
 	rng     *rand.Rand
 	first   atomic.Int64  // nanoseconds: the first call after a success waits for less than this
-	began   bool          // the first call of all is over
+	started bool          // the first call of all is over
 	longest atomic.Int64  // the same of the longest
 	ceiling time.Duration // of the wait before; 0: the last call succeeded, or there was none
 }
@@ -55,33 +55,33 @@
 
 // Resize takes up how many callers there are. Another goroutine may call it.
 func (b *Backoff) Resize(callers int) {
-	callers, _ = Callers(callers)
-	all := time.Duration(callers) * share
-	b.first.Store(int64(min(all, firstMost)))
-	b.longest.Store(int64(min(max(longTimes*all, longLeast), longMost)))
+	callers, _ = ClampCallers(callers)
+	all := time.Duration(callers) * callDuration
+	b.first.Store(int64(min(all, maxFirstWait)))
+	b.longest.Store(int64(min(max(longestWaitFactor*all, minLongestWait), maxLongestWait)))
 }
 
 // Next is how long to wait before the next call. A first wait may be nothing. Each later one is drawn
 // from the upper half of a span that doubles: whatever the service bears, callers that fail together drift apart
 // and ask less and less, until it can serve them one by one. Where the call has to begin within left, so that its
 // news come before they bind, no wait is longer; 0 or less: that time is over, or there is none.
-func (b *Backoff) Next(left time.Duration) time.Duration {
+func (b *Backoff) Next(timeLeft time.Duration) time.Duration {
 	if b.ceiling == 0 {
 		first := time.Duration(b.first.Load())
-		if !b.began {
-			b.began, first = true, min(first, startMost)
+		if !b.started {
+			b.started, first = true, min(first, maxStartWait)
 		}
-		if left > 0 {
-			first = min(first, left)
+		if timeLeft > 0 {
+			first = min(first, timeLeft)
 		}
 		b.ceiling = max(time.Duration(b.first.Load())/2, base/2)
 		return b.draw(0, first)
 	}
 	b.ceiling = min(2*b.ceiling, time.Duration(b.longest.Load()))
-	if from, to := b.ceiling/2, b.ceiling; left <= 0 || to <= left {
+	if from, to := b.ceiling/2, b.ceiling; timeLeft <= 0 || to <= timeLeft {
 		return b.draw(from, to)
 	}
-	return b.draw(left/2, left)
+	return b.draw(timeLeft/2, timeLeft)
 }
 
 func (b *Backoff) draw(from, to time.Duration) time.Duration {
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -165,7 +165,7 @@
 
 func TestAnAbsurdSizeIsNotBelieved(t *testing.T) {
 	for n, want := range map[int]int{0: 100, -5: 100, 1: 1, 300: 300, 1 << 40: 100} {
-		got, told := backoff.Callers(n)
+		got, told := backoff.ClampCallers(n)
 		require.Equal(t, want, got)
 		require.Equal(t, want == n, told)
 	}
--- a/internal/checkpoint/restart_test.go
+++ b/internal/checkpoint/restart_test.go
@@ -106,7 +106,7 @@
 // play teaches one broker, ends it, and lets the next begin blank or with what the first has learned. Stale: while
 // none ran, the trouble went to other servers.
 func play(t testing.TB, seed uint64, restored, stale bool) (r restart) {
-	fleet, err := standin.New(standin.Options{Servers: restartServers, Reach: 2, Work: 4 * time.Millisecond, Seed: seed})
+	fleet, err := standin.New(standin.Options{Servers: restartServers, ReplicationFactor: 2, Work: 4 * time.Millisecond, Seed: seed})
 	require.NoError(t, err)
 	defer fleet.Close()
 	folder := t.TempDir()
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,21 +27,21 @@
 	MemoryMB  int
 	Sockets   int
 
-	ClientConns int // client connections held at most; requests need a third of the descriptors
-	IdleConns   int // of them between requests at most
-	ServerConns int // connections to record servers held at most
-	Buffers     int // bytes of requests held at most
+	MaxClientConns   int // client connections held at most; requests need a third of the descriptors
+	MaxIdleConns     int // of them between requests at most
+	MaxServerConns   int // connections to record servers held at most
+	MaxBufferedBytes int // bytes of requests held at most
 
-	Settings decision.Settings
-	Classes  map[string]int // class by name
-	Names    discovery.Names
-	Known    broker.EndpointUpdate // the list as last known
-	Version  int64                 // its version
+	Settings  decision.Settings
+	Classes   map[string]int // class by name
+	NameTable discovery.NameTable
+	Known     broker.EndpointUpdate // the list as last known
+	Version   int64                 // its version
 
 	ConcurrencyLimit int
 	Shards           int
-	Streams          int
-	ConnIdle         time.Duration
+	MaxStreams       int
+	ConnIdleTimeout  time.Duration
 	ConnectTimeout   time.Duration
 
 	getenv func(string) string
@@ -51,34 +51,34 @@
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastSockets    = 64
-	mostSockets     = 1 << 20
-	mostMemoryMB    = 1 << 20
-	mostSeconds     = 1e6 // of any time
-
-	idleShare   = 1. / 6 // of the descriptors: half of what clients hold at most for requests
-	spareShare  = 1. / 8 // of the descriptors, for the watch, the listener and what just closes,
-	spareLeast  = 16     // and so many at least: 6 of the process, 4 calls to discovery, 1 accepted, 4 turned away
-	clientLeast = 8      // connections of clients
-	serverShare = 3. / 8 // of the descriptors at least; clients have the rest
-	serverMost  = 1. / 2 // of the descriptors, where there are more servers than that
-	serverConns = 9. / 8 // of the cells: a server has one, and parts that must not run twice go alone
-	bufferShare = 1. / 8 // of the memory
+	minSockets      = 64
+	maxSockets      = 1 << 20
+	maxMemoryMB     = 1 << 20
+	maxSeconds      = 1e6 // of any time
+
+	idleFraction      = 1. / 6 // of the descriptors: half of what clients hold at most for requests
+	spareFraction     = 1. / 8 // of the descriptors, for the watch, the listener and what just closes,
+	minSpare          = 16     // and so many at least: 6 of the process, 4 calls to discovery, 1 accepted, 4 turned away
+	minClientConns    = 8      // connections of clients
+	serverFraction    = 3. / 8 // of the descriptors at least; clients have the rest
+	maxServerFraction = 1. / 2 // of the descriptors, where there are more servers than that
+	connsPerServer    = 9. / 8 // of the cells: a server has one, and parts that must not run twice go alone
+	bufferFraction    = 1. / 8 // of the memory
 )
 
-// Patience is, by class, how long a client waits that does not say so.
-func (c *Config) Patience() (p []time.Duration) {
+// ClassDeadlines is, by class, how long a client waits that does not say so.
+func (c *Config) ClassDeadlines() (p []time.Duration) {
 	for _, class := range c.Settings.Classes {
 		p = append(p, time.Duration(class.Deadline*float64(time.Second)))
 	}
 	return p
 }
 
-// Longest is the longest time that a client waits, by the settings.
-func (c *Config) Longest() time.Duration { return slices.Max(c.Patience()) }
+// LongestDeadline is the longest time that a client waits, by the settings.
+func (c *Config) LongestDeadline() time.Duration { return slices.Max(c.ClassDeadlines()) }
 
-// Advice is when a client that finds no room should come back; 0: the settings have no such word.
-func (c *Config) Advice() float64 {
+// RetryAfter is when a client that finds no room should come back; 0: the settings have no such word.
+func (c *Config) RetryAfter() float64 {
 	if c.Settings.RetryAfterSupported {
 		return c.Settings.MaxRetryAfter
 	}
@@ -109,7 +109,7 @@
 func defaults() *Config {
 	return &Config{
 		MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
-		ConnIdle: 15 * time.Second, ConnectTimeout: 250 * time.Millisecond, Streams: 1,
+		ConnIdleTimeout: 15 * time.Second, ConnectTimeout: 250 * time.Millisecond, MaxStreams: 1,
 	}
 }
 
@@ -118,15 +118,15 @@
 func Load(getenv func(string) string) (*Config, error) {
 	path := getenv("PROXY_CONFIG")
 	if path == "" {
-		return nil, bad("PROXY_CONFIG", "is not set")
+		return nil, keyError("PROXY_CONFIG", "is not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, bad("PROXY_CONFIG", "%v", err)
+		return nil, keyError("PROXY_CONFIG", "%v", err)
 	}
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, bad("PROXY_CONFIG", "%v", err)
+		return nil, keyError("PROXY_CONFIG", "%v", err)
 	}
 	c := defaults()
 	c.Name, c.Listen, c.Discovery, c.Control, c.getenv, c.file = f.Name, f.Listen, f.Discovery, f.Control, getenv, f
@@ -151,39 +151,39 @@
 	}
 	if fd := getenv("PROXY_ACCEPT_FD"); fd != "" {
 		if c.AcceptFD, err = strconv.Atoi(fd); err != nil || c.AcceptFD < 3 {
-			return nil, bad("PROXY_ACCEPT_FD", "%q is no descriptor that a process can inherit", fd)
+			return nil, keyError("PROXY_ACCEPT_FD", "%q is no descriptor that a process can inherit", fd)
 		}
 	}
 	if f.Seed != "" {
 		if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-			return nil, bad("seed", "cannot read %q as 16 hex digits", f.Seed)
+			return nil, keyError("seed", "cannot read %q as 16 hex digits", f.Seed)
 		}
 	}
 	if n := f.Limits.MemoryMB; n != nil {
-		if c.MemoryMB = *n; *n < 16 || *n > mostMemoryMB {
-			return nil, bad("limits.memory_mb", "%d is outside 16 to %d", *n, mostMemoryMB)
+		if c.MemoryMB = *n; *n < 16 || *n > maxMemoryMB {
+			return nil, keyError("limits.memory_mb", "%d is outside 16 to %d", *n, maxMemoryMB)
 		}
 	}
 	if n := f.Limits.Sockets; n != nil {
-		if c.Sockets = *n; *n < leastSockets || *n > mostSockets {
-			return nil, bad("limits.sockets", "%d is outside %d to %d", *n, leastSockets, mostSockets)
+		if c.Sockets = *n; *n < minSockets || *n > maxSockets {
+			return nil, keyError("limits.sockets", "%d is outside %d to %d", *n, minSockets, maxSockets)
 		}
 	}
-	c.Buffers = int(bufferShare * float64(c.MemoryMB<<20))
+	c.MaxBufferedBytes = int(bufferFraction * float64(c.MemoryMB<<20))
 	if err := c.settings(f.Settings); err != nil {
 		return nil, err
 	}
 	// A query may ask all servers at once. Guards against a fleet where some stay without a connection.
 	all := float64(c.Sockets)
-	c.ServerConns = int(min(max(serverShare*all, serverConns*float64(c.Settings.ReplicaSets)), serverMost*all))
-	c.ClientConns = min(int((1-spareShare)*all), c.Sockets-spareLeast) - c.ServerConns
-	if c.IdleConns = int(idleShare * all); c.Control != "" {
-		c.ClientConns = max(c.ClientConns-control.Callers, clientLeast)
+	c.MaxServerConns = int(min(max(serverFraction*all, connsPerServer*float64(c.Settings.ReplicaSets)), maxServerFraction*all))
+	c.MaxClientConns = min(int((1-spareFraction)*all), c.Sockets-minSpare) - c.MaxServerConns
+	if c.MaxIdleConns = int(idleFraction * all); c.Control != "" {
+		c.MaxClientConns = max(c.MaxClientConns-control.Callers, minClientConns)
 	}
-	c.IdleConns = min(c.IdleConns, c.ClientConns/2)
+	c.MaxIdleConns = min(c.MaxIdleConns, c.MaxClientConns/2)
 	if f.Known != nil {
-		if c.Known, err = c.Names.List(*f.Known); err != nil {
-			return nil, bad("known", "%v", err)
+		if c.Known, err = c.NameTable.EndpointUpdate(*f.Known); err != nil {
+			return nil, keyError("known", "%v", err)
 		}
 		c.Version = f.Known.Version
 	}
@@ -225,10 +225,10 @@
 
 func checkAddr(key, addr string) error {
 	if addr == "" {
-		return bad(key, "is missing")
+		return keyError(key, "is missing")
 	}
 	if _, _, err := net.SplitHostPort(addr); err != nil {
-		return bad(key, "%v", err)
+		return keyError(key, "%v", err)
 	}
 	return nil
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -44,11 +44,11 @@
 	require.Equal(t, []any{"n4", "127.0.0.1:9", "127.0.0.1:8500", uint64(0x8c1f30d27a5be964), 128, 512},
 		[]any{c.Name, c.Listen, c.Discovery, c.Seed, c.MemoryMB, c.Sockets})
 	require.Equal(t, []any{9, 8, 7, 3 * time.Second, 500 * time.Millisecond, map[string]int{"c": 0}, int64(41)},
-		[]any{c.ConcurrencyLimit, c.Shards, c.Streams, c.ConnIdle, c.ConnectTimeout, c.Classes, c.Version})
+		[]any{c.ConcurrencyLimit, c.Shards, c.MaxStreams, c.ConnIdleTimeout, c.ConnectTimeout, c.Classes, c.Version})
 	require.Equal(t, decision.CachedUpdate, c.Known.Mode)
 	require.Equal(t, decision.Server{ID: "s1", Zone: 1, ReplicaSet: 3, State: decision.Draining, Capacity: 1.5, Started: 2.5},
 		c.Known.Servers[0].Server)
-	require.Equal(t, []time.Duration{2 * time.Second}, c.Patience())
+	require.Equal(t, []time.Duration{2 * time.Second}, c.ClassDeadlines())
 }
 
 // The core has no two attempts of a part out. On a site that allows copies, msga-fantasy, the module asked for one where
@@ -75,7 +75,7 @@
 	for cells, want := range map[string][]int{"4": {256, 192}, "200": {223, 225}, "999": {192, 256}} {
 		c, err := load(t, strings.Replace(good, `"cells":4`, `"cells":`+cells, 1), nil)
 		require.NoError(t, err)
-		require.Equal(t, want, []int{c.ClientConns, c.ServerConns}, cells)
+		require.Equal(t, want, []int{c.MaxClientConns, c.MaxServerConns}, cells)
 	}
 }
 
@@ -188,7 +188,7 @@
 
 // Whatever is switched on, all that may hold a descriptor at once fits the limit.
 func TestDescriptorsFitTheLimit(t *testing.T) {
-	const process, calls, accepted, away = 6, 4, 1, 4 // as config.spareLeast counts
+	const process, calls, accepted, away = 6, 4, 1, 4 // as config.minSpare counts
 	file := filepath.Join(t.TempDir(), "flight.toml")
 	require.NoError(t, os.WriteFile(file, []byte("listen = \"127.0.0.1:9\"\nconnections = 20\nservers = [\"a\", \"b\", \"c\"]\n"), 0o600))
 	for _, sockets := range []int{64, 100, 256, 512, 1024, 4096} {
@@ -211,10 +211,10 @@
 					if control != "" && sockets >= 256 {
 						held += 24 + 1
 					}
-					held += c.ClientConns + c.ServerConns + process + calls + accepted + away
+					held += c.MaxClientConns + c.MaxServerConns + process + calls + accepted + away
 					require.LessOrEqual(t, held, sockets+1, "%d sockets, %s cells, control %q, Flight %v", sockets, cells, control, partners)
-					require.GreaterOrEqual(t, c.ClientConns, 8)
-					require.Positive(t, c.IdleConns)
+					require.GreaterOrEqual(t, c.MaxClientConns, 8)
+					require.Positive(t, c.MaxIdleConns)
 				}
 			}
 		}
@@ -278,11 +278,11 @@
 	case <-time.After(2 * time.Second):
 		require.FailNow(t, "no answer", what)
 	}
-	end := drain.PlanShutdown(c.Longest())
+	end := drain.PlanShutdown(c.LongestDeadline())
 	require.Positive(t, end.AnnounceClose, what)
 	require.Less(t, end.ExitBy, 4*time.Second, what)
 	require.GreaterOrEqual(t, c.ConnectTimeout, time.Millisecond, what)
-	require.Positive(t, c.Buffers, what)
+	require.Positive(t, c.MaxBufferedBytes, what)
 }
 
 func roomy(t *testing.T) *config.Config {
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -17,14 +17,14 @@
 	Control []distribution.Machine
 }
 
-// nameMost is how many bytes names of brokers, zones and regions may have, as control machines take them.
-const nameMost = 128
+// maxNameLength is how many bytes names of brokers, zones and regions may have, as control machines take them.
+const maxNameLength = 128
 
 // LoadConfiguration reads the configuration file. The broker's name is that of c unless the file names another.
 func LoadConfiguration(path string, c *Config) (*Configuration, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, bad("configuration", "%v", err)
+		return nil, keyError("configuration", "%v", err)
 	}
 	f := struct {
 		Name    string `toml:"name"`
@@ -38,21 +38,21 @@
 	}{Name: c.Name}
 	md, err := toml.Decode(string(text), &f)
 	if err != nil {
-		return nil, bad("configuration", "%s: %v", path, err)
+		return nil, keyError("configuration", "%s: %v", path, err)
 	}
 	if odd := md.Undecoded(); len(odd) > 0 {
-		return nil, bad("configuration."+odd[0].String(), "is not known")
+		return nil, keyError("configuration."+odd[0].String(), "is not known")
 	}
 	if f.Name == "" {
-		return nil, bad("configuration.name", "is missing, as is that of the broker")
+		return nil, keyError("configuration.name", "is missing, as is that of the broker")
 	}
 	for key, name := range map[string]string{"name": f.Name, "zone": f.Zone, "region": f.Region} {
-		if len(name) > nameMost {
-			return nil, bad("configuration."+key, "%q is longer than %d bytes", name, nameMost)
+		if len(name) > maxNameLength {
+			return nil, keyError("configuration."+key, "%q is longer than %d bytes", name, maxNameLength)
 		}
 	}
 	if n := len(f.Control); n == 0 || n > distribution.MaxMachines {
-		return nil, bad("configuration.control", "names %d control machines, not 1 to %d", n, distribution.MaxMachines)
+		return nil, keyError("configuration.control", "names %d control machines, not 1 to %d", n, distribution.MaxMachines)
 	}
 	out := &Configuration{Name: f.Name, Zone: f.Zone, Region: f.Region}
 	seen := map[string]bool{}
@@ -62,7 +62,7 @@
 			return nil, err
 		}
 		if seen[m.Address] {
-			return nil, bad(key, "%s stands twice", m.Address)
+			return nil, keyError(key, "%s stands twice", m.Address)
 		}
 		seen[m.Address] = true
 		out.Control = append(out.Control, distribution.Machine{Address: m.Address, Zone: m.Zone, Region: m.Region})
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -43,10 +43,10 @@
 }
 
 const (
-	leastPromoteAfter   = 5.0 // seconds: ten elections
-	mostPromoteAfter    = 86400.0
+	minPromoteAfter     = 5.0 // seconds: ten elections
+	maxPromoteAfter     = 86400.0
 	defaultPromoteAfter = 60.0
-	mostVoters          = 7 // of any replicated log that is of use
+	maxVoters           = 7 // of any replicated log that is of use
 )
 
 // controlFile is the file as written.
@@ -73,36 +73,36 @@
 func LoadControl(path string) (*ControlMachine, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, bad("control", "%v", err)
+		return nil, keyError("control", "%v", err)
 	}
 	f := controlFile{PromoteAfter: defaultPromoteAfter}
 	md, err := toml.Decode(string(text), &f)
 	if err != nil {
-		return nil, bad("control", "%s: %v", path, err)
+		return nil, keyError("control", "%s: %v", path, err)
 	}
 	if odd := md.Undecoded(); len(odd) > 0 {
-		return nil, bad("control."+odd[0].String(), "is not known")
+		return nil, keyError("control."+odd[0].String(), "is not known")
 	}
 	if f.Fleet == "" {
-		return nil, bad("control.fleet", "is missing")
+		return nil, keyError("control.fleet", "is missing")
 	}
 	if f.Folder == "" {
-		return nil, bad("control.folder", "is missing")
+		return nil, keyError("control.folder", "is missing")
 	}
-	if !(f.PromoteAfter >= leastPromoteAfter && f.PromoteAfter <= mostPromoteAfter) {
-		return nil, bad("control.promote_after_s", "%g is outside %g to %g", f.PromoteAfter, leastPromoteAfter,
-			mostPromoteAfter)
+	if !(f.PromoteAfter >= minPromoteAfter && f.PromoteAfter <= maxPromoteAfter) {
+		return nil, keyError("control.promote_after_s", "%g is outside %g to %g", f.PromoteAfter, minPromoteAfter,
+			maxPromoteAfter)
 	}
 	out := &ControlMachine{Fleet: f.Fleet, Name: f.Name, Folder: f.Folder,
 		PromoteAfter: time.Duration(f.PromoteAfter * float64(time.Second))}
 	if out.Listen, err = netip.ParseAddrPort(f.Listen); err != nil {
-		return nil, bad("control.listen", "%v", err)
+		return nil, keyError("control.listen", "%v", err)
 	}
 	if out.ListenPeers, err = netip.ParseAddrPort(f.ListenPeers); err != nil {
-		return nil, bad("control.listen_peers", "%v", err)
+		return nil, keyError("control.listen_peers", "%v", err)
 	}
 	if out.ListenPeers == out.Listen {
-		return nil, bad("control.listen_peers", "%v is control.listen", out.ListenPeers)
+		return nil, keyError("control.listen_peers", "%v is control.listen", out.ListenPeers)
 	}
 	if out.Members, err = controlMembers(f.Members); err != nil {
 		return nil, err
@@ -112,13 +112,13 @@
 			return out, nil
 		}
 	}
-	return nil, bad("control.name", "%q is not among control.members", out.Name)
+	return nil, keyError("control.name", "%q is not among control.members", out.Name)
 }
 
 // controlMembers checks each member alone, then all together.
 func controlMembers(rows []controlFileMember) ([]ControlMember, error) {
 	if len(rows) == 0 {
-		return nil, bad("control.members", "is missing")
+		return nil, keyError("control.members", "is missing")
 	}
 	var members []ControlMember
 	voters, spares := 0, 0
@@ -131,13 +131,13 @@
 		for _, other := range members {
 			switch {
 			case other.Name == m.Name:
-				return nil, bad(key+".name", "%q is there twice", m.Name)
+				return nil, keyError(key+".name", "%q is there twice", m.Name)
 			case other.ID == m.ID:
-				return nil, bad(key+".id", "%d is there twice", m.ID)
+				return nil, keyError(key+".id", "%d is there twice", m.ID)
 			case other.Address == m.Address:
-				return nil, bad(key+".address", "%v is there twice", m.Address)
+				return nil, keyError(key+".address", "%v is there twice", m.Address)
 			case other.PeerAddress == m.PeerAddress:
-				return nil, bad(key+".peer_address", "%v is there twice", m.PeerAddress)
+				return nil, keyError(key+".peer_address", "%v is there twice", m.PeerAddress)
 			}
 		}
 		members = append(members, m)
@@ -149,11 +149,11 @@
 	}
 	switch {
 	case spares > 1:
-		return nil, bad("control.members", "%d spares: there can be one at most", spares)
+		return nil, keyError("control.members", "%d spares: there can be one at most", spares)
 	case voters%2 == 0:
-		return nil, bad("control.members", "%d voters: their number must be odd", voters)
-	case voters > mostVoters:
-		return nil, bad("control.members", "%d voters: there can be %d at most", voters, mostVoters)
+		return nil, keyError("control.members", "%d voters: their number must be odd", voters)
+	case voters > maxVoters:
+		return nil, keyError("control.members", "%d voters: there can be %d at most", voters, maxVoters)
 	}
 	return members, nil
 }
@@ -161,16 +161,16 @@
 func controlMember(key string, row controlFileMember) (ControlMember, error) {
 	m := ControlMember{Name: row.Name, ID: row.ID, Region: row.Region, Voter: row.Role == "voter"}
 	if row.Name == "" || len(row.Name) > plane.MaxNameLength {
-		return m, bad(key+".name", "%q is empty or longer than %d bytes", row.Name, plane.MaxNameLength)
+		return m, keyError(key+".name", "%q is empty or longer than %d bytes", row.Name, plane.MaxNameLength)
 	}
 	if row.ID == 0 {
-		return m, bad(key+".id", "is missing or 0")
+		return m, keyError(key+".id", "is missing or 0")
 	}
 	if row.Region == "" {
-		return m, bad(key+".region", "is missing")
+		return m, keyError(key+".region", "is missing")
 	}
 	if row.Role != "voter" && row.Role != "spare" {
-		return m, bad(key+".role", "%q is neither voter nor spare", row.Role)
+		return m, keyError(key+".role", "%q is neither voter nor spare", row.Role)
 	}
 	var err error
 	if m.Address, err = reachable(key+".address", row.Address); err != nil {
@@ -184,10 +184,10 @@
 func reachable(key, text string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return address, bad(key, "%v", err)
+		return address, keyError(key, "%v", err)
 	}
 	if address.Addr().IsUnspecified() || address.Port() == 0 {
-		return address, bad(key, "others cannot reach %v", address)
+		return address, keyError(key, "others cannot reach %v", address)
 	}
 	return address, nil
 }
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -18,9 +18,9 @@
 	"mothrouter/internal/decision"
 )
 
-// DocumentMost is how many bytes a document may have. At 2,700 revisions a day, one in 32 s, a broker that is sent the
+// MaxDocumentSize is how many bytes a document may have. At 2,700 revisions a day, one in 32 s, a broker that is sent the
 // largest each time takes 64 KiB / 32 s = 2 KiB/s.
-const DocumentMost = configpb.MaxDocument
+const MaxDocumentSize = configpb.MaxDocument
 
 // exactIntegers is up to where a float64 holds each integer.
 const exactIntegers = 1 << 53
@@ -49,16 +49,16 @@
 // top-level keys other than discovery and settings, and keys that stand twice in an object, which readers would take
 // differently. Each error is a *KeyError; "document" is the key where the text as a whole is at fault.
 func ParseDocument(text []byte) (*Document, error) {
-	if len(text) > DocumentMost {
-		return nil, bad("document", "has %d bytes, %d at most", len(text), DocumentMost)
+	if len(text) > MaxDocumentSize {
+		return nil, keyError("document", "has %d bytes, %d at most", len(text), MaxDocumentSize)
 	}
 	var f inService
 	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, badType(err)
+		return nil, typeError(err)
 	}
 	d := &Document{Discovery: f.Discovery}
 	if err := decoder(text).Decode(&d.tree); err != nil {
-		return nil, bad("document", "%v", err)
+		return nil, keyError("document", "%v", err)
 	}
 	if err := checkTop(d.tree); err != nil {
 		return nil, err
@@ -84,26 +84,26 @@
 	return in
 }
 
-// badType names the key of a value that has the wrong type, if it is that.
-func badType(err error) error {
+// typeError names the key of a value that has the wrong type, if it is that.
+func typeError(err error) error {
 	if e := (*json.UnmarshalTypeError)(nil); errors.As(err, &e) && e.Field != "" {
-		return bad(e.Field, "cannot be a %s", e.Value)
+		return keyError(e.Field, "cannot be a %s", e.Value)
 	}
-	return bad("document", "%v", err)
+	return keyError("document", "%v", err)
 }
 
 // checkTop refuses top-level keys that no document has.
 func checkTop(tree any) error {
 	top, ok := tree.(map[string]any)
 	if !ok {
-		return bad("document", "is no object")
+		return keyError("document", "is no object")
 	}
 	for _, key := range slices.Sorted(maps.Keys(top)) {
 		if key == "" {
-			return bad("document", "a key is empty")
+			return keyError("document", "a key is empty")
 		}
 		if key != "discovery" && key != "settings" {
-			return bad(key, "is not known")
+			return keyError(key, "is not known")
 		}
 	}
 	return nil
@@ -114,7 +114,7 @@
 func checkUnique(in *json.Decoder, path string) error {
 	token, err := in.Token()
 	if err != nil {
-		return bad("document", "%v", err)
+		return keyError("document", "%v", err)
 	}
 	open, ok := token.(json.Delim)
 	if !ok {
@@ -126,13 +126,13 @@
 		if open == '{' {
 			token, err := in.Token()
 			if err != nil {
-				return bad("document", "%v", err)
+				return keyError("document", "%v", err)
 			}
 			key := token.(string) // as the text is valid
 			below = join(path, key)
 			folded := fold(key)
 			if seen[folded] {
-				return bad(below, "stands twice")
+				return keyError(below, "stands twice")
 			}
 			seen[folded] = true
 		}
@@ -263,7 +263,7 @@
 func (c *Config) Document() (*Document, error) {
 	text, err := json.Marshal(inService{Discovery: c.Discovery, Settings: c.file.Settings})
 	if err != nil {
-		return nil, bad("settings", "%v", err)
+		return nil, keyError("settings", "%v", err)
 	}
 	return ParseDocument(text)
 }
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -75,7 +75,7 @@
 		{document, document + `{}`, "document"},
 		{document, document + ` x`, "document"},
 		{document, `{"settings":`, "document"},
-		{document, document + strings.Repeat(" ", config.DocumentMost), "document"},
+		{document, document + strings.Repeat(" ", config.MaxDocumentSize), "document"},
 		{document, strings.Repeat("[", 9000) + strings.Repeat("]", 9000), "document"},
 		{document, strings.Repeat("[", 20000) + strings.Repeat("]", 20000), "document"},
 		{`{"discovery":`, `{"listen":"127.0.0.1:1","discovery":`, "listen"},
@@ -229,7 +229,7 @@
 		if wrong == nil && len(tree) == len(canonical) && !twice(canonical) {
 			again, err := json.Marshal(canonical)
 			require.NoError(t, err)
-			if len(again) <= config.DocumentMost {
+			if len(again) <= config.MaxDocumentSize {
 				_, err = config.ParseDocument(again)
 				require.NoError(t, err)
 			}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -22,7 +22,7 @@
 func LoadFleet(path string, c *Config) (*Fleet, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, bad("fleet", "%v", err)
+		return nil, keyError("fleet", "%v", err)
 	}
 	f := struct {
 		Fleet     string   `toml:"fleet"`
@@ -33,35 +33,35 @@
 	}{Name: c.Name}
 	md, err := toml.Decode(string(text), &f)
 	if err != nil {
-		return nil, bad("fleet", "%s: %v", path, err)
+		return nil, keyError("fleet", "%s: %v", path, err)
 	}
 	if odd := md.Undecoded(); len(odd) > 0 {
-		return nil, bad("fleet."+odd[0].String(), "is not known")
+		return nil, keyError("fleet."+odd[0].String(), "is not known")
 	}
 	if f.Fleet == "" {
-		return nil, bad("fleet.fleet", "is missing")
+		return nil, keyError("fleet.fleet", "is missing")
 	}
 	if f.Name == "" || len(f.Name) > plane.MaxNameLength {
-		return nil, bad("fleet.name", "%q is empty or longer than %d bytes", f.Name, plane.MaxNameLength)
+		return nil, keyError("fleet.name", "%q is empty or longer than %d bytes", f.Name, plane.MaxNameLength)
 	}
 	out := &Fleet{Fleet: f.Fleet, Name: f.Name}
 	if out.Listen, err = netip.ParseAddrPort(f.Listen); err != nil {
-		return nil, bad("fleet.listen", "%v", err)
+		return nil, keyError("fleet.listen", "%v", err)
 	}
 	if f.Advertise != "" {
 		if out.Advertise, err = netip.ParseAddrPort(f.Advertise); err != nil {
-			return nil, bad("fleet.advertise", "%v", err)
+			return nil, keyError("fleet.advertise", "%v", err)
 		}
 	} else if out.Listen.Addr().IsUnspecified() {
-		return nil, bad("fleet.advertise", "is missing: others cannot reach %v", out.Listen)
+		return nil, keyError("fleet.advertise", "is missing: others cannot reach %v", out.Listen)
 	}
 	if len(f.Seeds) == 0 {
-		return nil, bad("fleet.seeds", "is missing or empty: the first broker names itself")
+		return nil, keyError("fleet.seeds", "is missing or empty: the first broker names itself")
 	}
 	for _, s := range f.Seeds {
 		a, err := netip.ParseAddrPort(s)
 		if err != nil {
-			return nil, bad("fleet.seeds", "%v", err)
+			return nil, keyError("fleet.seeds", "%v", err)
 		}
 		out.Seeds = append(out.Seeds, a)
 	}
--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -18,32 +18,32 @@
 func LoadFlight(path string, c *Config) (*Flight, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, bad("flight", "%v", err)
+		return nil, keyError("flight", "%v", err)
 	}
 	f := &Flight{Connections: 64}
 	md, err := toml.Decode(string(text), f)
 	if err != nil {
-		return nil, bad("flight", "%s: %v", path, err)
+		return nil, keyError("flight", "%s: %v", path, err)
 	}
 	if odd := md.Undecoded(); len(odd) > 0 {
-		return nil, bad("flight."+odd[0].String(), "is not known")
+		return nil, keyError("flight."+odd[0].String(), "is not known")
 	}
 	if err := checkAddr("flight.listen", f.Listen); err != nil {
 		return nil, err
 	}
 	for i, id := range f.Servers {
 		if id == "" {
-			return nil, bad("flight.servers", "entry %d is empty", i)
+			return nil, keyError("flight.servers", "entry %d is empty", i)
 		}
 	}
 	if f.Connections < 1 {
-		return nil, bad("flight.connections", "%d is below 1", f.Connections)
+		return nil, keyError("flight.connections", "%d is below 1", f.Connections)
 	}
-	if c.ClientConns -= f.Connections; c.ClientConns < clientLeast {
-		return nil, bad("flight.connections", "%d is too many: limits.sockets %d leaves none for other clients", f.Connections, c.Sockets)
+	if c.MaxClientConns -= f.Connections; c.MaxClientConns < minClientConns {
+		return nil, keyError("flight.connections", "%d is too many: limits.sockets %d leaves none for other clients", f.Connections, c.Sockets)
 	}
-	c.IdleConns = min(c.IdleConns, c.ClientConns/2)
-	f.ServerConns = min(2*len(f.Servers), c.ServerConns/2) // one each, and one for what must not wait behind it
-	c.ServerConns -= f.ServerConns
+	c.MaxIdleConns = min(c.MaxIdleConns, c.MaxClientConns/2)
+	f.ServerConns = min(2*len(f.Servers), c.MaxServerConns/2) // one each, and one for what must not wait behind it
+	c.MaxServerConns -= f.ServerConns
 	return f, nil
 }
--- a/internal/config/keyerror.go
+++ b/internal/config/keyerror.go
@@ -10,6 +10,6 @@
 
 func (e *KeyError) Error() string { return e.Key + ": " + e.Reason }
 
-func bad(key, format string, args ...any) error {
+func keyError(key, format string, args ...any) error {
 	return &KeyError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -31,47 +31,47 @@
 // settings reads the settings, of which the module's part as the adapter does.
 func (c *Config) settings(text json.RawMessage) (err error) {
 	if len(text) == 0 {
-		return bad("settings", "is missing")
+		return keyError("settings", "is missing")
 	}
 	if c.Settings, err = wire.ParseSettings(string(text)); err != nil {
-		return bad("settings", "%v", err)
+		return keyError("settings", "%v", err)
 	}
 	// A part's attempts are never out together here, even where the platform bears it. The module must know: one that
 	// counts on copies waits for them beside an attempt that is lost.
 	c.Settings.HedgingAllowed = false
 	var s settings
 	if err := json.Unmarshal(text, &s); err != nil {
-		return bad("settings", "%v", err)
+		return keyError("settings", "%v", err)
 	}
 	if len(s.Classes) == 0 {
-		return bad("settings.classes", "is missing or empty")
+		return keyError("settings.classes", "is missing or empty")
 	}
 	c.Classes = map[string]int{}
 	for i, class := range s.Classes {
 		if _, twice := c.Classes[class.Name]; class.Name == "" || twice {
-			return bad(fmt.Sprintf("settings.classes[%d].name", i), "%q is empty or stands twice", class.Name)
+			return keyError(fmt.Sprintf("settings.classes[%d].name", i), "%q is empty or stands twice", class.Name)
 		}
 		if err := c.class(i); err != nil {
 			return err
 		}
 		c.Classes[class.Name] = i
 	}
-	if c.Settings.ReplicaSets <= 0 || c.Settings.ReplicaSets > mostSockets {
-		return bad("settings.familyInfo.cells", "%d is outside 1 to %d", c.Settings.ReplicaSets, mostSockets)
+	if c.Settings.ReplicaSets <= 0 || c.Settings.ReplicaSets > maxSockets {
+		return keyError("settings.familyInfo.cells", "%d is outside 1 to %d", c.Settings.ReplicaSets, maxSockets)
 	}
 	if t := c.Settings.Tick; t < 0 || t > 1 {
-		return bad("settings.tickS", "%g is outside 0 to 1", t)
+		return keyError("settings.tickS", "%g is outside 0 to 1", t)
 	}
-	if t := c.Settings.MaxRetryAfter; t < 0 || t > mostSeconds {
-		return bad("settings.caps.maxRetryAfterS", "%g is outside 0 to %g", t, mostSeconds)
+	if t := c.Settings.MaxRetryAfter; t < 0 || t > maxSeconds {
+		return keyError("settings.caps.maxRetryAfterS", "%g is outside 0 to %g", t, maxSeconds)
 	}
 	if c.ConcurrencyLimit, c.Shards = s.Caps.OpenCap, s.Family.Shards; c.ConcurrencyLimit < 0 {
-		return bad("settings.caps.openCap", "%d is negative", c.ConcurrencyLimit)
+		return keyError("settings.caps.openCap", "%d is negative", c.ConcurrencyLimit)
 	}
-	c.Names = discovery.Names{Zones: s.Zones, Kinds: s.Kinds}
+	c.NameTable = discovery.NameTable{Zones: s.Zones, Kinds: s.Kinds}
 	if n := s.Caps.Streams; n != nil {
-		if c.Streams = *n; *n < 1 {
-			return bad("settings.caps.streamsPerConn", "%d is below 1", *n)
+		if c.MaxStreams = *n; *n < 1 {
+			return keyError("settings.caps.streamsPerConn", "%d is below 1", *n)
 		}
 	}
 	for _, d := range []struct {
@@ -79,14 +79,14 @@
 		v   *float64
 		to  *time.Duration
 	}{
-		{"settings.caps.connIdleS", s.Caps.ConnIdle, &c.ConnIdle},
+		{"settings.caps.connIdleS", s.Caps.ConnIdle, &c.ConnIdleTimeout},
 		{"settings.caps.connectTimeoutS", s.Caps.ConnectTimeout, &c.ConnectTimeout},
 	} {
 		if d.v == nil {
 			continue
 		}
-		if !(*d.v > 0 && *d.v <= mostSeconds) {
-			return bad(d.key, "%g is outside 0 to %g, or 0", *d.v, mostSeconds)
+		if !(*d.v > 0 && *d.v <= maxSeconds) {
+			return keyError(d.key, "%g is outside 0 to %g, or 0", *d.v, maxSeconds)
 		}
 		*d.to = max(time.Duration(*d.v*float64(time.Second)), time.Millisecond) // nothing would be no limit
 	}
@@ -97,18 +97,18 @@
 func (c *Config) class(i int) error {
 	class := &c.Settings.Classes[i]
 	key := func(name string) string { return fmt.Sprintf("settings.classes[%d].%s", i, name) }
-	if !(class.Deadline > 0 && class.Deadline <= mostSeconds) {
-		return bad(key("deadlineS"), "%g is outside 0 to %g, or 0", class.Deadline, mostSeconds)
+	if !(class.Deadline > 0 && class.Deadline <= maxSeconds) {
+		return keyError(key("deadlineS"), "%g is outside 0 to %g, or 0", class.Deadline, maxSeconds)
 	}
-	if class.LatencyObjective < 0 || class.LatencyObjective > mostSeconds {
-		return bad(key("objectiveS"), "%g is outside 0 to %g", class.LatencyObjective, mostSeconds)
+	if class.LatencyObjective < 0 || class.LatencyObjective > maxSeconds {
+		return keyError(key("objectiveS"), "%g is outside 0 to %g", class.LatencyObjective, maxSeconds)
 	}
 	class.LatencyObjective = cmp.Or(class.LatencyObjective, class.Deadline)
 	if !(class.CompletenessThreshold > 0 && class.CompletenessThreshold <= 1) {
-		return bad(fmt.Sprintf("settings.familyInfo.needByClass[%d]", i), "%g is outside 0 to 1, or 0", class.CompletenessThreshold)
+		return keyError(fmt.Sprintf("settings.familyInfo.needByClass[%d]", i), "%g is outside 0 to 1, or 0", class.CompletenessThreshold)
 	}
 	if !(class.MinCompleteness >= 0 && class.MinCompleteness <= 1) {
-		return bad(fmt.Sprintf("settings.familyInfo.classFloor[%d]", i), "%g is outside 0 to 1", class.MinCompleteness)
+		return keyError(fmt.Sprintf("settings.familyInfo.classFloor[%d]", i), "%g is outside 0 to 1", class.MinCompleteness)
 	}
 	return nil
 }
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -17,15 +17,15 @@
 }
 
 const (
-	leastInterval = 0.5 // seconds
-	mostInterval  = 3600.0
+	minInterval = 0.5 // seconds
+	maxInterval = 3600.0
 )
 
 // LoadState reads the state file.
 func LoadState(path string) (*State, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, bad("state", "%v", err)
+		return nil, keyError("state", "%v", err)
 	}
 	f := struct {
 		Folder   string  `toml:"folder"`
@@ -33,16 +33,16 @@
 	}{Interval: 5}
 	md, err := toml.Decode(string(text), &f)
 	if err != nil {
-		return nil, bad("state", "%s: %v", path, err)
+		return nil, keyError("state", "%s: %v", path, err)
 	}
 	if odd := md.Undecoded(); len(odd) > 0 {
-		return nil, bad("state."+odd[0].String(), "is not known")
+		return nil, keyError("state."+odd[0].String(), "is not known")
 	}
 	if f.Folder == "" {
-		return nil, bad("state.folder", "is missing")
+		return nil, keyError("state.folder", "is missing")
 	}
-	if !(f.Interval >= leastInterval && f.Interval <= mostInterval) {
-		return nil, bad("state.interval_s", "%g is outside %g to %g", f.Interval, leastInterval, mostInterval)
+	if !(f.Interval >= minInterval && f.Interval <= maxInterval) {
+		return nil, keyError("state.interval_s", "%g is outside %g to %g", f.Interval, minInterval, maxInterval)
 	}
 	return &State{Folder: f.Folder, Interval: time.Duration(f.Interval * float64(time.Second))}, nil
 }
--- a/internal/configstatus/table.go
+++ b/internal/configstatus/table.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// namesMost is how many names a line of the table lists; the JSON form has all.
-const namesMost = 10
+// maxNames is how many names a line of the table lists; the JSON form has all.
+const maxNames = 10
 
 // Write writes the view as text, with at most so many revisions. Ages are as of now.
 func (v View) Write(out io.Writer, now time.Time, revisionsMost int) error {
@@ -80,10 +80,10 @@
 }
 
 func shortened(list []string) string {
-	if len(list) <= namesMost {
+	if len(list) <= maxNames {
 		return strings.Join(list, ", ")
 	}
-	return fmt.Sprintf("%s and %d more", strings.Join(list[:namesMost], ", "), len(list)-namesMost)
+	return fmt.Sprintf("%s and %d more", strings.Join(list[:maxNames], ", "), len(list)-maxNames)
 }
 
 func ago(milliseconds int64) string {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	wholeLimit = 600 * time.Millisecond // for a call to come whole; a reply is due within 1 s
-	writeLimit = 300 * time.Millisecond // for a caller to take its reply
-	lingerFor  = 100 * time.Millisecond
+	callTimeout   = 600 * time.Millisecond // for a call to come whole; a reply is due within 1 s
+	writeTimeout  = 300 * time.Millisecond // for a caller to take its reply
+	lingerTimeout = 100 * time.Millisecond
 )
 
 // Callers is how many callers are served at once; the one that has been silent longest makes room for another.
@@ -20,13 +20,13 @@
 
 // Process is what operators steer. Its methods are called by any goroutine and must not wait for a loop.
 type Process interface {
-	// Takes tells whether clients are taken.
-	Takes() bool
-	// Leave sends clients away; Join takes them again. Both may be called again and again.
-	Leave()
-	Join()
-	// Figures writes the figures behind b, a line each.
-	Figures(b []byte) []byte
+	// AcceptsClients tells whether clients are taken.
+	AcceptsClients() bool
+	// StartDrain sends clients away; Join takes them again. Both may be called again and again.
+	StartDrain()
+	CancelDrain()
+	// AppendMetrics writes the figures behind b, a line each.
+	AppendMetrics(b []byte) []byte
 }
 
 // Server answers operators.
@@ -81,7 +81,7 @@
 // serve answers one caller.
 func (s *Server) serve(c net.Conn) {
 	var m Machine
-	c.SetReadDeadline(time.Now().Add(wholeLimit))
+	c.SetReadDeadline(time.Now().Add(callTimeout))
 	for {
 		n, err := c.Read(m.Space())
 		m.Filled(n)
@@ -105,23 +105,23 @@
 	switch {
 	case bad != nil:
 		out = append(append(out, "NAK "...), bad.Error()...)
-	case call == Health && !s.p.Takes():
+	case call == Health && !s.p.AcceptsClients():
 		out = append(out, "NAK no clients are taken"...)
 	case call == Dump:
-		out = s.p.Figures(append(out, "ACK\n"...))
+		out = s.p.AppendMetrics(append(out, "ACK\n"...))
 		out = append(out, "--"...)
 	case call == Leave:
-		s.p.Leave()
+		s.p.StartDrain()
 		s.log.Info("operators drain this process")
 		out = append(out, "ACK"...)
 	case call == Join:
-		s.p.Join()
+		s.p.CancelDrain()
 		s.log.Info("operators end the drain")
 		out = append(out, "ACK"...)
 	default:
 		out = append(out, "ACK"...)
 	}
-	c.SetWriteDeadline(time.Now().Add(writeLimit))
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := c.Write(append(out, '\n')); err != nil || bad == nil {
 		return
 	}
@@ -129,7 +129,7 @@
 	// the connection, and the reply could be lost with it.
 	if t, ok := c.(*net.TCPConn); ok {
 		t.CloseWrite()
-		c.SetReadDeadline(time.Now().Add(lingerFor))
+		c.SetReadDeadline(time.Now().Add(lingerTimeout))
 		var trash [512]byte
 		for range 64 {
 			if _, err := c.Read(trash[:]); err != nil {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -45,10 +45,10 @@
 
 type process struct{ away atomic.Bool }
 
-func (p *process) Takes() bool             { return !p.away.Load() }
-func (p *process) Leave()                  { p.away.Store(true) }
-func (p *process) Join()                   { p.away.Store(false) }
-func (p *process) Figures(b []byte) []byte { return append(b, "svc.open_requests:3|g\n"...) }
+func (p *process) AcceptsClients() bool          { return !p.away.Load() }
+func (p *process) StartDrain()                   { p.away.Store(true) }
+func (p *process) CancelDrain()                  { p.away.Store(false) }
+func (p *process) AppendMetrics(b []byte) []byte { return append(b, "svc.open_requests:3|g\n"...) }
 
 func serve(t *testing.T) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/control/machine.go
+++ b/internal/control/machine.go
@@ -20,7 +20,7 @@
 
 var calls = map[string]Call{"HEALTH": Health, "DUMP": Dump, "LEAVE": Leave, "JOIN": Join}
 
-const lineMost = 64 // bytes of a call, its end included
+const maxLineLength = 64 // bytes of a call, its end included
 
 // Errors of a call that cannot be used. Their texts go to the caller.
 var (
@@ -32,7 +32,7 @@
 
 // Machine reads one call. The zero value is ready.
 type Machine struct {
-	line [lineMost]byte
+	line [maxLineLength]byte
 	n    int
 }
 
--- a/internal/controlclient/controlclient.go
+++ b/internal/controlclient/controlclient.go
@@ -26,16 +26,16 @@
 	callTimeout    = 5 * time.Second // of one publication to one machine, before the next machine is tried
 
 	waitFirst = 100 * time.Millisecond // between two rounds over all machines
-	waitMost  = time.Second
+	maxWait   = time.Second
 )
 
-// RefusedError tells that a publication was refused, by the key at fault. It is in no revision.
-type RefusedError struct {
+// RejectedError tells that a publication was refused, by the key at fault. It is in no revision.
+type RejectedError struct {
 	Key, Reason string
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string { return fmt.Sprintf("refused by %s: %s", e.Key, e.Reason) }
+func (e *RejectedError) Error() string { return fmt.Sprintf("refused by %s: %s", e.Key, e.Reason) }
 
 // UnavailableError tells that a publication was surely not taken by any machine.
 type UnavailableError struct {
@@ -73,13 +73,13 @@
 	}
 	var last error
 	taken := false // perhaps, by an earlier try
-	for wait := waitFirst; ; wait = min(2*wait, waitMost) {
+	for wait := waitFirst; ; wait = min(2*wait, maxWait) {
 		for _, address := range addresses {
 			if ctx.Err() != nil {
 				return 0, givenUp(taken, last)
 			}
 			number, err := publishAt(ctx, address, request)
-			var refused *RefusedError
+			var refused *RejectedError
 			if err == nil || errors.As(err, &refused) {
 				return number, err
 			}
@@ -126,7 +126,7 @@
 	for _, detail := range s.Details() {
 		switch d := detail.(type) {
 		case *configpb.Refusal:
-			return &RefusedError{Key: d.GetKey(), Reason: d.GetReason()}
+			return &RejectedError{Key: d.GetKey(), Reason: d.GetReason()}
 		case *errdetails.ErrorInfo:
 			if d.GetReason() == configpb.NotTaken && d.GetDomain() == configpb.ErrorDomain {
 				return errors.New(s.Message())
@@ -135,7 +135,7 @@
 	}
 	switch s.Code() {
 	case codes.ResourceExhausted: // too large to be read
-		return &RefusedError{Key: "document", Reason: s.Message()}
+		return &RejectedError{Key: "document", Reason: s.Message()}
 	case codes.Unimplemented: // no control machine is there
 		return errors.New(s.Message())
 	}
--- a/internal/controlclient/controlclient_test.go
+++ b/internal/controlclient/controlclient_test.go
@@ -78,9 +78,9 @@
 func TestPublishTellsARefusalAtOnce(t *testing.T) {
 	m, address := start(t, refused)
 	_, err := publish(t, long, address)
-	var refusal *controlclient.RefusedError
+	var refusal *controlclient.RejectedError
 	require.ErrorAs(t, err, &refusal)
-	require.Equal(t, controlclient.RefusedError{Key: "settings.x", Reason: "is odd"}, *refusal)
+	require.Equal(t, controlclient.RejectedError{Key: "settings.x", Reason: "is odd"}, *refusal)
 	require.Len(t, m.requests, 1)
 }
 
--- a/internal/controlrig/machine.go
+++ b/internal/controlrig/machine.go
@@ -11,8 +11,8 @@
 	"syscall"
 )
 
-// linesMost is how many of its lines are kept, for a test that fails.
-const linesMost = 200
+// maxLines is how many of its lines are kept, for a test that fails.
+const maxLines = 200
 
 // Machine is one control machine, whichever process runs as it.
 type Machine struct {
@@ -72,7 +72,7 @@
 func (m *Machine) keep(line string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.lines = append(m.lines, line); len(m.lines) > linesMost {
+	if m.lines = append(m.lines, line); len(m.lines) > maxLines {
 		m.lines = m.lines[1:]
 	}
 }
--- a/internal/controlrig/network.go
+++ b/internal/controlrig/network.go
@@ -15,7 +15,7 @@
 // chunkBytes is what a relay reads at once; chunksHeld such chunks are under way in one direction of a connection.
 const (
 	chunkBytes = 32 << 10
-	chunksHeld = 64
+	maxChunks  = 64
 )
 
 // Network stands between places by relays, and has a Fault for each directed pair of them.
@@ -152,7 +152,7 @@
 // pump carries one direction until the source ends or the sink fails. That the source has ended comes through like
 // bytes do: not while the direction is cut.
 func (n *Network) pump(sink, source net.Conn, from, to string) {
-	chunks := make(chan chunk, chunksHeld)
+	chunks := make(chan chunk, maxChunks)
 	var reading sync.WaitGroup
 	reading.Go(func() {
 		defer close(chunks)
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -36,8 +36,8 @@
 	// maxPeerConnections: two for each of 8 members, whose former connections may not have ended yet.
 	maxPeerConnections = 16
 
-	// leastPing is how often a peer may ping at most, half of pingAfter.
-	leastPing = pingAfter / 2
+	// minPingInterval is how often a peer may ping at most, half of pingAfter.
+	minPingInterval = pingAfter / 2
 
 	// stopTimeout is how long a machine that is told to end waits for publications under way.
 	stopTimeout = 2 * time.Second
@@ -222,7 +222,7 @@
 func newPeerServer(control *service, received *receiver) *grpc.Server {
 	server := grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxPeerMessageBytes),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: leastPing, PermitWithoutStream: true}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingAfter, Timeout: pingTimeout}),
 	)
 	configpb.RegisterControlServer(server, control)
--- a/internal/controlserver/transport.go
+++ b/internal/controlserver/transport.go
@@ -26,9 +26,9 @@
 
 	// Waits between attempts to reach a peer, by gRPC for connections and by the transport for streams. Peers are
 	// three, so short waits cost little.
-	reconnectFirst = 100 * time.Millisecond
-	reconnectMost  = 2 * time.Second
-	connectTimeout = 3 * time.Second
+	reconnectFirst    = 100 * time.Millisecond
+	maxReconnectDelay = 2 * time.Second
+	connectTimeout    = 3 * time.Second
 
 	// A connection that answers no ping is given up after both: 10 s is the least that gRPC allows.
 	pingAfter   = 10 * time.Second
@@ -87,7 +87,7 @@
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{
-				BaseDelay: reconnectFirst, Multiplier: 1.6, Jitter: 0.5, MaxDelay: reconnectMost,
+				BaseDelay: reconnectFirst, Multiplier: 1.6, Jitter: 0.5, MaxDelay: maxReconnectDelay,
 			},
 			MinConnectTimeout: connectTimeout,
 		}),
@@ -135,7 +135,7 @@
 		case <-time.After(wait/2 + rand.N(wait/2)):
 		case <-ctx.Done():
 		}
-		wait = min(2*wait, reconnectMost)
+		wait = min(2*wait, maxReconnectDelay)
 	}
 }
 
--- a/internal/cores/cores_test.go
+++ b/internal/cores/cores_test.go
@@ -58,8 +58,8 @@
 }
 
 func newRig(t *testing.T, o rigOptions) *rig {
-	fleet, err := standin.New(standin.Options{Servers: o.servers, Reach: 2, Work: o.work, Seed: 1, Second: 2,
-		Unsafe: func(id string) bool { return strings.HasPrefix(id, "charge") }})
+	fleet, err := standin.New(standin.Options{Servers: o.servers, ReplicationFactor: 2, Work: o.work, Seed: 1, Second: 2,
+		NonIdempotent: func(id string) bool { return strings.HasPrefix(id, "charge") }})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	link := upstream.New(ctx, upstream.Options{MaxStreams: 100, MaxConns: o.conns, IdleTimeout: 15 * time.Second,
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -21,11 +21,11 @@
 	"mothrouter/internal/listwatch"
 )
 
-// dialLimit is as long as a call may take: a first packet that is lost is sent again after a second.
-const dialLimit = listwatch.CallLimit
+// dialTimeout is as long as a call may take: a first packet that is lost is sent again after a second.
+const dialTimeout = listwatch.CallTimeout
 
-// Names translates the names of zones and kinds to their numbers in the settings.
-type Names struct{ Zones, Kinds []string }
+// NameTable translates the names of zones and kinds to their numbers in the settings.
+type NameTable struct{ Zones, Kinds []string }
 
 // Message is one object of the list in discovery's form.
 type Message struct {
@@ -50,8 +50,8 @@
 	"active": decision.Ready, "leaving": decision.Draining, "left": decision.Removed,
 }
 
-// List translates a message for the core.
-func (n Names) List(m Message) (broker.EndpointUpdate, error) {
+// EndpointUpdate translates a message for the core.
+func (n NameTable) EndpointUpdate(m Message) (broker.EndpointUpdate, error) {
 	l := broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: m.Version}
 	if m.Full {
 		l.Mode = decision.FullUpdate
@@ -78,48 +78,48 @@
 // Watcher follows the list and hands its news to Update. It drives a listwatch, which decides when to call and which calls
 // stay open.
 type Watcher struct {
-	Addr   string // where the first watch goes; Move names another
-	Names  Names
-	Since  int64 // version of the list as known
-	Update func(broker.EndpointUpdate)
-	Log    *slog.Logger
-	// Waits decides when a watch is started. All brokers share one discovery.
-	Waits *backoff.Backoff
-
-	once  sync.Once
-	moves chan string // the latest address that Move named, until Run has taken it
+	Addr      string // where the first watch goes; Move names another
+	NameTable NameTable
+	Since     int64 // version of the list as known
+	Update    func(broker.EndpointUpdate)
+	Log       *slog.Logger
+	// Backoff decides when a watch is started. All brokers share one discovery.
+	Backoff *backoff.Backoff
+
+	once       sync.Once
+	newAddress chan string // the latest address that Move named, until Run has taken it
 }
 
-func (w *Watcher) init() { w.once.Do(func() { w.moves = make(chan string, 1) }) }
+func (w *Watcher) init() { w.once.Do(func() { w.newAddress = make(chan string, 1) }) }
 
-// Move has the list followed at another address from now on, from the version last heard. The list stays.
-func (w *Watcher) Move(addr string) {
+// ChangeAddress has the list followed at another address from now on, from the version last heard. The list stays.
+func (w *Watcher) ChangeAddress(addr string) {
 	w.init()
 	for {
 		select {
-		case w.moves <- addr:
+		case w.newAddress <- addr:
 			return
-		case <-w.moves: // one that Run has not come to
+		case <-w.newAddress: // one that Run has not come to
 		}
 	}
 }
 
-// word is what a call has brought: the text of an object or, empty, an empty line; or its end.
-type word struct {
+// message is what a call has brought: the text of an object or, empty, an empty line; or its end.
+type message struct {
 	call int
 	text []byte
-	end  error
+	err  error
 }
 
 // Run follows the list until ctx ends. The calls only read; this goroutine owns the list's version and the listwatch.
 func (w *Watcher) Run(ctx context.Context) {
 	w.init()
-	if w.Waits == nil {
-		w.Waits = backoff.New(1, rand.Uint64())
+	if w.Backoff == nil {
+		w.Backoff = backoff.New(1, rand.Uint64())
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watch, addr, words := listwatch.New(w.Waits, time.Now()), w.Addr, make(chan word)
+	watch, addr, words := listwatch.New(w.Backoff, time.Now()), w.Addr, make(chan message)
 	open := map[int]context.CancelFunc{}
 	do := func(actions []listwatch.Action) {
 		for _, a := range actions {
@@ -143,8 +143,8 @@
 		}
 		select {
 		case <-ctx.Done():
-		case addr = <-w.moves:
-			do(watch.Moved(time.Now()))
+		case addr = <-w.newAddress:
+			do(watch.AddressChanged(time.Now()))
 		case <-due:
 			do(watch.Tick(time.Now()))
 		case said := <-words:
@@ -152,18 +152,18 @@
 			if end == nil {
 				break // closed meanwhile
 			}
-			err := said.end
+			err := said.err
 			if err == nil && len(said.text) > 0 {
-				err = w.take(said.text)
+				err = w.apply(said.text)
 			}
 			if err == nil {
-				do(watch.Word(time.Now(), said.call))
+				do(watch.MessageReceived(time.Now(), said.call))
 				break
 			}
 			w.Log.Info("a watch of the server list ended", "error", err, "since", w.Since)
 			end()
 			delete(open, said.call)
-			do(watch.Ended(time.Now(), said.call))
+			do(watch.CallEnded(time.Now(), said.call))
 		}
 		if t != nil {
 			t.Stop()
@@ -175,14 +175,14 @@
 }
 
 // call makes one call and hands on what it brings, until it or ctx ends.
-func call(ctx context.Context, id int, addr string, since int64, words chan<- word) {
+func call(ctx context.Context, id int, addr string, since int64, words chan<- message) {
 	say := func(text []byte, end error) {
 		select {
-		case words <- word{id, bytes.Clone(text), end}:
+		case words <- message{id, bytes.Clone(text), end}:
 		case <-ctx.Done():
 		}
 	}
-	d := net.Dialer{Timeout: dialLimit}
+	d := net.Dialer{Timeout: dialTimeout}
 	sock, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		say(nil, err)
@@ -190,7 +190,7 @@
 	}
 	defer sock.Close()
 	defer context.AfterFunc(ctx, func() { sock.Close() })()
-	sock.SetWriteDeadline(time.Now().Add(dialLimit))
+	sock.SetWriteDeadline(time.Now().Add(dialTimeout))
 	if _, err := fmt.Fprintf(sock, "GET /discovery/hosts?follow=1&since=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
 		since, addr); err != nil {
 		say(nil, err)
@@ -233,12 +233,12 @@
 	}
 }
 
-func (w *Watcher) take(line []byte) error {
+func (w *Watcher) apply(line []byte) error {
 	var m Message
 	if err := json.Unmarshal(line, &m); err != nil {
 		return fmt.Errorf("a line of the watch: %w", err)
 	}
-	l, err := w.Names.List(m)
+	l, err := w.NameTable.EndpointUpdate(m)
 	if err != nil {
 		return err
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -79,7 +79,7 @@
 	defer cancel()
 	for i := range here {
 		w := &discovery.Watcher{Addr: d.Addr().String(), Update: func(broker.EndpointUpdate) {},
-			Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Waits: backoff.New(fleet, uint64(i))}
+			Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Backoff: backoff.New(fleet, uint64(i))}
 		go w.Run(ctx)
 	}
 	for _, spread := range []time.Duration{100 * time.Millisecond, 500 * time.Millisecond} { // the start, and a loss
@@ -140,8 +140,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	w := &discovery.Watcher{Addr: addr, Since: 5, Update: func(l broker.EndpointUpdate) { news <- l },
-		Names: discovery.Names{Zones: []string{"a"}, Kinds: []string{"m"}},
-		Log:   slog.New(slog.NewTextHandler(io.Discard, nil)), Waits: backoff.New(3, 1)}
+		NameTable: discovery.NameTable{Zones: []string{"a"}, Kinds: []string{"m"}},
+		Log:       slog.New(slog.NewTextHandler(io.Discard, nil)), Backoff: backoff.New(3, 1)}
 	go w.Run(ctx)
 	return news
 }
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -22,13 +22,13 @@
 	UnconfirmedLimit = 5 * time.Second
 
 	// A fleet that leaves a control machine together spreads over this time.
-	leaveWithin = 1500 * time.Millisecond
+	drainTimeout = 1500 * time.Millisecond
 	// The longest wait between two machines of one round.
-	betweenMost = 100 * time.Millisecond
+	maxBetween = 100 * time.Millisecond
 	// Where every machine is unconfirmed, the one that is kept is left again after 30 to 60 s, then after twice as
 	// long, and every 5 to 10 min later: about ten times in an hour.
 	reconsiderFirst = 30 * time.Second
-	reconsiderMost  = 5 * time.Minute
+	maxReconsider   = 5 * time.Minute
 	// How many reports of a stream are remembered, for the updates that answer them.
 	recentReports = 16
 	// A follower that is woken so much later than it asked was paused: what its stream brought waits to be read.
@@ -39,7 +39,7 @@
 var (
 	ErrNoMachines      = errors.New("no control machine is named")
 	ErrTooManyMachines = fmt.Errorf("more than %d control machines are named", MaxMachines)
-	ErrBadName         = fmt.Errorf("the name or the zone is absent, longer than %d bytes or not in UTF-8", maxName)
+	ErrInvalidName     = fmt.Errorf("the name or the zone is absent, longer than %d bytes or not in UTF-8", maxName)
 )
 
 // StreamID names one stream of a follower. It is never used again by the same follower.
@@ -79,22 +79,22 @@
 	rng   *rand.Rand
 	waits *backoff.Backoff
 
-	machines   machines
-	machine    int       // of the present stream, or of the next one if it is chosen already
-	chosen     bool      // the machine of the next stream is
-	connect    time.Time // when the next stream is to be opened, where there is none
-	settled    bool      // no machine was confirmed in a whole round: the best one is kept
-	reconsider time.Time // until when it is kept
-	interval   time.Duration
+	machines       machines
+	machine        int       // of the present stream, or of the next one if it is chosen already
+	chosen         bool      // the machine of the next stream is
+	connect        time.Time // when the next stream is to be opened, where there is none
+	quiescentSince bool      // no machine was confirmed in a whole round: the best one is kept
+	reconsider     time.Time // until when it is kept
+	interval       time.Duration
 
-	stream     StreamID // the present one; 0: none
-	lastStream StreamID
-	opened     time.Time                // when the present stream was
-	heard      time.Time                // last update of the present stream; zero: none yet
-	grace      time.Time                // the present stream is not left before; zero: no such time
-	reported   time.Time                // last report on the present stream
-	sequence   uint64                   // of that report
-	reports    [recentReports]time.Time // when each was handed out, by sequence
+	stream       StreamID // the present one; 0: none
+	lastStream   StreamID
+	opened       time.Time                // when the present stream was
+	lastReceived time.Time                // last update of the present stream; zero: none yet
+	grace        time.Time                // the present stream is not left before; zero: no such time
+	reported     time.Time                // last report on the present stream
+	sequence     uint64                   // of that report
+	reports      [recentReports]time.Time // when each was handed out, by sequence
 
 	revisions revisions
 	newest    uint64    // the highest that was told
@@ -115,7 +115,7 @@
 	case len(opt.Control) > MaxMachines:
 		return nil, ErrTooManyMachines
 	case opt.Name == "" || !validText(opt.Name, maxName) || !validText(opt.Zone, maxName):
-		return nil, ErrBadName
+		return nil, ErrInvalidName
 	}
 	rng := rand.New(rand.NewPCG(opt.Seed, 0x9b05688c2b3e6c1f))
 	f := &Follower{
@@ -141,7 +141,7 @@
 	if f.stream == 0 {
 		return f.connect
 	}
-	return earliest(f.silentAt(), f.leaveAt(), f.reported.Add(ReportEvery))
+	return earliest(f.silentAt(), f.drainAt(), f.reported.Add(ReportEvery))
 }
 
 // Tick looks at the time.
@@ -152,7 +152,7 @@
 		}
 		return
 	}
-	if now.Sub(f.Wake()) > pauseSlack && !f.grace.After(latest(f.opened, f.heard)) {
+	if now.Sub(f.Wake()) > pauseSlack && !f.grace.After(latest(f.opened, f.lastReceived)) {
 		f.grace = now.Add(Heartbeat)
 	}
 	if !now.Before(f.silentAt()) {
@@ -160,7 +160,7 @@
 		f.lose(now)
 		return
 	}
-	if at := f.leaveAt(); !at.IsZero() && !now.Before(at) {
+	if at := f.drainAt(); !at.IsZero() && !now.Before(at) {
 		f.leave(now)
 	}
 	if f.stream != 0 && !now.Before(f.reported.Add(ReportEvery)) {
@@ -196,19 +196,19 @@
 
 // silentAt is when the present stream counts as silent.
 func (f *Follower) silentAt() time.Time {
-	if f.heard.IsZero() {
+	if f.lastReceived.IsZero() {
 		return latest(f.opened.Add(ConnectLimit), f.grace)
 	}
-	return latest(f.heard.Add(Silence), f.grace)
+	return latest(f.lastReceived.Add(Silence), f.grace)
 }
 
-// leaveAt is when the present machine is left because its confirmation is too old; zero: not at all.
-func (f *Follower) leaveAt() time.Time {
-	if f.heard.IsZero() || len(f.machines) < 2 {
+// drainAt is when the present machine is left because its confirmation is too old; zero: not at all.
+func (f *Follower) drainAt() time.Time {
+	if f.lastReceived.IsZero() || len(f.machines) < 2 {
 		return time.Time{}
 	}
-	at := latest(f.machines[f.machine].confirmed.Add(UnconfirmedLimit), f.heard, f.grace)
-	if f.settled {
+	at := latest(f.machines[f.machine].confirmed.Add(UnconfirmedLimit), f.lastReceived, f.grace)
+	if f.quiescentSince {
 		return latest(at, f.reconsider)
 	}
 	return at
@@ -221,7 +221,7 @@
 	}
 	f.lastStream++
 	f.stream, f.toOpen, f.chosen = f.lastStream, true, false
-	f.opened, f.heard, f.grace = now, time.Time{}, time.Time{}
+	f.opened, f.lastReceived, f.grace = now, time.Time{}, time.Time{}
 	f.reported, f.report, f.sequence = now, true, 0
 	f.counts.Opened++
 }
@@ -236,10 +236,10 @@
 
 // lose gives up a stream that is silent or has ended.
 func (f *Follower) lose(now time.Time) {
-	served, kept := !f.heard.IsZero(), f.settled
+	served, kept := !f.lastReceived.IsZero(), f.quiescentSince
 	f.close()
 	if kept {
-		f.settled = false
+		f.quiescentSince = false
 		f.machines.newRound()
 	}
 	f.machines[f.machine].tried = true
@@ -252,8 +252,8 @@
 
 // leave gives up a machine that is reached and unconfirmed, where another one may do better.
 func (f *Follower) leave(now time.Time) {
-	if f.settled {
-		f.settled = false
+	if f.quiescentSince {
+		f.quiescentSince = false
 		f.machines.newRound()
 	}
 	m := &f.machines[f.machine]
@@ -264,7 +264,7 @@
 	}
 	f.counts.Unconfirmed++
 	f.close()
-	f.tryNext(now, f.waits.Next(leaveWithin))
+	f.tryNext(now, f.waits.Next(drainTimeout))
 }
 
 // tryNext plans a stream to the next machine of the round after a wait. Where the round is over, the best of those
@@ -284,12 +284,12 @@
 
 // settle keeps one machine for a while although it is unconfirmed.
 func (f *Follower) settle(now time.Time) {
-	f.settled = true
+	f.quiescentSince = true
 	f.reconsider = now.Add(f.interval + time.Duration(f.rng.Int64N(int64(f.interval))))
-	f.interval = min(2*f.interval, reconsiderMost)
+	f.interval = min(2*f.interval, maxReconsider)
 }
 
-func (f *Follower) between() time.Duration { return time.Duration(f.rng.Int64N(int64(betweenMost))) }
+func (f *Follower) between() time.Duration { return time.Duration(f.rng.Int64N(int64(maxBetween))) }
 
 func latest(times ...time.Time) time.Time {
 	last := times[0]
--- a/internal/distribution/follower_receive.go
+++ b/internal/distribution/follower_receive.go
@@ -36,11 +36,11 @@
 	if !f.wellFormed(update) {
 		return
 	}
-	if f.heard.IsZero() {
+	if f.lastReceived.IsZero() {
 		f.waits.Succeeded()
 		f.machines[f.machine].confirmed = f.opened
 	}
-	f.heard = now
+	f.lastReceived = now
 	f.counts.Updates++
 	f.newest = max(f.newest, update.GetNewest())
 	if update.GetRevision() != nil {
@@ -129,7 +129,7 @@
 	m.confirmed = at
 	f.confirmed = latest(f.confirmed, m.confirmed)
 	if now.Sub(at) <= UnconfirmedLimit {
-		f.settled, f.interval = false, reconsiderFirst
+		f.quiescentSince, f.interval = false, reconsiderFirst
 		f.machines.newRound()
 	}
 }
--- a/internal/distribution/follower_status.go
+++ b/internal/distribution/follower_status.go
@@ -31,7 +31,7 @@
 		Counts:       f.counts,
 	}
 	if f.stream != 0 {
-		status.Control, status.Heard = f.machines[f.machine].Address, f.heard
+		status.Control, status.Heard = f.machines[f.machine].Address, f.lastReceived
 	}
 	status.Behind, status.Known = f.Stale(now)
 	return status
--- a/internal/distribution/follower_test.go
+++ b/internal/distribution/follower_test.go
@@ -237,7 +237,7 @@
 	for want, opt := range map[error]distribution.FollowerOptions{
 		distribution.ErrNoMachines:      {Name: "b"},
 		distribution.ErrTooManyMachines: {Name: "b", Control: make([]distribution.Machine, distribution.MaxMachines+1)},
-		distribution.ErrBadName:         {Control: one},
+		distribution.ErrInvalidName:     {Control: one},
 	} {
 		_, err := distribution.NewFollower(epoch, opt)
 		require.ErrorIs(t, err, want)
--- a/internal/distribution/hub.go
+++ b/internal/distribution/hub.go
@@ -27,7 +27,7 @@
 	// A revision that was sent and neither reported in force nor refused is sent again: 16 KiB every 3 s at first,
 	// every 24 s later.
 	resendFirst = 3 * time.Second
-	resendMost  = 24 * time.Second
+	maxResends  = 24 * time.Second
 )
 
 // Errors of a Hub. A session whose Next or Report returns one has to be closed.
@@ -216,7 +216,7 @@
 	if number != s.sent {
 		s.sent, s.wait = number, resendFirst
 	} else {
-		s.wait = min(2*s.wait, resendMost)
+		s.wait = min(2*s.wait, maxResends)
 	}
 	s.resend = now.Add(s.wait)
 }
--- a/internal/listwatch/listwatch.go
+++ b/internal/listwatch/listwatch.go
@@ -17,14 +17,14 @@
 )
 
 const (
-	// Silence is how long a watch may be without a whole word: an empty line comes every 2 s.
-	Silence = 2600 * time.Millisecond
-	// CallLimit is how long a call may take from its connect to its first word. An overbooked discovery serves in
+	// SilenceTimeout is how long a watch may be without a whole word: an empty line comes every 2 s.
+	SilenceTimeout = 2600 * time.Millisecond
+	// CallTimeout is how long a call may take from its connect to its first word. An overbooked discovery serves in
 	// turn, so it is as long as the clock allows.
-	CallLimit = 2200 * time.Millisecond
-	binds     = 5700 * time.Millisecond // after the last word, or the begin of a call: 6 s, less what taking the news in may last
-	moveBinds = 3700 * time.Millisecond // after a move: 4 s, less the same
-	mostCalls = 2                       // open at once, beside those of a former address
+	CallTimeout    = 2200 * time.Millisecond
+	updateDeadline = 5700 * time.Millisecond // after the last word, or the begin of a call: 6 s, less what taking the news in may last
+	moveDeadline   = 3700 * time.Millisecond // after a move: 4 s, less the same
+	maxCalls       = 2                       // open at once, beside those of a former address
 )
 
 // Action is what the driver has to do about one call.
@@ -34,52 +34,52 @@
 }
 
 type call struct {
-	id     int
-	begun  time.Time
-	spoke  bool
-	former bool // at an address from before a move: what it tells is taken, but it is no watch any more
-	doubt  bool // it has been silent for too long, and another call is under way or waited for
+	id              int
+	startedAt       time.Time
+	receivedMessage bool
+	former          bool // at an address from before a move: what it tells is taken, but it is no watch any more
+	suspect         bool // it has been silent for too long, and another call is under way or waited for
 }
 
 // Watch is one broker's watch. Make it with New.
 type Watch struct {
-	waits *backoff.Backoff
-	calls []call // in the order of their beginning
-	last  int    // id of the latest
-	heard time.Time
-	by    time.Time // the next call has to begin by then, if one is waited for; zero: none has begun yet
-	next  time.Time // when to call; zero: no call is waited for
-	todo  []Action
+	backoff     *backoff.Backoff
+	calls       []call // in the order of their beginning
+	last        int    // id of the latest
+	lastMessage time.Time
+	callBy      time.Time // the next call has to begin by then, if one is waited for; zero: none has begun yet
+	callAt      time.Time // when to call; zero: no call is waited for
+	actions     []Action
 }
 
 // New returns a watch that makes its first call after a wait.
 func New(waits *backoff.Backoff, now time.Time) *Watch {
-	w := &Watch{waits: waits}
-	w.plan(now)
+	w := &Watch{backoff: waits}
+	w.scheduleCall(now)
 	return w
 }
 
-// plan has the next call made after a wait that ends early enough for its answer. Guards against waits that grow while
+// scheduleCall has the next call made after a wait that ends early enough for its answer. Guards against waits that grow while
 // calls fail: a change that discovery could not tell binds 6 s after it could, so calls begin no further apart than
 // leaves the next one its time within that, whatever became of those before.
-func (w *Watch) plan(now time.Time) {
-	left := time.Duration(0) // nothing bounds the wait before the first call
-	if !w.by.IsZero() {
-		if left = w.by.Sub(now); left <= 0 {
-			w.next = now
+func (w *Watch) scheduleCall(now time.Time) {
+	timeLeft := time.Duration(0) // nothing bounds the wait before the first call
+	if !w.callBy.IsZero() {
+		if timeLeft = w.callBy.Sub(now); timeLeft <= 0 {
+			w.callAt = now
 			return
 		}
 	}
-	w.next = now.Add(w.waits.Next(left))
+	w.callAt = now.Add(w.backoff.Next(timeLeft))
 }
 
 // Wake is when Tick has to be called next at the latest; zero: not before something happens.
 func (w *Watch) Wake() time.Time {
-	if !w.next.IsZero() {
-		return w.next
+	if !w.callAt.IsZero() {
+		return w.callAt
 	}
 	if c := w.latest(); c != nil {
-		return w.patience(c)
+		return w.silentAt(c)
 	}
 	return time.Time{}
 }
@@ -92,24 +92,24 @@
 	return nil
 }
 
-func (w *Watch) patience(c *call) time.Time {
-	if c.spoke {
-		return w.heard.Add(Silence)
+func (w *Watch) silentAt(c *call) time.Time {
+	if c.receivedMessage {
+		return w.lastMessage.Add(SilenceTimeout)
 	}
-	return c.begun.Add(CallLimit)
+	return c.startedAt.Add(CallTimeout)
 }
 
 // Tick looks at the time and returns what to do, as do the other methods.
 func (w *Watch) Tick(now time.Time) []Action {
-	if c := w.latest(); c != nil && !c.doubt && !now.Before(w.patience(c)) {
-		c.doubt = true
-		w.plan(now)
+	if c := w.latest(); c != nil && !c.suspect && !now.Before(w.silentAt(c)) {
+		c.suspect = true
+		w.scheduleCall(now)
 	}
-	if !w.next.IsZero() && !now.Before(w.next) {
-		w.next = time.Time{}
+	if !w.callAt.IsZero() && !now.Before(w.callAt) {
+		w.callAt = time.Time{}
 		w.open(now)
 	}
-	return w.take()
+	return w.takeActions()
 }
 
 func (w *Watch) open(now time.Time) {
@@ -120,62 +120,62 @@
 		}
 	}
 	for _, c := range w.calls {
-		if !c.former && mine >= mostCalls { // the oldest goes; the one behind it goes on listening
+		if !c.former && mine >= maxCalls { // the oldest goes; the one behind it goes on listening
 			w.close(c.id)
 			mine--
 		}
 	}
 	w.last++
-	w.by = now.Add(binds - CallLimit)
-	w.calls = append(w.calls, call{id: w.last, begun: now})
-	w.todo = append(w.todo, Action{Call: w.last})
+	w.callBy = now.Add(updateDeadline - CallTimeout)
+	w.calls = append(w.calls, call{id: w.last, startedAt: now})
+	w.actions = append(w.actions, Action{Call: w.last})
 }
 
 func (w *Watch) close(id int) {
 	w.calls = slices.DeleteFunc(slices.Clone(w.calls), func(c call) bool { return c.id == id })
-	w.todo = append(w.todo, Action{Call: id, Close: true})
+	w.actions = append(w.actions, Action{Call: id, Close: true})
 }
 
-func (w *Watch) take() []Action {
-	todo := w.todo
-	w.todo = nil
+func (w *Watch) takeActions() []Action {
+	todo := w.actions
+	w.actions = nil
 	return todo
 }
 
-// Word tells that a call has brought a whole word. Whichever speaks is the watch, and the others are closed.
-func (w *Watch) Word(now time.Time, id int) []Action {
+// MessageReceived tells that a call has brought a whole word. Whichever speaks is the watch, and the others are closed.
+func (w *Watch) MessageReceived(now time.Time, id int) []Action {
 	i := slices.IndexFunc(w.calls, func(c call) bool { return c.id == id })
 	if i < 0 || w.calls[i].former {
 		return nil
 	}
-	w.calls[i].spoke, w.calls[i].doubt = true, false
-	w.heard, w.by, w.next = now, now.Add(binds-CallLimit), time.Time{}
-	w.waits.Succeeded()
+	w.calls[i].receivedMessage, w.calls[i].suspect = true, false
+	w.lastMessage, w.callBy, w.callAt = now, now.Add(updateDeadline-CallTimeout), time.Time{}
+	w.backoff.Succeeded()
 	for _, c := range slices.Clone(w.calls) {
 		if c.id != id {
 			w.close(c.id)
 		}
 	}
-	return w.take()
+	return w.takeActions()
 }
 
-// Ended tells that a call has ended by itself or could not be made.
-func (w *Watch) Ended(now time.Time, id int) []Action {
+// CallEnded tells that a call has ended by itself or could not be made.
+func (w *Watch) CallEnded(now time.Time, id int) []Action {
 	c := w.latest()
-	watch := c != nil && c.id == id && !c.doubt // else another call is planned or under way
+	watch := c != nil && c.id == id && !c.suspect // else another call is planned or under way
 	w.calls = slices.DeleteFunc(w.calls, func(c call) bool { return c.id == id })
 	if watch {
 		if c := w.latest(); c != nil {
-			c.doubt = true
+			c.suspect = true
 		}
-		w.plan(now)
+		w.scheduleCall(now)
 	}
-	return w.take()
+	return w.takeActions()
 }
 
-// Moved tells that the list is to be followed at another address. What the old one tells until the new one has spoken
+// AddressChanged tells that the list is to be followed at another address. What the old one tells until the new one has spoken
 // is still taken.
-func (w *Watch) Moved(now time.Time) []Action {
+func (w *Watch) AddressChanged(now time.Time) []Action {
 	for _, c := range slices.Clone(w.calls) {
 		if c.former { // of the address before that: moves in a row must not add up
 			w.close(c.id)
@@ -184,8 +184,8 @@
 	for i := range w.calls {
 		w.calls[i].former = true
 	}
-	w.by = now.Add(moveBinds - CallLimit)
-	w.waits.Succeeded() // the new address has not failed yet
-	w.plan(now)
-	return w.take()
+	w.callBy = now.Add(moveDeadline - CallTimeout)
+	w.backoff.Succeeded() // the new address has not failed yet
+	w.scheduleCall(now)
+	return w.takeActions()
 }
--- a/internal/listwatch/listwatch_test.go
+++ b/internal/listwatch/listwatch_test.go
@@ -57,7 +57,7 @@
 			continue
 		}
 		for id := range a.open {
-			a.do(at, a.Word(now, id))
+			a.do(at, a.MessageReceived(now, id))
 			heard = at
 			break
 		}
@@ -89,8 +89,8 @@
 					a.do(at, a.Tick(now))
 				}
 			}
-			require.Less(t, a.opened[1]-first+listwatch.CallLimit, 6*time.Second)
-			require.GreaterOrEqual(t, a.opened[1]-first, listwatch.Silence)
+			require.Less(t, a.opened[1]-first+listwatch.CallTimeout, 6*time.Second)
+			require.GreaterOrEqual(t, a.opened[1]-first, listwatch.SilenceTimeout)
 		}
 	}
 }
@@ -100,18 +100,18 @@
 		a := newAgent(300, seed)
 		a.play(10*time.Second, 0, 0)
 		old := len(a.opened)
-		a.do(10*time.Second, a.Moved(start.Add(10*time.Second)))
+		a.do(10*time.Second, a.AddressChanged(start.Add(10*time.Second)))
 		require.Len(t, a.open, 1)
-		a.do(10*time.Second, a.Word(start.Add(10*time.Second), old)) // what it says does not make it the watch again
+		a.do(10*time.Second, a.MessageReceived(start.Add(10*time.Second), old)) // what it says does not make it the watch again
 		at := 10 * time.Second
 		for ; len(a.opened) == old; at += 10 * time.Millisecond {
 			if now := start.Add(at); !now.Before(a.Wake()) {
 				a.do(at, a.Tick(now))
 			}
 		}
-		require.Less(t, at-10*time.Second+listwatch.CallLimit, 4*time.Second)
+		require.Less(t, at-10*time.Second+listwatch.CallTimeout, 4*time.Second)
 		require.Len(t, a.open, 2)
-		a.do(at, a.Word(start.Add(at), old+1))
+		a.do(at, a.MessageReceived(start.Add(at), old+1))
 		require.Equal(t, map[int]bool{old + 1: true}, a.open)
 	}
 }
@@ -127,19 +127,19 @@
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
 				if a.open[id] {
-					a.do(at, a.Word(now, id))
+					a.do(at, a.MessageReceived(now, id))
 					if id > former {
 						require.Equal(t, map[int]bool{id: true}, a.open)
-						require.Equal(t, now.Add(listwatch.Silence), a.Wake())
+						require.Equal(t, now.Add(listwatch.SilenceTimeout), a.Wake())
 					}
 				}
 			case 1:
 				delete(a.open, id)
-				a.do(at, a.Ended(now, id))
+				a.do(at, a.CallEnded(now, id))
 			case 2:
 				if rapid.IntRange(0, 9).Draw(t, "moves") == 0 {
 					former = len(a.opened)
-					a.do(at, a.Moved(now))
+					a.do(at, a.AddressChanged(now))
 				}
 			default:
 				a.do(at, a.Tick(now))
@@ -176,13 +176,13 @@
 				now := start.Add(at)
 				if moved, ok := ends[0]; ok && moved <= at {
 					delete(ends, 0)
-					a.do(at, a.Moved(now))
+					a.do(at, a.AddressChanged(now))
 				}
 				for id, end := range ends {
 					if id > 0 && end <= at {
 						delete(ends, id)
 						delete(a.open, id)
-						a.do(at, a.Ended(now, id))
+						a.do(at, a.CallEnded(now, id))
 					}
 				}
 				if !now.Before(a.Wake()) {
@@ -193,14 +193,14 @@
 					case 0:
 						ends[calls+1] = at + 10*time.Millisecond // refused
 					case 1:
-						ends[calls+1] = at + listwatch.CallLimit // never came up
+						ends[calls+1] = at + listwatch.CallTimeout // never came up
 					} // or stays silent
 				}
 				if last := a.opened[len(a.opened)-1]; last >= up {
 					after = append(after, last-up)
 					break
 				}
-				require.Less(t, at-up, 6*time.Second-listwatch.CallLimit, "%d callers, seed %d", callers, seed)
+				require.Less(t, at-up, 6*time.Second-listwatch.CallTimeout, "%d callers, seed %d", callers, seed)
 			}
 			made += len(a.opened)
 		}
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -247,13 +247,13 @@
 	memberLine = regexp.MustCompile(`msg="a broker of the fleet" .*member=(\S+) .*is=lost`)
 )
 
-// linesMost is how many of its lines are kept, for a test that fails.
-const linesMost = 200
+// maxLines is how many of its lines are kept, for a test that fails.
+const maxLines = 200
 
 func (b *Broker) read(line string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.lines = append(b.lines, line); len(b.lines) > linesMost {
+	if b.lines = append(b.lines, line); len(b.lines) > maxLines {
 		b.lines = b.lines[1:]
 	}
 	if m := viewLine.FindStringSubmatch(line); m != nil {
--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -60,7 +60,7 @@
 }
 
 func serveRecords(servers int) error {
-	f, err := standin.New(standin.Options{Servers: servers, Reach: AssumedReach, Work: childWork, Seed: 1})
+	f, err := standin.New(standin.Options{Servers: servers, ReplicationFactor: AssumedReach, Work: childWork, Seed: 1})
 	if err != nil {
 		return err
 	}
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -18,7 +18,7 @@
 )
 
 var (
-	names   = discovery.Names{Zones: zoneNames(), Kinds: []string{"record-large"}}
+	names   = discovery.NameTable{Zones: zoneNames(), Kinds: []string{"record-large"}}
 	errSlow = errors.New("scale: not all came in time")
 	nobody  = slog.New(slog.NewTextHandler(io.Discard, nil))
 )
@@ -112,7 +112,7 @@
 	if err := json.Unmarshal(text, &m); err != nil {
 		return err
 	}
-	l, err := names.List(m)
+	l, err := names.EndpointUpdate(m)
 	if err != nil {
 		return err
 	}
@@ -180,8 +180,8 @@
 	before := memoryInUse()
 	meter := Start()
 	for i := range brokers {
-		w := &discovery.Watcher{Addr: c.lines[0], Names: names, Update: t.update, Log: nobody,
-			Waits: backoff.New(brokers, seed+uint64(i)*7919)}
+		w := &discovery.Watcher{Addr: c.lines[0], NameTable: names, Update: t.update, Log: nobody,
+			Backoff: backoff.New(brokers, seed+uint64(i)*7919)}
 		go w.Run(ctx)
 	}
 	if err := t.until(brokers, 0, listWithin); err != nil {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -22,17 +22,17 @@
 
 const (
 	drainGrace = 300 * time.Millisecond // the rule's 250 ms and the 50 ms that sockets are granted
-	copyGrace  = 50 * time.Millisecond  // a server may still work on what it has just been told to drop
+	hedgeGrace = 50 * time.Millisecond  // a server may still work on what it has just been told to drop
 )
 
 // Options shape a fleet.
 type Options struct {
-	Servers int
-	Reach   int           // servers that hold a shard, in a ring
-	Work    time.Duration // mean time of a part
-	Unsafe  func(id string) bool
-	Seed    uint64
-	Second  int // parts of a second step; 0: no class has one
+	Servers           int
+	ReplicationFactor int           // servers that hold a shard, in a ring
+	Work              time.Duration // mean time of a part
+	NonIdempotent     func(id string) bool
+	Seed              uint64
+	Second            int // parts of a second step; 0: no class has one
 }
 
 // Fleet is the record servers with the ledger of what they saw.
@@ -194,7 +194,7 @@
 	return append([]string(nil), f.broken...), f.total
 }
 
-func (f *Fleet) breaks(format string, args ...any) {
+func (f *Fleet) recordViolation(format string, args ...any) {
 	if len(f.broken) < 20 {
 		f.broken = append(f.broken, fmt.Sprintf(format, args...))
 	}
@@ -294,23 +294,23 @@
 		f.parts[id] = p
 	}
 	if p.out++; p.out > 1 { // the word that the earlier one is over may still be on its way
-		time.AfterFunc(copyGrace, func() {
+		time.AfterFunc(hedgeGrace, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if p.out > 1 {
-				f.breaks("%s: two attempts are out", id)
+				f.recordViolation("%s: two attempts are out", id)
 			}
 		})
 	}
 	p.ran++
-	if p.ran > 1 && f.opt.Unsafe != nil && f.opt.Unsafe(id) {
-		f.breaks("%s: must not run twice", id)
+	if p.ran > 1 && f.opt.NonIdempotent != nil && f.opt.NonIdempotent(id) {
+		f.recordViolation("%s: must not run twice", id)
 	}
-	if n := len(f.Servers); (s.Cell-shard%n+n)%n >= f.opt.Reach {
-		f.breaks("%s: sent to %s, which does not hold shard %d", id, s.ID, shard)
+	if n := len(f.Servers); (s.Cell-shard%n+n)%n >= f.opt.ReplicationFactor {
+		f.recordViolation("%s: sent to %s, which does not hold shard %d", id, s.ID, shard)
 	}
 	if !drained.IsZero() && now.Sub(drained) > drainGrace {
-		f.breaks("%s: sent to %s %v after its drain was told", id, s.ID, now.Sub(drained))
+		f.recordViolation("%s: sent to %s %v after its drain was told", id, s.ID, now.Sub(drained))
 	}
 	return o
 }
--- a/internal/standin/step.go
+++ b/internal/standin/step.go
@@ -49,7 +49,7 @@
 			for text := range strings.SplitSeq(value, "+") {
 				n, err := strconv.Atoi(text)
 				if err != nil {
-					f.breaks("%s: from=%s cannot be read", id, value)
+					f.recordViolation("%s: from=%s cannot be read", id, value)
 					return
 				}
 				from = append(from, n)
@@ -59,11 +59,11 @@
 		}
 	}
 	if whole != "0" && whole != "1" {
-		f.breaks("%s: whole=%q", id, whole)
+		f.recordViolation("%s: whole=%q", id, whole)
 	}
 	for _, n := range from {
 		if !f.done[query][n] {
-			f.breaks("%s: shard %d is said to be in, and was not answered", id, n)
+			f.recordViolation("%s: shard %d is said to be in, and was not answered", id, n)
 		}
 	}
 	best := slices.Clone(from)
@@ -71,6 +71,6 @@
 		return cmp.Or(cmp.Compare(Score(query, b), Score(query, a)), cmp.Compare(a, b))
 	})
 	if best = best[:min(f.opt.Second, len(best))]; !slices.Contains(best, shard) {
-		f.breaks("%s: shard %d is none of the best %v of %v", id, shard, best, from)
+		f.recordViolation("%s: shard %d is none of the best %v of %v", id, shard, best, from)
 	}
 }
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -27,7 +27,7 @@
 
 // Item is one line of a batch that concerns an instance.
 type Item struct {
-	Mixer    int
+	Instance int
 	Kind     ItemKind
 	Settings decision.Settings
 	Seed     uint64
@@ -250,7 +250,7 @@
 	default:
 		return it, false
 	}
-	it.Mixer = int(f.integer("mixer"))
+	it.Instance = int(f.integer("mixer"))
 	return it, f.err == nil
 }
 
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -28,20 +28,20 @@
 		for _, it := range b.Items {
 			switch it.Kind {
 			case ItemOpen:
-				instances[it.Mixer] = newDecider(it.Settings, it.Seed)
-				pending[it.Mixer] = nil
-				order = append(order, it.Mixer)
+				instances[it.Instance] = newDecider(it.Settings, it.Seed)
+				pending[it.Instance] = nil
+				order = append(order, it.Instance)
 			case ItemClose:
-				delete(instances, it.Mixer)
-				delete(pending, it.Mixer)
+				delete(instances, it.Instance)
+				delete(pending, it.Instance)
 			default:
-				if instances[it.Mixer] == nil {
-					return fmt.Errorf("batch %s: %T for mixer %d, which does not run", b.Seq, it.Event, it.Mixer)
+				if instances[it.Instance] == nil {
+					return fmt.Errorf("batch %s: %T for mixer %d, which does not run", b.Seq, it.Event, it.Instance)
 				}
-				if len(pending[it.Mixer]) == 0 {
-					order = append(order, it.Mixer)
+				if len(pending[it.Instance]) == 0 {
+					order = append(order, it.Instance)
 				}
-				pending[it.Mixer] = append(pending[it.Mixer], it.Event)
+				pending[it.Instance] = append(pending[it.Instance], it.Event)
 			}
 		}
 		for _, mixer := range order {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -10,7 +10,7 @@
 
 // profile is the part of the start-up settings that the decisions use. Other keys are ignored.
 type profile struct {
-	Caps struct {
+	Capabilities struct {
 		Cancel       bool    `json:"cancel"`
 		MaxRetryWait float64 `json:"maxRetryAfterS"`
 		Probes       bool    `json:"probes"`
@@ -58,7 +58,7 @@
 	Zone int     `json:"zone"`
 }
 
-var repeats = map[string]decision.Idempotency{
+var idempotencies = map[string]decision.Idempotency{
 	"": decision.Idempotent, "free": decision.Idempotent,
 	"guarded": decision.IdempotentWithKey, "single_shot": decision.NonIdempotent,
 }
@@ -94,9 +94,9 @@
 		ReplicaSets: p.Family.Cells, ReplicationFactor: p.Family.Reach, MaxPartsPerCall: p.Family.BundleMax,
 		ReportMode: mode, PollEndpoints: p.Discovery == "ask",
 		WeightByWork: p.CountedBy == "work",
-		PollInterval: p.Rules.AskWithin, Tick: p.Tick, MaxAttempts: p.Caps.SendCap,
-		CancelAllowed: p.Caps.Cancel, HealthChecksAllowed: p.Caps.Probes, HedgingAllowed: p.Caps.SecondCopies,
-		RetryAfterSupported: p.Caps.RetryAfter, MaxRetryAfter: p.Caps.MaxRetryWait,
+		PollInterval: p.Rules.AskWithin, Tick: p.Tick, MaxAttempts: p.Capabilities.SendCap,
+		CancelAllowed: p.Capabilities.Cancel, HealthChecksAllowed: p.Capabilities.Probes, HedgingAllowed: p.Capabilities.SecondCopies,
+		RetryAfterSupported: p.Capabilities.RetryAfter, MaxRetryAfter: p.Capabilities.MaxRetryWait,
 		SlowStart: slowstart.Settings{
 			InitialFraction: p.Rules.ColdShare, Duration: p.Rules.WarmUp,
 			OverloadFactor: p.Rules.FallMultiple, OverloadWindow: p.Rules.FallTime,
@@ -113,7 +113,7 @@
 		}
 	}
 	for i, c := range p.Classes {
-		repeat, ok := repeats[c.Semantics]
+		repeat, ok := idempotencies[c.Semantics]
 		if !ok {
 			return s, fmt.Errorf("classes[%d].semantics: cannot read %q", i, c.Semantics)
 		}
