--- a/cmd/mothrouter/state.go
+++ b/cmd/mothrouter/state.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"io"
 	"io/fs"
 	"os"
 	"path/filepath"
@@ -16,7 +17,7 @@
 	"mothrouter/internal/snapshot"
 )
 
-// stateCommand is `mothrouter state`: what on-call staff do with the file of what was learned.
+// stateCommand is `mothrouter state`: it inspects, verifies and deletes the saved state.
 func stateCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use: "mothrouter", SilenceUsage: true, SilenceErrors: true,
@@ -31,27 +32,7 @@
 			if err != nil {
 				return err
 			}
-			now := float64(time.Now().UnixNano()) / 1e9
-			out := c.OutOrStdout()
-			fmt.Fprintf(out, "broker %s, settings %016x, %d bytes, written %.1f s ago\n", s.Instance, s.SettingsFingerprint, size, now-s.WrittenAt)
-			if err := recovery.CheckAge(s, now); err != nil {
-				fmt.Fprintln(out, "a start would be blank:", err)
-			}
-			fmt.Fprintf(out, "a part takes %.1f ms, a warm server answers %.2f parts a second to this broker\n", 1000*s.ServiceTime, s.PeakThroughput)
-			fmt.Fprintf(out, "%-24s %-10s %-9s %-8s %s\n", "server", "started", "pace ms", "failed", "report")
-			for _, v := range s.Servers {
-				started, report := "long ago", "-"
-				if v.Started > 0 {
-					started = fmt.Sprintf("%.0f s", now-v.Started)
-				}
-				if v.LoadReportedAt > 0 {
-					report = fmt.Sprintf("%.1f s old", now-v.LoadReportedAt)
-					if v.LoadReport.Utilization != decision.NoLoadReport.Utilization {
-						report += fmt.Sprintf(", busy %.0f %%", 100*v.LoadReport.Utilization)
-					}
-				}
-				fmt.Fprintf(out, "%-24s %-10s %-9.1f %-8s %s\n", v.ID, started, 1000*v.ServiceTime, fmt.Sprintf("%.0f %%", 100*v.FailureRatio), report)
-			}
+			printState(c.OutOrStdout(), s, size)
 			return nil
 		},
 	}, &cobra.Command{
@@ -80,6 +61,30 @@
 	return root
 }
 
+// printState prints a snapshot as `mothrouter state inspect` shows it.
+func printState(out io.Writer, s *snapshot.Snapshot, size int) {
+	now := float64(time.Now().UnixNano()) / 1e9
+	fmt.Fprintf(out, "broker %s, settings %016x, %d bytes, written %.1f s ago\n", s.Instance, s.SettingsFingerprint, size, now-s.WrittenAt)
+	if err := recovery.CheckAge(s, now); err != nil {
+		fmt.Fprintln(out, "a start would be blank:", err)
+	}
+	fmt.Fprintf(out, "a part takes %.1f ms, a warm server answers %.2f parts a second to this broker\n", 1000*s.ServiceTime, s.PeakThroughput)
+	fmt.Fprintf(out, "%-24s %-10s %-9s %-8s %s\n", "server", "started", "pace ms", "failed", "report")
+	for _, v := range s.Servers {
+		started, report := "long ago", "-"
+		if v.Started > 0 {
+			started = fmt.Sprintf("%.0f s", now-v.Started)
+		}
+		if v.LoadReportedAt > 0 {
+			report = fmt.Sprintf("%.1f s old", now-v.LoadReportedAt)
+			if v.LoadReport.Utilization != decision.NoLoadReport.Utilization {
+				report += fmt.Sprintf(", busy %.0f %%", 100*v.LoadReport.Utilization)
+			}
+		}
+		fmt.Fprintf(out, "%-24s %-10s %-9.1f %-8s %s\n", v.ID, started, 1000*v.ServiceTime, fmt.Sprintf("%.0f %%", 100*v.FailureRatio), report)
+	}
+}
+
 func readState(folder string) (*snapshot.Snapshot, int, error) {
 	b, err := checkpoint.Disk{}.Read(filepath.Join(folder, checkpoint.FileName))
 	if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -49,12 +49,14 @@
 }
 
 const (
-	defaultMemoryMB = 192
-	defaultSockets  = 1024
-	minSockets      = 64
-	maxSockets      = 1 << 20
-	maxMemoryMB     = 1 << 20
-	maxSeconds      = 1e6 // of any time
+	defaultMemoryMB  = 192
+	defaultSockets   = 1024
+	minMemoryMB      = 16
+	minSockets       = 64
+	maxSockets       = 1 << 20
+	maxMemoryMB      = 1 << 20
+	firstInheritedFD = 3   // behind the standard streams
+	maxSeconds       = 1e6 // of any time
 
 	idleFraction      = 1. / 6 // of the descriptors: half of what clients hold at most for requests
 	spareFraction     = 1. / 8 // of the descriptors, for the watch, the listener and what just closes,
@@ -113,82 +115,129 @@
 	}
 }
 
-// Load reads the environment, by getenv, and the file that PROXY_CONFIG names. The environment's
-// name and addresses win over the file's.
+// Load reads the environment, by getenv, and the file that PROXY_CONFIG names. The environment's name and addresses win over
+// the file's. Its errors name the key.
 func Load(getenv func(string) string) (*Config, error) {
-	path := getenv("PROXY_CONFIG")
+	f, err := readFile(getenv("PROXY_CONFIG"))
+	if err != nil {
+		return nil, err
+	}
+	c := defaults()
+	c.getenv, c.file = getenv, f
+	for _, step := range []func() error{c.readAddresses, c.readAcceptFD, c.readSeed, c.readLimits} {
+		if err := step(); err != nil {
+			return nil, err
+		}
+	}
+	if err := c.settings(f.Settings); err != nil {
+		return nil, err
+	}
+	c.divideDescriptors()
+	if err := c.readKnown(); err != nil {
+		return nil, err
+	}
+	return c, nil
+}
+
+// readFile reads the file that PROXY_CONFIG names.
+func readFile(path string) (f file, err error) {
 	if path == "" {
-		return nil, keyError("PROXY_CONFIG", "is not set")
+		return f, keyError("PROXY_CONFIG", "is not set")
 	}
 	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, keyError("PROXY_CONFIG", "%v", err)
+	if err == nil {
+		err = json.Unmarshal(text, &f)
 	}
-	var f file
-	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, keyError("PROXY_CONFIG", "%v", err)
+	if err != nil {
+		return f, keyError("PROXY_CONFIG", "%v", err)
 	}
-	c := defaults()
-	c.Name, c.Listen, c.Discovery, c.Control, c.getenv, c.file = f.Name, f.Listen, f.Discovery, f.Control, getenv, f
+	return f, nil
+}
+
+// readAddresses takes the name and the addresses.
+func (c *Config) readAddresses() error {
+	c.Name, c.Listen, c.Discovery, c.Control = c.file.Name, c.file.Listen, c.file.Discovery, c.file.Control
 	for key, v := range map[string]*string{
-		"PROXY_NAME": &c.Name, "PROXY_LISTEN": &c.Listen, "PROXY_DISCOVERY": &c.Discovery,
-		"PROXY_CONTROL": &c.Control,
+		"PROXY_NAME": &c.Name, "PROXY_LISTEN": &c.Listen, "PROXY_DISCOVERY": &c.Discovery, "PROXY_CONTROL": &c.Control,
 	} {
-		if s := getenv(key); s != "" {
+		if s := c.getenv(key); s != "" {
 			*v = s
 		}
 	}
 	if err := checkAddr("listen", c.Listen); err != nil {
-		return nil, err
+		return err
 	}
 	if err := checkAddr("discovery", c.Discovery); err != nil {
-		return nil, err
+		return err
 	}
-	if c.Control != "" {
-		if err := checkAddr("control", c.Control); err != nil {
-			return nil, err
-		}
+	if c.Control == "" {
+		return nil
 	}
-	if fd := getenv("PROXY_ACCEPT_FD"); fd != "" {
-		if c.AcceptFD, err = strconv.Atoi(fd); err != nil || c.AcceptFD < 3 {
-			return nil, keyError("PROXY_ACCEPT_FD", "%q is no descriptor that a process can inherit", fd)
-		}
+	return checkAddr("control", c.Control)
+}
+
+// readAcceptFD takes the inherited listening socket.
+func (c *Config) readAcceptFD() (err error) {
+	fd := c.getenv("PROXY_ACCEPT_FD")
+	if fd == "" {
+		return nil
 	}
-	if f.Seed != "" {
-		if c.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-			return nil, keyError("seed", "cannot read %q as 16 hex digits", f.Seed)
-		}
+	if c.AcceptFD, err = strconv.Atoi(fd); err != nil || c.AcceptFD < firstInheritedFD {
+		return keyError("PROXY_ACCEPT_FD", "%q is no descriptor that a process can inherit", fd)
+	}
+	return nil
+}
+
+// readSeed takes the seed of random numbers.
+func (c *Config) readSeed() (err error) {
+	if c.file.Seed == "" {
+		return nil
 	}
-	if n := f.Limits.MemoryMB; n != nil {
-		if c.MemoryMB = *n; *n < 16 || *n > maxMemoryMB {
-			return nil, keyError("limits.memory_mb", "%d is outside 16 to %d", *n, maxMemoryMB)
+	if c.Seed, err = strconv.ParseUint(c.file.Seed, 16, 64); err != nil {
+		return keyError("seed", "cannot read %q as 16 hex digits", c.file.Seed)
+	}
+	return nil
+}
+
+// readLimits takes the limits of memory and descriptors.
+func (c *Config) readLimits() error {
+	if n := c.file.Limits.MemoryMB; n != nil {
+		if c.MemoryMB = *n; *n < minMemoryMB || *n > maxMemoryMB {
+			return keyError("limits.memory_mb", "%d is outside %d to %d", *n, minMemoryMB, maxMemoryMB)
 		}
 	}
-	if n := f.Limits.Sockets; n != nil {
+	if n := c.file.Limits.Sockets; n != nil {
 		if c.Sockets = *n; *n < minSockets || *n > maxSockets {
-			return nil, keyError("limits.sockets", "%d is outside %d to %d", *n, minSockets, maxSockets)
+			return keyError("limits.sockets", "%d is outside %d to %d", *n, minSockets, maxSockets)
 		}
 	}
 	c.MaxBufferedBytes = int(bufferFraction * float64(c.MemoryMB<<20))
-	if err := c.settings(f.Settings); err != nil {
-		return nil, err
-	}
-	// A query may ask all servers at once. Guards against a fleet where some stay without a connection.
+	return nil
+}
+
+// divideDescriptors divides the descriptors over clients and record servers. A query may go to all servers at once: it
+// guards against a fleet where some stay without a connection.
+func (c *Config) divideDescriptors() {
 	all := float64(c.Sockets)
-	c.MaxServerConns = int(min(max(serverFraction*all, connsPerServer*float64(c.Settings.ReplicaSets)), maxServerFraction*all))
+	wanted := max(serverFraction*all, connsPerServer*float64(c.Settings.ReplicaSets))
+	c.MaxServerConns = int(min(wanted, maxServerFraction*all))
 	c.MaxClientConns = min(int((1-spareFraction)*all), c.Sockets-minSpare) - c.MaxServerConns
-	if c.MaxIdleConns = int(idleFraction * all); c.Control != "" {
+	if c.Control != "" {
 		c.MaxClientConns = max(c.MaxClientConns-control.Callers, minClientConns)
 	}
-	c.MaxIdleConns = min(c.MaxIdleConns, c.MaxClientConns/2)
-	if f.Known != nil {
-		if c.Known, err = c.NameTable.EndpointUpdate(*f.Known); err != nil {
-			return nil, keyError("known", "%v", err)
+	c.MaxIdleConns = min(int(idleFraction*all), c.MaxClientConns/2)
+}
+
+// readKnown takes the endpoint list as last known.
+func (c *Config) readKnown() (err error) {
+	if c.file.Known != nil {
+		if c.Known, err = c.NameTable.EndpointUpdate(*c.file.Known); err != nil {
+			return keyError("known", "%v", err)
 		}
-		c.Version = f.Known.Version
+		c.Version = c.file.Known.Version
 	}
 	c.Known.Mode = decision.CachedUpdate
-	return c, nil
+	return nil
 }
 
 // Reload reads the file again and checks it whole. In a running broker only discovery can change; what else
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -69,6 +69,11 @@
 		return keyError("settings.caps.openCap", "%d is negative", c.ConcurrencyLimit)
 	}
 	c.NameTable = discovery.NameTable{Zones: s.Zones, Kinds: s.Kinds}
+	return c.linkSettings(&s)
+}
+
+// linkSettings takes what the settings tell of connections to record servers.
+func (c *Config) linkSettings(s *settings) error {
 	if n := s.Caps.Streams; n != nil {
 		if c.MaxStreams = *n; *n < 1 {
 			return keyError("settings.caps.streamsPerConn", "%d is below 1", *n)
--- /dev/null
+++ b/internal/consensus/ready.go
@@ -0,0 +1,136 @@
+package consensus
+
+import (
+	"fmt"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+
+	"mothrouter/internal/revision"
+)
+
+// Ready returns what must be done next, or nil where nothing is. After a Ready, Advance must be called before the
+// next; Tick, Step, Propose and Read may come between.
+func (n *Node) Ready() *Ready {
+	if n.stopped != nil {
+		return nil
+	}
+	if n.ready != nil {
+		panic("consensus: Ready before Advance")
+	}
+	if !n.raw.HasReady() && n.compaction == nil && !n.proposals.hasOutcomes() && !n.reads.hasOutcomes() {
+		return nil
+	}
+	ready := n.raw.Ready()
+	n.ready = &ready
+	compaction := n.compaction
+	n.compaction = nil
+	if !raft.IsEmptySnap(ready.Snapshot) {
+		compaction = nil // that of the leader is newer
+	}
+	n.members.noteSent(ready.Messages, n.now)
+	return &Ready{
+		HardState:  ready.HardState,
+		Entries:    ready.Entries,
+		Snapshot:   ready.Snapshot,
+		Compaction: compaction,
+		Messages:   ready.Messages,
+	}
+}
+
+// Advance tells that all of the last Ready is stored and sent. It applies what is committed and returns what came of
+// it. It panics where no Ready is out.
+func (n *Node) Advance() Applied {
+	if n.ready == nil {
+		panic("consensus: Advance without Ready")
+	}
+	ready := n.ready
+	n.ready = nil
+	var applied Applied
+	if !raft.IsEmptySnap(ready.Snapshot) {
+		n.restore(ready.Snapshot)
+		applied.Restored = true
+	}
+	for _, entry := range ready.CommittedEntries {
+		n.apply(entry, &applied)
+	}
+	n.raw.Advance(*ready)
+	n.checkLeadership()
+	for _, state := range ready.ReadStates {
+		n.reads.answer(state.RequestCtx, n.options.Incarnation, state.Index)
+	}
+	n.reads.complete(n.machine.Applied(), n.machine.Number())
+	n.startRound()
+	n.planCompaction()
+	applied.Outcomes = n.proposals.takeOutcomes()
+	applied.Reads = n.reads.takeOutcomes()
+	return applied
+}
+
+// restore takes over a snapshot of the leader, which checkMessage has read before.
+func (n *Node) restore(snapshot *raftpb.Snapshot) {
+	machine, err := restore(snapshot, n.options.Members)
+	if err != nil {
+		panic(fmt.Sprintf("consensus: a snapshot that was checked: %v", err))
+	}
+	if machine.Applied() < n.machine.Applied() || machine.Number() < n.machine.Number() {
+		panic(fmt.Sprintf("consensus: snapshot of entry %d after entry %d", machine.Applied(), n.machine.Applied()))
+	}
+	n.machine = machine
+	n.confState = snapshot.GetMetadata().GetConfState()
+	n.appliedTerm = snapshot.GetMetadata().GetTerm()
+	n.log = logSize{}
+}
+
+func (n *Node) apply(entry *raftpb.Entry, applied *Applied) {
+	n.appliedTerm = entry.GetTerm()
+	n.log.entries++
+	n.log.bytes += len(entry.GetData())
+	switch {
+	case entry.GetType() == raftpb.EntryConfChangeV2:
+		n.machine.Skip(entry.GetIndex())
+		n.changeMembers(entry)
+	case entry.GetType() != raftpb.EntryNormal || len(entry.GetData()) == 0:
+		n.machine.Skip(entry.GetIndex()) // the first of a new leader
+	default:
+		n.applyCommand(entry, applied)
+	}
+}
+
+func (n *Node) applyCommand(entry *raftpb.Entry, applied *Applied) {
+	command, err := revision.Decode(entry.GetData())
+	if err != nil {
+		n.options.Logger.Error("entry is no command", "index", entry.GetIndex(), "error", err)
+		command = nil
+	}
+	result := n.machine.Apply(entry.GetIndex(), command)
+	if result.Rejection == revision.Accepted && !result.Repeated {
+		applied.Revisions = append(applied.Revisions, n.machine.Newest())
+	}
+	n.proposals.end(Outcome{Request: command.GetRequest(), Result: result})
+}
+
+// planCompaction asks for a snapshot where enough was applied since the last.
+func (n *Node) planCompaction() {
+	if n.log.entries < n.options.snapshotEntries && n.log.bytes < SnapshotBytes {
+		return
+	}
+	index := n.machine.Applied()
+	first, err := n.storage.FirstIndex()
+	if err != nil {
+		panic(fmt.Sprintf("consensus: first index: %v", err))
+	}
+	if trailing := uint64(n.options.trailingEntries); index > trailing {
+		first = max(first, index-trailing+1)
+	}
+	n.log = logSize{}
+	n.compaction = &Compaction{
+		First: first,
+		Snapshot: &raftpb.Snapshot{
+			Data: n.machine.Snapshot(),
+			Metadata: &raftpb.SnapshotMetadata{
+				Index: new(index), Term: new(n.appliedTerm), ConfState: n.confState,
+			},
+		},
+	}
+}
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -173,18 +173,7 @@
 	o.Log.Info("control machine started", "name", self.Name, "id", self.ID, "listen", o.Listener.Addr().String(),
 		"peers", o.PeerListener.Addr().String(), "newest", node.Machine().Number())
 
-	counts := time.NewTicker(countsEvery)
-	defer counts.Stop()
-	report := &countReport{log: o.Log}
-	for err == nil && ctx.Err() == nil {
-		select {
-		case <-ctx.Done():
-			waitFor(control.stop(), stopTimeout)
-		case err = <-failed:
-		case <-counts.C:
-			report.tell(received.envelopes(), streams.dropped())
-		}
-	}
+	err = control.await(ctx, failed, func(report *countReport) { report.log(o.Log, received.envelopes(), streams.dropped()) })
 	stop()
 	<-owner.ended
 	brokers.Stop()
@@ -197,6 +186,25 @@
 	return nil
 }
 
+// await waits until ctx ends, and publications then, or until a component fails with the error that it returns. It calls
+// report at intervals.
+func (s *service) await(ctx context.Context, failed <-chan error, report func(*countReport)) error {
+	counts := time.NewTicker(countsEvery)
+	defer counts.Stop()
+	reported := &countReport{}
+	for {
+		select {
+		case <-ctx.Done():
+			waitFor(s.stop(), stopTimeout)
+			return nil
+		case err := <-failed:
+			return err
+		case <-counts.C:
+			report(reported)
+		}
+	}
+}
+
 func waitFor(done <-chan struct{}, most time.Duration) {
 	select {
 	case <-done:
@@ -232,22 +240,21 @@
 
 // countReport logs what peers sent in vain and what could not be sent, where that has changed.
 type countReport struct {
-	log       *slog.Logger
 	envelopes EnvelopeCounts
 	dropped   uint64
 }
 
-func (r *countReport) tell(envelopes EnvelopeCounts, dropped uint64) {
+func (r *countReport) log(log *slog.Logger, envelopes EnvelopeCounts, dropped uint64) {
 	before := r.envelopes
 	r.envelopes = envelopes
 	bad := EnvelopeCounts{Foreign: envelopes.Foreign - before.Foreign, Oversized: envelopes.Oversized - before.Oversized,
 		Unreadable: envelopes.Unreadable - before.Unreadable}
 	if bad != (EnvelopeCounts{}) {
-		r.log.Warn("messages of control machines dropped", "foreign", bad.Foreign, "oversized", bad.Oversized,
+		log.Warn("messages of control machines dropped", "foreign", bad.Foreign, "oversized", bad.Oversized,
 			"unreadable", bad.Unreadable)
 	}
 	if dropped > r.dropped {
-		r.log.Warn("messages to control machines dropped: a peer does not take them", "count", dropped-r.dropped)
+		log.Warn("messages to control machines dropped by a full outbox", "count", dropped-r.dropped)
 	}
 	r.dropped = dropped
 }
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -119,59 +119,77 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	watch, addr, words := listwatch.New(w.Backoff, time.Now()), w.Addr, make(chan message)
-	open := map[int]context.CancelFunc{}
-	do := func(actions []listwatch.Action) {
-		for _, a := range actions {
-			if a.Close {
-				w.Log.Info("a silent watch of the server list is closed", "since", w.Since)
-				open[a.Call]()
-				delete(open, a.Call)
-				continue
-			}
-			turn, end := context.WithCancel(ctx)
-			open[a.Call] = end
-			go call(turn, a.Call, addr, w.Since, words)
-		}
+	r := &run{
+		Watcher: w, ctx: ctx, addr: w.Addr, watch: listwatch.New(w.Backoff, time.Now()),
+		messages: make(chan message), open: map[int]context.CancelFunc{},
 	}
-	for {
-		var due <-chan time.Time
-		var t *time.Timer
-		if at := watch.Wake(); !at.IsZero() {
-			t = time.NewTimer(time.Until(at))
-			due = t.C
-		}
-		select {
-		case <-ctx.Done():
-		case addr = <-w.newAddress:
-			do(watch.AddressChanged(time.Now()))
-		case <-due:
-			do(watch.Tick(time.Now()))
-		case said := <-words:
-			end := open[said.call]
-			if end == nil {
-				break // closed meanwhile
-			}
-			err := said.err
-			if err == nil && len(said.text) > 0 {
-				err = w.apply(said.text)
-			}
-			if err == nil {
-				do(watch.MessageReceived(time.Now(), said.call))
-				break
-			}
-			w.Log.Info("a watch of the server list ended", "error", err, "since", w.Since)
-			end()
-			delete(open, said.call)
-			do(watch.CallEnded(time.Now(), said.call))
-		}
-		if t != nil {
-			t.Stop()
-		}
-		if ctx.Err() != nil {
-			return
+	for ctx.Err() == nil {
+		r.awaitEvent()
+	}
+}
+
+// run is what a Watcher owns while it runs.
+type run struct {
+	*Watcher
+	ctx      context.Context
+	addr     string
+	watch    *listwatch.Watch
+	messages chan message
+	open     map[int]context.CancelFunc // by call
+}
+
+// awaitEvent waits for the next event and acts on it.
+func (r *run) awaitEvent() {
+	var due <-chan time.Time
+	if at := r.watch.Wake(); !at.IsZero() {
+		t := time.NewTimer(time.Until(at))
+		defer t.Stop()
+		due = t.C
+	}
+	select {
+	case <-r.ctx.Done():
+	case r.addr = <-r.newAddress:
+		r.perform(r.watch.AddressChanged(time.Now()))
+	case <-due:
+		r.perform(r.watch.Tick(time.Now()))
+	case m := <-r.messages:
+		r.onMessage(m)
+	}
+}
+
+// perform opens and closes calls.
+func (r *run) perform(actions []listwatch.Action) {
+	for _, a := range actions {
+		if a.Close {
+			r.Log.Info("silent endpoint watch closed", "since", r.Since)
+			r.open[a.Call]()
+			delete(r.open, a.Call)
+			continue
 		}
+		ctx, end := context.WithCancel(r.ctx)
+		r.open[a.Call] = end
+		go call(ctx, a.Call, r.addr, r.Since, r.messages)
+	}
+}
+
+// onMessage takes up what a call has brought, and ends the call after an error.
+func (r *run) onMessage(m message) {
+	end := r.open[m.call]
+	if end == nil {
+		return // closed meanwhile
+	}
+	err := m.err
+	if err == nil && len(m.text) > 0 {
+		err = r.apply(m.text)
+	}
+	if err == nil {
+		r.perform(r.watch.MessageReceived(time.Now(), m.call))
+		return
 	}
+	r.Log.Info("endpoint watch ended", "error", err, "since", r.Since)
+	end()
+	delete(r.open, m.call)
+	r.perform(r.watch.CallEnded(time.Now(), m.call))
 }
 
 // call makes one call and hands on what it brings, until it or ctx ends.
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -8,7 +8,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"strconv"
 	"strings"
 
@@ -190,35 +189,9 @@
 	case "detach":
 		it.Kind = ItemClose
 	case "update":
-		mode, known := listModes[f.text("mode")]
-		if !known {
-			f.fail("mode", f.vals["mode"])
-		}
-		l := decision.EndpointUpdate{Mode: mode, Version: f.optInteger("version")}
-		if mode != decision.FailedUpdate {
-			id := f.integer("rosterId")
-			if f.err == nil && (id < 0 || id >= maxRosters || !d.known[id]) {
-				f.err = f.errorf("field rosterId: no census %d came before", id)
-			} else if f.err == nil {
-				l.Servers = d.rosters[id]
-			}
-		}
-		it.Event = l
+		it.Event = d.endpointUpdate(f)
 	case "new_request":
-		if shard := f.number("slice"); shard < 0 {
-			it.Event = decision.Query{
-				ID: f.request(), Number: f.integer("query"), Class: int(f.optInteger("qos")),
-				Tenant: int(f.optInteger("clientGroup")), Key: uint64(f.optInteger("entity")),
-				Parts: int(f.optNumber("measure")), Deadline: f.number("clientDeadlineS"),
-				Retry: f.optBool("isRetry"), Work: f.optNumber("costS"), Write: f.optBool("update"),
-			}
-		} else {
-			it.Event = decision.Part{
-				ID: f.request(), QueryNumber: f.integer("query"), Shard: int(shard),
-				Weight: f.number("measure"), Key: uint64(f.optInteger("entity")),
-				Work: f.optNumber("costS"),
-			}
-		}
+		it.Event = f.queryOrPart()
 	case "begun":
 		it.Event = decision.ResponseStarted{
 			ID: f.request(), Attempt: int(f.integer("shot")), Server: f.text("searcher"),
@@ -238,15 +211,7 @@
 	case "reminder":
 		it.Event = decision.TimerFired{Token: uint64(f.integer("nonce"))}
 	case "neighbour_says":
-		m := decision.PeerMessage{From: int(f.integer("srcPeer"))}
-		if raw := f.optText("raw", "-"); raw != "-" {
-			data, err := base64.StdEncoding.DecodeString(raw)
-			if err != nil {
-				f.fail("raw", raw)
-			}
-			m.Data = data
-		}
-		it.Event = m
+		it.Event = f.peerMessage()
 	default:
 		return it, false
 	}
@@ -254,145 +219,52 @@
 	return it, f.err == nil
 }
 
-// fields are the name=value pairs of one line. The first failed reading is kept in err.
-type fields struct {
-	line int
-	kind string
-	vals map[string]string
-	err  error
-}
-
-// toLineEnd are the fields whose value extends to the end of the line.
-var toLineEnd = map[string]bool{"profileData": true, "line": true}
-
-func (d *Decoder) parse(text string) (*fields, error) {
-	kind, rest, _ := strings.Cut(text, " ")
-	f := &fields{line: d.line, kind: kind, vals: make(map[string]string, 12)}
-	if kind == "" {
-		return nil, fmt.Errorf("line %d: empty where a message was expected", d.line)
+func (d *Decoder) endpointUpdate(f *fields) decision.EndpointUpdate {
+	mode, known := listModes[f.text("mode")]
+	if !known {
+		f.fail("mode", f.vals["mode"])
 	}
-	for rest != "" {
-		name, tail, ok := strings.Cut(rest, "=")
-		if !ok || name == "" || strings.ContainsRune(name, ' ') {
-			return nil, f.errorf("expected name=value pairs set apart by one space")
-		}
-		if toLineEnd[name] {
-			f.vals[name] = tail
-			break
-		}
-		f.vals[name], rest, _ = strings.Cut(tail, " ")
+	u := decision.EndpointUpdate{Mode: mode, Version: f.optInteger("version")}
+	if mode == decision.FailedUpdate {
+		return u
 	}
-	return f, nil
-}
-
-func (f *fields) errorf(format string, args ...any) error {
-	return fmt.Errorf("line %d: %s: %s", f.line, f.kind, fmt.Sprintf(format, args...))
-}
-
-func (f *fields) fail(name, value string) {
-	if f.err == nil {
-		f.err = f.errorf("field %s: cannot read %q", name, value)
-	}
-}
-
-func (f *fields) text(name string) string {
-	v, ok := f.vals[name]
-	if (!ok || v == "") && f.err == nil {
-		f.err = f.errorf("field %s is missing", name)
-	}
-	return v
-}
-
-func (f *fields) optText(name, absent string) string {
-	if v, ok := f.vals[name]; ok {
-		return v
-	}
-	return absent
-}
-
-func (f *fields) integer(name string) int64 {
-	v := f.text(name)
-	n, err := strconv.ParseInt(v, 10, 64)
-	if err != nil {
-		f.fail(name, v)
-	}
-	return n
-}
-
-// optInteger is 0 where the field is absent.
-func (f *fields) optInteger(name string) int64 {
-	if _, ok := f.vals[name]; !ok {
-		return 0
-	}
-	return f.integer(name)
-}
-
-func (f *fields) number(name string) float64 {
-	v := f.text(name)
-	n, err := strconv.ParseFloat(v, 64)
-	if err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
-		f.fail(name, v)
-	}
-	return n
-}
-
-// optNumber is 0 where the field is absent.
-func (f *fields) optNumber(name string) float64 {
-	if _, ok := f.vals[name]; !ok {
-		return 0
-	}
-	return f.number(name)
-}
-
-func (f *fields) optBool(name string) bool {
-	switch v := f.optText(name, "0"); v {
-	case "1":
-		return true
-	case "0":
+	id := f.integer("rosterId")
+	switch {
+	case f.err != nil:
+	case id < 0 || id >= maxRosters || !d.known[id]:
+		f.err = f.errorf("field rosterId: no census %d came before", id)
 	default:
-		f.fail(name, v)
+		u.Servers = d.rosters[id]
 	}
-	return false
+	return u
 }
 
-func (f *fields) request() decision.RequestID { return decision.RequestID(f.integer("msgId")) }
-
-func (f *fields) status() decision.Status {
-	v := f.text("rc")
-	s, ok := statuses[v]
-	if !ok {
-		f.fail("rc", v)
+// queryOrPart is a part where a slice is named, else a query.
+func (f *fields) queryOrPart() decision.Event {
+	shard := f.number("slice")
+	if shard < 0 {
+		return decision.Query{
+			ID: f.request(), Number: f.integer("query"), Class: int(f.optInteger("qos")),
+			Tenant: int(f.optInteger("clientGroup")), Key: uint64(f.optInteger("entity")),
+			Parts: int(f.optNumber("measure")), Deadline: f.number("clientDeadlineS"),
+			Retry: f.optBool("isRetry"), Work: f.optNumber("costS"), Write: f.optBool("update"),
+		}
+	}
+	return decision.Part{
+		ID: f.request(), QueryNumber: f.integer("query"), Shard: int(shard),
+		Weight: f.number("measure"), Key: uint64(f.optInteger("entity")),
+		Work: f.optNumber("costS"),
 	}
-	return s
 }
 
-// load reads a load report: name:value pairs set apart by commas. Unknown names are ignored.
-func (f *fields) load() decision.LoadReport {
-	l := decision.NoLoadReport
-	v := f.optText("stats", "")
-	for v != "" && v != "-" {
-		var pair string
-		pair, v, _ = strings.Cut(v, ",")
-		name, num, ok := strings.Cut(pair, ":")
-		n, err := strconv.ParseFloat(num, 64)
-		if !ok || err != nil || math.IsNaN(n) || math.IsInf(n, 0) {
-			f.fail("stats", pair)
-			return l
-		}
-		switch name {
-		case "rif":
-			l.InFlight = n
-		case "q":
-			l.QueueLength = n
-		case "busy":
-			l.Utilization = n
-		case "lat_ms":
-			l.Latency = n / 1000
-		case "rate":
-			l.Rate = n
-		case "fail_rate":
-			l.ErrorRate = n
+func (f *fields) peerMessage() decision.PeerMessage {
+	m := decision.PeerMessage{From: int(f.integer("srcPeer"))}
+	if raw := f.optText("raw", "-"); raw != "-" {
+		data, err := base64.StdEncoding.DecodeString(raw)
+		if err != nil {
+			f.fail("raw", raw)
 		}
+		m.Data = data
 	}
-	return l
+	return m
 }
