--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -84,7 +84,7 @@
 func (p *process) shareWaits() {
 	callers, told := backoff.ClampCallers(p.cfg.Settings.Brokers)
 	if !told {
-		p.log.Warn("settings.peersTotal: no size that a fleet can have",
+		p.log.Warn("settings.peersTotal out of range",
 			"is", p.cfg.Settings.Brokers, "taken for", callers)
 	}
 	p.fleetSize, p.backoff = callers, backoff.New(callers, p.cfg.Seed)
--- a/cmd/mothrouter/configuration.go
+++ b/cmd/mothrouter/configuration.go
@@ -58,7 +58,7 @@
 		return refusal(revision.GetNumber(), err)
 	}
 	a.followed.tell(document.Discovery, "revision")
-	a.log.Info("a revision was applied", "number", revision.GetNumber(), "discovery", document.Discovery,
+	a.log.Info("revision applied", "number", revision.GetNumber(), "discovery", document.Discovery,
 		"open_cap", document.OpenCap)
 	return nil
 }
@@ -80,7 +80,7 @@
 	if address == f.address {
 		return
 	}
-	f.log.Info("discovery moves", "from", f.address, "to", address, "told by", by)
+	f.log.Info("discovery address changed", "from", f.address, "to", address, "told by", by)
 	f.address = address
 	f.move(address)
 }
@@ -90,13 +90,13 @@
 	for range hup {
 		next, waiting, err := cfg.Reload()
 		if err != nil {
-			log.Error("the new configuration cannot be used, the old one holds", "error", err)
+			log.Error("new configuration rejected, keeping the old one", "error", err)
 			continue
 		}
 		if next.Discovery != cfg.Discovery {
 			followed.tell(next.Discovery, "file")
 		}
 		cfg = next
-		log.Info("configuration read again", "discovery", cfg.Discovery, "wait for a start", waiting)
+		log.Info("configuration reloaded", "discovery", cfg.Discovery, "wait for a start", waiting)
 	}
 }
--- a/cmd/mothrouter/configuration_test.go
+++ b/cmd/mothrouter/configuration_test.go
@@ -151,29 +151,29 @@
 				flags = append(flags, "-cores", "../../deploy/cores.toml")
 			}
 			o := operateWith(t, flags)
-			o.logs("following a control machine")
+			o.logs("connected to a control machine")
 			served, stop := o.load(4)
 			for i := range 20 {
 				number := m.publish(t, o.documentOf(`"openCap":400`, fmt.Sprintf(`"openCap":%d`, 300+i),
 					`"deadlineS":4,"objectiveS":1`, fmt.Sprintf(`"deadlineS":%g,"objectiveS":0.9`, 3+0.1*float64(i))))
-				o.logs("a revision is in force", fmt.Sprintf(" number=%d ", number))
+				o.logs("revision in force", fmt.Sprintf(" number=%d ", number))
 				before := served.Load()
 				require.Eventually(t, func() bool { return served.Load() >= before+10 }, patience, time.Millisecond)
 			}
 			refused := m.publish(t, o.documentOf(
 				`"semantics":"single_shot"`, `"semantics":"free"`, `"openCap":400`, `"openCap":1`))
-			o.logs("a revision is refused", fmt.Sprintf(" number=%d ", refused), "settings.classes[1].semantics",
+			o.logs("revision rejected", fmt.Sprintf(" number=%d ", refused), "settings.classes[1].semantics",
 				"in_force=20")
 			require.Empty(t, stop())
 			require.GreaterOrEqual(t, served.Load(), int64(200))
 			require.Contains(t, o.dial().asks(query("held-by-the-refused-cap")), " 200 ")
 
 			number := m.publish(t, o.documentOf(`"openCap":400`, `"openCap":1`)) // not even one query of a part
-			o.logs("a revision is in force", fmt.Sprintf(" number=%d ", number))
+			o.logs("revision in force", fmt.Sprintf(" number=%d ", number))
 			require.Contains(t, o.dial().asks(query("no-room")), " 503 ")
 
 			m.stop()
-			o.logs("lost a control machine")
+			o.logs("disconnected from a control machine")
 			require.Contains(t, o.dial().asks(query("no-room-still")), " 503 ")
 			require.NoError(t, o.cmd.Process.Signal(syscall.SIGTERM))
 			require.NoError(t, o.cmd.Wait())
@@ -190,7 +190,7 @@
 	t.Parallel()
 	m := newControlMachine(t)
 	o := operateWith(t, m.flags(t))
-	o.logs("following a control machine")
+	o.logs("connected to a control machine")
 	first := o.listener("discovery").Addr().String()
 	var places []net.Listener
 	for range 2 {
@@ -209,22 +209,22 @@
 	second, third := places[0].Addr().String(), places[1].Addr().String()
 	m.publish(t, strings.Replace(start, first, second, 1))
 	called(places[0])
-	o.logs("discovery moves", first, second, "revision")
+	o.logs("discovery address changed", first, second, "revision")
 
 	text, err := os.ReadFile(o.config)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(o.config, []byte(strings.Replace(string(text), first, third, 1)), 0o600))
 	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP))
 	called(places[1])
-	o.logs("discovery moves", second, third, "file")
+	o.logs("discovery address changed", second, third, "file")
 	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP)) // unchanged: it says nothing of discovery
 	m.publish(t, strings.Replace(start, first, second, 1)+" ")
-	o.logs("discovery moves", third, second, "revision")
+	o.logs("discovery address changed", third, second, "revision")
 	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool {
-		return strings.Count(o.log.String(), "configuration read again") == 3
+		return strings.Count(o.log.String(), "configuration reloaded") == 3
 	}, patience, 20*time.Millisecond)
-	require.Equal(t, 3, strings.Count(o.log.String(), "discovery moves"), "%s", &o.log)
+	require.Equal(t, 3, strings.Count(o.log.String(), "discovery address changed"), "%s", &o.log)
 }
 
 func TestABadConfigurationFileIsRefusedByKey(t *testing.T) {
--- a/cmd/mothrouter/shutdown.go
+++ b/cmd/mothrouter/shutdown.go
@@ -11,12 +11,12 @@
 // end ends the process in order: what was taken is answered, and clients are sent away as planned. The error is that of
 // a front that ended before its time. The plan stands from here on: a revision that comes later moves no moment of it.
 func (p *process) end() error {
-	p.log.Info("ending")
+	p.log.Info("shutting down")
 	since, plan := time.Now(), drain.PlanShutdown(p.longest())
 	p.core.SetShutdownDeadline(since.Add(plan.AnswerBy))
 	if p.cfg.AcceptFD != 0 { // the socket is not this process's alone: who comes is taken by the next one
 		if err := p.listener.Close(); err != nil {
-			p.log.Warn("the listener did not close", "error", err)
+			p.log.Warn("closing the listener failed", "error", err)
 		}
 	}
 	wait := time.NewTimer(plan.AnnounceClose)
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -86,7 +86,7 @@
 			case <-r.done:
 				waiting = false
 			case <-late.C:
-				once.Do(func() { a.Log.Warn("a part is slow to end", "part", r.name) })
+				once.Do(func() { a.Log.Warn("component slow to stop", "part", r.name) })
 			}
 		}
 		late.Stop()
--- a/internal/configclient/reporter.go
+++ b/internal/configclient/reporter.go
@@ -32,15 +32,15 @@
 	r.before = status
 	switch connected, was := !status.Heard.IsZero(), !before.Heard.IsZero(); {
 	case connected && (!was || status.Control != before.Control):
-		r.log.Info("following a control machine", "control", status.Control, "newest", status.Newest)
+		r.log.Info("connected to a control machine", "control", status.Control, "newest", status.Newest)
 	case was && !connected:
-		r.log.Info("lost a control machine", "control", before.Control, "in_force", status.InForce)
+		r.log.Info("disconnected from a control machine", "control", before.Control, "in_force", status.InForce)
 	}
 	if status.InForce != before.InForce {
-		r.log.Info("a revision is in force", "number", status.InForce, "before", before.InForce)
+		r.log.Info("revision in force", "number", status.InForce, "before", before.InForce)
 	}
 	if refusal := status.Refusal; refusal != nil && refusal.GetNumber() != before.Refusal.GetNumber() {
-		r.log.Error("a revision is refused", "number", refusal.GetNumber(), "key", refusal.GetKey(),
+		r.log.Error("revision rejected", "number", refusal.GetNumber(), "key", refusal.GetKey(),
 			"reason", refusal.GetReason(), "in_force", status.InForce)
 	}
 	r.tellDropped(now, status)
@@ -54,12 +54,12 @@
 	}
 	is, was := status.Counts, r.logged
 	if is.Conflicts > was.Conflicts {
-		r.log.Error("a control machine has another content for the revision in hand",
+		r.log.Error("revision content conflicts with the one in hand",
 			"control", status.Control, "updates", is.Conflicts-was.Conflicts)
 	}
 	bad := func(c distribution.UpdateCounts) uint64 { return c.Malformed + c.Oversized + c.Torn }
 	if bad(is) > bad(was) {
-		r.log.Warn("updates were dropped", "malformed", is.Malformed-was.Malformed,
+		r.log.Warn("updates dropped", "malformed", is.Malformed-was.Malformed,
 			"oversized", is.Oversized-was.Oversized, "torn", is.Torn-was.Torn, "control", status.Control)
 	}
 	if is.Conflicts > was.Conflicts || bad(is) > bad(was) {
@@ -76,14 +76,14 @@
 	switch {
 	case !stale && !r.stale.IsZero():
 		r.stale = time.Time{}
-		r.log.Info("the configuration is confirmed again", "in_force", status.InForce, "newest", status.Newest)
+		r.log.Info("configuration confirmed again", "in_force", status.InForce, "newest", status.Newest)
 	case !stale || now.Sub(r.stale) < againAfter:
 	case !status.Known:
 		r.stale = now
-		r.log.Warn("no control machine has confirmed a configuration: serving by the file of the start")
+		r.log.Warn("configuration unconfirmed, serving by the file of the start")
 	default:
 		r.stale = now
-		r.log.Warn("the configuration may be behind", "behind", status.Behind.Round(time.Second),
+		r.log.Warn("configuration may be stale", "behind", status.Behind.Round(time.Second),
 			"in_force", status.InForce, "control", status.Control)
 	}
 }
--- a/internal/confighub/confighub.go
+++ b/internal/confighub/confighub.go
@@ -166,7 +166,7 @@
 	defer h.mu.Unlock()
 	id, err := h.hub.Open(time.Now())
 	if err != nil {
-		h.log.Warn("a broker was turned away", "error", err, "sessions", h.hub.Sessions())
+		h.log.Warn("broker rejected", "error", err, "sessions", h.hub.Sessions())
 		return 0, nil, err
 	}
 	wake := make(chan struct{}, 1)
--- a/internal/consensus/members.go
+++ b/internal/consensus/members.go
@@ -172,7 +172,7 @@
 		},
 	}
 	err := n.raw.ProposeConfChange(change)
-	n.options.Logger.Warn("voter lost: the spare takes its place", "lost", lost, "spare", spare, "error", err)
+	n.options.Logger.Warn("voter lost, promoting the spare", "lost", lost, "spare", spare, "error", err)
 }
 
 // changeMembers applies a change of the members, which checkMessage has checked on its way here.
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -49,7 +49,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return nil
 			}
-			s.log.Warn("accept at the control address failed", "error", err)
+			s.log.Warn("accept on the control address failed", "error", err)
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
@@ -112,11 +112,11 @@
 		out = append(out, "--"...)
 	case call == Leave:
 		s.p.StartDrain()
-		s.log.Info("operators drain this process")
+		s.log.Info("drain started")
 		out = append(out, "ACK"...)
 	case call == Join:
 		s.p.CancelDrain()
-		s.log.Info("operators end the drain")
+		s.log.Info("drain cancelled")
 		out = append(out, "ACK"...)
 	default:
 		out = append(out, "ACK"...)
--- a/internal/controlserver/publish.go
+++ b/internal/controlserver/publish.go
@@ -214,7 +214,7 @@
 func (p *publisher) sendOn(ctx context.Context, leader uint64, request *configpb.PublishRequest) (
 	*configpb.PublishResponse, error) {
 	if leader == 0 {
-		return nil, notTaken("no leader is known")
+		return nil, notTaken("no leader")
 	}
 	if sent, _ := metadata.FromIncomingContext(ctx); len(sent.Get(forwardedKey)) > 0 {
 		return nil, notTaken("the leader is %s", p.describe(leader))
--- a/internal/controlserver/replica.go
+++ b/internal/controlserver/replica.go
@@ -102,7 +102,7 @@
 	for range maxMessagesAtOnce {
 		if err := r.node.Step(message); errors.Is(err, consensus.ErrMessage) {
 			r.malformed++
-			r.log.Warn("message of a control machine refused", "error", err)
+			r.log.Warn("message of a control machine rejected", "error", err)
 		}
 		select {
 		case message = <-r.inbox:
@@ -187,10 +187,10 @@
 	if leader := r.node.Leader(); leader != r.leader {
 		r.leader = leader
 		if leader == 0 {
-			r.log.Warn("no leader is known")
+			r.log.Warn("no leader")
 			return
 		}
-		r.log.Info("a leader is known", "leader", r.nameOf(leader))
+		r.log.Info("leader known", "leader", r.nameOf(leader))
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -78,7 +78,7 @@
 		Self:  membership.Instance{Name: opt.Name, Start: uint64(p.began.UnixNano()), Addr: opt.Advertise},
 		Fleet: p.fleet, Seeds: seeds, Seed: opt.Seed ^ uint64(p.began.UnixNano()),
 		Changed: func(m membership.Member) {
-			opt.Log.Info("a broker of the fleet", "member", m.Name, "start", m.Start, "addr", m.Addr, "is", m.Status)
+			opt.Log.Info("fleet member changed", "member", m.Name, "start", m.Start, "addr", m.Addr, "is", m.Status)
 		},
 	})
 	first := p.view.FleetSize()
@@ -125,7 +125,7 @@
 func (p *Plane) look() {
 	c := p.view.FleetSize()
 	if old := p.fleetSize.Swap(&c); *old != c {
-		p.opt.Log.Info("the fleet", "alive", c.Alive, "known", c.Known, "sharing", c.Sharing, "fenced", c.Fenced)
+		p.opt.Log.Info("fleet size changed", "alive", c.Alive, "known", c.Known, "sharing", c.Sharing, "fenced", c.Fenced)
 		if p.opt.Changed != nil {
 			p.opt.Changed(c)
 		}
@@ -136,7 +136,7 @@
 			p.drops["crowded out"] += int(n)
 		}
 		for _, why := range slices.Sorted(maps.Keys(p.drops)) {
-			p.opt.Log.Warn("datagrams of the fleet were dropped", "why", why, "count", p.drops[why])
+			p.opt.Log.Warn("fleet datagrams dropped", "why", why, "count", p.drops[why])
 		}
 		clear(p.drops)
 	}
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -243,8 +243,8 @@
 }
 
 var (
-	viewLine   = regexp.MustCompile(`msg="the fleet" .*alive=(\d+) known=(\d+) sharing=(\d+) fenced=(\w+)`)
-	memberLine = regexp.MustCompile(`msg="a broker of the fleet" .*member=(\S+) .*is=lost`)
+	viewLine   = regexp.MustCompile(`msg="fleet size changed" .*alive=(\d+) known=(\d+) sharing=(\d+) fenced=(\w+)`)
+	memberLine = regexp.MustCompile(`msg="fleet member changed" .*member=(\S+) .*is=lost`)
 )
 
 // maxLines is how many of its lines are kept, for a test that fails.
