--- a/cmd/mothload/main.go
+++ b/cmd/mothload/main.go
@@ -210,7 +210,7 @@
 				if due.Sub(begin) > d {
 					return
 				}
-				ok, err := ask(conn, in, c, int(names.Add(1)))
+				ok, err := query(conn, in, c, int(names.Add(1)))
 				if err != nil {
 					failed++
 					return
@@ -229,8 +229,8 @@
 
 var names atomic.Int64
 
-// ask sends one query and takes its answer.
-func ask(conn net.Conn, in *textproto.Reader, client, n int) (served bool, err error) {
+// query sends one query and takes its answer.
+func query(conn net.Conn, in *textproto.Reader, client, n int) (served bool, err error) {
 	var body strings.Builder
 	body.WriteString(`{"targets":[`)
 	for i := range *parts {
--- a/cmd/mothrouter/config_command.go
+++ b/cmd/mothrouter/config_command.go
@@ -86,7 +86,7 @@
 	timeout := c.Flags().Duration("timeout", 3*time.Second, "wait so long for each machine")
 	revisions := c.Flags().Int("revisions", 10, "list so many revisions in the table")
 	c.RunE = func(c *cobra.Command, _ []string) error {
-		view := configstatus.Merge(askAll(c.Context(), *addresses, *timeout))
+		view := configstatus.Merge(queryAll(c.Context(), *addresses, *timeout))
 		if !*asJSON {
 			if err := view.Write(c.OutOrStdout(), time.Now(), *revisions); err != nil {
 				return err
@@ -108,8 +108,8 @@
 	return c
 }
 
-// askAll asks all control machines at once.
-func askAll(ctx context.Context, addresses []string, timeout time.Duration) []configstatus.Answer {
+// queryAll asks all control machines at once.
+func queryAll(ctx context.Context, addresses []string, timeout time.Duration) []configstatus.Answer {
 	answers := make([]configstatus.Answer, len(addresses))
 	var asked sync.WaitGroup
 	for i, address := range addresses {
--- a/cmd/mothrouter/configuration.go
+++ b/cmd/mothrouter/configuration.go
@@ -55,7 +55,7 @@
 		err = a.core.Configure(document.Change())
 	}
 	if err != nil {
-		return refusal(revision.GetNumber(), err)
+		return rejection(revision.GetNumber(), err)
 	}
 	a.followed.tell(document.Discovery, "revision")
 	a.log.Info("revision applied", "number", revision.GetNumber(), "discovery", document.Discovery,
--- a/cmd/mothrouter/control.go
+++ b/cmd/mothrouter/control.go
@@ -73,7 +73,7 @@
 func validateDocument(document, newest []byte) *configpb.Refusal {
 	next, err := config.ParseDocument(document)
 	if err != nil {
-		return refusal(0, err)
+		return rejection(0, err)
 	}
 	if newest == nil {
 		return nil
@@ -83,7 +83,7 @@
 		return nil
 	}
 	if err := next.Changes(before); err != nil {
-		return refusal(0, err)
+		return rejection(0, err)
 	}
 	return nil
 }
--- a/cmd/mothrouter/refusal.go
+++ b/cmd/mothrouter/refusal.go
@@ -7,9 +7,9 @@
 	"mothrouter/internal/configpb"
 )
 
-// refusal is why a revision, or a document that has no number yet (0), cannot be taken, by the key that is at fault; nil:
+// rejection is why a revision, or a document that has no number yet (0), cannot be taken, by the key that is at fault; nil:
 // it can.
-func refusal(number uint64, err error) *configpb.Refusal {
+func rejection(number uint64, err error) *configpb.Refusal {
 	if err == nil {
 		return nil
 	}
--- a/internal/configclient/configclient.go
+++ b/internal/configclient/configclient.go
@@ -106,12 +106,12 @@
 			goroutines.Go(func() { c.follow(ctx, opened) })
 		}
 		if ready.Report != nil {
-			present.report(ready.Report)
+			present.sendReport(ready.Report)
 		}
 		if ready.Apply != nil {
 			revisions <- ready.Apply
 		}
-		news.tell(time.Now(), status)
+		news.logStatus(time.Now(), status)
 		timer.Reset(time.Until(wake))
 	}
 }
@@ -129,8 +129,8 @@
 	return c.follower.Ready(now), c.follower.Status(now), c.follower.Wake()
 }
 
-// tell hands an event to Run, or drops it where ctx has ended.
-func (c *Client) tell(ctx context.Context, e event) {
+// logStatus hands an event to Run, or drops it where ctx has ended.
+func (c *Client) logStatus(ctx context.Context, e event) {
 	select {
 	case c.events <- e:
 	case <-ctx.Done():
@@ -145,9 +145,9 @@
 			return
 		case revision := <-revisions:
 			refusal := c.opt.Apply(revision)
-			c.tell(ctx, func(now time.Time, f *distribution.Follower) {
+			c.logStatus(ctx, func(now time.Time, f *distribution.Follower) {
 				if refusal != nil {
-					f.Refused(now, revision.GetNumber(), refusal.GetKey(), refusal.GetReason())
+					f.RevisionRejected(now, revision.GetNumber(), refusal.GetKey(), refusal.GetReason())
 				} else {
 					f.Applied(now, revision.GetNumber())
 				}
--- a/internal/configclient/reporter.go
+++ b/internal/configclient/reporter.go
@@ -26,8 +26,8 @@
 
 func newReporter(log *slog.Logger, now time.Time) *reporter { return &reporter{log: log, started: now} }
 
-// tell logs the difference to the status before.
-func (r *reporter) tell(now time.Time, status distribution.FollowerStatus) {
+// logStatus logs the difference to the status before.
+func (r *reporter) logStatus(now time.Time, status distribution.FollowerStatus) {
 	before := r.before
 	r.before = status
 	switch connected, was := !status.Heard.IsZero(), !before.Heard.IsZero(); {
@@ -43,12 +43,12 @@
 		r.log.Error("revision rejected", "number", refusal.GetNumber(), "key", refusal.GetKey(),
 			"reason", refusal.GetReason(), "in_force", status.InForce)
 	}
-	r.tellDropped(now, status)
-	r.tellStale(now, status)
+	r.logDropped(now, status)
+	r.logStale(now, status)
 }
 
-// tellDropped logs what was dropped, at most every dropsEvery.
-func (r *reporter) tellDropped(now time.Time, status distribution.FollowerStatus) {
+// logDropped logs what was dropped, at most every dropsEvery.
+func (r *reporter) logDropped(now time.Time, status distribution.FollowerStatus) {
 	if now.Sub(r.dropped) < dropsEvery {
 		return
 	}
@@ -67,8 +67,8 @@
 	}
 }
 
-// tellStale logs that the broker may be behind, again every againAfter, and that it is confirmed again.
-func (r *reporter) tellStale(now time.Time, status distribution.FollowerStatus) {
+// logStale logs that the broker may be behind, again every againAfter, and that it is confirmed again.
+func (r *reporter) logStale(now time.Time, status distribution.FollowerStatus) {
 	stale := status.Behind > staleAfter
 	if !status.Known {
 		stale = now.Sub(r.started) > startGrace
--- a/internal/configclient/stream.go
+++ b/internal/configclient/stream.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// report has a report sent, in place of one that still waits. One goroutine calls it.
-func (s *stream) report(report *configpb.Report) {
+// sendReport has a report sent, in place of one that still waits. One goroutine calls it.
+func (s *stream) sendReport(report *configpb.Report) {
 	select {
 	case <-s.reports:
 	default:
@@ -55,7 +55,7 @@
 	if s.ctx.Err() == nil {
 		c.opt.Log.Debug("the stream of the configuration has ended", "control", s.Address, "error", err)
 	}
-	c.tell(ctx, func(now time.Time, f *distribution.Follower) { f.Ended(now, s.Stream) })
+	c.logStatus(ctx, func(now time.Time, f *distribution.Follower) { f.Ended(now, s.Stream) })
 }
 
 // receive connects, has reports sent and takes updates.
@@ -83,7 +83,7 @@
 		if err != nil {
 			return err
 		}
-		c.tell(s.ctx, func(now time.Time, f *distribution.Follower) { f.Receive(now, s.Stream, update) })
+		c.logStatus(s.ctx, func(now time.Time, f *distribution.Follower) { f.Receive(now, s.Stream, update) })
 	}
 }
 
--- a/internal/confighub/confighub.go
+++ b/internal/confighub/confighub.go
@@ -190,7 +190,7 @@
 func (h *Hub) report(id distribution.SessionID, report *configpb.Report) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.hub.Report(time.Now(), id, report)
+	return h.hub.ReportReceived(time.Now(), id, report)
 }
 
 func (h *Hub) next(id distribution.SessionID) (*configpb.Update, time.Time, error) {
--- a/internal/consensus/members.go
+++ b/internal/consensus/members.go
@@ -15,7 +15,7 @@
 // members is what this member knows of the others while it leads.
 type members struct {
 	leadership uint64 // term in which this member leads; 0: it doesn't
-	heard      map[uint64]time.Time
+	lastHeard  map[uint64]time.Time
 	snapshots  map[uint64]time.Time // when a snapshot was last sent that is not acknowledged
 	changedAt  time.Time            // when a change of the members was last proposed
 	readsSent  uint64               // highest position of a read in a heartbeat of this leadership
@@ -48,7 +48,7 @@
 		if id == n.options.ID {
 			member.Silent = 0
 		} else if n.members.leadership != 0 {
-			member.Silent = max(now.Sub(n.members.heard[id]), 0)
+			member.Silent = max(now.Sub(n.members.lastHeard[id]), 0)
 		}
 		status.Members = append(status.Members, member)
 	}
@@ -61,29 +61,29 @@
 }
 
 func newMembers(ids []uint64, now time.Time) members {
-	m := members{heard: make(map[uint64]time.Time, len(ids)), snapshots: make(map[uint64]time.Time, len(ids))}
+	m := members{lastHeard: make(map[uint64]time.Time, len(ids)), snapshots: make(map[uint64]time.Time, len(ids))}
 	for _, id := range ids {
-		m.heard[id] = now
+		m.lastHeard[id] = now
 	}
 	return m
 }
 
-func (m *members) hear(id uint64, now time.Time) { m.heard[id] = now }
+func (m *members) recordHeard(id uint64, now time.Time) { m.lastHeard[id] = now }
 
-// hearAll lets every silence begin anew: at the begin of a leadership, and after a pause of this process, in which the
+// recordAllHeard lets every silence begin anew: at the begin of a leadership, and after a pause of this process, in which the
 // others may have spoken.
-func (m *members) hearAll(now time.Time) {
-	for id := range m.heard {
-		m.heard[id] = now
+func (m *members) recordAllHeard(now time.Time) {
+	for id := range m.lastHeard {
+		m.lastHeard[id] = now
 	}
 }
 
-// beginLeadership forgets what was known in an earlier leadership. Term 0 ends one.
-func (m *members) beginLeadership(term uint64, now time.Time) {
+// startLeadership forgets what was known in an earlier leadership. Term 0 ends one.
+func (m *members) startLeadership(term uint64, now time.Time) {
 	m.leadership = term
 	m.readsSent = 0
 	clear(m.snapshots)
-	m.hearAll(now)
+	m.recordAllHeard(now)
 }
 
 // noteSent books the snapshots and the reads in messages that go out.
@@ -150,7 +150,7 @@
 	return lost, spare, lost != 0 && n.isActive(spare) && n.isCaughtUp(spare)
 }
 
-func (n *Node) silence(id uint64) time.Duration { return n.now.Sub(n.members.heard[id]) }
+func (n *Node) silence(id uint64) time.Duration { return n.now.Sub(n.members.lastHeard[id]) }
 
 func (n *Node) isActive(id uint64) bool { return n.silence(id) < n.options.electionTimeout() }
 
--- a/internal/consensus/proposals.go
+++ b/internal/consensus/proposals.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func (p *proposals) giveUp() {
+func (p *proposals) abandonAll() {
 	for _, request := range p.requests() {
 		p.end(Outcome{Request: request, Err: ErrUnknown})
 	}
@@ -53,7 +53,7 @@
 
 func (p *proposals) hasOutcomes() bool { return len(p.outcomes) > 0 }
 
-func (p *proposals) takeOutcomes() []Outcome {
+func (p *proposals) drainOutcomes() []Outcome {
 	outcomes := p.outcomes
 	p.outcomes = nil
 	return outcomes
--- a/internal/consensus/reads.go
+++ b/internal/consensus/reads.go
@@ -83,7 +83,7 @@
 	if !due && !asked || n.Leader() == raft.None || !n.answersReads() {
 		return
 	}
-	n.raw.ReadIndex(n.reads.begin(n.options.Incarnation, n.now))
+	n.raw.ReadIndex(n.reads.start(n.options.Incarnation, n.now))
 }
 
 // open tells whether a round waits for its answer.
@@ -91,8 +91,8 @@
 	return len(r.rounds) > 0 && !r.rounds[len(r.rounds)-1].answered
 }
 
-// begin opens a round for all reads that wait and returns what names it.
-func (r *reads) begin(incarnation uint64, now time.Time) []byte {
+// start opens a round for all reads that wait and returns what names it.
+func (r *reads) start(incarnation uint64, now time.Time) []byte {
 	r.sequence++
 	r.startedAt = now
 	r.rounds = append(r.rounds, round{sequence: r.sequence, started: now, reads: r.waiting})
@@ -167,7 +167,7 @@
 
 func (r *reads) hasOutcomes() bool { return len(r.outcomes) > 0 }
 
-func (r *reads) takeOutcomes() []ReadOutcome {
+func (r *reads) drainOutcomes() []ReadOutcome {
 	outcomes := r.outcomes
 	r.outcomes = nil
 	return outcomes
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -62,8 +62,8 @@
 	n.reads.complete(n.machine.Applied(), n.machine.Number())
 	n.startRound()
 	n.planCompaction()
-	applied.Outcomes = n.proposals.takeOutcomes()
-	applied.Reads = n.reads.takeOutcomes()
+	applied.Outcomes = n.proposals.drainOutcomes()
+	applied.Reads = n.reads.drainOutcomes()
 	return applied
 }
 
--- a/internal/controlserver/control.go
+++ b/internal/controlserver/control.go
@@ -42,7 +42,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	found := make(chan *configpb.Revision, 1)
-	err := s.replica.do(ctx, func() { found <- s.replica.node.Machine().Get(request.GetNumber()) })
+	err := s.replica.runOnLoop(ctx, func() { found <- s.replica.node.Machine().Get(request.GetNumber()) })
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	found := make(chan consensus.Status, 1)
-	err := s.replica.do(ctx, func() { found <- s.replica.node.Status(time.Now()) })
+	err := s.replica.runOnLoop(ctx, func() { found <- s.replica.node.Status(time.Now()) })
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
--- a/internal/controlserver/outbox.go
+++ b/internal/controlserver/outbox.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// take removes the oldest message. It returns false where there is none.
-func (o *outbox) take() (message []byte, ok bool) {
+// drain removes the oldest message. It returns false where there is none.
+func (o *outbox) drain() (message []byte, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if len(o.waiting) == 0 {
@@ -62,8 +62,8 @@
 	return oldest
 }
 
-// droppedCount returns how many messages were dropped.
-func (o *outbox) droppedCount() uint64 {
+// dropped returns how many messages were dropped.
+func (o *outbox) totalDropped() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.dropped
--- a/internal/controlserver/outbox_test.go
+++ b/internal/controlserver/outbox_test.go
@@ -18,13 +18,13 @@
 	for i := range MaxQueued + 3 {
 		o.put(numbered(i, 4))
 	}
-	require.Equal(t, uint64(3), o.droppedCount())
+	require.Equal(t, uint64(3), o.totalDropped())
 	for i := 3; i < MaxQueued+3; i++ {
-		message, ok := o.take()
+		message, ok := o.drain()
 		require.True(t, ok)
 		require.Equal(t, numbered(i, 4), message)
 	}
-	_, ok := o.take()
+	_, ok := o.drain()
 	require.False(t, ok)
 	require.Zero(t, o.bytes)
 }
@@ -36,8 +36,8 @@
 		o.put(numbered(i, size))
 		require.LessOrEqual(t, o.bytes, MaxQueuedBytes)
 	}
-	require.Equal(t, uint64(2), o.droppedCount())
-	first, ok := o.take()
+	require.Equal(t, uint64(2), o.totalDropped())
+	first, ok := o.drain()
 	require.True(t, ok)
 	require.Equal(t, numbered(2, size), first)
 }
--- a/internal/controlserver/publish.go
+++ b/internal/controlserver/publish.go
@@ -65,24 +65,24 @@
 
 // publish answers a publication once it is committed, refused, or given up.
 func (p *publisher) publish(ctx context.Context, request *configpb.PublishRequest) (*configpb.PublishResponse, error) {
-	if !p.begin() {
-		return nil, notTaken("%v", errStopped)
+	if !p.start() {
+		return nil, notAppended("%v", errStopped)
 	}
 	defer p.end()
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
 	if refusal := checkRequest(request); refusal != nil {
-		return nil, refused(codes.InvalidArgument, refusal)
+		return nil, rejected(codes.InvalidArgument, refusal)
 	}
 	leader, err := p.leader(ctx)
 	if err != nil {
-		return nil, notTaken("%v", err)
+		return nil, notAppended("%v", err)
 	}
 	if leader != p.self {
 		return p.sendOn(ctx, leader, request)
 	}
 	if err := p.replica.barrier(ctx); err != nil {
-		return nil, notTaken("no quorum has answered: %v", err)
+		return nil, notAppended("no quorum has answered: %v", err)
 	}
 	outcome, err := p.propose(ctx, request)
 	var elsewhere *consensus.NotLeaderError
@@ -114,14 +114,14 @@
 func (p *publisher) propose(ctx context.Context, request *configpb.PublishRequest) (consensus.Outcome, error) {
 	newest, err := p.newest(ctx)
 	if err != nil {
-		return consensus.Outcome{}, notTaken("%v", err)
+		return consensus.Outcome{}, notAppended("%v", err)
 	}
 	if refusal := p.validate(request.GetDocument(), newest.GetDocument()); refusal != nil {
-		return consensus.Outcome{}, refused(codes.InvalidArgument, refusal)
+		return consensus.Outcome{}, rejected(codes.InvalidArgument, refusal)
 	}
 	waiting := make(chan consensus.Outcome, 1)
 	var proposed error
-	err = p.replica.do(ctx, func() { proposed = p.append(request, newest, waiting) })
+	err = p.replica.runOnLoop(ctx, func() { proposed = p.append(request, newest, waiting) })
 	if err != nil {
 		return consensus.Outcome{}, unknown(err)
 	}
@@ -141,7 +141,7 @@
 // leader returns the id of the leader, 0 where none is known.
 func (p *publisher) leader(ctx context.Context) (uint64, error) {
 	found := make(chan uint64, 1)
-	if err := p.replica.do(ctx, func() { found <- p.replica.node.Leader() }); err != nil {
+	if err := p.replica.runOnLoop(ctx, func() { found <- p.replica.node.Leader() }); err != nil {
 		return 0, err
 	}
 	return <-found, nil
@@ -150,7 +150,7 @@
 // newest returns the newest applied revision, nil before the first.
 func (p *publisher) newest(ctx context.Context) (*configpb.Revision, error) {
 	found := make(chan *configpb.Revision, 1)
-	if err := p.replica.do(ctx, func() { found <- p.replica.node.Machine().Newest() }); err != nil {
+	if err := p.replica.runOnLoop(ctx, func() { found <- p.replica.node.Machine().Newest() }); err != nil {
 		return nil, err
 	}
 	return <-found, nil
@@ -185,11 +185,11 @@
 	case errors.As(err, &elsewhere):
 		return err
 	case errors.Is(err, errReused):
-		return refused(codes.InvalidArgument, &configpb.Refusal{Key: keyRequest, Reason: err.Error()})
+		return rejected(codes.InvalidArgument, &configpb.Refusal{Key: keyRequest, Reason: err.Error()})
 	case errors.Is(err, revision.ErrCommand):
-		return refused(codes.InvalidArgument, &configpb.Refusal{Key: keyDocument, Reason: err.Error()})
+		return rejected(codes.InvalidArgument, &configpb.Refusal{Key: keyDocument, Reason: err.Error()})
 	}
-	return notTaken("%v", err)
+	return notAppended("%v", err)
 }
 
 // answer is what a publisher is told of an outcome.
@@ -201,12 +201,12 @@
 	case revision.Accepted:
 		return &configpb.PublishResponse{Number: result.Number}, nil
 	case revision.NotNewest:
-		return nil, refused(codes.FailedPrecondition, &configpb.Refusal{Number: result.Number, Key: keyExpected,
+		return nil, rejected(codes.FailedPrecondition, &configpb.Refusal{Number: result.Number, Key: keyExpected,
 			Reason: fmt.Sprintf("the newest revision is %d", result.Number)})
 	case revision.RequestReused:
-		return nil, refused(codes.InvalidArgument, &configpb.Refusal{Key: keyRequest, Reason: result.Rejection.String()})
+		return nil, rejected(codes.InvalidArgument, &configpb.Refusal{Key: keyRequest, Reason: result.Rejection.String()})
 	default:
-		return nil, refused(codes.InvalidArgument, &configpb.Refusal{Key: keyDocument, Reason: result.Rejection.String()})
+		return nil, rejected(codes.InvalidArgument, &configpb.Refusal{Key: keyDocument, Reason: result.Rejection.String()})
 	}
 }
 
@@ -214,10 +214,10 @@
 func (p *publisher) sendOn(ctx context.Context, leader uint64, request *configpb.PublishRequest) (
 	*configpb.PublishResponse, error) {
 	if leader == 0 {
-		return nil, notTaken("no leader")
+		return nil, notAppended("no leader")
 	}
 	if sent, _ := metadata.FromIncomingContext(ctx); len(sent.Get(forwardedKey)) > 0 {
-		return nil, notTaken("the leader is %s", p.describe(leader))
+		return nil, notAppended("the leader is %s", p.describe(leader))
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -253,14 +253,14 @@
 	*configpb.PublishResponse, error) {
 	p := t.peers[leader]
 	if p == nil || p.conn.GetState() != connectivity.Ready {
-		return nil, notTaken("the leader is machine %d, which cannot be reached from here", leader)
+		return nil, notAppended("the leader is machine %d, which cannot be reached from here", leader)
 	}
 	ctx = metadata.NewOutgoingContext(ctx, metadata.Pairs(forwardedKey, fmt.Sprint(t.self)))
 	return configpb.NewControlClient(p.conn).Publish(ctx, request, grpc.WaitForReady(false))
 }
 
-// begin books a publication. It returns false once this machine is stopping.
-func (p *publisher) begin() bool {
+// start books a publication. It returns false once this machine is stopping.
+func (p *publisher) start() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.stopping {
@@ -288,7 +288,7 @@
 	return p.idle
 }
 
-func notTaken(format string, arguments ...any) error {
+func notAppended(format string, arguments ...any) error {
 	return withDetails(status.Newf(codes.Unavailable, format, arguments...),
 		&errdetails.ErrorInfo{Reason: configpb.NotTaken, Domain: configpb.ErrorDomain})
 }
@@ -297,7 +297,7 @@
 	return status.Errorf(codes.DeadlineExceeded, "the publication may be committed or not: %v", err)
 }
 
-func refused(code codes.Code, refusal *configpb.Refusal) error {
+func rejected(code codes.Code, refusal *configpb.Refusal) error {
 	return withDetails(status.Newf(code, "%s: %s", refusal.GetKey(), refusal.GetReason()), refusal)
 }
 
--- a/internal/controlserver/receive.go
+++ b/internal/controlserver/receive.go
@@ -58,7 +58,7 @@
 		}
 		if err != nil {
 			if status.Code(err) == codes.ResourceExhausted {
-				r.count(func(c *EnvelopeCounts) { c.Oversized++ })
+				r.recordDrop(func(c *EnvelopeCounts) { c.Oversized++ })
 			}
 			return err
 		}
@@ -101,7 +101,7 @@
 	return message
 }
 
-func (r *receiver) count(change func(*EnvelopeCounts)) {
+func (r *receiver) recordDrop(change func(*EnvelopeCounts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.counts)
--- a/internal/controlserver/replica.go
+++ b/internal/controlserver/replica.go
@@ -79,7 +79,7 @@
 	defer close(r.ended)
 	ticks := time.NewTicker(r.interval)
 	defer ticks.Stop()
-	r.tellHub()
+	r.updateHub()
 	for {
 		select {
 		case <-ctx.Done():
@@ -87,7 +87,7 @@
 		case <-ticks.C:
 			r.node.Tick(time.Now())
 		case message := <-r.inbox:
-			r.step(message)
+			r.advance(message)
 		case call := <-r.calls:
 			call()
 		}
@@ -97,8 +97,8 @@
 	}
 }
 
-// step takes in a message and those that wait behind it.
-func (r *replica) step(message *raftpb.Message) {
+// advance takes in a message and those that wait behind it.
+func (r *replica) advance(message *raftpb.Message) {
 	for range maxMessagesAtOnce {
 		if err := r.node.Step(message); errors.Is(err, consensus.ErrMessage) {
 			r.malformed++
@@ -126,8 +126,8 @@
 	if err := r.node.Err(); err != nil {
 		return err
 	}
-	r.tellHub()
-	r.tellLeader()
+	r.updateHub()
+	r.announceLeader()
 	return nil
 }
 
@@ -166,8 +166,8 @@
 	}
 }
 
-// tellHub has brokers told of the newest revision and of how lately a quorum confirmed it.
-func (r *replica) tellHub() {
+// updateHub has brokers told of the newest revision and of how lately a quorum confirmed it.
+func (r *replica) updateHub() {
 	now := time.Now()
 	confirmed := time.Time{}
 	if age := r.node.Confirmed(now); age != consensus.Unconfirmed {
@@ -183,7 +183,7 @@
 	}
 }
 
-func (r *replica) tellLeader() {
+func (r *replica) announceLeader() {
 	if leader := r.node.Leader(); leader != r.leader {
 		r.leader = leader
 		if leader == 0 {
@@ -206,9 +206,9 @@
 	}
 }
 
-// do runs a function on the replica's goroutine and returns once it has run. Where it returns an error, the function
+// runOnLoop runs a function on the replica's goroutine and returns once it has run. Where it returns an error, the function
 // may still run, or not.
-func (r *replica) do(ctx context.Context, call func()) error {
+func (r *replica) runOnLoop(ctx context.Context, call func()) error {
 	done := make(chan struct{})
 	select {
 	case r.calls <- func() { call(); close(done) }:
@@ -236,7 +236,7 @@
 func (r *replica) barrier(ctx context.Context) error {
 	answer := make(chan consensus.ReadOutcome, 1)
 	var asked error
-	err := r.do(ctx, func() {
+	err := r.runOnLoop(ctx, func() {
 		r.lastRead++
 		if asked = r.node.Read(r.lastRead); asked == nil {
 			r.reads[r.lastRead] = answer
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -173,7 +173,7 @@
 	o.Log.Info("control machine started", "name", self.Name, "id", self.ID, "listen", o.Listener.Addr().String(),
 		"peers", o.PeerListener.Addr().String(), "newest", node.Machine().Number())
 
-	err = control.await(ctx, failed, func(report *countReport) { report.log(o.Log, received.envelopes(), streams.dropped()) })
+	err = control.runUntil(ctx, failed, func(report *dropReport) { report.log(o.Log, received.envelopes(), streams.dropped()) })
 	stop()
 	<-owner.ended
 	brokers.Stop()
@@ -186,12 +186,12 @@
 	return nil
 }
 
-// await waits until ctx ends, and publications then, or until a component fails with the error that it returns. It calls
+// runUntil waits until ctx ends, and publications then, or until a component fails with the error that it returns. It calls
 // report at intervals.
-func (s *service) await(ctx context.Context, failed <-chan error, report func(*countReport)) error {
+func (s *service) runUntil(ctx context.Context, failed <-chan error, report func(*dropReport)) error {
 	counts := time.NewTicker(countsEvery)
 	defer counts.Stop()
-	reported := &countReport{}
+	reported := &dropReport{}
 	for {
 		select {
 		case <-ctx.Done():
@@ -238,13 +238,13 @@
 	return server
 }
 
-// countReport logs what peers sent in vain and what could not be sent, where that has changed.
-type countReport struct {
+// dropReport logs what peers sent in vain and what could not be sent, where that has changed.
+type dropReport struct {
 	envelopes EnvelopeCounts
 	dropped   uint64
 }
 
-func (r *countReport) log(log *slog.Logger, envelopes EnvelopeCounts, dropped uint64) {
+func (r *dropReport) log(log *slog.Logger, envelopes EnvelopeCounts, dropped uint64) {
 	before := r.envelopes
 	r.envelopes = envelopes
 	bad := EnvelopeCounts{Foreign: envelopes.Foreign - before.Foreign, Oversized: envelopes.Oversized - before.Oversized,
--- a/internal/controlserver/transport.go
+++ b/internal/controlserver/transport.go
@@ -163,7 +163,7 @@
 	alive := time.NewTicker(sayAlive)
 	defer alive.Stop()
 	for {
-		message, ok := p.outbox.take()
+		message, ok := p.outbox.drain()
 		if !ok {
 			select {
 			case <-p.outbox.ready:
@@ -182,7 +182,7 @@
 // dropped returns how many messages were dropped because their peer did not take them in time.
 func (t *transport) dropped() (count uint64) {
 	for _, p := range t.peers {
-		count += p.outbox.droppedCount()
+		count += p.outbox.totalDropped()
 	}
 	return count
 }
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -19,8 +19,8 @@
 const (
 	// Heartbeat is how often a session is told something at least.
 	Heartbeat = time.Second
-	// ReportEvery is how often a broker reports at least, whether or not anything changed.
-	ReportEvery = 10 * time.Second
+	// ReportInterval is how often a broker reports at least, whether or not anything changed.
+	ReportInterval = 10 * time.Second
 	// MaxDocument is the largest document of a revision, in bytes.
 	MaxDocument = configpb.MaxDocument
 	// MaxMessage bounds one message on the wire: a document, and 4 KiB for every other field of it.
@@ -54,11 +54,11 @@
 	return nil
 }
 
-func validText(text string, most int) bool { return len(text) <= most && utf8.ValidString(text) }
+func isValidString(s string, maxLength int) bool { return len(s) <= maxLength && utf8.ValidString(s) }
 
-// validReport tells whether a report is well-formed by itself.
-func validReport(report *configpb.Report) bool {
-	if report.GetName() == "" || !validText(report.GetName(), maxName) || !validText(report.GetZone(), maxName) {
+// isValidReport tells whether a report is well-formed by itself.
+func isValidReport(report *configpb.Report) bool {
+	if report.GetName() == "" || !isValidString(report.GetName(), maxName) || !isValidString(report.GetZone(), maxName) {
 		return false
 	}
 	if report.GetStartedUnixMs() <= 0 || report.GetSequence() == 0 {
@@ -69,6 +69,6 @@
 		return true
 	}
 	return refusal.GetNumber() > report.GetInForce() &&
-		validText(refusal.GetKey(), configpb.MaxRefusalKey) &&
-		validText(refusal.GetReason(), configpb.MaxRefusalReason)
+		isValidString(refusal.GetKey(), configpb.MaxRefusalKey) &&
+		isValidString(refusal.GetReason(), configpb.MaxRefusalReason)
 }
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -114,7 +114,7 @@
 		return nil, ErrNoMachines
 	case len(opt.Control) > MaxMachines:
 		return nil, ErrTooManyMachines
-	case opt.Name == "" || !validText(opt.Name, maxName) || !validText(opt.Zone, maxName):
+	case opt.Name == "" || !isValidString(opt.Name, maxName) || !isValidString(opt.Zone, maxName):
 		return nil, ErrInvalidName
 	}
 	rng := rand.New(rand.NewPCG(opt.Seed, 0x9b05688c2b3e6c1f))
@@ -141,7 +141,7 @@
 	if f.stream == 0 {
 		return f.connect
 	}
-	return earliest(f.silentAt(), f.drainAt(), f.reported.Add(ReportEvery))
+	return earliest(f.silentAt(), f.drainAt(), f.reported.Add(ReportInterval))
 }
 
 // Tick looks at the time.
@@ -161,9 +161,9 @@
 		return
 	}
 	if at := f.drainAt(); !at.IsZero() && !now.Before(at) {
-		f.leave(now)
+		f.disconnect(now)
 	}
-	if f.stream != 0 && !now.Before(f.reported.Add(ReportEvery)) {
+	if f.stream != 0 && !now.Before(f.reported.Add(ReportInterval)) {
 		f.report = true
 	}
 }
@@ -187,7 +187,7 @@
 	}
 	if f.report && f.stream != 0 {
 		f.report = false
-		f.noteReport(now)
+		f.reportSent(now)
 		ready.Report = f.currentReport()
 	}
 	ready.Apply = f.revisions.handOut()
@@ -250,8 +250,8 @@
 	}
 }
 
-// leave gives up a machine that is reached and unconfirmed, where another one may do better.
-func (f *Follower) leave(now time.Time) {
+// disconnect gives up a machine that is reached and unconfirmed, where another one may do better.
+func (f *Follower) disconnect(now time.Time) {
 	if f.quiescentSince {
 		f.quiescentSince = false
 		f.machines.newRound()
--- a/internal/distribution/follower_receive.go
+++ b/internal/distribution/follower_receive.go
@@ -44,17 +44,17 @@
 	f.counts.Updates++
 	f.newest = max(f.newest, update.GetNewest())
 	if update.GetRevision() != nil {
-		f.takeRevision(update.GetRevision())
+		f.acceptRevision(update.GetRevision())
 	}
 	if f.conflicts(update) {
 		f.counts.Conflicts++
 	}
-	f.takeConfirmation(now, update)
+	f.acceptConfirmation(now, update)
 }
 
 // wellFormed tells whether an update is whole, and counts it otherwise.
 func (f *Follower) wellFormed(update *configpb.Update) bool {
-	if update == nil || update.GetNewest() == 0 && update.GetNewestChecksum() != 0 || !f.answersReport(update) {
+	if update == nil || update.GetNewest() == 0 && update.GetNewestChecksum() != 0 || !f.acknowledgesReport(update) {
 		f.counts.Malformed++
 		return false
 	}
@@ -81,13 +81,13 @@
 	return true
 }
 
-// answersReport tells whether an update names a report of the present stream.
-func (f *Follower) answersReport(update *configpb.Update) bool {
+// acknowledgesReport tells whether an update names a report of the present stream.
+func (f *Follower) acknowledgesReport(update *configpb.Update) bool {
 	return update.GetReport() > 0 && update.GetReport() <= f.sequence
 }
 
-// takeRevision accepts a whole revision if its number is above the one in hand.
-func (f *Follower) takeRevision(revision *configpb.Revision) {
+// acceptRevision accepts a whole revision if its number is above the one in hand.
+func (f *Follower) acceptRevision(revision *configpb.Revision) {
 	r := &f.revisions
 	switch number := revision.GetNumber(); {
 	case number < r.inHand:
@@ -108,10 +108,10 @@
 	return r.inHand != 0 && update.GetNewest() == r.inHand && update.GetNewestChecksum() != r.checksum
 }
 
-// takeConfirmation notes when a quorum last confirmed the present machine. Updates that lack the revision in hand, or
+// acceptConfirmation notes when a quorum last confirmed the present machine. Updates that lack the revision in hand, or
 // have another content for it, confirm nothing: a machine that goes on with them is left like an unconfirmed one. The
 // age counts from when the update was sent at the earliest: it may have been held up by the network or by a pause of this process.
-func (f *Follower) takeConfirmation(now time.Time, update *configpb.Update) {
+func (f *Follower) acceptConfirmation(now time.Time, update *configpb.Update) {
 	m := &f.machines[f.machine]
 	m.reached = true
 	at := earliest(now, f.sentAt(update)).Add(-time.Duration(update.GetConfirmedMs()) * time.Millisecond)
@@ -140,9 +140,9 @@
 	f.report = true
 }
 
-// Refused tells that the revision that Ready handed out cannot be applied, by which key and why. The one before stays
+// RevisionRejected tells that the revision that Ready handed out cannot be applied, by which key and why. The one before stays
 // in force, and a newer one is tried.
-func (f *Follower) Refused(_ time.Time, number uint64, key, reason string) {
-	f.revisions.refused(number, key, reason)
+func (f *Follower) RevisionRejected(_ time.Time, number uint64, key, reason string) {
+	f.revisions.rejected(number, key, reason)
 	f.report = true
 }
--- a/internal/distribution/follower_status.go
+++ b/internal/distribution/follower_status.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// noteReport notes that the next report of the stream is handed out.
-func (f *Follower) noteReport(now time.Time) {
+// reportSent notes that the next report of the stream is handed out.
+func (f *Follower) reportSent(now time.Time) {
 	f.reported = now
 	f.sequence++
 	f.reports[f.sequence%recentReports] = now
--- a/internal/distribution/follower_test.go
+++ b/internal/distribution/follower_test.go
@@ -64,7 +64,7 @@
 	require.EqualValues(t, 1, ready.Report.GetInForce())
 	require.EqualValues(t, 2, ready.Report.GetSequence())
 	require.EqualValues(t, 4, ready.Apply.GetNumber())
-	f.Refused(now, 4, "settings.port", strings.Repeat("é", 1000))
+	f.RevisionRejected(now, 4, "settings.port", strings.Repeat("é", 1000))
 	report := f.Ready(now).Report
 	require.EqualValues(t, 1, report.GetInForce())
 	require.EqualValues(t, 4, report.GetRefusal().GetNumber())
--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -144,7 +144,7 @@
 				}
 			case 6:
 				if applying != 0 {
-					follower.Refused(now, applying, "key", string(r.byte()))
+					follower.RevisionRejected(now, applying, "key", string(r.byte()))
 					oracle.refused, oracle.busy, applying = applying, false, 0
 				}
 			case 7:
@@ -198,7 +198,7 @@
 					id := sessions[int(r.byte())%len(sessions)]
 					report := fuzzedReport(r)
 					before := h.Counts()
-					err := h.Report(now, id, report)
+					err := h.ReportReceived(now, id, report)
 					after := h.Counts()
 					dropped := after.Malformed + after.Foreign + after.Older - before.Malformed - before.Foreign - before.Older
 					if err == nil {
--- a/internal/distribution/hub.go
+++ b/internal/distribution/hub.go
@@ -18,7 +18,7 @@
 	// FirstReportLimit is how long a session may be open without a report.
 	FirstReportLimit = 5 * time.Second
 	// SessionSilence is how long a session may be without a report: three are due within, and 5 s of slack.
-	SessionSilence = 3*ReportEvery + 5*time.Second
+	SessionSilence = 3*ReportInterval + 5*time.Second
 	// LagLimit is how long a broker may take to have a revision in force.
 	LagLimit = 8 * time.Second
 	// BookedRevisions is how many of the latest revisions are booked.
--- a/internal/distribution/hub_report.go
+++ b/internal/distribution/hub_report.go
@@ -8,10 +8,10 @@
 	"mothrouter/internal/configpb"
 )
 
-// Report takes a report of a session. One that is malformed, of another instance or older than the one before is
+// ReportReceived takes a report of a session. One that is malformed, of another instance or older than the one before is
 // counted and dropped without an error. Errors: ErrNoSession; ErrSuperseded where a later start of the same broker is
 // connected; ErrFull where too many brokers are remembered.
-func (h *Hub) Report(now time.Time, id SessionID, report *configpb.Report) error {
+func (h *Hub) ReportReceived(now time.Time, id SessionID, report *configpb.Report) error {
 	s, ok := h.sessions[id]
 	if !ok {
 		return ErrNoSession
@@ -19,7 +19,7 @@
 	if s.superseded {
 		return ErrSuperseded
 	}
-	if !validReport(report) {
+	if !isValidReport(report) {
 		h.counts.Malformed++
 		return nil
 	}
@@ -36,7 +36,7 @@
 		return nil
 	}
 	h.dropInForce(before.GetInForce())
-	h.take(now, s, report)
+	h.applyReport(now, s, report)
 	return nil
 }
 
@@ -60,12 +60,12 @@
 	}
 	b.session, b.opened = id, s.opened
 	s.broker = b
-	h.take(now, s, report)
+	h.applyReport(now, s, report)
 	return nil
 }
 
-// take makes a report the last one of its session's broker.
-func (h *Hub) take(now time.Time, s *session, report *configpb.Report) {
+// applyReport makes a report the last one of its session's broker.
+func (h *Hub) applyReport(now time.Time, s *session, report *configpb.Report) {
 	h.counts.Taken++
 	s.heard, s.sequence = now, report.GetSequence()
 	s.broker.heard = now
--- a/internal/distribution/hub_test.go
+++ b/internal/distribution/hub_test.go
@@ -30,7 +30,7 @@
 func openSession(t testing.TB, h *distribution.Hub, now time.Time, name string, inForce uint64) distribution.SessionID {
 	id, err := h.Open(now)
 	require.NoError(t, err)
-	require.NoError(t, h.Report(now, id, reportOf(name, 1, inForce)))
+	require.NoError(t, h.ReportReceived(now, id, reportOf(name, 1, inForce)))
 	return id
 }
 
@@ -66,8 +66,8 @@
 	id := openSession(t, h, epoch, "b", 0)
 	var sent []time.Duration
 	for at, sequence := time.Duration(0), uint64(2); at < time.Minute; at += 100 * time.Millisecond {
-		if at%distribution.ReportEvery == 0 {
-			require.NoError(t, h.Report(epoch.Add(at), id, reportOf("b", sequence, 0)))
+		if at%distribution.ReportInterval == 0 {
+			require.NoError(t, h.ReportReceived(epoch.Add(at), id, reportOf("b", sequence, 0)))
 			sequence++
 		}
 		if update, _, err := h.Next(epoch.Add(at), id); err == nil && update.GetRevision() != nil {
@@ -78,7 +78,7 @@
 	require.Equal(t, []string{"b"}, h.Lagging(epoch.Add(time.Minute)))
 	refusing := reportOf("b", 100, 0)
 	refusing.Refusal = &configpb.Refusal{Number: 1, Key: "settings.port"}
-	require.NoError(t, h.Report(epoch.Add(time.Minute), id, refusing))
+	require.NoError(t, h.ReportReceived(epoch.Add(time.Minute), id, refusing))
 	require.Empty(t, h.Lagging(epoch.Add(time.Minute)), "it has refused the revision")
 	for at := time.Minute; at < 90*time.Second; at += 100 * time.Millisecond {
 		require.Nil(t, next(t, h, epoch.Add(at), id).GetRevision())
@@ -114,7 +114,7 @@
 		{spoil(func(r *configpb.Report) { r.Sequence = 1 }), older},
 	} {
 		before := x.count(h.Counts())
-		require.NoError(t, h.Report(epoch, id, x.report))
+		require.NoError(t, h.ReportReceived(epoch, id, x.report))
 		require.Equal(t, before+1, x.count(h.Counts()), "%v", x.report)
 		require.EqualValues(t, 5, h.Status(epoch).Brokers[0].GetReport().GetInForce())
 	}
@@ -132,14 +132,14 @@
 	require.NoError(t, err)
 	report := reportOf("b", 1, 0)
 	report.StartedUnixMs = 2000
-	require.NoError(t, h.Report(epoch, restarted, report))
+	require.NoError(t, h.ReportReceived(epoch, restarted, report))
 	require.ErrorIs(t, h.Check(epoch, old), distribution.ErrSuperseded)
 	h.Close(epoch, old)
 	require.True(t, h.Status(epoch).Brokers[0].GetConnected())
 
 	late, err := h.Open(epoch)
 	require.NoError(t, err)
-	require.ErrorIs(t, h.Report(epoch, late, reportOf("b", 1, 3)), distribution.ErrSuperseded)
+	require.ErrorIs(t, h.ReportReceived(epoch, late, reportOf("b", 1, 3)), distribution.ErrSuperseded)
 	require.EqualValues(t, 2000, h.Status(epoch).Brokers[0].GetReport().GetStartedUnixMs())
 }
 
@@ -149,7 +149,7 @@
 	require.NoError(t, err)
 	require.NoError(t, h.Check(epoch.Add(distribution.FirstReportLimit-1), id))
 	require.ErrorIs(t, h.Check(epoch.Add(distribution.FirstReportLimit), id), distribution.ErrSilent)
-	require.NoError(t, h.Report(epoch, id, reportOf("b", 1, 0)))
+	require.NoError(t, h.ReportReceived(epoch, id, reportOf("b", 1, 0)))
 	require.NoError(t, h.Check(epoch.Add(distribution.SessionSilence-1), id))
 	_, _, err = h.Next(epoch.Add(distribution.SessionSilence), id)
 	require.ErrorIs(t, err, distribution.ErrSilent)
@@ -163,7 +163,7 @@
 	for number := uint64(1); number <= 70; number++ {
 		require.NoError(t, h.Newest(epoch.Add(time.Duration(number)), revisionOf(number)))
 	}
-	require.NoError(t, h.Report(epoch.Add(time.Second), a, reportOf("a", 2, 70)))
+	require.NoError(t, h.ReportReceived(epoch.Add(time.Second), a, reportOf("a", 2, 70)))
 	status := h.Status(epoch.Add(9 * time.Second))
 	require.Len(t, status.InForce, distribution.BookedRevisions)
 	newest := status.InForce[0]
@@ -171,7 +171,7 @@
 	require.EqualValues(t, 1, newest.GetBrokers())
 	require.EqualValues(t, 1, newest.GetLagging())
 	require.Zero(t, newest.GetEverywhereUnixMs())
-	require.NoError(t, h.Report(epoch.Add(10*time.Second), b, reportOf("b", 2, 69)))
+	require.NoError(t, h.ReportReceived(epoch.Add(10*time.Second), b, reportOf("b", 2, 69)))
 	status = h.Status(epoch.Add(10 * time.Second))
 	require.Zero(t, status.InForce[0].GetEverywhereUnixMs())
 	require.Equal(t, epoch.Add(10*time.Second).UnixMilli(), status.InForce[1].GetEverywhereUnixMs())
--- a/internal/distribution/revisions.go
+++ b/internal/distribution/revisions.go
@@ -47,7 +47,7 @@
 	r.refusal = nil
 }
 
-func (r *revisions) refused(number uint64, key, reason string) {
+func (r *revisions) rejected(number uint64, key, reason string) {
 	r.finish(number)
 	r.refusal = configpb.NewRefusal(number, key, reason)
 }
--- a/internal/distribution/simulation_stream_test.go
+++ b/internal/distribution/simulation_stream_test.go
@@ -238,7 +238,7 @@
 	if st.hubGone || !st.hub.up {
 		return
 	}
-	if err := st.hub.hub.Report(st.sim.time(), st.session, report); err != nil {
+	if err := st.hub.hub.ReportReceived(st.sim.time(), st.session, report); err != nil {
 		st.close()
 		return
 	}
--- a/internal/distribution/simulation_test.go
+++ b/internal/distribution/simulation_test.go
@@ -483,7 +483,7 @@
 			number := revision.GetNumber()
 			if refuses(b.index, number) {
 				b.sim.check.refused(b, number)
-				b.follower.Refused(b.sim.time(), number, "settings.port", "needs a restart")
+				b.follower.RevisionRejected(b.sim.time(), number, "settings.port", "needs a restart")
 				b.drive()
 				return
 			}
--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -60,7 +60,7 @@
 }
 
 func serveRecords(servers int) error {
-	f, err := standin.New(standin.Options{Servers: servers, ReplicationFactor: AssumedReach, Work: childWork, Seed: 1})
+	f, err := standin.New(standin.Options{Servers: servers, ReplicationFactor: AssumedReplicationFactor, Work: childWork, Seed: 1})
 	if err != nil {
 		return err
 	}
@@ -123,8 +123,8 @@
 	return c.cmd.ProcessState.UserTime() + c.cmd.ProcessState.SystemTime(), err
 }
 
-// ask sends a command as one line of JSON and reads the answer, which is one too.
-func (c *child) ask(command, answer any) error {
+// request sends a command as one line of JSON and reads the answer, which is one too.
+func (c *child) request(command, answer any) error {
 	if err := json.NewEncoder(c.in).Encode(command); err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 func (c *child) entries() []broker.Endpoint {
 	list := make([]broker.Endpoint, len(c.lines))
 	for i, addr := range c.lines {
-		list[i] = broker.Endpoint{Addr: addr, Server: decision.Server{ID: serverID(i), Zone: i / cellsOfZone % TargetZones,
+		list[i] = broker.Endpoint{Addr: addr, Server: decision.Server{ID: serverID(i), Zone: i / replicaSetsPerZone % TargetZones,
 			ReplicaSet: i, Capacity: 1}}
 	}
 	return list
@@ -172,11 +172,11 @@
 
 // Of the stand-in for discovery.
 const (
-	changeEvery  = 100 * time.Millisecond
-	changesMost  = 20
-	listWithin   = 10 * time.Second // all watchers have the list
-	emptyEvery   = 2 * time.Second  // an empty line, as discovery sends
-	watchersMost = 4096
+	changeEvery = 100 * time.Millisecond
+	maxChanges  = 20
+	listWithin  = 10 * time.Second // all watchers have the list
+	emptyEvery  = 2 * time.Second  // an empty line, as discovery sends
+	maxWatchers = 4096
 )
 
 // serveDiscovery tells a list of so many servers to each watch and, once its parent has written a line, changes of one
@@ -237,7 +237,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.conns) < watchersMost {
+	if len(d.conns) < maxWatchers {
 		d.conns = append(d.conns, c)
 	}
 }
@@ -246,7 +246,7 @@
 
 // change tells the changes.
 func (d *directory) change() {
-	for range changesMost {
+	for range maxChanges {
 		time.Sleep(changeEvery)
 		d.tell(encodeChange(0, time.Now().UnixNano()))
 	}
--- a/internal/scale/cold.go
+++ b/internal/scale/cold.go
@@ -10,40 +10,40 @@
 
 // What the settings of an example deployment tell of cold servers (deploy/example.json).
 const (
-	coldShare    = 0.2  // of its capacity a server starts with
-	warmUp       = 17.0 // seconds until it has all of it
-	fallMultiple = 2.5  // of what it then bears, over fallTime, and it falls over
-	fallTime     = 1.5  // seconds
+	slowStartFraction = 0.2  // of its capacity a server starts with
+	slowStartDuration = 17.0 // seconds until it has all of it
+	overloadFactor    = 2.5  // of what it then bears, over fallTime, and it falls over
+	overloadWindow    = 1.5  // seconds
 )
 
-const coldWindows = 400 // windows that are drawn
+const slowStartWindows = 400 // windows that are drawn
 
-func coldExperiment() Experiment {
+func slowStartExperiment() Experiment {
 	return Experiment{
 		Name: "cold",
 		Provenance: Provenance{Real: "internal/lease (Bearing)",
 			Computed: "brokers that see even shares of the load, windows that begin together"},
 		Small: axis(axisBrokers, []float64{1200}), // the fewest answers to learn from
 		Large: axis(axisBrokers, brokerSizes),
-		Play:  playCold,
+		Play:  playSlowStart,
 	}
 }
 
-// playCold has every broker of a fleet learn its peak from its even share of the target's parts, and then draws what
+// playSlowStart has every broker of a fleet learn its peak from its even share of the target's parts, and then draws what
 // all of them may send to one server that has just started.
-func playCold(at Sizes, seed uint64) ([]Reading, error) {
+func playSlowStart(at Sizes, seed uint64) ([]Reading, error) {
 	brokers := int(at.Of(axisBrokers))
 	rng := rand.New(rand.NewPCG(seed, 3))
 	rate := TargetQueries * TargetParts / float64(brokers) // parts a second of one broker
 	settings := slowstart.Settings{
-		InitialFraction: coldShare, Duration: warmUp, OverloadFactor: fallMultiple, OverloadWindow: fallTime,
+		InitialFraction: slowStartFraction, Duration: slowStartDuration, OverloadFactor: overloadFactor, OverloadWindow: overloadWindow,
 	}
-	const learn, step = 30.0, 2e-3 // seconds; answers of a step are booked together
+	const learn, interval = 30.0, 2e-3 // seconds; answers of a step are booked together
 	estimates := make([]*lease.CapacityEstimate, brokers)
 	one := lease.NewCapacityEstimate(settings, brokers, rng)
 	now := 0.0
-	for ; now < learn; now += step {
-		for range int(rate*step + rng.Float64()) {
+	for ; now < learn; now += interval {
+		for range int(rate*interval + rng.Float64()) {
 			one.Answered(now, TargetServers)
 		}
 	}
@@ -53,7 +53,7 @@
 	}
 	fraction := one.CapacityFraction(now, now)
 	sum, most, each := 0.0, 0.0, 0.0
-	for range coldWindows {
+	for range slowStartWindows {
 		window := 0.0
 		for _, b := range estimates {
 			room := b.Budget(fraction, rng.Float64(), now, TargetServers)
@@ -63,10 +63,10 @@
 		sum, most = sum+window, math.Max(most, window)
 	}
 	// The limit: what the server bears warm is at least its even share of the load.
-	bears := fallMultiple * fraction * fallTime * float64(TargetQueries*TargetParts) / TargetServers
+	bears := overloadFactor * fraction * overloadWindow * float64(TargetQueries*TargetParts) / TargetServers
 	return []Reading{
-		{"room of a broker", "parts a window", each / coldWindows / float64(brokers)},
-		{"sum of all brokers", "parts a window", sum / coldWindows},
+		{"room of a broker", "parts a window", each / slowStartWindows / float64(brokers)},
+		{"sum of all brokers", "parts a window", sum / slowStartWindows},
 		{"largest sum", "parts a window", most},
 		{"limit", "parts a window", bears},
 		{"largest sum of the limit", "share", most / bears},
--- a/internal/scale/configuration.go
+++ b/internal/scale/configuration.go
@@ -111,7 +111,7 @@
 func (d *distributed) askHubs(command hubCommand) ([]hubAnswer, error) {
 	answers := make([]hubAnswer, len(d.hubs))
 	for i, hub := range d.hubs {
-		if err := hub.ask(command, &answers[i]); err != nil {
+		if err := hub.request(command, &answers[i]); err != nil {
 			return nil, err
 		}
 	}
@@ -119,7 +119,7 @@
 }
 
 func (d *distributed) askFollowers(command followersCommand) (answer followersAnswer, err error) {
-	err = d.followers.ask(command, &answer)
+	err = d.followers.request(command, &answer)
 	return answer, err
 }
 
@@ -161,11 +161,11 @@
 	return []Reading{
 		{"start at once: all follow", "s", seconds(started.Done - started.At)},
 		{"start at once: connections of one hub", "connections in its busiest second",
-			mostOf(hubs, func(h hubAnswer) float64 { return float64(h.Peak) })},
+			maxOf(hubs, func(h hubAnswer) float64 { return float64(h.Peak) })},
 		{"start at once: processor", "µs a broker", micros(started.Processor-empty.Processor) / d.count},
 		{"memory", "bytes a broker", max((full.Memory-empty.Memory)/d.count, 1)},
-		{"memory of the busiest hub", "bytes", mostOf(hubs, func(h hubAnswer) float64 { return h.Memory })},
-		{"streams of the busiest hub", "streams", mostOf(hubs, func(h hubAnswer) float64 { return float64(h.Streams) })},
+		{"memory of the busiest hub", "bytes", maxOf(hubs, func(h hubAnswer) float64 { return h.Memory })},
+		{"streams of the busiest hub", "streams", maxOf(hubs, func(h hubAnswer) float64 { return float64(h.Streams) })},
 	}, nil
 }
 
@@ -297,7 +297,7 @@
 	return []Reading{
 		{"hub lost: all follow again", "s", seconds(again.Done - again.At)},
 		{"hub lost: connections of one hub", "connections in its busiest second",
-			mostOf(hubs, func(h hubAnswer) float64 { return float64(h.Peak) })},
+			maxOf(hubs, func(h hubAnswer) float64 { return float64(h.Peak) })},
 	}, nil
 }
 
@@ -305,7 +305,7 @@
 
 func micros(d time.Duration) float64 { return d.Seconds() * 1e6 }
 
-func mostOf(hubs []hubAnswer, value func(hubAnswer) float64) float64 {
+func maxOf(hubs []hubAnswer, value func(hubAnswer) float64) float64 {
 	most := 0.0
 	for _, hub := range hubs {
 		most = max(most, value(hub))
--- a/internal/scale/configuration_hub.go
+++ b/internal/scale/configuration_hub.go
@@ -15,7 +15,7 @@
 
 const (
 	confirmEvery = 100 * time.Millisecond // the leader's word that the newest revision is the newest
-	acceptsMost  = 1 << 14                // connections that are noted
+	maxAccepts   = 1 << 14                // connections that are noted
 )
 
 // hubCommand is what the parent asks of a hub.
@@ -113,7 +113,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.total++
-	if len(l.accepts) < acceptsMost {
+	if len(l.accepts) < maxAccepts {
 		l.accepts = append(l.accepts, time.Now())
 	}
 	return &countedConn{conn, l}, nil
--- a/internal/scale/decision.go
+++ b/internal/scale/decision.go
@@ -11,12 +11,12 @@
 
 // Axes.
 const (
-	axisServers  = "servers"
-	axisParts    = "parts"
-	axisBrokers  = "brokers"
-	axisCut      = "cut_s"
-	axisInterval = "restart_interval_s"
-	axisFloor    = "floor"
+	axisServers         = "servers"
+	axisParts           = "parts"
+	axisBrokers         = "brokers"
+	axisCut             = "cut_s"
+	axisInterval        = "restart_interval_s"
+	axisMinCompleteness = "floor"
 )
 
 var (
@@ -28,25 +28,25 @@
 )
 
 const (
-	cellsOfZone = 460 // servers a zone: a tenth of the target's
-	warmQueries = 60  // before anything is counted
-	countedLong = 300 // queries counted
+	replicaSetsPerZone = 460 // servers a zone: a tenth of the target's
+	warmQueries        = 60  // before anything is counted
+	countedLong        = 300 // queries counted
 )
 
 // targetSettings are the module's settings at the target: each server is a cell, and a shard is held by three.
 func targetSettings(servers, brokers int) decision.Settings {
 	return decision.Settings{
 		Classes: []decision.Class{{LatencyObjective: TargetLatency, Deadline: 4 * TargetLatency, PriorityWeight: 1, CompletenessThreshold: 1, MinCompleteness: 1}},
-		Brokers: brokers, ReplicaSets: servers, ReplicationFactor: AssumedReach, MaxPartsPerCall: 1, MaxAttempts: 4, Tick: 0.005,
+		Brokers: brokers, ReplicaSets: servers, ReplicationFactor: AssumedReplicationFactor, MaxPartsPerCall: 1, MaxAttempts: 4, Tick: 0.005,
 		ReportMode: decision.ReportPiggyback, CancelAllowed: true, HealthChecksAllowed: true, RetryAfterSupported: true, MaxRetryAfter: 0.5,
-		SlowStart: slowstart.Settings{InitialFraction: coldShare, Duration: warmUp, OverloadFactor: fallMultiple, OverloadWindow: fallTime},
+		SlowStart: slowstart.Settings{InitialFraction: slowStartFraction, Duration: slowStartDuration, OverloadFactor: overloadFactor, OverloadWindow: overloadWindow},
 	}
 }
 
 func targetList(servers int) []decision.Server {
 	list := make([]decision.Server, servers)
 	for i := range list {
-		list[i] = decision.Server{ID: serverID(i), Zone: i / cellsOfZone % TargetZones, ReplicaSet: i, Capacity: 1}
+		list[i] = decision.Server{ID: serverID(i), Zone: i / replicaSetsPerZone % TargetZones, ReplicaSet: i, Capacity: 1}
 	}
 	return list
 }
--- a/internal/scale/experiment.go
+++ b/internal/scale/experiment.go
@@ -80,7 +80,7 @@
 	return []Experiment{
 		decisionExperiment(), serviceExperiment(), meshExperiment(), listExperiment(), watchExperiment(),
 		membershipExperiment(), faultExperiment(), cutExperiment(), restartExperiment(), returnExperiment(),
-		hollowExperiment(), coldExperiment(), quantileExperiment(), configurationExperiment(),
+		hollowExperiment(), slowStartExperiment(), quantileExperiment(), configurationExperiment(),
 	}
 }
 
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -32,7 +32,7 @@
 
 func entryOf(i int) discovery.Entry {
 	return discovery.Entry{ID: serverID(i), Addr: fmt.Sprintf("10.%d.%d.%d:9000", i>>16&255, i>>8&255, i&255),
-		Zone: names.Zones[i/cellsOfZone%TargetZones], Kind: names.Kinds[0], Cell: i, State: "active", Weight: 1,
+		Zone: names.Zones[i/replicaSetsPerZone%TargetZones], Kind: names.Kinds[0], Cell: i, State: "active", Weight: 1,
 		StartedMS: 1_790_000_000_000 + float64(i)}
 }
 
@@ -193,7 +193,7 @@
 	if err := c.change(); err != nil {
 		return nil, err
 	}
-	if err := t.until(brokers, brokers*changesMost, changesMost*changeEvery+listWithin); err != nil {
+	if err := t.until(brokers, brokers*maxChanges, maxChanges*changeEvery+listWithin); err != nil {
 		return nil, err
 	}
 	changes := meter.Stop()
@@ -207,7 +207,7 @@
 	return []Reading{
 		{"all have the list", "s", start.Wall.Seconds()},
 		{"processor for the list", "µs a broker", start.Processor.Seconds() * 1e6 / each},
-		{"processor for a change", "µs a broker", changes.Processor.Seconds() * 1e6 / each / changesMost},
+		{"processor for a change", "µs a broker", changes.Processor.Seconds() * 1e6 / each / maxChanges},
 		{"memory", "bytes a broker", max(held/each, 1)},
 		{"a change has come to 99 in 100", "s", t.late[len(t.late)*99/100]},
 		{"a change has come to all", "s", t.late[len(t.late)-1]},
--- a/internal/scale/membership.go
+++ b/internal/scale/membership.go
@@ -13,7 +13,7 @@
 	restartFor  = 60 * time.Second
 	restartDown = time.Second // a process that is restarted is down for it
 	cutBrokers  = 40
-	rackLeast   = 4 // a rack is TargetRack machines, and never more than one in so many of the fleet
+	minRack     = 4 // a rack is TargetRack machines, and never more than one in so many of the fleet
 )
 
 // membershipSizes end at 490: internal/membership holds membership.MaxMembers instances at most, those just restarted too.
@@ -88,7 +88,7 @@
 	if err := w.run(w.now + faultFor); err != nil {
 		return nil, err
 	}
-	rack := w.kill(func(x *node) bool { return x.number >= seedsOfFleet }, min(TargetRack, brokers/rackLeast))
+	rack := w.kill(func(x *node) bool { return x.number >= seedsOfFleet }, min(TargetRack, brokers/minRack))
 	rackKnown, rackTraffic, err := w.afterFault()
 	if err != nil {
 		return nil, err
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -21,7 +21,7 @@
 	fleetName          = 7
 	lookEvery          = 200 * time.Millisecond // between two looks whether all agree
 	seedsOfFleet       = 3
-	queueMost          = 1 << 22 // datagrams and ticks that wait, in all
+	maxQueue           = 1 << 22 // datagrams and ticks that wait, in all
 	startWithin        = time.Second
 	brokersPerAddrByte = 250
 )
@@ -111,7 +111,7 @@
 // run plays to a time.
 func (w *network) run(to time.Duration) error {
 	for len(w.queue) > 0 && w.queue[0].at <= to {
-		if len(w.queue) > queueMost {
+		if len(w.queue) > maxQueue {
 			return errQueue
 		}
 		e := heap.Pop(&w.queue).(arrival)
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -20,13 +20,13 @@
 
 // What the program and its example deployment fix, where no name is exported.
 const (
-	exampleOpenCap   = 267     // deploy/example.json: queries and parts held at most
-	exampleSockets   = 1024    // deploy/example.json: descriptors
-	serverShare      = 3. / 8  // of them for record servers (internal/config)
-	listLine         = 1 << 20 // bytes of a watch's longest line (internal/httpwire)
-	assumedValue     = 200     // bytes of a part's answer
-	assumedSharePart = 0.88    // of the machines are record servers: 4,600 of 4,600 + 590 + 4
-	wordsARestart    = 3       // changes of the list a restart: leaving, left, active
+	exampleOpenCap        = 267     // deploy/example.json: queries and parts held at most
+	exampleSockets        = 1024    // deploy/example.json: descriptors
+	serverFraction        = 3. / 8  // of them for record servers (internal/config)
+	listLine              = 1 << 20 // bytes of a watch's longest line (internal/httpwire)
+	assumedValue          = 200     // bytes of a part's answer
+	assumedServerFraction = 0.88    // of the machines are record servers: 4,600 of 4,600 + 590 + 4
+	wordsARestart         = 3       // changes of the list a restart: leaving, left, active
 )
 
 // Page renders docs/CAPACITY.md from the records. Every figure that was measured is taken from them; a row whose run is
@@ -41,7 +41,7 @@
 		"div":    func(a, b float64) float64 { return a / b },
 		"beyond": p.beyond, "reaches": p.reaches,
 		"callBytes": callBytes, "answerBytes": answerBytes, "openCap": func() float64 { return exampleOpenCap },
-		"connections": func() float64 { return exampleSockets * serverShare }, "line": func() float64 { return listLine },
+		"connections": func() float64 { return exampleSockets * serverFraction }, "line": func() float64 { return listLine },
 		"body": func() float64 { return httpwire.MaxBody }, "most": func() float64 { return membership.MaxMembers },
 		"slice3": func() []float64 { return partSizes }, "late": p.late, "hedged": p.hedged,
 		"distributed": p.distributed, "listChanges": listChanges, "value": func() float64 { return assumedValue },
@@ -56,12 +56,12 @@
 
 // listChanges are how often the list changes a day.
 func listChanges() float64 {
-	return (TargetRestarts + TargetFailures) * assumedSharePart * wordsARestart
+	return (TargetRestarts + TargetFailures) * assumedServerFraction * wordsARestart
 }
 
 func callBytes() float64 {
 	id := frame.PartID(strings.Repeat("q", 16), 4000, false)
-	call := frame.Call{ID: id, Shard: 4000, WaitMS: 240, Payload: make([]byte, serviceText)}
+	call := frame.Call{ID: id, Shard: 4000, WaitMS: 240, Payload: make([]byte, servicePayloadSize)}
 	return float64(len(frame.AppendCall(nil, call)))
 }
 
@@ -102,8 +102,8 @@
 	return p.mean("quantile", "late parts with a hedge", fmt.Sprintf("parts=%g floor=%g", parts, floor))
 }
 
-// place reads "servers=4600 parts=300".
-func place(text string) (sizes []Size, err error) {
+// parsePlace reads "servers=4600 parts=300".
+func parsePlace(text string) (sizes []Size, err error) {
 	for _, field := range strings.Fields(text) {
 		name, value, ok := strings.Cut(field, "=")
 		v, err := strconv.ParseFloat(value, 64)
@@ -116,7 +116,7 @@
 }
 
 func (p page) values(experiment, name, where string) ([]float64, error) {
-	at, err := place(where)
+	at, err := parsePlace(where)
 	if err != nil {
 		return nil, err
 	}
@@ -181,7 +181,7 @@
 }
 
 func (p page) samples(experiment, name, axis, fixed string) ([]Sample, *Record, error) {
-	at, err := place(fixed)
+	at, err := parsePlace(fixed)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/scale/page_misses.go
+++ b/internal/scale/page_misses.go
@@ -56,7 +56,7 @@
 		{"configuration now, processor of a follower at ten times the rate of changes", "none needed", follow, BudgetCore,
 			"cores"},
 		{"connections of a broker, one to each record server, in the example's descriptors", "a larger limit, or subsetting",
-			TargetServers, exampleSockets * serverShare, "connections"},
+			TargetServers, exampleSockets * serverFraction, "connections"},
 		{"a broker's service path, cores (one loop, one core)", "several workers (`internal/cores`), fewer frames a part",
 			query * QueriesABroker(TargetBrokers), 1, "cores"},
 		{"a zone's 460 servers told one by one, of the 0.25 s in which a drain binds", "one delta for all; a list that " +
--- a/internal/scale/quantile.go
+++ b/internal/scale/quantile.go
@@ -10,7 +10,7 @@
 const hedgeAt = 0.95
 
 func quantileExperiment() Experiment {
-	points := grid(axisParts, partSizes, axisFloor, []float64{1, 0.99, 0.95, 0.8})
+	points := grid(axisParts, partSizes, axisMinCompleteness, []float64{1, 0.99, 0.95, 0.8})
 	return Experiment{
 		Name:       "quantile",
 		Provenance: Provenance{Computed: "parts' latencies taken for independent of each other"},
@@ -21,7 +21,7 @@
 
 // playQuantile computes which share of parts has to be in time so that TargetQuantile of queries are.
 func playQuantile(at Sizes, _ uint64) ([]Reading, error) {
-	late := 1 - PartQuantile(int(at.Of(axisParts)), at.Of(axisFloor))
+	late := 1 - PartQuantile(int(at.Of(axisParts)), at.Of(axisMinCompleteness))
 	// A hedged part is late if the first copy is and the second too. The second has what is left of the time; for it to
 	// be late is taken for as likely as for the first to be later than hedgeAt, which is cautious.
 	hedged := late / (1 - hedgeAt)
--- a/internal/scale/service.go
+++ b/internal/scale/service.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	serviceAtOnce  = 4                // queries out at once
-	serviceCounted = 24_000           // parts counted at least
-	servicePatient = 20 * time.Second // a client's wait; nothing is to end by time-out
-	serviceText    = 64               // bytes of a part's text
-	openWithin     = 30 * time.Second
+	serviceAtOnce      = 4                // queries out at once
+	serviceCounted     = 24_000           // parts counted at least
+	servicePatient     = 20 * time.Second // a client's wait; nothing is to end by time-out
+	servicePayloadSize = 64               // bytes of a part's text
+	openWithin         = 30 * time.Second
 )
 
 // core is a broker's core and link, without a front, against record servers in a child.
 type core struct {
 	*broker.Broker
-	child  *child
-	cancel context.CancelFunc
-	known  []broker.Endpoint
+	child     *child
+	cancel    context.CancelFunc
+	endpoints []broker.Endpoint
 }
 
 func startCore(servers int, reports decision.ReportMode, seed uint64) (*core, error) {
@@ -44,7 +44,7 @@
 }
 
 func (c *core) update() {
-	c.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Version: 1, Servers: c.known})
+	c.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Version: 1, Servers: c.endpoints})
 }
 
 func (c *core) stop() error {
@@ -64,9 +64,9 @@
 
 func (f finished) Finish(r broker.Result) { f <- r }
 
-// ask plays queries, so many at once, and returns an error if one is not answered whole.
-func (c *core) ask(name string, queries, parts int, rng *rand.Rand) error {
-	text := make([]byte, serviceText)
+// query plays queries, so many at once, and returns an error if one is not answered whole.
+func (c *core) query(name string, queries, parts int, rng *rand.Rand) error {
+	text := make([]byte, servicePayloadSize)
 	for i := range text {
 		text[i] = 'x'
 	}
@@ -75,9 +75,9 @@
 	for asked, ended := 0, 0; ended < queries; {
 		for ; out < serviceAtOnce && asked < queries; asked++ {
 			r := &broker.Request{ID: fmt.Sprint(name, asked), ReceivedAt: time.Now(), Timeout: servicePatient, Payload: text}
-			first := rng.IntN(len(c.known))
+			first := rng.IntN(len(c.endpoints))
 			for i := range parts {
-				r.Parts = append(r.Parts, broker.Part{Shard: (first + i) % len(c.known), Weight: 1 / float64(parts)})
+				r.Parts = append(r.Parts, broker.Part{Shard: (first + i) % len(c.endpoints), Weight: 1 / float64(parts)})
 			}
 			c.Submit(r, done)
 			out++
@@ -112,7 +112,7 @@
 	c.update()
 	rng := rand.New(rand.NewPCG(seed, 17))
 	warm := 3*servers/parts + 10 // parts for each server, so that most connections are open
-	if err := c.ask("warm", warm, parts, rng); err != nil {
+	if err := c.query("warm", warm, parts, rng); err != nil {
 		return nil, err
 	}
 	counted := serviceCounted
@@ -121,7 +121,7 @@
 	}
 	queries := max(counted/parts, 20)
 	meter := Start()
-	if err := c.ask("q", queries, parts, rng); err != nil {
+	if err := c.query("q", queries, parts, rng); err != nil {
 		return nil, err
 	}
 	used := meter.Stop()
--- a/internal/scale/target.go
+++ b/internal/scale/target.go
@@ -27,12 +27,12 @@
 
 // What is assumed, since nobody has told it.
 const (
-	AssumedBatch   = 0.001 // seconds: what a broker's loop takes together
-	AssumedWork    = 0.010 // seconds: mean work of a part
-	AssumedReach   = 3     // replicas of a shard
-	AssumedBrokerP = 0.7   // of its cores a broker may use on an ordinary day; the rest is for a zone's loss
-	DayS           = 86_400.0
-	HourS          = 3600.0
+	AssumedBatch             = 0.001 // seconds: what a broker's loop takes together
+	AssumedWork              = 0.010 // seconds: mean work of a part
+	AssumedReplicationFactor = 3     // replicas of a shard
+	AssumedBrokerP           = 0.7   // of its cores a broker may use on an ordinary day; the rest is for a zone's loss
+	DayS                     = 86_400.0
+	HourS                    = 3600.0
 )
 
 // QueriesABroker is how many queries a second come to each of so many brokers.
