--- a/cmd/mothload/main.go
+++ b/cmd/mothload/main.go
@@ -210,7 +210,7 @@
 				if due.Sub(begin) > d {
 					return
 				}
-				ok, err := query(conn, in, c, int(names.Add(1)))
+				ok, err := query(conn, in, c, int(classNames.Add(1)))
 				if err != nil {
 					failed++
 					return
@@ -227,7 +227,7 @@
 	return waits, lost
 }
 
-var names atomic.Int64
+var classNames atomic.Int64
 
 // query sends one query and takes its answer.
 func query(conn net.Conn, in *textproto.Reader, client, n int) (served bool, err error) {
--- a/cmd/mothrouter/commands.go
+++ b/cmd/mothrouter/commands.go
@@ -8,11 +8,11 @@
 	"github.com/spf13/cobra"
 )
 
-// commandNames are the first arguments that call a command. All else starts a broker, with its own flags.
-var commandNames = map[string]bool{"state": true, "control": true, "config": true}
+// commands are the first arguments that call a command. All else starts a broker, with its own flags.
+var commands = map[string]bool{"state": true, "control": true, "config": true}
 
 // isCommand tells whether the arguments call a command rather than start a broker.
-func isCommand(args []string) bool { return len(args) > 1 && commandNames[args[1]] }
+func isCommand(args []string) bool { return len(args) > 1 && commands[args[1]] }
 
 // exitError is an error that ends the process with a status other than 1.
 type exitError struct {
--- a/cmd/mothrouter/config_command.go
+++ b/cmd/mothrouter/config_command.go
@@ -66,13 +66,13 @@
 }
 
 // requestID reads the id of an earlier try, or draws a new one.
-func requestID(text string) (uint64, error) {
-	if text == "" {
+func requestID(s string) (uint64, error) {
+	if s == "" {
 		return max(rand.Uint64(), 1), nil
 	}
-	id, err := strconv.ParseUint(text, 16, 64)
+	id, err := strconv.ParseUint(s, 16, 64)
 	if err != nil || id == 0 {
-		return 0, fmt.Errorf("--request: %q is not an id that was printed", text)
+		return 0, fmt.Errorf("--request: %q is not an id that was printed", s)
 	}
 	return id, nil
 }
--- a/cmd/mothrouter/flight_test.go
+++ b/cmd/mothrouter/flight_test.go
@@ -122,7 +122,7 @@
 func ticket(id, class string, parts int) []byte {
 	t := mothflight.Ticket{ID: id, Class: class, Body: httpwire.Body{Query: "x"}}
 	for i := range parts {
-		t.Targets = append(t.Targets, httpwire.Target{Partition: i, Share: 1 / float64(parts)})
+		t.Targets = append(t.Targets, httpwire.Target{Partition: i, Weight: 1 / float64(parts)})
 	}
 	text, err := json.Marshal(t)
 	if err != nil {
--- a/cmd/mothrouter/followed_test.go
+++ b/cmd/mothrouter/followed_test.go
@@ -94,7 +94,7 @@
 	} {
 		refused := apply(document)
 		require.Equal(t, []any{uint64(7), key}, []any{refused.GetNumber(), refused.GetKey()})
-		require.LessOrEqual(t, len(refused.GetKey()), configpb.MaxRefusalKey)
+		require.LessOrEqual(t, len(refused.GetKey()), configpb.MaxRejectionKey)
 		require.NotEmpty(t, refused.GetReason())
 	}
 	core.err = broker.ErrEnded
--- a/cmd/mothrouter/process.go
+++ b/cmd/mothrouter/process.go
@@ -72,7 +72,7 @@
 // run is the process, from its start to its end.
 func run(getenv func(string) string, files files) error {
 	p := &process{files: files, started: time.Now(), parts: &assembly.Assembly{}, served: make(chan error, 3)}
-	p.takeSignals()
+	p.handleSignals()
 	if err := p.load(getenv); err != nil {
 		return err
 	}
@@ -98,8 +98,8 @@
 	return why
 }
 
-// takeSignals comes before all else: a broker must not end because it was told of a new file.
-func (p *process) takeSignals() {
+// handleSignals comes before all else: a broker must not end because it was told of a new file.
+func (p *process) handleSignals() {
 	p.hup = make(chan os.Signal, 1)
 	signal.Notify(p.hup, syscall.SIGHUP)
 	p.term = make(chan os.Signal, 1)
--- a/cmd/mothrouter/refusal.go
+++ b/cmd/mothrouter/refusal.go
@@ -18,5 +18,5 @@
 	if errors.As(err, &fault) {
 		key, reason = fault.Key, fault.Reason
 	}
-	return configpb.NewRefusal(number, key, reason)
+	return configpb.NewRejection(number, key, reason)
 }
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -240,7 +240,7 @@
 
 // Gauges returns the present figures. Any goroutine may ask.
 func (b *Broker) Gauges() Gauges {
-	listed, avoided := b.endpoints.Count()
+	listed, avoided := b.endpoints.Size()
 	return Gauges{Queries: int(b.inFlightQueries.Load()), Endpoints: listed, Avoided: avoided}
 }
 
--- a/internal/broker/call.go
+++ b/internal/broker/call.go
@@ -126,10 +126,10 @@
 	errPartFinished      = errors.New("the part has finished")
 	errAttemptInFlight   = errors.New("an attempt of the part is in flight")
 	errNotIdempotent     = errors.New("the part may have run and must not run twice")
-	errWindowOver        = errors.New("the part may have run and its idempotency window is over")
+	errWindowExpired     = errors.New("the part may have run and its idempotency window is over")
 	errDisconnected      = errors.New("the client has disconnected")
 	errServerUnavailable = errors.New("the server drains, is removed or was never listed")
-	errDeadlineOver      = errors.New("the client's deadline is over")
+	errDeadlineExceeded  = errors.New("the client's deadline is over")
 )
 
 // maxAttemptsError tells that a part has had all its attempts.
@@ -159,21 +159,21 @@
 	case pt.mayRun && pt.query.class.Idempotency == decision.NonIdempotent:
 		return errNotIdempotent
 	case !pt.retryUntil.IsZero() && !time.Now().Before(pt.retryUntil):
-		return errWindowOver
+		return errWindowExpired
 	case pt.query.req.disconnected():
 		return errDisconnected
 	case s == nil || s.Unavailable():
 		return errServerUnavailable
-	case !holdsShard(settings, s.ReplicaSet, pt.Shard):
+	case !servesShard(settings, s.ReplicaSet, pt.Shard):
 		return wrongShardError{pt.Shard, s.ReplicaSet}
 	case !time.Now().Before(pt.query.deadline):
-		return errDeadlineOver
+		return errDeadlineExceeded
 	}
 	return nil
 }
 
-// holdsShard tells whether the servers of a replica set hold a shard.
-func holdsShard(settings *decision.Settings, replicaSet, shard int) bool {
+// servesShard tells whether the servers of a replica set hold a shard.
+func servesShard(settings *decision.Settings, replicaSet, shard int) bool {
 	n := settings.ReplicaSets
 	if n <= 0 {
 		return true
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -95,8 +95,8 @@
 	return e.byID[id]
 }
 
-// Count is how many servers are on the list, and how many of them get no work now.
-func (e *Endpoints) Count() (listed, avoided int) {
+// Size is how many servers are on the list, and how many of them get no work now.
+func (e *Endpoints) Size() (listed, avoided int) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	now := time.Now()
--- a/internal/broker/phase.go
+++ b/internal/broker/phase.go
@@ -38,9 +38,9 @@
 func (q *query) tally() (t completeness.Tally) {
 	for _, pt := range q.parts {
 		if pt.answered {
-			t.Answer(pt.Weight)
+			t.AddAnswered(pt.Weight)
 		} else {
-			t.Await(pt.Weight)
+			t.AddPending(pt.Weight)
 		}
 	}
 	return t
--- a/internal/completeness/completeness.go
+++ b/internal/completeness/completeness.go
@@ -27,17 +27,17 @@
 	missing  int     // parts that are not in
 }
 
-// Answer counts a part that is in.
-func (t *Tally) Answer(weight float64) { t.Answered += weight }
+// AddAnswered counts a part that is in.
+func (t *Tally) AddAnswered(weight float64) { t.Answered += weight }
 
-// Await counts a part that may still come in.
-func (t *Tally) Await(weight float64) {
+// AddPending counts a part that may still come in.
+func (t *Tally) AddPending(weight float64) {
 	t.pending += weight
 	t.missing++
 }
 
-// Lose counts a part that cannot come in any more.
-func (t *Tally) Lose() { t.missing++ }
+// AddLost counts a part that cannot come in any more.
+func (t *Tally) AddLost() { t.missing++ }
 
 // Complete tells whether the parts that are in make a complete answer.
 func (t *Tally) Complete(at Thresholds) bool {
--- a/internal/completeness/completeness_test.go
+++ b/internal/completeness/completeness_test.go
@@ -31,11 +31,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var tally completeness.Tally
-			tally.Answer(c.answered)
+			tally.AddAnswered(c.answered)
 			if c.pending > 0 {
-				tally.Await(c.pending)
+				tally.AddPending(c.pending)
 			} else if c.answered < 1-completeness.Slack {
-				tally.Lose()
+				tally.AddLost()
 			}
 			require.Equal(t, c.complete, tally.Complete(c.at), "complete")
 			require.Equal(t, c.enough, tally.Enough(c.at), "enough")
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -181,8 +181,8 @@
 }
 
 // reachable reads an address that others connect to.
-func reachable(key, text string) (netip.AddrPort, error) {
-	address, err := netip.ParseAddrPort(text)
+func reachable(key, s string) (netip.AddrPort, error) {
+	address, err := netip.ParseAddrPort(s)
 	if err != nil {
 		return address, keyError(key, "%v", err)
 	}
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -48,22 +48,22 @@
 // ParseDocument reads a document and checks it whole, by what checks the file of PROXY_CONFIG. Beyond that it refuses
 // top-level keys other than discovery and settings, and keys that stand twice in an object, which readers would take
 // differently. Each error is a *KeyError; "document" is the key where the text as a whole is at fault.
-func ParseDocument(text []byte) (*Document, error) {
-	if len(text) > MaxDocumentSize {
-		return nil, keyError("document", "has %d bytes, %d at most", len(text), MaxDocumentSize)
+func ParseDocument(data []byte) (*Document, error) {
+	if len(data) > MaxDocumentSize {
+		return nil, keyError("document", "has %d bytes, %d at most", len(data), MaxDocumentSize)
 	}
 	var f inService
-	if err := json.Unmarshal(text, &f); err != nil {
+	if err := json.Unmarshal(data, &f); err != nil {
 		return nil, typeError(err)
 	}
 	d := &Document{Discovery: f.Discovery}
-	if err := decoder(text).Decode(&d.tree); err != nil {
+	if err := decoder(data).Decode(&d.tree); err != nil {
 		return nil, keyError("document", "%v", err)
 	}
 	if err := checkTop(d.tree); err != nil {
 		return nil, err
 	}
-	if err := checkUnique(decoder(text), ""); err != nil {
+	if err := checkUnique(decoder(data), ""); err != nil {
 		return nil, err
 	}
 	if err := checkAddr("discovery", f.Discovery); err != nil {
@@ -78,8 +78,8 @@
 }
 
 // decoder reads numbers as they are written.
-func decoder(text []byte) *json.Decoder {
-	in := json.NewDecoder(bytes.NewReader(text))
+func decoder(data []byte) *json.Decoder {
+	in := json.NewDecoder(bytes.NewReader(data))
 	in.UseNumber()
 	return in
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -29,18 +29,18 @@
 }
 
 // settings reads the settings, of which the module's part as the adapter does.
-func (c *Config) settings(text json.RawMessage) (err error) {
-	if len(text) == 0 {
+func (c *Config) settings(data json.RawMessage) (err error) {
+	if len(data) == 0 {
 		return keyError("settings", "is missing")
 	}
-	if c.Settings, err = wire.ParseSettings(string(text)); err != nil {
+	if c.Settings, err = wire.ParseSettings(string(data)); err != nil {
 		return keyError("settings", "%v", err)
 	}
 	// A part's attempts are never out together here, even where the platform bears it. The module must know: one that
 	// counts on copies waits for them beside an attempt that is lost.
 	c.Settings.HedgingAllowed = false
 	var s settings
-	if err := json.Unmarshal(text, &s); err != nil {
+	if err := json.Unmarshal(data, &s); err != nil {
 		return keyError("settings", "%v", err)
 	}
 	if len(s.Classes) == 0 {
--- a/internal/configclient/reporter.go
+++ b/internal/configclient/reporter.go
@@ -30,7 +30,7 @@
 func (r *reporter) logStatus(now time.Time, status distribution.FollowerStatus) {
 	before := r.before
 	r.before = status
-	switch connected, was := !status.Heard.IsZero(), !before.Heard.IsZero(); {
+	switch connected, was := !status.LastReceived.IsZero(), !before.LastReceived.IsZero(); {
 	case connected && (!was || status.Control != before.Control):
 		r.log.Info("connected to a control machine", "control", status.Control, "newest", status.Newest)
 	case was && !connected:
--- a/internal/configpb/bounds.go
+++ b/internal/configpb/bounds.go
@@ -10,24 +10,24 @@
 
 // Bounds of messages, in bytes. They hold for all who make, store and take them.
 const (
-	MaxDocument      = 64 << 10
-	MaxRefusalKey    = 256
-	MaxRefusalReason = 1024
+	MaxDocument        = 64 << 10
+	MaxRejectionKey    = 256
+	MaxRejectionReason = 1024
 )
 
 // Checksum returns the checksum of a document, as Revision names it.
 func Checksum(document []byte) uint64 { return xxhash.Sum64(document) }
 
-// NewRefusal returns a refusal within its bounds: texts are cut, and made valid UTF-8.
-func NewRefusal(number uint64, key, reason string) *Refusal {
-	return &Refusal{Number: number, Key: cut(key, MaxRefusalKey), Reason: cut(reason, MaxRefusalReason)}
+// NewRejection returns a refusal within its bounds: texts are cut, and made valid UTF-8.
+func NewRejection(number uint64, key, reason string) *Refusal {
+	return &Refusal{Number: number, Key: cut(key, MaxRejectionKey), Reason: cut(reason, MaxRejectionReason)}
 }
 
 // cut returns a text of at most so many bytes that is valid UTF-8.
-func cut(text string, most int) string {
-	text = strings.ToValidUTF8(text, "?")
-	if len(text) > most {
-		text = strings.ToValidUTF8(text[:most], "")
+func cut(s string, most int) string {
+	s = strings.ToValidUTF8(s, "?")
+	if len(s) > most {
+		s = strings.ToValidUTF8(s[:most], "")
 	}
-	return text
+	return s
 }
--- a/internal/configstatus/configstatus.go
+++ b/internal/configstatus/configstatus.go
@@ -20,15 +20,15 @@
 
 // View is the merged status.
 type View struct {
-	Leader      string     `json:"leader"` // "": no machine that answered knows one
-	Newest      uint64     `json:"newest"`
-	ConfirmedMs int64      `json:"confirmed_ms"` // since a quorum last confirmed newest; -1: never
-	Machines    []Machine  `json:"machines"`
-	Connected   int        `json:"connected"` // brokers
-	Behind      []Broker   `json:"behind"`    // connected, and newest is not in force there
-	CutOff      []Broker   `json:"cut_off"`   // that follow none of the machines that answered
-	Refusals    []Refusal  `json:"refusals"`
-	Revisions   []Revision `json:"revisions"` // newest first
+	Leader      string      `json:"leader"` // "": no machine that answered knows one
+	Newest      uint64      `json:"newest"`
+	ConfirmedMs int64       `json:"confirmed_ms"` // since a quorum last confirmed newest; -1: never
+	Machines    []Machine   `json:"machines"`
+	Connected   int         `json:"connected"` // brokers
+	Behind      []Broker    `json:"behind"`    // connected, and newest is not in force there
+	CutOff      []Broker    `json:"cut_off"`   // that follow none of the machines that answered
+	Refusals    []Rejection `json:"refusals"`
+	Revisions   []Revision  `json:"revisions"` // newest first
 }
 
 // Machine is one control machine: a member of the log, or an address that was asked and did not answer.
@@ -53,8 +53,8 @@
 	Control  string `json:"control"` // name of the machine that heard it last
 }
 
-// Refusal is a revision that brokers refused, by the key at fault.
-type Refusal struct {
+// Rejection is a revision that brokers refused, by the key at fault.
+type Rejection struct {
 	Number  uint64   `json:"number"`
 	Key     string   `json:"key"`
 	Reason  string   `json:"reason"`
@@ -180,6 +180,6 @@
 			return
 		}
 	}
-	v.Refusals = append(v.Refusals, Refusal{Number: refusal.GetNumber(), Key: refusal.GetKey(),
+	v.Refusals = append(v.Refusals, Rejection{Number: refusal.GetNumber(), Key: refusal.GetKey(),
 		Reason: refusal.GetReason(), Brokers: []string{row.Name}})
 }
--- a/internal/configstatus/configstatus_test.go
+++ b/internal/configstatus/configstatus_test.go
@@ -70,7 +70,7 @@
 		{Name: "n3", Zone: "z1", InForce: 6, SilentMs: 300, Control: "b"},
 	}, v.Behind)
 	require.Equal(t, []configstatus.Broker{{Name: "n4", Zone: "z1", InForce: 5, SilentMs: 70_000, Control: "b"}}, v.CutOff)
-	require.Equal(t, []configstatus.Refusal{
+	require.Equal(t, []configstatus.Rejection{
 		{Number: 7, Key: "settings.classes", Reason: "needs a restart", Brokers: []string{"n3"}},
 	}, v.Refusals)
 }
--- a/internal/configstatus/table.go
+++ b/internal/configstatus/table.go
@@ -42,12 +42,12 @@
 	}
 }
 
-func (v View) writeRevisions(w io.Writer, now time.Time, most int) {
+func (v View) writeRevisions(w io.Writer, now time.Time, limit int) {
 	if len(v.Revisions) == 0 {
 		return
 	}
 	fmt.Fprintln(w, "\nREVISION\tPUBLISHED\tIN FORCE EVERYWHERE\tHAVE IT\tLAGGING")
-	for _, r := range v.Revisions[:min(most, len(v.Revisions))] {
+	for _, r := range v.Revisions[:min(limit, len(v.Revisions))] {
 		everywhere := "not yet"
 		if r.EverywhereMs >= 0 {
 			everywhere = fmt.Sprintf("after %.1f s", float64(r.EverywhereMs)/1e3)
@@ -93,9 +93,9 @@
 	return fmt.Sprintf("%.1f s ago", float64(milliseconds)/1e3)
 }
 
-func or(text, otherwise string) string {
-	if text == "" {
+func or(s, otherwise string) string {
+	if s == "" {
 		return otherwise
 	}
-	return text
+	return s
 }
--- a/internal/consensus/members.go
+++ b/internal/consensus/members.go
@@ -14,11 +14,11 @@
 
 // members is what this member knows of the others while it leads.
 type members struct {
-	leadership uint64 // term in which this member leads; 0: it doesn't
-	lastHeard  map[uint64]time.Time
-	snapshots  map[uint64]time.Time // when a snapshot was last sent that is not acknowledged
-	changedAt  time.Time            // when a change of the members was last proposed
-	readsSent  uint64               // highest position of a read in a heartbeat of this leadership
+	leadership  uint64 // term in which this member leads; 0: it doesn't
+	lastContact map[uint64]time.Time
+	snapshots   map[uint64]time.Time // when a snapshot was last sent that is not acknowledged
+	changedAt   time.Time            // when a change of the members was last proposed
+	readsSent   uint64               // highest position of a read in a heartbeat of this leadership
 }
 
 // MemberStatus is one member, as this one sees it.
@@ -48,7 +48,7 @@
 		if id == n.options.ID {
 			member.Silent = 0
 		} else if n.members.leadership != 0 {
-			member.Silent = max(now.Sub(n.members.lastHeard[id]), 0)
+			member.Silent = max(now.Sub(n.members.lastContact[id]), 0)
 		}
 		status.Members = append(status.Members, member)
 	}
@@ -61,20 +61,20 @@
 }
 
 func newMembers(ids []uint64, now time.Time) members {
-	m := members{lastHeard: make(map[uint64]time.Time, len(ids)), snapshots: make(map[uint64]time.Time, len(ids))}
+	m := members{lastContact: make(map[uint64]time.Time, len(ids)), snapshots: make(map[uint64]time.Time, len(ids))}
 	for _, id := range ids {
-		m.lastHeard[id] = now
+		m.lastContact[id] = now
 	}
 	return m
 }
 
-func (m *members) recordHeard(id uint64, now time.Time) { m.lastHeard[id] = now }
+func (m *members) recordContact(id uint64, now time.Time) { m.lastContact[id] = now }
 
-// recordAllHeard lets every silence begin anew: at the begin of a leadership, and after a pause of this process, in which the
+// recordAllContacts lets every silence begin anew: at the begin of a leadership, and after a pause of this process, in which the
 // others may have spoken.
-func (m *members) recordAllHeard(now time.Time) {
-	for id := range m.lastHeard {
-		m.lastHeard[id] = now
+func (m *members) recordAllContacts(now time.Time) {
+	for id := range m.lastContact {
+		m.lastContact[id] = now
 	}
 }
 
@@ -83,7 +83,7 @@
 	m.leadership = term
 	m.readsSent = 0
 	clear(m.snapshots)
-	m.recordAllHeard(now)
+	m.recordAllContacts(now)
 }
 
 // noteSent books the snapshots and the reads in messages that go out.
@@ -150,7 +150,7 @@
 	return lost, spare, lost != 0 && n.isActive(spare) && n.isCaughtUp(spare)
 }
 
-func (n *Node) silence(id uint64) time.Duration { return n.now.Sub(n.members.lastHeard[id]) }
+func (n *Node) silence(id uint64) time.Duration { return n.now.Sub(n.members.lastContact[id]) }
 
 func (n *Node) isActive(id uint64) bool { return n.silence(id) < n.options.electionTimeout() }
 
--- a/internal/consensus/members_test.go
+++ b/internal/consensus/members_test.go
@@ -90,15 +90,15 @@
 				other = id
 			}
 		}
-		leader.members.recordAllHeard(leader.now)
+		leader.members.recordAllContacts(leader.now)
 		for _, id := range testVoters {
 			if id != leader.options.ID && id != other {
-				leader.members.lastHeard[id] = leader.now.Add(-DefaultLostAfter)
+				leader.members.lastContact[id] = leader.now.Add(-DefaultLostAfter)
 			}
 		}
 		_, _, ok := leader.replacement()
 		require.True(t, ok, "the other is heard")
-		leader.members.lastHeard[other] = leader.now.Add(-2 * time.Second)
+		leader.members.lastContact[other] = leader.now.Add(-2 * time.Second)
 		_, _, ok = leader.replacement()
 		require.False(t, ok, "the other is silent")
 	})
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -175,7 +175,7 @@
 	}
 	n.checkLeadership()
 	if paused {
-		n.members.recordAllHeard(n.now)
+		n.members.recordAllContacts(n.now)
 	}
 	n.proposals.expire(n.now)
 	n.reads.expire(n.now)
@@ -244,7 +244,7 @@
 	if message.GetType() == raftpb.MsgReadIndex && (n.members.leadership == 0 || !n.answersReads()) {
 		return nil // raft would pass it on in circles, or keep it without bound; the other asks again
 	}
-	n.members.recordHeard(message.GetFrom(), n.now)
+	n.members.recordContact(message.GetFrom(), n.now)
 	if err := n.stepRaft(message); err != nil {
 		return err
 	}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -57,7 +57,7 @@
 		go func() {
 			s.serve(c)
 			c.Close()
-			s.leave(at)
+			s.remove(at)
 		}()
 	}
 }
@@ -72,7 +72,7 @@
 	return s.open.PushBack(c)
 }
 
-func (s *Server) leave(at *list.Element) {
+func (s *Server) remove(at *list.Element) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open.Remove(at) // nothing, if it has made room already
--- a/internal/controlclient/controlclient.go
+++ b/internal/controlclient/controlclient.go
@@ -128,7 +128,7 @@
 		case *configpb.Refusal:
 			return &RejectedError{Key: d.GetKey(), Reason: d.GetReason()}
 		case *errdetails.ErrorInfo:
-			if d.GetReason() == configpb.NotTaken && d.GetDomain() == configpb.ErrorDomain {
+			if d.GetReason() == configpb.NotAppended && d.GetDomain() == configpb.ErrorDomain {
 				return errors.New(s.Message())
 			}
 		}
--- a/internal/controlclient/controlclient_test.go
+++ b/internal/controlclient/controlclient_test.go
@@ -37,7 +37,7 @@
 
 func notTaken() (*configpb.PublishResponse, error) {
 	s, err := status.New(codes.Unavailable, "no leader").WithDetails(
-		&errdetails.ErrorInfo{Reason: configpb.NotTaken, Domain: configpb.ErrorDomain})
+		&errdetails.ErrorInfo{Reason: configpb.NotAppended, Domain: configpb.ErrorDomain})
 	return nil, errors.Join(err, s.Err())
 }
 
--- a/internal/controlserver/publish.go
+++ b/internal/controlserver/publish.go
@@ -290,7 +290,7 @@
 
 func notAppended(format string, arguments ...any) error {
 	return withDetails(status.Newf(codes.Unavailable, format, arguments...),
-		&errdetails.ErrorInfo{Reason: configpb.NotTaken, Domain: configpb.ErrorDomain})
+		&errdetails.ErrorInfo{Reason: configpb.NotAppended, Domain: configpb.ErrorDomain})
 }
 
 func unknown(err error) error {
--- a/internal/controlserver/receive.go
+++ b/internal/controlserver/receive.go
@@ -22,7 +22,7 @@
 
 // EnvelopeCounts are the envelopes that were received, by what became of them.
 type EnvelopeCounts struct {
-	Taken      uint64
+	Accepted   uint64
 	Foreign    uint64 // of another fleet, of no member, or for another machine
 	Oversized  uint64
 	Unreadable uint64
@@ -97,7 +97,7 @@
 		r.counts.Foreign++
 		return nil
 	}
-	r.counts.Taken++
+	r.counts.Accepted++
 	return message
 }
 
--- a/internal/controlserver/receive_test.go
+++ b/internal/controlserver/receive_test.go
@@ -28,7 +28,7 @@
 		envelope *configpb.Envelope
 		counts   EnvelopeCounts
 	}{
-		{"sound", &configpb.Envelope{Fleet: fleet, From: 2, Message: heartbeat(t, 2, 1)}, EnvelopeCounts{Taken: 1}},
+		{"sound", &configpb.Envelope{Fleet: fleet, From: 2, Message: heartbeat(t, 2, 1)}, EnvelopeCounts{Accepted: 1}},
 		{"says that it is there", &configpb.Envelope{Fleet: fleet, From: 2}, EnvelopeCounts{}},
 		{"of another fleet", &configpb.Envelope{Fleet: fleet + 1, From: 2, Message: heartbeat(t, 2, 1)},
 			EnvelopeCounts{Foreign: 1}},
@@ -48,7 +48,7 @@
 			r := newReceiver(fleet, 1, []peerAddress{{id: 2}, {id: 3}}, nil)
 			message := r.open(now, c.envelope)
 			require.Equal(t, c.counts, r.envelopes())
-			require.Equal(t, c.counts.Taken == 1, message != nil)
+			require.Equal(t, c.counts.Accepted == 1, message != nil)
 		})
 	}
 }
--- a/internal/controlserver/server.go
+++ b/internal/controlserver/server.go
@@ -205,10 +205,10 @@
 	}
 }
 
-func waitFor(done <-chan struct{}, most time.Duration) {
+func waitFor(done <-chan struct{}, limit time.Duration) {
 	select {
 	case <-done:
-	case <-time.After(most):
+	case <-time.After(limit):
 	}
 }
 
--- a/internal/controlserver/server_test.go
+++ b/internal/controlserver/server_test.go
@@ -187,7 +187,7 @@
 	require.Equal(t, codes.Unavailable, status.Code(err), "%v", err)
 	details := status.Convert(err).Details()
 	require.Len(t, details, 1, "%v", err)
-	require.Equal(t, configpb.NotTaken, details[0].(*errdetails.ErrorInfo).GetReason())
+	require.Equal(t, configpb.NotAppended, details[0].(*errdetails.ErrorInfo).GetReason())
 	cancel()
 	require.NoError(t, <-ended)
 }
--- a/internal/cores/bench_test.go
+++ b/internal/cores/bench_test.go
@@ -54,7 +54,7 @@
 		for w := range g.workers {
 			g.loads[w].Backlog = g.workers[w].broker.Backlog()
 		}
-		g.names.Claim(name, 0)
+		g.registry.Claim(name, 0)
 		g.mu.Unlock()
 		(&client{group: g, name: name}).Disconnected()
 	}
--- a/internal/cores/cores.go
+++ b/internal/cores/cores.go
@@ -44,10 +44,10 @@
 
 	configuring sync.Mutex // held while a change is applied: all workers apply changes in one order
 
-	mu    sync.Mutex // guards names, rng and the loads' Open and Dead
-	names *placement.NameRegistry
-	loads []placement.WorkerLoad
-	rng   *rand.Rand
+	mu       sync.Mutex // guards names, rng and the loads' Open and Dead
+	registry *placement.NameRegistry
+	loads    []placement.WorkerLoad
+	rng      *rand.Rand
 }
 
 type worker struct {
@@ -69,7 +69,7 @@
 	g := &Group{
 		log: opt.Log, servers: broker.NewEndpoints(), limiter: lease.NewSemaphore(opt.ConcurrencyLimit),
 		state: newProcessState(n, opt.Settings, opt.Seed), failed: make(chan struct{}),
-		names: placement.NewNameRegistry(), loads: make([]placement.WorkerLoad, n),
+		registry: placement.NewNameRegistry(), loads: make([]placement.WorkerLoad, n),
 		rng: rand.New(rand.NewPCG(opt.Seed, 0xa54ff53a5f1d36f1)),
 	}
 	for i := range n {
@@ -126,7 +126,7 @@
 func (c *client) Disconnected() {
 	c.group.mu.Lock()
 	defer c.group.mu.Unlock()
-	c.group.names.Release(c.name)
+	c.group.registry.Release(c.name)
 	c.group.loads[c.worker].InFlight -= c.size
 }
 
@@ -138,13 +138,13 @@
 		g.loads[i].Backlog = w.broker.Backlog()
 	}
 	mine.worker = placement.Choose(g.loads, g.rng)
-	taken := mine.worker >= 0 && g.names.Claim(r.ID, mine.worker)
-	if taken {
+	claimed := mine.worker >= 0 && g.registry.Claim(r.ID, mine.worker)
+	if claimed {
 		g.loads[mine.worker].InFlight += mine.size
 	}
 	g.mu.Unlock()
 	switch {
-	case taken:
+	case claimed:
 		g.workers[mine.worker].broker.Submit(r, mine)
 	case mine.worker < 0:
 		c.Finish(broker.Result{Outcome: broker.Failed})
@@ -156,7 +156,7 @@
 // Disconnect tells that the client of a query has gone away.
 func (g *Group) Disconnect(r *broker.Request) {
 	g.mu.Lock()
-	w, served := g.names.Worker(r.ID)
+	w, served := g.registry.Worker(r.ID)
 	g.mu.Unlock()
 	if served {
 		g.workers[w].broker.Disconnect(r)
@@ -229,12 +229,12 @@
 func (g *Group) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.names.Len()
+	return g.registry.Len()
 }
 
 // Gauges returns the present figures of all workers together.
 func (g *Group) Gauges() broker.Gauges {
-	listed, avoided := g.servers.Count()
+	listed, avoided := g.servers.Size()
 	return broker.Gauges{Queries: g.InFlight(), Endpoints: listed, Avoided: avoided}
 }
 
--- a/internal/cores/shareddecider.go
+++ b/internal/cores/shareddecider.go
@@ -43,7 +43,7 @@
 		}
 		all = append(all, e)
 	}
-	if d.observations.HasNews(d.worker) {
+	if d.observations.HasPending(d.worker) {
 		for _, o := range d.observations.Collect(d.worker, now) {
 			all = append(all, o)
 		}
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -116,7 +116,7 @@
 	} else {
 		p.fleet.Failures.Exclude(&s.Failures)
 	}
-	p.enqueueHealthCheck(s)
+	p.queueHealthCheck(s)
 }
 
 // forgetRemoved forgets servers off the list once nothing is in flight: they would count as a fleet down.
--- a/internal/decision/healthchecks.go
+++ b/internal/decision/healthchecks.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// enqueueHealthCheck queues a server whose health may be checked.
-func (p *Policy) enqueueHealthCheck(s *server) {
+// queueHealthCheck queues a server whose health may be checked.
+func (p *Policy) queueHealthCheck(s *server) {
 	if p.settings.HealthChecksAllowed && s.IsReady() && s.InFlight == 0 {
 		p.stalest.Push(s)
 	}
--- a/internal/decision/queries.go
+++ b/internal/decision/queries.go
@@ -117,7 +117,7 @@
 	a.server.RecordLoadReport(e.LoadReport, p.now)
 	p.learnFromAttempt(a, pt.query, e)
 	a.server.InFlight--
-	p.enqueueHealthCheck(a.server)
+	p.queueHealthCheck(a.server)
 	switch {
 	case pt.finished && pt.live == 0:
 		delete(p.parts, e.ID)
@@ -185,11 +185,11 @@
 		g.live += pt.live
 		switch {
 		case pt.answered:
-			g.Answer(pt.Weight)
+			g.AddAnswered(pt.Weight)
 		case !pt.givenUp && (pt.live > 0 || p.mayAttempt(pt)):
-			g.Await(pt.Weight)
+			g.AddPending(pt.Weight)
 		default:
-			g.Lose()
+			g.AddLost()
 		}
 	}
 	return g
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -36,14 +36,14 @@
 
 // Entry is one record server in discovery's form.
 type Entry struct {
-	ID        string  `json:"id"`
-	Addr      string  `json:"addr"`
-	Zone      string  `json:"zone"`
-	Kind      string  `json:"kind"`
-	Cell      int     `json:"cell"`
-	State     string  `json:"state"`
-	Weight    float64 `json:"weight"`
-	StartedMS float64 `json:"started_ms"`
+	ID         string  `json:"id"`
+	Addr       string  `json:"addr"`
+	Zone       string  `json:"zone"`
+	Kind       string  `json:"kind"`
+	ReplicaSet int     `json:"cell"`
+	State      string  `json:"state"`
+	Weight     float64 `json:"weight"`
+	StartedMS  float64 `json:"started_ms"`
 }
 
 var states = map[string]decision.State{
@@ -67,7 +67,7 @@
 		l.Servers = append(l.Servers, broker.Endpoint{
 			Server: decision.Server{
 				ID: e.ID, Zone: slices.Index(n.Zones, e.Zone), Kind: slices.Index(n.Kinds, e.Kind),
-				ReplicaSet: e.Cell, State: state, Capacity: e.Weight, Started: e.StartedMS / 1000,
+				ReplicaSet: e.ReplicaSet, State: state, Capacity: e.Weight, Started: e.StartedMS / 1000,
 			},
 			Addr: e.Addr,
 		})
--- a/internal/distribution/distribution.go
+++ b/internal/distribution/distribution.go
@@ -69,6 +69,6 @@
 		return true
 	}
 	return refusal.GetNumber() > report.GetInForce() &&
-		isValidString(refusal.GetKey(), configpb.MaxRefusalKey) &&
-		isValidString(refusal.GetReason(), configpb.MaxRefusalReason)
+		isValidString(refusal.GetKey(), configpb.MaxRejectionKey) &&
+		isValidString(refusal.GetReason(), configpb.MaxRejectionReason)
 }
--- a/internal/distribution/follower.go
+++ b/internal/distribution/follower.go
@@ -187,7 +187,7 @@
 	}
 	if f.report && f.stream != 0 {
 		f.report = false
-		f.reportSent(now)
+		f.markReported(now)
 		ready.Report = f.currentReport()
 	}
 	ready.Apply = f.revisions.handOut()
--- a/internal/distribution/follower_status.go
+++ b/internal/distribution/follower_status.go
@@ -9,7 +9,7 @@
 // FollowerStatus is what a follower knows.
 type FollowerStatus struct {
 	Control      string    // address of the control machine that is followed; "": none at present
-	Heard        time.Time // last update of its stream; zero: none yet
+	LastReceived time.Time // last update of its stream; zero: none yet
 	InForce      uint64    // 0: the file of the start
 	InForceSince time.Time
 	Applying     uint64            // 0: none
@@ -27,11 +27,11 @@
 		InForceSince: f.revisions.since,
 		Applying:     f.revisions.applying,
 		Newest:       f.newest,
-		Refusal:      f.revisions.refusal,
+		Refusal:      f.revisions.rejection,
 		Counts:       f.counts,
 	}
 	if f.stream != 0 {
-		status.Control, status.Heard = f.machines[f.machine].Address, f.lastReceived
+		status.Control, status.LastReceived = f.machines[f.machine].Address, f.lastReceived
 	}
 	status.Behind, status.Known = f.Stale(now)
 	return status
@@ -55,13 +55,13 @@
 		Zone:               f.opt.Zone,
 		InForce:            f.revisions.inForce,
 		InForceSinceUnixMs: f.revisions.since.UnixMilli(),
-		Refusal:            f.revisions.refusal,
+		Refusal:            f.revisions.rejection,
 		Sequence:           f.sequence,
 	}
 }
 
-// reportSent notes that the next report of the stream is handed out.
-func (f *Follower) reportSent(now time.Time) {
+// markReported notes that the next report of the stream is handed out.
+func (f *Follower) markReported(now time.Time) {
 	f.reported = now
 	f.sequence++
 	f.reports[f.sequence%recentReports] = now
--- a/internal/distribution/fuzz_test.go
+++ b/internal/distribution/fuzz_test.go
@@ -202,9 +202,9 @@
 					after := h.Counts()
 					dropped := after.Malformed + after.Foreign + after.Older - before.Malformed - before.Foreign - before.Older
 					if err == nil {
-						require.EqualValues(t, 1, after.Taken-before.Taken+dropped)
+						require.EqualValues(t, 1, after.Accepted-before.Accepted+dropped)
 					}
-					require.LessOrEqual(t, after.Taken-before.Taken+dropped, uint64(1))
+					require.LessOrEqual(t, after.Accepted-before.Accepted+dropped, uint64(1))
 				}
 			case 2:
 				newest += uint64(r.byte()%3) + 1
--- a/internal/distribution/hub.go
+++ b/internal/distribution/hub.go
@@ -49,7 +49,7 @@
 
 // ReportCounts are the reports of a hub, by what became of them.
 type ReportCounts struct {
-	Taken     uint64
+	Accepted  uint64
 	Malformed uint64 // a field is absent, too long or contradicts another
 	Foreign   uint64 // of another instance than the session's, or of one that a later start has replaced
 	Older     uint64 // goes back behind an earlier report of the session
@@ -71,10 +71,10 @@
 
 // broker is what a hub knows of one broker.
 type broker struct {
-	report  *configpb.Report
-	session SessionID // 0: it is cut off
-	opened  time.Time // of its latest session
-	heard   time.Time // of the last report; once cut off: of the end of its session, if that was later
+	report       *configpb.Report
+	session      SessionID // 0: it is cut off
+	opened       time.Time // of its latest session
+	lastReceived time.Time // of the last report; once cut off: of the end of its session, if that was later
 }
 
 // Hub is a control machine's side of the distribution. Make it with NewHub.
@@ -152,7 +152,7 @@
 
 // disconnect notes that a broker has no session any more.
 func (h *Hub) disconnect(now time.Time, b *broker) {
-	b.session, b.heard = 0, now
+	b.session, b.lastReceived = 0, now
 	h.dropInForce(b.report.GetInForce())
 	h.checkEverywhere(now)
 }
--- a/internal/distribution/hub_report.go
+++ b/internal/distribution/hub_report.go
@@ -66,9 +66,9 @@
 
 // applyReport makes a report the last one of its session's broker.
 func (h *Hub) applyReport(now time.Time, s *session, report *configpb.Report) {
-	h.counts.Taken++
+	h.counts.Accepted++
 	s.heard, s.sequence = now, report.GetSequence()
-	s.broker.heard = now
+	s.broker.lastReceived = now
 	s.broker.report = proto.CloneOf(report)
 	h.inForce[report.GetInForce()]++
 	h.checkEverywhere(now)
--- a/internal/distribution/hub_status.go
+++ b/internal/distribution/hub_status.go
@@ -67,7 +67,7 @@
 	for _, b := range h.brokers {
 		status.Brokers = append(status.Brokers, &configpb.Broker{
 			Report:    proto.CloneOf(b.report),
-			SilentMs:  milliseconds(now, b.heard),
+			SilentMs:  milliseconds(now, b.lastReceived),
 			Connected: b.session != 0,
 		})
 	}
@@ -132,7 +132,7 @@
 // forget drops the brokers that were cut off for too long.
 func (h *Hub) forget(now time.Time) {
 	for name, b := range h.brokers {
-		if b.session == 0 && now.Sub(b.heard) > RememberCutOff {
+		if b.session == 0 && now.Sub(b.lastReceived) > RememberCutOff {
 			delete(h.brokers, name)
 		}
 	}
@@ -145,8 +145,8 @@
 		if b.session != 0 {
 			continue
 		}
-		first := oldest == "" || b.heard.Before(h.brokers[oldest].heard)
-		if first || b.heard.Equal(h.brokers[oldest].heard) && name < oldest {
+		first := oldest == "" || b.lastReceived.Before(h.brokers[oldest].lastReceived)
+		if first || b.lastReceived.Equal(h.brokers[oldest].lastReceived) && name < oldest {
 			oldest = name
 		}
 	}
--- a/internal/distribution/hub_test.go
+++ b/internal/distribution/hub_test.go
@@ -118,7 +118,7 @@
 		require.Equal(t, before+1, x.count(h.Counts()), "%v", x.report)
 		require.EqualValues(t, 5, h.Status(epoch).Brokers[0].GetReport().GetInForce())
 	}
-	require.EqualValues(t, 1, h.Counts().Taken)
+	require.EqualValues(t, 1, h.Counts().Accepted)
 }
 
 func malformed(c distribution.ReportCounts) uint64 { return c.Malformed }
--- a/internal/distribution/revisions.go
+++ b/internal/distribution/revisions.go
@@ -9,11 +9,11 @@
 // revisions are those of a follower: one in force, at most one under application, at most one that waits for it.
 // Their numbers rise in this order.
 type revisions struct {
-	inForce  uint64 // 0: the file of the start
-	since    time.Time
-	refusal  *configpb.Refusal // of a revision above inForce; nil: none
-	applying uint64            // was handed out; 0: none
-	waiting  *configpb.Revision
+	inForce   uint64 // 0: the file of the start
+	since     time.Time
+	rejection *configpb.Refusal // of a revision above inForce; nil: none
+	applying  uint64            // was handed out; 0: none
+	waiting   *configpb.Revision
 
 	inHand   uint64 // the highest that was accepted
 	checksum uint64 // of its document
@@ -44,12 +44,12 @@
 func (r *revisions) applied(now time.Time, number uint64) {
 	r.finish(number)
 	r.inForce, r.since = number, now
-	r.refusal = nil
+	r.rejection = nil
 }
 
 func (r *revisions) rejected(number uint64, key, reason string) {
 	r.finish(number)
-	r.refusal = configpb.NewRefusal(number, key, reason)
+	r.rejection = configpb.NewRejection(number, key, reason)
 }
 
 // finish ends the application of a revision.
--- a/internal/failures/failures.go
+++ b/internal/failures/failures.go
@@ -152,8 +152,8 @@
 }
 
 // refit renews the bounds of a zone's members, with a bound of its ratio that holds from now on.
-func (s *Ratios) refit(z *zone, most float64) {
-	z.maxRatio = most
+func (s *Ratios) refit(z *zone, maxRatio float64) {
+	z.maxRatio = maxRatio
 	for _, r := range z.members {
 		s.bound(r)
 	}
--- a/internal/flight/deadline_test.go
+++ b/internal/flight/deadline_test.go
@@ -52,7 +52,7 @@
 			{Addr: "s0", Server: decision.Server{ID: "s0", State: decision.Ready}}}})
 		front := NewFront(Options{Classes: map[string]int{"charge-post": 0}}, b)
 		text, err := json.Marshal(Ticket{ID: "q1", Class: "charge-post", Body: httpwire.Body{
-			Query: "x", Targets: []httpwire.Target{{Share: 1}}}})
+			Query: "x", Targets: []httpwire.Target{{Weight: 1}}}})
 		require.NoError(t, err)
 		const patience = 300 * time.Millisecond
 		begin := time.Now()
--- a/internal/flight/flight.go
+++ b/internal/flight/flight.go
@@ -119,12 +119,12 @@
 	return false
 }
 
-func parseTicket(text []byte) (*Ticket, error) {
+func parseTicket(data []byte) (*Ticket, error) {
 	var t Ticket
-	if len(text) > maxMessage {
+	if len(data) > maxMessage {
 		return nil, errors.New("the ticket is too long")
 	}
-	if err := json.Unmarshal(text, &t); err != nil {
+	if err := json.Unmarshal(data, &t); err != nil {
 		return nil, fmt.Errorf("ticket: %w", err)
 	}
 	return &t, nil
--- a/internal/flight/front.go
+++ b/internal/flight/front.go
@@ -90,9 +90,9 @@
 }
 
 // request makes a core's request of a ticket.
-func (f *Front) request(ctx context.Context, text []byte) (*broker.Request, *Ticket, error) {
+func (f *Front) request(ctx context.Context, data []byte) (*broker.Request, *Ticket, error) {
 	now := time.Now()
-	t, err := parseTicket(text)
+	t, err := parseTicket(data)
 	if err != nil {
 		return nil, nil, status.Error(codes.InvalidArgument, err.Error())
 	}
--- a/internal/flight/link.go
+++ b/internal/flight/link.go
@@ -41,7 +41,7 @@
 
 	mu        sync.Mutex // guards what follows
 	conns     map[string][]*channel
-	connCount int // connections in all
+	openConns int // connections in all
 	calls     map[*broker.Call]context.CancelFunc
 }
 
@@ -87,7 +87,7 @@
 			return ch, nil
 		}
 	}
-	if l.opt.MaxConns > 0 && l.connCount >= l.opt.MaxConns && !l.evictIdle() {
+	if l.opt.MaxConns > 0 && l.openConns >= l.opt.MaxConns && !l.evictIdle() {
 		return nil, errNoConn
 	}
 	conn, err := grpc.NewClient("passthrough:///"+addr,
@@ -106,7 +106,7 @@
 	}
 	ch := &channel{conn: conn, client: flight.NewClientFromConn(conn, nil), calls: 1}
 	l.conns[addr] = append(l.conns[addr], ch)
-	l.connCount++
+	l.openConns++
 	return ch, nil
 }
 
@@ -149,7 +149,7 @@
 func (l *Link) remove(addr string, ch *channel) {
 	list := slices.DeleteFunc(l.conns[addr], func(other *channel) bool { return other == ch })
 	if len(list) < len(l.conns[addr]) {
-		l.connCount--
+		l.openConns--
 	}
 	if l.conns[addr] = list; len(list) == 0 {
 		delete(l.conns, addr)
@@ -286,14 +286,14 @@
 
 // readMetadata takes the load report and the score from a message's metadata, name=value pairs set apart by commas.
 // What cannot be read spoils no value.
-func readMetadata(text []byte, part *broker.CallResult) {
-	if len(text) == 0 {
+func readMetadata(data []byte, part *broker.CallResult) {
+	if len(data) == 0 {
 		return
 	}
-	if report, err := frame.ParseLoadReport(text); err == nil {
+	if report, err := frame.ParseLoadReport(data); err == nil {
 		part.LoadReport = report
 	}
-	for pair := range bytes.SplitSeq(text, []byte{','}) {
+	for pair := range bytes.SplitSeq(data, []byte{','}) {
 		name, number, _ := bytes.Cut(pair, []byte{'='})
 		if string(name) != scoreName {
 			continue
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -19,7 +19,7 @@
 	MaxFrame      = 64<<10 + 1024
 	headerSize    = 4
 	readSize      = 4 << 10
-	maxKeptBuffer = 16 << 10 // room that is kept for the next frame
+	maxIdleBuffer = 16 << 10 // room that is kept for the next frame
 	maxLine       = 512      // of an R: an id, an end, a score and a report
 )
 
@@ -53,7 +53,7 @@
 		d.w = copy(d.b, d.b[d.r:d.w])
 		d.r = 0
 	}
-	if d.w == 0 && len(d.b) > maxKeptBuffer {
+	if d.w == 0 && len(d.b) > maxIdleBuffer {
 		d.b = nil // a connection that once brought a large value must not keep its room for good
 	}
 	if len(d.b)-d.w < readSize/2 {
@@ -117,7 +117,7 @@
 	return nil
 }
 
-var ends = map[string]decision.Status{
+var outcomes = map[string]decision.Status{
 	"done": decision.OK, "failed": decision.Error, "full": decision.Overloaded,
 }
 
@@ -133,7 +133,7 @@
 	if n, err := strconv.ParseInt(string(score), 10, 64); err == nil {
 		r.Score, r.Scored = n, true
 	}
-	if r.Status, ok = ends[string(end)]; !ok {
+	if r.Status, ok = outcomes[string(end)]; !ok {
 		return r, fmt.Errorf("an R frame that ends with %q", end)
 	}
 	// The value is good whatever the report: one that cannot be read tells nothing and spoils nothing.
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -131,7 +131,7 @@
 			return false
 		}
 		if req == nil {
-			return !c.reader.TakeExpectContinue() || c.send([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
+			return !c.reader.ExpectsContinue() || c.send([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
 		c.hadRequest, c.receiving, c.expired = true, false, false
 		c.timer.Reset(idleTimeout)
--- a/internal/front/connread.go
+++ b/internal/front/connread.go
@@ -94,5 +94,5 @@
 	if c.request != nil {
 		n += len(c.request.Payload)
 	}
-	return max(n-maxKeptBuffer, 0)
+	return max(n-maxIdleBuffer, 0)
 }
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -32,7 +32,7 @@
 	maxLingerBytes    = 256 << 10 // read and discarded while a connection lingers
 	maxPipelinedBytes = 1 << 20   // read and discarded behind a request in flight, beyond what is kept
 	discardSize       = 16 << 10  // bytes discarded at once
-	maxKeptBuffer     = 16 << 10  // of a connection's buffers for the next request and answer
+	maxIdleBuffer     = 16 << 10  // of a connection's buffers for the next request and answer
 	maxRejecting      = 4         // connections over capacity that are answered at once; more are closed
 )
 
--- a/internal/front/respond.go
+++ b/internal/front/respond.go
@@ -168,7 +168,7 @@
 	}
 	c.out = resp.Append(c.out[:0])
 	sent := c.send(c.out)
-	if cap(c.out) > maxKeptBuffer {
+	if cap(c.out) > maxIdleBuffer {
 		c.out = nil
 	}
 	return sent && !resp.Close
--- a/internal/httpwire/httpwire.go
+++ b/internal/httpwire/httpwire.go
@@ -17,7 +17,7 @@
 	MaxBody       = 64 << 10
 	maxHead       = 8 << 10
 	readSize      = 4 << 10
-	maxKeptBuffer = 16 << 10 // room that is kept for the next message
+	maxIdleBuffer = 16 << 10 // room that is kept for the next message
 	maxChunk      = 64       // longest chunk-size line
 )
 
@@ -43,7 +43,7 @@
 
 // space makes room for more, keeping what starts at from.
 func (b *buffer) space(from *int) []byte {
-	if b.r == b.w && *from == b.w && len(b.b) > maxKeptBuffer {
+	if b.r == b.w && *from == b.w && len(b.b) > maxIdleBuffer {
 		// Guards the memory: a connection that once brought a large message must not keep its room for good.
 		*b, *from = buffer{}, 0
 	}
--- a/internal/httpwire/query.go
+++ b/internal/httpwire/query.go
@@ -23,7 +23,7 @@
 // Target is one part of a query.
 type Target struct {
 	Partition int     `json:"partition"`
-	Share     float64 `json:"share"`
+	Weight    float64 `json:"share"`
 	EstUS     float64 `json:"est_us"`
 	Route     string  `json:"route"`
 }
@@ -32,7 +32,7 @@
 func (b *Body) Parts() ([]broker.Part, error) {
 	parts := make([]broker.Part, 0, len(b.Targets))
 	for i, t := range b.Targets {
-		p := broker.Part{Shard: t.Partition, Weight: t.Share, Work: t.EstUS / 1e6}
+		p := broker.Part{Shard: t.Partition, Weight: t.Weight, Work: t.EstUS / 1e6}
 		if t.Route != "" {
 			var err error
 			if p.RouteKey, err = strconv.ParseUint(t.Route, 16, 64); err != nil {
--- a/internal/httpwire/request.go
+++ b/internal/httpwire/request.go
@@ -27,8 +27,8 @@
 	err     error
 }
 
-// TakeExpectContinue tells, once a request, that its client waits for a 100 (Continue) before it sends the body.
-func (d *RequestReader) TakeExpectContinue() bool {
+// ExpectsContinue tells, once a request, that its client waits for a 100 (Continue) before it sends the body.
+func (d *RequestReader) ExpectsContinue() bool {
 	waits := d.expects && d.req != nil && len(d.buf.unread()) == 0
 	d.expects = d.expects && !waits
 	return waits
--- a/internal/httpwire/response.go
+++ b/internal/httpwire/response.go
@@ -121,7 +121,7 @@
 // between objects is whole and has none.
 func (o *Object) Add(line []byte) (text []byte, whole bool, err error) {
 	if o.depth == 0 {
-		if o.text = o.text[:0]; cap(o.text) > maxKeptBuffer {
+		if o.text = o.text[:0]; cap(o.text) > maxIdleBuffer {
 			o.text = nil
 		}
 	}
--- a/internal/listwatch/listwatch.go
+++ b/internal/listwatch/listwatch.go
@@ -21,10 +21,10 @@
 	SilenceTimeout = 2600 * time.Millisecond
 	// CallTimeout is how long a call may take from its connect to its first word. An overbooked discovery serves in
 	// turn, so it is as long as the clock allows.
-	CallTimeout    = 2200 * time.Millisecond
-	updateDeadline = 5700 * time.Millisecond // after the last word, or the begin of a call: 6 s, less what taking the news in may last
-	moveDeadline   = 3700 * time.Millisecond // after a move: 4 s, less the same
-	maxCalls       = 2                       // open at once, beside those of a former address
+	CallTimeout           = 2200 * time.Millisecond
+	updateDeadline        = 5700 * time.Millisecond // after the last word, or the begin of a call: 6 s, less what taking the news in may last
+	addressChangeDeadline = 3700 * time.Millisecond // after a move: 4 s, less the same
+	maxCalls              = 2                       // open at once, beside those of a former address
 )
 
 // Action is what the driver has to do about one call.
@@ -109,7 +109,7 @@
 		w.callAt = time.Time{}
 		w.open(now)
 	}
-	return w.takeActions()
+	return w.drainActions()
 }
 
 func (w *Watch) open(now time.Time) {
@@ -136,7 +136,7 @@
 	w.actions = append(w.actions, Action{Call: id, Close: true})
 }
 
-func (w *Watch) takeActions() []Action {
+func (w *Watch) drainActions() []Action {
 	todo := w.actions
 	w.actions = nil
 	return todo
@@ -156,7 +156,7 @@
 			w.close(c.id)
 		}
 	}
-	return w.takeActions()
+	return w.drainActions()
 }
 
 // CallEnded tells that a call has ended by itself or could not be made.
@@ -170,7 +170,7 @@
 		}
 		w.scheduleCall(now)
 	}
-	return w.takeActions()
+	return w.drainActions()
 }
 
 // AddressChanged tells that the list is to be followed at another address. What the old one tells until the new one has spoken
@@ -184,8 +184,8 @@
 	for i := range w.calls {
 		w.calls[i].former = true
 	}
-	w.callBy = now.Add(moveDeadline - CallTimeout)
+	w.callBy = now.Add(addressChangeDeadline - CallTimeout)
 	w.backoff.Succeeded() // the new address has not failed yet
 	w.scheduleCall(now)
-	return w.takeActions()
+	return w.drainActions()
 }
--- a/internal/membership/instance.go
+++ b/internal/membership/instance.go
@@ -41,10 +41,10 @@
 // member is an instance with what this view knows of it.
 type member struct {
 	Instance
-	id        uint64
-	state     state
-	since     time.Duration // of the state
-	lastHeard time.Duration // when a datagram of it was received, or a helper heard of it; 0: never
+	id          uint64
+	state       state
+	since       time.Duration // of the state
+	lastContact time.Duration // when a datagram of it was received, or a helper heard of it; 0: never
 
 	seq       uint64 // the highest accepted
 	seqWindow uint64 // bit i: seq - i was accepted
--- a/internal/membership/ping.go
+++ b/internal/membership/ping.go
@@ -55,7 +55,7 @@
 	if m.state.status() == Lost {
 		v.set(m, m.state.revived())
 	}
-	m.lastHeard, m.silentSince = v.now, v.now
+	m.lastContact, m.silentSince = v.now, v.now
 	if asker := v.byID[p.requester]; asker != nil {
 		v.send(asker.Addr, &planepb.Datagram{About: m.id, Tell: p.requestNumber, Heard: true}, &v.pingBudget)
 	}
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -33,7 +33,7 @@
 			return v.flush()
 		}
 	default:
-		m.lastHeard, m.silentSince = v.now, v.now
+		m.lastContact, m.silentSince = v.now, v.now
 		clear(m.confirmations)
 	}
 	v.answerPing(m, d)
@@ -72,7 +72,7 @@
 	}
 	m := v.add(instance(d.Self), 0)
 	m.acceptSeq(d.Seq)
-	m.lastHeard = v.now
+	m.lastContact = v.now
 	v.answerPing(m, d)
 	v.learn(m, d)
 }
--- a/internal/membership/rings.go
+++ b/internal/membership/rings.go
@@ -30,7 +30,7 @@
 		}
 		was := m.observed
 		if m.observed = slices.Contains(v.observed, m); m.observed && !was && !m.suspected {
-			if m.silentSince, m.indirectPingAt = v.now, 0; m.unanswered > m.lastHeard { // from now on, unless it owed an answer before
+			if m.silentSince, m.indirectPingAt = v.now, 0; m.unanswered > m.lastContact { // from now on, unless it owed an answer before
 				m.silentSince = m.unanswered
 			}
 			clear(m.confirmations)
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -14,8 +14,8 @@
 	at                  time.Duration
 }
 
-// take takes n bytes, all or nothing.
-func (b *tokenBucket) take(now time.Duration, n int) bool {
+// spend takes n bytes, all or nothing.
+func (b *tokenBucket) spend(now time.Duration, n int) bool {
 	b.tokens = min(b.tokens+(now-b.at).Seconds()*b.rate, b.burst)
 	b.at = now
 	if b.tokens < float64(n) {
@@ -32,7 +32,7 @@
 	if d.Seq == 0 {
 		d.Seq = v.next()
 	}
-	if b != nil && !b.take(v.now, plane.Size(d)) {
+	if b != nil && !b.spend(v.now, plane.Size(d)) {
 		return false
 	}
 	v.out = append(v.out, Send{to, d})
--- a/internal/membership/suspicion.go
+++ b/internal/membership/suspicion.go
@@ -29,10 +29,10 @@
 			continue
 		}
 		delete(v.pings, n)
-		if m := v.byID[p.to]; m != nil && m.lastHeard < p.at && m.unanswered <= m.lastHeard {
+		if m := v.byID[p.to]; m != nil && m.lastContact < p.at && m.unanswered <= m.lastContact {
 			m.unanswered = p.at
 		}
-		if m := v.byID[p.to]; m != nil && p.requester == 0 && !m.observed && m.lastHeard < p.at && v.alive(m) &&
+		if m := v.byID[p.to]; m != nil && p.requester == 0 && !m.observed && m.lastContact < p.at && v.alive(m) &&
 			len(v.observed) < rings+maxSuspected {
 			// Where many die at once, all that observed one may be among them.
 			m.suspected, m.silentSince, v.ringsChanged = true, p.at, true
@@ -110,7 +110,9 @@
 }
 
 // canHelp tells that a member was heard of so lately that it is proven alive.
-func (v *View) canHelp(h *member) bool { return h.lastHeard > 0 && v.now-h.lastHeard < helperWindow }
+func (v *View) canHelp(h *member) bool {
+	return h.lastContact > 0 && v.now-h.lastContact < helperWindow
+}
 
 // receiveIndirect pings a member for another, and takes the findings of helpers.
 func (v *View) receiveIndirect(m *member, d *planepb.Datagram) {
@@ -119,12 +121,12 @@
 	case about == nil:
 	case d.Ask != 0 && about == v.self:
 		v.send(m.Addr, &planepb.Datagram{}, &v.pingBudget)
-	case d.Ask != 0 && v.now-about.lastHeard < aliveWindow && about.lastHeard > 0:
+	case d.Ask != 0 && v.now-about.lastContact < aliveWindow && about.lastContact > 0:
 		v.send(m.Addr, &planepb.Datagram{About: about.id, Tell: d.Ask, Heard: true}, &v.pingBudget)
 	case d.Ask != 0:
 		v.ping(about.Addr, about.id, &planepb.Datagram{}, m.id, d.Ask)
 	case d.Tell != 0 && d.Heard:
-		about.silentSince, about.lastHeard = v.now, v.now
+		about.silentSince, about.lastContact = v.now, v.now
 		clear(about.confirmations)
 	case d.Tell != 0 && about.observed && v.now-about.silentSince >= indirectPingAfter && len(about.confirmations) < maxRoster:
 		about.confirmations[m.id] = v.now
--- a/internal/membership/sync.go
+++ b/internal/membership/sync.go
@@ -13,7 +13,7 @@
 		return
 	}
 	v.syncAt = v.now + syncInterval/2 + time.Duration(v.rng.Int64N(int64(syncInterval)))
-	known := v.pick(1, func(m *member) bool { return v.now-m.lastHeard < aliveWindow && m.lastHeard > 0 })
+	known := v.pick(1, func(m *member) bool { return v.now-m.lastContact < aliveWindow && m.lastContact > 0 })
 	if len(known) == 0 {
 		known = v.pick(1, anyMember)
 	}
--- a/internal/membership/tick.go
+++ b/internal/membership/tick.go
@@ -83,7 +83,7 @@
 		case m == v.self:
 		case m.state.status() == Lost:
 			lost = append(lost, m)
-		case v.alive(m) && !m.observed && v.now-m.lastHeard >= aliveWindow:
+		case v.alive(m) && !m.observed && v.now-m.lastContact >= aliveWindow:
 			unheard = append(unheard, m)
 		}
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -20,16 +20,16 @@
 
 // Counters is a process's counts. Make it with New.
 type Counters struct {
-	names   []string // by class
-	classes []Class
-	gauges  func() Gauges
+	classNames []string // by class
+	classes    []Class
+	gauges     func() Gauges
 }
 
 // New returns counts of 0 for the classes, and asks gauges for what holds.
 func New(classes map[string]int, gauges func() Gauges) *Counters {
-	t := &Counters{names: make([]string, len(classes)), classes: make([]Class, len(classes)), gauges: gauges}
+	t := &Counters{classNames: make([]string, len(classes)), classes: make([]Class, len(classes)), gauges: gauges}
 	for name, i := range classes {
-		t.names[i] = name
+		t.classNames[i] = name
 	}
 	return t
 }
@@ -62,13 +62,13 @@
 		b = append(append(b, "svc."...), name...)
 		b = append(strconv.AppendUint(append(b, ':'), v, 10), '|', kind, '\n')
 	}
-	order := make([]int, len(t.names))
+	order := make([]int, len(t.classNames))
 	for i := range order {
 		order[i] = i
 	}
-	sort.Slice(order, func(a, b int) bool { return t.names[order[a]] < t.names[order[b]] })
+	sort.Slice(order, func(a, b int) bool { return t.classNames[order[a]] < t.classNames[order[b]] })
 	for _, i := range order {
-		c, name := &t.classes[i], "operations."+t.names[i]+"."
+		c, name := &t.classes[i], "operations."+t.classNames[i]+"."
 		line(name+"fulfilled", c.Fulfilled.Load(), 'c')
 		line(name+"throttled", c.Throttled.Load(), 'c')
 		line(name+"faulted", c.Faulted.Load(), 'c')
--- a/internal/observations/observations.go
+++ b/internal/observations/observations.go
@@ -142,8 +142,8 @@
 	return r.answeredAt < now-waited && waited >= math.Max(silenceFactor*meanLatency, minSilence)
 }
 
-// HasNews tells whether there may be something to offer to a worker.
-func (b *Shared) HasNews(worker int) bool { return len(b.queues[worker]) > 0 }
+// HasPending tells whether there may be something to offer to a worker.
+func (b *Shared) HasPending(worker int) bool { return len(b.queues[worker]) > 0 }
 
 // Collect returns the observations of others that a worker should take up now.
 func (b *Shared) Collect(worker int, now float64) (collected []decision.PeerObservation) {
--- a/internal/recent/window_test.go
+++ b/internal/recent/window_test.go
@@ -23,7 +23,7 @@
 				w.Forget(float64(now - 5))
 				all = slices.DeleteFunc(all, func(at int) bool { return at < now-5 })
 			}
-			require.Equal(t, len(all), w.Count())
+			require.Equal(t, len(all), w.Len())
 		}
 	})
 }
--- a/internal/replicasets/replicasets.go
+++ b/internal/replicasets/replicasets.go
@@ -17,9 +17,9 @@
 
 // New returns an index of at least one set where shard s is held by replicationFactor sets: s, s+1 ... modulo their count.
 // The number of an item never changes, and no two share one.
-func New[T any](setCount, replicationFactor int, number func(T) int) Index[T] {
-	setCount = max(setCount, 1)
-	return Index[T]{number: number, replicationFactor: min(max(replicationFactor, 1), setCount), sets: make([][]T, setCount)}
+func New[T any](sets, replicationFactor int, number func(T) int) Index[T] {
+	sets = max(sets, 1)
+	return Index[T]{number: number, replicationFactor: min(max(replicationFactor, 1), sets), sets: make([][]T, sets)}
 }
 
 func (x *Index[T]) find(set int, item T) (at int, in bool) {
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -39,6 +39,6 @@
 func (b *Budget) Allows(now float64) bool {
 	b.requests.Forget(now - b.Window + edgeSlack)
 	b.retries.Forget(now - b.Window - edgeSlack)
-	allowed := float64(b.Min) + b.Ratio*float64(b.requests.Count())
-	return !b.Enabled || float64(b.retries.Count()+1) <= allowed+edgeSlack
+	allowed := float64(b.Min) + b.Ratio*float64(b.requests.Len())
+	return !b.Enabled || float64(b.retries.Len()+1) <= allowed+edgeSlack
 }
--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -242,7 +242,7 @@
 	}
 }
 
-func chunk(text []byte) []byte { return fmt.Appendf(nil, "%x\r\n%s\r\n", len(text), text) }
+func chunk(data []byte) []byte { return fmt.Appendf(nil, "%x\r\n%s\r\n", len(data), data) }
 
 // change tells the changes.
 func (d *directory) change() {
@@ -260,10 +260,10 @@
 	}
 }
 
-func (d *directory) tell(text []byte) {
+func (d *directory) tell(data []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.conns {
-		c.Write(chunk(text))
+		c.Write(chunk(data))
 	}
 }
--- a/internal/scale/configuration_followers.go
+++ b/internal/scale/configuration_followers.go
@@ -107,7 +107,7 @@
 	case command.Lost != "":
 		err = c.until(func(f *follower) bool {
 			status := f.Status()
-			return status.Control != "" && status.Control != command.Lost && !status.Heard.IsZero()
+			return status.Control != "" && status.Control != command.Lost && !status.LastReceived.IsZero()
 		})
 	}
 	answer.Done, answer.Processor = time.Now().UnixNano(), processorTime()
--- a/internal/scale/configuration_hub.go
+++ b/internal/scale/configuration_hub.go
@@ -83,7 +83,7 @@
 	}
 	answer.Processor = processorTime()
 	answer.In, answer.Out = h.network.in.Load(), h.network.out.Load()
-	answer.Accepts, answer.Peak = h.network.peak()
+	answer.Accepts, answer.Peak = h.network.rates()
 	for _, broker := range h.hub.Status().Brokers {
 		if broker.GetConnected() {
 			answer.Streams++
@@ -119,8 +119,8 @@
 	return &countedConn{conn, l}, nil
 }
 
-// peak is how many connections were taken in all, and at most within a second since the last call.
-func (l *countedListener) peak() (total, most int) {
+// rates is how many connections were taken in all, and at most within a second since the last call.
+func (l *countedListener) rates() (total, maxPerSecond int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := 0
@@ -128,10 +128,10 @@
 		for at.Sub(l.accepts[first]) >= time.Second {
 			first++
 		}
-		most = max(most, last-first+1)
+		maxPerSecond = max(maxPerSecond, last-first+1)
 	}
 	l.accepts = nil
-	return l.total, most
+	return l.total, maxPerSecond
 }
 
 // countedConn is a connection of such a server.
--- a/internal/scale/configuration_internal_test.go
+++ b/internal/scale/configuration_internal_test.go
@@ -47,10 +47,10 @@
 	for _, ms := range []int{0, 400, 999, 1000, 1399, 5000} {
 		l.accepts = append(l.accepts, start.Add(time.Duration(ms)*time.Millisecond))
 	}
-	total, most := l.peak()
+	total, most := l.rates()
 	require.Equal(t, 6, total)
 	require.Equal(t, 4, most, "those at 400, 999, 1,000 and 1,399 ms")
-	_, most = l.peak()
+	_, most = l.rates()
 	require.Zero(t, most, "counted anew after each call")
 }
 
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -72,7 +72,7 @@
 		}
 		planes = append(planes, p)
 		running.Go(func() { p.Run(ctx) })
-		w := &discovery.Watcher{Addr: c.lines[0], NameTable: names, Update: t.update, Log: nobody,
+		w := &discovery.Watcher{Addr: c.lines[0], NameTable: nameTable, Update: t.update, Log: nobody,
 			Backoff: backoff.New(brokers, seed+uint64(i)*7919)}
 		running.Go(func() { w.Run(ctx) })
 		time.Sleep(hollowApart)
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -18,12 +18,12 @@
 )
 
 var (
-	names   = discovery.NameTable{Zones: zoneNames(), Kinds: []string{"record-large"}}
-	errSlow = errors.New("scale: not all came in time")
-	nobody  = slog.New(slog.NewTextHandler(io.Discard, nil))
+	nameTable = discovery.NameTable{Zones: zones(), Kinds: []string{"record-large"}}
+	errSlow   = errors.New("scale: not all came in time")
+	nobody    = slog.New(slog.NewTextHandler(io.Discard, nil))
 )
 
-func zoneNames() (list []string) {
+func zones() (list []string) {
 	for i := range TargetZones {
 		list = append(list, fmt.Sprintf("region-%d-zone-%d", i%TargetRegions, i))
 	}
@@ -32,7 +32,7 @@
 
 func entryOf(i int) discovery.Entry {
 	return discovery.Entry{ID: serverID(i), Addr: fmt.Sprintf("10.%d.%d.%d:9000", i>>16&255, i>>8&255, i&255),
-		Zone: names.Zones[i/replicaSetsPerZone%TargetZones], Kind: names.Kinds[0], Cell: i, State: "active", Weight: 1,
+		Zone: nameTable.Zones[i/replicaSetsPerZone%TargetZones], Kind: nameTable.Kinds[0], ReplicaSet: i, State: "active", Weight: 1,
 		StartedMS: 1_790_000_000_000 + float64(i)}
 }
 
@@ -79,7 +79,7 @@
 	before := memoryInUse()
 	meter := Start()
 	for range wholes {
-		if err := takeList(whole, known, module); err != nil {
+		if err := receiveList(whole, known, module); err != nil {
 			return nil, err
 		}
 	}
@@ -87,12 +87,12 @@
 	held := memoryInUse() - before
 	meter = Start()
 	for i := range changes {
-		if err := takeList(encodeChange(i%servers, int64(i+2)), known, module); err != nil {
+		if err := receiveList(encodeChange(i%servers, int64(i+2)), known, module); err != nil {
 			return nil, err
 		}
 	}
 	changeCost := meter.Stop()
-	entries, _ := known.Count()
+	entries, _ := known.Size()
 	if entries != servers {
 		return nil, fmt.Errorf("scale: %d servers are known of %d", entries, servers)
 	}
@@ -106,13 +106,13 @@
 	}, nil
 }
 
-// takeList is what a broker does with one object of the list.
-func takeList(text []byte, known *broker.Endpoints, module *decision.Policy) error {
+// receiveList is what a broker does with one object of the list.
+func receiveList(data []byte, known *broker.Endpoints, module *decision.Policy) error {
 	var m discovery.Message
-	if err := json.Unmarshal(text, &m); err != nil {
+	if err := json.Unmarshal(data, &m); err != nil {
 		return err
 	}
-	l, err := names.EndpointUpdate(m)
+	l, err := nameTable.EndpointUpdate(m)
 	if err != nil {
 		return err
 	}
@@ -180,7 +180,7 @@
 	before := memoryInUse()
 	meter := Start()
 	for i := range brokers {
-		w := &discovery.Watcher{Addr: c.lines[0], NameTable: names, Update: t.update, Log: nobody,
+		w := &discovery.Watcher{Addr: c.lines[0], NameTable: nameTable, Update: t.update, Log: nobody,
 			Backoff: backoff.New(brokers, seed+uint64(i)*7919)}
 		go w.Run(ctx)
 	}
--- a/internal/scale/membership.go
+++ b/internal/scale/membership.go
@@ -47,7 +47,7 @@
 		return nil, err
 	}
 	meter := Start()
-	t, err := w.count(steadyFor)
+	t, err := w.recordTraffic(steadyFor)
 	if err != nil {
 		return nil, err
 	}
@@ -58,8 +58,8 @@
 		{"one view after a start at once", "s", max(began, 0.001)},
 		{"bytes sent", "B/s a broker", t.sentBytes},
 		{"bytes sent by the busiest", "B/s", t.sentMost},
-		{"datagrams sent", "1/s a broker", t.sentCount},
-		{"bytes received", "B/s a broker", t.heardBytes},
+		{"datagrams sent", "1/s a broker", t.sentDatagrams},
+		{"bytes received", "B/s a broker", t.receivedBytes},
 		{"processor", "µs a broker and second", used.Processor.Seconds() * 1e6 / seconds},
 		{"objects", "objects a broker and second", float64(used.Objects) / seconds},
 		{"memory", "bytes a broker", max(held/float64(brokers), 1)},
@@ -143,7 +143,7 @@
 	var o observed
 	from, parts := w.now, 0.0
 	for w.now-from < stretch {
-		t, err := w.count(lookEvery)
+		t, err := w.recordTraffic(lookEvery)
 		if err != nil {
 			return o, err
 		}
@@ -176,7 +176,7 @@
 	}
 	alone := func(x *node) bool { return x.region == TargetRegions-1 }
 	w.cut = func(from, to *node) bool { return alone(from) != alone(to) }
-	t, err := w.count(time.Duration(at.Of(axisCut) * float64(time.Second)))
+	t, err := w.recordTraffic(time.Duration(at.Of(axisCut) * float64(time.Second)))
 	if err != nil {
 		return nil, err
 	}
@@ -242,7 +242,7 @@
 		stretches := []time.Duration{min(restartDown, interval/2)}
 		stretches = append(stretches, interval-stretches[0])
 		for turn, stretch := range stretches {
-			t, err := w.count(stretch)
+			t, err := w.recordTraffic(stretch)
 			if err != nil {
 				return nil, err
 			}
--- a/internal/scale/network.go
+++ b/internal/scale/network.go
@@ -199,11 +199,11 @@
 
 // traffic is what nodes sent and heard in a stretch, a second and a node.
 type traffic struct {
-	sentBytes, sentMost, sentCount, heardBytes, heardCount float64
+	sentBytes, sentMost, sentDatagrams, receivedBytes, receivedDatagrams float64
 }
 
-// count plays a stretch and returns the traffic of those that live throughout.
-func (w *network) count(stretch time.Duration) (traffic, error) {
+// recordTraffic plays a stretch and returns the traffic of those that live throughout.
+func (w *network) recordTraffic(stretch time.Duration) (traffic, error) {
 	type mark struct{ sentBytes, sentCount, heardBytes, heardCount int }
 	marks, from := map[*node]mark{}, w.now
 	for _, x := range w.alive(nil) {
@@ -221,13 +221,13 @@
 		n++
 		t.sentBytes += float64(x.sentBytes - m.sentBytes)
 		t.sentMost = max(t.sentMost, float64(x.sentBytes-m.sentBytes)/seconds)
-		t.sentCount += float64(x.sentCount - m.sentCount)
-		t.heardBytes += float64(x.heardBytes - m.heardBytes)
-		t.heardCount += float64(x.heardCount - m.heardCount)
+		t.sentDatagrams += float64(x.sentCount - m.sentCount)
+		t.receivedBytes += float64(x.heardBytes - m.heardBytes)
+		t.receivedDatagrams += float64(x.heardCount - m.heardCount)
 	}
 	per := max(n, 1) * seconds
-	t.sentBytes, t.sentCount = t.sentBytes/per, t.sentCount/per
-	t.heardBytes, t.heardCount = t.heardBytes/per, t.heardCount/per
+	t.sentBytes, t.sentDatagrams = t.sentBytes/per, t.sentDatagrams/per
+	t.receivedBytes, t.receivedDatagrams = t.receivedBytes/per, t.receivedDatagrams/per
 	return t, nil
 }
 
--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -16,7 +16,7 @@
 )
 
 //go:embed capacity.md.tmpl
-var pageText string
+var pageTemplate string
 
 // What the program and its example deployment fix, where no name is exported.
 const (
@@ -45,7 +45,7 @@
 		"body": func() float64 { return httpwire.MaxBody }, "most": func() float64 { return membership.MaxMembers },
 		"slice3": func() []float64 { return partSizes }, "late": p.late, "hedged": p.hedged,
 		"distributed": p.distributed, "listChanges": listChanges, "value": func() float64 { return assumedValue },
-	}).Parse(pageText)
+	}).Parse(pageTemplate)
 	if err != nil {
 		return nil, err
 	}
@@ -103,8 +103,8 @@
 }
 
 // parsePlace reads "servers=4600 parts=300".
-func parsePlace(text string) (sizes []Size, err error) {
-	for _, field := range strings.Fields(text) {
+func parsePlace(s string) (sizes []Size, err error) {
+	for _, field := range strings.Fields(s) {
 		name, value, ok := strings.Cut(field, "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if !ok || err != nil {
--- a/internal/scale/page_misses.go
+++ b/internal/scale/page_misses.go
@@ -13,11 +13,11 @@
 // miss is one row of what the target needs and what there is.
 type miss struct {
 	what, mechanism string
-	need, have      float64 // in one unit
+	required, have  float64 // in one unit
 	unit            string
 }
 
-func (m miss) factor() float64 { return m.need / m.have }
+func (m miss) factor() float64 { return m.required / m.have }
 
 func (m miss) verdict() string {
 	switch {
@@ -80,7 +80,7 @@
 	})
 	var b strings.Builder
 	for _, m := range rows {
-		fmt.Fprintf(&b, "| %s | %s | %s %s | %s | %s | %s |\n", m.what, num(m.need), num(m.have), m.unit, num(m.factor()),
+		fmt.Fprintf(&b, "| %s | %s | %s %s | %s | %s | %s |\n", m.what, num(m.required), num(m.have), m.unit, num(m.factor()),
 			m.verdict(), m.mechanism)
 	}
 	return strings.TrimSuffix(b.String(), "\n"), failed
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -244,7 +244,7 @@
 				shard, _ := strconv.Atoi(fields[1])
 				stop := make(chan struct{})
 				cancels[id] = stop
-				begin := s.take(id, shard)
+				begin := s.acceptPart(id, shard)
 				s.f.checkSecondStep(id, shard, fields[2])
 				work.Go(func() {
 					if end, ok := s.run(id, begin, stop); ok {
@@ -276,8 +276,8 @@
 	fail bool
 }
 
-// take books an attempt that has arrived and checks the rules on it.
-func (s *Server) take(id string, shard int) (o order) {
+// acceptPart records an attempt that has arrived and checks the rules on it.
+func (s *Server) acceptPart(id string, shard int) (o order) {
 	now := time.Now()
 	s.mu.Lock()
 	s.arrivals = append(s.arrivals, now)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -27,7 +27,7 @@
 	ctx         context.Context
 	mu          sync.Mutex // guards everything below, and the conns' fields that say so
 	conns       map[string][]*conn
-	connCount   int           // of all servers
+	openConns   int           // of all servers
 	meanLatency time.Duration // of answers; 0: there was none
 }
 
@@ -86,7 +86,7 @@
 // not run twice shares with no other: an answer that breaks the protocol ends its connection and all jobs on it, and this one
 // could not be sent again. The caller holds mu.
 func (l *Link) pickConn(addr string, server *broker.Server, j *job) *conn {
-	full := l.opt.MaxConns > 0 && l.connCount >= l.opt.MaxConns
+	full := l.opt.MaxConns > 0 && l.openConns >= l.opt.MaxConns
 	nonIdempotent := j.call != nil && j.call.NonIdempotent
 	var best, other, idle *conn
 	for _, cn := range l.conns[addr] {
@@ -117,7 +117,7 @@
 	}
 	cn := newConn(l, addr, server)
 	l.conns[addr] = append(l.conns[addr], cn)
-	l.connCount++
+	l.openConns++
 	go cn.run()
 	return cn
 }
@@ -149,7 +149,7 @@
 	list := l.conns[cn.addr]
 	for i, other := range list {
 		if other == cn {
-			l.connCount--
+			l.openConns--
 			list = append(list[:i:i], list[i+1:]...)
 			break
 		}
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -20,8 +20,8 @@
 // toLineEnd are the fields whose value extends to the end of the line.
 var toLineEnd = map[string]bool{"profileData": true, "line": true}
 
-func (d *Decoder) parse(text string) (*fields, error) {
-	kind, rest, _ := strings.Cut(text, " ")
+func (d *Decoder) parse(s string) (*fields, error) {
+	kind, rest, _ := strings.Cut(s, " ")
 	f := &fields{line: d.line, kind: kind, vals: make(map[string]string, 12)}
 	if kind == "" {
 		return nil, fmt.Errorf("line %d: empty where a message was expected", d.line)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -77,9 +77,9 @@
 }
 
 // ParseSettings translates the start-up settings.
-func ParseSettings(text string) (decision.Settings, error) {
+func ParseSettings(input string) (decision.Settings, error) {
 	var p profile
-	if err := json.Unmarshal([]byte(text), &p); err != nil {
+	if err := json.Unmarshal([]byte(input), &p); err != nil {
 		return decision.Settings{}, err
 	}
 	mode, ok := reportModes[p.Report.How]
