--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,8 +1,8 @@
-// Package backoff decides when a caller of a shared service tries again. It does no I/O and keeps no clock.
+// Package backoff decides when a caller of a shared service retries. It does no I/O and keeps no clock.
 //
-// It is built for fleets: what one caller does at once is harmless, and overbooks the service when hundreds
-// do it in the same millisecond, as they do when they were started, or lost their connection, together. So
-// every wait is drawn at random, and the first ones and the longest grow with the number of callers.
+// It is built for fleets (a thundering herd): what one caller does at once is harmless, and overloads the service when
+// hundreds do it in the same millisecond, as they do when they were started, or lost their connections, together. So every
+// wait has jitter, and the first ones and the longest grow with the number of callers.
 package backoff
 
 import (
@@ -15,21 +15,21 @@
 	base         = 100 * time.Millisecond // the shortest wait after a failure, but for its random part
 	callDuration = 25 * time.Millisecond  // of the service's time that one caller's call may take
 
-	// The list that a caller knows at its start may be old, and a drain binds it 250 ms after it would have been
-	// told, had it asked. News that come while a watch is lost bind only after 6 s.
+	// The list that a caller knows at its start may be old, and a drain is in force 250 ms after a call would have brought
+	// it. Updates that are missed while a watch is broken are in force only after 6 s.
 	maxStartWait      = 200 * time.Millisecond
 	maxFirstWait      = 2 * time.Second
 	minLongestWait    = time.Second
 	maxLongestWait    = 3 * time.Second
 	longestWaitFactor = 2 // the longest wait, in times that it takes to serve all callers once
 
-	// DefaultCallers is what a fleet counts that does not say its size, or says an absurd one.
+	// DefaultCallers is the size of a fleet that does not state it, or states an absurd one.
 	DefaultCallers = 100
-	// MaxCallers is the largest fleet that is believed.
+	// MaxCallers is the largest size that is believed.
 	MaxCallers = 100_000
 )
 
-// ClampCallers returns a fleet's size as far as it can be believed, and whether it could.
+// ClampCallers returns a fleet's size, or DefaultCallers and false where it is absurd.
 func ClampCallers(n int) (int, bool) {
 	if n < 1 || n > MaxCallers {
 		return DefaultCallers, false
@@ -53,7 +53,7 @@
 	return b
 }
 
-// Resize takes up how many callers there are. Another goroutine may call it.
+// Resize takes note of how many callers there are. Any goroutine may call it.
 func (b *Backoff) Resize(callers int) {
 	callers, _ = ClampCallers(callers)
 	all := time.Duration(callers) * callDuration
@@ -61,10 +61,9 @@
 	b.longest.Store(int64(min(max(longestWaitFactor*all, minLongestWait), maxLongestWait)))
 }
 
-// Next is how long to wait before the next call. A first wait may be nothing. Each later one is drawn
-// from the upper half of a span that doubles: whatever the service bears, callers that fail together drift apart
-// and ask less and less, until it can serve them one by one. Where the call has to begin within left, so that its
-// news come before they bind, no wait is longer; 0 or less: that time is over, or there is none.
+// Next is how long to wait before the next call. A first wait may be nothing. Each later one is drawn from the upper half of a
+// span that doubles: whatever the service bears, callers that fail together drift apart and call less and less, until it can
+// serve them one by one. Where the call has to start within timeLeft, no wait is longer; 0 or less: there is no such limit.
 func (b *Backoff) Next(timeLeft time.Duration) time.Duration {
 	if b.ceiling == 0 {
 		first := time.Duration(b.first.Load())
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -138,7 +138,7 @@
 	return broker.CallResult{Status: status, LoadReport: decision.NoLoadReport, Value: []byte("v")}
 }
 
-func TestForbiddenSendsAreStopped(t *testing.T) {
+func TestRulesStopForbiddenSends(t *testing.T) {
 	r := newRig(t)
 	_, part, _, _ := r.take("q", unsafe, 1, time.Second)
 	stopped := func(server string) {
@@ -153,7 +153,7 @@
 	require.Equal(t, decision.OK, event[decision.AttemptFinished](r).Status)
 }
 
-func TestUnsafePartsThatMayHaveRunAreNotSentAgain(t *testing.T) {
+func TestNonIdempotentPartsThatMayHaveRunAreNotRetried(t *testing.T) {
 	for status, again := range map[decision.Status]bool{
 		decision.Overloaded: true, decision.Unreachable: true, decision.NotSent: true,
 		decision.Error: false, decision.Reset: false, decision.TimedOut: false,
@@ -195,7 +195,7 @@
 	require.Empty(t, r.sent)
 }
 
-func TestNothingNewGoesToAServerThatLeaves(t *testing.T) {
+func TestDrainStopsNewAttempts(t *testing.T) {
 	r := newRig(t)
 	_, part, _, _ := r.take("q", safe, 1, time.Second)
 	waiting := r.send(part, "s1") // no connection yet when the list speaks
@@ -210,7 +210,7 @@
 	require.Empty(t, r.sent)
 }
 
-func TestALateAnswerEndsNothing(t *testing.T) {
+func TestLateResultEndsNothing(t *testing.T) {
 	r := newRig(t)
 	q, part, c, _ := r.take("q", safe, 1, time.Second)
 	old := r.send(part, "s1")
@@ -226,7 +226,7 @@
 	require.Equal(t, broker.Result{Complete: true, Values: []broker.Value{{1, []byte("new")}}}, <-c)
 }
 
-func TestWhatWasNeverBegunCannotHaveRun(t *testing.T) {
+func TestCallThatNeverStartedCannotHaveRun(t *testing.T) {
 	r := newRig(t)
 	_, part, _, _ := r.take("q", unsafe, 1, time.Second)
 	r.do(decision.Send{ID: part, Server: "s1", Timeout: 0.02})
@@ -236,7 +236,7 @@
 	r.send(part, "s2")
 }
 
-func TestNoAnswerUnderTheFloor(t *testing.T) {
+func TestNoAnswerBelowMinCompleteness(t *testing.T) {
 	r := newRig(t)
 	q, part, c, _ := r.take("q", partial, 2, time.Second)
 	r.send(part, "s1").Finish(done(decision.OK))
@@ -245,7 +245,7 @@
 	require.Equal(t, broker.Result{Outcome: broker.Failed}, <-c)
 }
 
-func TestAPartialAnswerIsNotMarkedWhole(t *testing.T) {
+func TestPartialAnswerIsNotMarkedComplete(t *testing.T) {
 	r := newRig(t)
 	req := &broker.Request{ID: "q", Class: partial, ReceivedAt: time.Now(), Timeout: time.Second,
 		Parts: []broker.Part{{Shard: 1, Weight: 0.85}, {Shard: 2, Weight: 0.15}}}
@@ -268,7 +268,7 @@
 	require.Empty(t, c)
 }
 
-func TestOpenCapAndNames(t *testing.T) {
+func TestConcurrencyLimitAndDuplicateNames(t *testing.T) {
 	r := newRig(t) // 7 queries and parts
 	_, _, first, req := r.take("q", safe, 4, time.Second)
 	more := make(client, 1)
@@ -282,7 +282,7 @@
 	require.Empty(t, first)
 }
 
-func TestCheckNamesWhatIsWrong(t *testing.T) {
+func TestNormalizeNamesTheField(t *testing.T) {
 	for want, change := range map[string]func(*broker.Request){
 		"id":                   func(r *broker.Request) { r.ID = "a b" },
 		"deadline":             func(r *broker.Request) { r.Timeout = 0 },
@@ -302,7 +302,7 @@
 
 // The client has gone while an attempt waits for its connection. The core itself ends it, whatever the Decider does;
 // and before the loop has heard of it, nothing begins either.
-func TestNothingBeginsForAClientThatHasGone(t *testing.T) {
+func TestNoAttemptStartsAfterDisconnect(t *testing.T) {
 	r := newRig(t)
 	_, part, _, req := r.take("q", unsafe, 1, time.Second)
 	waiting := r.send(part, "s1")
@@ -334,7 +334,7 @@
 }
 
 // Nor for a query that has its answer, where cancels are not allowed.
-func TestNothingBeginsForAQueryThatHasEnded(t *testing.T) {
+func TestNoAttemptStartsAfterTheQueryEnded(t *testing.T) {
 	r := newRig(t)
 	q, part, c, _ := r.take("q", safe, 1, time.Second)
 	waiting := r.send(part, "s1")
@@ -345,7 +345,7 @@
 }
 
 // Servers drop repeats for a while only. A repeat that has waited for its connection until that is over must not go.
-func TestNoRepeatBehindItsWindow(t *testing.T) {
+func TestNoRetryAfterIdempotencyWindow(t *testing.T) {
 	r := newRig(t)
 	_, part, _, _ := r.take("q", keyed, 1, 2*time.Second)
 	first := r.send(part, "s1")
@@ -369,7 +369,7 @@
 
 // The process will be killed. What it holds, and what it takes until then, has its answer before: from the parts that
 // are in, refused, or failed.
-func TestAllIsAnsweredByTheEnd(t *testing.T) {
+func TestShutdownDeadlineAnswersEveryQuery(t *testing.T) {
 	// On a virtual clock: a busy machine is late by more than the test allows.
 	synctest.Test(t, testAllIsAnsweredByTheEnd)
 }
@@ -400,7 +400,7 @@
 func (s stuck) Finish(broker.Result) { s <- struct{}{}; <-s }
 
 // A loop that is far behind must not delay what a drain forbids: links see it at once.
-func TestTheListIsInForceBeforeTheLoopComesToIt(t *testing.T) {
+func TestUpdateBindsLinksBeforeTheLoop(t *testing.T) {
 	r := newRig(t)
 	_, part, _, req := r.take("q", safe, 1, time.Second)
 	waiting := r.send(part, "s1")
@@ -416,7 +416,7 @@
 }
 
 // A probe that has waited for a connection is asked again like a call.
-func TestNoProbeToAServerThatLeaves(t *testing.T) {
+func TestNoHealthCheckOfADrainingServer(t *testing.T) {
 	r := newRig(t)
 	probes := make(chan *broker.HealthCheck, 1)
 	r.b = broker.New(broker.Options{Settings: decision.Settings{ReplicaSets: 4, ReplicationFactor: 2}}, r.script, keeps{r.link, probes})
--- a/internal/broker/configure_test.go
+++ b/internal/broker/configure_test.go
@@ -125,7 +125,7 @@
 // Queries, changes and more queries that come to the loop at once: each query is taken whole under the settings before
 // or those after, by its place in the order, with its deadline, the cap and what the Decider hears; and the Decider
 // hears of the change between them.
-func TestAChangeComesIntoForceAtOnePoint(t *testing.T) {
+func TestConfigureAppliesAtOnePoint(t *testing.T) {
 	h := newHeld(t)
 	goOn := h.stop()
 	fits := h.query("before", 0, 1)
@@ -163,7 +163,7 @@
 
 // What stands before a change in the loop's order is judged by the settings before, also the smaller cap: a change is
 // not in force before its point has come, in no part.
-func TestNoPartOfAChangeIsAheadOfIt(t *testing.T) {
+func TestConfigureAppliesAllFieldsTogether(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		cap  int
@@ -188,7 +188,7 @@
 }
 
 // A query over a change keeps its deadline, floor, window and answer to the end.
-func TestAQueryOverAChangeKeepsItsSettings(t *testing.T) {
+func TestQueryAcrossConfigureKeepsItsSettings(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		old, new float64
@@ -232,7 +232,7 @@
 
 // A change that does not fit changes nothing, and the Decider hears nothing of it; nor does it of one that changes
 // classes in nothing.
-func TestAChangeThatDoesNotFitChangesNothing(t *testing.T) {
+func TestInvalidChangeChangesNothing(t *testing.T) {
 	h := newHeld(t)
 	spoil := func(f func(*decision.Class)) broker.Change {
 		c := classes(newDeadline)
@@ -262,7 +262,7 @@
 }
 
 // A change that is handed to a loop which has ended is an error, not a wait.
-func TestNoChangeOfALoopThatHasEnded(t *testing.T) {
+func TestConfigureAfterTheLoopEnded(t *testing.T) {
 	b := broker.New(broker.Options{Settings: decision.Settings{Classes: classes(oldDeadline)}}, &gate{}, link{})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -272,7 +272,7 @@
 }
 
 // Classes that a Decider or the caller may hold are not written to, by this change nor by the next one.
-func TestChangesAreNotMadeInPlace(t *testing.T) {
+func TestConfigureDoesNotWriteToOldClasses(t *testing.T) {
 	h := newHeld(t)
 	c := broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: newCap}
 	require.NoError(t, h.b.Configure(c))
--- a/internal/broker/phase_test.go
+++ b/internal/broker/phase_test.go
@@ -48,7 +48,7 @@
 	return chosen
 }
 
-func TestTheSecondStepGoesToTheHighestScores(t *testing.T) {
+func TestSecondPhaseGoesToTheHighestScores(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		r := newRig(t)
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestAnAnswerWithoutAScoreCannotBeRanked(t *testing.T) {
+func TestAnswerWithoutScoreIsAFailedAttempt(t *testing.T) {
 	r := newRig(t)
 	_, part, _, _ := r.take("q", twoStep, 1, time.Second)
 	r.send(part, "s1").Finish(done(decision.OK))
@@ -101,7 +101,7 @@
 	require.Equal(t, decision.OK, event[decision.AttemptFinished](r).Status)
 }
 
-func TestNoSecondStepUnderTheFloor(t *testing.T) {
+func TestNoSecondPhaseBelowMinCompleteness(t *testing.T) {
 	for class, want := range map[int]broker.Outcome{twoStep: broker.Failed, twoStepPartial: broker.Failed} {
 		r := newRig(t)
 		q, part, c, _ := r.take("q", class, 3, time.Second)
@@ -113,7 +113,7 @@
 }
 
 // A second step requires all its parts, or the class's floor where there is one; and it is whole only if both are.
-func TestWhatTheSecondStepRequires(t *testing.T) {
+func TestSecondPhaseNeedsEveryPart(t *testing.T) {
 	for class, want := range map[int]broker.Result{
 		twoStep:        {Outcome: broker.Failed},
 		twoStepPartial: {Values: []broker.Value{{Shard: 1, Data: []byte("second")}}},
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestTheClientLeavesBetweenTheSteps(t *testing.T) {
+func TestDisconnectBetweenPhases(t *testing.T) {
 	r := newRig(t)
 	q, c, req := r.firstPhase(twoStep, 3)
 	r.do(decision.Respond{ID: q, Complete: true})
@@ -144,7 +144,7 @@
 	r.take("q", twoStep, 6, time.Second) // its name and all its room are free again
 }
 
-func TestAServerDrainsBetweenTheSteps(t *testing.T) {
+func TestDrainBetweenPhases(t *testing.T) {
 	r := newRig(t)
 	q, _, _ := r.firstPhase(twoStep, 3)
 	r.do(decision.Respond{ID: q, Complete: true})
@@ -161,7 +161,7 @@
 
 // What is held between the steps when the process ends is refused, since the first step's values are no answer; what
 // has the second step's is answered. A query whose steps may not run twice has failed: its first step has run.
-func TestTheProcessEndsBetweenTheSteps(t *testing.T) {
+func TestShutdownBetweenPhases(t *testing.T) {
 	refused := broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}
 	for _, in := range []int{0, 1, 2} {
 		r := newRig(t)
@@ -189,7 +189,7 @@
 
 // The first step's attempts that are still out end with it: a late answer is nobody's, and one that has not begun does
 // not begin.
-func TestTheFirstStepIsOver(t *testing.T) {
+func TestSecondPhaseEndsTheFirst(t *testing.T) {
 	r := newRig(t)
 	q, first, c, _ := r.take("q", twoStepPartial, 4, 2*time.Second)
 	r.list(decision.DeltaUpdate, "s3", 3, decision.Ready)
@@ -221,7 +221,7 @@
 }
 
 // Of 7 queries and parts, a query of six parts holds all, and three once its second step has begun.
-func TestRoomBetweenTheSteps(t *testing.T) {
+func TestSlotsBetweenPhases(t *testing.T) {
 	r := newRig(t)
 	q, c, _ := r.firstPhase(twoStep, 6)
 	full := make(client, 1)
--- a/internal/broker/refusal_test.go
+++ b/internal/broker/refusal_test.go
@@ -12,7 +12,7 @@
 
 // A call's end that the loop has not come to yet counts all the same: an attempt of an unsafe part has begun, so that
 // its query has failed, whatever that end will say.
-func TestNoRefusalWhileTheEndOfABegunCallIsUnread(t *testing.T) {
+func TestNoRejectionWhileAStartedCallIsUnread(t *testing.T) {
 	r := newRig(t)
 	other := make(stuck)
 	r.b.Submit(&broker.Request{ID: "other", Class: safe, ReceivedAt: time.Now(), Timeout: 3 * time.Second}, other)
@@ -28,7 +28,7 @@
 }
 
 // A call that has not begun when its query is refused must not begin between the look at it and its end.
-func TestNothingBeginsWhileAQueryIsRefused(t *testing.T) {
+func TestNoAttemptStartsDuringRejection(t *testing.T) {
 	r := newRig(t)
 	id, first, c, _ := r.take("q", unsafe, 2, 3*time.Second)
 	calls := []*broker.Call{r.send(first, "s1"), r.send(first+1, "s2")}
--- a/internal/checkpoint/checkpoint.go
+++ b/internal/checkpoint/checkpoint.go
@@ -1,5 +1,5 @@
 // Package checkpoint saves what a broker has learned to a folder and reads it after a restart: the driver beside
-// packages snapshot (the file) and recovery (what it is worth). It works beside the loop and never has it wait.
+// packages snapshot (the file) and recovery (what of it counts). It works beside the loop and never has it wait.
 package checkpoint
 
 import (
@@ -81,7 +81,7 @@
 	rng *rand.Rand
 	now func() float64
 
-	mu        sync.Mutex // guards learner; held for the few steps of a batch, never across I/O
+	mu        sync.Mutex // guards collector; held for the few steps of a batch, never across I/O
 	collector *recovery.Collector
 	restored  *snapshot.Snapshot // what the process before has left; nil: nothing usable
 
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -200,7 +200,7 @@
 		At             float64 // when it was observed
 		FailureRatio   float64 // fraction of failed attempts, 0 to 1
 		Weight         float64 // how far the broker's own ratio moves there, 0 to 1
-		ServiceTime    float64 // of a part there; 0: not told
+		ServiceTime    float64 // of a part there; 0: not stated
 		LoadReport     LoadReport
 		LoadReportedAt float64 // 0: At
 	}
--- a/internal/decision/cold_test.go
+++ b/internal/decision/cold_test.go
@@ -189,7 +189,7 @@
 
 // A cold server bears only so much from all brokers together, whether they are two, which see much of it, or hundreds
 // that see little each; and whoever is killed or replaced meanwhile.
-func TestAFleetDoesNotPushAColdServerOver(t *testing.T) {
+func TestSlowStartBudgetHoldsForAFleet(t *testing.T) {
 	for _, brokers := range []int{1, 2, 5, 20, 30, 300} {
 		servers := 12
 		if brokers == 300 {
--- a/internal/decision/configured_test.go
+++ b/internal/decision/configured_test.go
@@ -24,7 +24,7 @@
 }
 
 // A change of the aim holds for queries taken from then on. One that is open ends when its own aim has passed.
-func TestOpenQueriesEndUnderTheAimsOfTheirTake(t *testing.T) {
+func TestClassesChangedKeepsOpenQueriesObjectives(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		old, new float64
@@ -57,7 +57,7 @@
 
 // What was taken for the whole patience of clients under a long deadline says nothing under a short one: else each
 // query would pass for a client's repeat, of which a broker that sees little refuses more.
-func TestAShorterDeadlineMakesNoQueryARepeat(t *testing.T) {
+func TestClassesChangedMakesNoQueryARetry(t *testing.T) {
 	taken := func(configured bool) (sent int) {
 		s := settings()
 		s.Classes[0] = decision.Class{LatencyObjective: 0.1, Deadline: 8, CompletenessThreshold: 1, MinCompleteness: 1}
--- a/internal/decision/differential_test.go
+++ b/internal/decision/differential_test.go
@@ -280,7 +280,7 @@
 }
 
 // The module must decide, to the bit of every time it names, what it decided when each batch walked all servers.
-func TestDecisionsEqualThoseOfThePlainForm(t *testing.T) {
+func TestDecisionsEqualThePlainForm(t *testing.T) {
 	kinds := map[string]int{}
 	for seed := range uint64(*differentialDays) {
 		d := newDay(seed)
--- a/internal/decision/failures_test.go
+++ b/internal/decision/failures_test.go
@@ -9,7 +9,7 @@
 // Each test stands for a failure that was met; it fails without the defence that answers it.
 
 // A whole group stalls: repeats must not feed it, and its queries are refused until it answers again.
-func TestJammedGroupIsNotFed(t *testing.T) {
+func TestNoRetriesIntoASilentReplicaSet(t *testing.T) {
 	r := newRig(t, settings(), servers(3)...)
 	r.warm(60, 0.05)
 	toJam, refused := 0, 0
@@ -78,7 +78,7 @@
 }
 
 // A server that fails fast shows a short queue and would win parts.
-func TestFastErrorsLoseWeight(t *testing.T) {
+func TestFailingServerLosesWeight(t *testing.T) {
 	for _, st := range []decision.Status{decision.Error, decision.Overloaded, decision.Unreachable,
 		decision.Reset} {
 		r := newRig(t, settings(), servers(3)...)
@@ -112,7 +112,7 @@
 }
 
 // Clients leave long before their stated deadline: the answer in part must come while they still wait.
-func TestAnswersComeWhileClientsStillWait(t *testing.T) {
+func TestResponsesPrecedeClientTimeouts(t *testing.T) {
 	s := settings()
 	s.Classes[0].MinCompleteness = 0.5
 	r := newRig(t, s, servers(3)...)
@@ -140,7 +140,7 @@
 }
 
 // Every server fails most attempts: no query is refused for it, since no server is worse than its peers.
-func TestFleetWideErrorsRefuseNobody(t *testing.T) {
+func TestFleetWideErrorsRejectNoQuery(t *testing.T) {
 	r := newRig(t, settings(), servers(3)...)
 	r.warm(60, 0.05)
 	_, held := r.query(0, 3)
@@ -167,7 +167,7 @@
 }
 
 // A restarted process owes nothing for its predecessor: it must not stay condemned for its predecessor's end.
-func TestRestartVoidsBadMarks(t *testing.T) {
+func TestRestartResetsFailureRatio(t *testing.T) {
 	s := settings()
 	s.SlowStart.Duration = 0
 	r := newRig(t, s, servers(3)...)
@@ -187,7 +187,7 @@
 }
 
 // Where crossing zones has a price, parts stay near; where it has none, zones do not matter.
-func TestPartsStayNearWhereCrossingHasAPrice(t *testing.T) {
+func TestPartsStayInZoneWhereCrossingCosts(t *testing.T) {
 	for _, c := range []struct {
 		price    float64
 		min, max int
@@ -236,7 +236,7 @@
 }
 
 // Where all replicas of a shard answer slowly, for others' parts too, few queries are let through on trial.
-func TestSlowShardIsRefusedThoughIdleHere(t *testing.T) {
+func TestSlowShardIsRejectedDespiteIdleBroker(t *testing.T) {
 	s := settings()
 	s.ReplicaSets = 2
 	list := servers(4)
@@ -269,7 +269,7 @@
 
 // Ninety brokers with a part each for a cold server: together they must stay under what makes it fall over,
 // and still use it.
-func TestManyBrokersShareAColdServersRoom(t *testing.T) {
+func TestBrokersShareSlowStartBudget(t *testing.T) {
 	const brokers, warmRate = 90, 12 // warmRate: parts a second that each warm server answers, to all brokers
 	s := settings()
 	s.Brokers, s.ReplicaSets = brokers, 2
@@ -304,7 +304,7 @@
 
 // A jam has the queries of all shards refused; when it has passed, nothing but time can tell, since queries of
 // many parts are never let through part by part.
-func TestRefusalEndsAfterAJam(t *testing.T) {
+func TestRejectionEndsAfterOverload(t *testing.T) {
 	r := newRig(t, settings(), servers(120)...)
 	ask := func(took float64) (sent bool) { // as a whole
 		_, ev := r.query(0, 40)
@@ -337,7 +337,7 @@
 
 // A query whose parts all bring down the servers that begin them is given up, its client's repeats are turned
 // away before they cost a server, and the class's next query sends one part ahead.
-func TestQueryThatBreaksServersIsNotSpread(t *testing.T) {
+func TestPoisonQueryIsQuarantined(t *testing.T) {
 	r := newRig(t, settings(), servers(12)...)
 	r.warm(60, 0.05)
 	id, ev := r.query(0, 6)
@@ -377,7 +377,7 @@
 }
 
 // Half of the servers break connections off before any work: that tells of them, not of the query.
-func TestBrokenConnectionsDoNotCondemnAQuery(t *testing.T) {
+func TestResetsAloneDoNotQuarantineAQuery(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 6
 	r := newRig(t, s, servers(12)...)
@@ -405,7 +405,7 @@
 }
 
 // Where a share of the parts makes a whole answer, a spare part stands in for one whose server stays silent.
-func TestSparePartsStandInForSilentOnes(t *testing.T) {
+func TestSparePartsReplaceSilentOnes(t *testing.T) {
 	s := settings()
 	s.Classes[0].CompletenessThreshold, s.Classes[0].MinCompleteness = 0.5, 0.5
 	s.HedgingAllowed = false
@@ -426,7 +426,7 @@
 }
 
 // Attempts that never end but are cancelled with their query tell of their server all the same.
-func TestCancelledAttemptsTellOfTheirServer(t *testing.T) {
+func TestCancelledAttemptsRaiseServiceTime(t *testing.T) {
 	r := newRig(t, settings(), servers(3)...)
 	r.warm(60, 0.05)
 	toSilent := 0
@@ -451,7 +451,7 @@
 }
 
 // While too few answers are known to tell when a copy is due, a running part asks for no timers in between.
-func TestNoTimerEachTickBeforeAnythingIsKnown(t *testing.T) {
+func TestNoTimerStormBeforeFirstAnswer(t *testing.T) {
 	s := settings()
 	s.HedgingAllowed = true
 	r := newRig(t, s, servers(3)...)
@@ -478,7 +478,7 @@
 
 // A zone is cut off from this broker: its servers that were not met yet are avoided too, though half of the fleet
 // fails and the median server with it.
-func TestServersOfAFailingZoneAreAvoided(t *testing.T) {
+func TestFailingZoneLosesWeight(t *testing.T) {
 	s := settings()
 	s.MaxAttempts, s.HealthChecksAllowed = 1, false
 	r := newRig(t, s, zoned(300)...)
@@ -501,7 +501,7 @@
 }
 
 // Probes look for sound servers while attempts fail often, and only then; they count like attempts.
-func TestFailuresAreLookedIntoByProbes(t *testing.T) {
+func TestDisconnectsTriggerHealthChecks(t *testing.T) {
 	s := settings()
 	s.MaxAttempts, s.HealthChecksAllowed = 1, true
 	for _, st := range []decision.Status{decision.OK, decision.Reset} {
@@ -552,7 +552,7 @@
 
 // Not all can be served: queries worth several times more a part keep a wider margin, where the worth goes by
 // the query; where it goes by work, no class goes first.
-func TestWorthierQueriesKeepAWiderMargin(t *testing.T) {
+func TestPriorityWidensAdmissionMargin(t *testing.T) {
 	for _, byWork := range []bool{false, true} {
 		s := settings()
 		s.WeightByWork = byWork
@@ -581,7 +581,7 @@
 }
 
 // A release in a deployment of one zone: what failed at the old servers is not held against the new ones.
-func TestNewServersOfTheOnlyZoneAreNotDoubted(t *testing.T) {
+func TestNewServersOfASingleZoneKeepWeight(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
 	r := newRig(t, s, servers(40)...)
@@ -604,7 +604,7 @@
 
 // One connection of a server may fall silent while the others go on. What was lost on it must not count as the
 // server's silence for as long as it answers what is sent since, or its shards' queries are refused.
-func TestWhatWasLostIsNotSilence(t *testing.T) {
+func TestLostAttemptsAreNotSilence(t *testing.T) {
 	r := newRig(t, settings(), servers(2)...)
 	r.warm(60, 0.02)
 	_, ev := r.query(0, 2) // both parts are lost
@@ -622,7 +622,7 @@
 
 // An attempt that its server has passed over for long is lost: it is given up for another, once, where a repeat
 // is safe, and left alone where it is not.
-func TestAttemptPassedOverIsGivenUp(t *testing.T) {
+func TestOvertakenAttemptIsCancelled(t *testing.T) {
 	for _, repeat := range []decision.Idempotency{decision.Idempotent, decision.NonIdempotent} {
 		s := settings()
 		s.Classes[0].Idempotency = repeat
@@ -651,7 +651,7 @@
 }
 
 // Clients that leave sooner than parts take cannot be served: the others must not be refused for them.
-func TestClientsThatLeaveAtOnceSetNoAim(t *testing.T) {
+func TestImmediateDisconnectsSetNoObjective(t *testing.T) {
 	r := newRig(t, settings(), servers(3)...)
 	r.warm(40, 0.05)
 	for range 12 {
--- a/internal/decision/fleet_test.go
+++ b/internal/decision/fleet_test.go
@@ -36,7 +36,7 @@
 
 // A wide query hears of each of its parts by itself. What one such event costs must not grow with the parts
 // that are out times the figures kept: a broker has a quarter of a core, and queries were late by its own work.
-func TestAnOutcomeOfAWideQueryIsCheap(t *testing.T) {
+func TestOutcomeOfLargeFanoutIsCheap(t *testing.T) {
 	const n = 200
 	p, query := fleetRig(t, n)
 	now := 101.0
@@ -71,7 +71,7 @@
 // earns nothing and takes the room of a first try: hundreds of brokers so kept a jam alive. It waits for less than
 // first tries do, which tells it. Where nothing is scarce it is served all the same, and so it is by a broker that
 // sees much of each server: of few brokers, the one that refused meets it again, and knows what it can bear.
-func TestLateRepeatsYieldToFirstTries(t *testing.T) {
+func TestLateRetriesGetNarrowerMargin(t *testing.T) {
 	s := settings()
 	s.Classes[0] = decision.Class{LatencyObjective: 0.4, Deadline: 1.4, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 1}
 	for _, c := range []struct {
@@ -118,7 +118,7 @@
 
 // A broker of hundreds meets each server every few seconds: at a wide query's arrival it cannot know that the fleet is
 // full. When all sent their wide queries whole, each made the others late. A few parts go ahead and tell.
-func TestAWideQuerySendsItsOtherPartsOnceThoseAheadAreBack(t *testing.T) {
+func TestFanoutFollowsCanaryParts(t *testing.T) {
 	const n = 200
 	served := func(now float64, p *decision.Policy, out []decision.Send) []decision.Action {
 		var back []decision.Event
@@ -162,7 +162,7 @@
 
 // What is in at the aim is answered, if that is enough. A broker with a small share of a core needs a while for a
 // request of 200 parts, and as long for its answer, which came some milliseconds after the aim.
-func TestAnAnswerLeavesAsEarlyAsItsRequestTookToComeIn(t *testing.T) {
+func TestResponseLeadCountsTheWayIn(t *testing.T) {
 	for _, lag := range []float64{0, 0.02} {
 		p, query := fleetRig(t, 200)
 		ev := query(101, 10)
--- a/internal/decision/healthchecks.go
+++ b/internal/decision/healthchecks.go
@@ -16,7 +16,7 @@
 	healthCheckThreshold = 0.2  // disconnect ratio of attempts from which further health checks pay
 )
 
-// healthChecks says when servers are asked for load reports, and what these told.
+// healthChecks says when servers are asked for load reports, and what followed from these.
 type healthChecks struct {
 	healthCheckAt float64                 // when to check all servers
 	fitnessAt     float64                 // when to compute their fitness
--- a/internal/decision/rules_test.go
+++ b/internal/decision/rules_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestClientGoneEndsWithoutAnswer(t *testing.T) {
+func TestClientDisconnectedEndsWithoutResponse(t *testing.T) {
 	r := newRig(t, settings(), servers(2)...)
 	id, ev := r.query(0, 2)
 	r.handle(ev...)
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestUnsafeAndKeyedRepeats(t *testing.T) {
+func TestRetriesFollowIdempotency(t *testing.T) {
 	cases := []struct {
 		name   string
 		repeat decision.Idempotency
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestUnsafeQueryWithAttemptOutFailsAtItsEnd(t *testing.T) {
+func TestNonIdempotentQueryInFlightFailsAtItsEnd(t *testing.T) {
 	s := settings()
 	s.Classes[0].Idempotency = decision.NonIdempotent
 	r := newRig(t, s, servers(2)...)
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestNothingGoesToDrainingOrGoneServers(t *testing.T) {
+func TestDrainingAndRemovedServersGetNoAttempts(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		news decision.EndpointUpdate
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestAskedListIsWatchedAndAskedAgain(t *testing.T) {
+func TestPolledListIsPolledAgain(t *testing.T) {
 	s := settings()
 	s.PollEndpoints, s.PollInterval = true, 10
 	p := decision.New(s, 1)
@@ -186,7 +186,7 @@
 	}
 }
 
-func TestColdServerIsNotPushedOver(t *testing.T) {
+func TestSlowStartBudgetHoldsForOneBroker(t *testing.T) {
 	s := settings()
 	r := newRig(t, s, servers(4)...)
 	r.warm(200, 0.02)
@@ -210,7 +210,7 @@
 	}
 }
 
-func TestAllReplicasColdHoldsParts(t *testing.T) {
+func TestPartsWaitWhileAllReplicasWarmUp(t *testing.T) {
 	s0, s1 := decision.Server{ID: "s0", Started: 99.9}, decision.Server{ID: "s1", Started: 99.9}
 	r := newRig(t, settings(), s0, s1)
 	_, ev := r.query(0, 8)
@@ -223,7 +223,7 @@
 	}
 }
 
-func TestAnswersAreHonest(t *testing.T) {
+func TestResponsesAreMarkedCompleteOnlyIfTheyAre(t *testing.T) {
 	cases := []struct {
 		name        string
 		need, floor float64
@@ -265,7 +265,7 @@
 	}
 }
 
-func TestSecondStep(t *testing.T) {
+func TestSecondPhase(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		first, then int // parts in of four, then of two
@@ -315,7 +315,7 @@
 	}
 }
 
-func TestUnsafeQueryIsNotRefusedAfterItsFirstStep(t *testing.T) {
+func TestNonIdempotentQueryIsNotRejectedAfterItsFirstPhase(t *testing.T) {
 	s := settings()
 	s.Classes[0].Idempotency, s.Classes[0].SecondPhaseFanout = decision.NonIdempotent, 1
 	r := newRig(t, s, servers(2)...)
@@ -329,7 +329,7 @@
 	}
 }
 
-func TestBudgetHoldsInEveryWindow(t *testing.T) {
+func TestRetryBudgetHoldsInEveryWindow(t *testing.T) {
 	s := settings()
 	s.RetryBudget.Enabled, s.RetryBudget.Min, s.RetryBudget.Ratio, s.RetryBudget.Window = true, 2, 0.25, 1
 	r := newRig(t, s, servers(3)...)
@@ -369,7 +369,7 @@
 	}
 }
 
-func TestCopiesOnlyWhereAllowed(t *testing.T) {
+func TestHedgesOnlyWhereAllowed(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		s := settings()
 		s.HedgingAllowed = copies
@@ -502,7 +502,7 @@
 	}
 }
 
-func TestPullSitesAreProbedEveryTenSeconds(t *testing.T) {
+func TestPulledReportsAreAskedForEveryTenSeconds(t *testing.T) {
 	s := settings()
 	s.ReportMode, s.HealthChecksAllowed = decision.ReportPull, true
 	p := decision.New(s, 1)
--- a/internal/decision/shared_test.go
+++ b/internal/decision/shared_test.go
@@ -10,7 +10,7 @@
 
 // Hearsay moves the draw away from a server that another loop of the process saw fail, unless this one knows
 // better, and a later recovery brings it back.
-func TestHearsayMovesTheDraw(t *testing.T) {
+func TestPeerObservationMovesTheDraw(t *testing.T) {
 	share := func(r *rig) (n int) { // of 100 parts, those that went to s0
 		for range 100 {
 			_, ev := r.query(0, 1)
@@ -45,7 +45,7 @@
 }
 
 // A broker that is told its room at a cold server keeps to it to the part and to the time.
-func TestRoomOfASharedBudget(t *testing.T) {
+func TestSlowStartLeaseLimitsSends(t *testing.T) {
 	r := newRig(t, settings(), servers(1)...)
 	r.warm(50, 0.01) // by its own estimate it would send several a second
 	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now}}})
@@ -67,7 +67,7 @@
 
 // Where brokers know of each other, one that has seen no answer yet tries a cold server as rarely as there are many; one
 // that is told of a fleet too large to have a part of it does not at all. Nothing else hangs on their number.
-func TestTheFleetsSizeIsHeard(t *testing.T) {
+func TestFleetResizedChangesBudgets(t *testing.T) {
 	tries := func(events ...decision.Event) (n int) {
 		for seed := range uint64(400) {
 			r := newRig(t, settings(), servers(1)...)
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,4 +1,4 @@
-// Package discovery follows the server list: it drives httpwire's line machine over a socket.
+// Package discovery watches the endpoint list: it drives httpwire's line reader over a socket, as listwatch decides.
 package discovery
 
 import (
@@ -75,7 +75,7 @@
 	return l, nil
 }
 
-// Watcher follows the list and hands its news to Update. It drives a listwatch, which decides when to call and which calls
+// Watcher watches the list and hands its updates to Update. It drives a listwatch, which decides when to call and which calls
 // stay open.
 type Watcher struct {
 	Addr      string // where the first watch goes; Move names another
@@ -111,7 +111,8 @@
 	err  error
 }
 
-// Run follows the list until ctx ends. The calls only read; this goroutine owns the list's version and the listwatch.
+// Run watches the list until ctx ends. Each call has a goroutine that only reads and ends with it; Run's own owns the list's
+// version and the listwatch.
 func (w *Watcher) Run(ctx context.Context) {
 	w.init()
 	if w.Backoff == nil {
@@ -261,7 +262,7 @@
 		return err
 	}
 	if m.Version < w.Since {
-		// Guards against an agent that has fallen behind: what it tells would bring back servers that drain or are gone.
+		// Guards against an agent that has fallen behind: its list would bring back servers that drain or are removed.
 		return fmt.Errorf("version %d is older than what is known", m.Version)
 	}
 	w.Since = m.Version
--- a/internal/front/crossing_test.go
+++ b/internal/front/crossing_test.go
@@ -179,7 +179,7 @@
 
 // A request has been read off a resting connection in the moment in which the connection is chosen to make room, its
 // time is up, or the process ends. Its client cannot know that nobody looked at it: it is served.
-func TestARequestReadAsItsConnectionEndsIsServed(t *testing.T) {
+func TestRequestReadAsItsConnectionEndsIsServed(t *testing.T) {
 	for name, end := range map[string]func(x *fixture){
 		"to make room": func(x *fixture) { x.dial() },
 		"too many rest": func(x *fixture) {
@@ -215,7 +215,7 @@
 }
 
 // The last answer must come whole, and then the end: not a reset by what the client has sent behind its request.
-func TestAnAnswerIsNotLostToWhatComesBehindIt(t *testing.T) {
+func TestAnswerIsNotLostToBytesBehindItsRequest(t *testing.T) {
 	for name, behind := range map[string]int{"another request": 300, "a flood": 200 << 10} {
 		t.Run(name, func(t *testing.T) {
 			x := start(t, Options{MaxConns: 9})
@@ -238,7 +238,7 @@
 }
 
 // A client that has sent much behind its request, and goes, has gone: nobody may work for it.
-func TestACloseBehindAFloodIsNoticed(t *testing.T) {
+func TestCloseBehindDiscardedBytesIsNoticed(t *testing.T) {
 	x := start(t, Options{MaxConns: 9})
 	c, _, _ := x.dial()
 	fmt.Fprint(c, ask("q"))
@@ -257,7 +257,7 @@
 }
 
 // One that goes on sending behind a request that is held is told off and ended, at no cost to the others.
-func TestAnEndlessFloodEnds(t *testing.T) {
+func TestEndlessPipelineIsRejected(t *testing.T) {
 	x := start(t, Options{MaxConns: 9})
 	c, in, _ := x.dial()
 	fmt.Fprint(c, ask("q"))
@@ -274,7 +274,7 @@
 }
 
 // Newcomers find room among connections that rest or linger, however many come, and one that asks is answered soon.
-func TestAFloodOfConnectionsDoesNotHoldUpWhoAsks(t *testing.T) {
+func TestManyConnectionsDoNotDelayRequests(t *testing.T) {
 	x := start(t, Options{MaxConns: 8})
 	began := time.Now()
 	for i := range 200 {
@@ -288,7 +288,7 @@
 }
 
 // A request that came behind another counts from when it came, not from when its turn was.
-func TestARequestCountsFromItsLastByte(t *testing.T) {
+func TestRequestCountsFromItsLastByte(t *testing.T) {
 	x := start(t, Options{MaxConns: 8})
 	c, in, _ := x.dial()
 	fmt.Fprint(c, ask("q1"), ask("q2"))
@@ -382,7 +382,7 @@
 }
 
 // Half a request is no request: told to end, the front waits for the rest, and no longer than its time allows.
-func TestHalfARequestAtTheEnd(t *testing.T) {
+func TestPartialRequestAtShutdown(t *testing.T) {
 	x := start(t, Options{MaxConns: 8})
 	c, in, _ := x.dial()
 	silent, silentIn, _ := x.dial()
@@ -406,7 +406,7 @@
 }
 
 // Where all connections hold requests, one more is told when to come back, not reset over what it has sent.
-func TestWhoFindsNoRoomIsToldSo(t *testing.T) {
+func TestOverCapacityConnectionIsAnswered(t *testing.T) {
 	x := start(t, Options{MaxConns: 1})
 	c, in, _ := x.dial()
 	fmt.Fprint(c, ask("q"))
--- a/internal/listwatch/listwatch.go
+++ b/internal/listwatch/listwatch.go
@@ -1,12 +1,12 @@
-// Package listwatch decides how a broker keeps watch over the server list: when a watch counts as broken, when to call
-// again, and which calls stay open meanwhile. It does no I/O and keeps no clock: a driver hands in the time and what
-// happened, and opens and closes calls as it is told.
+// Package listwatch decides how a broker watches the endpoint list: when a watch counts as broken, when to call again, and
+// which calls stay open meanwhile. It does no I/O and keeps no clock: a driver hands in the time and what happened, and
+// opens and closes calls as the returned actions say.
 //
-// The list's clock: an empty line comes every 2 s, so a watch without a whole word for longer is broken. What it
-// misses binds 6 s after its last word, whether or not it came (4 s after a new configuration). What is pushed binds
-// from the moment at which the agent has it. An agent that is silent answers the calls that are open as soon as it has
-// something to tell, and only those. So a silent call is not given up for a new one: it stays open until another has
-// spoken, and a broker is never deaf while it waits to call again.
+// The list's clock: an empty line comes every 2 s, so a watch without a message for longer is broken. An update that it
+// misses is in force 6 s after its last message, received or not (4 s after a change of address). A pushed update is in
+// force from the moment at which the agent has it. An agent that is silent answers the calls that are open as soon as it
+// has an update, and only those. So a silent call is not closed for a new one: it stays open until another has brought a
+// message, and a broker misses nothing while it waits to call again.
 package listwatch
 
 import (
@@ -17,10 +17,10 @@
 )
 
 const (
-	// SilenceTimeout is how long a watch may be without a whole word: an empty line comes every 2 s.
+	// SilenceTimeout is how long a watch may be without a message: an empty line comes every 2 s.
 	SilenceTimeout = 2600 * time.Millisecond
-	// CallTimeout is how long a call may take from its connect to its first word. An overbooked discovery serves in
-	// turn, so it is as long as the clock allows.
+	// CallTimeout is how long a call may take from its connect to its first message. An overloaded discovery serves calls
+	// one by one, so it is as long as the clock allows.
 	CallTimeout           = 2200 * time.Millisecond
 	updateDeadline        = 5700 * time.Millisecond // after the last word, or the begin of a call: 6 s, less what taking the news in may last
 	addressChangeDeadline = 3700 * time.Millisecond // after a move: 4 s, less the same
@@ -37,8 +37,8 @@
 	id              int
 	startedAt       time.Time
 	receivedMessage bool
-	former          bool // at an address from before a move: what it tells is taken, but it is no watch any more
-	suspect         bool // it has been silent for too long, and another call is under way or waited for
+	former          bool // at a former address: its updates are applied, but it is no watch any more
+	suspect         bool // it has been silent for too long, and another call is open or scheduled
 }
 
 // Watch is one broker's watch. Make it with New.
@@ -47,8 +47,8 @@
 	calls       []call // in the order of their beginning
 	last        int    // id of the latest
 	lastMessage time.Time
-	callBy      time.Time // the next call has to begin by then, if one is waited for; zero: none has begun yet
-	callAt      time.Time // when to call; zero: no call is waited for
+	callBy      time.Time // the next call has to start by then, if one is scheduled; zero: none has started yet
+	callAt      time.Time // zero: no call is scheduled
 	actions     []Action
 }
 
@@ -59,9 +59,9 @@
 	return w
 }
 
-// scheduleCall has the next call made after a wait that ends early enough for its answer. Guards against waits that grow while
-// calls fail: a change that discovery could not tell binds 6 s after it could, so calls begin no further apart than
-// leaves the next one its time within that, whatever became of those before.
+// scheduleCall schedules the next call after a wait that ends early enough for its answer. It guards against waits that grow
+// while calls fail: an update that discovery could not send is in force 6 s after it could, so calls start no further apart
+// than leaves the next one its time within that, whatever became of those before.
 func (w *Watch) scheduleCall(now time.Time) {
 	timeLeft := time.Duration(0) // nothing bounds the wait before the first call
 	if !w.callBy.IsZero() {
@@ -84,7 +84,7 @@
 	return time.Time{}
 }
 
-// latest is the call that the watch rests on, or nil.
+// latest is the call that is the watch, or nil.
 func (w *Watch) latest() *call {
 	if n := len(w.calls); n > 0 && !w.calls[n-1].former {
 		return &w.calls[n-1]
@@ -142,7 +142,7 @@
 	return todo
 }
 
-// MessageReceived tells that a call has brought a whole word. Whichever speaks is the watch, and the others are closed.
+// MessageReceived tells that a call has brought a message. That call is the watch from now on, and the others are closed.
 func (w *Watch) MessageReceived(now time.Time, id int) []Action {
 	i := slices.IndexFunc(w.calls, func(c call) bool { return c.id == id })
 	if i < 0 || w.calls[i].former {
@@ -173,8 +173,8 @@
 	return w.drainActions()
 }
 
-// AddressChanged tells that the list is to be followed at another address. What the old one tells until the new one has spoken
-// is still taken.
+// AddressChanged tells that the list is to be watched at another address. Updates of the old one are applied until the new
+// one has sent a message.
 func (w *Watch) AddressChanged(now time.Time) []Action {
 	for _, c := range slices.Clone(w.calls) {
 		if c.former { // of the address before that: moves in a row must not add up
--- a/internal/upstream/liveness_test.go
+++ b/internal/upstream/liveness_test.go
@@ -44,7 +44,7 @@
 
 // An answer may come before the writer has noted when it had written the call. It must not count as having taken since
 // the zero time: for hundreds of answers no silence would be noticed.
-func TestAnAnswerAheadOfItsWriterTellsNoTime(t *testing.T) {
+func TestAnswerBeforeWriteReturnsHasNoLatency(t *testing.T) {
 	l := New(t.Context(), Options{})
 	cn := newConn(l, "a", nil)
 	j := &job{call: newCall(t, time.Second), id: "q.0", state: jobWriting}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -173,7 +173,7 @@
 
 // A machine that has dropped off the network leaves its connections open and silent. One whose call got no
 // word for long is not used for more: on a new one it shows that nothing can have run.
-func TestAConnectionThatFellSilentIsRetired(t *testing.T) {
+func TestSilentConnectionIsRetired(t *testing.T) {
 	r := newRig(t, options)
 	id := r.ask("q")
 	r.do(send(id))
@@ -186,7 +186,7 @@
 	r.accept().gets('S', "next.0")
 }
 
-func TestProbes(t *testing.T) {
+func TestHealthChecks(t *testing.T) {
 	r := newRig(t, options)
 	r.do(decision.CheckHealth{Server: "s0"})
 	p := r.accept()
@@ -222,7 +222,7 @@
 
 // What cannot be read leaves its connection of no use: all that is out on it has failed, at once, and may
 // have run, but the server is not taken for cut off. What was served before it is served.
-func TestSpoiltAnswers(t *testing.T) {
+func TestProtocolErrorsFailAttempts(t *testing.T) {
 	const good = "\x00\x00\x00\x0fRa.0 done 1 -\nv"
 	for name, spoilt := range map[string]string{
 		"an unknown letter":    "\x00\x00\x00\x0f\x01b.0 done 1 -\nv",
@@ -254,7 +254,7 @@
 
 // A second copy behind a good answer does no harm, and no later attempt of its id meets it. Noise there ends
 // the connection before the next call takes it for its answer.
-func TestMoreThanBelongsToAnAnswer(t *testing.T) {
+func TestTrailingBytesAreAProtocolError(t *testing.T) {
 	const good = "\x00\x00\x00\x11Ra.0 failed 1 -\nv"
 	for name, more := range map[string]string{"a copy": good, "half a frame": "\x00\x00\x00\x40R"} {
 		t.Run(name, func(t *testing.T) {
@@ -278,7 +278,7 @@
 
 // What ends a connection must not fail parts that cannot be sent again: they go alone, by a connection that spoke
 // a moment ago, else by a new one. One that has rested may be gone, and makes room for the new one.
-func TestUnsafePartsGoAloneBySureConnections(t *testing.T) {
+func TestNonIdempotentPartsGoAloneByProvenConnections(t *testing.T) {
 	r := newRig(t, upstream.Options{MaxStreams: 9, IdleTimeout: time.Minute, ConnectTimeout: time.Second, ProvenAliveFor: time.Second})
 	r.do(send(r.ask("safe")))
 	first := r.accept()
@@ -316,7 +316,7 @@
 }
 
 // Connections that rest, as those to servers that are gone, make room for one to a server that has none.
-func TestARestingConnectionMakesRoomForAnother(t *testing.T) {
+func TestIdleConnectionIsEvictedForAnother(t *testing.T) {
 	r := newRig(t, upstream.Options{MaxStreams: 1, MaxConns: 1, IdleTimeout: time.Minute, ConnectTimeout: time.Second})
 	r.do(send(r.ask("a")))
 	p := r.accept()
@@ -337,7 +337,7 @@
 
 // A server takes no bytes, and the call that is just being written is taken back. The rest of its frame must not come to
 // the server later, when another attempt may be out.
-func TestACallTakenBackHalfWrittenIsNeverDelivered(t *testing.T) {
+func TestCancelDuringWriteResetsTheConnection(t *testing.T) {
 	r := newRig(t, upstream.Options{MaxStreams: 1000, IdleTimeout: time.Minute, ConnectTimeout: 250 * time.Millisecond})
 	text := bytes.Repeat([]byte("x"), 60<<10)
 	var ids []decision.RequestID
