--- a/cmd/mothload/main.go
+++ b/cmd/mothload/main.go
@@ -26,7 +26,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"mothrouter/internal/standin"
+	"mothrouter/internal/harness/standin"
 )
 
 var (
--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -10,7 +10,6 @@
 	"mothrouter/internal/broker"
 	"mothrouter/internal/checkpoint"
 	"mothrouter/internal/config"
-	"mothrouter/internal/cores"
 	"mothrouter/internal/decision"
 	"mothrouter/internal/discovery"
 	"mothrouter/internal/fleet"
@@ -18,6 +17,7 @@
 	"mothrouter/internal/membership"
 	"mothrouter/internal/metrics"
 	"mothrouter/internal/upstream"
+	"mothrouter/internal/workers/cores"
 )
 
 // assemble puts the process together. Beside the loops run the parts; a part that rests on another is added, and so
--- a/internal/checkpoint/restart_test.go
+++ b/internal/checkpoint/restart_test.go
@@ -19,8 +19,8 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/slowstart"
-	"mothrouter/internal/standin"
+	"mothrouter/internal/estimate/slowstart"
+	"mothrouter/internal/harness/standin"
 	"mothrouter/internal/upstream"
 )
 
--- a/internal/lazyheap/lazyheap_test.go
+++ b/internal/collections/lazyheap/lazyheap_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"mothrouter/internal/lazyheap"
+	"mothrouter/internal/collections/lazyheap"
 )
 
 type item struct {
--- a/internal/median/median_test.go
+++ b/internal/collections/median/median_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"mothrouter/internal/median"
+	"mothrouter/internal/collections/median"
 )
 
 func TestLowerIsTheSortedMiddle(t *testing.T) {
--- a/internal/recent/window_test.go
+++ b/internal/collections/recent/window_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"mothrouter/internal/recent"
+	"mothrouter/internal/collections/recent"
 )
 
 func TestAWindowCountsWhatIsNotForgotten(t *testing.T) {
--- a/internal/replicasets/replicasets_test.go
+++ b/internal/collections/replicasets/replicasets_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"mothrouter/internal/replicasets"
+	"mothrouter/internal/collections/replicasets"
 )
 
 // Holders are those of a walk over all items, in order, whatever comes and goes.
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -6,10 +6,10 @@
 	"maps"
 	"math"
 
-	"mothrouter/internal/clientpatience"
 	"mothrouter/internal/completeness"
-	"mothrouter/internal/queueing"
-	"mothrouter/internal/servicetime"
+	"mothrouter/internal/estimate/clientpatience"
+	"mothrouter/internal/estimate/queueing"
+	"mothrouter/internal/estimate/servicetime"
 )
 
 const (
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -7,9 +7,9 @@
 package decision
 
 import (
-	"mothrouter/internal/retrybudget"
-	"mothrouter/internal/serverstats"
-	"mothrouter/internal/slowstart"
+	"mothrouter/internal/estimate/retrybudget"
+	"mothrouter/internal/estimate/serverstats"
+	"mothrouter/internal/estimate/slowstart"
 )
 
 // Times and durations are seconds; times are on a clock of the caller's that never runs backwards.
--- a/internal/decision/cold_test.go
+++ b/internal/decision/cold_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/slowstart"
+	"mothrouter/internal/estimate/slowstart"
 )
 
 // due is an answer on its way to a broker.
--- a/internal/decision/differential_test.go
+++ b/internal/decision/differential_test.go
@@ -8,8 +8,8 @@
 	"reflect"
 	"testing"
 
-	"mothrouter/internal/retrybudget"
-	"mothrouter/internal/slowstart"
+	"mothrouter/internal/estimate/retrybudget"
+	"mothrouter/internal/estimate/slowstart"
 )
 
 const differentialBatches = 800 // of a day
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -7,8 +7,8 @@
 	"math"
 	"slices"
 
-	"mothrouter/internal/replicasets"
-	"mothrouter/internal/serverstats"
+	"mothrouter/internal/collections/replicasets"
+	"mothrouter/internal/estimate/serverstats"
 )
 
 const (
--- a/internal/decision/health.go
+++ b/internal/decision/health.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"mothrouter/internal/serverstats"
+	"mothrouter/internal/estimate/serverstats"
 )
 
 const (
--- a/internal/decision/healthchecks.go
+++ b/internal/decision/healthchecks.go
@@ -6,8 +6,8 @@
 	"cmp"
 	"math"
 
-	"mothrouter/internal/lazyheap"
-	"mothrouter/internal/serverstats"
+	"mothrouter/internal/collections/lazyheap"
+	"mothrouter/internal/estimate/serverstats"
 )
 
 const (
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/slowstart"
+	"mothrouter/internal/estimate/slowstart"
 )
 
 // rig drives one Policy with events and keeps what it did.
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -8,11 +8,11 @@
 	"math/rand/v2"
 	"slices"
 
-	"mothrouter/internal/clientpatience"
-	"mothrouter/internal/lazyheap"
-	"mothrouter/internal/replicasets"
-	"mothrouter/internal/retrybudget"
-	"mothrouter/internal/serverstats"
+	"mothrouter/internal/collections/lazyheap"
+	"mothrouter/internal/collections/replicasets"
+	"mothrouter/internal/estimate/clientpatience"
+	"mothrouter/internal/estimate/retrybudget"
+	"mothrouter/internal/estimate/serverstats"
 )
 
 const (
--- a/internal/decision/reference_test.go
+++ b/internal/decision/reference_test.go
@@ -11,7 +11,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"mothrouter/internal/recent"
+	"mothrouter/internal/collections/recent"
 )
 
 // Constants of estimates that have left the module, as they were.
--- a/internal/clientpatience/clientpatience.go
+++ b/internal/estimate/clientpatience/clientpatience.go
@@ -2,7 +2,7 @@
 // nothing and does no I/O; times are seconds.
 package clientpatience
 
-import "mothrouter/internal/recent"
+import "mothrouter/internal/collections/recent"
 
 const (
 	weight         = 0.05 // of one query in the disconnect ratio
--- a/internal/clientpatience/clientpatience_test.go
+++ b/internal/estimate/clientpatience/clientpatience_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/clientpatience"
+	"mothrouter/internal/estimate/clientpatience"
 )
 
 func TestShortPatienceFollowsTheLatestQueries(t *testing.T) {
--- a/internal/failures/failures.go
+++ b/internal/estimate/failures/failures.go
@@ -6,7 +6,7 @@
 import (
 	"math"
 
-	"mothrouter/internal/median"
+	"mothrouter/internal/collections/median"
 )
 
 const (
--- a/internal/failures/failures_test.go
+++ b/internal/estimate/failures/failures_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/failures"
-	"mothrouter/internal/median"
+	"mothrouter/internal/collections/median"
+	"mothrouter/internal/estimate/failures"
 )
 
 const negligible = 1e-33
--- a/internal/queueing/queueing_test.go
+++ b/internal/estimate/queueing/queueing_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/queueing"
+	"mothrouter/internal/estimate/queueing"
 )
 
 func TestExpectedDelay(t *testing.T) {
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/estimate/retrybudget/retrybudget.go
@@ -2,7 +2,7 @@
 // decides nothing, does no I/O and takes the time as an argument, in seconds.
 package retrybudget
 
-import "mothrouter/internal/recent"
+import "mothrouter/internal/collections/recent"
 
 // edgeSlack keeps what lies on the edge of a window on the side where it costs budget: windows are counted by the
 // microsecond elsewhere.
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/estimate/retrybudget/retrybudget_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"mothrouter/internal/retrybudget"
+	"mothrouter/internal/estimate/retrybudget"
 )
 
 func TestRetriesStayWithinTheBudgetOfEveryWindow(t *testing.T) {
--- a/internal/serverstats/fleet.go
+++ b/internal/estimate/serverstats/fleet.go
@@ -4,10 +4,10 @@
 	"cmp"
 	"math"
 
-	"mothrouter/internal/failures"
-	"mothrouter/internal/recent"
-	"mothrouter/internal/servicetime"
-	"mothrouter/internal/slowstart"
+	"mothrouter/internal/collections/recent"
+	"mothrouter/internal/estimate/failures"
+	"mothrouter/internal/estimate/servicetime"
+	"mothrouter/internal/estimate/slowstart"
 )
 
 const (
--- a/internal/serverstats/serverstats.go
+++ b/internal/estimate/serverstats/serverstats.go
@@ -7,8 +7,8 @@
 	"math"
 	"slices"
 
-	"mothrouter/internal/failures"
-	"mothrouter/internal/servicetime"
+	"mothrouter/internal/estimate/failures"
+	"mothrouter/internal/estimate/servicetime"
 )
 
 // abandonedLifetime is for how long an abandoned attempt counts as queued: about the length of a full queue.
--- a/internal/serverstats/serverstats_test.go
+++ b/internal/estimate/serverstats/serverstats_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/serverstats"
+	"mothrouter/internal/estimate/serverstats"
 )
 
 type server struct {
--- a/internal/servicetime/servicetime_test.go
+++ b/internal/estimate/servicetime/servicetime_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/servicetime"
+	"mothrouter/internal/estimate/servicetime"
 )
 
 func TestServerEstimateFadesToTheFleets(t *testing.T) {
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/estimate/slowstart/slowstart_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/slowstart"
+	"mothrouter/internal/estimate/slowstart"
 )
 
 var settings = slowstart.Settings{InitialFraction: 0.2, Duration: 10, OverloadFactor: 2.5, OverloadWindow: 1.5}
--- a/internal/controlrig/broker_test.go
+++ b/internal/harness/controlrig/broker_test.go
@@ -13,7 +13,7 @@
 
 	"mothrouter/internal/configstatus"
 	"mothrouter/internal/controlclient"
-	"mothrouter/internal/controlrig"
+	"mothrouter/internal/harness/controlrig"
 )
 
 // startBroker starts a process of a broker that follows all machines.
--- a/internal/controlrig/check_test.go
+++ b/internal/harness/controlrig/check_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/controlrig"
+	"mothrouter/internal/harness/controlrig"
 )
 
 const inForceWithin = 8 * time.Second
--- a/internal/controlrig/command_test.go
+++ b/internal/harness/controlrig/command_test.go
@@ -19,7 +19,7 @@
 
 	"mothrouter/internal/configpb"
 	"mothrouter/internal/configstatus"
-	"mothrouter/internal/controlrig"
+	"mothrouter/internal/harness/controlrig"
 )
 
 // command runs `mothrouter config` and returns what it wrote and its exit status.
--- a/internal/controlrig/disk_test.go
+++ b/internal/harness/controlrig/disk_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/controlrig"
 	"mothrouter/internal/controlserver"
+	"mothrouter/internal/harness/controlrig"
 )
 
 // waitForEnd returns the exit status of a machine that has to end by itself.
--- a/internal/controlrig/network_test.go
+++ b/internal/harness/controlrig/network_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/controlrig"
+	"mothrouter/internal/harness/controlrig"
 )
 
 // echo connects to a server that sends back what it gets, through a relay from "here" to "there".
--- a/internal/controlrig/rig_test.go
+++ b/internal/harness/controlrig/rig_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 
 	"mothrouter/internal/controlclient"
-	"mothrouter/internal/controlrig"
+	"mothrouter/internal/harness/controlrig"
 )
 
 var (
--- a/internal/rig/rig_test.go
+++ b/internal/harness/rig/rig_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/rig"
+	"mothrouter/internal/harness/rig"
 )
 
 var program string
--- a/internal/recovery/collector.go
+++ b/internal/recovery/collector.go
@@ -8,7 +8,7 @@
 	"strings"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/servicetime"
+	"mothrouter/internal/estimate/servicetime"
 	"mothrouter/internal/snapshot"
 )
 
--- a/internal/scale/child.go
+++ b/internal/scale/child.go
@@ -16,7 +16,7 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/standin"
+	"mothrouter/internal/harness/standin"
 )
 
 // A child is this program's second process, so that the far side's processor time and memory are not counted with the
--- a/internal/scale/cold.go
+++ b/internal/scale/cold.go
@@ -4,8 +4,8 @@
 	"math"
 	"math/rand/v2"
 
-	"mothrouter/internal/lease"
-	"mothrouter/internal/slowstart"
+	"mothrouter/internal/estimate/slowstart"
+	"mothrouter/internal/workers/lease"
 )
 
 // What the settings of an example deployment tell of cold servers (deploy/example.json).
--- a/internal/scale/decision.go
+++ b/internal/scale/decision.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/slowstart"
+	"mothrouter/internal/estimate/slowstart"
 )
 
 // Axes.
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -5,7 +5,7 @@
 	"fmt"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/slowstart"
+	"mothrouter/internal/estimate/slowstart"
 )
 
 // profile is the part of the start-up settings that the decisions use. Other keys are ignored.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,8 +10,8 @@
 	"testing"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/retrybudget"
-	"mothrouter/internal/slowstart"
+	"mothrouter/internal/estimate/retrybudget"
+	"mothrouter/internal/estimate/slowstart"
 	"mothrouter/internal/wire"
 )
 
--- a/internal/cores/cores.go
+++ b/internal/workers/cores/cores.go
@@ -14,8 +14,8 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/lease"
-	"mothrouter/internal/placement"
+	"mothrouter/internal/workers/lease"
+	"mothrouter/internal/workers/placement"
 )
 
 // updateTimeout is how long Update waits for a worker that is busy. Links know of a drain before any worker does.
--- a/internal/cores/cores_test.go
+++ b/internal/workers/cores/cores_test.go
@@ -16,10 +16,10 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/observations"
-	"mothrouter/internal/slowstart"
-	"mothrouter/internal/standin"
+	"mothrouter/internal/estimate/slowstart"
+	"mothrouter/internal/harness/standin"
 	"mothrouter/internal/upstream"
+	"mothrouter/internal/workers/observations"
 )
 
 // rig is a group of workers on loopback record servers that check the rules.
--- a/internal/cores/shareddecider.go
+++ b/internal/workers/cores/shareddecider.go
@@ -2,7 +2,7 @@
 
 import (
 	"mothrouter/internal/decision"
-	"mothrouter/internal/observations"
+	"mothrouter/internal/workers/observations"
 )
 
 // sharedDecider wraps one worker's Decider. It shares what the worker observes, and hands the worker what the others
--- a/internal/cores/state.go
+++ b/internal/workers/cores/state.go
@@ -7,9 +7,9 @@
 	"sync"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/lease"
-	"mothrouter/internal/observations"
-	"mothrouter/internal/slowstart"
+	"mothrouter/internal/estimate/slowstart"
+	"mothrouter/internal/workers/lease"
+	"mothrouter/internal/workers/observations"
 )
 
 const (
--- a/internal/lease/capacity.go
+++ b/internal/workers/lease/capacity.go
@@ -4,7 +4,7 @@
 	"math"
 	"math/rand/v2"
 
-	"mothrouter/internal/slowstart"
+	"mothrouter/internal/estimate/slowstart"
 )
 
 // CapacityEstimate estimates, for a whole process, what one server in slow start bears. What warm servers answered to this
--- a/internal/lease/lease_test.go
+++ b/internal/workers/lease/lease_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"mothrouter/internal/lease"
-	"mothrouter/internal/slowstart"
+	"mothrouter/internal/estimate/slowstart"
+	"mothrouter/internal/workers/lease"
 )
 
 // Over any schedule of decisions that overlap, sends, pauses and a whole that changes: what is sent within a window
--- a/internal/observations/observations_test.go
+++ b/internal/workers/observations/observations_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/observations"
+	"mothrouter/internal/workers/observations"
 )
 
 func see(kind observations.Kind) observations.Observation {
--- a/internal/placement/placement_test.go
+++ b/internal/workers/placement/placement_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"mothrouter/internal/placement"
+	"mothrouter/internal/workers/placement"
 )
 
 func TestQueriesGoToWorkersThatHoldLess(t *testing.T) {
