--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -2,11 +2,7 @@
 
 // Attempts of parts: when they are sent, cancelled, hedged and retried.
 
-import (
-	"math"
-
-	"mothrouter/internal/completeness"
-)
+import "mothrouter/internal/completeness"
 
 const (
 	slowStartPoll      = 0.02 // seconds between looks at parts that no server may take yet
@@ -51,7 +47,7 @@
 		p.rejectOrFail(q)
 		return
 	}
-	expected := answered
+	expected, usual := answered, p.fleet.Latencies[q.Class].Quantile(0.95)
 	for i := 0; i < len(q.parts); i += stride {
 		pt := q.parts[i]
 		if pt.answered || pt.givenUp {
@@ -60,21 +56,22 @@
 		if q.phase == firstPhase && expected >= q.class.CompletenessThreshold-completeness.Slack {
 			return
 		}
-		if p.sendPart(pt) {
+		if p.sendPart(pt, usual) {
 			expected += pt.Weight
 		}
 	}
 }
 
-// sendPart sends an attempt of a part if one is due, and tells whether its answer is counted on.
-func (p *Policy) sendPart(pt *part) (counted bool) {
-	stalled := pt.live > 0 && p.isStalled(pt)
+// sendPart sends an attempt of a part if one is due, and tells whether its answer is counted on. Nearly all
+// parts of the class take at most the usual latency.
+func (p *Policy) sendPart(pt *part, usual float64) (counted bool) {
+	stalled := pt.live > 0 && p.isStalled(pt, usual)
 	if stalled && !p.settings.HedgingAllowed {
 		p.cancelAttempts(pt) // then another may go
 	}
 	if pt.live > 0 && (!stalled || !p.settings.HedgingAllowed) {
 		needsAll := pt.query.class.CompletenessThreshold > 1-completeness.Slack
-		return needsAll || pt.query.phase == secondPhase || !p.isSlow(pt)
+		return needsAll || pt.query.phase == secondPhase || !p.isSlow(pt, usual)
 	}
 	if !p.mayAttempt(pt) {
 		return false
@@ -115,36 +112,35 @@
 	}
 }
 
-// isSlow tells that the latest attempt takes longer than nearly all do: a spare part, if any, goes instead.
-func (p *Policy) isSlow(pt *part) bool {
-	high := p.fleet.Latencies[pt.query.Class].Quantile(0.95)
-	due := pt.attempts[len(pt.attempts)-1].sentAt + high
+// isSlow tells that the latest attempt takes longer than usual: a spare part, if any, goes instead.
+func (p *Policy) isSlow(pt *part, usual float64) bool {
+	due := pt.attempts[len(pt.attempts)-1].sentAt + usual
 	if p.now < due {
 		p.wakeAt(due)
 	}
-	return high > 0 && p.now >= due
+	return usual > 0 && p.now >= due
 }
 
 // isStalled tells whether a live attempt should make way for another, or be hedged where that is allowed:
 // its server has long answered nothing since, or only what was sent later, so that this answer is lost. A
 // slow server that answers is left alone: its work would go on.
-func (p *Policy) isStalled(pt *part) bool {
-	a, high := &pt.attempts[len(pt.attempts)-1], p.fleet.Latencies[pt.query.Class].Quantile(0.95)
-	if high == 0 || pt.live != 1 || !a.live || a.cancelled || p.now >= pt.query.objectiveAt {
+func (p *Policy) isStalled(pt *part, usual float64) bool {
+	a := &pt.attempts[len(pt.attempts)-1]
+	if usual == 0 || pt.live != 1 || !a.live || a.cancelled || p.now >= pt.query.objectiveAt {
 		return false
 	}
-	patience := hedgePatience * high
+	patience := hedgePatience * usual
 	if !p.settings.HedgingAllowed {
 		if pt.query.class.Idempotency != Idempotent || !p.settings.CancelAllowed ||
 			len(pt.attempts) >= p.settings.MaxAttempts {
 			return false
 		}
-		patience = cancelPatience * high
+		patience = cancelPatience * usual
 	}
 	due := a.sentAt + patience
-	overtaken := a.server.NewestAnsweredAt > a.sentAt+overtakenPatience*high
+	overtaken := a.server.NewestAnsweredAt > a.sentAt+overtakenPatience*usual
 	if !overtaken {
-		due = math.Max(due, a.server.AnsweredAt+patience)
+		due = max(due, a.server.AnsweredAt+patience)
 	}
 	if p.now < due {
 		p.wakeAt(due)
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -112,4 +112,4 @@
 func (p *Policy) emit(a Action) { p.actions = append(p.actions, a) }
 
 // wakeAt has the next batch come at a time at the latest.
-func (p *Policy) wakeAt(t float64) { p.wakeTime = math.Min(p.wakeTime, t) }
+func (p *Policy) wakeAt(t float64) { p.wakeTime = min(p.wakeTime, t) }
--- a/internal/decision/queries.go
+++ b/internal/decision/queries.go
@@ -175,24 +175,26 @@
 	live int // attempts in flight
 }
 
-func (p *Policy) progressOf(q *query) (g progress) {
-	c := q.class
-	g.Thresholds = completeness.Thresholds{Complete: c.CompletenessThreshold, Min: c.MinCompleteness}
-	if q.phase == secondPhase {
-		g.Thresholds = g.OfEveryPart()
-	}
+func (p *Policy) progressOf(q *query) progress {
+	var tally completeness.Tally
+	live := 0
 	for _, pt := range q.parts {
-		g.live += pt.live
+		live += pt.live
 		switch {
 		case pt.answered:
-			g.AddAnswered(pt.Weight)
+			tally.AddAnswered(pt.Weight)
 		case !pt.givenUp && (pt.live > 0 || p.mayAttempt(pt)):
-			g.AddPending(pt.Weight)
+			tally.AddPending(pt.Weight)
 		default:
-			g.AddLost()
+			tally.AddLost()
 		}
 	}
-	return g
+	c := q.class
+	at := completeness.Thresholds{Complete: c.CompletenessThreshold, Min: c.MinCompleteness}
+	if q.phase == secondPhase {
+		at = at.OfEveryPart()
+	}
+	return progress{tally, at, live}
 }
 
 // advance does what a query needs now: respond, give up, send, send again.
