--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -65,7 +65,7 @@
 		p.totalWeight += weight
 		p.totalParts += parts
 		relative := weight / parts * p.totalParts / p.totalWeight
-		limit = math.Min(limit*math.Max(math.Sqrt(relative), minWeightFactor), left)
+		limit = min(limit*max(math.Sqrt(relative), minWeightFactor), left)
 	}
 	if q.objectiveMissed {
 		return limit * math.Pow(missedMargin, 1-servicetime.MinHalfLife/p.fleet.ServiceTime.HalfLife)
@@ -85,5 +85,5 @@
 			admitted += pt.Weight
 		}
 	}
-	return admitted < math.Min(q.class.MinCompleteness, q.class.CompletenessThreshold)-completeness.Slack
+	return admitted < min(q.class.MinCompleteness, q.class.CompletenessThreshold)-completeness.Slack
 }
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -75,7 +75,7 @@
 	p.failedPolls++
 	if p.settings.PollEndpoints {
 		backoff := pollBackoff * math.Pow(2, float64(min(p.failedPolls, maxPollDoublings)))
-		p.pollAt = p.now + math.Min(backoff, p.settings.PollInterval/3)
+		p.pollAt = p.now + min(backoff, p.settings.PollInterval/3)
 	}
 }
 
--- a/internal/decision/health.go
+++ b/internal/decision/health.go
@@ -52,7 +52,7 @@
 // Elsewhere what exceeds the median counts: it could harm if a single class fails.
 func (p *Policy) healthWeight(s *server, median float64) float64 {
 	excess := p.fleet.Failures.Of(&s.Failures) - median
-	return math.Max(math.Pow(1-math.Max(excess, 0), failureExponent), minHealthWeight)
+	return max(math.Pow(1-max(excess, 0), failureExponent), minHealthWeight)
 }
 
 // stallPenalty falls while a server with attempts in flight answers none for longer than usual.
@@ -60,8 +60,8 @@
 	if p.fleet.ServiceTime.Mean == 0 {
 		return 1
 	}
-	silence := s.Silence(p.now) / math.Max(stallPatience*p.fleet.ServiceTime.Mean, minStall)
-	return math.Min(1, math.Pow(math.Max(silence, 1), -concurrencyExponent))
+	silence := s.Silence(p.now) / max(stallPatience*p.fleet.ServiceTime.Mean, minStall)
+	return min(1, math.Pow(max(silence, 1), -concurrencyExponent))
 }
 
 // usableFraction is how much of its work a server does, by what this broker sees.
--- a/internal/decision/healthchecks.go
+++ b/internal/decision/healthchecks.go
@@ -65,7 +65,7 @@
 func (p *Policy) runPeriodicWork() {
 	if p.now >= p.pollAt {
 		p.emit(WatchEndpoints{On: true})
-		p.pollAt = p.now + math.Max(p.settings.PollInterval/2, minPollInterval)
+		p.pollAt = p.now + max(p.settings.PollInterval/2, minPollInterval)
 	}
 	if p.now >= p.healthCheckAt {
 		p.healthCheckAt, p.fitnessAt = p.now+fitnessInterval, p.now
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -71,7 +71,7 @@
 	p.openQueries = slices.DeleteFunc(p.openQueries, func(q *query) bool { return q.ended })
 	if p.wakeTime < p.timerAt {
 		p.timerAt = p.wakeTime
-		p.emit(SetTimer{Token: 1, At: math.Max(p.wakeTime, now)})
+		p.emit(SetTimer{Token: 1, At: max(p.wakeTime, now)})
 	}
 	return p.actions
 }
--- a/internal/decision/queries.go
+++ b/internal/decision/queries.go
@@ -65,7 +65,7 @@
 	q := &query{Query: e, class: c, phase: firstPhase, fingerprint: uint64(e.Class + 1)}
 	q.receivedAt = cmp.Or(e.ReceivedAt, p.now)
 	p.setTimes(q)
-	wait := math.Min(e.Deadline-p.now, c.Deadline)
+	wait := min(e.Deadline-p.now, c.Deadline)
 	q.objectiveMissed = p.waits.IsRetry(e.Class, wait) && c.Deadline-wait > c.LatencyObjective
 	p.queries[e.Number], p.byQuery[e.ID] = q, q
 	p.openQueries = append(p.openQueries, q)
@@ -75,15 +75,15 @@
 // both are this broker's own work.
 func (p *Policy) setTimes(q *query) {
 	c := q.class
-	lead := respondLeadTicks*math.Max(p.settings.Tick, minTick) + p.now - q.receivedAt
+	lead := respondLeadTicks*max(p.settings.Tick, minTick) + p.now - q.receivedAt
 	objective := q.receivedAt + c.LatencyObjective + c.ObjectivePerWork*q.Work
-	q.objectiveAt = math.Min(objective, q.Deadline) - lead
+	q.objectiveAt = min(objective, q.Deadline) - lead
 	q.expiresAt = q.objectiveAt
 	if c.LateValue > 0 {
 		q.expiresAt = q.Deadline - lead
 	}
 	if patience := p.patience.Short(); patience > p.fleet.Latencies[q.Class].Quantile(0.95) {
-		q.objectiveAt = math.Min(q.objectiveAt, q.receivedAt+patience-lead)
+		q.objectiveAt = min(q.objectiveAt, q.receivedAt+patience-lead)
 	}
 }
 
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -29,7 +29,7 @@
 // speedFactor falls with a server's service time relative to the fleet's, while that is remembered.
 func (p *Policy) speedFactor(s *server) float64 {
 	ratio := p.fleet.ServiceTime.Relative(&s.ServiceTime, p.now)
-	return math.Pow(math.Max(ratio, minSpeedRatio), -speedExponent)
+	return math.Pow(max(ratio, minSpeedRatio), -speedExponent)
 }
 
 // localityFactor is less than 1 for servers of other zones where crossing has a cost.
--- a/internal/estimate/failures/failures.go
+++ b/internal/estimate/failures/failures.go
@@ -111,7 +111,7 @@
 	}
 	halfLife := s.HalfLife
 	if r.Slow {
-		halfLife = math.Max(halfLife, s.SlowHalfLife)
+		halfLife = max(halfLife, s.SlowHalfLife)
 	}
 	return zone + (r.Ratio-zone)*math.Exp2(-(s.Now-r.At)/halfLife)
 }
@@ -137,7 +137,7 @@
 	switch {
 	case len(s.zones) <= 1:
 	case z.ratio > z.maxRatio:
-		s.refit(z, math.Min(z.ratio*zoneHeadroom, 1))
+		s.refit(z, min(z.ratio*zoneHeadroom, 1))
 	case z.ratio < z.maxRatio*zoneTighten && z.maxRatio > s.negligible:
 		s.refit(z, z.ratio)
 	}
@@ -176,8 +176,8 @@
 	if zone+r.Ratio > 0 {
 		slack = relativeSlack*(zone+r.Ratio) + absoluteSlack
 	}
-	own := math.Exp2(-(s.Now - r.At) / s.HalfLife)                         // what is left of its own ratio now,
-	last := own * math.Max(1-(s.boundsUntil-s.Now)*math.Ln2/s.HalfLife, 0) // and at the end, at least
+	own := math.Exp2(-(s.Now - r.At) / s.HalfLife)                    // what is left of its own ratio now,
+	last := own * max(1-(s.boundsUntil-s.Now)*math.Ln2/s.HalfLife, 0) // and at the end, at least
 	if r.Slow {
 		own = 1
 	}
@@ -191,9 +191,9 @@
 		if m, known := s.tracker.Median(s.Of); known {
 			return m
 		}
-		s.boundsFor = math.Max(s.boundsFor/2, minBoundsFor)
+		s.boundsFor = max(s.boundsFor/2, minBoundsFor)
 	} else {
-		s.boundsFor = math.Min(math.Max(s.boundsFor*2, minBoundsFor), maxBoundsFor)
+		s.boundsFor = min(max(s.boundsFor*2, minBoundsFor), maxBoundsFor)
 	}
 	return s.scan()
 }
--- a/internal/estimate/queueing/queueing.go
+++ b/internal/estimate/queueing/queueing.go
@@ -17,7 +17,7 @@
 
 // Add adds a server: the fraction of its capacity that can be used, its service time, and the requests that wait there.
 func (d *Delay) Add(capacity, serviceTime float64, queue int) {
-	rate := capacity / math.Max(serviceTime, minServiceTime)
+	rate := capacity / max(serviceTime, minServiceTime)
 	d.servers++
 	d.capacity += capacity
 	d.idleRate += rate
--- a/internal/estimate/serverstats/fleet.go
+++ b/internal/estimate/serverstats/fleet.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"math"
 
 	"mothrouter/internal/collections/recent"
 	"mothrouter/internal/estimate/failures"
@@ -59,7 +58,7 @@
 // while this process has seen nothing.
 func (f *Fleet) Restore(serviceTime, peakRate float64) {
 	f.ServiceTime.Mean = cmp.Or(f.ServiceTime.Mean, serviceTime)
-	f.PeakRate.Value = math.Max(f.PeakRate.Value, peakRate)
+	f.PeakRate.Value = max(f.PeakRate.Value, peakRate)
 }
 
 // Warm is how many servers count as warm.
@@ -78,7 +77,7 @@
 }
 
 func (f *Fleet) recordOutcome(s *Stats, failed, disconnected float64) {
-	weight := math.Max(failureWeight, servicetime.ObservationWeight(f.now-s.Failures.At))
+	weight := max(failureWeight, servicetime.ObservationWeight(f.now-s.Failures.At))
 	f.Failures.Record(&s.Failures, failed, weight, disconnected > 0)
 	f.DisconnectRatio += zoneWeight * (disconnected - f.DisconnectRatio)
 	s.ObservedAt = f.now
--- a/internal/estimate/serverstats/loadreport.go
+++ b/internal/estimate/serverstats/loadreport.go
@@ -55,20 +55,20 @@
 func ComputeFitness[S Server](servers []S) (mean float64, ok bool) {
 	queues, reported, total := 0.0, 0.0, 0.0
 	for _, server := range servers {
-		if s := server.ServerStats(); server.IsReady() && s.LoadReportedAt > 0 {
+		if s := server.ServerStats(); s.LoadReportedAt > 0 && server.IsReady() {
 			queues += s.queueLength()
 			reported++
 		}
 	}
-	ceiling := math.Max(minQueueCeiling, queueCeilingRatio*queues/math.Max(reported, 1))
+	ceiling := max(minQueueCeiling, queueCeilingRatio*queues/max(reported, 1))
 	for _, server := range servers {
 		s := server.ServerStats()
 		if s.LoadReportedAt == 0 {
 			continue
 		}
-		queue := math.Max(0, 1-s.queueLength()/ceiling)
-		idle := math.Pow(aggression, -100*math.Max(s.LoadReport.Utilization, 0))
-		s.Fitness = math.Max(queue*idle, minFitness)
+		queue := max(0, 1-s.queueLength()/ceiling)
+		idle := math.Pow(aggression, -100*max(s.LoadReport.Utilization, 0))
+		s.Fitness = max(queue*idle, minFitness)
 		if server.IsReady() {
 			total += s.Fitness
 		}
--- a/internal/estimate/serverstats/serverstats.go
+++ b/internal/estimate/serverstats/serverstats.go
@@ -4,7 +4,6 @@
 package serverstats
 
 import (
-	"math"
 	"slices"
 
 	"mothrouter/internal/estimate/failures"
@@ -75,6 +74,6 @@
 // answered counts a success. Queues go in order, so whatever was sent before it is done.
 func (s *Stats) answered(sentAt, now float64) {
 	s.AnsweredAt = now
-	s.NewestAnsweredAt = math.Max(s.NewestAnsweredAt, sentAt)
+	s.NewestAnsweredAt = max(s.NewestAnsweredAt, sentAt)
 	s.abandoned = slices.DeleteFunc(s.abandoned, func(a abandonedAttempt) bool { return a.sentAt <= sentAt })
 }
--- a/internal/estimate/servicetime/servicetime.go
+++ b/internal/estimate/servicetime/servicetime.go
@@ -30,7 +30,7 @@
 func (f *Fleet) Advance(elapsed, warmServers float64) {
 	f.answers *= math.Exp(-elapsed / rateWindow)
 	f.Mean *= math.Exp2(-elapsed / meanHalfLife)
-	f.HalfLife = math.Min(MinHalfLife+warmServers*rateWindow/math.Max(f.answers, minRate), maxHalfLife)
+	f.HalfLife = min(MinHalfLife+warmServers*rateWindow/max(f.answers, minRate), maxHalfLife)
 }
 
 // Answered counts an answer.
@@ -54,7 +54,7 @@
 
 // Relative is a server's service time as a multiple of the fleet's mean.
 func (f *Fleet) Relative(s *Server, now float64) float64 {
-	return f.Of(s, now) / math.Max(f.Mean, minMean)
+	return f.Of(s, now) / max(f.Mean, minMean)
 }
 
 // ObserveServer moves a server's own estimate towards a service time that was seen now.
@@ -67,5 +67,5 @@
 // ObservationWeight is the weight of one more observation of a server, from 0 to 1, so many seconds after the latest: the
 // rarer they are, the more each tells.
 func ObservationWeight(elapsed float64) float64 {
-	return math.Min(maxWeight, 1-math.Exp2(-elapsed/recentSpan))
+	return min(maxWeight, 1-math.Exp2(-elapsed/recentSpan))
 }
--- a/internal/estimate/slowstart/slowstart.go
+++ b/internal/estimate/slowstart/slowstart.go
@@ -28,14 +28,14 @@
 	if s.Duration <= 0 || age >= s.Duration {
 		return 1
 	}
-	return s.InitialFraction + (1-s.InitialFraction)*math.Max(age, 0)/s.Duration
+	return s.InitialFraction + (1-s.InitialFraction)*max(age, 0)/s.Duration
 }
 
 // Budget is how many requests one of brokers may send within one overload window to a server that has a fraction of its
 // capacity, where a warm server's peak rate is known. A broker that has seen no answer yet may try its part of one.
 func (s *Settings) Budget(capacityFraction, peakRate float64, brokers int) float64 {
 	budget := safetyMargin * s.OverloadFactor * capacityFraction * s.OverloadWindow * peakRate
-	return math.Max(budget, 1/float64(max(brokers, 1)))
+	return max(budget, 1/float64(max(brokers, 1)))
 }
 
 // PeakRate estimates the peak rate at which one warm server answers this process: a lower bound of the server's capacity
@@ -53,11 +53,11 @@
 // Advance brings the estimate to a time at which so many servers are warm. Between the last time and an earlier one, as
 // workers that decide side by side may give it, nothing fades.
 func (r *PeakRate) Advance(now, warmServers float64) {
-	elapsed := math.Max(now-r.at, 0)
+	elapsed := max(now-r.at, 0)
 	r.at = now
 	r.answers *= math.Exp(-elapsed / rateWindow)
-	certain := math.Max(r.answers-math.Sqrt(r.answers), 0) // less its deviation: the highest of few answers is chance
-	r.Value = math.Max(r.Value*math.Exp(-elapsed/peakLifetime), certain/rateWindow/warmServers)
+	certain := max(r.answers-math.Sqrt(r.answers), 0) // less its deviation: the highest of few answers is chance
+	r.Value = max(r.Value*math.Exp(-elapsed/peakLifetime), certain/rateWindow/warmServers)
 }
 
 // WindowUsage estimates which fraction of its windows a process uses, over all servers in slow start. A process that rarely
@@ -68,11 +68,11 @@
 func (u *WindowUsage) Advance(elapsed, servers, window float64) {
 	decay := math.Exp(-elapsed / rateWindow)
 	u.used *= decay
-	u.offered = u.offered*decay + servers*elapsed/math.Max(window, 1)
+	u.offered = u.offered*decay + servers*elapsed/max(window, 1)
 }
 
 // Used counts a window in which the process had a request for its server.
 func (u *WindowUsage) Used() { u.used++ }
 
 // Fraction is the estimate, above 0 and at most 1; it errs towards 1 where little was seen.
-func (u *WindowUsage) Fraction() float64 { return math.Min(1, (u.used+2)/(u.offered+1)) }
+func (u *WindowUsage) Fraction() float64 { return min(1, (u.used+2)/(u.offered+1)) }
