--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -134,10 +134,7 @@
 	}
 	b.inFlightQueries.Store(int64(len(b.queries)))
 	if len(b.queries) == 0 {
-		for _, c := range b.idleWaiters {
-			close(c)
-		}
-		b.idleWaiters = nil
+		b.releaseIdleWaiters()
 	}
 }
 
@@ -158,7 +155,7 @@
 		}
 	case decision.Reject:
 		if q := b.queries[a.ID]; q != nil {
-			b.forget(q) // first: what has not begun by now never will, so that the refusal holds
+			b.forget(q) // first: what has not started by now never will, so that the rejection holds
 			q.client.Finish(q.rejection(a.RetryAfter))
 		}
 	case decision.Fail:
@@ -225,6 +222,11 @@
 	for _, q := range b.queries {
 		b.finish(q, Result{Outcome: Failed})
 	}
+	b.releaseIdleWaiters()
+}
+
+// releaseIdleWaiters ends the waits for no query to be in flight.
+func (b *Broker) releaseIdleWaiters() {
 	for _, c := range b.idleWaiters {
 		close(c)
 	}
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -40,7 +40,7 @@
 func (l link) Send(c *broker.Call)   { l.sent <- c }
 func (l link) Cancel(c *broker.Call) { l.cancelled <- c }
 func (l link) CheckHealth(p *broker.HealthCheck) {
-	p.Finish(broker.CallResult{Status: decision.OK, LoadReport: decision.NoLoadReport})
+	p.Finish(broker.ResultOf(decision.OK))
 }
 
 type client chan broker.Result
--- a/internal/broker/call.go
+++ b/internal/broker/call.go
@@ -18,6 +18,11 @@
 	Value      []byte // of an answered part; must outlive the call
 }
 
+// ResultOf is the result of a call or health check that brought nothing but a status.
+func ResultOf(status decision.Status) CallResult {
+	return CallResult{Status: status, LoadReport: decision.NoLoadReport}
+}
+
 // Call is one attempt of a part at a record server.
 type Call struct {
 	Query         string // the query's name
@@ -51,7 +56,7 @@
 // connection for longer than the rules allow.
 func (c *Call) TryStart() bool {
 	if !c.MayStart() {
-		c.Finish(CallResult{Status: decision.NotSent, LoadReport: decision.NoLoadReport})
+		c.Finish(ResultOf(decision.NotSent))
 		return false
 	}
 	return c.state.CompareAndSwap(callQueued, callStarted)
@@ -192,7 +197,7 @@
 		status = decision.NotSent
 	}
 	b.link.Cancel(c)
-	b.onCallFinished(c, CallResult{Status: status, LoadReport: decision.NoLoadReport})
+	b.onCallFinished(c, ResultOf(status))
 }
 
 // onCallFinished records the end of a call and tells the Decider.
--- a/internal/broker/healthcheck.go
+++ b/internal/broker/healthcheck.go
@@ -30,7 +30,7 @@
 // TryStart is asked by the link just before the first byte of a check is written, as for a call.
 func (h *HealthCheck) TryStart() bool {
 	if h.Server.Unavailable() || !time.Now().Before(h.Deadline) {
-		h.Finish(CallResult{Status: decision.NotSent, LoadReport: decision.NoLoadReport})
+		h.Finish(ResultOf(decision.NotSent))
 	}
 	return !h.finished.Load()
 }
@@ -46,7 +46,7 @@
 	}
 	h.stopTimer = b.after(b.opt.HealthCheckTimeout, func() {
 		if !h.finished.Swap(true) {
-			b.onHealthChecked(h, CallResult{Status: decision.TimedOut, LoadReport: decision.NoLoadReport})
+			b.onHealthChecked(h, ResultOf(decision.TimedOut))
 		}
 	})
 	b.link.CheckHealth(h)
--- a/internal/broker/phase.go
+++ b/internal/broker/phase.go
@@ -25,14 +25,8 @@
 	return pt.firstPhase == nil && pt.query.class.SecondPhaseFanout > 0
 }
 
-// thresholds are those of the present phase: a second one needs all of its parts.
-func (q *query) thresholds() completeness.Thresholds {
-	at := completeness.Thresholds{Complete: q.class.CompletenessThreshold, Min: q.class.MinCompleteness}
-	if q.firstPhase != nil {
-		return at.OfEveryPart()
-	}
-	return at
-}
+// thresholds are those of the present phase.
+func (q *query) thresholds() completeness.Thresholds { return q.class.Thresholds(q.firstPhase != nil) }
 
 // tally sums the parts of the present phase.
 func (q *query) tally() (t completeness.Tally) {
@@ -49,8 +43,8 @@
 // respond closes the present phase of a query: it begins the second one, or gives the final answer.
 func (b *Broker) respond(q *query, complete bool) {
 	tally := q.tally()
-	if q.awaitsSecondPhase() && tally.Enough(q.thresholds()) && tally.Answered > 0 {
-		b.startSecondPhase(q, complete)
+	if at := q.thresholds(); q.awaitsSecondPhase() && tally.Enough(at) && tally.Answered > 0 {
+		b.startSecondPhase(q, complete && tally.Complete(at))
 		return
 	}
 	b.finish(q, q.result(complete))
@@ -59,7 +53,7 @@
 // startSecondPhase ends the first phase, whatever of it is still in flight, and hands the parts of the second to the
 // Decider. They go to the shards with the highest scores among those that are in. Class, client, deadline and name stay.
 func (b *Broker) startSecondPhase(q *query, complete bool) {
-	first := &FirstPhase{Complete: complete && q.isComplete()}
+	first := &FirstPhase{Complete: complete}
 	chosen := make([]*part, 0, len(q.parts))
 	for _, pt := range q.parts {
 		if pt.answered {
--- a/internal/broker/query.go
+++ b/internal/broker/query.go
@@ -223,7 +223,7 @@
 			// Guards against an attempt that still waits for a connection and would start for nothing: whether or not
 			// cancels are allowed, nothing of it has gone out.
 			b.link.Cancel(pt.call)
-			b.onCallFinished(pt.call, CallResult{Status: decision.NotSent, LoadReport: decision.NoLoadReport})
+			b.onCallFinished(pt.call, ResultOf(decision.NotSent))
 		}
 	}
 }
@@ -239,11 +239,12 @@
 // result makes the answer from the parts that are in. Under the class's least completeness there is none, and it is marked
 // complete only if it is, whatever the Decider says.
 func (q *query) result(complete bool) Result {
-	tally := q.tally()
-	if q.awaitsSecondPhase() || !tally.Enough(q.thresholds()) {
+	tally, at := q.tally(), q.thresholds()
+	if q.awaitsSecondPhase() || !tally.Enough(at) {
 		return Result{Outcome: Failed}
 	}
-	r := Result{Outcome: Answered, Complete: complete && q.isComplete()}
+	complete = complete && tally.Complete(at) && (q.firstPhase == nil || q.firstPhase.Complete)
+	r := Result{Outcome: Answered, Complete: complete}
 	for _, pt := range q.parts {
 		if pt.answered {
 			r.Values = append(r.Values, Value{pt.Shard, pt.value})
@@ -252,12 +253,6 @@
 	return r
 }
 
-// isComplete tells whether the present phase is complete, and the one before it was.
-func (q *query) isComplete() bool {
-	tally := q.tally()
-	return tally.Complete(q.thresholds()) && (q.firstPhase == nil || q.firstPhase.Complete)
-}
-
 // rejection rejects a query, unless a non-idempotent part of it may have run: then it has failed. The query has been
 // forgotten, so that none of its calls can start any more.
 func (q *query) rejection(retryAfter float64) Result {
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -7,6 +7,7 @@
 package decision
 
 import (
+	"mothrouter/internal/completeness"
 	"mothrouter/internal/estimate/retrybudget"
 	"mothrouter/internal/estimate/serverstats"
 	"mothrouter/internal/estimate/slowstart"
@@ -43,6 +44,16 @@
 	SecondPhaseFanout     int     // parts of the second phase; 0: there is none
 }
 
+// Thresholds are the weights that a response needs, from the parts of the first phase or, where every part is needed, of the
+// second.
+func (c *Class) Thresholds(secondPhase bool) completeness.Thresholds {
+	at := completeness.Thresholds{Complete: c.CompletenessThreshold, Min: c.MinCompleteness}
+	if secondPhase {
+		return at.OfEveryPart()
+	}
+	return at
+}
+
 // ReportMode tells how servers' load reports arrive.
 type ReportMode int
 
--- a/internal/decision/queries.go
+++ b/internal/decision/queries.go
@@ -189,12 +189,7 @@
 			tally.AddLost()
 		}
 	}
-	c := q.class
-	at := completeness.Thresholds{Complete: c.CompletenessThreshold, Min: c.MinCompleteness}
-	if q.phase == secondPhase {
-		at = at.OfEveryPart()
-	}
-	return progress{tally, at, live}
+	return progress{tally, q.class.Thresholds(q.phase == secondPhase), live}
 }
 
 // advance does what a query needs now: respond, give up, send, send again.
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -78,7 +78,7 @@
 // Watcher watches the list and hands its updates to Update. It drives a listwatch, which decides when to call and which calls
 // stay open.
 type Watcher struct {
-	Addr      string // where the first watch goes; Move names another
+	Addr      string // where the first watch goes; ChangeAddress names another
 	NameTable NameTable
 	Since     int64 // version of the list as known
 	Update    func(broker.EndpointUpdate)
@@ -87,12 +87,12 @@
 	Backoff *backoff.Backoff
 
 	once       sync.Once
-	newAddress chan string // the latest address that Move named, until Run has taken it
+	newAddress chan string // the latest one that ChangeAddress named, until Run takes it
 }
 
 func (w *Watcher) init() { w.once.Do(func() { w.newAddress = make(chan string, 1) }) }
 
-// ChangeAddress has the list followed at another address from now on, from the version last heard. The list stays.
+// ChangeAddress has the list watched at another address from now on, from the version last received. The list stays.
 func (w *Watcher) ChangeAddress(addr string) {
 	w.init()
 	for {
--- a/internal/flight/link.go
+++ b/internal/flight/link.go
@@ -218,20 +218,16 @@
 	return g.passed
 }
 
-func resultOf(s decision.Status) broker.CallResult {
-	return broker.CallResult{Status: s, LoadReport: decision.NoLoadReport}
-}
-
 // get runs one call to its end.
 func (l *Link) get(ctx context.Context, c *broker.Call) broker.CallResult {
 	ch, err := l.acquire(c.Addr)
 	if err != nil {
-		return resultOf(decision.NotSent) // which tells nothing of the server
+		return broker.ResultOf(decision.NotSent) // which tells nothing of the server
 	}
 	defer l.release(c.Addr, ch)
 	ticket, err := json.Marshal(partTicket(c))
 	if err != nil {
-		return resultOf(decision.NotSent)
+		return broker.ResultOf(decision.NotSent)
 	}
 	g := &gate{call: c}
 	stream, err := ch.client.DoGet(ctx, &flight.Ticket{Ticket: ticket}, grpc.PerRPCCredentials(g))
@@ -243,7 +239,7 @@
 	case err != nil:
 		return failedResult(err, g)
 	case !utf8.Valid(r.Value):
-		return resultOf(decision.Error) // no answer could carry it
+		return broker.ResultOf(decision.Error) // no answer could carry it
 	}
 	return r
 }
@@ -310,19 +306,19 @@
 func failedResult(err error, g *gate) broker.CallResult {
 	switch {
 	case g.blocked:
-		return resultOf(decision.NotSent)
+		return broker.ResultOf(decision.NotSent)
 	case !g.mayHaveRun():
-		return resultOf(decision.Unreachable)
+		return broker.ResultOf(decision.Unreachable)
 	case isRejected(err):
-		return resultOf(decision.Overloaded)
+		return broker.ResultOf(decision.Overloaded)
 	}
 	switch status.Code(err) {
 	case codes.DeadlineExceeded:
-		return resultOf(decision.TimedOut)
+		return broker.ResultOf(decision.TimedOut)
 	case codes.Unavailable, codes.Internal, codes.Unknown, codes.Canceled:
-		return resultOf(decision.Reset)
+		return broker.ResultOf(decision.Reset)
 	}
-	return resultOf(decision.Error)
+	return broker.ResultOf(decision.Error)
 }
 
 // CheckHealth asks a server for its load by the action "load".
@@ -337,7 +333,7 @@
 func (l *Link) queryLoad(ctx context.Context, p *broker.HealthCheck) broker.CallResult {
 	ch, err := l.acquire(p.Addr)
 	if err != nil {
-		return resultOf(decision.NotSent)
+		return broker.ResultOf(decision.NotSent)
 	}
 	defer l.release(p.Addr, ch)
 	stream, err := ch.client.DoAction(ctx, &flight.Action{Type: "load"})
@@ -348,13 +344,13 @@
 	switch status.Code(err) {
 	case codes.OK:
 	case codes.Unavailable:
-		return resultOf(decision.Unreachable)
+		return broker.ResultOf(decision.Unreachable)
 	case codes.DeadlineExceeded, codes.Canceled:
-		return resultOf(decision.TimedOut)
+		return broker.ResultOf(decision.TimedOut)
 	default:
-		return resultOf(decision.Error)
+		return broker.ResultOf(decision.Error)
 	}
-	r := resultOf(decision.OK)
+	r := broker.ResultOf(decision.OK)
 	if load, err := frame.ParseLoadReport(res.GetBody()); err == nil {
 		r.LoadReport = load
 	}
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -239,9 +239,9 @@
 	}
 	j.state = jobFinished
 	if j.healthCheck != nil {
-		j.healthCheck.Finish(resultOf(status))
+		j.healthCheck.Finish(broker.ResultOf(status))
 		return
 	}
 	delete(cn.calls, j.id)
-	j.call.Finish(resultOf(status))
+	j.call.Finish(broker.ResultOf(status))
 }
--- a/internal/upstream/connread.go
+++ b/internal/upstream/connread.go
@@ -139,7 +139,7 @@
 	j := cn.healthChecks[0]
 	cn.healthChecks = cn.healthChecks[1:]
 	j.state = jobFinished
-	r := resultOf(decision.OK)
+	r := broker.ResultOf(decision.OK)
 	if string(m.Body) == "failed" {
 		r.Status = decision.Error
 	} else if report, err := frame.ParseLoadReport(m.Body); m.Letter == 'M' && err == nil {
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -75,9 +75,9 @@
 	}
 	// No descriptor is left for it, so nothing can have run, and nothing is known of the server.
 	if j.healthCheck != nil {
-		j.healthCheck.Finish(resultOf(decision.NotSent))
+		j.healthCheck.Finish(broker.ResultOf(decision.NotSent))
 	} else {
-		j.call.Finish(resultOf(decision.NotSent))
+		j.call.Finish(broker.ResultOf(decision.NotSent))
 	}
 }
 
@@ -163,7 +163,3 @@
 	d := net.Dialer{Timeout: l.opt.ConnectTimeout, KeepAlive: -1}
 	return d.DialContext(l.ctx, "tcp", addr)
 }
-
-func resultOf(status decision.Status) broker.CallResult {
-	return broker.CallResult{Status: status, LoadReport: decision.NoLoadReport}
-}
