--- a/internal/harness/controlrig/machine.go
+++ b/internal/harness/controlrig/machine.go
@@ -1,14 +1,14 @@
 package controlrig
 
 import (
-	"bufio"
 	"errors"
-	"io"
 	"os/exec"
 	"path/filepath"
 	"strings"
 	"sync"
 	"syscall"
+
+	"mothrouter/internal/harness/process"
 )
 
 // maxLines is how many of its lines are kept, for a test that fails.
@@ -26,7 +26,7 @@
 
 	mu    sync.Mutex // guards what follows
 	cmd   *exec.Cmd
-	ended chan struct{}
+	ended <-chan struct{}
 	err   error // of the process that ended last
 	lines []string
 }
@@ -44,31 +44,23 @@
 }
 
 func (m *Machine) run(cmd *exec.Cmd) error {
-	cmd.Stdout = io.Discard
-	log, err := cmd.StderrPipe()
+	ended, err := process.Start(cmd, m.keep, m.exited)
 	if err != nil {
 		return err
 	}
-	if err := cmd.Start(); err != nil {
-		return err
-	}
-	ended := make(chan struct{})
 	m.mu.Lock()
+	defer m.mu.Unlock()
 	m.cmd, m.ended = cmd, ended
-	m.mu.Unlock()
-	go func() {
-		defer close(ended)
-		for lines := bufio.NewScanner(log); lines.Scan(); {
-			m.keep(lines.Text())
-		}
-		err := cmd.Wait()
-		m.mu.Lock()
-		m.err = err
-		m.mu.Unlock()
-	}()
 	return nil
 }
 
+// exited records how the process exited.
+func (m *Machine) exited(err error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.err = err
+}
+
 func (m *Machine) keep(line string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -124,7 +116,7 @@
 	return ended
 }
 
-func (m *Machine) process() (*exec.Cmd, chan struct{}) {
+func (m *Machine) process() (*exec.Cmd, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.cmd, m.ended
--- a/internal/harness/rig/rig.go
+++ b/internal/harness/rig/rig.go
@@ -4,9 +4,7 @@
 package rig
 
 import (
-	"bufio"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net"
 	"net/netip"
@@ -20,6 +18,7 @@
 	"syscall"
 	"time"
 
+	"mothrouter/internal/harness/process"
 	"mothrouter/internal/plane"
 )
 
@@ -72,7 +71,7 @@
 	outside netip.AddrPort
 	mu      sync.Mutex
 	cmd     *exec.Cmd
-	ended   chan struct{}
+	ended   <-chan struct{}
 	view    View
 	removed []string // names of those that it took for lost
 	sent    int
@@ -220,25 +219,16 @@
 	}
 	cmd := exec.Command(b.f.opt.Program, append([]string{"-fleet", peers}, b.f.opt.Flags...)...)
 	cmd.Env = append(os.Environ(), "PROXY_CONFIG="+conf)
-	cmd.Stdout = io.Discard
-	log, err := cmd.StderrPipe()
+	b.mu.Lock()
+	b.view = View{}
+	b.mu.Unlock()
+	ended, err := process.Start(cmd, b.read, func(error) {}) // brokers are killed: how they exit tells nothing
 	if err != nil {
 		return err
 	}
-	if err := cmd.Start(); err != nil {
-		return err
-	}
-	ended := make(chan struct{})
 	b.mu.Lock()
-	b.cmd, b.ended, b.view = cmd, ended, View{}
-	b.mu.Unlock()
-	go func() {
-		defer close(ended)
-		for lines := bufio.NewScanner(log); lines.Scan(); {
-			b.read(lines.Text())
-		}
-		cmd.Wait()
-	}()
+	defer b.mu.Unlock()
+	b.cmd, b.ended = cmd, ended
 	return nil
 }
 
@@ -299,7 +289,7 @@
 	return strings.Join(b.lines, "\n")
 }
 
-func (b *Broker) process() (*exec.Cmd, chan struct{}) {
+func (b *Broker) process() (*exec.Cmd, <-chan struct{}) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.cmd, b.ended
