--- a/internal/scale/page.go
+++ b/internal/scale/page.go
@@ -272,30 +272,30 @@
 	return slope.At(x), "computed"
 }
 
+// fitted is the samples of a cost with their slope; without samples, if it was not run.
+func (p page) fitted(experiment, name, axis, fixed string) (samples []Sample, slope Slope, err error) {
+	if samples, _, err = p.samples(experiment, name, axis, fixed); samples != nil {
+		slope, err = Fit(samples)
+	}
+	return samples, slope, err
+}
+
 // beyond is the cost at a size, measured or by the slope.
 func (p page) beyond(experiment, name, axis, fixed string, x float64) (float64, error) {
-	samples, _, err := p.samples(experiment, name, axis, fixed)
+	samples, slope, err := p.fitted(experiment, name, axis, fixed)
 	if err != nil || samples == nil {
 		return math.NaN(), err
 	}
-	slope, err := Fit(samples)
-	if err != nil {
-		return 0, err
-	}
 	value, _ := p.valueAt(samples, slope, x)
 	return value, nil
 }
 
 // reaches is the least size at which a cost reaches a limit by its slope; +Inf: it does not below ten times a million.
 func (p page) reaches(experiment, name, axis, fixed string, limit float64) (float64, error) {
-	samples, _, err := p.samples(experiment, name, axis, fixed)
+	samples, slope, err := p.fitted(experiment, name, axis, fixed)
 	if err != nil || samples == nil {
 		return math.NaN(), err
 	}
-	slope, err := Fit(samples)
-	if err != nil {
-		return 0, err
-	}
 	const most = 1e7
 	if slope.At(most) < limit {
 		return math.Inf(1), nil
