--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -1,4 +1,4 @@
-// Command mothload measures a mothrouter on this machine's loopback: it runs stand-in record servers and clients, starts
+// Command loadgen measures a mothrouter on this machine's loopback: it runs stand-in record servers and clients, starts
 // the broker with one worker and with several, in turns, and prints throughput, latency, processor time and memory with
 // intervals over the runs. It is small on purpose: docs/cores.md tells what it is for.
 package main
@@ -26,7 +26,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"mothrouter/internal/harness/standin"
+	"mothrouter/internal/harness/recordservertest"
 )
 
 var (
@@ -47,7 +47,7 @@
 func main() {
 	flag.Parse()
 	if err := measure(); err != nil {
-		fmt.Fprintln(os.Stderr, "mothload:", err)
+		fmt.Fprintln(os.Stderr, "loadgen:", err)
 		os.Exit(1)
 	}
 }
@@ -61,7 +61,7 @@
 }
 
 func measure() error {
-	fleet, err := standin.New(standin.Options{Servers: *servers, ReplicationFactor: 2, Work: *work, Seed: 1,
+	fleet, err := recordservertest.New(recordservertest.Options{Servers: *servers, ReplicationFactor: 2, Work: *work, Seed: 1,
 		NonIdempotent: func(id string) bool { return strings.HasPrefix(id, "c") }})
 	if err != nil {
 		return err
@@ -121,8 +121,8 @@
 }
 
 // run starts the broker with so many workers and measures it.
-func run(fleet *standin.Fleet, n int) (r result, err error) {
-	dir, err := os.MkdirTemp("", "mothload")
+func run(fleet *recordservertest.Fleet, n int) (r result, err error) {
+	dir, err := os.MkdirTemp("", "loadgen")
 	if err != nil {
 		return r, err
 	}
@@ -305,7 +305,7 @@
 }
 
 // settings is a broker's configuration on the fleet.
-func settings(fleet *standin.Fleet, listen, discovery string) ([]byte, error) {
+func settings(fleet *recordservertest.Fleet, listen, discovery string) ([]byte, error) {
 	var known []map[string]any
 	for _, s := range fleet.Servers {
 		known = append(known, map[string]any{"id": s.ID, "addr": s.Addr, "zone": "a", "kind": "k", "cell": s.Cell,
--- a/cmd/mothrouter/config_command.go
+++ b/cmd/mothrouter/config_command.go
@@ -13,9 +13,9 @@
 
 	"github.com/spf13/cobra"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/configstatus"
-	"mothrouter/internal/controlclient"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/configstatus"
+	"mothrouter/internal/controlplane/operatorclient"
 )
 
 // Statuses of `mothrouter config publish` beside 0 (committed) and 1 (refused, or surely not taken).
@@ -50,13 +50,13 @@
 		}
 		ctx, cancel := context.WithTimeout(c.Context(), *timeout)
 		defer cancel()
-		number, err := controlclient.Publish(ctx, *addresses,
+		number, err := operatorclient.Publish(ctx, *addresses,
 			&configpb.PublishRequest{Document: document, Expected: *expect, Request: id})
 		if err == nil {
 			fmt.Fprintf(c.OutOrStdout(), "committed as %d\n", number)
 			return nil
 		}
-		if u := (*controlclient.UnknownError)(nil); errors.As(err, &u) {
+		if u := (*operatorclient.UnknownError)(nil); errors.As(err, &u) {
 			return exitError{fmt.Errorf("unknown: the log may still take it (%w); run again with --request %016x", err, id),
 				exitUnknown}
 		}
@@ -116,7 +116,7 @@
 		asked.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
-			status, err := controlclient.Status(ctx, address)
+			status, err := operatorclient.Status(ctx, address)
 			answers[i] = configstatus.Answer{Address: address, Status: status, Err: err}
 		})
 	}
@@ -141,7 +141,7 @@
 		}
 		ctx, cancel := context.WithTimeout(c.Context(), *timeout)
 		defer cancel()
-		revision, err := controlclient.Get(ctx, *addresses, number)
+		revision, err := operatorclient.Get(ctx, *addresses, number)
 		if err != nil {
 			return err
 		}
--- a/cmd/mothrouter/configuration.go
+++ b/cmd/mothrouter/configuration.go
@@ -8,8 +8,8 @@
 	"mothrouter/internal/assembly"
 	"mothrouter/internal/broker"
 	"mothrouter/internal/config"
-	"mothrouter/internal/configclient"
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configfollower"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 // addConfiguration has control machines change the configuration in service.
@@ -26,7 +26,7 @@
 		return err
 	}
 	applier := &applier{start: start, core: p.core, followed: p.followed, log: p.log}
-	p.revisions, err = configclient.New(configclient.Options{
+	p.revisions, err = configfollower.New(configfollower.Options{
 		Name: machines.Name, Started: p.started, Zone: machines.Zone, Region: machines.Region,
 		Control: machines.Control, Callers: p.fleetSize, Seed: p.cfg.Seed, Log: p.log, Apply: applier.apply,
 	})
--- a/cmd/mothrouter/configuration_test.go
+++ b/cmd/mothrouter/configuration_test.go
@@ -18,8 +18,8 @@
 	"github.com/stretchr/testify/require"
 	"google.golang.org/grpc"
 
-	"mothrouter/internal/confighub"
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/confighub"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 // controlMachine serves what the test publishes, on loopback.
--- a/cmd/mothrouter/control.go
+++ b/cmd/mothrouter/control.go
@@ -13,8 +13,8 @@
 	"github.com/spf13/cobra"
 
 	"mothrouter/internal/config"
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/controlserver"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/controlserver"
 )
 
 // controlCommand is `mothrouter control`: it runs a control machine in the foreground.
--- a/cmd/mothrouter/flight_test.go
+++ b/cmd/mothrouter/flight_test.go
@@ -26,8 +26,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/status"
 
-	mothflight "mothrouter/internal/flight"
-	"mothrouter/internal/httpwire"
+	mothflight "mothrouter/internal/transport/flight"
+	"mothrouter/internal/transport/httpwire"
 )
 
 // recordServer is a stand-in record server that speaks Flight. Its answer to a part is up to the test.
@@ -386,7 +386,7 @@
 
 // A query that its client's time ends for while its unsafe part is out has failed, and is never called refused. A
 // busy machine may have a query refused before anything is sent: then nothing of it may come to the record server. That
-// the answer leaves before the time is up is tested on a virtual clock, in internal/flight: on a real one it is as
+// the answer leaves before the time is up is tested on a virtual clock, in internal/transport/flight: on a real one it is as
 // late as the machine is busy.
 func TestFlightDeadline(t *testing.T) {
 	const wait = 300 * time.Millisecond
--- a/cmd/mothrouter/followed_test.go
+++ b/cmd/mothrouter/followed_test.go
@@ -15,7 +15,7 @@
 	"mothrouter/internal/assembly"
 	"mothrouter/internal/broker"
 	"mothrouter/internal/config"
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 	"mothrouter/internal/decision"
 )
 
--- a/cmd/mothrouter/mixed_test.go
+++ b/cmd/mothrouter/mixed_test.go
@@ -18,8 +18,8 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	mothflight "mothrouter/internal/flight"
-	"mothrouter/internal/frame"
+	mothflight "mothrouter/internal/transport/flight"
+	"mothrouter/internal/transport/frame"
 )
 
 // ledger is what all stand-in record servers of a run see together. It watches the rules.
--- a/cmd/mothrouter/process.go
+++ b/cmd/mothrouter/process.go
@@ -16,12 +16,12 @@
 	"mothrouter/internal/backoff"
 	"mothrouter/internal/broker"
 	"mothrouter/internal/config"
-	"mothrouter/internal/configclient"
+	"mothrouter/internal/controlplane/configfollower"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/discovery"
-	"mothrouter/internal/flight"
-	"mothrouter/internal/front"
+	"mothrouter/internal/endpoints/discovery"
 	"mothrouter/internal/metrics"
+	"mothrouter/internal/transport/flight"
+	"mothrouter/internal/transport/front"
 )
 
 const (
@@ -61,7 +61,7 @@
 	died      <-chan struct{} // closed when a worker has died; nil, which never speaks, with one loop
 	watcher   *discovery.Watcher
 	followed  *followed
-	revisions *configclient.Client // nil: no control machine changes the configuration
+	revisions *configfollower.Client // nil: no control machine changes the configuration
 
 	listener net.Listener
 	clients  *front.Front
--- a/cmd/mothrouter/refusal.go
+++ b/cmd/mothrouter/refusal.go
@@ -4,7 +4,7 @@
 	"errors"
 
 	"mothrouter/internal/config"
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 // rejection is why a revision, or a document that has no number yet (0), cannot be taken, by the key that is at fault; nil:
--- a/cmd/mothrouter/serve.go
+++ b/cmd/mothrouter/serve.go
@@ -5,12 +5,12 @@
 	"net"
 	"os"
 
+	"mothrouter/internal/admin"
 	"mothrouter/internal/broker"
 	"mothrouter/internal/config"
-	"mothrouter/internal/control"
-	"mothrouter/internal/flight"
-	"mothrouter/internal/front"
 	"mothrouter/internal/metrics"
+	"mothrouter/internal/transport/flight"
+	"mothrouter/internal/transport/front"
 )
 
 // serve opens the process to clients and operators.
@@ -28,7 +28,7 @@
 		if err != nil {
 			return fmt.Errorf("control: %w", err)
 		}
-		operators := control.New(operatedProcess{p.clients, p.metrics}, p.log)
+		operators := admin.New(operatedProcess{p.clients, p.metrics}, p.log)
 		go func() { p.served <- operators.Serve(l) }()
 	}
 	if p.flight != nil {
--- a/cmd/mothrouter/state.go
+++ b/cmd/mothrouter/state.go
@@ -11,10 +11,10 @@
 
 	"github.com/spf13/cobra"
 
-	"mothrouter/internal/checkpoint"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/recovery"
-	"mothrouter/internal/snapshot"
+	"mothrouter/internal/state/checkpoint"
+	"mothrouter/internal/state/recovery"
+	"mothrouter/internal/state/snapshot"
 )
 
 // stateCommand is `mothrouter state`: it inspects, verifies and deletes the saved state.
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost runs the decisions behind the simulator's wire on standard input and output.
+// Command simadapter runs the decisions behind the simulator's wire on standard input and output.
 package main
 
 import (
@@ -6,15 +6,15 @@
 	"os"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/wire"
+	"mothrouter/internal/simwire"
 )
 
 func main() {
 	newDecider := func(s decision.Settings, seed uint64) decision.Decider {
 		return decision.New(s, seed)
 	}
-	if err := wire.Serve(os.Stdin, os.Stdout, newDecider); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+	if err := simwire.Serve(os.Stdin, os.Stdout, newDecider); err != nil {
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/internal/admin/control.go
+++ b/internal/admin/control.go
@@ -1,4 +1,4 @@
-package control
+package admin
 
 import (
 	"container/list"
--- a/internal/admin/control_test.go
+++ b/internal/admin/control_test.go
@@ -1,4 +1,4 @@
-package control_test
+package admin_test
 
 import (
 	"errors"
@@ -13,17 +13,17 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/control"
+	"mothrouter/internal/admin"
 )
 
 func TestMachine(t *testing.T) {
 	for text, want := range map[string]any{
-		"HEALTH\n": control.Health, "DUMP\r\n": control.Dump, "LEAVE\n": control.Leave, "JOIN\n": control.Join,
-		"health\n": control.ErrUnknown, "\n": control.ErrUnknown, " JOIN\n": control.ErrUnknown,
-		"JOIN\nLEAVE\n": control.ErrMore, strings.Repeat("x", 64): control.ErrLong, "HEAL": nil, "": nil,
+		"HEALTH\n": admin.Health, "DUMP\r\n": admin.Dump, "LEAVE\n": admin.Leave, "JOIN\n": admin.Join,
+		"health\n": admin.ErrUnknown, "\n": admin.ErrUnknown, " JOIN\n": admin.ErrUnknown,
+		"JOIN\nLEAVE\n": admin.ErrMore, strings.Repeat("x", 64): admin.ErrLong, "HEAL": nil, "": nil,
 	} {
 		for _, piece := range []int{1, 64} {
-			var m control.Machine
+			var m admin.Machine
 			var got any
 			for rest := text; rest != "" && got == nil; {
 				n := copy(m.Space(), rest[:min(piece, len(rest))])
@@ -35,7 +35,7 @@
 					got = c
 				}
 			}
-			if err, ok := want.(error); ok && errors.Is(err, control.ErrMore) && piece == 1 {
+			if err, ok := want.(error); ok && errors.Is(err, admin.ErrMore) && piece == 1 {
 				continue // the first line is whole before the second has begun to come
 			}
 			require.Equal(t, want, got, "%q by %d", text, piece)
@@ -54,7 +54,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	go control.New(&process{}, slog.New(slog.NewTextHandler(io.Discard, nil))).Serve(l)
+	go admin.New(&process{}, slog.New(slog.NewTextHandler(io.Discard, nil))).Serve(l)
 	return l.Addr().String()
 }
 
--- a/internal/admin/machine.go
+++ b/internal/admin/machine.go
@@ -1,6 +1,6 @@
-// Package control is the address where operators call: a line machine that knows no socket, and a thin driver. Each
+// Package admin is the address where operators call: a line machine that knows no socket, and a thin driver. Each
 // connection carries one line and gets one reply, in time whatever the load and whoever else is calling.
-package control
+package admin
 
 import (
 	"bytes"
--- a/internal/cluster/fleet/fleet.go
+++ b/internal/cluster/fleet/fleet.go
@@ -15,9 +15,9 @@
 	"sync/atomic"
 	"time"
 
-	"mothrouter/internal/membership"
-	"mothrouter/internal/plane"
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/membership"
+	"mothrouter/internal/cluster/plane"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 const (
--- a/internal/cluster/fleet/fleet_test.go
+++ b/internal/cluster/fleet/fleet_test.go
@@ -14,10 +14,10 @@
 	"github.com/stretchr/testify/require"
 	"go.uber.org/goleak"
 
-	"mothrouter/internal/fleet"
-	"mothrouter/internal/membership"
-	"mothrouter/internal/plane"
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/fleet"
+	"mothrouter/internal/cluster/membership"
+	"mothrouter/internal/cluster/plane"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 // lines keeps a log.
--- a/internal/cluster/membership/fuzz_test.go
+++ b/internal/cluster/membership/fuzz_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/membership"
-	"mothrouter/internal/plane"
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/membership"
+	"mothrouter/internal/cluster/plane"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 // A peer may say anything that can be read. Whatever it is: no panic, memory and traffic stay bounded, the member never
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"mothrouter/internal/plane"
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/plane"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 // push tells some others of what is new. A vector says it all to those with the same roster, and only to them.
--- a/internal/cluster/membership/limits_test.go
+++ b/internal/cluster/membership/limits_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/plane"
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/plane"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 // vectorHeader is the longest header of a datagram with a vector: 2 bytes of version, 9 + 9 of fleet and sender, 11 of
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -14,7 +14,7 @@
 	"net/netip"
 	"time"
 
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 // View is one broker's membership. Make it with New. It is not safe for concurrent use.
--- a/internal/cluster/membership/net_test.go
+++ b/internal/cluster/membership/net_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/membership"
-	"mothrouter/internal/plane"
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/membership"
+	"mothrouter/internal/cluster/plane"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 // network plays a fleet on virtual time: one process, one seed, the same run each time.
--- a/internal/cluster/membership/ping.go
+++ b/internal/cluster/membership/ping.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"time"
 
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 type ping struct {
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -4,7 +4,7 @@
 	"net/netip"
 	"time"
 
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 // Receive takes a datagram that plane.Parse has read, and returns what to send. It came from an address.
--- a/internal/cluster/membership/rings.go
+++ b/internal/cluster/membership/rings.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"mothrouter/internal/plane"
+	"mothrouter/internal/cluster/plane"
 )
 
 // byRing is the order of members on a ring: by a hash of the instance and the ring.
--- a/internal/cluster/membership/roster.go
+++ b/internal/cluster/membership/roster.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"mothrouter/internal/plane"
+	"mothrouter/internal/cluster/plane"
 )
 
 // add takes an instance into the roster.
--- a/internal/cluster/membership/send.go
+++ b/internal/cluster/membership/send.go
@@ -4,8 +4,8 @@
 	"net/netip"
 	"time"
 
-	"mothrouter/internal/plane"
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/plane"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 // tokenBucket bounds what is sent a second.
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -4,7 +4,7 @@
 	"maps"
 	"slices"
 
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 // checkObserved checks the members that this one observes.
--- a/internal/cluster/membership/sync.go
+++ b/internal/cluster/membership/sync.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"mothrouter/internal/plane"
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/plane"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 // sync asks another for what this roster lacks, while there are others than it.
--- a/internal/cluster/membership/tick.go
+++ b/internal/cluster/membership/tick.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 // TickEvery is the time between two calls of Tick.
--- a/internal/cluster/plane/plane.go
+++ b/internal/cluster/plane/plane.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 //go:generate protoc -I planepb --go_out=planepb --go_opt=paths=source_relative plane.proto
--- a/internal/cluster/plane/plane_test.go
+++ b/internal/cluster/plane/plane_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 	"google.golang.org/protobuf/proto"
 
-	"mothrouter/internal/plane"
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/plane"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 const fleet = 9
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -10,10 +10,10 @@
 	"strconv"
 	"time"
 
+	"mothrouter/internal/admin"
 	"mothrouter/internal/broker"
-	"mothrouter/internal/control"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/discovery"
+	"mothrouter/internal/endpoints/discovery"
 )
 
 // Config is all that a broker is told.
@@ -223,7 +223,7 @@
 	c.MaxServerConns = int(min(wanted, maxServerFraction*all))
 	c.MaxClientConns = min(int((1-spareFraction)*all), c.Sockets-minSpare) - c.MaxServerConns
 	if c.Control != "" {
-		c.MaxClientConns = max(c.MaxClientConns-control.Callers, minClientConns)
+		c.MaxClientConns = max(c.MaxClientConns-admin.Callers, minClientConns)
 	}
 	c.MaxIdleConns = min(int(idleFraction*all), c.MaxClientConns/2)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -14,8 +14,8 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/config"
+	"mothrouter/internal/controlplane/distribution"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/distribution"
 	"mothrouter/internal/drain"
 )
 
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -6,7 +6,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 // Configuration is the file that has control machines change the configuration in service.
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -8,7 +8,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"mothrouter/internal/plane"
+	"mothrouter/internal/cluster/plane"
 )
 
 // ControlMachine is the file of a control machine.
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -14,7 +14,7 @@
 	"unicode"
 
 	"mothrouter/internal/broker"
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 	"mothrouter/internal/decision"
 )
 
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -6,7 +6,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"mothrouter/internal/plane"
+	"mothrouter/internal/cluster/plane"
 )
 
 // Fleet is the file that switches the plane between brokers on.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -6,8 +6,8 @@
 	"fmt"
 	"time"
 
-	"mothrouter/internal/discovery"
-	"mothrouter/internal/wire"
+	"mothrouter/internal/endpoints/discovery"
+	"mothrouter/internal/simwire"
 )
 
 // settings is what a real broker needs of the settings beside what the module does.
@@ -33,7 +33,7 @@
 	if len(data) == 0 {
 		return keyError("settings", "is missing")
 	}
-	if c.Settings, err = wire.ParseSettings(string(data)); err != nil {
+	if c.Settings, err = simwire.ParseSettings(string(data)); err != nil {
 		return keyError("settings", "%v", err)
 	}
 	// A part's attempts are never out together here, even where the platform bears it. The module must know: one that
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -7,7 +7,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"mothrouter/internal/snapshot"
+	"mothrouter/internal/state/snapshot"
 )
 
 // State is the file that has learned state last over restarts.
--- a/internal/controlplane/configfollower/configclient.go
+++ b/internal/controlplane/configfollower/configclient.go
@@ -1,6 +1,6 @@
-// Package configclient drives distribution.Follower over gRPC: it keeps a broker at the newest revision of the
+// Package configfollower drives distribution.Follower over gRPC: it keeps a broker at the newest revision of the
 // configuration. It has one stream to one control machine at a time.
-package configclient
+package configfollower
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 // Options are what a client is started with.
--- a/internal/controlplane/configfollower/configclient_test.go
+++ b/internal/controlplane/configfollower/configclient_test.go
@@ -1,4 +1,4 @@
-package configclient_test
+package configfollower_test
 
 import (
 	"context"
@@ -13,10 +13,10 @@
 	"go.uber.org/goleak"
 	"google.golang.org/grpc"
 
-	"mothrouter/internal/configclient"
-	"mothrouter/internal/confighub"
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configfollower"
+	"mothrouter/internal/controlplane/confighub"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 // server is a control machine on loopback that serves Follow only.
@@ -67,7 +67,7 @@
 
 // broker is a hollow broker: a client that notes what it applies.
 type broker struct {
-	*configclient.Client
+	*configfollower.Client
 	mu      sync.Mutex
 	applied []uint64
 	refuse  map[uint64]*configpb.Refusal
@@ -99,7 +99,7 @@
 	for _, address := range addresses {
 		machines = append(machines, distribution.Machine{Address: address})
 	}
-	client, err := configclient.New(configclient.Options{
+	client, err := configfollower.New(configfollower.Options{
 		Name:    "b1",
 		Started: time.Now(),
 		Zone:    "a",
--- a/internal/controlplane/configfollower/cost_test.go
+++ b/internal/controlplane/configfollower/cost_test.go
@@ -1,4 +1,4 @@
-package configclient_test
+package configfollower_test
 
 import (
 	"bufio"
@@ -22,10 +22,10 @@
 	"github.com/stretchr/testify/require"
 	"google.golang.org/grpc"
 
-	"mothrouter/internal/configclient"
-	"mothrouter/internal/confighub"
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configfollower"
+	"mothrouter/internal/controlplane/confighub"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 var (
@@ -181,13 +181,13 @@
 
 	heapBefore := heapInUse()
 	var applied atomic.Int64
-	var clients []*configclient.Client
+	var clients []*configfollower.Client
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer cancel()
 	for i := range n {
-		client, err := configclient.New(configclient.Options{
+		client, err := configfollower.New(configfollower.Options{
 			Name: fmt.Sprint("broker-", i), Started: time.Now(), Control: control, Callers: n, Seed: uint64(i),
 			Log: slog.New(slog.DiscardHandler),
 			Apply: func(*configpb.Revision) *configpb.Refusal {
--- a/internal/controlplane/configfollower/reporter.go
+++ b/internal/controlplane/configfollower/reporter.go
@@ -1,10 +1,10 @@
-package configclient
+package configfollower
 
 import (
 	"log/slog"
 	"time"
 
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 const (
--- a/internal/controlplane/configfollower/stream.go
+++ b/internal/controlplane/configfollower/stream.go
@@ -1,4 +1,4 @@
-package configclient
+package configfollower
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"google.golang.org/grpc/backoff"
 	"google.golang.org/grpc/credentials/insecure"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 const (
--- a/internal/controlplane/confighub/confighub.go
+++ b/internal/controlplane/confighub/confighub.go
@@ -12,8 +12,8 @@
 	"google.golang.org/grpc/keepalive"
 	"google.golang.org/grpc/status"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 const (
--- a/internal/controlplane/configstatus/configstatus.go
+++ b/internal/controlplane/configstatus/configstatus.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 // Answer is what one control machine said, or why it said nothing.
--- a/internal/controlplane/configstatus/configstatus_test.go
+++ b/internal/controlplane/configstatus/configstatus_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/configstatus"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/configstatus"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 const (
--- a/internal/controlplane/configstatus/machines.go
+++ b/internal/controlplane/configstatus/machines.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 // machines returns the members that any answer names, by name, and then the addresses that did not answer and that no
--- a/internal/controlplane/configstatus/revisions.go
+++ b/internal/controlplane/configstatus/revisions.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 // revisions merges when each revision was in force everywhere: once all machines that have brokers say so, at the
--- a/internal/controlplane/consensus/checker_test.go
+++ b/internal/controlplane/consensus/checker_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/revision"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/revision"
 )
 
 // fault is one that is planted in the simulation to show that a checker sees it.
--- a/internal/controlplane/consensus/client_test.go
+++ b/internal/controlplane/consensus/client_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/revision"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/revision"
 )
 
 // client publishes and reads, one operation after another. It sends a publication again under the same request id
--- a/internal/controlplane/consensus/consensus.go
+++ b/internal/controlplane/consensus/consensus.go
@@ -1,5 +1,5 @@
 // Package consensus is one member of the replicated log of the control machines: raft, by go.etcd.io/raft/v3, with the
-// state machine of internal/revision on top. It does no I/O, starts no goroutine and reads no clock: a driver hands in
+// state machine of internal/controlplane/revision on top. It does no I/O, starts no goroutine and reads no clock: a driver hands in
 // the time and the messages of the others, stores and sends what Ready tells, and calls Advance:
 //
 //	node.Tick(now)                       // every Options.TickInterval
@@ -40,7 +40,7 @@
 
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mothrouter/internal/revision"
+	"mothrouter/internal/controlplane/revision"
 )
 
 // Timing. A heartbeat goes every 200 ms; a follower that heard none for 1.5 to 3 s asks for an election. That leaves
--- a/internal/controlplane/consensus/members_test.go
+++ b/internal/controlplane/consensus/members_test.go
@@ -8,7 +8,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 // otherVoter returns a voter that doesn't lead.
--- a/internal/controlplane/consensus/message.go
+++ b/internal/controlplane/consensus/message.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"mothrouter/internal/revision"
+	"mothrouter/internal/controlplane/revision"
 )
 
 // maxTerm keeps terms from wrapping around.
--- a/internal/controlplane/consensus/message_test.go
+++ b/internal/controlplane/consensus/message_test.go
@@ -10,7 +10,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"mothrouter/internal/revision"
+	"mothrouter/internal/controlplane/revision"
 )
 
 func TestOptionsAreChecked(t *testing.T) {
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -7,8 +7,8 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/revision"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/revision"
 )
 
 // Node is one member of the replicated log.
--- a/internal/controlplane/consensus/node_test.go
+++ b/internal/controlplane/consensus/node_test.go
@@ -9,7 +9,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 var (
--- a/internal/controlplane/consensus/proof_test.go
+++ b/internal/controlplane/consensus/proof_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/raftlog"
+	"mothrouter/internal/controlplane/raftlog"
 )
 
 var (
--- a/internal/controlplane/consensus/ready.go
+++ b/internal/controlplane/consensus/ready.go
@@ -6,7 +6,7 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mothrouter/internal/revision"
+	"mothrouter/internal/controlplane/revision"
 )
 
 // Ready returns what must be done next, or nil where nothing is. After a Ready, Advance must be called before the
--- a/internal/controlplane/controlserver/control.go
+++ b/internal/controlplane/controlserver/control.go
@@ -8,9 +8,9 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"mothrouter/internal/confighub"
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/consensus"
+	"mothrouter/internal/controlplane/confighub"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/consensus"
 )
 
 // callTimeout is how long Status and Get wait for the replica.
--- a/internal/controlplane/controlserver/outbox.go
+++ b/internal/controlplane/controlserver/outbox.go
@@ -3,7 +3,7 @@
 import (
 	"sync"
 
-	"mothrouter/internal/consensus"
+	"mothrouter/internal/controlplane/consensus"
 )
 
 const (
--- a/internal/controlplane/controlserver/publications.go
+++ b/internal/controlplane/controlserver/publications.go
@@ -3,7 +3,7 @@
 import (
 	"errors"
 
-	"mothrouter/internal/consensus"
+	"mothrouter/internal/controlplane/consensus"
 )
 
 // maxWaiting is how many publishers wait for the outcomes of all requests: four for each that the log takes.
--- a/internal/controlplane/controlserver/publications_test.go
+++ b/internal/controlplane/controlserver/publications_test.go
@@ -5,7 +5,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/consensus"
+	"mothrouter/internal/controlplane/consensus"
 )
 
 func TestPublicationsTakeOneFirstRevisionAtATime(t *testing.T) {
--- a/internal/controlplane/controlserver/publish.go
+++ b/internal/controlplane/controlserver/publish.go
@@ -16,9 +16,9 @@
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/protoadapt"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/consensus"
-	"mothrouter/internal/revision"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/consensus"
+	"mothrouter/internal/controlplane/revision"
 )
 
 const (
--- a/internal/controlplane/controlserver/receive.go
+++ b/internal/controlplane/controlserver/receive.go
@@ -12,8 +12,8 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/consensus"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/consensus"
 )
 
 // maxPeerMessageBytes is the largest message that is read from a peer at all: one envelope that is a little too large
--- a/internal/controlplane/controlserver/receive_test.go
+++ b/internal/controlplane/controlserver/receive_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/consensus"
-	"mothrouter/internal/plane"
+	"mothrouter/internal/cluster/plane"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/consensus"
 )
 
 func heartbeat(t *testing.T, from, to uint64) []byte {
--- a/internal/controlplane/controlserver/replica.go
+++ b/internal/controlplane/controlserver/replica.go
@@ -10,10 +10,10 @@
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 
-	"mothrouter/internal/confighub"
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/consensus"
-	"mothrouter/internal/raftlog"
+	"mothrouter/internal/controlplane/confighub"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/consensus"
+	"mothrouter/internal/controlplane/raftlog"
 )
 
 const (
--- a/internal/controlplane/controlserver/replica_test.go
+++ b/internal/controlplane/controlserver/replica_test.go
@@ -11,10 +11,10 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"mothrouter/internal/confighub"
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/consensus"
-	"mothrouter/internal/raftlog"
+	"mothrouter/internal/controlplane/confighub"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/consensus"
+	"mothrouter/internal/controlplane/raftlog"
 )
 
 var errDisk = errors.New("the disk fails")
--- a/internal/controlplane/controlserver/server.go
+++ b/internal/controlplane/controlserver/server.go
@@ -1,5 +1,5 @@
 // Package controlserver runs a control machine: a member of the replicated log of configurations that serves brokers
-// and operators. It drives internal/consensus, internal/raftlog and internal/confighub over gRPC, files and the clock.
+// and operators. It drives internal/controlplane/consensus, internal/controlplane/raftlog and internal/controlplane/confighub over gRPC, files and the clock.
 //
 // One goroutine, the replica, owns the consensus node, the state machine and the log. The handlers of gRPC and the
 // streams of the other control machines talk to it by bounded channels. What it cannot store stops this machine, and
@@ -19,12 +19,12 @@
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/keepalive"
 
-	"mothrouter/internal/confighub"
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/consensus"
-	"mothrouter/internal/distribution"
-	"mothrouter/internal/plane"
-	"mothrouter/internal/raftlog"
+	"mothrouter/internal/cluster/plane"
+	"mothrouter/internal/controlplane/confighub"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/consensus"
+	"mothrouter/internal/controlplane/distribution"
+	"mothrouter/internal/controlplane/raftlog"
 )
 
 const (
--- a/internal/controlplane/controlserver/server_test.go
+++ b/internal/controlplane/controlserver/server_test.go
@@ -14,8 +14,8 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/revision"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/revision"
 )
 
 // running is three control machines in this process.
--- a/internal/controlplane/controlserver/transport.go
+++ b/internal/controlplane/controlserver/transport.go
@@ -14,8 +14,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/keepalive"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/consensus"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/consensus"
 )
 
 const (
--- a/internal/controlplane/controlserver/transport_test.go
+++ b/internal/controlplane/controlserver/transport_test.go
@@ -11,7 +11,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/grpc"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 const patience = 10 * time.Second // for what must come
--- a/internal/controlplane/distribution/checkers_test.go
+++ b/internal/controlplane/distribution/checkers_test.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 const (
--- a/internal/controlplane/distribution/distribution.go
+++ b/internal/controlplane/distribution/distribution.go
@@ -13,7 +13,7 @@
 	"time"
 	"unicode/utf8"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 const (
--- a/internal/controlplane/distribution/follower.go
+++ b/internal/controlplane/distribution/follower.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"mothrouter/internal/backoff"
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 const (
--- a/internal/controlplane/distribution/follower_receive.go
+++ b/internal/controlplane/distribution/follower_receive.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 // UpdateCounts are what came to a follower, and what became of its streams.
--- a/internal/controlplane/distribution/follower_status.go
+++ b/internal/controlplane/distribution/follower_status.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 // FollowerStatus is what a follower knows.
--- a/internal/controlplane/distribution/follower_test.go
+++ b/internal/controlplane/distribution/follower_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 // newFollower returns a follower of so many machines with a stream that is just opened, and the time.
--- a/internal/controlplane/distribution/fuzz_test.go
+++ b/internal/controlplane/distribution/fuzz_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 // bytesReader hands out a fuzz input piece by piece; zeros once it is over.
--- a/internal/controlplane/distribution/hub.go
+++ b/internal/controlplane/distribution/hub.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 const (
--- a/internal/controlplane/distribution/hub_report.go
+++ b/internal/controlplane/distribution/hub_report.go
@@ -5,7 +5,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 // ReportReceived takes a report of a session. One that is malformed, of another instance or older than the one before is
--- a/internal/controlplane/distribution/hub_status.go
+++ b/internal/controlplane/distribution/hub_status.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 // booked is what a hub keeps of one of the latest revisions.
--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 func revisionOf(number uint64) *configpb.Revision {
--- a/internal/controlplane/distribution/revisions.go
+++ b/internal/controlplane/distribution/revisions.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 // revisions are those of a follower: one in force, at most one under application, at most one that waits for it.
--- a/internal/controlplane/distribution/simulation_stream_test.go
+++ b/internal/controlplane/distribution/simulation_stream_test.go
@@ -6,8 +6,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 // simStream is one Follow call.
--- a/internal/controlplane/distribution/simulation_test.go
+++ b/internal/controlplane/distribution/simulation_test.go
@@ -11,8 +11,8 @@
 	"github.com/stretchr/testify/require"
 	"google.golang.org/protobuf/proto"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 // The simulation plays brokers and four control machines in virtual time, with streams like TCP's between them: in
--- a/internal/controlplane/operatorclient/controlclient.go
+++ b/internal/controlplane/operatorclient/controlclient.go
@@ -1,6 +1,6 @@
-// Package controlclient is what operators' tools call control machines with: it publishes under one request id until
+// Package operatorclient is what operators' tools call control machines with: it publishes under one request id until
 // the outcome is known, and reads status and revisions.
-package controlclient
+package operatorclient
 
 import (
 	"context"
@@ -15,7 +15,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/status"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 const (
--- a/internal/controlplane/operatorclient/controlclient_test.go
+++ b/internal/controlplane/operatorclient/controlclient_test.go
@@ -1,4 +1,4 @@
-package controlclient_test
+package operatorclient_test
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/controlclient"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/operatorclient"
 )
 
 // machine is a control machine that answers publications by a script, the last answer again and again.
@@ -60,7 +60,7 @@
 func publish(t *testing.T, within time.Duration, addresses ...string) (uint64, error) {
 	ctx, cancel := context.WithTimeout(t.Context(), within)
 	defer cancel()
-	return controlclient.Publish(ctx, addresses, &configpb.PublishRequest{Request: 5, Document: []byte("x")})
+	return operatorclient.Publish(ctx, addresses, &configpb.PublishRequest{Request: 5, Document: []byte("x")})
 }
 
 const long = 10 * time.Second
@@ -78,9 +78,9 @@
 func TestPublishTellsARefusalAtOnce(t *testing.T) {
 	m, address := start(t, refused)
 	_, err := publish(t, long, address)
-	var refusal *controlclient.RejectedError
+	var refusal *operatorclient.RejectedError
 	require.ErrorAs(t, err, &refusal)
-	require.Equal(t, controlclient.RejectedError{Key: "settings.x", Reason: "is odd"}, *refusal)
+	require.Equal(t, operatorclient.RejectedError{Key: "settings.x", Reason: "is odd"}, *refusal)
 	require.Len(t, m.requests, 1)
 }
 
@@ -88,12 +88,12 @@
 	const short = 500 * time.Millisecond
 	_, never := start(t, notTaken)
 	_, err := publish(t, short, never, "127.0.0.1:1")
-	var unavailable *controlclient.UnavailableError
+	var unavailable *operatorclient.UnavailableError
 	require.ErrorAs(t, err, &unavailable)
 
 	_, once := start(t, unknown, notTaken)
 	_, err = publish(t, short, once)
-	var lost *controlclient.UnknownError
+	var lost *operatorclient.UnknownError
 	require.ErrorAs(t, err, &lost, "one unknown outcome is not undone by a later one that is known")
 
 	_, err = publish(t, short)
--- a/internal/controlplane/revision/machine.go
+++ b/internal/controlplane/revision/machine.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 // Machine is the state after the entries applied so far.
--- a/internal/controlplane/revision/revision.go
+++ b/internal/controlplane/revision/revision.go
@@ -11,7 +11,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 //go:generate protoc -I revisionpb -I ../configpb --go_out=revisionpb --go_opt=paths=source_relative revision.proto
--- a/internal/controlplane/revision/revision_test.go
+++ b/internal/controlplane/revision/revision_test.go
@@ -11,8 +11,8 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/revision/revisionpb"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/revision/revisionpb"
 )
 
 func command(request, expected uint64, document string) *configpb.Command {
--- a/internal/controlplane/revision/snapshot.go
+++ b/internal/controlplane/revision/snapshot.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 	"google.golang.org/protobuf/proto"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/revision/revisionpb"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/revision/revisionpb"
 )
 
 // A snapshot is a header of 28 bytes and a revisionpb.State:
--- a/internal/endpoints/discovery/discovery.go
+++ b/internal/endpoints/discovery/discovery.go
@@ -17,8 +17,8 @@
 	"mothrouter/internal/backoff"
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/httpwire"
-	"mothrouter/internal/listwatch"
+	"mothrouter/internal/endpoints/listwatch"
+	"mothrouter/internal/transport/httpwire"
 )
 
 // dialTimeout is as long as a call may take: a first packet that is lost is sent again after a second.
--- a/internal/endpoints/discovery/discovery_test.go
+++ b/internal/endpoints/discovery/discovery_test.go
@@ -15,7 +15,7 @@
 
 	"mothrouter/internal/backoff"
 	"mothrouter/internal/broker"
-	"mothrouter/internal/discovery"
+	"mothrouter/internal/endpoints/discovery"
 )
 
 // directory stands in for discovery: it serves watches, counts when each was asked for, and can drop them all.
--- a/internal/endpoints/listwatch/listwatch_test.go
+++ b/internal/endpoints/listwatch/listwatch_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 
 	"mothrouter/internal/backoff"
-	"mothrouter/internal/listwatch"
+	"mothrouter/internal/endpoints/listwatch"
 )
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
--- a/internal/harness/controlplanetest/broker_test.go
+++ b/internal/harness/controlplanetest/broker_test.go
@@ -1,4 +1,4 @@
-package controlrig_test
+package controlplanetest_test
 
 import (
 	"fmt"
@@ -11,13 +11,13 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/configstatus"
-	"mothrouter/internal/controlclient"
-	"mothrouter/internal/harness/controlrig"
+	"mothrouter/internal/controlplane/configstatus"
+	"mothrouter/internal/controlplane/operatorclient"
+	"mothrouter/internal/harness/controlplanetest"
 )
 
 // startBroker starts a process of a broker that follows all machines.
-func startBroker(t *testing.T, rig *controlrig.Rig, name string) {
+func startBroker(t *testing.T, rig *controlplanetest.Rig, name string) {
 	folder := t.TempDir()
 	var control strings.Builder
 	fmt.Fprintf(&control, "zone = \"north\"\nregion = \"north\"\n")
@@ -49,10 +49,10 @@
 }
 
 // status is the merged status of all machines.
-func status(t *testing.T, rig *controlrig.Rig) configstatus.View {
+func status(t *testing.T, rig *controlplanetest.Rig) configstatus.View {
 	var answers []configstatus.Answer
 	for _, address := range rig.Addresses() {
-		got, err := controlclient.Status(t.Context(), address)
+		got, err := operatorclient.Status(t.Context(), address)
 		answers = append(answers, configstatus.Answer{Address: address, Status: got, Err: err})
 	}
 	return configstatus.Merge(answers)
@@ -61,11 +61,11 @@
 // Real brokers have each revision in force in time, also while the leader is killed.
 func TestBrokersFollow(t *testing.T) {
 	const brokers = 3
-	rig := start(t, controlrig.Options{PromoteAfter: time.Minute, Seed: *seed})
+	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
 	for i := range brokers {
 		startBroker(t, rig, fmt.Sprint("broker-", i))
 	}
-	all := len(controlrig.Regions)*followers + brokers
+	all := len(controlplanetest.Regions)*followers + brokers
 	require.Eventually(t, func() bool { return status(t, rig).Connected == all }, patience, 50*time.Millisecond)
 	for round := range 3 {
 		number, err := rig.Publish(t.Context(), rig.Addresses())
--- a/internal/harness/controlplanetest/command_test.go
+++ b/internal/harness/controlplanetest/command_test.go
@@ -1,4 +1,4 @@
-package controlrig_test
+package controlplanetest_test
 
 import (
 	"bytes"
@@ -17,9 +17,9 @@
 	"github.com/stretchr/testify/require"
 	"google.golang.org/grpc"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/configstatus"
-	"mothrouter/internal/harness/controlrig"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/configstatus"
+	"mothrouter/internal/harness/controlplanetest"
 )
 
 // command runs `mothrouter config` and returns what it wrote and its exit status.
@@ -39,7 +39,7 @@
 	`"objectiveS":1,"semantics":"free"}],"familyInfo":{"cells":1,"slabs":1},"caps":{"openCap":50}}}`
 
 func TestCommandsOfOperators(t *testing.T) {
-	rig := start(t, controlrig.Options{PromoteAfter: time.Minute, Seed: *seed})
+	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
 	control := "--control=" + strings.Join(rig.Addresses(), ",")
 	file := func(document string) string {
 		path := filepath.Join(t.TempDir(), "document.json")
--- a/internal/harness/controlplanetest/controlrig.go
+++ b/internal/harness/controlplanetest/controlrig.go
@@ -1,7 +1,7 @@
-// Package controlrig starts control machines, processes of the built program on loopback, with followers in the test
+// Package controlplanetest starts control machines, processes of the built program on loopback, with followers in the test
 // process. A Network stands between them and cuts and delays directed pairs; processes are killed, stopped and
 // continued. Checkers read what publishers, followers and machines saw. It is no part of the program.
-package controlrig
+package controlplanetest
 
 import (
 	"bytes"
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/controlclient"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/operatorclient"
 )
 
 // Places of the machines: three voters in three regions, and a spare beside the first.
@@ -132,7 +132,7 @@
 func (r *Rig) Leader(ctx context.Context) *Machine {
 	for _, m := range r.Machines {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
-		status, err := controlclient.Status(ctx, m.Address)
+		status, err := operatorclient.Status(ctx, m.Address)
 		cancel()
 		if err == nil && status.GetLeader() == m.Name && status.GetConfirmedMs() < 1000 {
 			return m
@@ -150,7 +150,7 @@
 	document := fmt.Appendf(nil, documentForm, 100+n%1_000_000, float64(n%900)/1000+0.1)
 	document = append(document, bytes.Repeat([]byte(" "), int(r.padding.Load()))...)
 	p := Publication{Request: r.options.Seed<<32 + n, Checksum: configpb.Checksum(document), Began: time.Now()}
-	p.Number, err = controlclient.Publish(ctx, addresses,
+	p.Number, err = operatorclient.Publish(ctx, addresses,
 		&configpb.PublishRequest{Document: document, Request: p.Request})
 	p.Ended = time.Now()
 	r.mu.Lock()
@@ -167,7 +167,7 @@
 func (r *Rig) Read(ctx context.Context, newest uint64) error {
 	for _, m := range r.Machines {
 		for number := uint64(1); number <= newest; number++ {
-			got, err := controlclient.Get(ctx, []string{m.Address}, number)
+			got, err := operatorclient.Get(ctx, []string{m.Address}, number)
 			if err != nil {
 				return fmt.Errorf("%s, revision %d: %w", m.Name, number, err)
 			}
--- a/internal/harness/controlplanetest/disk_test.go
+++ b/internal/harness/controlplanetest/disk_test.go
@@ -1,4 +1,4 @@
-package controlrig_test
+package controlplanetest_test
 
 import (
 	"os"
@@ -8,12 +8,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/controlserver"
-	"mothrouter/internal/harness/controlrig"
+	"mothrouter/internal/controlplane/controlserver"
+	"mothrouter/internal/harness/controlplanetest"
 )
 
 // waitForEnd returns the exit status of a machine that has to end by itself.
-func waitForEnd(t *testing.T, m *controlrig.Machine) int {
+func waitForEnd(t *testing.T, m *controlplanetest.Machine) int {
 	select {
 	case <-m.Ended():
 	case <-time.After(patience):
@@ -25,7 +25,7 @@
 // A machine whose disk takes no more stops with a message, and nobody else does. With room again it comes back.
 func TestFullDiskStopsThatMachineAlone(t *testing.T) {
 	const limitKiB = "512"
-	rig := start(t, controlrig.Options{PromoteAfter: time.Minute, Seed: *seed})
+	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
 	full := rig.Machine("b")
 	require.Zero(t, full.End())
 	require.NoError(t, full.StartLimited(limitKiB))
@@ -50,7 +50,7 @@
 
 // A machine whose log is corrupt, of another machine, or missing does not start, and says why.
 func TestMachineDoesNotStartOnAWrongLog(t *testing.T) {
-	rig := start(t, controlrig.Options{PromoteAfter: time.Minute, Seed: *seed})
+	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
 	stop := publishing(t, rig, rig.Addresses())
 	waitForMore(t, rig, 3)
 	m := rig.Machine("c")
--- a/internal/harness/controlplanetest/follower.go
+++ b/internal/harness/controlplanetest/follower.go
@@ -1,4 +1,4 @@
-package controlrig
+package controlplanetest
 
 import (
 	"context"
@@ -7,15 +7,15 @@
 	"sync"
 	"time"
 
-	"mothrouter/internal/configclient"
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configfollower"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 // follower is a broker that only follows the configuration.
 type follower struct {
 	name, region string
-	client       *configclient.Client
+	client       *configfollower.Client
 	cancel       context.CancelFunc
 	running      sync.WaitGroup
 }
@@ -43,7 +43,7 @@
 func (r *Rig) follow(name, region string, control []distribution.Machine) error {
 	f := &follower{name: name, region: region}
 	var err error
-	f.client, err = configclient.New(configclient.Options{
+	f.client, err = configfollower.New(configfollower.Options{
 		Name: name, Started: time.Now(), Zone: region, Region: region, Control: control, Callers: 600,
 		Seed: r.options.Seed + uint64(len(r.followers)), Log: slog.New(slog.DiscardHandler),
 		Apply: func(got *configpb.Revision) *configpb.Refusal {
--- a/internal/harness/controlplanetest/machine.go
+++ b/internal/harness/controlplanetest/machine.go
@@ -1,4 +1,4 @@
-package controlrig
+package controlplanetest
 
 import (
 	"errors"
--- a/internal/harness/controlplanetest/network_test.go
+++ b/internal/harness/controlplanetest/network_test.go
@@ -1,4 +1,4 @@
-package controlrig_test
+package controlplanetest_test
 
 import (
 	"io"
@@ -8,11 +8,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/harness/controlrig"
+	"mothrouter/internal/harness/controlplanetest"
 )
 
 // echo connects to a server that sends back what it gets, through a relay from "here" to "there".
-func echo(t *testing.T) (*controlrig.Network, net.Conn) {
+func echo(t *testing.T) (*controlplanetest.Network, net.Conn) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go func() {
@@ -27,7 +27,7 @@
 			}()
 		}
 	}()
-	network := controlrig.NewNetwork()
+	network := controlplanetest.NewNetwork()
 	address, err := network.Relay("here", "there", server.Addr().String())
 	require.NoError(t, err)
 	conn, err := net.Dial("tcp", address)
@@ -52,9 +52,9 @@
 	for _, pair := range [][2]string{{"here", "there"}, {"there", "here"}} {
 		network, conn := echo(t)
 		require.NoError(t, exchange(t, conn, 2*time.Second))
-		network.Set(pair[0], pair[1], controlrig.Fault{Cut: true})
+		network.Set(pair[0], pair[1], controlplanetest.Fault{Cut: true})
 		require.Error(t, exchange(t, conn, 100*time.Millisecond))
-		network.Set(pair[0], pair[1], controlrig.Fault{})
+		network.Set(pair[0], pair[1], controlplanetest.Fault{})
 		require.NoError(t, conn.SetReadDeadline(time.Now().Add(2*time.Second)))
 		_, err := conn.Read(make([]byte, 1))
 		require.NoError(t, err)
@@ -64,7 +64,7 @@
 func TestRelayDelaysADirection(t *testing.T) {
 	network, conn := echo(t)
 	require.NoError(t, exchange(t, conn, 2*time.Second))
-	network.Set("there", "here", controlrig.Fault{Delay: 200 * time.Millisecond})
+	network.Set("there", "here", controlplanetest.Fault{Delay: 200 * time.Millisecond})
 	began := time.Now()
 	require.NoError(t, exchange(t, conn, 2*time.Second))
 	require.GreaterOrEqual(t, time.Since(began), 200*time.Millisecond)
--- a/internal/harness/controlplanetest/race_test.go
+++ b/internal/harness/controlplanetest/race_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package controlrig_test
+package controlplanetest_test
 
 func init() { buildFlags = []string{"-race"} }
--- a/internal/harness/controlplanetest/rig_test.go
+++ b/internal/harness/controlplanetest/rig_test.go
@@ -1,4 +1,4 @@
-package controlrig_test
+package controlplanetest_test
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/controlclient"
-	"mothrouter/internal/harness/controlrig"
+	"mothrouter/internal/controlplane/operatorclient"
+	"mothrouter/internal/harness/controlplanetest"
 )
 
 var (
@@ -47,10 +47,10 @@
 )
 
 // start starts a rig whose machines have a leader.
-func start(t *testing.T, options controlrig.Options) *controlrig.Rig {
+func start(t *testing.T, options controlplanetest.Options) *controlplanetest.Rig {
 	t.Parallel()
 	options.Program, options.Folder = program, t.TempDir()
-	rig, err := controlrig.New(options)
+	rig, err := controlplanetest.New(options)
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		rig.Close()
@@ -66,8 +66,8 @@
 	return rig
 }
 
-func waitForLeader(t *testing.T, rig *controlrig.Rig) *controlrig.Machine {
-	var leader *controlrig.Machine
+func waitForLeader(t *testing.T, rig *controlplanetest.Rig) *controlplanetest.Machine {
+	var leader *controlplanetest.Machine
 	require.Eventually(t, func() bool {
 		leader = rig.Leader(t.Context())
 		return leader != nil
@@ -76,7 +76,7 @@
 }
 
 // publishing publishes one document after the other until the function that it returns is called.
-func publishing(t *testing.T, rig *controlrig.Rig, addresses []string) (stop func()) {
+func publishing(t *testing.T, rig *controlplanetest.Rig, addresses []string) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	running.Go(func() {
@@ -94,7 +94,7 @@
 }
 
 // acknowledged counts the publications that were acknowledged so far.
-func acknowledged(rig *controlrig.Rig) (count int) {
+func acknowledged(rig *controlplanetest.Rig) (count int) {
 	for _, p := range rig.History().Publications {
 		if p.Number != 0 {
 			count++
@@ -104,14 +104,14 @@
 }
 
 // waitForMore waits until so many more publications are acknowledged.
-func waitForMore(t *testing.T, rig *controlrig.Rig, more int) {
+func waitForMore(t *testing.T, rig *controlplanetest.Rig, more int) {
 	want := acknowledged(rig) + more
 	require.Eventually(t, func() bool { return acknowledged(rig) >= want }, patience, 10*time.Millisecond,
 		"publications are not acknowledged any more")
 }
 
 // finish publishes once more, waits until that is everywhere, and checks the whole history.
-func finish(t *testing.T, rig *controlrig.Rig) {
+func finish(t *testing.T, rig *controlplanetest.Rig) {
 	ctx, cancel := context.WithTimeout(t.Context(), patience)
 	defer cancel()
 	newest, err := rig.Publish(ctx, rig.Addresses())
@@ -122,7 +122,7 @@
 	}, patience, 20*time.Millisecond, "the last revision is not in force everywhere")
 	for _, m := range rig.Machines {
 		require.Eventually(t, func() bool {
-			status, err := controlclient.Status(ctx, m.Address)
+			status, err := operatorclient.Status(ctx, m.Address)
 			return err == nil && status.GetNewest() >= newest
 		}, patience, 20*time.Millisecond, "%s lacks the last revision", m.Name)
 	}
@@ -134,7 +134,7 @@
 }
 
 func TestLeaderIsKilledAndRestarted(t *testing.T) {
-	rig := start(t, controlrig.Options{PromoteAfter: time.Minute, Seed: *seed})
+	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
 	stop := publishing(t, rig, rig.Addresses())
 	for range *rounds {
 		waitForMore(t, rig, 3)
@@ -153,7 +153,7 @@
 }
 
 func TestLeaderIsPaused(t *testing.T) {
-	rig := start(t, controlrig.Options{PromoteAfter: time.Minute, Seed: *seed})
+	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
 	stop := publishing(t, rig, rig.Addresses())
 	for range *rounds {
 		waitForMore(t, rig, 3)
@@ -171,7 +171,7 @@
 // time, and what was acknowledged is in it.
 func TestKillsInMidWrite(t *testing.T) {
 	const kills, leaderEvery, upMost = 8, 4, 400 * time.Millisecond
-	rig := start(t, controlrig.Options{PromoteAfter: time.Minute, Seed: *seed})
+	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
 	var stops []func()
 	for range 4 { // publications overlap, so that something is always being written
 		stops = append(stops, publishing(t, rig, rig.Addresses()))
@@ -187,7 +187,7 @@
 		m.Kill()
 		require.NoError(t, m.Start())
 		require.Eventually(t, func() bool {
-			_, err := controlclient.Status(t.Context(), m.Address)
+			_, err := operatorclient.Status(t.Context(), m.Address)
 			return err == nil
 		}, patience, 20*time.Millisecond, "%s does not come back", m.Name)
 	}
@@ -201,7 +201,7 @@
 // A region with the leader is cut off from all others. The others go on, and its followers have the newest in time once
 // it is mended.
 func TestCutRegion(t *testing.T) {
-	rig := start(t, controlrig.Options{PromoteAfter: time.Minute, Seed: *seed})
+	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
 	for range *rounds {
 		leader := waitForLeader(t, rig)
 		var outside []string
@@ -232,7 +232,7 @@
 // A voter that stays away is replaced by the spare: after that one more voter may be lost.
 func TestSpareTakesThePlaceOfALostVoter(t *testing.T) {
 	const promoteAfter = 5 * time.Second
-	rig := start(t, controlrig.Options{PromoteAfter: promoteAfter, Seed: *seed})
+	rig := start(t, controlplanetest.Options{PromoteAfter: promoteAfter, Seed: *seed})
 	stop := publishing(t, rig, rig.Addresses())
 	lost := rig.Machine("b")
 	lost.Kill()
@@ -249,9 +249,9 @@
 }
 
 // waitForVoter waits until a machine counts among the voters, or until it does not.
-func waitForVoter(t *testing.T, rig *controlrig.Rig, ask, name string, voter bool) {
+func waitForVoter(t *testing.T, rig *controlplanetest.Rig, ask, name string, voter bool) {
 	require.Eventually(t, func() bool {
-		status, err := controlclient.Status(t.Context(), rig.Machine(ask).Address)
+		status, err := operatorclient.Status(t.Context(), rig.Machine(ask).Address)
 		if err != nil {
 			return false
 		}
@@ -267,7 +267,7 @@
 // A machine that has lost its disk comes back with a new log as docs/configuration.md tells: once the spare has
 // replaced it by the word of each other machine, and the leader was restarted. Before that it is stopped.
 func TestLostDiskComesBackAsTheSpare(t *testing.T) {
-	rig := start(t, controlrig.Options{PromoteAfter: 5 * time.Second, Seed: *seed})
+	rig := start(t, controlplanetest.Options{PromoteAfter: 5 * time.Second, Seed: *seed})
 	stop := publishing(t, rig, rig.Addresses())
 	waitForMore(t, rig, 3)
 	leader := waitForLeader(t, rig)
--- a/internal/harness/processtest/rig.go
+++ b/internal/harness/processtest/rig.go
@@ -1,7 +1,7 @@
-// Package rig starts several processes of the built program on loopback and stands between them: for each directed pair
+// Package processtest starts several processes of the built program on loopback and stands between them: for each directed pair
 // it drops, doubles, delays, reorders and cuts what they tell each other, by a seeded script. It stops and continues, kills
 // and restarts processes, and reads what each says of its fleet. It is no part of the broker.
-package rig
+package processtest
 
 import (
 	"fmt"
@@ -18,8 +18,8 @@
 	"syscall"
 	"time"
 
+	"mothrouter/internal/cluster/plane"
 	"mothrouter/internal/harness/process"
-	"mothrouter/internal/plane"
 )
 
 // Faults are what happens to datagrams from one process to another.
--- a/internal/harness/processtest/rig_test.go
+++ b/internal/harness/processtest/rig_test.go
@@ -1,4 +1,4 @@
-package rig_test
+package processtest_test
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/harness/rig"
+	"mothrouter/internal/harness/processtest"
 )
 
 var program string
@@ -39,9 +39,9 @@
 const size = 6
 
 // fleet starts one and waits until all know all.
-func fleet(t *testing.T, seed uint64) *rig.Fleet {
+func fleet(t *testing.T, seed uint64) *processtest.Fleet {
 	t.Parallel()
-	f, err := rig.New(rig.Options{Program: program, Folder: t.TempDir(), Brokers: size, Seed: seed, Config: config})
+	f, err := processtest.New(processtest.Options{Program: program, Folder: t.TempDir(), Brokers: size, Seed: seed, Config: config})
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		f.Close()
@@ -51,13 +51,13 @@
 			}
 		}
 	})
-	see(t, f, 20*time.Second, func(*rig.Broker) int { return size })
+	see(t, f, 20*time.Second, func(*processtest.Broker) int { return size })
 	f.Forget()
 	return f
 }
 
 // see waits until each broker of whom want is above 0 sees so many alive.
-func see(t *testing.T, f *rig.Fleet, within time.Duration, want func(*rig.Broker) int) time.Duration {
+func see(t *testing.T, f *processtest.Fleet, within time.Duration, want func(*processtest.Broker) int) time.Duration {
 	t.Helper()
 	began := time.Now()
 	require.Eventually(t, func() bool {
@@ -72,7 +72,7 @@
 }
 
 // nobody checks that none but those named were taken for lost.
-func nobody(t *testing.T, f *rig.Fleet, except ...string) {
+func nobody(t *testing.T, f *processtest.Fleet, except ...string) {
 	t.Helper()
 	for _, b := range f.Brokers {
 		for _, name := range b.Removed() {
@@ -84,7 +84,7 @@
 func TestAKilledBrokerIsKnownAndItsRestartToo(t *testing.T) {
 	f := fleet(t, 1)
 	f.Brokers[4].Kill()
-	others := func(b *rig.Broker) int {
+	others := func(b *processtest.Broker) int {
 		if b.Index == 4 {
 			return 0
 		}
@@ -94,16 +94,16 @@
 	t.Logf("known to all after %v", took)
 	require.Less(t, took, 6*time.Second) // 5 s, and what a busy machine adds
 	require.NoError(t, f.Brokers[4].Start())
-	see(t, f, 10*time.Second, func(*rig.Broker) int { return size })
+	see(t, f, 10*time.Second, func(*processtest.Broker) int { return size })
 	nobody(t, f, "n4")
 	f.Brokers[5].End() // one that says so is gone at once
-	took = see(t, f, 8*time.Second, func(b *rig.Broker) int { return map[bool]int{true: 0, false: size - 1}[b.Index == 5] })
+	took = see(t, f, 8*time.Second, func(b *processtest.Broker) int { return map[bool]int{true: 0, false: size - 1}[b.Index == 5] })
 	require.Less(t, took, 2*time.Second)
 }
 
 func TestBadPathsAndPausesRemoveNobody(t *testing.T) {
 	f := fleet(t, 2)
-	f.Everywhere(rig.Faults{Lose: 0.2, Double: 0.2, Delay: 60 * time.Millisecond})
+	f.Everywhere(processtest.Faults{Lose: 0.2, Double: 0.2, Delay: 60 * time.Millisecond})
 	sent := f.Brokers[0].Sent()
 	began := time.Now()
 	for i := range 3 {
@@ -120,10 +120,10 @@
 func TestALongPauseRemovesOneAndWakingBringsItBack(t *testing.T) {
 	f := fleet(t, 3)
 	f.Brokers[2].Pause()
-	see(t, f, 8*time.Second, func(b *rig.Broker) int { return map[bool]int{true: 0, false: size - 1}[b.Index == 2] })
+	see(t, f, 8*time.Second, func(b *processtest.Broker) int { return map[bool]int{true: 0, false: size - 1}[b.Index == 2] })
 	time.Sleep(2 * time.Second)
 	f.Brokers[2].Continue()
-	took := see(t, f, 6*time.Second, func(*rig.Broker) int { return size })
+	took := see(t, f, 6*time.Second, func(*processtest.Broker) int { return size })
 	require.Less(t, took, 4*time.Second)
 	nobody(t, f, "n2")
 	require.Empty(t, f.Brokers[2].Removed(), "one that wakes removes nobody")
@@ -131,28 +131,28 @@
 
 func TestACutPairRemovesNobodyAndACutSideIsFenced(t *testing.T) {
 	f := fleet(t, 4)
-	f.Between(0, 1, rig.Faults{Cut: true})
-	f.Between(3, 2, rig.Faults{Cut: true})
-	f.Between(2, 3, rig.Faults{Cut: true})
+	f.Between(0, 1, processtest.Faults{Cut: true})
+	f.Between(3, 2, processtest.Faults{Cut: true})
+	f.Between(2, 3, processtest.Faults{Cut: true})
 	time.Sleep(6 * time.Second)
 	nobody(t, f)
 	few := func(i int) bool { return i < 2 } // two of six are cut off from the others
-	f.Everywhere(rig.Faults{})
+	f.Everywhere(processtest.Faults{})
 	for i := range size {
 		for j := range size {
 			if few(i) != few(j) {
-				f.Between(i, j, rig.Faults{Cut: true})
+				f.Between(i, j, processtest.Faults{Cut: true})
 			}
 		}
 	}
-	see(t, f, 12*time.Second, func(b *rig.Broker) int { return map[bool]int{true: 2, false: size - 2}[few(b.Index)] })
+	see(t, f, 12*time.Second, func(b *processtest.Broker) int { return map[bool]int{true: 2, false: size - 2}[few(b.Index)] })
 	for _, b := range f.Brokers {
 		require.Equal(t, size, b.View().Sharing, "the lost keep their part")
 	}
 	require.Eventually(t, func() bool { return f.Brokers[0].View().Fenced && f.Brokers[1].View().Fenced }, 30*time.Second, 50*time.Millisecond)
 	require.False(t, f.Brokers[3].View().Fenced)
-	f.Everywhere(rig.Faults{})
-	took := see(t, f, 8*time.Second, func(*rig.Broker) int { return size })
+	f.Everywhere(processtest.Faults{})
+	took := see(t, f, 8*time.Second, func(*processtest.Broker) int { return size })
 	require.Less(t, took, 6*time.Second)
 	require.Eventually(t, func() bool { return !f.Brokers[0].View().Fenced }, 2*time.Second, 20*time.Millisecond)
 }
@@ -166,5 +166,5 @@
 	for _, b := range f.Brokers[1:5] {
 		require.NoError(t, b.Start())
 	}
-	see(t, f, 15*time.Second, func(*rig.Broker) int { return size })
+	see(t, f, 15*time.Second, func(*processtest.Broker) int { return size })
 }
--- a/internal/harness/recordservertest/standin.go
+++ b/internal/harness/recordservertest/standin.go
@@ -1,7 +1,7 @@
-// Package standin is a fleet of record servers on loopback for tests and measurements: they speak the platform's
+// Package recordservertest is a fleet of record servers on loopback for tests and measurements: they speak the platform's
 // frames, answer after a while, fail, hang, start cold or drain as they are told, and check the rules that bind
 // brokers. It is no part of the broker.
-package standin
+package recordservertest
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/frame"
+	"mothrouter/internal/transport/frame"
 )
 
 const (
--- a/internal/harness/recordservertest/step.go
+++ b/internal/harness/recordservertest/step.go
@@ -1,4 +1,4 @@
-package standin
+package recordservertest
 
 import (
 	"cmp"
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"mothrouter/internal/frame"
+	"mothrouter/internal/transport/frame"
 )
 
 // queryOf is the query that a part's id belongs to.
--- a/internal/harness/recordservertest/step_test.go
+++ b/internal/harness/recordservertest/step_test.go
@@ -1,4 +1,4 @@
-package standin
+package recordservertest
 
 import (
 	"strings"
--- a/internal/harness/scale/child.go
+++ b/internal/harness/scale/child.go
@@ -16,7 +16,7 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/harness/standin"
+	"mothrouter/internal/harness/recordservertest"
 )
 
 // A child is this program's second process, so that the far side's processor time and memory are not counted with the
@@ -60,7 +60,7 @@
 }
 
 func serveRecords(servers int) error {
-	f, err := standin.New(standin.Options{Servers: servers, ReplicationFactor: AssumedReplicationFactor, Work: childWork, Seed: 1})
+	f, err := recordservertest.New(recordservertest.Options{Servers: servers, ReplicationFactor: AssumedReplicationFactor, Work: childWork, Seed: 1})
 	if err != nil {
 		return err
 	}
--- a/internal/harness/scale/cold.go
+++ b/internal/harness/scale/cold.go
@@ -21,7 +21,7 @@
 func slowStartExperiment() Experiment {
 	return Experiment{
 		Name: "cold",
-		Provenance: Provenance{Real: "internal/lease (Bearing)",
+		Provenance: Provenance{Real: "internal/workers/lease (Bearing)",
 			Computed: "brokers that see even shares of the load, windows that begin together"},
 		Small: axis(axisBrokers, []float64{1200}), // the fewest answers to learn from
 		Large: axis(axisBrokers, brokerSizes),
--- a/internal/harness/scale/configuration.go
+++ b/internal/harness/scale/configuration.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 // Axes of the distribution of configuration.
@@ -28,7 +28,7 @@
 
 // configurationProvenance tells what is what.
 var configurationProvenance = Provenance{
-	Real: "internal/confighub and internal/configclient (gRPC) with distribution's Hub and Follower over loopback, each " +
+	Real: "internal/controlplane/confighub and internal/controlplane/configfollower (gRPC) with distribution's Hub and Follower over loopback, each " +
 		"document checked whole by internal/config; bytes are counted on the hubs' connections",
 	Hollow: "followers without a core to configure, all in one process; each hub in a process of its own, fed by the " +
 		"experiment as if by the log: the replicated log is not in this run",
--- a/internal/harness/scale/configuration_document.go
+++ b/internal/harness/scale/configuration_document.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 const (
--- a/internal/harness/scale/configuration_followers.go
+++ b/internal/harness/scale/configuration_followers.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"mothrouter/internal/config"
-	"mothrouter/internal/configclient"
-	"mothrouter/internal/configpb"
-	"mothrouter/internal/distribution"
+	"mothrouter/internal/controlplane/configfollower"
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/distribution"
 )
 
 const followersLook = 20 * time.Millisecond // between two looks at all followers, which are not in counted stretches
@@ -39,7 +39,7 @@
 // follower is a hollow broker: it reads, checks and compares each document, as a broker does, and has no core to give
 // it to.
 type follower struct {
-	*configclient.Client
+	*configfollower.Client
 	start *config.Document
 
 	mu      sync.Mutex
@@ -125,7 +125,7 @@
 	}
 	for i := range c.count {
 		f := &follower{start: start}
-		f.Client, err = configclient.New(configclient.Options{
+		f.Client, err = configfollower.New(configfollower.Options{
 			Name: fmt.Sprint("n", i), Started: time.Now(), Region: regionName(i), Zone: fmt.Sprint("zone-", i%TargetZones),
 			Control: command.Start, Callers: c.count, Seed: command.Seed + uint64(i)*7919, Log: nobody, Apply: f.apply,
 		})
--- a/internal/harness/scale/configuration_hub.go
+++ b/internal/harness/scale/configuration_hub.go
@@ -9,8 +9,8 @@
 
 	"google.golang.org/grpc"
 
-	"mothrouter/internal/confighub"
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/confighub"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 const (
--- a/internal/harness/scale/configuration_internal_test.go
+++ b/internal/harness/scale/configuration_internal_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 
 	"mothrouter/internal/config"
-	"mothrouter/internal/configpb"
+	"mothrouter/internal/controlplane/configpb"
 )
 
 // Documents have the size asked for, are valid, and may follow each other in service.
--- a/internal/harness/scale/deterministic_test.go
+++ b/internal/harness/scale/deterministic_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/scale"
+	"mothrouter/internal/harness/scale"
 )
 
 // counts are the readings of a run that hang on the seed alone: neither processor time nor memory nor allocations.
--- a/internal/harness/scale/fit_test.go
+++ b/internal/harness/scale/fit_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/scale"
+	"mothrouter/internal/harness/scale"
 )
 
 var sizes = []float64{200, 500, 1000, 2300, 4600}
--- a/internal/harness/scale/hollow.go
+++ b/internal/harness/scale/hollow.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"mothrouter/internal/backoff"
-	"mothrouter/internal/discovery"
-	"mothrouter/internal/fleet"
+	"mothrouter/internal/cluster/fleet"
+	"mothrouter/internal/endpoints/discovery"
 )
 
 const (
@@ -22,7 +22,7 @@
 func hollowExperiment() Experiment {
 	return Experiment{
 		Name: "hollow",
-		Provenance: Provenance{Real: "internal/fleet, membership, plane, discovery, listwatch and backoff over loopback",
+		Provenance: Provenance{Real: "internal/cluster/fleet, membership, plane, discovery, listwatch and backoff over loopback",
 			Hollow: "brokers without clients, all in one process; a stand-in for discovery in another"},
 		Small: axis(axisBrokers, []float64{8}),
 		Large: axis(axisBrokers, membershipSizes),
--- a/internal/harness/scale/list.go
+++ b/internal/harness/scale/list.go
@@ -14,7 +14,7 @@
 	"mothrouter/internal/backoff"
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/discovery"
+	"mothrouter/internal/endpoints/discovery"
 )
 
 var (
@@ -61,7 +61,7 @@
 func listExperiment() Experiment {
 	return Experiment{
 		Name: "list",
-		Provenance: Provenance{Real: "internal/discovery (Message, Names), internal/broker (Servers), internal/decision",
+		Provenance: Provenance{Real: "internal/endpoints/discovery (Message, Names), internal/broker (Servers), internal/decision",
 			Virtual: "no socket"},
 		Small: axis(axisServers, []float64{50, 100, 200}),
 		Large: axis(axisServers, serverSizes),
@@ -126,7 +126,7 @@
 func watchExperiment() Experiment {
 	return Experiment{
 		Name: "watch",
-		Provenance: Provenance{Real: "internal/discovery (Watcher), listwatch and backoff over loopback",
+		Provenance: Provenance{Real: "internal/endpoints/discovery (Watcher), listwatch and backoff over loopback",
 			Hollow: "brokers without clients; a stand-in for discovery in a process of its own, 500 servers on its list"},
 		Small: axis(axisBrokers, []float64{10}),
 		Large: axis(axisBrokers, brokerSizes),
--- a/internal/harness/scale/membership.go
+++ b/internal/harness/scale/membership.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"mothrouter/internal/membership"
+	"mothrouter/internal/cluster/membership"
 )
 
 const (
@@ -16,11 +16,11 @@
 	minRack     = 4 // a rack is TargetRack machines, and never more than one in so many of the fleet
 )
 
-// membershipSizes end at 490: internal/membership holds membership.MaxMembers instances at most, those just restarted too.
+// membershipSizes end at 490: internal/cluster/membership holds membership.MaxMembers instances at most, those just restarted too.
 var membershipSizes = []float64{40, 100, 200, 300, membership.MaxMembers - 10}
 
 func virtualMembership(what string) Provenance {
-	return Provenance{Hollow: "internal/membership: brokers without clients",
+	return Provenance{Hollow: "internal/cluster/membership: brokers without clients",
 		Virtual: "network (1, 3 and 50 ms at most in a zone, in a region and between regions) and clock; " + what}
 }
 
--- a/internal/harness/scale/network.go
+++ b/internal/harness/scale/network.go
@@ -8,9 +8,9 @@
 	"net/netip"
 	"time"
 
-	"mothrouter/internal/membership"
-	"mothrouter/internal/plane"
-	"mothrouter/internal/plane/planepb"
+	"mothrouter/internal/cluster/membership"
+	"mothrouter/internal/cluster/plane"
+	"mothrouter/internal/cluster/plane/planepb"
 )
 
 // Delays of the virtual network, each a datagram's longest; the shortest is half of it.
--- a/internal/harness/scale/page.go
+++ b/internal/harness/scale/page.go
@@ -10,9 +10,9 @@
 	"strings"
 	"text/template"
 
-	"mothrouter/internal/frame"
-	"mothrouter/internal/httpwire"
-	"mothrouter/internal/membership"
+	"mothrouter/internal/cluster/membership"
+	"mothrouter/internal/transport/frame"
+	"mothrouter/internal/transport/httpwire"
 )
 
 //go:embed capacity.md.tmpl
@@ -23,7 +23,7 @@
 	exampleOpenCap        = 267     // deploy/example.json: queries and parts held at most
 	exampleSockets        = 1024    // deploy/example.json: descriptors
 	serverFraction        = 3. / 8  // of them for record servers (internal/config)
-	listLine              = 1 << 20 // bytes of a watch's longest line (internal/httpwire)
+	listLine              = 1 << 20 // bytes of a watch's longest line (internal/transport/httpwire)
 	assumedValue          = 200     // bytes of a part's answer
 	assumedServerFraction = 0.88    // of the machines are record servers: 4,600 of 4,600 + 590 + 4
 	wordsARestart         = 3       // changes of the list a restart: leaving, left, active
--- a/internal/harness/scale/page_misses.go
+++ b/internal/harness/scale/page_misses.go
@@ -7,7 +7,7 @@
 	"slices"
 	"strings"
 
-	"mothrouter/internal/membership"
+	"mothrouter/internal/cluster/membership"
 )
 
 // miss is one row of what the target needs and what there is.
@@ -50,14 +50,14 @@
 	follow := get(p.mean("configuration", "processor", "brokers=590")) / 1e6
 	rows := []miss{
 		{"configuration in force everywhere within 8 s, as found", "distribution over a replicated log " +
-			"(`internal/consensus`, `internal/distribution`)", 1, 0, "mechanisms"},
-		{"configuration now (off by default), until in force at all 590, without the log", "`internal/distribution`, " +
-			"`internal/confighub`, `internal/configclient`", inForce, TargetInForce, "s"},
+			"(`internal/controlplane/consensus`, `internal/controlplane/distribution`)", 1, 0, "mechanisms"},
+		{"configuration now (off by default), until in force at all 590, without the log", "`internal/controlplane/distribution`, " +
+			"`internal/controlplane/confighub`, `internal/controlplane/configfollower`", inForce, TargetInForce, "s"},
 		{"configuration now, processor of a follower at ten times the rate of changes", "none needed", follow, BudgetCore,
 			"cores"},
 		{"connections of a broker, one to each record server, in the example's descriptors", "a larger limit, or subsetting",
 			TargetServers, exampleSockets * serverFraction, "connections"},
-		{"a broker's service path, cores (one loop, one core)", "several workers (`internal/cores`), fewer frames a part",
+		{"a broker's service path, cores (one loop, one core)", "several workers (`internal/workers/cores`), fewer frames a part",
 			query * QueriesABroker(TargetBrokers), 1, "cores"},
 		{"a zone's 460 servers told one by one, of the 0.25 s in which a drain binds", "one delta for all; a list that " +
 			"changes in place", single * TargetServers / TargetZones / 1e6, 0.25, "s of the loop"},
@@ -67,7 +67,7 @@
 			"units"},
 		{"members", "a larger bound, or views by region", TargetBrokers, membership.MaxMembers, "members"},
 		{"a whole list on one line of a watch", "none needed yet", size / 1e6, listLine / 1e6, "MB"},
-		{"sum of what all brokers send to one cold server", "shares of the peak (`internal/lease`)", cold, 1, "of the limit"},
+		{"sum of what all brokers send to one cold server", "shares of the peak (`internal/workers/lease`)", cold, 1, "of the limit"},
 		{"control of an idle broker, processor, at 200 brokers", "not known at 590", control, BudgetCore, "cores"},
 		{"control of an idle broker, bytes sent", "none needed", gossip / 1e3, BudgetBytes / 1e3, "KB/s"},
 		{"memory of the connections to all record servers, of the example's 192 MB", "none needed", mesh / 1e6, 192, "MB"},
--- a/internal/harness/scale/page_test.go
+++ b/internal/harness/scale/page_test.go
@@ -8,14 +8,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/scale"
+	"mothrouter/internal/harness/scale"
 )
 
 var update = flag.Bool("update", false, "write docs/CAPACITY.md anew from docs/capacity")
 
 const (
-	pagePath   = "../../docs/CAPACITY.md"
-	recordsDir = "../../docs/capacity"
+	pagePath   = "../../../docs/CAPACITY.md"
+	recordsDir = "../../../docs/capacity"
 )
 
 // The page and the runs cannot drift apart: every figure is computed anew.
@@ -32,7 +32,7 @@
 	require.NoError(t, err)
 	want, have := strings.Split(string(page), "\n"), strings.Split(string(stands), "\n")
 	for i := range min(len(want), len(have)) {
-		require.Equal(t, want[i], have[i], "line %d; go test ./internal/scale -run TestPage -update", i+1)
+		require.Equal(t, want[i], have[i], "line %d; go test ./internal/harness/scale -run TestPage -update", i+1)
 	}
 	require.Len(t, have, len(want))
 }
--- a/internal/harness/scale/quantile_test.go
+++ b/internal/harness/scale/quantile_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/scale"
+	"mothrouter/internal/harness/scale"
 )
 
 func TestPartQuantileOfAllPartsIsTheRoot(t *testing.T) {
--- a/internal/harness/scale/scale_test.go
+++ b/internal/harness/scale/scale_test.go
@@ -11,12 +11,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/scale"
+	"mothrouter/internal/harness/scale"
 )
 
 var (
 	play        = flag.String("play", "", "experiment to play at its large sizes; its record is kept at -out")
-	out         = flag.String("out", "../../docs/capacity", "directory of the records")
+	out         = flag.String("out", "../../../docs/capacity", "directory of the records")
 	state       = flag.String("state", "", "file of a run that goes on over several calls")
 	within      = flag.Duration("within", 70*time.Second, "time of one call, after which the run stops between points")
 	repetitions = flag.Int("repetitions", 5, "of each point")
@@ -64,7 +64,7 @@
 		require.NoError(t, err)
 	}
 	r, err := scale.Run(e, scale.Plan{Points: e.Large, Repetitions: *repetitions, Seed: *seed, Commit: commit(t),
-		Command: fmt.Sprintf("go test ./internal/scale -run TestRecord -play %s -repetitions %d -seed %d", *play,
+		Command: fmt.Sprintf("go test ./internal/harness/scale -run TestRecord -play %s -repetitions %d -seed %d", *play,
 			*repetitions, *seed)}, before, time.Now().Add(*within))
 	require.NoError(t, err)
 	if r.Check() == nil {
@@ -82,7 +82,7 @@
 func commit(t *testing.T) string {
 	text, err := exec.Command("git", "rev-parse", "--short=8", "HEAD").Output()
 	require.NoError(t, err)
-	dirty, err := exec.Command("git", "status", "--porcelain", "--", "../../internal", "../../cmd").Output()
+	dirty, err := exec.Command("git", "status", "--porcelain", "--", "../../../internal", "../../../cmd").Output()
 	require.NoError(t, err)
 	require.Empty(t, strings.TrimSpace(string(dirty)), "commit first: a record names what it measured")
 	return strings.TrimSpace(string(text))
--- a/internal/harness/scale/service.go
+++ b/internal/harness/scale/service.go
@@ -9,7 +9,7 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/upstream"
+	"mothrouter/internal/transport/upstream"
 )
 
 const (
@@ -141,7 +141,7 @@
 func meshExperiment() Experiment {
 	return Experiment{
 		Name: "mesh",
-		Provenance: Provenance{Real: "internal/upstream: one connection to each record server, over loopback",
+		Provenance: Provenance{Real: "internal/transport/upstream: one connection to each record server, over loopback",
 			Hollow: "record servers: internal/standin in a process of its own"},
 		Small: axis(axisServers, []float64{40}),
 		Large: axis(axisServers, serverSizes),
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's text wire and the decisions' events and actions.
+// Package simwire translates between the simulator's text wire and the decisions' events and actions.
 // It decides nothing.
-package wire
+package simwire
 
 import (
 	"bufio"
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"encoding/json"
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,4 +1,4 @@
-package wire_test
+package simwire_test
 
 import (
 	"bytes"
@@ -12,14 +12,14 @@
 	"mothrouter/internal/decision"
 	"mothrouter/internal/estimate/retrybudget"
 	"mothrouter/internal/estimate/slowstart"
-	"mothrouter/internal/wire"
+	"mothrouter/internal/simwire"
 )
 
 const profile = `{"classes":[{"deadlineS":2,"objectiveS":1,"semantics":"free","worth":1}],` +
 	`"caps":{"sendCap":3},"familyInfo":{"cells":1,"reach":1},"peersTotal":1,"novelty":{"x":[1]}}`
 
 func TestSettings(t *testing.T) {
-	got, err := wire.ParseSettings(`{"callers":{"marksRetry":false},"caps":{"cancel":true,"maxRetryAfterS":0.5,
+	got, err := simwire.ParseSettings(`{"callers":{"marksRetry":false},"caps":{"cancel":true,"maxRetryAfterS":0.5,
 		"openCap":299,"probes":true,"retryAfter":true,"secondCopies":true,"sendCap":3},
 		"classes":[{"aimStretch":2,"deadlineS":5,"lateWorth":0.1,"objectiveS":1.5,"semantics":"guarded","windowS":4,
 		"worth":2},{"deadlineS":2,"objectiveS":1,"semantics":"single_shot","stream":true,"worth":1}],
@@ -49,7 +49,7 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	if s, err := wire.ParseSettings(`{"classes":[{}]}`); err != nil || s.RetryBudget.Enabled || s.Classes[0].MinCompleteness != 1 {
+	if s, err := simwire.ParseSettings(`{"classes":[{}]}`); err != nil || s.RetryBudget.Enabled || s.Classes[0].MinCompleteness != 1 {
 		t.Errorf("absent keys: %+v, %v; want no budget and a floor of 1", s, err)
 	}
 }
@@ -69,7 +69,7 @@
 
 func serve(in string, actions ...decision.Action) (events []string, reply string, err error) {
 	var out bytes.Buffer
-	err = wire.Serve(strings.NewReader(in), &out, func(decision.Settings, uint64) decision.Decider {
+	err = simwire.Serve(strings.NewReader(in), &out, func(decision.Settings, uint64) decision.Decider {
 		return recorder{&events, actions}
 	})
 	return events, out.String(), err
@@ -191,7 +191,7 @@
 
 func TestPanicBecomesBailOut(t *testing.T) {
 	var out bytes.Buffer
-	err := wire.Serve(strings.NewReader(tick(open3, "reminder mixer=3 nonce=1")), &out,
+	err := simwire.Serve(strings.NewReader(tick(open3, "reminder mixer=3 nonce=1")), &out,
 		func(decision.Settings, uint64) decision.Decider { return recorder{} })
 	if err != nil || !strings.HasPrefix(out.String(), "bail_out mixer=3 line=panic: ") {
 		t.Errorf("got %q, %v", out.String(), err)
@@ -213,7 +213,7 @@
 	f.Add(tick(open3, "reminder mixer=3 nonce=1"))
 	f.Add("tick nowS=1 frame=1\ncensus rosterId=0 nodesList=9\n")
 	f.Fuzz(func(t *testing.T, in string) {
-		d := wire.NewDecoder(strings.NewReader(in))
+		d := simwire.NewDecoder(strings.NewReader(in))
 		for {
 			if _, err := d.Next(); err != nil {
 				if !errors.Is(err, io.EOF) && !strings.Contains(err.Error(), "line ") {
--- a/internal/state/checkpoint/checkpoint.go
+++ b/internal/state/checkpoint/checkpoint.go
@@ -19,8 +19,8 @@
 	"github.com/google/renameio/v2"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/recovery"
-	"mothrouter/internal/snapshot"
+	"mothrouter/internal/state/recovery"
+	"mothrouter/internal/state/snapshot"
 )
 
 // Names of the files in the folder.
--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -19,7 +19,7 @@
 	"github.com/stretchr/testify/require"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/snapshot"
+	"mothrouter/internal/state/snapshot"
 )
 
 // TestMain is also the process that is killed: one that does nothing but save, as fast as it can.
--- a/internal/state/checkpoint/restart_test.go
+++ b/internal/state/checkpoint/restart_test.go
@@ -20,8 +20,8 @@
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
 	"mothrouter/internal/estimate/slowstart"
-	"mothrouter/internal/harness/standin"
-	"mothrouter/internal/upstream"
+	"mothrouter/internal/harness/recordservertest"
+	"mothrouter/internal/transport/upstream"
 )
 
 var measureSeeds = flag.Int("measure", 0, "seeds of the measurement of restarts, blank against restored; 0: only a small one that is checked")
@@ -44,7 +44,7 @@
 func (r reply) Finish(res broker.Result) { r <- res }
 
 // life runs one broker on a fleet for a time under a steady load, and tells for each 100 ms what share was served.
-func life(fleet *standin.Fleet, k *Saver, seed uint64, d time.Duration) []float64 {
+func life(fleet *recordservertest.Fleet, k *Saver, seed uint64, d time.Duration) []float64 {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	link := upstream.New(ctx, upstream.Options{MaxStreams: 100, IdleTimeout: 15 * time.Second, ConnectTimeout: 250 * time.Millisecond})
@@ -96,7 +96,7 @@
 
 // faults puts a fleet in trouble: of every ten servers one hangs and one is slow, beyond the aim but alive, so that
 // what was sent there is not sent again. Each shard keeps a holder that is neither.
-func faults(f *standin.Fleet, hang, slow int) {
+func faults(f *recordservertest.Fleet, hang, slow int) {
 	for i, s := range f.Servers {
 		s.Hang(i%10 == hang)
 		s.Work(map[bool]time.Duration{true: 300 * time.Millisecond, false: 4 * time.Millisecond}[i%10 == slow])
@@ -106,7 +106,7 @@
 // play teaches one broker, ends it, and lets the next begin blank or with what the first has learned. Stale: while
 // none ran, the trouble went to other servers.
 func play(t testing.TB, seed uint64, restored, stale bool) (r restart) {
-	fleet, err := standin.New(standin.Options{Servers: restartServers, ReplicationFactor: 2, Work: 4 * time.Millisecond, Seed: seed})
+	fleet, err := recordservertest.New(recordservertest.Options{Servers: restartServers, ReplicationFactor: 2, Work: 4 * time.Millisecond, Seed: seed})
 	require.NoError(t, err)
 	defer fleet.Close()
 	folder := t.TempDir()
@@ -148,7 +148,7 @@
 }
 
 // TestARestoredBrokerServesSooner plays restarts, blank and restored in turns. In CI it plays one, and checks only
-// what is clear; `go test ./internal/checkpoint -run Sooner -v -measure 8` prints the tables of docs/recovery.md.
+// what is clear; `go test ./internal/state/checkpoint -run Sooner -v -measure 8` prints the tables of docs/recovery.md.
 func TestARestoredBrokerServesSooner(t *testing.T) {
 	if *measureSeeds == 0 {
 		blank, restored := play(t, 1, false, false), play(t, 1, true, false)
--- a/internal/state/recovery/collector.go
+++ b/internal/state/recovery/collector.go
@@ -9,7 +9,7 @@
 
 	"mothrouter/internal/decision"
 	"mothrouter/internal/estimate/servicetime"
-	"mothrouter/internal/snapshot"
+	"mothrouter/internal/state/snapshot"
 )
 
 const (
--- a/internal/state/recovery/recovery.go
+++ b/internal/state/recovery/recovery.go
@@ -6,7 +6,7 @@
 	"math"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/snapshot"
+	"mothrouter/internal/state/snapshot"
 )
 
 // How much an observation still counts. That a server is healthy fades faster than that it is not: to avoid a healthy
--- a/internal/state/recovery/recovery_test.go
+++ b/internal/state/recovery/recovery_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/recovery"
-	"mothrouter/internal/snapshot"
+	"mothrouter/internal/state/recovery"
+	"mothrouter/internal/state/snapshot"
 )
 
 // taught is a snapshot written at 1000 by one that saw a quick, a slow and a failing server, and one that is cold.
--- a/internal/state/snapshot/snapshot.go
+++ b/internal/state/snapshot/snapshot.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/snapshot/snapshotpb"
+	"mothrouter/internal/state/snapshot/snapshotpb"
 )
 
 //go:generate protoc -I snapshotpb --go_out=snapshotpb --go_opt=paths=source_relative snapshot.proto
--- a/internal/state/snapshot/snapshot_test.go
+++ b/internal/state/snapshot/snapshot_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/snapshot"
+	"mothrouter/internal/state/snapshot"
 )
 
 func example(servers int) *snapshot.Snapshot {
--- a/internal/transport/flight/deadline_test.go
+++ b/internal/transport/flight/deadline_test.go
@@ -15,7 +15,7 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/httpwire"
+	"mothrouter/internal/transport/httpwire"
 )
 
 // silentLink begins every call and hears no answer.
--- a/internal/transport/flight/flight.go
+++ b/internal/transport/flight/flight.go
@@ -14,8 +14,8 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 
 	"mothrouter/internal/broker"
-	"mothrouter/internal/frame"
-	"mothrouter/internal/httpwire"
+	"mothrouter/internal/transport/frame"
+	"mothrouter/internal/transport/httpwire"
 )
 
 const maxMessage = httpwire.MaxBody + 4<<10 // a body of the platform's, in an envelope
--- a/internal/transport/flight/link.go
+++ b/internal/transport/flight/link.go
@@ -22,8 +22,8 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/frame"
-	"mothrouter/internal/httpwire"
+	"mothrouter/internal/transport/frame"
+	"mothrouter/internal/transport/httpwire"
 )
 
 // LinkOptions are what the deployment fixes.
--- a/internal/transport/frame/frame_test.go
+++ b/internal/transport/frame/frame_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/frame"
+	"mothrouter/internal/transport/frame"
 )
 
 // feed hands bytes to a reader, step at a time, and returns what it says, a line a message.
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -8,7 +8,7 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/drain"
-	"mothrouter/internal/httpwire"
+	"mothrouter/internal/transport/httpwire"
 )
 
 // conn is one client connection. Its serve goroutine owns it; a second goroutine only reads.
--- a/internal/transport/front/respond.go
+++ b/internal/transport/front/respond.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"mothrouter/internal/broker"
-	"mothrouter/internal/httpwire"
+	"mothrouter/internal/transport/httpwire"
 )
 
 // Errors of clients' input, with the statuses that answer them.
--- a/internal/transport/httpwire/httpwire_test.go
+++ b/internal/transport/httpwire/httpwire_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/httpwire"
+	"mothrouter/internal/transport/httpwire"
 )
 
 // machine is what the two readers have in common.
--- a/internal/transport/upstream/connread.go
+++ b/internal/transport/upstream/connread.go
@@ -9,7 +9,7 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/frame"
+	"mothrouter/internal/transport/frame"
 )
 
 const frameTimeout = 400 * time.Millisecond // for a frame to come whole: what does not may be noise
--- a/internal/transport/upstream/connwrite.go
+++ b/internal/transport/upstream/connwrite.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"mothrouter/internal/decision"
-	"mothrouter/internal/frame"
+	"mothrouter/internal/transport/frame"
 )
 
 const (
--- a/internal/transport/upstream/liveness_test.go
+++ b/internal/transport/upstream/liveness_test.go
@@ -8,7 +8,7 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/frame"
+	"mothrouter/internal/transport/frame"
 )
 
 type asks struct{}
--- a/internal/transport/upstream/upstream_test.go
+++ b/internal/transport/upstream/upstream_test.go
@@ -14,8 +14,8 @@
 
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
-	"mothrouter/internal/frame"
-	"mothrouter/internal/upstream"
+	"mothrouter/internal/transport/frame"
+	"mothrouter/internal/transport/upstream"
 )
 
 // script decides what the test says next.
--- a/internal/transport/upstream/write_test.go
+++ b/internal/transport/upstream/write_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"mothrouter/internal/frame"
+	"mothrouter/internal/transport/frame"
 )
 
 // stalledSocket takes no bytes until a time, and from then on all but the last held ones.
--- a/internal/workers/cores/cores_test.go
+++ b/internal/workers/cores/cores_test.go
@@ -17,8 +17,8 @@
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
 	"mothrouter/internal/estimate/slowstart"
-	"mothrouter/internal/harness/standin"
-	"mothrouter/internal/upstream"
+	"mothrouter/internal/harness/recordservertest"
+	"mothrouter/internal/transport/upstream"
 	"mothrouter/internal/workers/observations"
 )
 
@@ -26,7 +26,7 @@
 type rig struct {
 	*testing.T
 	*Group
-	fleet *standin.Fleet
+	fleet *recordservertest.Fleet
 	next  atomic.Int64
 }
 
@@ -58,7 +58,7 @@
 }
 
 func newRig(t *testing.T, o rigOptions) *rig {
-	fleet, err := standin.New(standin.Options{Servers: o.servers, ReplicationFactor: 2, Work: o.work, Seed: 1, Second: 2,
+	fleet, err := recordservertest.New(recordservertest.Options{Servers: o.servers, ReplicationFactor: 2, Work: o.work, Seed: 1, Second: 2,
 		NonIdempotent: func(id string) bool { return strings.HasPrefix(id, "charge") }})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
