--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -61,7 +61,7 @@
 }
 
 func measure() error {
-	fleet, err := recordservertest.New(recordservertest.Options{Servers: *servers, ReplicationFactor: 2, Work: *work, Seed: 1,
+	fleet, err := recordservertest.New(recordservertest.Options{Servers: *servers, ReplicationFactor: 2, ServiceTime: *work, Seed: 1,
 		NonIdempotent: func(id string) bool { return strings.HasPrefix(id, "c") }})
 	if err != nil {
 		return err
@@ -102,7 +102,7 @@
 			column(func(r result) float64 { return r.p50 }), column(func(r result) float64 { return r.p99 }),
 			column(func(r result) float64 { return r.cpu }), column(func(r result) float64 { return r.memory }))
 	}
-	broken, seen := fleet.Broken()
+	broken, seen := fleet.Violations()
 	fmt.Printf("\nrules broken: %d, in %d parts\n", len(broken), seen)
 	for _, b := range broken {
 		fmt.Println("  " + b)
@@ -308,7 +308,7 @@
 func settings(fleet *recordservertest.Fleet, listen, discovery string) ([]byte, error) {
 	var known []map[string]any
 	for _, s := range fleet.Servers {
-		known = append(known, map[string]any{"id": s.ID, "addr": s.Addr, "zone": "a", "kind": "k", "cell": s.Cell,
+		known = append(known, map[string]any{"id": s.ID, "addr": s.Addr, "zone": "a", "kind": "k", "cell": s.ReplicaSet,
 			"state": "active", "weight": 1, "started_ms": 0})
 	}
 	class := func(name, semantics string, worth float64) map[string]any {
--- a/cmd/mothrouter/mixed_test.go
+++ b/cmd/mothrouter/mixed_test.go
@@ -96,11 +96,11 @@
 				}
 			}()
 			for {
-				n, err := c.Read(in.Space())
+				n, err := c.Read(in.Grow())
 				if err != nil {
 					return
 				}
-				in.Filled(n)
+				in.Advance(n)
 				for {
 					m, ok, err := in.Next()
 					if err != nil || !ok {
@@ -108,11 +108,11 @@
 					}
 					id, _, _ := bytes.Cut(m.Body, []byte{' '})
 					name := string(id)
-					if drop := drops[name]; m.Letter == 'C' && drop != nil {
+					if drop := drops[name]; m.Type == 'C' && drop != nil {
 						close(drop)
 						delete(drops, name)
 					}
-					if m.Letter == 'S' {
+					if m.Type == 'S' {
 						drop := make(chan struct{})
 						drops[name] = drop
 						go func() {
--- a/internal/admin/control.go
+++ b/internal/admin/control.go
@@ -83,8 +83,8 @@
 	var m Machine
 	c.SetReadDeadline(time.Now().Add(callTimeout))
 	for {
-		n, err := c.Read(m.Space())
-		m.Filled(n)
+		n, err := c.Read(m.Grow())
+		m.Advance(n)
 		call, ok, bad := m.Next()
 		if bad == nil && !ok && err != nil {
 			var late net.Error
--- a/internal/admin/control_test.go
+++ b/internal/admin/control_test.go
@@ -26,8 +26,8 @@
 			var m admin.Machine
 			var got any
 			for rest := text; rest != "" && got == nil; {
-				n := copy(m.Space(), rest[:min(piece, len(rest))])
-				m.Filled(n)
+				n := copy(m.Grow(), rest[:min(piece, len(rest))])
+				m.Advance(n)
 				rest = rest[n:]
 				if c, ok, err := m.Next(); err != nil {
 					got = err
--- a/internal/admin/machine.go
+++ b/internal/admin/machine.go
@@ -36,11 +36,11 @@
 	n    int
 }
 
-// Space returns where to read the next bytes to.
-func (m *Machine) Space() []byte { return m.line[m.n:] }
+// Grow returns where to read the next bytes to.
+func (m *Machine) Grow() []byte { return m.line[m.n:] }
 
-// Filled tells that n more bytes stand at the start of what Space returned.
-func (m *Machine) Filled(n int) { m.n += n }
+// Advance tells that n more bytes stand at the start of what Grow returned.
+func (m *Machine) Advance(n int) { m.n += n }
 
 // Next returns the call; ok is false where more bytes must come first.
 func (m *Machine) Next() (c Call, ok bool, err error) {
--- a/internal/cluster/fleet/fleet.go
+++ b/internal/cluster/fleet/fleet.go
@@ -71,7 +71,7 @@
 	if !opt.Advertise.IsValid() {
 		opt.Advertise = conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	}
-	p := &Plane{opt: opt, conn: conn, fleet: plane.Fleet(opt.Fleet), began: time.Now(),
+	p := &Plane{opt: opt, conn: conn, fleet: plane.FleetFingerprint(opt.Fleet), began: time.Now(),
 		inbox: make(chan datagram, maxInbox), drops: map[string]int{}, notified: time.Now()}
 	seeds := slices.DeleteFunc(slices.Clone(opt.Seeds), func(a netip.AddrPort) bool { return a == opt.Advertise })
 	p.view = membership.New(membership.Options{
@@ -114,7 +114,7 @@
 			}
 			p.send(p.view.Receive(time.Since(p.began), d.from, d.data))
 		case <-tick.C:
-			tick.Reset(membership.TickEvery)
+			tick.Reset(membership.TickInterval)
 			p.send(p.view.Tick(time.Since(p.began)))
 			p.look()
 		}
--- a/internal/cluster/fleet/fleet_test.go
+++ b/internal/cluster/fleet/fleet_test.go
@@ -76,7 +76,7 @@
 	conn, err := net.Dial("udp", addr.String())
 	require.NoError(t, err)
 	defer conn.Close()
-	foreign, err := plane.Append(nil, &planepb.Datagram{Version: plane.Version, Fleet: plane.Fleet("g"), From: 1, Seq: 1})
+	foreign, err := plane.Append(nil, &planepb.Datagram{Version: plane.Version, Fleet: plane.FleetFingerprint("g"), From: 1, Seq: 1})
 	require.NoError(t, err)
 	for _, b := range [][]byte{foreign, foreign[:5], make([]byte, 3000), {}} {
 		_, err := conn.Write(b)
--- a/internal/cluster/membership/count_test.go
+++ b/internal/cluster/membership/count_test.go
@@ -95,6 +95,6 @@
 func BenchmarkTick(b *testing.B) {
 	v := viewOf(MaxMembers)
 	for b.Loop() {
-		v.Tick(v.now + TickEvery)
+		v.Tick(v.now + TickInterval)
 	}
 }
--- a/internal/cluster/membership/fuzz_test.go
+++ b/internal/cluster/membership/fuzz_test.go
@@ -25,8 +25,8 @@
 		now, bytes, seq := time.Duration(0), 0, uint64(0)
 		spend := func(out []membership.Send) {
 			for _, s := range out {
-				require.LessOrEqual(t, plane.Size(s.Data), plane.MaxSize+plane.Overhead)
-				bytes += plane.Size(s.Data)
+				require.LessOrEqual(t, plane.WireSize(s.Data), plane.MaxSize+plane.Overhead)
+				bytes += plane.WireSize(s.Data)
 			}
 		}
 		took := 0
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -26,7 +26,7 @@
 		if differs {
 			d.Vector = nil
 			for i := range news {
-				if d.Entries = append(d.Entries, v.entry(news[i])); plane.Size(d) > maxEntriesSize {
+				if d.Entries = append(d.Entries, v.entry(news[i])); plane.WireSize(d) > maxEntriesSize {
 					d.Entries = d.Entries[:len(d.Entries)-1]
 					break
 				}
--- a/internal/cluster/membership/limits_test.go
+++ b/internal/cluster/membership/limits_test.go
@@ -24,7 +24,7 @@
 	}
 	v.seq = math.MaxUint64 - 1
 	require.True(t, v.send(v.self.Addr, &planepb.Datagram{Vector: v.vector()}, nil))
-	size := plane.Size(v.flush()[0].Data) - plane.Overhead
+	size := plane.WireSize(v.flush()[0].Data) - plane.Overhead
 	require.LessOrEqual(t, size, plane.MaxSize)
 	require.LessOrEqual(t, size-maxRoster, vectorHeader, "the arithmetic beside rosterMost")
 }
--- a/internal/cluster/membership/net_test.go
+++ b/internal/cluster/membership/net_test.go
@@ -106,7 +106,7 @@
 	}
 	w.nodes = append(w.nodes, x)
 	w.byAddr[x.addr] = x
-	w.push(event{at: w.now + time.Duration(w.rng.Int64N(int64(membership.TickEvery))), to: x})
+	w.push(event{at: w.now + time.Duration(w.rng.Int64N(int64(membership.TickInterval))), to: x})
 }
 
 func (w *network) push(e event) { heap.Push(&w.events, e) }
@@ -137,7 +137,7 @@
 		}
 		if e.data == nil {
 			w.carry(x, x.Tick(w.now))
-			w.push(event{at: w.now + membership.TickEvery, to: x})
+			w.push(event{at: w.now + membership.TickInterval, to: x})
 			continue
 		}
 		w.carry(x, x.Receive(w.now, e.from, e.data))
@@ -147,7 +147,7 @@
 
 func (w *network) carry(x *node, out []membership.Send) {
 	for _, s := range out {
-		size := plane.Size(s.Data)
+		size := plane.WireSize(s.Data)
 		if size > plane.MaxSize+plane.Overhead {
 			w.t.Fatalf("a datagram of %d bytes", size)
 		}
--- a/internal/cluster/membership/rings.go
+++ b/internal/cluster/membership/rings.go
@@ -10,7 +10,7 @@
 // byRing is the order of members on a ring: by a hash of the instance and the ring.
 func byRing(r int) func(a, b *member) int {
 	return func(a, b *member) int {
-		return cmp.Or(cmp.Compare(plane.Mix(a.id, uint64(r)), plane.Mix(b.id, uint64(r))), cmp.Compare(a.id, b.id))
+		return cmp.Or(cmp.Compare(plane.Hash(a.id, uint64(r)), plane.Hash(b.id, uint64(r))), cmp.Compare(a.id, b.id))
 	}
 }
 
--- a/internal/cluster/membership/roster.go
+++ b/internal/cluster/membership/roster.go
@@ -63,9 +63,9 @@
 // comes by here.
 func (v *View) sum(m *member, living int) {
 	v.brokersChanged = true
-	n := uint32(plane.Mix(m.id))
+	n := uint32(plane.Hash(m.id))
 	v.sums.roster ^= n
-	v.sums.states ^= uint32(plane.Mix(m.id, uint64(m.state)))
+	v.sums.states ^= uint32(plane.Hash(m.id, uint64(m.state)))
 	if v.alive(m) {
 		v.living += living
 	}
--- a/internal/cluster/membership/send.go
+++ b/internal/cluster/membership/send.go
@@ -32,7 +32,7 @@
 	if d.Seq == 0 {
 		d.Seq = v.next()
 	}
-	if b != nil && !b.spend(v.now, plane.Size(d)) {
+	if b != nil && !b.spend(v.now, plane.WireSize(d)) {
 		return false
 	}
 	v.out = append(v.out, Send{to, d})
--- a/internal/cluster/membership/sync.go
+++ b/internal/cluster/membership/sync.go
@@ -36,7 +36,7 @@
 
 // entryHash is a hash of an instance and its state in two bytes. It is another one in each datagram, so that two of the
 // same are told apart by the next.
-func entryHash(m *member, seq uint64) uint16 { return uint16(plane.Mix(m.id, uint64(m.state), seq)) }
+func entryHash(m *member, seq uint64) uint16 { return uint16(plane.Hash(m.id, uint64(m.state), seq)) }
 
 // sendMissing sends instances that another lacks or holds in another state, as many as fit. Which of many it sends is
 // drawn: others send it more.
@@ -52,7 +52,7 @@
 		if o.id%rosterSlices != uint64(d.Slice) || has[entryHash(o, d.Seq)] || v.nearlyForgotten(o) {
 			continue
 		}
-		if page.Entries = append(page.Entries, v.entry(o)); plane.Size(page) > maxEntriesSize {
+		if page.Entries = append(page.Entries, v.entry(o)); plane.WireSize(page) > maxEntriesSize {
 			page.Entries = page.Entries[:len(page.Entries)-1]
 			break
 		}
--- a/internal/cluster/membership/tick.go
+++ b/internal/cluster/membership/tick.go
@@ -7,8 +7,8 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// TickEvery is the time between two calls of Tick.
-const TickEvery = 50 * time.Millisecond
+// TickInterval is the time between two calls of Tick.
+const TickInterval = 50 * time.Millisecond
 
 // Tick looks at the time and returns what to send. It has to be called each 50 ms; what lies between two calls tells
 // this process whether it was stopped itself.
--- a/internal/cluster/plane/plane.go
+++ b/internal/cluster/plane/plane.go
@@ -36,16 +36,16 @@
 	ErrContent   = errors.New("with content that cannot be used")
 )
 
-// Fleet is the fingerprint of a fleet's name.
-func Fleet(name string) uint64 { return xxhash.Sum64String(name) }
+// FleetFingerprint is the fingerprint of a fleet's name.
+func FleetFingerprint(name string) uint64 { return xxhash.Sum64String(name) }
 
 // ID is the number of an instance: a broker's name with the start of its process.
 func ID(name string, start uint64) uint64 {
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(name), start))
 }
 
-// Mix spreads numbers: equal ones give an equal hash.
-func Mix(numbers ...uint64) uint64 {
+// Hash spreads numbers: equal ones give an equal hash.
+func Hash(numbers ...uint64) uint64 {
 	var buf [32]byte
 	b := buf[:0]
 	for _, n := range numbers {
@@ -54,8 +54,8 @@
 	return xxhash.Sum64(b)
 }
 
-// Size is how long a message is on the wire, with what IP and UDP add.
-func Size(m *planepb.Datagram) int { return proto.Size(m) + Overhead }
+// WireSize is how long a message is on the wire, with what IP and UDP add.
+func WireSize(m *planepb.Datagram) int { return proto.Size(m) + Overhead }
 
 // Append appends a message. It fails where that is longer than a datagram may be.
 func Append(b []byte, m *planepb.Datagram) ([]byte, error) {
--- a/internal/cluster/plane/plane_test.go
+++ b/internal/cluster/plane/plane_test.go
@@ -26,7 +26,7 @@
 func TestADatagramComesBackAsItWas(t *testing.T) {
 	b, err := plane.Append(nil, good())
 	require.NoError(t, err)
-	require.Equal(t, len(b)+plane.Overhead, plane.Size(good()))
+	require.Equal(t, len(b)+plane.Overhead, plane.WireSize(good()))
 	d, err := plane.Parse(b, fleet)
 	require.NoError(t, err)
 	require.True(t, proto.Equal(good(), d))
--- a/internal/controlplane/configfollower/configclient_test.go
+++ b/internal/controlplane/configfollower/configclient_test.go
@@ -132,7 +132,7 @@
 		b := startBroker(t, map[uint64]*configpb.Refusal{2: refusal}, s.address)
 		require.Eventually(t, func() bool { return b.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
 		require.NoError(t, s.hub.SetNewest(revisionOf(2, "two"), time.Now()))
-		require.Eventually(t, func() bool { return b.Status().Refusal.GetNumber() == 2 }, 5*time.Second, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return b.Status().Rejection.GetNumber() == 2 }, 5*time.Second, 5*time.Millisecond)
 		require.Eventually(t, func() bool {
 			report := s.hub.Status().Brokers[0].GetReport()
 			return report.GetInForce() == 1 && report.GetRefusal().GetKey() == "settings.port"
@@ -141,8 +141,8 @@
 		require.Eventually(t, func() bool { return s.hub.Status().InForce[0].GetEverywhereUnixMs() != 0 },
 			5*time.Second, 5*time.Millisecond)
 		require.Equal(t, []uint64{1, 3}, b.numbers())
-		require.Nil(t, b.Status().Refusal)
-		behind, known := b.Status().Behind, b.Status().Known
+		require.Nil(t, b.Status().Rejection)
+		behind, known := b.Status().Staleness, b.Status().StalenessKnown
 		require.True(t, known)
 		require.Less(t, behind, 5*time.Second)
 	})
@@ -181,7 +181,7 @@
 		require.NoError(t, listener.Close())
 		b := startBroker(t, nil, address)
 		require.Eventually(t, func() bool { return b.Status().Counts.Ended > 1 }, 8*time.Second, 5*time.Millisecond)
-		require.False(t, b.Status().Known)
+		require.False(t, b.Status().StalenessKnown)
 		require.Zero(t, b.Status().InForce)
 
 		s := startServer(t, address)
--- a/internal/controlplane/configfollower/reporter.go
+++ b/internal/controlplane/configfollower/reporter.go
@@ -39,7 +39,7 @@
 	if status.InForce != before.InForce {
 		r.log.Info("revision in force", "number", status.InForce, "before", before.InForce)
 	}
-	if refusal := status.Refusal; refusal != nil && refusal.GetNumber() != before.Refusal.GetNumber() {
+	if refusal := status.Rejection; refusal != nil && refusal.GetNumber() != before.Rejection.GetNumber() {
 		r.log.Error("revision rejected", "number", refusal.GetNumber(), "key", refusal.GetKey(),
 			"reason", refusal.GetReason(), "in_force", status.InForce)
 	}
@@ -69,8 +69,8 @@
 
 // logStale logs that the broker may be behind, again every againAfter, and that it is confirmed again.
 func (r *reporter) logStale(now time.Time, status distribution.FollowerStatus) {
-	stale := status.Behind > staleAfter
-	if !status.Known {
+	stale := status.Staleness > staleAfter
+	if !status.StalenessKnown {
 		stale = now.Sub(r.started) > startGrace
 	}
 	switch {
@@ -78,12 +78,12 @@
 		r.stale = time.Time{}
 		r.log.Info("configuration confirmed again", "in_force", status.InForce, "newest", status.Newest)
 	case !stale || now.Sub(r.stale) < againAfter:
-	case !status.Known:
+	case !status.StalenessKnown:
 		r.stale = now
 		r.log.Warn("configuration unconfirmed, serving by the file of the start")
 	default:
 		r.stale = now
-		r.log.Warn("configuration may be stale", "behind", status.Behind.Round(time.Second),
+		r.log.Warn("configuration may be stale", "behind", status.Staleness.Round(time.Second),
 			"in_force", status.InForce, "control", status.Control)
 	}
 }
--- a/internal/controlplane/configstatus/configstatus.go
+++ b/internal/controlplane/configstatus/configstatus.go
@@ -20,15 +20,15 @@
 
 // View is the merged status.
 type View struct {
-	Leader      string      `json:"leader"` // "": no machine that answered knows one
-	Newest      uint64      `json:"newest"`
-	ConfirmedMs int64       `json:"confirmed_ms"` // since a quorum last confirmed newest; -1: never
-	Machines    []Machine   `json:"machines"`
-	Connected   int         `json:"connected"` // brokers
-	Behind      []Broker    `json:"behind"`    // connected, and newest is not in force there
-	CutOff      []Broker    `json:"cut_off"`   // that follow none of the machines that answered
-	Refusals    []Rejection `json:"refusals"`
-	Revisions   []Revision  `json:"revisions"` // newest first
+	Leader       string      `json:"leader"` // "": no machine that answered knows one
+	Newest       uint64      `json:"newest"`
+	ConfirmedMs  int64       `json:"confirmed_ms"` // since a quorum last confirmed newest; -1: never
+	Machines     []Machine   `json:"machines"`
+	Connected    int         `json:"connected"` // brokers
+	Lagging      []Broker    `json:"behind"`    // connected, and newest is not in force there
+	Disconnected []Broker    `json:"cut_off"`   // that follow none of the machines that answered
+	Rejections   []Rejection `json:"refusals"`
+	Revisions    []Revision  `json:"revisions"` // newest first
 }
 
 // Machine is one control machine: a member of the log, or an address that was asked and did not answer.
@@ -162,10 +162,10 @@
 		Control: b.control}
 	switch {
 	case !b.GetConnected():
-		v.CutOff = append(v.CutOff, row)
+		v.Disconnected = append(v.Disconnected, row)
 	case report.GetInForce() < v.Newest:
 		v.Connected++
-		v.Behind = append(v.Behind, row)
+		v.Lagging = append(v.Lagging, row)
 	default:
 		v.Connected++
 	}
@@ -173,13 +173,13 @@
 	if refusal == nil || refusal.GetNumber() <= report.GetInForce() {
 		return
 	}
-	for i := range v.Refusals {
-		r := &v.Refusals[i]
+	for i := range v.Rejections {
+		r := &v.Rejections[i]
 		if r.Number == refusal.GetNumber() && r.Key == refusal.GetKey() && r.Reason == refusal.GetReason() {
 			r.Brokers = append(r.Brokers, row.Name)
 			return
 		}
 	}
-	v.Refusals = append(v.Refusals, Rejection{Number: refusal.GetNumber(), Key: refusal.GetKey(),
+	v.Rejections = append(v.Rejections, Rejection{Number: refusal.GetNumber(), Key: refusal.GetKey(),
 		Reason: refusal.GetReason(), Brokers: []string{row.Name}})
 }
--- a/internal/controlplane/configstatus/configstatus_test.go
+++ b/internal/controlplane/configstatus/configstatus_test.go
@@ -68,11 +68,11 @@
 	require.Equal(t, []configstatus.Broker{
 		{Name: "n2", Zone: "z1", InForce: 6, SilentMs: 50, Control: "b"},
 		{Name: "n3", Zone: "z1", InForce: 6, SilentMs: 300, Control: "b"},
-	}, v.Behind)
-	require.Equal(t, []configstatus.Broker{{Name: "n4", Zone: "z1", InForce: 5, SilentMs: 70_000, Control: "b"}}, v.CutOff)
+	}, v.Lagging)
+	require.Equal(t, []configstatus.Broker{{Name: "n4", Zone: "z1", InForce: 5, SilentMs: 70_000, Control: "b"}}, v.Disconnected)
 	require.Equal(t, []configstatus.Rejection{
 		{Number: 7, Key: "settings.classes", Reason: "needs a restart", Brokers: []string{"n3"}},
-	}, v.Refusals)
+	}, v.Rejections)
 }
 
 func TestMergeIsInForceEverywhereOnlyWhereAllMachinesWithBrokersSaySo(t *testing.T) {
--- a/internal/controlplane/configstatus/table.go
+++ b/internal/controlplane/configstatus/table.go
@@ -58,14 +58,14 @@
 }
 
 func (v View) writeBrokers(w io.Writer) {
-	fmt.Fprintf(w, "\nbrokers: %d connected, %d behind, %d cut off\n", v.Connected, len(v.Behind), len(v.CutOff))
-	if len(v.Behind) > 0 {
-		fmt.Fprintln(w, "behind:", names(v.Behind))
+	fmt.Fprintf(w, "\nbrokers: %d connected, %d behind, %d cut off\n", v.Connected, len(v.Lagging), len(v.Disconnected))
+	if len(v.Lagging) > 0 {
+		fmt.Fprintln(w, "behind:", names(v.Lagging))
 	}
-	if len(v.CutOff) > 0 {
-		fmt.Fprintln(w, "cut off:", names(v.CutOff))
+	if len(v.Disconnected) > 0 {
+		fmt.Fprintln(w, "cut off:", names(v.Disconnected))
 	}
-	for _, r := range v.Refusals {
+	for _, r := range v.Rejections {
 		fmt.Fprintf(w, "revision %d refused by %d brokers, %s: %s (%s)\n", r.Number, len(r.Brokers), r.Key, r.Reason,
 			shortened(r.Brokers))
 	}
--- a/internal/controlplane/controlserver/receive_test.go
+++ b/internal/controlplane/controlserver/receive_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestReceiverCountsAndDropsWhatCannotBeUsed(t *testing.T) {
-	fleet := plane.Fleet("f")
+	fleet := plane.FleetFingerprint("f")
 	now := time.Unix(1_700_000_000, 0)
 	for _, c := range []struct {
 		name     string
--- a/internal/controlplane/controlserver/server.go
+++ b/internal/controlplane/controlserver/server.go
@@ -104,7 +104,7 @@
 // openLog opens the log, or makes it.
 func (o Options) openLog(id uint64) (*raftlog.Log, error) {
 	path := filepath.Join(o.Folder, LogName)
-	options := raftlog.Options{Identity: raftlog.Identity{Fleet: plane.Fleet(o.Fleet), Node: id}}
+	options := raftlog.Options{Identity: raftlog.Identity{Fleet: plane.FleetFingerprint(o.Fleet), Node: id}}
 	if !o.Create {
 		log, err := raftlog.Open(path, options)
 		if errors.Is(err, raftlog.ErrNotExist) {
@@ -142,7 +142,7 @@
 	if err != nil {
 		return err
 	}
-	fleet := plane.Fleet(o.Fleet)
+	fleet := plane.FleetFingerprint(o.Fleet)
 	streams, err := newTransport(fleet, self.ID, peers, o.Log)
 	if err != nil {
 		return err
--- a/internal/controlplane/distribution/checkers_test.go
+++ b/internal/controlplane/distribution/checkers_test.go
@@ -203,13 +203,13 @@
 	s := c.sim
 	for _, b := range s.fleet {
 		status := b.follower.Status(s.time())
-		if !b.up || !status.Known || status.Newest >= uint64(len(s.log)) {
+		if !b.up || !status.StalenessKnown || status.Newest >= uint64(len(s.log)) {
 			continue
 		}
 		missed := s.at[status.Newest] // the first revision that it has not heard of
-		if confirmed := s.now - status.Behind; confirmed > missed+time.Millisecond {
+		if confirmed := s.now - status.Staleness; confirmed > missed+time.Millisecond {
 			c.found("honest", "%s knows %d and says that it is %v behind at most; it is %v behind",
-				b.name(), status.Newest, status.Behind, s.now-missed)
+				b.name(), status.Newest, status.Staleness, s.now-missed)
 		}
 	}
 }
--- a/internal/controlplane/distribution/follower_status.go
+++ b/internal/controlplane/distribution/follower_status.go
@@ -8,16 +8,16 @@
 
 // FollowerStatus is what a follower knows.
 type FollowerStatus struct {
-	Control      string    // address of the control machine that is followed; "": none at present
-	LastReceived time.Time // last update of its stream; zero: none yet
-	InForce      uint64    // 0: the file of the start
-	InForceSince time.Time
-	Applying     uint64            // 0: none
-	Newest       uint64            // the highest number that any control machine told
-	Refusal      *configpb.Refusal // of a revision above InForce; nil: none
-	Behind       time.Duration     // as Stale returns it
-	Known        bool
-	Counts       UpdateCounts
+	Control        string    // address of the control machine that is followed; "": none at present
+	LastReceived   time.Time // last update of its stream; zero: none yet
+	InForce        uint64    // 0: the file of the start
+	InForceSince   time.Time
+	Applying       uint64            // 0: none
+	Newest         uint64            // the highest number that any control machine told
+	Rejection      *configpb.Refusal // of a revision above InForce; nil: none
+	Staleness      time.Duration     // as Stale returns it
+	StalenessKnown bool
+	Counts         UpdateCounts
 }
 
 // Status returns what the follower knows.
@@ -27,20 +27,20 @@
 		InForceSince: f.revisions.since,
 		Applying:     f.revisions.applying,
 		Newest:       f.newest,
-		Refusal:      f.revisions.rejection,
+		Rejection:    f.revisions.rejection,
 		Counts:       f.counts,
 	}
 	if f.stream != 0 {
 		status.Control, status.LastReceived = f.machines[f.machine].Address, f.lastReceived
 	}
-	status.Behind, status.Known = f.Stale(now)
+	status.Staleness, status.StalenessKnown = f.Staleness(now)
 	return status
 }
 
-// Stale returns how old the news may be that the follower has not heard: how long ago a quorum confirmed, to the
+// Staleness returns how old the news may be that the follower has not heard: how long ago a quorum confirmed, to the
 // control machine that told so, that the newest revision the follower knows of was the newest. known is false if none
 // ever did: the broker serves by its file, and cannot tell.
-func (f *Follower) Stale(now time.Time) (behind time.Duration, known bool) {
+func (f *Follower) Staleness(now time.Time) (behind time.Duration, known bool) {
 	if f.confirmed.IsZero() {
 		return 0, false
 	}
--- a/internal/controlplane/distribution/follower_test.go
+++ b/internal/controlplane/distribution/follower_test.go
@@ -144,13 +144,13 @@
 // Seed 1 of the simulation: an update that a cut or a pause held up was taken for a new one.
 func TestAnUpdateThatWasHeldUpIsOld(t *testing.T) {
 	f, stream, opened := newFollower(t, 2)
-	_, known := f.Stale(opened)
+	_, known := f.Staleness(opened)
 	require.False(t, known, "no control machine has confirmed anything")
 	update := heartbeat(0, 100)
 	update.ReportMs = 50
 	now := opened.Add(4 * time.Second)
 	f.Receive(now, stream, update)
-	behind, known := f.Stale(now.Add(time.Second))
+	behind, known := f.Staleness(now.Add(time.Second))
 	require.True(t, known)
 	require.Equal(t, 5*time.Second+50*time.Millisecond, behind)
 }
--- a/internal/controlplane/distribution/fuzz_test.go
+++ b/internal/controlplane/distribution/fuzz_test.go
@@ -168,11 +168,11 @@
 			status := follower.Status(now)
 			require.Equal(t, oracle.inForce, status.InForce)
 			if oracle.refused > oracle.inForce {
-				require.Equal(t, oracle.refused, status.Refusal.GetNumber())
+				require.Equal(t, oracle.refused, status.Rejection.GetNumber())
 			} else {
-				require.Nil(t, status.Refusal)
+				require.Nil(t, status.Rejection)
 			}
-			require.GreaterOrEqual(t, status.Behind, time.Duration(0))
+			require.GreaterOrEqual(t, status.Staleness, time.Duration(0))
 			require.Less(t, follower.Wake().Sub(now), 11*time.Second)
 		}
 	})
--- a/internal/controlplane/distribution/network_test.go
+++ b/internal/controlplane/distribution/network_test.go
@@ -53,7 +53,7 @@
 		requireClean(t, s)
 		for _, b := range s.fleet {
 			status := b.follower.Status(s.time())
-			require.EqualValues(t, len(s.log), max(status.InForce, status.Refusal.GetNumber()), b.name())
+			require.EqualValues(t, len(s.log), max(status.InForce, status.Rejection.GetNumber()), b.name())
 		}
 		require.NotEmpty(t, s.check.healed)
 		counts := s.check.counts()
@@ -86,8 +86,8 @@
 	for _, b := range s.fleet {
 		status := b.follower.Status(s.time())
 		cut := regionOfZone(b.zone) == 0
-		if cut && (!status.Known || status.Behind < to-from-10*time.Second) {
-			s.check.found("honest", "%s is cut off and says that it is %v behind", b.name(), status.Behind)
+		if cut && (!status.StalenessKnown || status.Staleness < to-from-10*time.Second) {
+			s.check.found("honest", "%s is cut off and says that it is %v behind", b.name(), status.Staleness)
 		}
 		if without[b] == looks {
 			s.check.found("flapping", "%s follows no hub for 20 s though one is in reach", b.name())
--- a/internal/endpoints/discovery/discovery.go
+++ b/internal/endpoints/discovery/discovery.go
@@ -218,12 +218,12 @@
 	var in httpwire.LineReader
 	var object httpwire.Object
 	for {
-		n, err := sock.Read(in.Space())
+		n, err := sock.Read(in.Grow())
 		if err != nil {
 			say(nil, err)
 			return
 		}
-		in.Filled(n)
+		in.Advance(n)
 		for {
 			line, ok, err := in.Next()
 			if err == nil && ok && in.Status() != 200 {
--- a/internal/harness/controlplanetest/broker_test.go
+++ b/internal/harness/controlplanetest/broker_test.go
@@ -72,7 +72,7 @@
 		require.NoError(t, err)
 		require.Eventually(t, func() bool {
 			view := status(t, rig)
-			return view.Newest == number && view.Connected == all && len(view.Behind) == 0 && len(view.Refusals) == 0
+			return view.Newest == number && view.Connected == all && len(view.Lagging) == 0 && len(view.Rejections) == 0
 		}, inForceWithin, 50*time.Millisecond, "revision %d", number)
 		if round == 0 {
 			leader := waitForLeader(t, rig)
--- a/internal/harness/controlplanetest/command_test.go
+++ b/internal/harness/controlplanetest/command_test.go
@@ -81,7 +81,7 @@
 		require.NoError(t, json.Unmarshal([]byte(out), &view))
 		require.Zero(t, status)
 		everywhere := len(view.Revisions) == 2 && view.Revisions[0].EverywhereMs >= 0
-		return everywhere && view.Newest == 2 && view.Connected == 6 && len(view.Behind) == 0 && len(view.Machines) == 4
+		return everywhere && view.Newest == 2 && view.Connected == 6 && len(view.Lagging) == 0 && len(view.Machines) == 4
 	}, patience, 100*time.Millisecond)
 	out, _, _ = command(t, "status", control)
 	require.Regexp(t, `newest revision 2, leader [abc], confirmed by a quorum \d`, out)
--- a/internal/harness/recordservertest/standin.go
+++ b/internal/harness/recordservertest/standin.go
@@ -29,10 +29,10 @@
 type Options struct {
 	Servers           int
 	ReplicationFactor int           // servers that hold a shard, in a ring
-	Work              time.Duration // mean time of a part
+	ServiceTime       time.Duration // mean time of a part
 	NonIdempotent     func(id string) bool
 	Seed              uint64
-	Second            int // parts of a second step; 0: no class has one
+	SecondPhaseFanout int // parts of a second step; 0: no class has one
 }
 
 // Fleet is the record servers with the ledger of what they saw.
@@ -59,9 +59,9 @@
 
 // Server is one record server.
 type Server struct {
-	ID   string
-	Addr string
-	Cell int
+	ID         string
+	Addr       string
+	ReplicaSet int
 
 	f *Fleet
 	l net.Listener
@@ -87,7 +87,7 @@
 			return nil, err
 		}
 		s := &Server{
-			ID: fmt.Sprintf("s-%03d", i), Addr: l.Addr().String(), Cell: i, f: f, l: l, work: opt.Work,
+			ID: fmt.Sprintf("s-%03d", i), Addr: l.Addr().String(), ReplicaSet: i, f: f, l: l, work: opt.ServiceTime,
 			rng: rand.New(rand.NewPCG(opt.Seed, uint64(i))), conns: map[net.Conn]struct{}{},
 		}
 		f.Servers = append(f.Servers, s)
@@ -100,46 +100,46 @@
 func (f *Fleet) Close() {
 	for _, s := range f.Servers {
 		s.l.Close()
-		s.Break()
+		s.ResetConnections()
 	}
 }
 
-// Entries is the list of all servers as discovery would tell it.
-func (f *Fleet) Entries() (list []broker.Endpoint) {
+// Endpoints is the list of all servers as discovery would tell it.
+func (f *Fleet) Endpoints() (list []broker.Endpoint) {
 	for _, s := range f.Servers {
-		list = append(list, s.Entry(decision.Ready))
+		list = append(list, s.Endpoint(decision.Ready))
 	}
 	return list
 }
 
-// Entry is a server's entry on the list.
-func (s *Server) Entry(state decision.State) broker.Endpoint {
+// Endpoint is a server's entry on the list.
+func (s *Server) Endpoint(state decision.State) broker.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := broker.Endpoint{Addr: s.Addr, Server: decision.Server{ID: s.ID, ReplicaSet: s.Cell, State: state, Capacity: 1}}
+	e := broker.Endpoint{Addr: s.Addr, Server: decision.Server{ID: s.ID, ReplicaSet: s.ReplicaSet, State: state, Capacity: 1}}
 	if !s.started.IsZero() {
 		e.Started = float64(s.started.UnixNano()) / 1e9
 	}
 	return e
 }
 
-// Work sets how long a part takes.
-func (s *Server) Work(d time.Duration) { s.set(func() { s.work = d }) }
+// SetServiceTime sets how long a part takes.
+func (s *Server) SetServiceTime(d time.Duration) { s.set(func() { s.work = d }) }
 
-// Hang has the server take parts and answer nothing.
-func (s *Server) Hang(yes bool) { s.set(func() { s.hang = yes }) }
+// SetHanging has the server take parts and answer nothing.
+func (s *Server) SetHanging(yes bool) { s.set(func() { s.hang = yes }) }
 
-// Fail has a share of the parts fail at once.
-func (s *Server) Fail(share float64) { s.set(func() { s.fail = share }) }
+// SetFailureRatio has a share of the parts fail at once.
+func (s *Server) SetFailureRatio(share float64) { s.set(func() { s.fail = share }) }
 
 // Restart makes the server one that starts now: cold, with no connection.
 func (s *Server) Restart() {
 	s.set(func() { s.started, s.arrivals, s.hang = time.Now(), nil, false })
-	s.Break()
+	s.ResetConnections()
 }
 
-// Drain tells the ledger that the broker has been told now that the server drains.
-func (s *Server) Drain() { s.set(func() { s.drained = time.Now() }) }
+// RecordDrain tells the ledger that the broker has been told now that the server drains.
+func (s *Server) RecordDrain() { s.set(func() { s.drained = time.Now() }) }
 
 func (s *Server) set(change func()) {
 	s.mu.Lock()
@@ -147,8 +147,8 @@
 	change()
 }
 
-// Break resets all connections.
-func (s *Server) Break() {
+// ResetConnections resets all connections.
+func (s *Server) ResetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -159,15 +159,15 @@
 	}
 }
 
-// Conns is how many connections are open.
-func (s *Server) Conns() int {
+// Connections is how many connections are open.
+func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Worst is the most parts that arrived within any window of a length, since the last start.
-func (s *Server) Worst(window time.Duration) (most int) {
+// MaxArrivals is the most parts that arrived within any window of a length, since the last start.
+func (s *Server) MaxArrivals(window time.Duration) (most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	from := 0
@@ -180,15 +180,15 @@
 	return most
 }
 
-// Arrived is how many parts came, since the last start.
-func (s *Server) Arrived() int {
+// Arrivals is how many parts came, since the last start.
+func (s *Server) Arrivals() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.arrivals)
 }
 
-// Broken lists the rules that were broken, with what broke them, and how many parts were seen.
-func (f *Fleet) Broken() (broken []string, parts int) {
+// Violations lists the rules that were broken, with what broke them, and how many parts were seen.
+func (f *Fleet) Violations() (broken []string, parts int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]string(nil), f.broken...), f.total
@@ -223,20 +223,20 @@
 	}()
 	var in frame.Reader
 	for {
-		n, err := c.Read(in.Space())
+		n, err := c.Read(in.Grow())
 		if err != nil {
 			for _, stop := range cancels {
 				close(stop)
 			}
 			return
 		}
-		in.Filled(n)
+		in.Advance(n)
 		for {
 			m, ok, err := in.Next()
 			if err != nil || !ok {
 				break
 			}
-			switch m.Letter {
+			switch m.Type {
 			case 'S':
 				line, _, _ := bytes.Cut(m.Body, []byte{'\n'})
 				fields := strings.Fields(string(line))
@@ -263,7 +263,7 @@
 				}
 			case 'H', 'M':
 				out.Lock()
-				c.Write(frame.Append(nil, m.Letter, "inflight=1,util=0.3"))
+				c.Write(frame.Append(nil, m.Type, "inflight=1,util=0.3"))
 				out.Unlock()
 			}
 		}
@@ -306,7 +306,7 @@
 	if p.ran > 1 && f.opt.NonIdempotent != nil && f.opt.NonIdempotent(id) {
 		f.recordViolation("%s: must not run twice", id)
 	}
-	if n := len(f.Servers); (s.Cell-shard%n+n)%n >= f.opt.ReplicationFactor {
+	if n := len(f.Servers); (s.ReplicaSet-shard%n+n)%n >= f.opt.ReplicationFactor {
 		f.recordViolation("%s: sent to %s, which does not hold shard %d", id, s.ID, shard)
 	}
 	if !drained.IsZero() && now.Sub(drained) > drainGrace {
--- a/internal/harness/recordservertest/step.go
+++ b/internal/harness/recordservertest/step.go
@@ -20,7 +20,7 @@
 // answered books a part of a first step that is about to be answered.
 func (f *Fleet) answered(id string, shard int, end string) {
 	query := queryOf(id, shard)
-	if f.opt.Second == 0 || end != "done" || id == frame.PartID(query, shard, true) {
+	if f.opt.SecondPhaseFanout == 0 || end != "done" || id == frame.PartID(query, shard, true) {
 		return
 	}
 	f.mu.Lock()
@@ -70,7 +70,7 @@
 	slices.SortFunc(best, func(a, b int) int {
 		return cmp.Or(cmp.Compare(Score(query, b), Score(query, a)), cmp.Compare(a, b))
 	})
-	if best = best[:min(f.opt.Second, len(best))]; !slices.Contains(best, shard) {
+	if best = best[:min(f.opt.SecondPhaseFanout, len(best))]; !slices.Contains(best, shard) {
 		f.recordViolation("%s: shard %d is none of the best %v of %v", id, shard, best, from)
 	}
 }
--- a/internal/harness/recordservertest/step_test.go
+++ b/internal/harness/recordservertest/step_test.go
@@ -27,7 +27,7 @@
 		"d=9,from=1+2+3":           "whole=",
 		"d=9,whole=1":              "none of the best",
 	} {
-		f := &Fleet{opt: Options{Second: 1}, done: map[string]map[int]bool{}}
+		f := &Fleet{opt: Options{SecondPhaseFanout: 1}, done: map[string]map[int]bool{}}
 		for _, shard := range []int{1, 2, 3} {
 			f.answered("q."+string(rune('0'+shard)), shard, "done")
 		}
@@ -39,7 +39,7 @@
 			require.Contains(t, strings.Join(f.broken, "; "), wrong, list)
 		}
 	}
-	f := &Fleet{opt: Options{Second: 1}, done: map[string]map[int]bool{"q": {1: true, 2: true, 3: true}}}
+	f := &Fleet{opt: Options{SecondPhaseFanout: 1}, done: map[string]map[int]bool{"q": {1: true, 2: true, 3: true}}}
 	other := 1
 	if top == 1 {
 		other = 2
--- a/internal/harness/scale/child.go
+++ b/internal/harness/scale/child.go
@@ -60,7 +60,7 @@
 }
 
 func serveRecords(servers int) error {
-	f, err := recordservertest.New(recordservertest.Options{Servers: servers, ReplicationFactor: AssumedReplicationFactor, Work: childWork, Seed: 1})
+	f, err := recordservertest.New(recordservertest.Options{Servers: servers, ReplicationFactor: AssumedReplicationFactor, ServiceTime: childWork, Seed: 1})
 	if err != nil {
 		return err
 	}
--- a/internal/harness/scale/network.go
+++ b/internal/harness/scale/network.go
@@ -105,7 +105,7 @@
 		w.nodes = append(w.nodes, x)
 	}
 	w.byAddr[x.addr] = x
-	heap.Push(&w.queue, arrival{at: w.now + time.Duration(w.rng.Int64N(int64(membership.TickEvery))), to: x})
+	heap.Push(&w.queue, arrival{at: w.now + time.Duration(w.rng.Int64N(int64(membership.TickInterval))), to: x})
 }
 
 // run plays to a time.
@@ -121,9 +121,9 @@
 		case x.dead:
 		case e.data == nil:
 			w.carry(x, x.Tick(w.now-x.began))
-			heap.Push(&w.queue, arrival{at: w.now + membership.TickEvery, to: x})
+			heap.Push(&w.queue, arrival{at: w.now + membership.TickInterval, to: x})
 		default:
-			x.heardBytes += plane.Size(e.data)
+			x.heardBytes += plane.WireSize(e.data)
 			x.heardCount++
 			w.carry(x, x.Receive(w.now-x.began, e.from, e.data))
 		}
@@ -134,7 +134,7 @@
 
 func (w *network) carry(from *node, out []membership.Send) {
 	for _, s := range out {
-		from.sentBytes += plane.Size(s.Data)
+		from.sentBytes += plane.WireSize(s.Data)
 		from.sentCount++
 		to := w.byAddr[s.Addr]
 		if to == nil || to.dead || w.cut(from, to) {
--- a/internal/state/checkpoint/restart_test.go
+++ b/internal/state/checkpoint/restart_test.go
@@ -51,7 +51,7 @@
 	b := broker.New(broker.Options{Settings: restartSettings, Log: slog.New(slog.NewTextHandler(io.Discard, nil))},
 		k.Watch(decision.New(restartSettings, seed)), link)
 	go b.Run(ctx)
-	b.Update(broker.EndpointUpdate{Mode: decision.CachedUpdate, Servers: fleet.Entries()})
+	b.Update(broker.EndpointUpdate{Mode: decision.CachedUpdate, Servers: fleet.Endpoints()})
 	const bin = 100 * time.Millisecond
 	asked, served := make([]float64, d/bin+1), make([]float64, d/bin+1)
 	var mu sync.Mutex
@@ -98,15 +98,15 @@
 // what was sent there is not sent again. Each shard keeps a holder that is neither.
 func faults(f *recordservertest.Fleet, hang, slow int) {
 	for i, s := range f.Servers {
-		s.Hang(i%10 == hang)
-		s.Work(map[bool]time.Duration{true: 300 * time.Millisecond, false: 4 * time.Millisecond}[i%10 == slow])
+		s.SetHanging(i%10 == hang)
+		s.SetServiceTime(map[bool]time.Duration{true: 300 * time.Millisecond, false: 4 * time.Millisecond}[i%10 == slow])
 	}
 }
 
 // play teaches one broker, ends it, and lets the next begin blank or with what the first has learned. Stale: while
 // none ran, the trouble went to other servers.
 func play(t testing.TB, seed uint64, restored, stale bool) (r restart) {
-	fleet, err := recordservertest.New(recordservertest.Options{Servers: restartServers, ReplicationFactor: 2, Work: 4 * time.Millisecond, Seed: seed})
+	fleet, err := recordservertest.New(recordservertest.Options{Servers: restartServers, ReplicationFactor: 2, ServiceTime: 4 * time.Millisecond, Seed: seed})
 	require.NoError(t, err)
 	defer fleet.Close()
 	folder := t.TempDir()
@@ -116,7 +116,7 @@
 	faults(fleet, 1, 6)
 	const taught = 4 * time.Second
 	life(fleet, k, seed, taught)
-	warm := float64(fleet.Servers[3].Arrived()) / taught.Seconds()
+	warm := float64(fleet.Servers[3].Arrivals()) / taught.Seconds()
 	require.NoError(t, k.Save())
 	k.lock.Close()
 	if stale {
@@ -124,7 +124,7 @@
 	}
 	fresh := fleet.Servers[8]
 	fresh.Restart()
-	before := fleet.Servers[3].Arrived()
+	before := fleet.Servers[3].Arrivals()
 	if !restored {
 		opt.Folder = t.TempDir()
 	}
@@ -140,9 +140,9 @@
 	}
 	r.lost = 2 * restartRate * (1 - stat.Mean(shares[:20], nil))
 	// Lower bounds of a server's capacity, of which a machine that does much else meanwhile lowers the one or the other.
-	warm = max(warm, float64(fleet.Servers[3].Arrived()-before)/d.Seconds())
-	r.cold = float64(fresh.Worst(1500*time.Millisecond)) / (2.5 * (0.2 + 0.8*2/8) * warm * 1.5)
-	broken, _ := fleet.Broken()
+	warm = max(warm, float64(fleet.Servers[3].Arrivals()-before)/d.Seconds())
+	r.cold = float64(fresh.MaxArrivals(1500*time.Millisecond)) / (2.5 * (0.2 + 0.8*2/8) * warm * 1.5)
+	broken, _ := fleet.Violations()
 	require.Empty(t, broken)
 	return r
 }
--- a/internal/transport/frame/frame.go
+++ b/internal/transport/frame/frame.go
@@ -1,6 +1,6 @@
 // Package frame is the protocol of record servers as a state machine. It is fed bytes and knows no socket:
-// a driver reads into Space, reports the count by Filled and takes what has become complete by Next.
-// What Next returns are slices of the buffer, good until the next call of Space.
+// a driver reads into Grow, reports the count by Advance and takes what has become complete by Next.
+// What Next returns are slices of the buffer, good until the next call of Grow.
 package frame
 
 import (
@@ -25,9 +25,9 @@
 
 // Message is one frame from a record server.
 type Message struct {
-	Letter byte
-	Reply  Reply  // of R
-	Body   []byte // of the others
+	Type  byte
+	Reply Reply  // of R
+	Body  []byte // of the others
 }
 
 // Reply is how a part ended.
@@ -47,8 +47,8 @@
 	err  error
 }
 
-// Space returns where to read the next bytes to. It ends what earlier messages refer to.
-func (d *Reader) Space() []byte {
+// Grow returns where to read the next bytes to. It ends what earlier messages refer to.
+func (d *Reader) Grow() []byte {
 	if d.r > 0 {
 		d.w = copy(d.b, d.b[d.r:d.w])
 		d.r = 0
@@ -64,11 +64,11 @@
 	return d.b[d.w:]
 }
 
-// Filled tells that n more bytes stand at the start of what Space returned.
-func (d *Reader) Filled(n int) { d.w += n }
+// Advance tells that n more bytes stand at the start of what Grow returned.
+func (d *Reader) Advance(n int) { d.w += n }
 
-// Pending tells that a frame has begun to come and is not whole.
-func (d *Reader) Pending() bool { return d.w > d.r }
+// Receiving tells that a frame has begun to come and is not whole.
+func (d *Reader) Receiving() bool { return d.w > d.r }
 
 // Next returns the next message; ok is false where more bytes must come first. After an error the
 // connection cannot be read on.
@@ -96,8 +96,8 @@
 		return m, false, nil
 	}
 	d.r += headerSize + int(n)
-	m.Letter, m.Body = p[headerSize], p[headerSize+1:headerSize+int(n)]
-	if m.Letter == 'R' {
+	m.Type, m.Body = p[headerSize], p[headerSize+1:headerSize+int(n)]
+	if m.Type == 'R' {
 		m.Reply, d.err = parseReply(m.Body)
 	}
 	return m, d.err == nil, d.err
--- a/internal/transport/frame/frame_test.go
+++ b/internal/transport/frame/frame_test.go
@@ -16,8 +16,8 @@
 	var d frame.Reader
 	var said strings.Builder
 	for len(in) > 0 {
-		n := copy(d.Space(), in[:min(step, len(in))])
-		d.Filled(n)
+		n := copy(d.Grow(), in[:min(step, len(in))])
+		d.Advance(n)
 		in = in[n:]
 		for {
 			m, ok, err := d.Next()
@@ -28,11 +28,11 @@
 			if !ok {
 				break
 			}
-			if m.Letter == 'R' {
+			if m.Type == 'R' {
 				r := m.Reply
 				fmt.Fprintf(&said, "R %s %d %g/%g %q\n", r.ID, r.Status, r.LoadReport.InFlight, r.LoadReport.Utilization, r.Value)
 			} else {
-				fmt.Fprintf(&said, "%c %q\n", m.Letter, m.Body)
+				fmt.Fprintf(&said, "%c %q\n", m.Type, m.Body)
 			}
 		}
 	}
@@ -88,7 +88,7 @@
 	} {
 		var d frame.Reader
 		b := frame.Append(nil, 'R', line+"\nvalue")
-		d.Filled(copy(d.Space(), b))
+		d.Advance(copy(d.Grow(), b))
 		m, ok, err := d.Next()
 		require.NoError(t, err, line)
 		require.True(t, ok, line)
--- a/internal/transport/front/connread.go
+++ b/internal/transport/front/connread.go
@@ -54,14 +54,14 @@
 		c.closeAfter = true
 		return make([]byte, discardSize)
 	}
-	return c.reader.Space()
+	return c.reader.Grow()
 }
 
 // onRead takes up what a read has brought. It returns false where the connection has ended.
 func (c *conn) onRead(e readResult) bool {
 	c.reading = false
 	if !c.discarding {
-		c.reader.Filled(e.n)
+		c.reader.Advance(e.n)
 		c.received.add(e.n, e.at)
 	} else if c.discarded += e.n; c.discarded > maxPipelinedBytes {
 		c.front.core.Disconnect(c.request)
--- a/internal/transport/httpwire/httpwire.go
+++ b/internal/transport/httpwire/httpwire.go
@@ -1,6 +1,6 @@
 // Package httpwire is the HTTP/1.1 of the client front and of discovery as state machines. They are fed
-// bytes and know no socket: a driver reads into Space, reports the count by Filled and takes what has
-// become complete. What they return are slices of the buffer, good until the next call of Space.
+// bytes and know no socket: a driver reads into Grow, reports the count by Advance and takes what has
+// become complete. What they return are slices of the buffer, good until the next call of Grow.
 package httpwire
 
 import (
--- a/internal/transport/httpwire/httpwire_test.go
+++ b/internal/transport/httpwire/httpwire_test.go
@@ -13,15 +13,15 @@
 
 // machine is what the two readers have in common.
 type machine interface {
-	Space() []byte
-	Filled(int)
+	Grow() []byte
+	Advance(int)
 }
 
 // feed hands bytes to a machine, step at a time, and has take look after each.
 func feed(m machine, in []byte, step int, take func() (more bool)) {
 	for len(in) > 0 {
-		n := copy(m.Space(), in[:min(step, len(in))])
-		m.Filled(n)
+		n := copy(m.Grow(), in[:min(step, len(in))])
+		m.Advance(n)
 		in = in[n:]
 		for take() {
 		}
@@ -102,7 +102,7 @@
 	key := func(target string) (uint64, error) {
 		var d httpwire.RequestReader
 		text := "POST " + target + " HTTP/1.1\r\nX-Request-Id: q\r\nX-Deadline: 10m\r\nContent-Length: 2\r\n\r\n{}"
-		d.Filled(copy(d.Space(), text))
+		d.Advance(copy(d.Grow(), text))
 		r, err := d.Next()
 		require.NoError(t, err)
 		require.Equal(t, "c", r.Class())
--- a/internal/transport/httpwire/request.go
+++ b/internal/transport/httpwire/request.go
@@ -34,8 +34,8 @@
 	return waits
 }
 
-// Space returns where to read the next bytes to. It ends what earlier requests refer to.
-func (d *RequestReader) Space() []byte {
+// Grow returns where to read the next bytes to. It ends what earlier requests refer to.
+func (d *RequestReader) Grow() []byte {
 	if d.req == nil {
 		d.from = d.buf.r
 	} else if d.chunked && d.buf.r > d.bodyEnd {
@@ -49,8 +49,8 @@
 	return s
 }
 
-// Filled tells that n more bytes stand at the start of what Space returned.
-func (d *RequestReader) Filled(n int) { d.buf.w += n }
+// Advance tells that n more bytes stand at the start of what Grow returned.
+func (d *RequestReader) Advance(n int) { d.buf.w += n }
 
 // Buffered is how much room the reader holds.
 func (d *RequestReader) Buffered() int { return len(d.buf.b) }
--- a/internal/transport/httpwire/response.go
+++ b/internal/transport/httpwire/response.go
@@ -23,8 +23,8 @@
 	err     error
 }
 
-// Space returns where to read the next bytes to. It ends what earlier lines refer to.
-func (d *LineReader) Space() []byte {
+// Grow returns where to read the next bytes to. It ends what earlier lines refer to.
+func (d *LineReader) Grow() []byte {
 	if !d.started {
 		d.from = d.buf.r
 	} else if d.buf.r > d.lineEnd {
@@ -37,8 +37,8 @@
 	return s
 }
 
-// Filled tells that n more bytes stand at the start of what Space returned.
-func (d *LineReader) Filled(n int) { d.buf.w += n }
+// Advance tells that n more bytes stand at the start of what Grow returned.
+func (d *LineReader) Advance(n int) { d.buf.w += n }
 
 // Status is the response's status, 0 while its head is not complete.
 func (d *LineReader) Status() int { return d.status }
--- a/internal/transport/upstream/connread.go
+++ b/internal/transport/upstream/connread.go
@@ -18,20 +18,20 @@
 func (cn *conn) readLoop() error {
 	var in frame.Reader
 	for {
-		n, err := cn.sock.Read(in.Space())
+		n, err := cn.sock.Read(in.Grow())
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			return fmt.Errorf("%w: a frame did not come whole within %v", errProtocol, frameTimeout)
 		}
 		if err != nil {
 			return err
 		}
-		in.Filled(n)
+		in.Advance(n)
 		if err := cn.handleFrames(&in); err != nil {
 			return err
 		}
 		// Guards the calls that come next: with the rest of a frame behind an answer, theirs would be taken for more of it.
 		var deadline time.Time
-		if in.Pending() {
+		if in.Receiving() {
 			if !cn.awaitsAnswer() {
 				return fmt.Errorf("%w: bytes behind the last answer that is due", errProtocol)
 			}
@@ -58,7 +58,7 @@
 		if !ok {
 			return nil
 		}
-		if m.Letter == 'F' {
+		if m.Type == 'F' {
 			return errFrameRejected
 		}
 		cn.link.mu.Lock()
@@ -85,13 +85,13 @@
 }
 
 func (cn *conn) dispatch(m frame.Message) error {
-	switch m.Letter {
+	switch m.Type {
 	case 'R':
 		return cn.handleReply(&m.Reply)
 	case 'H', 'M':
 		return cn.handleHealth(m)
 	}
-	return fmt.Errorf("%w: a frame of the letter %q", errProtocol, m.Letter)
+	return fmt.Errorf("%w: a frame of the letter %q", errProtocol, m.Type)
 }
 
 // handleReply handles an answer to a call.
@@ -142,7 +142,7 @@
 	r := broker.ResultOf(decision.OK)
 	if string(m.Body) == "failed" {
 		r.Status = decision.Error
-	} else if report, err := frame.ParseLoadReport(m.Body); m.Letter == 'M' && err == nil {
+	} else if report, err := frame.ParseLoadReport(m.Body); m.Type == 'M' && err == nil {
 		r.LoadReport = report
 	}
 	j.healthCheck.Finish(r)
--- a/internal/transport/upstream/liveness_test.go
+++ b/internal/transport/upstream/liveness_test.go
@@ -51,7 +51,7 @@
 	cn.calls[j.id] = j
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	require.NoError(t, cn.handleMessage(frame.Message{Letter: 'R', Reply: frame.Reply{ID: []byte("q.0"), Status: decision.OK, Value: []byte("v")}}))
+	require.NoError(t, cn.handleMessage(frame.Message{Type: 'R', Reply: frame.Reply{ID: []byte("q.0"), Status: decision.OK, Value: []byte("v")}}))
 	require.Zero(t, l.meanLatency)
 	require.Equal(t, MaxSilence, l.silenceTimeout())
 }
--- a/internal/transport/upstream/upstream_test.go
+++ b/internal/transport/upstream/upstream_test.go
@@ -107,14 +107,14 @@
 		m, ok, err := p.in.Next()
 		require.NoError(p, err)
 		if ok {
-			require.Equal(p, string(letter), string(m.Letter))
+			require.Equal(p, string(letter), string(m.Type))
 			require.Contains(p, string(m.Body), starts)
 			return
 		}
 		require.NoError(p, p.SetReadDeadline(time.Now().Add(2*time.Second)))
-		n, err := p.Read(p.in.Space())
+		n, err := p.Read(p.in.Grow())
 		require.NoError(p, err)
-		p.in.Filled(n)
+		p.in.Advance(n)
 	}
 }
 
@@ -359,15 +359,15 @@
 	whole := 0
 	for err == nil {
 		var n int
-		n, err = p.Read(p.in.Space())
-		p.in.Filled(n)
+		n, err = p.Read(p.in.Grow())
+		p.in.Advance(n)
 		for {
 			m, ok, bad := p.in.Next()
 			require.NoError(t, bad)
 			if !ok {
 				break
 			}
-			require.Equal(t, "S", string(m.Letter), "no cancel follows, since the connection is reset")
+			require.Equal(t, "S", string(m.Type), "no cancel follows, since the connection is reset")
 			whole++
 		}
 	}
--- a/internal/workers/cores/cores_test.go
+++ b/internal/workers/cores/cores_test.go
@@ -58,7 +58,7 @@
 }
 
 func newRig(t *testing.T, o rigOptions) *rig {
-	fleet, err := recordservertest.New(recordservertest.Options{Servers: o.servers, ReplicationFactor: 2, Work: o.work, Seed: 1, Second: 2,
+	fleet, err := recordservertest.New(recordservertest.Options{Servers: o.servers, ReplicationFactor: 2, ServiceTime: o.work, Seed: 1, SecondPhaseFanout: 2,
 		NonIdempotent: func(id string) bool { return strings.HasPrefix(id, "charge") }})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -75,14 +75,14 @@
 		cancel()
 		<-ended
 		fleet.Close()
-		broken, parts := fleet.Broken()
+		broken, parts := fleet.Violations()
 		require.Empty(t, broken)
 		require.NotZero(t, parts)
 		r.state.mu.Lock()
 		defer r.state.mu.Unlock()
 		require.Zero(t, r.state.overspent, "parts were sent to a cold server beyond a lease")
 	})
-	r.Update(broker.EndpointUpdate{Mode: decision.CachedUpdate, Servers: fleet.Entries()})
+	r.Update(broker.EndpointUpdate{Mode: decision.CachedUpdate, Servers: fleet.Endpoints()})
 	return r
 }
 
@@ -156,20 +156,20 @@
 		}
 	}
 	bad := r.fleet.Servers[1]
-	bad.Hang(true)
+	bad.SetHanging(true)
 	var all sync.WaitGroup
 	for i := range 16 { // shards 0 and 1 are held by the server that hangs
 		all.Go(func() { r.ask(r.request(usage, i%2, 1), 0) })
 	}
 	all.Wait()
-	met := bad.Arrived()
+	met := bad.Arrivals()
 	served := 0
 	for i := range 40 {
 		if r.ask(r.request(usage, i%2, 1), 1).Outcome == broker.Answered {
 			served++
 		}
 	}
-	require.LessOrEqual(t, bad.Arrived()-met, 6, "of 40 parts, half of which it would draw")
+	require.LessOrEqual(t, bad.Arrivals()-met, 6, "of 40 parts, half of which it would draw")
 	require.GreaterOrEqual(t, served, 36)
 }
 
@@ -178,14 +178,14 @@
 	r := newRig(t, rigOptions{workers: 2, servers: 2, work: time.Millisecond})
 	r.ask(r.request(usage, 0, 2))
 	s := r.fleet.Servers[0]
-	from := s.Arrived()
+	from := s.Arrivals()
 	for range 1000 { // so many that one slow answer, on a machine that does much else, is long forgotten at the end
 		require.Equal(t, broker.Answered, r.ask(r.request(usage, 0, 1), 1).Outcome)
 		r.state.mu.Lock() // worker 0 tells of a connection of its own that breaks, again and again
 		r.state.recordOutcome(0, r.now(), s.ID, decision.Reset, observations.Observation{Latency: 0.001, LoadReport: decision.NoLoadReport})
 		r.state.mu.Unlock()
 	}
-	require.Greater(t, s.Arrived()-from, 200, "of 1000 parts that two servers hold")
+	require.Greater(t, s.Arrivals()-from, 200, "of 1000 parts that two servers hold")
 }
 
 func (r *rig) now() float64 { return float64(time.Now().UnixNano()) / 1e9 }
@@ -198,18 +198,18 @@
 		r.load(8, 1500*time.Millisecond, func(c, n int) *broker.Request { return r.request(usage, c+n, 2) })
 		before := make([]int, 4)
 		for i, s := range r.fleet.Servers {
-			before[i] = s.Arrived()
+			before[i] = s.Arrivals()
 		}
 		fresh := r.fleet.Servers[2]
 		fresh.Restart()
-		r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: 1, Servers: []broker.Endpoint{fresh.Entry(decision.Ready)}})
+		r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: 1, Servers: []broker.Endpoint{fresh.Endpoint(decision.Ready)}})
 		ends := r.load(8, 1600*time.Millisecond, func(c, n int) *broker.Request { return r.request(usage, c+n, 2) })
 		require.NotZero(t, ends[broker.Answered])
-		peak[i] = fresh.Worst(1500 * time.Millisecond)
+		peak[i] = fresh.MaxArrivals(1500 * time.Millisecond)
 		require.NotZero(t, peak[i], "it is warmed up, not left alone")
 		// What the others bore in that time is a lower bound of a server's capacity; the limit is 2.5 times the
 		// share of it that a server has at the end of the window.
-		warm := float64(r.fleet.Servers[0].Arrived()-before[0]) / 1.6
+		warm := float64(r.fleet.Servers[0].Arrivals()-before[0]) / 1.6
 		require.Less(t, float64(peak[i]), 2.5*(0.2+0.8*1.6/6)*warm*1.5, "%d workers", workers)
 	}
 	t.Logf("parts in the worst 1.5 s: one worker %d, four workers %d", peak[0], peak[1])
@@ -231,12 +231,12 @@
 			switch v % 3 {
 			case 0, 1:
 				s.Restart()
-				r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.Endpoint{s.Entry(decision.Ready)}})
+				r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.Endpoint{s.Endpoint(decision.Ready)}})
 			case 2:
-				r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.Endpoint{s.Entry(decision.Removed)}})
+				r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.Endpoint{s.Endpoint(decision.Removed)}})
 				time.Sleep(20 * time.Millisecond)
 				v += 6 // its turn, and so its number, stays
-				r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.Endpoint{s.Entry(decision.Ready)}})
+				r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: v, Servers: []broker.Endpoint{s.Endpoint(decision.Ready)}})
 			}
 		}
 	})
@@ -278,8 +278,8 @@
 		busy.Store(time.Now().Add(700 * time.Millisecond).UnixNano())
 		time.Sleep(50 * time.Millisecond) // parts for all servers are decided and wait
 		s := r.fleet.Servers[1]
-		s.Drain()
-		r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: 1, Servers: []broker.Endpoint{s.Entry(decision.Draining)}})
+		s.RecordDrain()
+		r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: 1, Servers: []broker.Endpoint{s.Endpoint(decision.Draining)}})
 		if late := time.Since(time.Unix(0, busy.Load())); late >= 0 {
 			t.Errorf("the watch of the list was held up until %v after the worker was free again", late)
 		}
@@ -324,7 +324,7 @@
 func TestChargePostsRetriedAcrossWorkers(t *testing.T) {
 	r := newRig(t, rigOptions{workers: 4, servers: 4, work: 3 * time.Millisecond})
 	for _, s := range r.fleet.Servers[:2] {
-		s.Fail(0.3)
+		s.SetFailureRatio(0.3)
 	}
 	stop := make(chan struct{})
 	var all sync.WaitGroup
@@ -334,7 +334,7 @@
 			case <-stop:
 				return
 			case <-time.After(40 * time.Millisecond):
-				r.fleet.Servers[n%4].Break()
+				r.fleet.Servers[n%4].ResetConnections()
 			}
 		}
 	})
@@ -416,7 +416,7 @@
 	require.Greater(t, ends[broker.Answered], 9*(ends[broker.Failed]+ends[broker.DeadlineExceeded]))
 	conns := 0
 	for _, s := range r.fleet.Servers {
-		conns += s.Conns()
+		conns += s.Connections()
 	}
 	require.LessOrEqual(t, conns, 6+2) // one just closed may not be gone yet
 }
@@ -456,7 +456,7 @@
 	for i := range 4 {
 		require.Equal(t, broker.Answered, r.ask(r.request(usage, i, 1)).Outcome)
 	}
-	r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: 1, Servers: r.fleet.Entries()})
+	r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: 1, Servers: r.fleet.Endpoints()})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	r.Drain(ctx)
--- a/internal/workers/cores/second_phase_test.go
+++ b/internal/workers/cores/second_phase_test.go
@@ -17,16 +17,16 @@
 		r := newRig(t, rigOptions{workers: workers, servers: 8, work: 2 * time.Millisecond})
 		go func() {
 			time.Sleep(200 * time.Millisecond)
-			r.fleet.Servers[0].Fail(0.5)
-			r.fleet.Servers[1].Break()
+			r.fleet.Servers[0].SetFailureRatio(0.5)
+			r.fleet.Servers[1].ResetConnections()
 			time.Sleep(200 * time.Millisecond)
-			r.fleet.Servers[5].Hang(true)
+			r.fleet.Servers[5].SetHanging(true)
 			r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate,
-				Servers: []broker.Endpoint{r.fleet.Servers[3].Entry(decision.Draining)}})
-			r.fleet.Servers[3].Drain()
+				Servers: []broker.Endpoint{r.fleet.Servers[3].Endpoint(decision.Draining)}})
+			r.fleet.Servers[3].RecordDrain()
 			time.Sleep(200 * time.Millisecond)
-			r.fleet.Servers[5].Hang(false)
-			r.fleet.Servers[0].Fail(0)
+			r.fleet.Servers[5].SetHanging(false)
+			r.fleet.Servers[0].SetFailureRatio(0)
 		}()
 		ends := r.load(6, 1200*time.Millisecond, func(client, n int) *broker.Request {
 			return r.request(docket, client+n, 5)
