--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -34,7 +34,7 @@
 	}
 	p.makeCore(link)
 	p.watcher = &discovery.Watcher{
-		Addr: p.cfg.Discovery, NameTable: p.cfg.NameTable, Since: p.cfg.Version, Update: p.core.Update, Log: p.log,
+		Addr: p.cfg.Discovery, NameTable: p.cfg.NameTable, Since: p.cfg.CachedVersion, Update: p.core.Update, Log: p.log,
 		Backoff: p.backoff,
 	}
 	p.followed = &followed{address: p.cfg.Discovery, move: p.watcher.ChangeAddress, log: p.log}
--- a/cmd/mothrouter/configuration.go
+++ b/cmd/mothrouter/configuration.go
@@ -17,7 +17,7 @@
 	if p.files.configuration == "" {
 		return nil
 	}
-	machines, err := config.LoadConfiguration(p.files.configuration, p.cfg)
+	machines, err := config.LoadConfigFollower(p.files.configuration, p.cfg)
 	if err != nil {
 		return err
 	}
@@ -28,7 +28,7 @@
 	applier := &applier{start: start, core: p.core, followed: p.followed, log: p.log}
 	p.revisions, err = configfollower.New(configfollower.Options{
 		Name: machines.Name, Started: p.started, Zone: machines.Zone, Region: machines.Region,
-		Control: machines.Control, Callers: p.fleetSize, Seed: p.cfg.Seed, Log: p.log, Apply: applier.apply,
+		Control: machines.ControlMachines, Callers: p.fleetSize, Seed: p.cfg.Seed, Log: p.log, Apply: applier.apply,
 	})
 	if err != nil {
 		return err
@@ -49,7 +49,7 @@
 func (a *applier) apply(revision *configpb.Revision) *configpb.Refusal {
 	document, err := config.ParseDocument(revision.GetDocument())
 	if err == nil {
-		err = document.Changes(a.start)
+		err = document.CheckChangeFrom(a.start)
 	}
 	if err == nil {
 		err = a.core.Configure(document.Change())
@@ -59,7 +59,7 @@
 	}
 	a.followed.tell(document.Discovery, "revision")
 	a.log.Info("revision applied", "number", revision.GetNumber(), "discovery", document.Discovery,
-		"open_cap", document.OpenCap)
+		"open_cap", document.ConcurrencyLimit)
 	return nil
 }
 
--- a/cmd/mothrouter/control.go
+++ b/cmd/mothrouter/control.go
@@ -26,7 +26,7 @@
 	create := c.Flags().Bool("create", false,
 		"make a new log; only once, for a new fleet of control machines: the folder must have none")
 	c.RunE = func(_ *cobra.Command, args []string) error {
-		file, err := config.LoadControl(args[0])
+		file, err := config.LoadControlMachine(args[0])
 		if err != nil {
 			return err
 		}
@@ -82,7 +82,7 @@
 	if err != nil { // taken by another release of this program: brokers compare with what they serve by
 		return nil
 	}
-	if err := next.Changes(before); err != nil {
+	if err := next.CheckChangeFrom(before); err != nil {
 		return rejection(0, err)
 	}
 	return nil
--- a/cmd/mothrouter/process.go
+++ b/cmd/mothrouter/process.go
@@ -130,7 +130,7 @@
 // start starts the loops and what runs beside them.
 func (p *process) start() {
 	go p.core.Run(p.ctx)
-	p.core.Update(p.cfg.Known)
+	p.core.Update(p.cfg.CachedEndpoints)
 	p.parts.Start()
 	go p.watcher.Run(p.ctx)
 	go reload(p.hup, p.cfg, p.followed, p.log)
--- a/cmd/mothrouter/serve.go
+++ b/cmd/mothrouter/serve.go
@@ -20,11 +20,11 @@
 	}
 	p.clients = front.New(front.Options{
 		Classes: p.cfg.Classes, Shards: p.cfg.Shards, MaxConns: p.cfg.MaxClientConns, MaxIdleConns: p.cfg.MaxIdleConns,
-		MaxBufferedBytes: p.cfg.MaxBufferedBytes, RetryAfter: p.cfg.RetryAfter(), Metrics: p.metrics,
+		MaxBufferedBytes: p.cfg.MaxBufferedBytes, RetryAfter: p.cfg.OverloadRetryAfter(), Metrics: p.metrics,
 	}, p.core, p.log)
 	go func() { p.served <- p.clients.Serve(p.listener) }()
-	if p.cfg.Control != "" {
-		l, err := net.Listen("tcp", p.cfg.Control)
+	if p.cfg.AdminAddress != "" {
+		l, err := net.Listen("tcp", p.cfg.AdminAddress)
 		if err != nil {
 			return fmt.Errorf("control: %w", err)
 		}
@@ -38,10 +38,10 @@
 		}
 		p.flights = flight.NewFront(flight.Options{
 			Classes: p.cfg.Classes, Shards: p.cfg.Shards, MaxConns: p.flight.Connections,
-		}, &drainAwareCore{p.core, p.clients.RejectsRequests, p.cfg.RetryAfter()})
+		}, &drainAwareCore{p.core, p.clients.RejectsRequests, p.cfg.OverloadRetryAfter()})
 		go func() { p.served <- p.flights.Serve(l, p.log) }()
 	}
-	p.log.Info("serving", "listen", p.cfg.Listen, "servers", len(p.cfg.Known.Servers))
+	p.log.Info("serving", "listen", p.cfg.Listen, "servers", len(p.cfg.CachedEndpoints.Servers))
 	return nil
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -18,25 +18,25 @@
 
 // Config is all that a broker is told.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Control   string // where operators call; "": nowhere
-	AcceptFD  int    // the listening socket that the process inherited; 0: it opens its own
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int
+	Name         string
+	Listen       string
+	Discovery    string
+	AdminAddress string // where operators call; "": nowhere
+	AcceptFD     int    // the listening socket that the process inherited; 0: it opens its own
+	Seed         uint64
+	MemoryMB     int
+	Sockets      int
 
 	MaxClientConns   int // client connections held at most; requests need a third of the descriptors
 	MaxIdleConns     int // of them between requests at most
 	MaxServerConns   int // connections to record servers held at most
 	MaxBufferedBytes int // bytes of requests held at most
 
-	Settings  decision.Settings
-	Classes   map[string]int // class by name
-	NameTable discovery.NameTable
-	Known     broker.EndpointUpdate // the list as last known
-	Version   int64                 // its version
+	Settings        decision.Settings
+	Classes         map[string]int // class by name
+	NameTable       discovery.NameTable
+	CachedEndpoints broker.EndpointUpdate // the list as last known
+	CachedVersion   int64                 // its version
 
 	ConcurrencyLimit int
 	Shards           int
@@ -45,7 +45,7 @@
 	ConnectTimeout   time.Duration
 
 	getenv func(string) string
-	file   file // as read
+	file   mainFile // as read
 }
 
 const (
@@ -58,14 +58,14 @@
 	firstInheritedFD = 3   // behind the standard streams
 	maxSeconds       = 1e6 // of any time
 
-	idleFraction      = 1. / 6 // of the descriptors: half of what clients hold at most for requests
-	spareFraction     = 1. / 8 // of the descriptors, for the watch, the listener and what just closes,
-	minSpare          = 16     // and so many at least: 6 of the process, 4 calls to discovery, 1 accepted, 4 turned away
-	minClientConns    = 8      // connections of clients
-	serverFraction    = 3. / 8 // of the descriptors at least; clients have the rest
-	maxServerFraction = 1. / 2 // of the descriptors, where there are more servers than that
-	connsPerServer    = 9. / 8 // of the cells: a server has one, and parts that must not run twice go alone
-	bufferFraction    = 1. / 8 // of the memory
+	idleFraction       = 1. / 6 // of the descriptors: half of what clients hold at most for requests
+	spareFraction      = 1. / 8 // of the descriptors, for the watch, the listener and what just closes,
+	minSpare           = 16     // and so many at least: 6 of the process, 4 calls to discovery, 1 accepted, 4 turned away
+	minClientConns     = 8      // connections of clients
+	serverFraction     = 3. / 8 // of the descriptors at least; clients have the rest
+	maxServerFraction  = 1. / 2 // of the descriptors, where there are more servers than that
+	connsPerReplicaSet = 9. / 8 // of the cells: a server has one, and parts that must not run twice go alone
+	bufferFraction     = 1. / 8 // of the memory
 )
 
 // ClassDeadlines is, by class, how long a client waits that does not say so.
@@ -79,16 +79,16 @@
 // LongestDeadline is the longest time that a client waits, by the settings.
 func (c *Config) LongestDeadline() time.Duration { return slices.Max(c.ClassDeadlines()) }
 
-// RetryAfter is when a client that finds no room should come back; 0: the settings have no such word.
-func (c *Config) RetryAfter() float64 {
+// OverloadRetryAfter is when a client that finds no room should come back; 0: the settings have no such word.
+func (c *Config) OverloadRetryAfter() float64 {
 	if c.Settings.RetryAfterSupported {
 		return c.Settings.MaxRetryAfter
 	}
 	return 0
 }
 
-// file is PROXY_CONFIG.
-type file struct {
+// mainFile is PROXY_CONFIG.
+type mainFile struct {
 	Name    string `json:"name"`
 	Listen  string `json:"listen"`
 	Control string `json:"control"`
@@ -98,11 +98,11 @@
 		Sockets  *int `json:"sockets"`
 	} `json:"limits"`
 	Known *discovery.Message `json:"known"`
-	inService
+	revisableKeys
 }
 
-// inService is what PROXY_CONFIG and a revision's document have in common.
-type inService struct {
+// revisableKeys is what PROXY_CONFIG and a revision's document have in common.
+type revisableKeys struct {
 	Discovery string          `json:"discovery"`
 	Settings  json.RawMessage `json:"settings"`
 }
@@ -118,7 +118,7 @@
 // Load reads the environment, by getenv, and the file that PROXY_CONFIG names. The environment's name and addresses win over
 // the file's. Its errors name the key.
 func Load(getenv func(string) string) (*Config, error) {
-	f, err := readFile(getenv("PROXY_CONFIG"))
+	f, err := readMainFile(getenv("PROXY_CONFIG"))
 	if err != nil {
 		return nil, err
 	}
@@ -129,18 +129,18 @@
 			return nil, err
 		}
 	}
-	if err := c.settings(f.Settings); err != nil {
+	if err := c.readSettings(f.Settings); err != nil {
 		return nil, err
 	}
 	c.divideDescriptors()
-	if err := c.readKnown(); err != nil {
+	if err := c.readCachedEndpoints(); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// readFile reads the file that PROXY_CONFIG names.
-func readFile(path string) (f file, err error) {
+// readMainFile reads the file that PROXY_CONFIG names.
+func readMainFile(path string) (f mainFile, err error) {
 	if path == "" {
 		return f, keyError("PROXY_CONFIG", "is not set")
 	}
@@ -156,9 +156,9 @@
 
 // readAddresses takes the name and the addresses.
 func (c *Config) readAddresses() error {
-	c.Name, c.Listen, c.Discovery, c.Control = c.file.Name, c.file.Listen, c.file.Discovery, c.file.Control
+	c.Name, c.Listen, c.Discovery, c.AdminAddress = c.file.Name, c.file.Listen, c.file.Discovery, c.file.Control
 	for key, v := range map[string]*string{
-		"PROXY_NAME": &c.Name, "PROXY_LISTEN": &c.Listen, "PROXY_DISCOVERY": &c.Discovery, "PROXY_CONTROL": &c.Control,
+		"PROXY_NAME": &c.Name, "PROXY_LISTEN": &c.Listen, "PROXY_DISCOVERY": &c.Discovery, "PROXY_CONTROL": &c.AdminAddress,
 	} {
 		if s := c.getenv(key); s != "" {
 			*v = s
@@ -170,10 +170,10 @@
 	if err := checkAddr("discovery", c.Discovery); err != nil {
 		return err
 	}
-	if c.Control == "" {
+	if c.AdminAddress == "" {
 		return nil
 	}
-	return checkAddr("control", c.Control)
+	return checkAddr("control", c.AdminAddress)
 }
 
 // readAcceptFD takes the inherited listening socket.
@@ -219,24 +219,24 @@
 // guards against a fleet where some stay without a connection.
 func (c *Config) divideDescriptors() {
 	all := float64(c.Sockets)
-	wanted := max(serverFraction*all, connsPerServer*float64(c.Settings.ReplicaSets))
+	wanted := max(serverFraction*all, connsPerReplicaSet*float64(c.Settings.ReplicaSets))
 	c.MaxServerConns = int(min(wanted, maxServerFraction*all))
 	c.MaxClientConns = min(int((1-spareFraction)*all), c.Sockets-minSpare) - c.MaxServerConns
-	if c.Control != "" {
+	if c.AdminAddress != "" {
 		c.MaxClientConns = max(c.MaxClientConns-admin.Callers, minClientConns)
 	}
 	c.MaxIdleConns = min(int(idleFraction*all), c.MaxClientConns/2)
 }
 
-// readKnown takes the endpoint list as last known.
-func (c *Config) readKnown() (err error) {
+// readCachedEndpoints takes the endpoint list as last known.
+func (c *Config) readCachedEndpoints() (err error) {
 	if c.file.Known != nil {
-		if c.Known, err = c.NameTable.EndpointUpdate(*c.file.Known); err != nil {
+		if c.CachedEndpoints, err = c.NameTable.EndpointUpdate(*c.file.Known); err != nil {
 			return keyError("known", "%v", err)
 		}
-		c.Version = c.file.Known.Version
+		c.CachedVersion = c.file.Known.Version
 	}
-	c.Known.Mode = decision.CachedUpdate
+	c.CachedEndpoints.Mode = decision.CachedUpdate
 	return nil
 }
 
@@ -261,7 +261,7 @@
 	}{
 		{"name", n.Name != c.Name},
 		{"listen", n.Listen != c.Listen},
-		{"control", n.Control != c.Control},
+		{"control", n.AdminAddress != c.AdminAddress},
 		{"limits", n.MemoryMB != c.MemoryMB || n.Sockets != c.Sockets},
 		{"settings", !bytes.Equal(n.file.Settings, c.file.Settings)},
 	} {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -19,7 +19,7 @@
 	"mothrouter/internal/drain"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":128,"sockets":512},
 "known":{"version":41,"full":true,"servers":[{"id":"s1","addr":"127.0.0.1:1","zone":"b","kind":"m2","cell":3,
 "state":"leaving","weight":1.5,"started_ms":2500}]},
@@ -27,7 +27,7 @@
 "machineTypes":["m2"],"caps":{"openCap":9,"connIdleS":3,"connectTimeoutS":0.5,"streamsPerConn":7},
 "familyInfo":{"cells":4,"slabs":8}}}`
 
-func load(t *testing.T, text string, env map[string]string) (*config.Config, error) {
+func loadConfig(t *testing.T, text string, env map[string]string) (*config.Config, error) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return config.Load(func(key string) string {
@@ -38,42 +38,42 @@
 	})
 }
 
-func TestLoad(t *testing.T) {
-	c, err := load(t, good, map[string]string{"PROXY_NAME": "n4", "PROXY_LISTEN": "127.0.0.1:9"})
+func TestLoadReadsFileAndEnvironment(t *testing.T) {
+	c, err := loadConfig(t, validConfig, map[string]string{"PROXY_NAME": "n4", "PROXY_LISTEN": "127.0.0.1:9"})
 	require.NoError(t, err)
 	require.Equal(t, []any{"n4", "127.0.0.1:9", "127.0.0.1:8500", uint64(0x8c1f30d27a5be964), 128, 512},
 		[]any{c.Name, c.Listen, c.Discovery, c.Seed, c.MemoryMB, c.Sockets})
 	require.Equal(t, []any{9, 8, 7, 3 * time.Second, 500 * time.Millisecond, map[string]int{"c": 0}, int64(41)},
-		[]any{c.ConcurrencyLimit, c.Shards, c.MaxStreams, c.ConnIdleTimeout, c.ConnectTimeout, c.Classes, c.Version})
-	require.Equal(t, decision.CachedUpdate, c.Known.Mode)
+		[]any{c.ConcurrencyLimit, c.Shards, c.MaxStreams, c.ConnIdleTimeout, c.ConnectTimeout, c.Classes, c.CachedVersion})
+	require.Equal(t, decision.CachedUpdate, c.CachedEndpoints.Mode)
 	require.Equal(t, decision.Server{ID: "s1", Zone: 1, ReplicaSet: 3, State: decision.Draining, Capacity: 1.5, Started: 2.5},
-		c.Known.Servers[0].Server)
+		c.CachedEndpoints.Servers[0].Server)
 	require.Equal(t, []time.Duration{2 * time.Second}, c.ClassDeadlines())
 }
 
 // The core has no two attempts of a part out. On a site that allows copies, msga-fantasy, the module asked for one where
 // it should have taken the first attempt back, and each was stopped: with a zone cut off four in five queries were lost.
-func TestTheModuleIsNotToldOfCopiesThatTheCoreStops(t *testing.T) {
-	c, err := load(t, strings.Replace(good, `"caps":{`, `"caps":{"secondCopies":true,"cancel":true,`, 1), nil)
+func TestLoadTurnsHedgingOff(t *testing.T) {
+	c, err := loadConfig(t, strings.Replace(validConfig, `"caps":{`, `"caps":{"secondCopies":true,"cancel":true,`, 1), nil)
 	require.NoError(t, err)
 	require.False(t, c.Settings.HedgingAllowed)
 	require.True(t, c.Settings.CancelAllowed)
 }
 
 // README starts the broker with it.
-func TestTheExampleCanBeUsed(t *testing.T) {
+func TestLoadReadsDeployedExample(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/example.json")
 	require.NoError(t, err)
-	c, err := load(t, string(text), nil)
+	c, err := loadConfig(t, string(text), nil)
 	require.NoError(t, err)
-	require.Len(t, c.Known.Servers, 2)
+	require.Len(t, c.CachedEndpoints.Servers, 2)
 	require.Len(t, c.Classes, 3)
 }
 
 // Where there are many servers, each can have a connection, as far as descriptors go; clients have what is left.
-func TestDescriptorsAreSharedOutByTheFleet(t *testing.T) {
+func TestLoadDividesDescriptorsByReplicaSets(t *testing.T) {
 	for cells, want := range map[string][]int{"4": {256, 192}, "200": {223, 225}, "999": {192, 256}} {
-		c, err := load(t, strings.Replace(good, `"cells":4`, `"cells":`+cells, 1), nil)
+		c, err := loadConfig(t, strings.Replace(validConfig, `"cells":4`, `"cells":`+cells, 1), nil)
 		require.NoError(t, err)
 		require.Equal(t, want, []int{c.MaxClientConns, c.MaxServerConns}, cells)
 	}
@@ -81,10 +81,10 @@
 
 // A file that is replaced moves discovery, though the environment named it at the start; a bad one changes
 // nothing, and its key is named.
-func TestReload(t *testing.T) {
+func TestReloadChangesDiscoveryOnly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(before, after string) {
-		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(good, before, after, 1)), 0o600))
+		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(validConfig, before, after, 1)), 0o600))
 	}
 	write("", "")
 	c, err := config.Load(func(key string) string {
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestErrorsNameTheKey(t *testing.T) {
+func TestLoadErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"listen":"127.0.0.1:8443",`, ``, "listen: is missing"},
 		{`"discovery":"127.0.0.1:8500"`, `"discovery":"x"`, "discovery: "},
@@ -133,16 +133,16 @@
 		{`"settings":{`, `"odd":{`, "settings: is missing"},
 		{`{"name"`, `["name"`, "PROXY_CONFIG: "},
 	} {
-		require.Contains(t, good, c.old)
-		_, err := load(t, strings.Replace(good, c.old, c.new, 1), nil)
+		require.Contains(t, validConfig, c.old)
+		_, err := loadConfig(t, strings.Replace(validConfig, c.old, c.new, 1), nil)
 		require.ErrorContains(t, err, c.want)
 	}
 	_, err := config.Load(func(string) string { return "" })
 	require.EqualError(t, err, "PROXY_CONFIG: is not set")
 }
 
-func TestFlight(t *testing.T) {
-	f, err := config.LoadFlight("../../deploy/flight.toml", roomy(t))
+func TestLoadFlightErrorsNameTheKey(t *testing.T) {
+	f, err := config.LoadFlight("../../deploy/flight.toml", loadValid(t))
 	require.NoError(t, err)
 	require.Equal(t, &config.Flight{Listen: "127.0.0.1:8815", Servers: []string{}, Connections: 64}, f)
 	for text, want := range map[string]string{
@@ -154,13 +154,13 @@
 	} {
 		path := filepath.Join(t.TempDir(), "f.toml")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		_, err := config.LoadFlight(path, roomy(t))
+		_, err := config.LoadFlight(path, loadValid(t))
 		require.ErrorContains(t, err, want)
 	}
 }
 
-func TestCoresFileIsRefusedByKey(t *testing.T) {
-	c, err := load(t, good, nil) // 128 MB, 512 descriptors
+func TestLoadCoresErrorsNameTheKey(t *testing.T) {
+	c, err := loadConfig(t, validConfig, nil) // 128 MB, 512 descriptors
 	require.NoError(t, err)
 	try := func(text string) (int, error) {
 		path := filepath.Join(t.TempDir(), "cores.toml")
@@ -187,7 +187,7 @@
 }
 
 // Whatever is switched on, all that may hold a descriptor at once fits the limit.
-func TestDescriptorsFitTheLimit(t *testing.T) {
+func TestLoadLeavesDescriptorsWithinTheLimit(t *testing.T) {
 	const process, calls, accepted, away = 6, 4, 1, 4 // as config.minSpare counts
 	file := filepath.Join(t.TempDir(), "flight.toml")
 	require.NoError(t, os.WriteFile(file, []byte("listen = \"127.0.0.1:9\"\nconnections = 20\nservers = [\"a\", \"b\", \"c\"]\n"), 0o600))
@@ -195,8 +195,8 @@
 		for _, cells := range []string{"4", "200", "2000"} {
 			for _, control := range []string{"", "127.0.0.1:7"} {
 				for _, partners := range []bool{false, true} {
-					text := strings.Replace(strings.Replace(good, `"sockets":512`, fmt.Sprint(`"sockets":`, sockets), 1), `"cells":4`, `"cells":`+cells, 1)
-					c, err := load(t, text, map[string]string{"PROXY_CONTROL": control})
+					text := strings.Replace(strings.Replace(validConfig, `"sockets":512`, fmt.Sprint(`"sockets":`, sockets), 1), `"cells":4`, `"cells":`+cells, 1)
+					c, err := loadConfig(t, text, map[string]string{"PROXY_CONTROL": control})
 					require.NoError(t, err)
 					held := 0
 					if partners {
@@ -222,13 +222,13 @@
 }
 
 // Absent, zero, tiny, huge and negative: each is refused by its key, or what is made of it serves.
-func TestAbsurdSettingsAreRefusedByKeyOrServe(t *testing.T) {
-	full := strings.Replace(good, `"settings":{`, `"settings":{"peersTotal":3,"tickS":0.005,"report":{"how":"piggyback"},
+func TestExtremeSettingsAreRejectedByKeyOrServe(t *testing.T) {
+	full := strings.Replace(validConfig, `"settings":{`, `"settings":{"peersTotal":3,"tickS":0.005,"report":{"how":"piggyback"},
 		"rules":{"coldShare":0.2,"warmUpS":17,"fallMultiple":2.5,"fallS":1.5,"drainGraceS":0.25,"budgetFree":3,"extraRatio":0.2,"budgetSpanS":10},`, 1)
 	full = strings.Replace(full, `"caps":{`, `"caps":{"maxRetryAfterS":0.5,"sendCap":4,"retryAfter":true,"cancel":true,"probes":true,`, 1)
 	full = strings.Replace(full, `"semantics":"free"}`, `"semantics":"guarded","windowS":2,"lateWorth":0.5,"worth":3,"aimStretch":1}`, 1)
 	full = strings.Replace(full, `"slabs":8`, `"slabs":8,"reach":2,"bundleMax":1,"needByClass":[1],"classFloor":[0.8]`, 1)
-	_, err := load(t, full, nil)
+	_, err := loadConfig(t, full, nil)
 	require.NoError(t, err)
 	keys := regexp.MustCompile(`"(\w+)":\[?(-?[\d.]+)\]?`).FindAllStringSubmatch(full, -1)
 	require.Greater(t, len(keys), 30)
@@ -238,12 +238,12 @@
 			if v == "" {
 				odd = strings.Replace(strings.Replace(full, k[0]+",", "", 1), ","+k[0], "", 1)
 			}
-			c, err := load(t, odd, nil)
+			c, err := loadConfig(t, odd, nil)
 			if err != nil {
 				require.ErrorContains(t, err, k[1], "%s: %s", k[1], v)
 				continue
 			}
-			serves(t, c, k[1]+": "+v)
+			requireServes(t, c, k[1]+": "+v)
 		}
 	}
 }
@@ -264,7 +264,7 @@
 
 func (r result) Finish(x broker.Result) { r <- x }
 
-func serves(t *testing.T, c *config.Config, what string) {
+func requireServes(t *testing.T, c *config.Config, what string) {
 	b := broker.New(broker.Options{Settings: c.Settings, ConcurrencyLimit: c.ConcurrencyLimit}, decision.New(c.Settings, 1), okLink{})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -285,17 +285,17 @@
 	require.Positive(t, c.MaxBufferedBytes, what)
 }
 
-func roomy(t *testing.T) *config.Config {
-	c, err := load(t, good, nil)
+func loadValid(t *testing.T) *config.Config {
+	c, err := loadConfig(t, validConfig, nil)
 	require.NoError(t, err)
 	return c
 }
 
-func TestConfiguration(t *testing.T) {
-	machines, err := config.LoadConfiguration("../../deploy/configuration.toml", roomy(t))
+func TestLoadConfigFollowerErrorsNameTheKey(t *testing.T) {
+	machines, err := config.LoadConfigFollower("../../deploy/configuration.toml", loadValid(t))
 	require.NoError(t, err)
-	require.Equal(t, &config.Configuration{Name: "n3", Zone: "bern-1", Region: "bern",
-		Control: []distribution.Machine{{Address: "127.0.0.1:7950", Zone: "bern-1", Region: "bern"}}}, machines)
+	require.Equal(t, &config.ConfigFollower{Name: "n3", Zone: "bern-1", Region: "bern",
+		ControlMachines: []distribution.Machine{{Address: "127.0.0.1:7950", Zone: "bern-1", Region: "bern"}}}, machines)
 	one := "[[control]]\naddress = \"127.0.0.1:%d\"\n"
 	many := ""
 	for i := range distribution.MaxMachines {
@@ -316,13 +316,13 @@
 	} {
 		path := filepath.Join(t.TempDir(), "configuration.toml")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		_, err := config.LoadConfiguration(path, roomy(t))
+		_, err := config.LoadConfigFollower(path, loadValid(t))
 		if want == "" {
 			require.NoError(t, err)
 		} else {
 			require.ErrorContains(t, err, want)
 		}
 	}
-	_, err = config.LoadConfiguration(filepath.Join(t.TempDir(), "none"), roomy(t))
+	_, err = config.LoadConfigFollower(filepath.Join(t.TempDir(), "none"), loadValid(t))
 	require.ErrorContains(t, err, "configuration: ")
 }
--- a/internal/config/configuration.go
+++ b/internal/config/configfollower.go
@@ -9,19 +9,19 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// Configuration is the file that has control machines change the configuration in service.
-type Configuration struct {
-	Name    string // of the broker, in reports
-	Zone    string // of the broker; "": not told
-	Region  string // of the broker; "": not told
-	Control []distribution.Machine
+// ConfigFollower is the file that has control machines change the configuration in service.
+type ConfigFollower struct {
+	Name            string // of the broker, in reports
+	Zone            string // of the broker; "": not told
+	Region          string // of the broker; "": not told
+	ControlMachines []distribution.Machine
 }
 
 // maxNameLength is how many bytes names of brokers, zones and regions may have, as control machines take them.
 const maxNameLength = 128
 
-// LoadConfiguration reads the configuration file. The broker's name is that of c unless the file names another.
-func LoadConfiguration(path string, c *Config) (*Configuration, error) {
+// LoadConfigFollower reads the configuration file. The broker's name is that of c unless the file names another.
+func LoadConfigFollower(path string, c *Config) (*ConfigFollower, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, keyError("configuration", "%v", err)
@@ -54,7 +54,7 @@
 	if n := len(f.Control); n == 0 || n > distribution.MaxMachines {
 		return nil, keyError("configuration.control", "names %d control machines, not 1 to %d", n, distribution.MaxMachines)
 	}
-	out := &Configuration{Name: f.Name, Zone: f.Zone, Region: f.Region}
+	out := &ConfigFollower{Name: f.Name, Zone: f.Zone, Region: f.Region}
 	seen := map[string]bool{}
 	for i, m := range f.Control {
 		key := fmt.Sprintf("configuration.control[%d].address", i)
@@ -65,7 +65,7 @@
 			return nil, keyError(key, "%s stands twice", m.Address)
 		}
 		seen[m.Address] = true
-		out.Control = append(out.Control, distribution.Machine{Address: m.Address, Zone: m.Zone, Region: m.Region})
+		out.ControlMachines = append(out.ControlMachines, distribution.Machine{Address: m.Address, Zone: m.Zone, Region: m.Region})
 	}
 	return out, nil
 }
--- a/internal/config/control.go
+++ b/internal/config/control.go
@@ -69,8 +69,8 @@
 	Role        string `toml:"role"`
 }
 
-// LoadControl reads the file of a control machine. Its errors name the faulty key.
-func LoadControl(path string) (*ControlMachine, error) {
+// LoadControlMachine reads the file of a control machine. Its errors name the faulty key.
+func LoadControlMachine(path string) (*ControlMachine, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, keyError("control", "%v", err)
@@ -104,7 +104,7 @@
 	if out.ListenPeers == out.Listen {
 		return nil, keyError("control.listen_peers", "%v is control.listen", out.ListenPeers)
 	}
-	if out.Members, err = controlMembers(f.Members); err != nil {
+	if out.Members, err = parseControlMembers(f.Members); err != nil {
 		return nil, err
 	}
 	for _, m := range out.Members {
@@ -115,8 +115,8 @@
 	return nil, keyError("control.name", "%q is not among control.members", out.Name)
 }
 
-// controlMembers checks each member alone, then all together.
-func controlMembers(rows []controlFileMember) ([]ControlMember, error) {
+// parseControlMembers checks each member alone, then all together.
+func parseControlMembers(rows []controlFileMember) ([]ControlMember, error) {
 	if len(rows) == 0 {
 		return nil, keyError("control.members", "is missing")
 	}
@@ -124,7 +124,7 @@
 	voters, spares := 0, 0
 	for i, row := range rows {
 		key := fmt.Sprintf("control.members[%d]", i)
-		m, err := controlMember(key, row)
+		m, err := parseControlMember(key, row)
 		if err != nil {
 			return nil, err
 		}
@@ -158,7 +158,7 @@
 	return members, nil
 }
 
-func controlMember(key string, row controlFileMember) (ControlMember, error) {
+func parseControlMember(key string, row controlFileMember) (ControlMember, error) {
 	m := ControlMember{Name: row.Name, ID: row.ID, Region: row.Region, Voter: row.Role == "voter"}
 	if row.Name == "" || len(row.Name) > plane.MaxNameLength {
 		return m, keyError(key+".name", "%q is empty or longer than %d bytes", row.Name, plane.MaxNameLength)
@@ -173,15 +173,15 @@
 		return m, keyError(key+".role", "%q is neither voter nor spare", row.Role)
 	}
 	var err error
-	if m.Address, err = reachable(key+".address", row.Address); err != nil {
+	if m.Address, err = parseReachableAddr(key+".address", row.Address); err != nil {
 		return m, err
 	}
-	m.PeerAddress, err = reachable(key+".peer_address", row.PeerAddress)
+	m.PeerAddress, err = parseReachableAddr(key+".peer_address", row.PeerAddress)
 	return m, err
 }
 
-// reachable reads an address that others connect to.
-func reachable(key, s string) (netip.AddrPort, error) {
+// parseReachableAddr reads an address that others connect to.
+func parseReachableAddr(key, s string) (netip.AddrPort, error) {
 	address, err := netip.ParseAddrPort(s)
 	if err != nil {
 		return address, keyError(key, "%v", err)
--- a/internal/config/control_test.go
+++ b/internal/config/control_test.go
@@ -14,18 +14,18 @@
 
 const deployedControl = "../../deploy/control.toml"
 
-// loadEdited loads deploy/control.toml after replacing one text once.
-func loadEdited(t *testing.T, before, after string) (*config.ControlMachine, error) {
+// loadEditedControl loads deploy/control.toml after replacing one text once.
+func loadEditedControl(t *testing.T, before, after string) (*config.ControlMachine, error) {
 	text, err := os.ReadFile(deployedControl)
 	require.NoError(t, err)
 	require.Contains(t, string(text), before)
 	path := filepath.Join(t.TempDir(), "control.toml")
 	require.NoError(t, os.WriteFile(path, []byte(strings.Replace(string(text), before, after, 1)), 0o600))
-	return config.LoadControl(path)
+	return config.LoadControlMachine(path)
 }
 
-func TestLoadControlReadsTheDeployedFile(t *testing.T) {
-	c, err := config.LoadControl(deployedControl)
+func TestLoadControlMachineReadsDeployedFile(t *testing.T) {
+	c, err := config.LoadControlMachine(deployedControl)
 	require.NoError(t, err)
 	require.Equal(t, "bern-roaming", c.Fleet)
 	require.Equal(t, "/var/lib/mothrouter-control", c.Folder)
@@ -43,7 +43,7 @@
 	require.Equal(t, []string{"control-a in north", "control-b in south", "control-c in west"}, voters)
 }
 
-func TestLoadControlRefusesByKey(t *testing.T) {
+func TestLoadControlMachineErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ name, old, new, key string }{
 		{"unknown key", `folder =`, `fodler = "x"` + "\nfolder =", "control.fodler"},
 		{"unknown key of a member", `region = "south"`, `regoin = "south"`, "control.members.regoin"},
@@ -68,19 +68,19 @@
 		{"no region", `region = "south"`, `region = ""`, "control.members[1].region"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := loadEdited(t, c.old, c.new)
+			_, err := loadEditedControl(t, c.old, c.new)
 			require.ErrorContains(t, err, c.key+":")
 		})
 	}
 }
 
-func TestLoadControlRunsWithoutASpare(t *testing.T) {
+func TestLoadControlMachineAllowsNoSpare(t *testing.T) {
 	text, err := os.ReadFile(deployedControl)
 	require.NoError(t, err)
 	cut := strings.LastIndex(string(text), "[[members]]")
 	path := filepath.Join(t.TempDir(), "control.toml")
 	require.NoError(t, os.WriteFile(path, text[:cut], 0o600))
-	c, err := config.LoadControl(path)
+	c, err := config.LoadControlMachine(path)
 	require.NoError(t, err)
 	require.Len(t, c.Members, 3)
 }
--- a/internal/config/cores.go
+++ b/internal/config/cores.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	maxWorkers     = 64
-	memoryAWorker  = 8  // MB: a loop, its Decider and what it holds of 200 servers and a full open cap
-	socketsAWorker = 32 // clients and record servers for what one worker can hold
+	maxWorkers       = 64
+	memoryPerWorker  = 8  // MB: a loop, its Decider and what it holds of 200 servers and a full open cap
+	socketsPerWorker = 32 // clients and record servers for what one worker can hold
 )
 
 // LoadCores reads the file that switches several cores on, and returns how many workers there are.
@@ -31,7 +31,7 @@
 	if f.Workers == nil {
 		return 0, keyError("cores.workers", "is missing")
 	}
-	fits := min(maxWorkers, c.MemoryMB/memoryAWorker, c.Sockets/socketsAWorker)
+	fits := min(maxWorkers, c.MemoryMB/memoryPerWorker, c.Sockets/socketsPerWorker)
 	switch n := *f.Workers; {
 	case n < 1:
 		return 0, keyError("cores.workers", "%d is below 1", n)
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -28,9 +28,9 @@
 // Document is a revision of the configuration: discovery and settings in the form of the file of PROXY_CONFIG.
 // It does not change once it is parsed.
 type Document struct {
-	Discovery string           // the address of discovery
-	OpenCap   int              // queries and parts held at most; 0: no limit
-	Classes   []decision.Class // in the order of the settings
+	Discovery        string           // the address of discovery
+	ConcurrencyLimit int              // queries and parts held at most; 0: no limit
+	Classes          []decision.Class // in the order of the settings
 
 	tree any // as parsed, with json.Number for numbers
 }
@@ -52,33 +52,33 @@
 	if len(data) > MaxDocumentSize {
 		return nil, keyError("document", "has %d bytes, %d at most", len(data), MaxDocumentSize)
 	}
-	var f inService
+	var f revisableKeys
 	if err := json.Unmarshal(data, &f); err != nil {
 		return nil, typeError(err)
 	}
 	d := &Document{Discovery: f.Discovery}
-	if err := decoder(data).Decode(&d.tree); err != nil {
+	if err := newNumberDecoder(data).Decode(&d.tree); err != nil {
 		return nil, keyError("document", "%v", err)
 	}
-	if err := checkTop(d.tree); err != nil {
+	if err := checkTopLevelKeys(d.tree); err != nil {
 		return nil, err
 	}
-	if err := checkUnique(decoder(data), ""); err != nil {
+	if err := checkUniqueKeys(newNumberDecoder(data), ""); err != nil {
 		return nil, err
 	}
 	if err := checkAddr("discovery", f.Discovery); err != nil {
 		return nil, err
 	}
 	c := defaults()
-	if err := c.settings(f.Settings); err != nil {
+	if err := c.readSettings(f.Settings); err != nil {
 		return nil, err
 	}
-	d.OpenCap, d.Classes = c.ConcurrencyLimit, c.Settings.Classes
+	d.ConcurrencyLimit, d.Classes = c.ConcurrencyLimit, c.Settings.Classes
 	return d, nil
 }
 
-// decoder reads numbers as they are written.
-func decoder(data []byte) *json.Decoder {
+// newNumberDecoder reads numbers as they are written.
+func newNumberDecoder(data []byte) *json.Decoder {
 	in := json.NewDecoder(bytes.NewReader(data))
 	in.UseNumber()
 	return in
@@ -92,8 +92,8 @@
 	return keyError("document", "%v", err)
 }
 
-// checkTop refuses top-level keys that no document has.
-func checkTop(tree any) error {
+// checkTopLevelKeys refuses top-level keys that no document has.
+func checkTopLevelKeys(tree any) error {
 	top, ok := tree.(map[string]any)
 	if !ok {
 		return keyError("document", "is no object")
@@ -109,9 +109,9 @@
 	return nil
 }
 
-// checkUnique refuses objects in which a key stands twice, also where only the case of letters tells them apart: the
+// checkUniqueKeys refuses objects in which a key stands twice, also where only the case of letters tells them apart: the
 // package that reads settings into fields takes either. The text must be valid JSON, which bounds its depth.
-func checkUnique(in *json.Decoder, path string) error {
+func checkUniqueKeys(in *json.Decoder, path string) error {
 	token, err := in.Token()
 	if err != nil {
 		return keyError("document", "%v", err)
@@ -129,14 +129,14 @@
 				return keyError("document", "%v", err)
 			}
 			key := token.(string) // as the text is valid
-			below = join(path, key)
-			folded := fold(key)
+			below = joinPath(path, key)
+			folded := foldKey(key)
 			if seen[folded] {
 				return keyError(below, "stands twice")
 			}
 			seen[folded] = true
 		}
-		if err := checkUnique(in, below); err != nil {
+		if err := checkUniqueKeys(in, below); err != nil {
 			return err
 		}
 	}
@@ -144,8 +144,8 @@
 	return err
 }
 
-// fold is a key as encoding/json compares it with the names of fields.
-func fold(key string) string {
+// foldKey is a key as encoding/json compares it with the names of fields.
+func foldKey(key string) string {
 	return strings.Map(func(r rune) rune {
 		for {
 			next := unicode.SimpleFold(r)
@@ -157,17 +157,17 @@
 	}, key)
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
 	return path + "." + key
 }
 
-// Changes tells whether a broker that was started with the document from can take this one into force while it serves.
+// CheckChangeFrom tells whether a broker that was started with the document from can take this one into force while it serves.
 // If not, the error is a *KeyError with the first key, in their order, that needs a restart. All keys are compared,
 // also those that no broker reads.
-func (d *Document) Changes(from *Document) error {
+func (d *Document) CheckChangeFrom(from *Document) error {
 	if e := difference("", "", from.tree, d.tree); e != nil {
 		return e
 	}
@@ -214,7 +214,7 @@
 	for _, key := range keys {
 		before, had := was[key]
 		after, has := is[key]
-		below, belowPattern := join(path, key), join(pattern, key)
+		below, belowPattern := joinPath(path, key), joinPath(pattern, key)
 		switch {
 		case had && has:
 			if e := difference(below, belowPattern, before, after); e != nil {
@@ -255,13 +255,13 @@
 
 // Change is what the document changes of a broker's core.
 func (d *Document) Change() broker.Change {
-	return broker.Change{Classes: d.Classes, ConcurrencyLimit: d.OpenCap}
+	return broker.Change{Classes: d.Classes, ConcurrencyLimit: d.ConcurrencyLimit}
 }
 
 // Document is the document of the file that the broker was started with. The error is a *KeyError: a file may be larger
 // than a document, or have a key twice.
 func (c *Config) Document() (*Document, error) {
-	text, err := json.Marshal(inService{Discovery: c.Discovery, Settings: c.file.Settings})
+	text, err := json.Marshal(revisableKeys{Discovery: c.Discovery, Settings: c.file.Settings})
 	if err != nil {
 		return nil, keyError("settings", "%v", err)
 	}
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -15,13 +15,13 @@
 	"mothrouter/internal/config"
 )
 
-// document has a site's settings in the form of PROXY_CONFIG, with a key that no broker reads.
-const document = `{"discovery":"127.0.0.1:8500","settings":{"site":{"name":"bern","racks":[1,2]},
+// validDocument has a site's settings in the form of PROXY_CONFIG, with a key that no broker reads.
+const validDocument = `{"discovery":"127.0.0.1:8500","settings":{"site":{"name":"bern","racks":[1,2]},
 "classes":[{"name":"c","deadlineS":2,"objectiveS":1,"worth":1,"lateWorth":0.5,"semantics":"free"},
 {"name":"d","deadlineS":3,"objectiveS":1,"semantics":"guarded","windowS":2}],
 "zones":["a","b"],"machineTypes":["m2"],"caps":{"openCap":9,"sendCap":4},"familyInfo":{"cells":4,"slabs":8}}}`
 
-func parse(t *testing.T, text string) *config.Document {
+func parseDocument(t *testing.T, text string) *config.Document {
 	d, err := config.ParseDocument([]byte(text))
 	require.NoError(t, err)
 	return d
@@ -36,48 +36,48 @@
 	require.NotEmpty(t, e.Reason)
 }
 
-func TestParseDocument(t *testing.T) {
-	d := parse(t, document)
+func TestParseDocumentReadsClassesAndLimit(t *testing.T) {
+	d := parseDocument(t, validDocument)
 	require.Equal(t, "127.0.0.1:8500", d.Discovery)
-	require.Equal(t, 9, d.OpenCap)
+	require.Equal(t, 9, d.ConcurrencyLimit)
 	require.Equal(t, []float64{1, 2, 1, 0.5}, []float64{d.Classes[0].LatencyObjective, d.Classes[0].Deadline, d.Classes[0].PriorityWeight,
 		d.Classes[0].LateValue})
 	change := d.Change()
 	require.Equal(t, d.Classes, change.Classes)
-	require.Equal(t, d.OpenCap, change.ConcurrencyLimit)
+	require.Equal(t, d.ConcurrencyLimit, change.ConcurrencyLimit)
 }
 
 // The document of the file that a broker was started with is the one that says the same.
-func TestTheDocumentOfTheStart(t *testing.T) {
+func TestConfigDocumentEqualsItsFile(t *testing.T) {
 	for _, c := range []struct {
 		env  map[string]string
 		want string
 	}{{nil, "127.0.0.1:8500"}, {map[string]string{"PROXY_DISCOVERY": "127.0.0.1:9"}, "127.0.0.1:9"}} {
-		file := strings.Replace(document, `{"discovery"`, `{"listen":"127.0.0.1:1","discovery"`, 1)
-		loaded, err := load(t, file, c.env)
+		file := strings.Replace(validDocument, `{"discovery"`, `{"listen":"127.0.0.1:1","discovery"`, 1)
+		loaded, err := loadConfig(t, file, c.env)
 		require.NoError(t, err)
 		start, err := loaded.Document()
 		require.NoError(t, err)
 		require.Equal(t, c.want, start.Discovery)
 		require.Equal(t, loaded.Settings.Classes, start.Classes)
-		require.Equal(t, loaded.ConcurrencyLimit, start.OpenCap)
-		require.NoError(t, parse(t, document).Changes(start))
-		require.NoError(t, start.Changes(parse(t, document)))
+		require.Equal(t, loaded.ConcurrencyLimit, start.ConcurrencyLimit)
+		require.NoError(t, parseDocument(t, validDocument).CheckChangeFrom(start))
+		require.NoError(t, start.CheckChangeFrom(parseDocument(t, validDocument)))
 	}
 }
 
-func TestBadDocumentsAreRefusedByKey(t *testing.T) {
+func TestParseDocumentErrorsNameTheKey(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
-		{document, ``, "document"},
-		{document, `null`, "document"},
-		{document, `[]`, "document"},
-		{document, `"x"`, "document"},
-		{document, document + `{}`, "document"},
-		{document, document + ` x`, "document"},
-		{document, `{"settings":`, "document"},
-		{document, document + strings.Repeat(" ", config.MaxDocumentSize), "document"},
-		{document, strings.Repeat("[", 9000) + strings.Repeat("]", 9000), "document"},
-		{document, strings.Repeat("[", 20000) + strings.Repeat("]", 20000), "document"},
+		{validDocument, ``, "document"},
+		{validDocument, `null`, "document"},
+		{validDocument, `[]`, "document"},
+		{validDocument, `"x"`, "document"},
+		{validDocument, validDocument + `{}`, "document"},
+		{validDocument, validDocument + ` x`, "document"},
+		{validDocument, `{"settings":`, "document"},
+		{validDocument, validDocument + strings.Repeat(" ", config.MaxDocumentSize), "document"},
+		{validDocument, strings.Repeat("[", 9000) + strings.Repeat("]", 9000), "document"},
+		{validDocument, strings.Repeat("[", 20000) + strings.Repeat("]", 20000), "document"},
 		{`{"discovery":`, `{"listen":"127.0.0.1:1","discovery":`, "listen"},
 		{`{"discovery":`, `{"Discovery":`, "Discovery"},
 		{`{"discovery":"127.0.0.1:8500",`, `{`, "discovery"},
@@ -105,17 +105,17 @@
 		{`"semantics":"guarded"`, `"semantics":"odd"`, "settings"},
 		{`"cells":4`, `"cells":0`, "settings.familyInfo.cells"},
 	} {
-		require.Contains(t, document, c.old)
-		_, err := config.ParseDocument([]byte(strings.Replace(document, c.old, c.new, 1)))
+		require.Contains(t, validDocument, c.old)
+		_, err := config.ParseDocument([]byte(strings.Replace(validDocument, c.old, c.new, 1)))
 		require.Error(t, err, c.new)
 		requireKey(t, err, c.key)
 	}
 }
 
 // What may change in service does, in any way; the rest is refused by the first key that differs.
-func TestChanges(t *testing.T) {
+func TestCheckChangeFromNamesTheKey(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
-		{document, document, ""},
+		{validDocument, validDocument, ""},
 		{`"127.0.0.1:8500"`, `"127.0.0.1:8501"`, ""},
 		{`"openCap":9`, `"openCap":0`, ""},
 		{`"openCap":9,`, ``, ""},
@@ -146,9 +146,9 @@
 		{`{"name":"bern","racks":[1,2]}`, `null`, "settings.site"},
 		{`"site":{"name":"bern","racks":[1,2]},`, ``, "settings.site"},
 	} {
-		require.Contains(t, document, c.old)
-		was, is := parse(t, document), parse(t, strings.Replace(document, c.old, c.new, 1))
-		for _, err := range []error{is.Changes(was), was.Changes(is)} {
+		require.Contains(t, validDocument, c.old)
+		was, is := parseDocument(t, validDocument), parseDocument(t, strings.Replace(validDocument, c.old, c.new, 1))
+		for _, err := range []error{is.CheckChangeFrom(was), was.CheckChangeFrom(is)} {
 			if c.key == "" {
 				require.NoError(t, err, c.new)
 			} else {
@@ -156,22 +156,22 @@
 			}
 		}
 	}
-	large := strings.Replace(document, `[1,2]`, `[9007199254740993]`, 1)
-	larger := strings.Replace(document, `[1,2]`, `[9007199254740992]`, 1)
-	requireKey(t, parse(t, larger).Changes(parse(t, large)), "settings.site.racks[0]")
+	large := strings.Replace(validDocument, `[1,2]`, `[9007199254740993]`, 1)
+	larger := strings.Replace(validDocument, `[1,2]`, `[9007199254740992]`, 1)
+	requireKey(t, parseDocument(t, larger).CheckChangeFrom(parseDocument(t, large)), "settings.site.racks[0]")
 }
 
 // Of several differences the first by key is named, whatever the order in the text.
-func TestTheFirstKeyIsNamed(t *testing.T) {
+func TestCheckChangeFromNamesTheFirstKey(t *testing.T) {
 	is := strings.NewReplacer(`"cells":4`, `"cells":5`, `"sendCap":4`, `"sendCap":5`, `"windowS":2`, `"windowS":3`).
-		Replace(document)
+		Replace(validDocument)
 	for range 20 {
-		requireKey(t, parse(t, is).Changes(parse(t, document)), "settings.caps.sendCap")
+		requireKey(t, parseDocument(t, is).CheckChangeFrom(parseDocument(t, validDocument)), "settings.caps.sendCap")
 	}
 }
 
-// file is PROXY_CONFIG with a document's discovery and settings.
-func file(t testing.TB, tree map[string]any) (*config.Config, error) {
+// loadTree is PROXY_CONFIG with a document's discovery and settings.
+func loadTree(t testing.TB, tree map[string]any) (*config.Config, error) {
 	all := map[string]any{"listen": "127.0.0.1:1"}
 	for key, value := range tree {
 		all[key] = value
@@ -186,16 +186,16 @@
 // A document that is taken loads as a file's discovery and settings, with the same classes and cap; and what a file
 // loads is taken as a document.
 func FuzzDocument(f *testing.F) {
-	f.Add([]byte(document))
+	f.Add([]byte(validDocument))
 	for _, r := range [][2]string{
 		{`"deadlineS":3`, `"deadlineS":-3`}, {`"openCap":9`, `"openCap":null`}, {`"c"`, `"d"`},
 		{`"zones"`, `"zones":[],"zones"`}, {`"cells":4`, `"cells":4.5`},
 		{`"site":{`, `"report":{"how":"pull"},"site":{`},
 		{`"sendCap":4`, `"sendCap":4,"secondCopies":true`}, {`127.0.0.1:8500`, `\ud800:1`}} {
-		f.Add([]byte(strings.Replace(document, r[0], r[1], 1)))
+		f.Add([]byte(strings.Replace(validDocument, r[0], r[1], 1)))
 	}
 	f.Add([]byte(`{"":{"":{"":0,"":0}}}`))
-	start, err := config.ParseDocument([]byte(document))
+	start, err := config.ParseDocument([]byte(validDocument))
 	require.NoError(f, err)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		d, refusal := config.ParseDocument(text)
@@ -211,22 +211,22 @@
 			return
 		}
 		if refusal == nil {
-			require.NoError(t, d.Changes(d))
-			if other := d.Changes(start); other == nil {
+			require.NoError(t, d.CheckChangeFrom(d))
+			if other := d.CheckChangeFrom(start); other == nil {
 				require.Len(t, d.Classes, len(start.Classes))
-				require.NoError(t, start.Changes(d))
+				require.NoError(t, start.CheckChangeFrom(d))
 			}
 		}
 		canonical := map[string]any{"discovery": tree["discovery"], "settings": tree["settings"]}
-		loaded, wrong := file(t, canonical)
+		loaded, wrong := loadTree(t, canonical)
 		if refusal == nil {
 			require.NoError(t, wrong)
 			require.Equal(t, fmt.Sprint(loaded.Settings.Classes), fmt.Sprint(d.Classes))
-			require.Equal(t, loaded.ConcurrencyLimit, d.OpenCap)
+			require.Equal(t, loaded.ConcurrencyLimit, d.ConcurrencyLimit)
 			require.Equal(t, loaded.Discovery, d.Discovery)
 			return
 		}
-		if wrong == nil && len(tree) == len(canonical) && !twice(canonical) {
+		if wrong == nil && len(tree) == len(canonical) && !hasDuplicateKey(canonical) {
 			again, err := json.Marshal(canonical)
 			require.NoError(t, err)
 			if len(again) <= config.MaxDocumentSize {
@@ -237,8 +237,8 @@
 	})
 }
 
-// twice tells whether two keys of an object are alike but for the case of letters.
-func twice(tree any) bool {
+// hasDuplicateKey tells whether two keys of an object are alike but for the case of letters.
+func hasDuplicateKey(tree any) bool {
 	switch tree := tree.(type) {
 	case map[string]any:
 		for a, value := range tree {
@@ -247,13 +247,13 @@
 					return true
 				}
 			}
-			if twice(value) {
+			if hasDuplicateKey(value) {
 				return true
 			}
 		}
 	case []any:
 		for _, value := range tree {
-			if twice(value) {
+			if hasDuplicateKey(value) {
 				return true
 			}
 		}
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -10,8 +10,8 @@
 	"mothrouter/internal/simwire"
 )
 
-// settings is what a real broker needs of the settings beside what the module does.
-type settings struct {
+// serviceSettings is what a real broker needs of the settings beside what the module does.
+type serviceSettings struct {
 	Caps struct {
 		OpenCap        int      `json:"openCap"`
 		ConnIdle       *float64 `json:"connIdleS"`
@@ -28,8 +28,8 @@
 	Zones []string `json:"zones"`
 }
 
-// settings reads the settings, of which the module's part as the adapter does.
-func (c *Config) settings(data json.RawMessage) (err error) {
+// readSettings reads the settings, of which the module's part as the adapter does.
+func (c *Config) readSettings(data json.RawMessage) (err error) {
 	if len(data) == 0 {
 		return keyError("settings", "is missing")
 	}
@@ -39,7 +39,7 @@
 	// A part's attempts are never out together here, even where the platform bears it. The module must know: one that
 	// counts on copies waits for them beside an attempt that is lost.
 	c.Settings.HedgingAllowed = false
-	var s settings
+	var s serviceSettings
 	if err := json.Unmarshal(data, &s); err != nil {
 		return keyError("settings", "%v", err)
 	}
@@ -51,7 +51,7 @@
 		if _, twice := c.Classes[class.Name]; class.Name == "" || twice {
 			return keyError(fmt.Sprintf("settings.classes[%d].name", i), "%q is empty or stands twice", class.Name)
 		}
-		if err := c.class(i); err != nil {
+		if err := c.checkClass(i); err != nil {
 			return err
 		}
 		c.Classes[class.Name] = i
@@ -69,11 +69,11 @@
 		return keyError("settings.caps.openCap", "%d is negative", c.ConcurrencyLimit)
 	}
 	c.NameTable = discovery.NameTable{Zones: s.Zones, Kinds: s.Kinds}
-	return c.linkSettings(&s)
+	return c.readConnSettings(&s)
 }
 
-// linkSettings takes what the settings tell of connections to record servers.
-func (c *Config) linkSettings(s *settings) error {
+// readConnSettings takes what the settings tell of connections to record servers.
+func (c *Config) readConnSettings(s *serviceSettings) error {
 	if n := s.Caps.Streams; n != nil {
 		if c.MaxStreams = *n; *n < 1 {
 			return keyError("settings.caps.streamsPerConn", "%d is below 1", *n)
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// class checks a class. One that names no aim is wanted within its deadline.
-func (c *Config) class(i int) error {
+// checkClass checks a class. One that names no aim is wanted within its deadline.
+func (c *Config) checkClass(i int) error {
 	class := &c.Settings.Classes[i]
 	key := func(name string) string { return fmt.Sprintf("settings.classes[%d].%s", i, name) }
 	if !(class.Deadline > 0 && class.Deadline <= maxSeconds) {
--- a/internal/harness/scale/configuration_followers.go
+++ b/internal/harness/scale/configuration_followers.go
@@ -52,7 +52,7 @@
 	came := time.Now().UnixNano()
 	document, err := config.ParseDocument(revision.GetDocument())
 	if err == nil {
-		err = document.Changes(f.start)
+		err = document.CheckChangeFrom(f.start)
 	}
 	if err != nil {
 		return &configpb.Refusal{Number: revision.GetNumber(), Key: "document", Reason: err.Error()}
--- a/internal/harness/scale/configuration_internal_test.go
+++ b/internal/harness/scale/configuration_internal_test.go
@@ -19,7 +19,7 @@
 		require.Len(t, documentOf(1, size), size)
 		second, err := config.ParseDocument(documentOf(1, size))
 		require.NoError(t, err)
-		require.NoError(t, second.Changes(first))
+		require.NoError(t, second.CheckChangeFrom(first))
 		require.NotEqual(t, first.Classes, second.Classes)
 		// The document is one of settings, and not of the spaces at its end.
 		require.Greater(t, float64(len(first.Classes)), 0.75*float64(size-documentRest)/classBytes)
