--- a/cmd/mothrouter/configuration.go
+++ b/cmd/mothrouter/configuration.go
@@ -17,7 +17,7 @@
 	if p.files.configuration == "" {
 		return nil
 	}
-	machines, err := config.LoadConfigFollower(p.files.configuration, p.cfg)
+	machines, err := config.LoadFollower(p.files.configuration, p.cfg)
 	if err != nil {
 		return err
 	}
--- a/cmd/mothrouter/configuration_test.go
+++ b/cmd/mothrouter/configuration_test.go
@@ -230,10 +230,10 @@
 func TestABadConfigurationFileIsRefusedByKey(t *testing.T) {
 	t.Parallel()
 	for text, want := range map[string]string{
-		"": "configuration.control: names 0",
-		"speed = 1\n[[control]]\naddress = \"127.0.0.1:1\"":    "configuration.speed: is not known",
+		"": "configuration.control: 0 entries not allowed, want 1 to 8 entries",
+		"speed = 1\n[[control]]\naddress = \"127.0.0.1:1\"":    "configuration.speed: unknown key not allowed, want one of name, zone, region, control",
 		"[[control]]\naddress = \"x\"":                         "configuration.control[0].address: ",
-		"[[control]]\naddress = \"127.0.0.1:1\"\nweight = 2\n": "configuration.control.weight: is not known",
+		"[[control]]\naddress = \"127.0.0.1:1\"\nweight = 2\n": "configuration.control.weight: unknown key not allowed, want one of address, zone, region",
 	} {
 		p := newPlayer(t)
 		p.config = filepath.Join(t.TempDir(), "config.json")
--- a/cmd/mothrouter/refusal.go
+++ b/cmd/mothrouter/refusal.go
@@ -16,7 +16,7 @@
 	key, reason := "settings", err.Error() // where an error names no key, those of the settings did not take it
 	var fault *config.KeyError
 	if errors.As(err, &fault) {
-		key, reason = fault.Key, fault.Reason
+		key, reason = fault.Key, fault.Reason()
 	}
 	return configpb.NewRejection(number, key, reason)
 }
--- a/cmd/mothrouter/state_test.go
+++ b/cmd/mothrouter/state_test.go
@@ -93,10 +93,10 @@
 func TestABadStateFileIsRefusedByKey(t *testing.T) {
 	t.Parallel()
 	for text, want := range map[string]string{
-		"":                               "state.folder: is missing",
-		"folder = \"/x\"\ninterval_s=0":  "state.interval_s: 0",
-		"folder = \"/x\"\ninterval_s=-5": "state.interval_s: -5",
-		"folder = \"/x\"\nspeed=1":       "state.speed: is not known",
+		"":                               "state.folder: missing, want the path of a folder",
+		"folder = \"/x\"\ninterval_s=0":  "state.interval_s: 0 not allowed, want 0.5 to 3600",
+		"folder = \"/x\"\ninterval_s=-5": "state.interval_s: -5 not allowed, want 0.5 to 3600",
+		"folder = \"/x\"\nspeed=1":       "state.speed: unknown key not allowed, want one of folder, interval_s",
 	} {
 		p := newPlayer(t)
 		p.config = filepath.Join(t.TempDir(), "config.json")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,98 +1,70 @@
-// Package config alone reads, checks and defaults the configuration. Its errors name the faulty key.
+// Package config alone reads, checks and defaults the configuration: the file of PROXY_CONFIG with its environment, the
+// operator files that switch features on, and the documents of revisions. Errors are of type *KeyError.
 package config
 
 import (
-	"bytes"
+	"cmp"
 	"encoding/json"
-	"net"
+	"errors"
 	"os"
 	"slices"
 	"strconv"
 	"time"
 
-	"mothrouter/internal/admin"
 	"mothrouter/internal/broker"
 	"mothrouter/internal/decision"
 	"mothrouter/internal/endpoints/discovery"
 )
 
-// Config is all that a broker is told.
+// Config is the configuration of a broker. Make it with Load.
 type Config struct {
-	Name         string
-	Listen       string
-	Discovery    string
-	AdminAddress string // where operators call; "": nowhere
-	AcceptFD     int    // the listening socket that the process inherited; 0: it opens its own
-	Seed         uint64
-	MemoryMB     int
-	Sockets      int
-
-	MaxClientConns   int // client connections held at most; requests need a third of the descriptors
-	MaxIdleConns     int // of them between requests at most
-	MaxServerConns   int // connections to record servers held at most
-	MaxBufferedBytes int // bytes of requests held at most
+	Name         string // of the broker
+	Listen       string // address host:port for clients
+	Discovery    string // address host:port of discovery
+	AdminAddress string // address host:port for operators; "": none
+	AcceptFD     int    // descriptor of the listening socket that the process inherited; 0: it opens its own
+	Seed         uint64 // of random numbers
+	MemoryMB     int    // limit of memory, in MiB
+	Sockets      int    // limit of descriptors
+
+	MaxClientConns   int // client connections
+	MaxIdleConns     int // client connections that wait for their next request
+	MaxServerConns   int // connections to record servers
+	MaxBufferedBytes int // bytes of requests in flight
 
 	Settings        decision.Settings
-	Classes         map[string]int // class by name
+	Classes         map[string]int // index in Settings.Classes by name
 	NameTable       discovery.NameTable
-	CachedEndpoints broker.EndpointUpdate // the list as last known
-	CachedVersion   int64                 // its version
+	CachedEndpoints broker.EndpointUpdate // the endpoint list that the file holds, perhaps an old one
+	CachedVersion   int64                 // of CachedEndpoints
 
-	ConcurrencyLimit int
-	Shards           int
-	MaxStreams       int
-	ConnIdleTimeout  time.Duration
-	ConnectTimeout   time.Duration
+	ConcurrencyLimit int           // queries and parts in flight; 0: no limit
+	Shards           int           // number of shards
+	MaxStreams       int           // calls in flight on a connection to a record server
+	ConnIdleTimeout  time.Duration // of a connection to a record server
+	ConnectTimeout   time.Duration // of a connection to a record server
 
 	getenv func(string) string
 	file   mainFile // as read
 }
 
 const (
-	defaultMemoryMB  = 192
-	defaultSockets   = 1024
-	minMemoryMB      = 16
-	minSockets       = 64
-	maxSockets       = 1 << 20
-	maxMemoryMB      = 1 << 20
-	firstInheritedFD = 3   // behind the standard streams
-	maxSeconds       = 1e6 // of any time
-
-	idleFraction       = 1. / 6 // of the descriptors: half of what clients hold at most for requests
-	spareFraction      = 1. / 8 // of the descriptors, for the watch, the listener and what just closes,
-	minSpare           = 16     // and so many at least: 6 of the process, 4 calls to discovery, 1 accepted, 4 turned away
-	minClientConns     = 8      // connections of clients
-	serverFraction     = 3. / 8 // of the descriptors at least; clients have the rest
-	maxServerFraction  = 1. / 2 // of the descriptors, where there are more servers than that
-	connsPerReplicaSet = 9. / 8 // of the cells: a server has one, and parts that must not run twice go alone
-	bufferFraction     = 1. / 8 // of the memory
+	defaultMemoryMB       = 192
+	defaultSockets        = 1024
+	defaultConnIdle       = 15 * time.Second
+	defaultConnectTimeout = 250 * time.Millisecond
+	defaultMaxStreams     = 1
+
+	firstInheritedFD = 3   // after the standard streams
+	maxSeconds       = 1e6 // of any time in the settings: eleven days, far below an overflow of time.Duration
 )
 
-// ClassDeadlines is, by class, how long a client waits that does not say so.
-func (c *Config) ClassDeadlines() (p []time.Duration) {
-	for _, class := range c.Settings.Classes {
-		p = append(p, time.Duration(class.Deadline*float64(time.Second)))
-	}
-	return p
-}
-
-// LongestDeadline is the longest time that a client waits, by the settings.
-func (c *Config) LongestDeadline() time.Duration { return slices.Max(c.ClassDeadlines()) }
-
-// OverloadRetryAfter is when a client that finds no room should come back; 0: the settings have no such word.
-func (c *Config) OverloadRetryAfter() float64 {
-	if c.Settings.RetryAfterSupported {
-		return c.Settings.MaxRetryAfter
-	}
-	return 0
-}
-
-// mainFile is PROXY_CONFIG.
+// mainFile is the file of PROXY_CONFIG.
 type mainFile struct {
 	Name    string `json:"name"`
 	Listen  string `json:"listen"`
 	Control string `json:"control"`
-	Seed    string `json:"seed"`
+	Seed    string `json:"seed"` // up to 16 hex digits
 	Limits  struct {
 		MemoryMB *int `json:"memory_mb"`
 		Sockets  *int `json:"sockets"`
@@ -101,35 +73,35 @@
 	revisableKeys
 }
 
-// revisableKeys is what PROXY_CONFIG and a revision's document have in common.
+// revisableKeys are the keys that the file of PROXY_CONFIG shares with the document of a revision.
 type revisableKeys struct {
 	Discovery string          `json:"discovery"`
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// defaults is a configuration that says nothing.
+// defaults returns a configuration without any key set.
 func defaults() *Config {
 	return &Config{
 		MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
-		ConnIdleTimeout: 15 * time.Second, ConnectTimeout: 250 * time.Millisecond, MaxStreams: 1,
+		ConnIdleTimeout: defaultConnIdle, ConnectTimeout: defaultConnectTimeout, MaxStreams: defaultMaxStreams,
 	}
 }
 
-// Load reads the environment, by getenv, and the file that PROXY_CONFIG names. The environment's name and addresses win over
-// the file's. Its errors name the key.
+// Load reads the environment, by getenv, and the file that PROXY_CONFIG names. The environment's name and addresses take
+// precedence over the file's. Errors are of type *KeyError.
 func Load(getenv func(string) string) (*Config, error) {
-	f, err := readMainFile(getenv("PROXY_CONFIG"))
+	file, err := readMainFile(getenv("PROXY_CONFIG"))
 	if err != nil {
 		return nil, err
 	}
 	c := defaults()
-	c.getenv, c.file = getenv, f
+	c.getenv, c.file = getenv, file
 	for _, step := range []func() error{c.readAddresses, c.readAcceptFD, c.readSeed, c.readLimits} {
 		if err := step(); err != nil {
 			return nil, err
 		}
 	}
-	if err := c.readSettings(f.Settings); err != nil {
+	if err := c.readSettings(file.Settings); err != nil {
 		return nil, err
 	}
 	c.divideDescriptors()
@@ -140,30 +112,26 @@
 }
 
 // readMainFile reads the file that PROXY_CONFIG names.
-func readMainFile(path string) (f mainFile, err error) {
+func readMainFile(path string) (file mainFile, err error) {
 	if path == "" {
-		return f, keyError("PROXY_CONFIG", "is not set")
+		return file, missingKey("PROXY_CONFIG", "the path of a JSON file")
 	}
 	text, err := os.ReadFile(path)
-	if err == nil {
-		err = json.Unmarshal(text, &f)
-	}
 	if err != nil {
-		return f, keyError("PROXY_CONFIG", "%v", err)
+		return file, unreadable("PROXY_CONFIG", path, "a readable file", err)
+	}
+	if err := json.Unmarshal(text, &file); err != nil {
+		return file, unreadable("PROXY_CONFIG", path, "a JSON file with values of the right types", err)
 	}
-	return f, nil
+	return file, nil
 }
 
-// readAddresses takes the name and the addresses.
+// readAddresses sets the name and the addresses.
 func (c *Config) readAddresses() error {
-	c.Name, c.Listen, c.Discovery, c.AdminAddress = c.file.Name, c.file.Listen, c.file.Discovery, c.file.Control
-	for key, v := range map[string]*string{
-		"PROXY_NAME": &c.Name, "PROXY_LISTEN": &c.Listen, "PROXY_DISCOVERY": &c.Discovery, "PROXY_CONTROL": &c.AdminAddress,
-	} {
-		if s := c.getenv(key); s != "" {
-			*v = s
-		}
-	}
+	c.Name = c.firstSet("PROXY_NAME", c.file.Name)
+	c.Listen = c.firstSet("PROXY_LISTEN", c.file.Listen)
+	c.Discovery = c.firstSet("PROXY_DISCOVERY", c.file.Discovery)
+	c.AdminAddress = c.firstSet("PROXY_CONTROL", c.file.Control)
 	if err := checkAddr("listen", c.Listen); err != nil {
 		return err
 	}
@@ -176,63 +144,43 @@
 	return checkAddr("control", c.AdminAddress)
 }
 
-// readAcceptFD takes the inherited listening socket.
-func (c *Config) readAcceptFD() (err error) {
-	fd := c.getenv("PROXY_ACCEPT_FD")
-	if fd == "" {
-		return nil
-	}
-	if c.AcceptFD, err = strconv.Atoi(fd); err != nil || c.AcceptFD < firstInheritedFD {
-		return keyError("PROXY_ACCEPT_FD", "%q is no descriptor that a process can inherit", fd)
-	}
-	return nil
+// firstSet returns the value of an environment variable, or that of the file if the variable is not set.
+func (c *Config) firstSet(variable, fromFile string) string {
+	return cmp.Or(c.getenv(variable), fromFile)
 }
 
-// readSeed takes the seed of random numbers.
-func (c *Config) readSeed() (err error) {
-	if c.file.Seed == "" {
+// readAcceptFD sets the descriptor of the inherited listening socket.
+func (c *Config) readAcceptFD() error {
+	text := c.getenv("PROXY_ACCEPT_FD")
+	if text == "" {
 		return nil
 	}
-	if c.Seed, err = strconv.ParseUint(c.file.Seed, 16, 64); err != nil {
-		return keyError("seed", "cannot read %q as 16 hex digits", c.file.Seed)
+	fd, err := strconv.Atoi(text)
+	if err != nil || fd < firstInheritedFD {
+		return notAllowed("PROXY_ACCEPT_FD", text, "a descriptor that a process can inherit, %d or more", firstInheritedFD)
 	}
+	c.AcceptFD = fd
 	return nil
 }
 
-// readLimits takes the limits of memory and descriptors.
-func (c *Config) readLimits() error {
-	if n := c.file.Limits.MemoryMB; n != nil {
-		if c.MemoryMB = *n; *n < minMemoryMB || *n > maxMemoryMB {
-			return keyError("limits.memory_mb", "%d is outside %d to %d", *n, minMemoryMB, maxMemoryMB)
-		}
+// readSeed sets the seed of random numbers.
+func (c *Config) readSeed() error {
+	if c.file.Seed == "" {
+		return nil
 	}
-	if n := c.file.Limits.Sockets; n != nil {
-		if c.Sockets = *n; *n < minSockets || *n > maxSockets {
-			return keyError("limits.sockets", "%d is outside %d to %d", *n, minSockets, maxSockets)
-		}
+	seed, err := strconv.ParseUint(c.file.Seed, 16, 64)
+	if err != nil {
+		return notAllowed("seed", c.file.Seed, "up to 16 hex digits")
 	}
-	c.MaxBufferedBytes = int(bufferFraction * float64(c.MemoryMB<<20))
+	c.Seed = seed
 	return nil
 }
 
-// divideDescriptors divides the descriptors over clients and record servers. A query may go to all servers at once: it
-// guards against a fleet where some stay without a connection.
-func (c *Config) divideDescriptors() {
-	all := float64(c.Sockets)
-	wanted := max(serverFraction*all, connsPerReplicaSet*float64(c.Settings.ReplicaSets))
-	c.MaxServerConns = int(min(wanted, maxServerFraction*all))
-	c.MaxClientConns = min(int((1-spareFraction)*all), c.Sockets-minSpare) - c.MaxServerConns
-	if c.AdminAddress != "" {
-		c.MaxClientConns = max(c.MaxClientConns-admin.Callers, minClientConns)
-	}
-	c.MaxIdleConns = min(int(idleFraction*all), c.MaxClientConns/2)
-}
-
-// readCachedEndpoints takes the endpoint list as last known.
+// readCachedEndpoints sets the endpoint list that the file holds.
 func (c *Config) readCachedEndpoints() (err error) {
 	if c.file.Known != nil {
 		if c.CachedEndpoints, err = c.NameTable.EndpointUpdate(*c.file.Known); err != nil {
-			return keyError("known", "%v", err)
+			return cachedEndpointsError(err)
 		}
 		c.CachedVersion = c.file.Known.Version
 	}
@@ -240,44 +188,30 @@
 	return nil
 }
 
-// Reload reads the file again and checks it whole. In a running broker only discovery can change; what else
-// differs is named and waits for a start. An address that the file has changed wins over the environment's,
-// which is that of the start. After an error the old configuration holds.
-func (c *Config) Reload() (next *Config, waiting []string, err error) {
-	n, err := Load(c.getenv)
-	if err != nil {
-		return nil, nil, err
+// cachedEndpointsError names the key of an endpoint that is not allowed.
+func cachedEndpointsError(err error) error {
+	if fault := (*discovery.EntryError)(nil); errors.As(err, &fault) {
+		return notAllowed("known."+fault.Key, fault.Value, "%s", fault.Allowed)
 	}
-	held := *c
-	if n.file.Discovery != c.file.Discovery {
-		if err := checkAddr("discovery", n.file.Discovery); err != nil {
-			return nil, nil, err
-		}
-		held.Discovery, held.file.Discovery = n.file.Discovery, n.file.Discovery
-	}
-	for _, d := range []struct {
-		key     string
-		differs bool
-	}{
-		{"name", n.Name != c.Name},
-		{"listen", n.Listen != c.Listen},
-		{"control", n.AdminAddress != c.AdminAddress},
-		{"limits", n.MemoryMB != c.MemoryMB || n.Sockets != c.Sockets},
-		{"settings", !bytes.Equal(n.file.Settings, c.file.Settings)},
-	} {
-		if d.differs {
-			waiting = append(waiting, d.key)
-		}
-	}
-	return &held, waiting, nil
+	return unreadable("known", entryCount(0), "an endpoint list", err)
 }
 
-func checkAddr(key, addr string) error {
-	if addr == "" {
-		return keyError(key, "is missing")
+// ClassDeadlines returns, by class, the deadline of a query whose client names none.
+func (c *Config) ClassDeadlines() []time.Duration {
+	var deadlines []time.Duration
+	for _, class := range c.Settings.Classes {
+		deadlines = append(deadlines, seconds(class.Deadline))
 	}
-	if _, _, err := net.SplitHostPort(addr); err != nil {
-		return keyError(key, "%v", err)
+	return deadlines
+}
+
+// LongestDeadline returns the longest deadline of a class.
+func (c *Config) LongestDeadline() time.Duration { return slices.Max(c.ClassDeadlines()) }
+
+// OverloadRetryAfter returns the Retry-After of an answer over capacity, in seconds; 0: the platform has no Retry-After.
+func (c *Config) OverloadRetryAfter() float64 {
+	if c.Settings.RetryAfterSupported {
+		return c.Settings.MaxRetryAfter
 	}
-	return nil
+	return 0
 }
--- /dev/null
+++ b/internal/config/controlmachine.go
@@ -0,0 +1,225 @@
+package config
+
+import (
+	"fmt"
+	"net/netip"
+	"time"
+
+	"mothrouter/internal/cluster/plane"
+)
+
+// ControlMachine is the file of a control machine.
+type ControlMachine struct {
+	Fleet        string          // name of the fleet; its fingerprint marks the messages of members
+	Name         string          // of this machine among the members
+	Listen       netip.AddrPort  // for brokers and operators
+	ListenPeers  netip.AddrPort  // for the other members
+	Folder       string          // of the replicated log
+	PromoteAfter time.Duration   // silence of a voter after which the spare takes its place
+	Members      []ControlMember // an odd number of voters and at most one spare
+}
+
+// ControlMember is one of the control machines of a fleet.
+type ControlMember struct {
+	Name        string
+	ID          uint64         // in the replicated log, from 1
+	Address     netip.AddrPort // for brokers and operators
+	PeerAddress netip.AddrPort // for the other members
+	Region      string
+	Voter       bool // false: the spare
+}
+
+// Self returns the member that this machine is.
+func (c *ControlMachine) Self() ControlMember {
+	for _, member := range c.Members {
+		if member.Name == c.Name {
+			return member
+		}
+	}
+	panic("config: a control machine that is no member") // LoadControlMachine rejects such a file
+}
+
+const (
+	minPromoteAfter     = 5.0     // seconds: ten elections
+	maxPromoteAfter     = 86400.0 // seconds
+	defaultPromoteAfter = 60.0    // seconds
+	maxVoters           = 7       // more make a quorum slower without making it safer in practice
+)
+
+// Roles of a member in the file.
+const (
+	roleVoter = "voter"
+	roleSpare = "spare"
+)
+
+// controlFile is the file as written.
+type controlFile struct {
+	Fleet        string              `toml:"fleet"`
+	Name         string              `toml:"name"`
+	Listen       string              `toml:"listen"`
+	ListenPeers  string              `toml:"listen_peers"`
+	Folder       string              `toml:"folder"`
+	PromoteAfter float64             `toml:"promote_after_s"`
+	Members      []controlFileMember `toml:"members"`
+}
+
+type controlFileMember struct {
+	Name        string `toml:"name"`
+	ID          uint64 `toml:"id"`
+	Address     string `toml:"address"`
+	PeerAddress string `toml:"peer_address"`
+	Region      string `toml:"region"`
+	Role        string `toml:"role"`
+}
+
+// LoadControlMachine reads the file of a control machine. Errors are of type *KeyError.
+func LoadControlMachine(path string) (*ControlMachine, error) {
+	file := controlFile{PromoteAfter: defaultPromoteAfter}
+	if err := decodeTOML("control", path, &file); err != nil {
+		return nil, err
+	}
+	if file.Fleet == "" {
+		return nil, missingKey("control.fleet", allowedText)
+	}
+	if file.Folder == "" {
+		return nil, missingKey("control.folder", "the path of a folder")
+	}
+	if err := checkRange("control.promote_after_s", file.PromoteAfter, minPromoteAfter, maxPromoteAfter); err != nil {
+		return nil, err
+	}
+	machine := &ControlMachine{
+		Fleet: file.Fleet, Name: file.Name, Folder: file.Folder, PromoteAfter: seconds(file.PromoteAfter),
+	}
+	if err := machine.readListenAddresses(&file); err != nil {
+		return nil, err
+	}
+	if err := machine.readMembers(file.Members); err != nil {
+		return nil, err
+	}
+	return machine, nil
+}
+
+// readListenAddresses sets Listen and ListenPeers.
+func (c *ControlMachine) readListenAddresses(file *controlFile) (err error) {
+	if c.Listen, err = parseAddrPort("control.listen", file.Listen); err != nil {
+		return err
+	}
+	if c.ListenPeers, err = parseAddrPort("control.listen_peers", file.ListenPeers); err != nil {
+		return err
+	}
+	if c.ListenPeers == c.Listen {
+		return notAllowed("control.listen_peers", c.ListenPeers, "an address other than control.listen")
+	}
+	return nil
+}
+
+// readMembers sets Members, one of which must have this machine's name.
+func (c *ControlMachine) readMembers(rows []controlFileMember) (err error) {
+	if c.Members, err = parseControlMembers(rows); err != nil {
+		return err
+	}
+	for _, member := range c.Members {
+		if member.Name == c.Name {
+			return nil
+		}
+	}
+	return notAllowed("control.name", c.Name, "the name of one of control.members")
+}
+
+// parseControlMembers checks each member alone, then all together.
+func parseControlMembers(rows []controlFileMember) ([]ControlMember, error) {
+	if len(rows) == 0 {
+		return nil, missingKey("control.members", "at least one member")
+	}
+	var members []ControlMember
+	for i, row := range rows {
+		key := fmt.Sprintf("control.members[%d]", i)
+		member, err := parseControlMember(key, row)
+		if err != nil {
+			return nil, err
+		}
+		if err := checkDistinct(key, member, members); err != nil {
+			return nil, err
+		}
+		members = append(members, member)
+	}
+	return members, checkRoles(members)
+}
+
+// checkDistinct returns the error of a member that has a name, id or address of an earlier one.
+func checkDistinct(key string, member ControlMember, earlier []ControlMember) error {
+	for _, other := range earlier {
+		switch {
+		case other.Name == member.Name:
+			return notAllowed(key+".name", member.Name, allowedOnce)
+		case other.ID == member.ID:
+			return notAllowed(key+".id", member.ID, allowedOnce)
+		case other.Address == member.Address:
+			return notAllowed(key+".address", member.Address, allowedOnce)
+		case other.PeerAddress == member.PeerAddress:
+			return notAllowed(key+".peer_address", member.PeerAddress, allowedOnce)
+		}
+	}
+	return nil
+}
+
+// checkRoles returns the error of members whose voters or spares are too many, or whose voters can tie.
+func checkRoles(members []ControlMember) error {
+	voters := 0
+	for _, member := range members {
+		if member.Voter {
+			voters++
+		}
+	}
+	if spares := len(members) - voters; spares > 1 {
+		return notAllowed("control.members", memberCount{spares, roleSpare}, "at most one")
+	}
+	if voters%2 == 0 || voters > maxVoters {
+		return notAllowed("control.members", memberCount{voters, roleVoter}, "an odd number, at most %d", maxVoters)
+	}
+	return nil
+}
+
+// memberCount is the number of members with a role, in place of a value.
+type memberCount struct {
+	count int
+	role  string
+}
+
+// String returns the count with the role.
+func (m memberCount) String() string { return fmt.Sprintf("%d members with role %s", m.count, m.role) }
+
+// parseControlMember checks the member whose keys begin with key.
+func parseControlMember(key string, row controlFileMember) (ControlMember, error) {
+	member := ControlMember{Name: row.Name, ID: row.ID, Region: row.Region, Voter: row.Role == roleVoter}
+	if err := checkName(key+".name", row.Name, plane.MaxNameLength); err != nil {
+		return member, err
+	}
+	if row.ID == 0 {
+		return member, missingKey(key+".id", "1 or more")
+	}
+	if row.Region == "" {
+		return member, missingKey(key+".region", allowedText)
+	}
+	if row.Role != roleVoter && row.Role != roleSpare {
+		return member, notAllowed(key+".role", row.Role, "%s or %s", roleVoter, roleSpare)
+	}
+	var err error
+	if member.Address, err = parseReachableAddr(key+".address", row.Address); err != nil {
+		return member, err
+	}
+	member.PeerAddress, err = parseReachableAddr(key+".peer_address", row.PeerAddress)
+	return member, err
+}
+
+// parseReachableAddr parses an address to which other machines connect.
+func parseReachableAddr(key, text string) (netip.AddrPort, error) {
+	address, err := parseAddrPort(key, text)
+	if err != nil {
+		return address, err
+	}
+	if address.Addr().IsUnspecified() || address.Port() == 0 {
+		return address, notAllowed(key, address, "an address IP:port that others can reach")
+	}
+	return address, nil
+}
--- a/internal/config/cores.go
+++ b/internal/config/cores.go
@@ -1,43 +1,27 @@
 package config
 
-import (
-	"os"
-
-	"github.com/BurntSushi/toml"
-)
-
 const (
 	maxWorkers       = 64
-	memoryPerWorker  = 8  // MB: a loop, its Decider and what it holds of 200 servers and a full open cap
-	socketsPerWorker = 32 // clients and record servers for what one worker can hold
+	memoryPerWorker  = 8  // MB: a loop, its Decider and their state of 200 servers at the full concurrency limit
+	socketsPerWorker = 32 // descriptors: the clients and record servers that keep one worker busy
 )
 
-// LoadCores reads the file that switches several cores on, and returns how many workers there are.
+// LoadCores reads the operator file that switches several cores on, and returns the number of workers: 1 or more, as many as
+// the limits of memory and descriptors allow. Errors are of type *KeyError.
 func LoadCores(path string, c *Config) (workers int, err error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return 0, keyError("cores", "%v", err)
-	}
-	var f struct {
+	var file struct {
 		Workers *int `toml:"workers"`
 	}
-	md, err := toml.Decode(string(text), &f)
-	if err != nil {
-		return 0, keyError("cores", "%s: %v", path, err)
-	}
-	if odd := md.Undecoded(); len(odd) > 0 {
-		return 0, keyError("cores."+odd[0].String(), "is not known")
+	if err := decodeTOML("cores", path, &file); err != nil {
+		return 0, err
 	}
-	if f.Workers == nil {
-		return 0, keyError("cores.workers", "is missing")
+	limit := min(maxWorkers, c.MemoryMB/memoryPerWorker, c.Sockets/socketsPerWorker)
+	if file.Workers == nil {
+		return 0, missingKey("cores.workers", "a number of workers")
 	}
-	fits := min(maxWorkers, c.MemoryMB/memoryPerWorker, c.Sockets/socketsPerWorker)
-	switch n := *f.Workers; {
-	case n < 1:
-		return 0, keyError("cores.workers", "%d is below 1", n)
-	case n > fits:
-		return 0, keyError("cores.workers", "%d is too many: limits.memory_mb %d, limits.sockets %d and the most there can be bear %d",
-			n, c.MemoryMB, c.Sockets, fits)
+	if workers = *file.Workers; workers < 1 || workers > limit {
+		return 0, notAllowed("cores.workers", workers, "1 to %d, by limits.memory_mb %d, limits.sockets %d and at most %d",
+			limit, c.MemoryMB, c.Sockets, maxWorkers)
 	}
-	return *f.Workers, nil
+	return workers, nil
 }
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -5,8 +5,6 @@
 	"encoding/json"
 	"errors"
 	"fmt"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 
@@ -32,8 +30,8 @@
 	t.Helper()
 	var e *config.KeyError
 	require.True(t, errors.As(err, &e), "%v", err)
-	require.Equal(t, key, e.Key, e.Reason)
-	require.NotEmpty(t, e.Reason)
+	require.Equal(t, key, e.Key, e.Reason())
+	require.NotEmpty(t, e.Allowed, e.Reason())
 }
 
 func TestParseDocumentReadsClassesAndLimit(t *testing.T) {
@@ -47,7 +45,7 @@
 	require.Equal(t, d.ConcurrencyLimit, change.ConcurrencyLimit)
 }
 
-// The document of the file that a broker was started with is the one that says the same.
+// The document of the file of the start equals a document with the same keys.
 func TestConfigDocumentEqualsItsFile(t *testing.T) {
 	for _, c := range []struct {
 		env  map[string]string
@@ -95,14 +93,14 @@
 		{`"racks":[1,2]`, `"racks":[1,{"a":1,"a":2}]`, "settings.site.racks[1].a"},
 		{`"name":"d"`, `"name":"d","worth":1,"worth":2`, "settings.classes[1].worth"},
 		{`"openCap":9`, `"openCap":-9`, "settings.caps.openCap"},
-		{`"openCap":9`, `"openCap":9.5`, "settings"},
+		{`"openCap":9`, `"openCap":9.5`, "settings.caps.openCap"},
 		{`"deadlineS":3`, `"deadlineS":0`, "settings.classes[1].deadlineS"},
 		{`"deadlineS":3`, `"deadlineS":1e7`, "settings.classes[1].deadlineS"},
-		{`"deadlineS":3`, `"deadlineS":1e999`, "settings"},
+		{`"deadlineS":3`, `"deadlineS":1e999`, "settings.classes.deadlineS"},
 		{`"deadlineS":3`, `"deadlineS":NaN`, "document"},
 		{`"objectiveS":1,"worth"`, `"objectiveS":-1,"worth"`, "settings.classes[0].objectiveS"},
 		{`"name":"d"`, `"name":"c"`, "settings.classes[1].name"},
-		{`"semantics":"guarded"`, `"semantics":"odd"`, "settings"},
+		{`"semantics":"guarded"`, `"semantics":"odd"`, "settings.classes[1].semantics"},
 		{`"cells":4`, `"cells":0`, "settings.familyInfo.cells"},
 	} {
 		require.Contains(t, validDocument, c.old)
@@ -112,7 +110,7 @@
 	}
 }
 
-// What may change in service does, in any way; the rest is refused by the first key that differs.
+// Keys that may differ in service may differ in any way; the error of others names the first key that differs.
 func TestCheckChangeFromNamesTheKey(t *testing.T) {
 	for _, c := range []struct{ old, new, key string }{
 		{validDocument, validDocument, ""},
@@ -161,7 +159,7 @@
 	requireKey(t, parseDocument(t, larger).CheckChangeFrom(parseDocument(t, large)), "settings.site.racks[0]")
 }
 
-// Of several differences the first by key is named, whatever the order in the text.
+// Of several differences the error names the first in the order of keys, whatever the order in the text.
 func TestCheckChangeFromNamesTheFirstKey(t *testing.T) {
 	is := strings.NewReplacer(`"cells":4`, `"cells":5`, `"sendCap":4`, `"sendCap":5`, `"windowS":2`, `"windowS":3`).
 		Replace(validDocument)
@@ -170,7 +168,7 @@
 	}
 }
 
-// loadTree is PROXY_CONFIG with a document's discovery and settings.
+// loadTree loads a file of PROXY_CONFIG with a document's discovery and settings.
 func loadTree(t testing.TB, tree map[string]any) (*config.Config, error) {
 	all := map[string]any{"listen": "127.0.0.1:1"}
 	for key, value := range tree {
@@ -178,13 +176,12 @@
 	}
 	text, err := json.Marshal(all)
 	require.NoError(t, err)
-	path := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(path, text, 0o600))
+	path := tempFile(t, string(text))
 	return config.Load(func(key string) string { return map[string]string{"PROXY_CONFIG": path}[key] })
 }
 
-// A document that is taken loads as a file's discovery and settings, with the same classes and cap; and what a file
-// loads is taken as a document.
+// A document that is accepted loads as a file's discovery and settings, with the same classes and concurrency limit, and a
+// file that loads is accepted as a document.
 func FuzzDocument(f *testing.F) {
 	f.Add([]byte(validDocument))
 	for _, r := range [][2]string{
@@ -260,3 +257,18 @@
 	}
 	return false
 }
+
+// The errors of changes show the value of the start and the new one.
+func TestCheckChangeFromShowsBothValues(t *testing.T) {
+	for _, c := range []struct{ old, new, want string }{
+		{`"sendCap":4`, `"sendCap":5`, "settings.caps.sendCap: 5 not allowed, want 4 until a restart"},
+		{`"name":"d"`, `"name":"e"`, `settings.classes[1].name: "e" not allowed, want "d" until a restart`},
+		{`"semantics":"guarded",`, ``, `settings.classes[1].semantics: missing, want "guarded" until a restart`},
+		{`"windowS":2`, `"windowS":2,"aimStretch":1`, "settings.classes[1].aimStretch: 1 not allowed, want no such key until a restart"},
+		{`"zones":["a","b"]`, `"zones":["a"]`, "settings.zones: 1 entry not allowed, want 2 entries until a restart"},
+		{`"racks":[1,2]`, `"racks":{}`, "settings.site.racks: an object not allowed, want an array until a restart"},
+	} {
+		changed := parseDocument(t, strings.Replace(validDocument, c.old, c.new, 1))
+		require.EqualError(t, changed.CheckChangeFrom(parseDocument(t, validDocument)), c.want)
+	}
+}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -1,69 +1,95 @@
 package config
 
 import (
+	"fmt"
 	"net/netip"
-	"os"
-
-	"github.com/BurntSushi/toml"
 
 	"mothrouter/internal/cluster/plane"
 )
 
-// Fleet is the file that switches the plane between brokers on.
+// Fleet is the operator file that has a broker join the membership of its fleet.
 type Fleet struct {
-	Fleet     string
-	Name      string
-	Listen    netip.AddrPort
-	Advertise netip.AddrPort // the zero one: Listen
-	Seeds     []netip.AddrPort
+	Fleet     string           // name of the fleet; datagrams of others are dropped
+	Name      string           // of the broker, unique in the fleet
+	Listen    netip.AddrPort   // for the datagrams of other brokers
+	Advertise netip.AddrPort   // the address that others send to; the zero value: Listen
+	Seeds     []netip.AddrPort // brokers to join by; at least one
+}
+
+// fleetFile is the fleet file as written.
+type fleetFile struct {
+	Fleet     string   `toml:"fleet"`
+	Name      string   `toml:"name"`
+	Listen    string   `toml:"listen"`
+	Advertise string   `toml:"advertise"`
+	Seeds     []string `toml:"seeds"`
 }
 
-// LoadFleet reads the fleet file. The broker's name is that of the configuration unless the file names another.
+// LoadFleet reads the fleet file. The broker's name is that of the configuration unless the file has another. Errors are of
+// type *KeyError.
 func LoadFleet(path string, c *Config) (*Fleet, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, keyError("fleet", "%v", err)
+	file := fleetFile{Name: c.Name}
+	if err := decodeTOML("fleet", path, &file); err != nil {
+		return nil, err
 	}
-	f := struct {
-		Fleet     string   `toml:"fleet"`
-		Name      string   `toml:"name"`
-		Listen    string   `toml:"listen"`
-		Advertise string   `toml:"advertise"`
-		Seeds     []string `toml:"seeds"`
-	}{Name: c.Name}
-	md, err := toml.Decode(string(text), &f)
-	if err != nil {
-		return nil, keyError("fleet", "%s: %v", path, err)
+	if file.Fleet == "" {
+		return nil, missingKey("fleet.fleet", allowedText)
 	}
-	if odd := md.Undecoded(); len(odd) > 0 {
-		return nil, keyError("fleet."+odd[0].String(), "is not known")
+	if err := checkName("fleet.name", file.Name, plane.MaxNameLength); err != nil {
+		return nil, err
 	}
-	if f.Fleet == "" {
-		return nil, keyError("fleet.fleet", "is missing")
+	fleet := &Fleet{Fleet: file.Fleet, Name: file.Name}
+	if err := fleet.readAddresses(&file); err != nil {
+		return nil, err
 	}
-	if f.Name == "" || len(f.Name) > plane.MaxNameLength {
-		return nil, keyError("fleet.name", "%q is empty or longer than %d bytes", f.Name, plane.MaxNameLength)
+	if err := fleet.readSeeds(file.Seeds); err != nil {
+		return nil, err
 	}
-	out := &Fleet{Fleet: f.Fleet, Name: f.Name}
-	if out.Listen, err = netip.ParseAddrPort(f.Listen); err != nil {
-		return nil, keyError("fleet.listen", "%v", err)
+	return fleet, nil
+}
+
+// readAddresses sets Listen and Advertise.
+func (f *Fleet) readAddresses(file *fleetFile) (err error) {
+	if f.Listen, err = parseAddrPort("fleet.listen", file.Listen); err != nil {
+		return err
 	}
-	if f.Advertise != "" {
-		if out.Advertise, err = netip.ParseAddrPort(f.Advertise); err != nil {
-			return nil, keyError("fleet.advertise", "%v", err)
-		}
-	} else if out.Listen.Addr().IsUnspecified() {
-		return nil, keyError("fleet.advertise", "is missing: others cannot reach %v", out.Listen)
+	if file.Advertise != "" {
+		f.Advertise, err = parseAddrPort("fleet.advertise", file.Advertise)
+		return err
 	}
-	if len(f.Seeds) == 0 {
-		return nil, keyError("fleet.seeds", "is missing or empty: the first broker names itself")
+	if f.Listen.Addr().IsUnspecified() {
+		return missingKey("fleet.advertise", fmt.Sprintf("an address that others can reach, as fleet.listen is %v", f.Listen))
 	}
-	for _, s := range f.Seeds {
-		a, err := netip.ParseAddrPort(s)
+	return nil
+}
+
+// readSeeds sets Seeds.
+func (f *Fleet) readSeeds(seeds []string) error {
+	if len(seeds) == 0 {
+		return missingKey("fleet.seeds", "at least one address IP:port; the first broker lists itself")
+	}
+	for i, seed := range seeds {
+		addr, err := parseAddrPort(fmt.Sprintf("fleet.seeds[%d]", i), seed)
 		if err != nil {
-			return nil, keyError("fleet.seeds", "%v", err)
+			return err
 		}
-		out.Seeds = append(out.Seeds, a)
+		f.Seeds = append(f.Seeds, addr)
+	}
+	return nil
+}
+
+// checkName returns the error of a name that is empty or longer than maxLength bytes.
+func checkName(key, name string, maxLength int) error {
+	if name == "" {
+		return missingKey(key, fmt.Sprintf("1 to %d bytes", maxLength))
+	}
+	return checkNameLength(key, name, maxLength)
+}
+
+// checkNameLength returns the error of a name that is longer than maxLength bytes.
+func checkNameLength(key, name string, maxLength int) error {
+	if len(name) > maxLength {
+		return notAllowed(key, name, "at most %d bytes", maxLength)
 	}
-	return out, nil
+	return nil
 }
--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -1,49 +1,48 @@
 package config
 
-import (
-	"os"
+import "fmt"
 
-	"github.com/BurntSushi/toml"
-)
-
-// Flight is the file that switches Arrow Flight on.
+// Flight is the operator file that switches Arrow Flight on.
 type Flight struct {
-	Listen      string   `toml:"listen"`
-	Servers     []string `toml:"servers"`     // ids of record servers that speak Flight
-	Connections int      `toml:"connections"` // of clients, at most
-	ServerConns int      `toml:"-"`           // to those servers, at most
+	Listen      string   `toml:"listen"`      // address host:port for clients
+	Servers     []string `toml:"servers"`     // ids of the record servers that speak Flight
+	Connections int      `toml:"connections"` // maximum number of clients' connections
+	ServerConns int      `toml:"-"`           // maximum number of connections to those servers
 }
 
-// LoadFlight reads the Flight file. The descriptors that it takes are taken off those of c's clients and servers.
+// defaultFlightConnections is Flight.Connections where the file does not set it.
+const defaultFlightConnections = 64
+
+// LoadFlight reads the Flight file and takes the descriptors that Flight needs off c's. Errors are of type *KeyError.
 func LoadFlight(path string, c *Config) (*Flight, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, keyError("flight", "%v", err)
-	}
-	f := &Flight{Connections: 64}
-	md, err := toml.Decode(string(text), f)
-	if err != nil {
-		return nil, keyError("flight", "%s: %v", path, err)
-	}
-	if odd := md.Undecoded(); len(odd) > 0 {
-		return nil, keyError("flight."+odd[0].String(), "is not known")
+	f := &Flight{Connections: defaultFlightConnections}
+	if err := decodeTOML("flight", path, f); err != nil {
+		return nil, err
 	}
 	if err := checkAddr("flight.listen", f.Listen); err != nil {
 		return nil, err
 	}
 	for i, id := range f.Servers {
 		if id == "" {
-			return nil, keyError("flight.servers", "entry %d is empty", i)
+			return nil, missingKey(fmt.Sprintf("flight.servers[%d]", i), "the id of a record server")
 		}
 	}
-	if f.Connections < 1 {
-		return nil, keyError("flight.connections", "%d is below 1", f.Connections)
+	if err := f.reserveDescriptors(c); err != nil {
+		return nil, err
 	}
-	if c.MaxClientConns -= f.Connections; c.MaxClientConns < minClientConns {
-		return nil, keyError("flight.connections", "%d is too many: limits.sockets %d leaves none for other clients", f.Connections, c.Sockets)
+	return f, nil
+}
+
+// reserveDescriptors takes the descriptors of Flight's clients and servers off those of c.
+func (f *Flight) reserveDescriptors(c *Config) error {
+	available := c.MaxClientConns - minClientConns
+	if f.Connections < 1 || f.Connections > available {
+		return notAllowed("flight.connections", f.Connections, "1 to %d, by limits.sockets %d", available, c.Sockets)
 	}
+	c.MaxClientConns -= f.Connections
 	c.MaxIdleConns = min(c.MaxIdleConns, c.MaxClientConns/2)
-	f.ServerConns = min(2*len(f.Servers), c.MaxServerConns/2) // one each, and one for what must not wait behind it
+	// Two connections a server: one for all calls, and one for those that must not queue behind them.
+	f.ServerConns = min(2*len(f.Servers), c.MaxServerConns/2)
 	c.MaxServerConns -= f.ServerConns
-	return f, nil
+	return nil
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"encoding/json"
+	"errors"
 	"fmt"
 	"time"
 
@@ -10,13 +11,13 @@
 	"mothrouter/internal/simwire"
 )
 
-// serviceSettings is what a real broker needs of the settings beside what the module does.
+// serviceSettings are the settings that a broker in service needs beyond those of the decision module.
 type serviceSettings struct {
-	Caps struct {
-		OpenCap        int      `json:"openCap"`
-		ConnIdle       *float64 `json:"connIdleS"`
-		ConnectTimeout *float64 `json:"connectTimeoutS"`
-		Streams        *int     `json:"streamsPerConn"`
+	Capabilities struct {
+		ConcurrencyLimit int      `json:"openCap"`
+		ConnIdleTimeout  *float64 `json:"connIdleS"`       // seconds
+		ConnectTimeout   *float64 `json:"connectTimeoutS"` // seconds
+		MaxStreams       *int     `json:"streamsPerConn"`
 	} `json:"caps"`
 	Classes []struct {
 		Name string `json:"name"`
@@ -28,92 +29,120 @@
 	Zones []string `json:"zones"`
 }
 
-// readSettings reads the settings, of which the module's part as the adapter does.
-func (c *Config) readSettings(data json.RawMessage) (err error) {
+const maxTick = 1.0 // seconds
+
+// readSettings sets everything that comes from the settings.
+func (c *Config) readSettings(data json.RawMessage) error {
 	if len(data) == 0 {
-		return keyError("settings", "is missing")
+		return missingKey("settings", "an object")
 	}
+	var err error
 	if c.Settings, err = simwire.ParseSettings(string(data)); err != nil {
-		return keyError("settings", "%v", err)
+		return settingsError(err)
 	}
-	// A part's attempts are never out together here, even where the platform bears it. The module must know: one that
-	// counts on copies waits for them beside an attempt that is lost.
+	// The core never has two attempts of a part in flight, also where the platform allows it. The decision module must know:
+	// with hedging allowed it would wait for a hedged request beside an attempt that is lost.
 	c.Settings.HedgingAllowed = false
 	var s serviceSettings
 	if err := json.Unmarshal(data, &s); err != nil {
-		return keyError("settings", "%v", err)
+		return settingsError(err)
+	}
+	if err := c.readClasses(&s); err != nil {
+		return err
+	}
+	if err := c.checkDecisionSettings(); err != nil {
+		return err
 	}
+	if s.Capabilities.ConcurrencyLimit < 0 {
+		return notAllowed("settings.caps.openCap", s.Capabilities.ConcurrencyLimit, "0 or more")
+	}
+	c.ConcurrencyLimit = s.Capabilities.ConcurrencyLimit
+	c.Shards = s.Family.Shards
+	c.NameTable = discovery.NameTable{Zones: s.Zones, Kinds: s.Kinds}
+	return c.readConnSettings(&s)
+}
+
+// settingsError names the key of settings that cannot be read, where the error has one.
+func settingsError(err error) error {
+	if fault := (*simwire.SettingError)(nil); errors.As(err, &fault) {
+		return notAllowed("settings."+fault.Key, fault.Value, "%s", fault.Allowed)
+	}
+	return jsonError("settings", "settings.", err)
+}
+
+// readClasses sets the classes by name, and checks each.
+func (c *Config) readClasses(s *serviceSettings) error {
 	if len(s.Classes) == 0 {
-		return keyError("settings.classes", "is missing or empty")
+		return missingKey("settings.classes", "at least one class")
 	}
 	c.Classes = map[string]int{}
 	for i, class := range s.Classes {
-		if _, twice := c.Classes[class.Name]; class.Name == "" || twice {
-			return keyError(fmt.Sprintf("settings.classes[%d].name", i), "%q is empty or stands twice", class.Name)
+		key := fmt.Sprintf("settings.classes[%d].name", i)
+		if class.Name == "" {
+			return missingKey(key, allowedText)
+		}
+		if _, exists := c.Classes[class.Name]; exists {
+			return notAllowed(key, class.Name, allowedOnce)
 		}
 		if err := c.checkClass(i); err != nil {
 			return err
 		}
 		c.Classes[class.Name] = i
 	}
-	if c.Settings.ReplicaSets <= 0 || c.Settings.ReplicaSets > maxSockets {
-		return keyError("settings.familyInfo.cells", "%d is outside 1 to %d", c.Settings.ReplicaSets, maxSockets)
-	}
-	if t := c.Settings.Tick; t < 0 || t > 1 {
-		return keyError("settings.tickS", "%g is outside 0 to 1", t)
-	}
-	if t := c.Settings.MaxRetryAfter; t < 0 || t > maxSeconds {
-		return keyError("settings.caps.maxRetryAfterS", "%g is outside 0 to %g", t, maxSeconds)
+	return nil
+}
+
+// checkDecisionSettings checks the decision module's settings that do not belong to a class.
+func (c *Config) checkDecisionSettings() error {
+	if err := checkRange("settings.familyInfo.cells", c.Settings.ReplicaSets, 1, maxSockets); err != nil {
+		return err
 	}
-	if c.ConcurrencyLimit, c.Shards = s.Caps.OpenCap, s.Family.Shards; c.ConcurrencyLimit < 0 {
-		return keyError("settings.caps.openCap", "%d is negative", c.ConcurrencyLimit)
+	if err := checkRange("settings.tickS", c.Settings.Tick, 0, maxTick); err != nil {
+		return err
 	}
-	c.NameTable = discovery.NameTable{Zones: s.Zones, Kinds: s.Kinds}
-	return c.readConnSettings(&s)
+	return checkRange("settings.caps.maxRetryAfterS", c.Settings.MaxRetryAfter, 0, maxSeconds)
 }
 
-// readConnSettings takes what the settings tell of connections to record servers.
+// readConnSettings sets the limits of connections to record servers.
 func (c *Config) readConnSettings(s *serviceSettings) error {
-	if n := s.Caps.Streams; n != nil {
+	if n := s.Capabilities.MaxStreams; n != nil {
 		if c.MaxStreams = *n; *n < 1 {
-			return keyError("settings.caps.streamsPerConn", "%d is below 1", *n)
+			return notAllowed("settings.caps.streamsPerConn", *n, "1 or more")
 		}
 	}
-	for _, d := range []struct {
-		key string
-		v   *float64
-		to  *time.Duration
+	for _, timeout := range []struct {
+		key   string
+		value *float64
+		to    *time.Duration
 	}{
-		{"settings.caps.connIdleS", s.Caps.ConnIdle, &c.ConnIdleTimeout},
-		{"settings.caps.connectTimeoutS", s.Caps.ConnectTimeout, &c.ConnectTimeout},
+		{"settings.caps.connIdleS", s.Capabilities.ConnIdleTimeout, &c.ConnIdleTimeout},
+		{"settings.caps.connectTimeoutS", s.Capabilities.ConnectTimeout, &c.ConnectTimeout},
 	} {
-		if d.v == nil {
+		if timeout.value == nil {
 			continue
 		}
-		if !(*d.v > 0 && *d.v <= maxSeconds) {
-			return keyError(d.key, "%g is outside 0 to %g, or 0", *d.v, maxSeconds)
+		if err := checkPositive(timeout.key, *timeout.value, maxSeconds); err != nil {
+			return err
 		}
-		*d.to = max(time.Duration(*d.v*float64(time.Second)), time.Millisecond) // nothing would be no limit
+		*timeout.to = max(seconds(*timeout.value), time.Millisecond) // a timeout of 0 would be no limit
 	}
 	return nil
 }
 
-// checkClass checks a class. One that names no aim is wanted within its deadline.
+// checkClass checks a class. The latency objective of one that has none is its deadline.
 func (c *Config) checkClass(i int) error {
 	class := &c.Settings.Classes[i]
-	key := func(name string) string { return fmt.Sprintf("settings.classes[%d].%s", i, name) }
-	if !(class.Deadline > 0 && class.Deadline <= maxSeconds) {
-		return keyError(key("deadlineS"), "%g is outside 0 to %g, or 0", class.Deadline, maxSeconds)
+	classKey := fmt.Sprintf("settings.classes[%d].", i)
+	if err := checkPositive(classKey+"deadlineS", class.Deadline, maxSeconds); err != nil {
+		return err
 	}
-	if class.LatencyObjective < 0 || class.LatencyObjective > maxSeconds {
-		return keyError(key("objectiveS"), "%g is outside 0 to %g", class.LatencyObjective, maxSeconds)
+	if err := checkRange(classKey+"objectiveS", class.LatencyObjective, 0, maxSeconds); err != nil {
+		return err
 	}
 	class.LatencyObjective = cmp.Or(class.LatencyObjective, class.Deadline)
-	if !(class.CompletenessThreshold > 0 && class.CompletenessThreshold <= 1) {
-		return keyError(fmt.Sprintf("settings.familyInfo.needByClass[%d]", i), "%g is outside 0 to 1, or 0", class.CompletenessThreshold)
+	needKey := fmt.Sprintf("settings.familyInfo.needByClass[%d]", i)
+	if err := checkPositive(needKey, class.CompletenessThreshold, 1); err != nil {
+		return err
 	}
-	if !(class.MinCompleteness >= 0 && class.MinCompleteness <= 1) {
-		return keyError(fmt.Sprintf("settings.familyInfo.classFloor[%d]", i), "%g is outside 0 to 1", class.MinCompleteness)
-	}
-	return nil
+	return checkRange(fmt.Sprintf("settings.familyInfo.classFloor[%d]", i), class.MinCompleteness, 0, 1)
 }
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -2,60 +2,55 @@
 
 import (
 	"encoding/json"
-	"os"
 	"time"
 
-	"github.com/BurntSushi/toml"
-
 	"mothrouter/internal/state/snapshot"
 )
 
-// State is the file that has learned state last over restarts.
+// State is the operator file that has the server-health snapshot saved, so that it lasts over restarts.
 type State struct {
-	Folder   string
-	Interval time.Duration
+	Folder   string        // of the snapshot
+	Interval time.Duration // between two saves
 }
 
+// Seconds between two saves.
 const (
-	minInterval = 0.5 // seconds
-	maxInterval = 3600.0
+	minSaveInterval     = 0.5 // more often would keep a slow disk busy
+	maxSaveInterval     = 3600.0
+	defaultSaveInterval = 5.0
 )
 
-// LoadState reads the state file.
+// LoadState reads the state file. Errors are of type *KeyError.
 func LoadState(path string) (*State, error) {
-	text, err := os.ReadFile(path)
-	if err != nil {
-		return nil, keyError("state", "%v", err)
-	}
-	f := struct {
+	file := struct {
 		Folder   string  `toml:"folder"`
 		Interval float64 `toml:"interval_s"`
-	}{Interval: 5}
-	md, err := toml.Decode(string(text), &f)
-	if err != nil {
-		return nil, keyError("state", "%s: %v", path, err)
-	}
-	if odd := md.Undecoded(); len(odd) > 0 {
-		return nil, keyError("state."+odd[0].String(), "is not known")
+	}{Interval: defaultSaveInterval}
+	if err := decodeTOML("state", path, &file); err != nil {
+		return nil, err
 	}
-	if f.Folder == "" {
-		return nil, keyError("state.folder", "is missing")
+	if file.Folder == "" {
+		return nil, missingKey("state.folder", "the path of a folder")
 	}
-	if !(f.Interval >= minInterval && f.Interval <= maxInterval) {
-		return nil, keyError("state.interval_s", "%g is outside %g to %g", f.Interval, minInterval, maxInterval)
+	if err := checkRange("state.interval_s", file.Interval, minSaveInterval, maxSaveInterval); err != nil {
+		return nil, err
 	}
-	return &State{Folder: f.Folder, Interval: time.Duration(f.Interval * float64(time.Second))}, nil
+	return &State{Folder: file.Folder, Interval: seconds(file.Interval)}, nil
 }
 
-// Fingerprint tells this broker's settings, and so its fleet, from others; how they are written does not matter.
+// Fingerprint returns a hash of the settings that distinguishes fleets. It does not depend on the order of keys or on white
+// space; 0: the settings cannot be read.
 func (c *Config) Fingerprint() uint64 {
-	var v any
-	if json.Unmarshal(c.file.Settings, &v) != nil {
+	var settings any
+	if json.Unmarshal(c.file.Settings, &settings) != nil {
 		return 0
 	}
-	text, err := json.Marshal(v) // keys in order
+	text, err := json.Marshal(settings) // keys in order
 	if err != nil {
 		return 0
 	}
 	return snapshot.Fingerprint(text)
 }
+
+// seconds converts seconds to a duration.
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/endpoints/discovery/discovery.go
+++ b/internal/endpoints/discovery/discovery.go
@@ -10,13 +10,11 @@
 	"log/slog"
 	"math/rand/v2"
 	"net"
-	"slices"
 	"sync"
 	"time"
 
 	"mothrouter/internal/backoff"
 	"mothrouter/internal/broker"
-	"mothrouter/internal/decision"
 	"mothrouter/internal/endpoints/listwatch"
 	"mothrouter/internal/transport/httpwire"
 )
@@ -24,57 +22,6 @@
 // dialTimeout is as long as a call may take: a first packet that is lost is sent again after a second.
 const dialTimeout = listwatch.CallTimeout
 
-// NameTable translates the names of zones and kinds to their numbers in the settings.
-type NameTable struct{ Zones, Kinds []string }
-
-// Message is one object of the list in discovery's form.
-type Message struct {
-	Version int64   `json:"version"`
-	Full    bool    `json:"full"`
-	Servers []Entry `json:"servers"`
-}
-
-// Entry is one record server in discovery's form.
-type Entry struct {
-	ID         string  `json:"id"`
-	Addr       string  `json:"addr"`
-	Zone       string  `json:"zone"`
-	Kind       string  `json:"kind"`
-	ReplicaSet int     `json:"cell"`
-	State      string  `json:"state"`
-	Weight     float64 `json:"weight"`
-	StartedMS  float64 `json:"started_ms"`
-}
-
-var states = map[string]decision.State{
-	"active": decision.Ready, "leaving": decision.Draining, "left": decision.Removed,
-}
-
-// EndpointUpdate translates a message for the core.
-func (n NameTable) EndpointUpdate(m Message) (broker.EndpointUpdate, error) {
-	l := broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: m.Version}
-	if m.Full {
-		l.Mode = decision.FullUpdate
-	}
-	for i, e := range m.Servers {
-		state, ok := states[e.State]
-		if !ok {
-			return l, fmt.Errorf("servers[%d].state: cannot read %q", i, e.State)
-		}
-		if e.ID == "" || e.Addr == "" && state != decision.Removed {
-			return l, fmt.Errorf("servers[%d]: an entry without id or addr", i)
-		}
-		l.Servers = append(l.Servers, broker.Endpoint{
-			Server: decision.Server{
-				ID: e.ID, Zone: slices.Index(n.Zones, e.Zone), Kind: slices.Index(n.Kinds, e.Kind),
-				ReplicaSet: e.ReplicaSet, State: state, Capacity: e.Weight, Started: e.StartedMS / 1000,
-			},
-			Addr: e.Addr,
-		})
-	}
-	return l, nil
-}
-
 // Watcher watches the list and hands its updates to Update. It drives a listwatch, which decides when to call and which calls
 // stay open.
 type Watcher struct {
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -3,126 +3,218 @@
 import (
 	"encoding/json"
 	"fmt"
+	"maps"
+	"slices"
+	"strings"
 
 	"mothrouter/internal/decision"
+	"mothrouter/internal/estimate/retrybudget"
 	"mothrouter/internal/estimate/slowstart"
 )
 
-// profile is the part of the start-up settings that the decisions use. Other keys are ignored.
+// profile is the part of the start-up settings that the decision module uses. Other keys are ignored. Times are in seconds.
 type profile struct {
-	Capabilities struct {
-		Cancel       bool    `json:"cancel"`
-		MaxRetryWait float64 `json:"maxRetryAfterS"`
-		Probes       bool    `json:"probes"`
-		RetryAfter   bool    `json:"retryAfter"`
-		SecondCopies bool    `json:"secondCopies"`
-		SendCap      int     `json:"sendCap"`
-	} `json:"caps"`
-	Classes []struct {
-		AimStretch float64 `json:"aimStretch"`
-		Objective  float64 `json:"objectiveS"`
-		Deadline   float64 `json:"deadlineS"`
-		LateWorth  float64 `json:"lateWorth"`
-		Worth      float64 `json:"worth"`
-		Semantics  string  `json:"semantics"`
-		Window     float64 `json:"windowS"`
-	} `json:"classes"`
-	Costs struct {
-		CrossZone float64 `json:"crossZone"`
-	} `json:"costs"`
-	CountedBy string `json:"countedBy"`
-	Discovery string `json:"discovery"`
-	Family    struct {
-		BundleMax   int       `json:"bundleMax"`
-		Cells       int       `json:"cells"`
-		ClassFloor  []float64 `json:"classFloor"`
-		FetchParts  []int     `json:"fetchParts"`
-		NeedByClass []float64 `json:"needByClass"`
-		Reach       int       `json:"reach"`
-	} `json:"familyInfo"`
-	PeersTotal int `json:"peersTotal"`
-	Report     struct {
-		How string `json:"how"`
-	} `json:"report"`
-	Rules struct {
-		AskWithin    float64  `json:"askWithinS"`
-		ColdShare    float64  `json:"coldShare"`
-		FallMultiple float64  `json:"fallMultiple"`
-		FallTime     float64  `json:"fallS"`
-		WarmUp       float64  `json:"warmUpS"`
-		BudgetFree   *float64 `json:"budgetFree"`
-		ExtraRatio   *float64 `json:"extraRatio"`
-		BudgetSpan   float64  `json:"budgetSpanS"`
-	} `json:"rules"`
-	Tick float64 `json:"tickS"`
-	Zone int     `json:"zone"`
+	Capabilities  profileCapabilities `json:"caps"`
+	Classes       []profileClass      `json:"classes"`
+	Costs         profileCosts        `json:"costs"`
+	CountedBy     string              `json:"countedBy"` // "work": a query counts by its work; else each counts once
+	DiscoveryMode string              `json:"discovery"`
+	Family        profileFamily       `json:"familyInfo"`
+	Brokers       int                 `json:"peersTotal"`
+	LoadReports   profileLoadReports  `json:"report"`
+	Rules         profileRules        `json:"rules"`
+	Tick          float64             `json:"tickS"`
+	Zone          int                 `json:"zone"`
 }
 
+// profileCapabilities say what the platform allows.
+type profileCapabilities struct {
+	Cancel        bool    `json:"cancel"`
+	MaxRetryAfter float64 `json:"maxRetryAfterS"`
+	HealthChecks  bool    `json:"probes"`
+	RetryAfter    bool    `json:"retryAfter"`
+	Hedging       bool    `json:"secondCopies"`
+	MaxAttempts   int     `json:"sendCap"`
+}
+
+// profileClass is a class of queries.
+type profileClass struct {
+	ObjectivePerWork  float64 `json:"aimStretch"`
+	LatencyObjective  float64 `json:"objectiveS"`
+	Deadline          float64 `json:"deadlineS"`
+	LateValue         float64 `json:"lateWorth"`
+	PriorityWeight    float64 `json:"worth"`
+	Semantics         string  `json:"semantics"` // a key of idempotencies
+	IdempotencyWindow float64 `json:"windowS"`
+}
+
+// profileCosts are the costs that the score counts.
+type profileCosts struct {
+	CrossZone float64 `json:"crossZone"` // of a part that goes to another zone
+}
+
+// profileFamily describes the data that is served. Its lists are by class and may be shorter than the list of classes.
+type profileFamily struct {
+	MaxPartsPerCall        int       `json:"bundleMax"`
+	ReplicaSets            int       `json:"cells"`
+	MinCompleteness        []float64 `json:"classFloor"`
+	SecondPhaseFanout      []int     `json:"fetchParts"`
+	CompletenessThresholds []float64 `json:"needByClass"`
+	ReplicationFactor      int       `json:"reach"`
+}
+
+// profileLoadReports say how load reports arrive.
+type profileLoadReports struct {
+	Mode string `json:"how"` // a key of reportModes
+}
+
+// profileRules are the rules of service.
+type profileRules struct {
+	PollInterval             float64  `json:"askWithinS"`
+	SlowStartInitialFraction float64  `json:"coldShare"`
+	SlowStartOverloadFactor  float64  `json:"fallMultiple"`
+	SlowStartOverloadWindow  float64  `json:"fallS"`
+	SlowStartDuration        float64  `json:"warmUpS"`
+	RetryBudgetMin           *float64 `json:"budgetFree"`
+	RetryBudgetRatio         *float64 `json:"extraRatio"`
+	RetryBudgetWindow        float64  `json:"budgetSpanS"`
+}
+
+// idempotencies are the values of a class's semantics.
 var idempotencies = map[string]decision.Idempotency{
 	"": decision.Idempotent, "free": decision.Idempotent,
 	"guarded": decision.IdempotentWithKey, "single_shot": decision.NonIdempotent,
 }
 
+// reportModes are the values of report.how.
 var reportModes = map[string]decision.ReportMode{
 	"": decision.ReportNone, "silent": decision.ReportNone,
 	"piggyback": decision.ReportPiggyback, "pull": decision.ReportPull,
 }
 
-// at returns list[i], or what the wire means where the list is shorter.
-func at[T any](list []T, i int, absent T) T {
+// discoveryModes are the values of discovery, and whether endpoints are polled.
+var discoveryModes = map[string]bool{"": false, "push": false, "ask": true}
+
+// SettingError is a setting whose value is not allowed.
+type SettingError struct {
+	Key     string // path such as classes[1].semantics
+	Value   string
+	Allowed string // what may stand there
+}
+
+// Error returns the key, the value and what is allowed.
+func (e *SettingError) Error() string {
+	return fmt.Sprintf("%s: %q not allowed, want %s", e.Key, e.Value, e.Allowed)
+}
+
+// lookUp returns what a value of a setting means. The error is a *SettingError.
+func lookUp[T any](key, value string, meanings map[string]T) (T, error) {
+	meaning, ok := meanings[value]
+	if !ok {
+		names := slices.DeleteFunc(slices.Sorted(maps.Keys(meanings)), func(name string) bool { return name == "" })
+		return meaning, &SettingError{Key: key, Value: value, Allowed: "one of " + strings.Join(names, ", ")}
+	}
+	return meaning, nil
+}
+
+// valueOr returns list[i], or the given value where the list is shorter.
+func valueOr[T any](list []T, i int, absent T) T {
 	if i < len(list) {
 		return list[i]
 	}
 	return absent
 }
 
-// ParseSettings translates the start-up settings.
-func ParseSettings(input string) (decision.Settings, error) {
+// ParseSettings parses the start-up settings. A value that is not allowed is a *SettingError; other errors are those of
+// encoding/json.
+func ParseSettings(text string) (decision.Settings, error) {
 	var p profile
-	if err := json.Unmarshal([]byte(input), &p); err != nil {
+	if err := json.Unmarshal([]byte(text), &p); err != nil {
 		return decision.Settings{}, err
 	}
-	mode, ok := reportModes[p.Report.How]
-	if !ok {
-		return decision.Settings{}, fmt.Errorf("report.how: cannot read %q", p.Report.How)
+	reportMode, err := lookUp("report.how", p.LoadReports.Mode, reportModes)
+	if err != nil {
+		return decision.Settings{}, err
 	}
-	if p.Discovery != "" && p.Discovery != "push" && p.Discovery != "ask" {
-		return decision.Settings{}, fmt.Errorf("discovery: cannot read %q", p.Discovery)
+	poll, err := lookUp("discovery", p.DiscoveryMode, discoveryModes)
+	if err != nil {
+		return decision.Settings{}, err
 	}
-	s := decision.Settings{
-		Brokers: p.PeersTotal, Zone: p.Zone,
-		ReplicaSets: p.Family.Cells, ReplicationFactor: p.Family.Reach, MaxPartsPerCall: p.Family.BundleMax,
-		ReportMode: mode, PollEndpoints: p.Discovery == "ask",
-		WeightByWork: p.CountedBy == "work",
-		PollInterval: p.Rules.AskWithin, Tick: p.Tick, MaxAttempts: p.Capabilities.SendCap,
-		CancelAllowed: p.Capabilities.Cancel, HealthChecksAllowed: p.Capabilities.Probes, HedgingAllowed: p.Capabilities.SecondCopies,
-		RetryAfterSupported: p.Capabilities.RetryAfter, MaxRetryAfter: p.Capabilities.MaxRetryWait,
+	settings := p.settings()
+	settings.ReportMode = reportMode
+	settings.PollEndpoints = poll
+	for i := range p.Classes {
+		class, err := p.class(i)
+		if err != nil {
+			return settings, err
+		}
+		settings.Classes = append(settings.Classes, class)
+	}
+	return settings, nil
+}
+
+// settings returns the settings whose values need no check.
+func (p *profile) settings() decision.Settings {
+	return decision.Settings{
+		Brokers:             p.Brokers,
+		Zone:                p.Zone,
+		ReplicaSets:         p.Family.ReplicaSets,
+		ReplicationFactor:   p.Family.ReplicationFactor,
+		MaxPartsPerCall:     p.Family.MaxPartsPerCall,
+		WeightByWork:        p.CountedBy == "work",
+		PollInterval:        p.Rules.PollInterval,
+		Tick:                p.Tick,
+		MaxAttempts:         p.Capabilities.MaxAttempts,
+		CancelAllowed:       p.Capabilities.Cancel,
+		HealthChecksAllowed: p.Capabilities.HealthChecks,
+		HedgingAllowed:      p.Capabilities.Hedging,
+		RetryAfterSupported: p.Capabilities.RetryAfter,
+		MaxRetryAfter:       p.Capabilities.MaxRetryAfter,
 		SlowStart: slowstart.Settings{
-			InitialFraction: p.Rules.ColdShare, Duration: p.Rules.WarmUp,
-			OverloadFactor: p.Rules.FallMultiple, OverloadWindow: p.Rules.FallTime,
+			InitialFraction: p.Rules.SlowStartInitialFraction,
+			Duration:        p.Rules.SlowStartDuration,
+			OverloadFactor:  p.Rules.SlowStartOverloadFactor,
+			OverloadWindow:  p.Rules.SlowStartOverloadWindow,
 		},
+		RetryBudget:   p.Rules.retryBudget(),
 		CrossZoneCost: p.Costs.CrossZone,
 	}
-	if p.Rules.BudgetFree != nil || p.Rules.ExtraRatio != nil {
-		s.RetryBudget.Enabled, s.RetryBudget.Window = true, p.Rules.BudgetSpan
-		if p.Rules.BudgetFree != nil {
-			s.RetryBudget.Min = int(*p.Rules.BudgetFree)
-		}
-		if p.Rules.ExtraRatio != nil {
-			s.RetryBudget.Ratio = *p.Rules.ExtraRatio
-		}
+}
+
+// retryBudget returns the retry budget, which one of two keys enables.
+func (r *profileRules) retryBudget() retrybudget.Settings {
+	var budget retrybudget.Settings
+	if r.RetryBudgetMin == nil && r.RetryBudgetRatio == nil {
+		return budget
 	}
-	for i, c := range p.Classes {
-		repeat, ok := idempotencies[c.Semantics]
-		if !ok {
-			return s, fmt.Errorf("classes[%d].semantics: cannot read %q", i, c.Semantics)
-		}
-		s.Classes = append(s.Classes, decision.Class{
-			LatencyObjective: c.Objective, ObjectivePerWork: c.AimStretch, Deadline: c.Deadline, LateValue: c.LateWorth, PriorityWeight: c.Worth,
-			Idempotency: repeat, IdempotencyWindow: c.Window,
-			CompletenessThreshold: at(p.Family.NeedByClass, i, 1), MinCompleteness: at(p.Family.ClassFloor, i, 1),
-			SecondPhaseFanout: at(p.Family.FetchParts, i, 0),
-		})
+	budget.Enabled = true
+	budget.Window = r.RetryBudgetWindow
+	if r.RetryBudgetMin != nil {
+		budget.Min = int(*r.RetryBudgetMin)
+	}
+	if r.RetryBudgetRatio != nil {
+		budget.Ratio = *r.RetryBudgetRatio
+	}
+	return budget
+}
+
+// class returns the class at an index.
+func (p *profile) class(i int) (decision.Class, error) {
+	class := &p.Classes[i]
+	idempotency, err := lookUp(fmt.Sprintf("classes[%d].semantics", i), class.Semantics, idempotencies)
+	if err != nil {
+		return decision.Class{}, err
 	}
-	return s, nil
+	return decision.Class{
+		LatencyObjective:      class.LatencyObjective,
+		ObjectivePerWork:      class.ObjectivePerWork,
+		Deadline:              class.Deadline,
+		LateValue:             class.LateValue,
+		PriorityWeight:        class.PriorityWeight,
+		Idempotency:           idempotency,
+		IdempotencyWindow:     class.IdempotencyWindow,
+		CompletenessThreshold: valueOr(p.Family.CompletenessThresholds, i, 1),
+		MinCompleteness:       valueOr(p.Family.MinCompleteness, i, 1),
+		SecondPhaseFanout:     valueOr(p.Family.SecondPhaseFanout, i, 0),
+	}, nil
 }
