--- a/internal/admin/control.go
+++ b/internal/admin/server.go
@@ -15,8 +15,8 @@
 	lingerTimeout = 100 * time.Millisecond
 )
 
-// Callers is how many callers are served at once; the one that has been silent longest makes room for another.
-const Callers = 24
+// MaxCallers is how many callers are served at once; the one that has been silent longest makes room for another.
+const MaxCallers = 24
 
 // Process is what operators steer. Its methods are called by any goroutine and must not wait for a loop.
 type Process interface {
@@ -31,15 +31,15 @@
 
 // Server answers operators.
 type Server struct {
-	p   Process
-	log *slog.Logger
+	process Process
+	log     *slog.Logger
 
-	mu   sync.Mutex
-	open list.List // of net.Conn, by when they came
+	mu      sync.Mutex
+	callers list.List // of net.Conn, by when they came
 }
 
 // New makes a server.
-func New(p Process, log *slog.Logger) *Server { return &Server{p: p, log: log} }
+func New(p Process, log *slog.Logger) *Server { return &Server{process: p, log: log} }
 
 // Serve answers until the listener is closed.
 func (s *Server) Serve(l net.Listener) error {
@@ -53,34 +53,34 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		at := s.enter(c)
+		at := s.addCaller(c)
 		go func() {
-			s.serve(c)
+			s.serveCaller(c)
 			c.Close()
-			s.remove(at)
+			s.removeCaller(at)
 		}()
 	}
 }
 
-// enter books a caller. Guards the descriptors against callers that stay: the oldest is closed for a new one.
-func (s *Server) enter(c net.Conn) *list.Element {
+// addCaller books a caller. Guards the descriptors against callers that stay: the oldest is closed for a new one.
+func (s *Server) addCaller(c net.Conn) *list.Element {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open.Len() >= Callers {
-		s.open.Remove(s.open.Front()).(net.Conn).Close()
+	if s.callers.Len() >= MaxCallers {
+		s.callers.Remove(s.callers.Front()).(net.Conn).Close()
 	}
-	return s.open.PushBack(c)
+	return s.callers.PushBack(c)
 }
 
-func (s *Server) remove(at *list.Element) {
+func (s *Server) removeCaller(at *list.Element) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open.Remove(at) // nothing, if it has made room already
+	s.callers.Remove(at) // nothing, if it has made room already
 }
 
-// serve answers one caller.
-func (s *Server) serve(c net.Conn) {
-	var m Machine
+// serveCaller answers one caller.
+func (s *Server) serveCaller(c net.Conn) {
+	var m CallReader
 	c.SetReadDeadline(time.Now().Add(callTimeout))
 	for {
 		n, err := c.Read(m.Grow())
@@ -91,7 +91,7 @@
 			if !errors.As(err, &late) || !late.Timeout() {
 				return // the caller has gone
 			}
-			bad = ErrHalf
+			bad = ErrCallTimeout
 		}
 		if ok || bad != nil {
 			s.reply(c, call, bad)
@@ -105,17 +105,17 @@
 	switch {
 	case bad != nil:
 		out = append(append(out, "NAK "...), bad.Error()...)
-	case call == Health && !s.p.AcceptsClients():
+	case call == CheckHealth && !s.process.AcceptsClients():
 		out = append(out, "NAK no clients are taken"...)
-	case call == Dump:
-		out = s.p.AppendMetrics(append(out, "ACK\n"...))
+	case call == DumpMetrics:
+		out = s.process.AppendMetrics(append(out, "ACK\n"...))
 		out = append(out, "--"...)
-	case call == Leave:
-		s.p.StartDrain()
+	case call == StartDrain:
+		s.process.StartDrain()
 		s.log.Info("drain started")
 		out = append(out, "ACK"...)
-	case call == Join:
-		s.p.CancelDrain()
+	case call == CancelDrain:
+		s.process.CancelDrain()
 		s.log.Info("drain cancelled")
 		out = append(out, "ACK"...)
 	default:
--- a/internal/admin/control_test.go
+++ b/internal/admin/server_test.go
@@ -16,14 +16,14 @@
 	"mothrouter/internal/admin"
 )
 
-func TestMachine(t *testing.T) {
+func TestCallReaderReadsOneLine(t *testing.T) {
 	for text, want := range map[string]any{
-		"HEALTH\n": admin.Health, "DUMP\r\n": admin.Dump, "LEAVE\n": admin.Leave, "JOIN\n": admin.Join,
-		"health\n": admin.ErrUnknown, "\n": admin.ErrUnknown, " JOIN\n": admin.ErrUnknown,
-		"JOIN\nLEAVE\n": admin.ErrMore, strings.Repeat("x", 64): admin.ErrLong, "HEAL": nil, "": nil,
+		"HEALTH\n": admin.CheckHealth, "DUMP\r\n": admin.DumpMetrics, "LEAVE\n": admin.StartDrain, "JOIN\n": admin.CancelDrain,
+		"health\n": admin.ErrUnknownCall, "\n": admin.ErrUnknownCall, " JOIN\n": admin.ErrUnknownCall,
+		"JOIN\nLEAVE\n": admin.ErrMultipleLines, strings.Repeat("x", 64): admin.ErrCallTooLong, "HEAL": nil, "": nil,
 	} {
 		for _, piece := range []int{1, 64} {
-			var m admin.Machine
+			var m admin.CallReader
 			var got any
 			for rest := text; rest != "" && got == nil; {
 				n := copy(m.Grow(), rest[:min(piece, len(rest))])
@@ -35,7 +35,7 @@
 					got = c
 				}
 			}
-			if err, ok := want.(error); ok && errors.Is(err, admin.ErrMore) && piece == 1 {
+			if err, ok := want.(error); ok && errors.Is(err, admin.ErrMultipleLines) && piece == 1 {
 				continue // the first line is whole before the second has begun to come
 			}
 			require.Equal(t, want, got, "%q by %d", text, piece)
@@ -71,7 +71,7 @@
 	return string(reply)
 }
 
-func TestCalls(t *testing.T) {
+func TestServerRepliesToEachCall(t *testing.T) {
 	addr := serve(t)
 	for _, step := range [][2]string{
 		{"HEALTH\n", "ACK\n"}, {"DUMP\n", "ACK\nsvc.open_requests:3|g\n--\n"},
@@ -86,7 +86,7 @@
 }
 
 // Callers that say nothing, or half a call, and stay, starve nobody.
-func TestSilentCallersStarveNobody(t *testing.T) {
+func TestServerRepliesBesideSilentCallers(t *testing.T) {
 	addr := serve(t)
 	var stay []net.Conn
 	defer func() {
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -30,10 +30,10 @@
 	return last
 }
 
-// served plays callers that all lose their watch at one moment, and a directory that serves one call after the
+// simulateReconnects plays callers that all lose their watch at one moment, and a directory that serves one call after the
 // other. Calls wait in turn, and take its time even where their caller has left after two seconds. It returns
 // when each caller was served and how many calls were made.
-func served(callers int, each time.Duration, next func(caller int) time.Duration) (at []time.Duration, made int) {
+func simulateReconnects(callers int, each time.Duration, next func(caller int) time.Duration) (at []time.Duration, made int) {
 	const patience = 2 * time.Second
 	at = make([]time.Duration, callers)
 	var due calls
@@ -60,7 +60,7 @@
 	return at, made
 }
 
-func ours(callers int) func(int) time.Duration {
+func newWaits(callers int) func(int) time.Duration {
 	waits := make([]*backoff.Backoff, callers)
 	for i := range waits {
 		waits[i] = backoff.New(callers, uint64(i))
@@ -72,10 +72,10 @@
 
 // A directory of fixed capacity, and all brokers of a fleet that lose it in the same moment: each has to have
 // its watch again soon, whatever the directory bears.
-func TestAFleetThatLosesTheDirectoryAtOnceGetsItBack(t *testing.T) {
+func TestFleetReconnectsAfterALossInOneMoment(t *testing.T) {
 	for _, callers := range []int{1, 3, 80, 300} {
 		for _, each := range []time.Duration{5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond} {
-			at, made := served(callers, each, ours(callers))
+			at, made := simulateReconnects(callers, each, newWaits(callers))
 			worst := time.Duration(0)
 			for _, t := range at {
 				worst = max(worst, t)
@@ -88,7 +88,7 @@
 }
 
 // A list from before the start may be old and binds soon; later news bind after 6 s, and a call may wait for 2 s.
-func TestNoWaitIsLongerThanNewsMayBeOld(t *testing.T) {
+func TestNextStaysBelowTheUpdateDeadline(t *testing.T) {
 	for _, callers := range []int{1, 80, 300, 100_000} {
 		b := backoff.New(callers, 5)
 		require.Less(t, b.Next(0), 200*time.Millisecond, "the start")
@@ -102,7 +102,7 @@
 
 // News that come while there is no watch bind after 6 s. A call that can still be in time must not wait for so long
 // that it is not, however many calls have failed; and even then a fleet's calls must not be made in one moment.
-func TestAWaitEndsInTimeForTheNewsToCome(t *testing.T) {
+func TestNextEndsWithinTheTimeLeft(t *testing.T) {
 	const callers = 300
 	for _, failures := range []int{0, 1, 2, 8} {
 		var waits []time.Duration
@@ -123,9 +123,9 @@
 }
 
 // Callers whose calls all fail at one moment must not come back together: not at the first try, nor the third.
-func TestCallersThatFailTogetherDriftApart(t *testing.T) {
+func TestCallersThatFailTogetherRetryApart(t *testing.T) {
 	const callers, window = 300, 50 * time.Millisecond
-	next, due := ours(callers), make([]time.Duration, callers)
+	next, due := newWaits(callers), make([]time.Duration, callers)
 	for try := range 3 {
 		slots := map[time.Duration]int{}
 		for i := range due {
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestWaitsAreBoundedAndBeginAnew(t *testing.T) {
+func TestNextIsBoundedAndRestartsAfterSuccess(t *testing.T) {
 	for _, callers := range []int{-1, 0, 1, 300, 1 << 40} {
 		b, same, other := backoff.New(callers, 1), backoff.New(callers, 1), backoff.New(callers, 2)
 		differs := false
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestAnAbsurdSizeIsNotBelieved(t *testing.T) {
+func TestClampCallersReplacesAbsurdSizes(t *testing.T) {
 	for n, want := range map[int]int{0: 100, -5: 100, 1: 1, 300: 300, 1 << 40: 100} {
 		got, told := backoff.ClampCallers(n)
 		require.Equal(t, want, got)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -57,7 +57,7 @@
 	c.MaxServerConns = int(min(wanted, maxServerFraction*all))
 	c.MaxClientConns = min(int((1-spareFraction)*all), c.Sockets-minSpare) - c.MaxServerConns
 	if c.AdminAddress != "" {
-		c.MaxClientConns = max(c.MaxClientConns-admin.Callers, minClientConns)
+		c.MaxClientConns = max(c.MaxClientConns-admin.MaxCallers, minClientConns)
 	}
 	c.MaxIdleConns = min(int(idleFraction*all), c.MaxClientConns/2)
 }
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -34,7 +34,7 @@
 // Shutdowns. SIGKILL comes killDelay after the longest deadline at the earliest.
 const (
 	killDelay          = 700 * time.Millisecond
-	maxCountedDeadline = 3 * time.Second        // a longer deadline counts as this
+	maxPlannedDeadline = 3 * time.Second        // a longer deadline counts as this
 	killLead           = 200 * time.Millisecond // before SIGKILL all is answered,
 	exitLead           = 100 * time.Millisecond // and the process has ended
 	maxAnnounceClose   = 500 * time.Millisecond
@@ -44,7 +44,7 @@
 // PlanShutdown plans the shutdown where clients wait for so long at most. With short deadlines its steps move together: a
 // request that is accepted late would be found unanswered by SIGKILL.
 func PlanShutdown(longestDeadline time.Duration) ShutdownPlan {
-	kill := min(longestDeadline, maxCountedDeadline) + killDelay
+	kill := min(longestDeadline, maxPlannedDeadline) + killDelay
 	p := ShutdownPlan{AnswerBy: kill - killLead, ExitBy: kill - exitLead}
 	p.AnnounceClose = min(maxAnnounceClose, p.AnswerBy*2/3)
 	p.CloseIdle = p.AnnounceClose + min(maxCloseIdleDelay, (p.AnswerBy-p.AnnounceClose)/2)
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -9,7 +9,7 @@
 	"mothrouter/internal/drain"
 )
 
-func TestADrainGoesInStepsAndEndsAtOnce(t *testing.T) {
+func TestStateDrainsInStepsAndCancelsAtOnce(t *testing.T) {
 	var s drain.State
 	t0 := time.Now()
 	at := func(d time.Duration) [4]bool {
@@ -33,7 +33,7 @@
 
 // SIGKILL comes 0.7 s after the longest deadline, of which no more than 3 s count. By then all is answered, whatever the
 // settings; clients come for 0.4 s after the word, and those that come until the last moment have some time left.
-func TestTheEndFitsBeforeTheKill(t *testing.T) {
+func TestPlanShutdownEndsBeforeSIGKILL(t *testing.T) {
 	for _, longest := range []time.Duration{time.Millisecond, 300 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, time.Hour} {
 		e := drain.PlanShutdown(longest)
 		killed := min(longest, 3*time.Second) + 700*time.Millisecond
--- a/internal/endpoints/discovery/discovery.go
+++ b/internal/endpoints/discovery/discovery.go
@@ -89,7 +89,7 @@
 // awaitEvent waits for the next event and acts on it.
 func (r *run) awaitEvent() {
 	var due <-chan time.Time
-	if at := r.watch.Wake(); !at.IsZero() {
+	if at := r.watch.WakeAt(); !at.IsZero() {
 		t := time.NewTimer(time.Until(at))
 		defer t.Stop()
 		due = t.C
@@ -101,7 +101,7 @@
 	case <-due:
 		r.perform(r.watch.Tick(time.Now()))
 	case m := <-r.messages:
-		r.onMessage(m)
+		r.handleMessage(m)
 	}
 }
 
@@ -116,12 +116,12 @@
 		}
 		ctx, end := context.WithCancel(r.ctx)
 		r.open[a.Call] = end
-		go call(ctx, a.Call, r.addr, r.Since, r.messages)
+		go runCall(ctx, a.Call, r.addr, r.Since, r.messages)
 	}
 }
 
-// onMessage takes up what a call has brought, and ends the call after an error.
-func (r *run) onMessage(m message) {
+// handleMessage takes up what a call has brought, and ends the call after an error.
+func (r *run) handleMessage(m message) {
 	end := r.open[m.call]
 	if end == nil {
 		return // closed meanwhile
@@ -140,8 +140,8 @@
 	r.perform(r.watch.CallEnded(time.Now(), m.call))
 }
 
-// call makes one call and hands on what it brings, until it or ctx ends.
-func call(ctx context.Context, id int, addr string, since int64, words chan<- message) {
+// runCall makes one call and hands on what it brings, until it or ctx ends.
+func runCall(ctx context.Context, id int, addr string, since int64, words chan<- message) {
 	say := func(text []byte, end error) {
 		select {
 		case words <- message{id, bytes.Clone(text), end}:
--- a/internal/endpoints/discovery/discovery_test.go
+++ b/internal/endpoints/discovery/discovery_test.go
@@ -18,19 +18,19 @@
 	"mothrouter/internal/endpoints/discovery"
 )
 
-// directory stands in for discovery: it serves watches, counts when each was asked for, and can drop them all.
-type directory struct {
+// fakeDiscovery stands in for discovery: it serves watches, counts when each was asked for, and can drop them all.
+type fakeDiscovery struct {
 	net.Listener
-	mu    sync.Mutex
-	asked []time.Time
-	open  []net.Conn
+	mu       sync.Mutex
+	calledAt []time.Time
+	open     []net.Conn
 }
 
-func newDirectory(t *testing.T) *directory {
+func newFakeDiscovery(t *testing.T) *fakeDiscovery {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
-	d := &directory{Listener: l}
+	d := &fakeDiscovery{Listener: l}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -43,38 +43,38 @@
 	return d
 }
 
-func (d *directory) serve(c net.Conn) {
+func (d *fakeDiscovery) serve(c net.Conn) {
 	if _, err := bufio.NewReader(c).ReadString('\n'); err != nil {
 		return
 	}
 	d.mu.Lock()
-	d.asked, d.open = append(d.asked, time.Now()), append(d.open, c)
-	n := len(d.asked)
+	d.calledAt, d.open = append(d.calledAt, time.Now()), append(d.open, c)
+	n := len(d.calledAt)
 	d.mu.Unlock()
 	line := fmt.Sprintf(`{"version":%d,"full":false,"servers":[]}`+"\n", n)
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(line), line)
 }
 
-func (d *directory) drop() {
+func (d *fakeDiscovery) drop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.open {
 		c.Close()
 	}
-	d.open, d.asked = nil, nil
+	d.open, d.calledAt = nil, nil
 }
 
-func (d *directory) calls() []time.Time {
+func (d *fakeDiscovery) calls() []time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]time.Time(nil), d.asked...)
+	return append([]time.Time(nil), d.calledAt...)
 }
 
 // All brokers of a fleet lose the directory in one moment. What they do at once is not seen by any of them; the
 // directory would have to serve all in the same millisecond.
-func TestWatchesThatEndTogetherDoNotBeginTogether(t *testing.T) {
+func TestWatchersReconnectApartAfterALossInOneMoment(t *testing.T) {
 	const fleet, here = 40, 20 // of a fleet of 40, whose calls after a loss are spread over a second, 20 stand here
-	d := newDirectory(t)
+	d := newFakeDiscovery(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for i := range here {
@@ -97,8 +97,8 @@
 	}
 }
 
-// scripted serves each call as the next of its steps says; the last one serves all that follow.
-func scripted(t *testing.T, steps ...func(c net.Conn)) (addr string, asked func() []string) {
+// newScriptedDiscovery serves each call as the next of its steps says; the last one serves all that follow.
+func newScriptedDiscovery(t *testing.T, steps ...func(c net.Conn)) (addr string, asked func() []string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -132,10 +132,10 @@
 
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-func says(text string) func(net.Conn) { return func(c net.Conn) { fmt.Fprint(c, text) } }
+func writes(text string) func(net.Conn) { return func(c net.Conn) { fmt.Fprint(c, text) } }
 
-// follow runs a watcher of a small fleet and hands on its news.
-func follow(t *testing.T, addr string) chan broker.EndpointUpdate {
+// runWatcher runs a watcher of a small fleet and hands on its news.
+func runWatcher(t *testing.T, addr string) chan broker.EndpointUpdate {
 	news := make(chan broker.EndpointUpdate, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -153,20 +153,20 @@
 
 // What a silent watch misses binds 6 s after its last word. Whatever the silence looks like, the news have come by
 // then, and the call for them names the version last heard.
-func TestNewsThatASilentWatchMissesComeBeforeTheyBind(t *testing.T) {
+func TestWatcherReplacesASilentWatchWithinTheUpdateDeadline(t *testing.T) {
 	t.Parallel()
 	first := okHead + chunk(`{"version":7,"full":false,"servers":[]}`+"\n")
 	half := entry(8, false)[:40]
 	for name, silence := range map[string]func(net.Conn){
-		"nothing more":               says(first),
-		"half a line":                says(first + chunk(half)),
-		"a chunk that never ends":    says(first + fmt.Sprintf("%x\r\n", 1<<20)),
+		"nothing more":               writes(first),
+		"half a line":                writes(first + chunk(half)),
+		"a chunk that never ends":    writes(first + fmt.Sprintf("%x\r\n", 1<<20)),
 		"bytes, but never an object": func(c net.Conn) { drip(c, first, half) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, asked := scripted(t, silence, says(okHead+chunk(entry(9, false))))
-			news := follow(t, addr)
+			addr, asked := newScriptedDiscovery(t, silence, writes(okHead+chunk(entry(9, false))))
+			news := runWatcher(t, addr)
 			require.EqualValues(t, 7, (<-news).Version)
 			fell := time.Now()
 			require.EqualValues(t, 9, (<-news).Version)
@@ -189,23 +189,23 @@
 }
 
 // An agent that takes the call and says nothing, or no more than a head, has not answered.
-func TestACallWithoutAnAnswerIsMadeAgain(t *testing.T) {
+func TestWatcherRetriesACallWithoutAnswer(t *testing.T) {
 	t.Parallel()
-	for name, step := range map[string]func(net.Conn){"nothing": says(""), "a head": says(okHead)} {
+	for name, step := range map[string]func(net.Conn){"nothing": writes(""), "a head": writes(okHead)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, _ := scripted(t, step, says(okHead+chunk(entry(9, true))))
+			addr, _ := newScriptedDiscovery(t, step, writes(okHead+chunk(entry(9, true))))
 			began := time.Now()
-			l := <-follow(t, addr)
+			l := <-runWatcher(t, addr)
 			require.EqualValues(t, 9, l.Version)
 			require.Less(t, time.Since(began), 4*time.Second)
 		})
 	}
 }
 
-func TestALivingWatchIsLeftAlone(t *testing.T) {
+func TestWatcherKeepsAWatchWithKeepalives(t *testing.T) {
 	t.Parallel()
-	addr, asked := scripted(t, func(c net.Conn) {
+	addr, asked := newScriptedDiscovery(t, func(c net.Conn) {
 		fmt.Fprint(c, okHead+chunk(`{"version":7,"full":false,"servers":[]}`+"\n"))
 		for range 3 {
 			time.Sleep(2 * time.Second)
@@ -213,23 +213,23 @@
 		}
 		fmt.Fprint(c, chunk(entry(8, false)))
 	})
-	news := follow(t, addr)
+	news := runWatcher(t, addr)
 	<-news
 	require.EqualValues(t, 8, (<-news).Version)
 	require.Len(t, asked(), 1)
 }
 
 // An agent that has fallen behind, perhaps the one that a new configuration names, must not bring back what drains.
-func TestTheListNeverGoesBackwards(t *testing.T) {
+func TestWatcherRejectsOlderVersions(t *testing.T) {
 	t.Parallel()
-	addr, asked := scripted(t, says(okHead+chunk(entry(4, true))), says(okHead+chunk(entry(6, true))))
-	l := <-follow(t, addr)
+	addr, asked := newScriptedDiscovery(t, writes(okHead+chunk(entry(4, true))), writes(okHead+chunk(entry(6, true))))
+	l := <-runWatcher(t, addr)
 	require.EqualValues(t, 6, l.Version)
 	require.Len(t, asked(), 2)
 	require.Contains(t, asked()[1], "since=5")
 }
 
-func TestListsMayComeIndented(t *testing.T) {
+func TestWatcherReadsIndentedMessages(t *testing.T) {
 	t.Parallel()
 	text := "{\n  \"version\": 9,\n  \"full\": true,\n\n  \"servers\": [\n    {\n      \"id\": \"s{\\\"}\",\n" +
 		"      \"addr\": \"127.0.0.1:1\",\n      \"state\": \"active\"\n    }\n  ]\n}\n\n"
@@ -238,8 +238,8 @@
 		for rest := text; rest != ""; rest = rest[min(step, len(rest)):] {
 			body += chunk(rest[:min(step, len(rest))])
 		}
-		addr, _ := scripted(t, says(okHead+body+chunk(entry(10, false))))
-		news := follow(t, addr)
+		addr, _ := newScriptedDiscovery(t, writes(okHead+body+chunk(entry(10, false))))
+		news := runWatcher(t, addr)
 		l := <-news
 		require.EqualValues(t, 9, l.Version)
 		require.Equal(t, `s{"}`, l.Servers[0].ID)
--- a/internal/endpoints/listwatch/listwatch.go
+++ b/internal/endpoints/listwatch/listwatch.go
@@ -37,19 +37,19 @@
 	id              int
 	startedAt       time.Time
 	receivedMessage bool
-	former          bool // at a former address: its updates are applied, but it is no watch any more
+	formerAddress   bool // at a former address: its updates are applied, but it is no watch any more
 	suspect         bool // it has been silent for too long, and another call is open or scheduled
 }
 
 // Watch is one broker's watch. Make it with New.
 type Watch struct {
-	backoff     *backoff.Backoff
-	calls       []call // in the order of their beginning
-	last        int    // id of the latest
-	lastMessage time.Time
-	callBy      time.Time // the next call has to start by then, if one is scheduled; zero: none has started yet
-	callAt      time.Time // zero: no call is scheduled
-	actions     []Action
+	backoff       *backoff.Backoff
+	calls         []call // in the order of their beginning
+	lastCallID    int    // id of the latest
+	lastMessageAt time.Time
+	callDeadline  time.Time // the next call has to start by then, if one is scheduled; zero: none has started yet
+	callAt        time.Time // zero: no call is scheduled
+	actions       []Action
 }
 
 // New returns a watch that makes its first call after a wait.
@@ -64,8 +64,8 @@
 // than leaves the next one its time within that, whatever became of those before.
 func (w *Watch) scheduleCall(now time.Time) {
 	timeLeft := time.Duration(0) // nothing bounds the wait before the first call
-	if !w.callBy.IsZero() {
-		if timeLeft = w.callBy.Sub(now); timeLeft <= 0 {
+	if !w.callDeadline.IsZero() {
+		if timeLeft = w.callDeadline.Sub(now); timeLeft <= 0 {
 			w.callAt = now
 			return
 		}
@@ -73,35 +73,35 @@
 	w.callAt = now.Add(w.backoff.Next(timeLeft))
 }
 
-// Wake is when Tick has to be called next at the latest; zero: not before something happens.
-func (w *Watch) Wake() time.Time {
+// WakeAt is when Tick has to be called next at the latest; zero: not before something happens.
+func (w *Watch) WakeAt() time.Time {
 	if !w.callAt.IsZero() {
 		return w.callAt
 	}
-	if c := w.latest(); c != nil {
-		return w.silentAt(c)
+	if c := w.currentCall(); c != nil {
+		return w.silenceDeadline(c)
 	}
 	return time.Time{}
 }
 
-// latest is the call that is the watch, or nil.
-func (w *Watch) latest() *call {
-	if n := len(w.calls); n > 0 && !w.calls[n-1].former {
+// currentCall is the call that is the watch, or nil.
+func (w *Watch) currentCall() *call {
+	if n := len(w.calls); n > 0 && !w.calls[n-1].formerAddress {
 		return &w.calls[n-1]
 	}
 	return nil
 }
 
-func (w *Watch) silentAt(c *call) time.Time {
+func (w *Watch) silenceDeadline(c *call) time.Time {
 	if c.receivedMessage {
-		return w.lastMessage.Add(SilenceTimeout)
+		return w.lastMessageAt.Add(SilenceTimeout)
 	}
 	return c.startedAt.Add(CallTimeout)
 }
 
 // Tick looks at the time and returns what to do, as do the other methods.
 func (w *Watch) Tick(now time.Time) []Action {
-	if c := w.latest(); c != nil && !c.suspect && !now.Before(w.silentAt(c)) {
+	if c := w.currentCall(); c != nil && !c.suspect && !now.Before(w.silenceDeadline(c)) {
 		c.suspect = true
 		w.scheduleCall(now)
 	}
@@ -109,26 +109,26 @@
 		w.callAt = time.Time{}
 		w.open(now)
 	}
-	return w.drainActions()
+	return w.takeActions()
 }
 
 func (w *Watch) open(now time.Time) {
 	mine := 0
 	for _, c := range w.calls {
-		if !c.former {
+		if !c.formerAddress {
 			mine++
 		}
 	}
 	for _, c := range w.calls {
-		if !c.former && mine >= maxCalls { // the oldest goes; the one behind it goes on listening
+		if !c.formerAddress && mine >= maxCalls { // the oldest goes; the one behind it goes on listening
 			w.close(c.id)
 			mine--
 		}
 	}
-	w.last++
-	w.callBy = now.Add(updateDeadline - CallTimeout)
-	w.calls = append(w.calls, call{id: w.last, startedAt: now})
-	w.actions = append(w.actions, Action{Call: w.last})
+	w.lastCallID++
+	w.callDeadline = now.Add(updateDeadline - CallTimeout)
+	w.calls = append(w.calls, call{id: w.lastCallID, startedAt: now})
+	w.actions = append(w.actions, Action{Call: w.lastCallID})
 }
 
 func (w *Watch) close(id int) {
@@ -136,7 +136,7 @@
 	w.actions = append(w.actions, Action{Call: id, Close: true})
 }
 
-func (w *Watch) drainActions() []Action {
+func (w *Watch) takeActions() []Action {
 	todo := w.actions
 	w.actions = nil
 	return todo
@@ -145,47 +145,47 @@
 // MessageReceived tells that a call has brought a message. That call is the watch from now on, and the others are closed.
 func (w *Watch) MessageReceived(now time.Time, id int) []Action {
 	i := slices.IndexFunc(w.calls, func(c call) bool { return c.id == id })
-	if i < 0 || w.calls[i].former {
+	if i < 0 || w.calls[i].formerAddress {
 		return nil
 	}
 	w.calls[i].receivedMessage, w.calls[i].suspect = true, false
-	w.lastMessage, w.callBy, w.callAt = now, now.Add(updateDeadline-CallTimeout), time.Time{}
+	w.lastMessageAt, w.callDeadline, w.callAt = now, now.Add(updateDeadline-CallTimeout), time.Time{}
 	w.backoff.Succeeded()
 	for _, c := range slices.Clone(w.calls) {
 		if c.id != id {
 			w.close(c.id)
 		}
 	}
-	return w.drainActions()
+	return w.takeActions()
 }
 
 // CallEnded tells that a call has ended by itself or could not be made.
 func (w *Watch) CallEnded(now time.Time, id int) []Action {
-	c := w.latest()
+	c := w.currentCall()
 	watch := c != nil && c.id == id && !c.suspect // else another call is planned or under way
 	w.calls = slices.DeleteFunc(w.calls, func(c call) bool { return c.id == id })
 	if watch {
-		if c := w.latest(); c != nil {
+		if c := w.currentCall(); c != nil {
 			c.suspect = true
 		}
 		w.scheduleCall(now)
 	}
-	return w.drainActions()
+	return w.takeActions()
 }
 
 // AddressChanged tells that the list is to be watched at another address. Updates of the old one are applied until the new
 // one has sent a message.
 func (w *Watch) AddressChanged(now time.Time) []Action {
 	for _, c := range slices.Clone(w.calls) {
-		if c.former { // of the address before that: moves in a row must not add up
+		if c.formerAddress { // of the address before that: moves in a row must not add up
 			w.close(c.id)
 		}
 	}
 	for i := range w.calls {
-		w.calls[i].former = true
+		w.calls[i].formerAddress = true
 	}
-	w.callBy = now.Add(addressChangeDeadline - CallTimeout)
+	w.callDeadline = now.Add(addressChangeDeadline - CallTimeout)
 	w.backoff.Succeeded() // the new address has not failed yet
 	w.scheduleCall(now)
-	return w.drainActions()
+	return w.takeActions()
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -9,7 +9,7 @@
 )
 
 // Class counts the requests of one class by how they ended, and the attempts of their parts.
-type Class struct{ Fulfilled, Throttled, Faulted, Relayed atomic.Uint64 }
+type Class struct{ Fulfilled, Throttled, Faulted, Sent atomic.Uint64 }
 
 // Gauges are figures of the present moment.
 type Gauges struct {
@@ -52,7 +52,7 @@
 // RecordSent counts an attempt that was written whole.
 func (t *Counters) RecordSent(class int) {
 	if t != nil && class >= 0 && class < len(t.classes) {
-		t.classes[class].Relayed.Add(1)
+		t.classes[class].Sent.Add(1)
 	}
 }
 
@@ -72,7 +72,7 @@
 		line(name+"fulfilled", c.Fulfilled.Load(), 'c')
 		line(name+"throttled", c.Throttled.Load(), 'c')
 		line(name+"faulted", c.Faulted.Load(), 'c')
-		line(name+"relayed", c.Relayed.Load(), 'c')
+		line(name+"relayed", c.Sent.Load(), 'c')
 	}
 	g := t.gauges()
 	line("open_requests", uint64(max(g.Queries, 0)), 'g')
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -8,7 +8,7 @@
 	"mothrouter/internal/metrics"
 )
 
-func TestFigures(t *testing.T) {
+func TestAppendWritesCountersAndGauges(t *testing.T) {
 	c := metrics.New(map[string]int{"b": 0, "a": 1}, func() metrics.Gauges { return metrics.Gauges{Queries: 3, Endpoints: 12, Avoided: 1} })
 	for _, status := range []int{200, 200, 503, 429, 500, 504, 400} {
 		c.RecordResponse(1, status)
