--- a/internal/endpoints/discovery/discovery.go
+++ b/internal/endpoints/discovery/discovery.go
@@ -1,65 +1,59 @@
-// Package discovery watches the endpoint list: it drives httpwire's line reader over a socket, as listwatch decides.
+// Package discovery watches the endpoint list over HTTP. It drives package httpwire's line reader over a socket; package
+// listwatch decides when to call.
 package discovery
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
-	"net"
 	"sync"
 	"time"
 
 	"mothrouter/internal/backoff"
 	"mothrouter/internal/broker"
 	"mothrouter/internal/endpoints/listwatch"
-	"mothrouter/internal/transport/httpwire"
 )
 
-// dialTimeout is as long as a call may take: a first packet that is lost is sent again after a second.
-const dialTimeout = listwatch.CallTimeout
-
-// Watcher watches the list and hands its updates to Update. It drives a listwatch, which decides when to call and which calls
-// stay open.
+// Watcher watches the endpoint list and passes its updates to Update. The exported fields must not change once Run is called.
 type Watcher struct {
-	Addr      string // where the first watch goes; ChangeAddress names another
+	Addr      string // address host:port of discovery at the start; ChangeAddress sets another
 	NameTable NameTable
-	Since     int64 // version of the list as known
-	Update    func(broker.EndpointUpdate)
+	Since     int64                       // version of the list that Update has received last
+	Update    func(broker.EndpointUpdate) // is called from Run's goroutine
 	Log       *slog.Logger
-	// Backoff decides when a watch is started. All brokers share one discovery.
-	Backoff *backoff.Backoff
+	Backoff   *backoff.Backoff // of the calls; nil: that of a single broker. All brokers share one discovery.
 
 	once       sync.Once
-	newAddress chan string // the latest one that ChangeAddress named, until Run takes it
+	newAddress chan string // the latest that ChangeAddress has set, until Run takes it
 }
 
+// init prepares what ChangeAddress and Run share, whichever is called first.
 func (w *Watcher) init() { w.once.Do(func() { w.newAddress = make(chan string, 1) }) }
 
-// ChangeAddress has the list watched at another address from now on, from the version last received. The list stays.
+// ChangeAddress has the list watched at another address, from the version received last. The list stays. Any goroutine may call
+// it; it does not wait for Run.
 func (w *Watcher) ChangeAddress(addr string) {
 	w.init()
 	for {
 		select {
 		case w.newAddress <- addr:
 			return
-		case <-w.newAddress: // one that Run has not come to
+		case <-w.newAddress: // an earlier one that Run has not taken
 		}
 	}
 }
 
-// message is what a call has brought: the text of an object or, empty, an empty line; or its end.
+// message is what a call has received, or its end.
 type message struct {
-	call int
-	text []byte
-	err  error
+	call int    // id of the call
+	text []byte // a JSON object; empty: a keepalive
+	err  error  // why the call has ended; nil: it goes on
 }
 
 // Run watches the list until ctx ends. Each call has a goroutine that only reads and ends with it; Run's own owns the list's
-// version and the listwatch.
+// version and the listwatch.Watch.
 func (w *Watcher) Run(ctx context.Context) {
 	w.init()
 	if w.Backoff == nil {
@@ -68,31 +62,35 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	r := &run{
-		Watcher: w, ctx: ctx, addr: w.Addr, watch: listwatch.New(w.Backoff, time.Now()),
-		messages: make(chan message), open: map[int]context.CancelFunc{},
+		Watcher:  w,
+		ctx:      ctx,
+		addr:     w.Addr,
+		watch:    listwatch.New(w.Backoff, time.Now()),
+		messages: make(chan message),
+		open:     map[int]context.CancelFunc{},
 	}
 	for ctx.Err() == nil {
-		r.awaitEvent()
+		r.handleNextEvent()
 	}
 }
 
-// run is what a Watcher owns while it runs.
+// run is the state of a Watcher while it runs. Run's goroutine owns it.
 type run struct {
 	*Watcher
 	ctx      context.Context
-	addr     string
+	addr     string // where the next call goes
 	watch    *listwatch.Watch
-	messages chan message
-	open     map[int]context.CancelFunc // by call
+	messages chan message               // of all calls
+	open     map[int]context.CancelFunc // ends a call, by its id
 }
 
-// awaitEvent waits for the next event and acts on it.
-func (r *run) awaitEvent() {
+// handleNextEvent waits for the next event and handles it.
+func (r *run) handleNextEvent() {
 	var due <-chan time.Time
 	if at := r.watch.WakeAt(); !at.IsZero() {
-		t := time.NewTimer(time.Until(at))
-		defer t.Stop()
-		due = t.C
+		timer := time.NewTimer(time.Until(at))
+		defer timer.Stop()
+		due = timer.C
 	}
 	select {
 	case <-r.ctx.Done():
@@ -107,23 +105,28 @@
 
 // perform opens and closes calls.
 func (r *run) perform(actions []listwatch.Action) {
-	for _, a := range actions {
-		if a.Close {
+	for _, action := range actions {
+		if action.Close {
 			r.Log.Info("silent endpoint watch closed", "since", r.Since)
-			r.open[a.Call]()
-			delete(r.open, a.Call)
+			r.end(action.Call)
 			continue
 		}
-		ctx, end := context.WithCancel(r.ctx)
-		r.open[a.Call] = end
-		go runCall(ctx, a.Call, r.addr, r.Since, r.messages)
+		ctx, cancel := context.WithCancel(r.ctx)
+		r.open[action.Call] = cancel
+		c := &call{id: action.Call, addr: r.addr, since: r.Since, messages: r.messages}
+		go c.run(ctx)
 	}
 }
 
-// handleMessage takes up what a call has brought, and ends the call after an error.
+// end ends an open call.
+func (r *run) end(id int) {
+	r.open[id]()
+	delete(r.open, id)
+}
+
+// handleMessage handles what a call has received, and ends the call after an error.
 func (r *run) handleMessage(m message) {
-	end := r.open[m.call]
-	if end == nil {
+	if r.open[m.call] == nil {
 		return // closed meanwhile
 	}
 	err := m.err
@@ -135,84 +138,36 @@
 		return
 	}
 	r.Log.Info("endpoint watch ended", "error", err, "since", r.Since)
-	end()
-	delete(r.open, m.call)
+	r.end(m.call)
 	r.perform(r.watch.CallEnded(time.Now(), m.call))
 }
 
-// runCall makes one call and hands on what it brings, until it or ctx ends.
-func runCall(ctx context.Context, id int, addr string, since int64, words chan<- message) {
-	say := func(text []byte, end error) {
-		select {
-		case words <- message{id, bytes.Clone(text), end}:
-		case <-ctx.Done():
-		}
-	}
-	d := net.Dialer{Timeout: dialTimeout}
-	sock, err := d.DialContext(ctx, "tcp", addr)
-	if err != nil {
-		say(nil, err)
-		return
-	}
-	defer sock.Close()
-	defer context.AfterFunc(ctx, func() { sock.Close() })()
-	sock.SetWriteDeadline(time.Now().Add(dialTimeout))
-	if _, err := fmt.Fprintf(sock, "GET /discovery/hosts?follow=1&since=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
-		since, addr); err != nil {
-		say(nil, err)
-		return
-	}
-	var in httpwire.LineReader
-	var object httpwire.Object
-	for {
-		n, err := sock.Read(in.Grow())
-		if err != nil {
-			say(nil, err)
-			return
-		}
-		in.Advance(n)
-		for {
-			line, ok, err := in.Next()
-			if err == nil && ok && in.Status() != 200 {
-				err = fmt.Errorf("discovery answers %d", in.Status())
-			}
-			var text []byte
-			whole := false
-			if err == nil && ok {
-				text, whole, err = object.Add(line)
-			}
-			if err != nil {
-				say(nil, err)
-				return
-			}
-			if !ok {
-				break
-			}
-			if whole {
-				say(text, nil)
-			}
-		}
-		if in.Done() {
-			say(nil, errors.New("discovery ended the watch"))
-			return
-		}
-	}
+// OlderVersionError is a message with an older version than that of the list.
+type OlderVersionError struct {
+	Version int64 // of the message
+	Since   int64 // of the list
+}
+
+// Error returns both versions.
+func (e *OlderVersionError) Error() string {
+	return fmt.Sprintf("version %d is older than version %d of the endpoint list", e.Version, e.Since)
 }
 
-func (w *Watcher) apply(line []byte) error {
+// apply passes an update on. Guards against an agent that lags behind: its list would bring back servers that drain or are
+// removed.
+func (w *Watcher) apply(text []byte) error {
 	var m Message
-	if err := json.Unmarshal(line, &m); err != nil {
-		return fmt.Errorf("a line of the watch: %w", err)
+	if err := json.Unmarshal(text, &m); err != nil {
+		return fmt.Errorf("message of discovery: %w", err)
 	}
-	l, err := w.NameTable.EndpointUpdate(m)
+	update, err := w.NameTable.EndpointUpdate(m)
 	if err != nil {
 		return err
 	}
 	if m.Version < w.Since {
-		// Guards against an agent that has fallen behind: its list would bring back servers that drain or are removed.
-		return fmt.Errorf("version %d is older than what is known", m.Version)
+		return &OlderVersionError{Version: m.Version, Since: w.Since}
 	}
 	w.Since = m.Version
-	w.Update(l)
+	w.Update(update)
 	return nil
 }
--- a/internal/endpoints/discovery/discovery_test.go
+++ b/internal/endpoints/discovery/discovery_test.go
@@ -18,14 +18,15 @@
 	"mothrouter/internal/endpoints/discovery"
 )
 
-// fakeDiscovery stands in for discovery: it serves watches, counts when each was asked for, and can drop them all.
+// fakeDiscovery is a discovery that answers each watch with one message, records the calls, and can close them all.
 type fakeDiscovery struct {
 	net.Listener
 	mu       sync.Mutex
-	calledAt []time.Time
+	calledAt []time.Time // of each call since the last drop
 	open     []net.Conn
 }
 
+// newFakeDiscovery starts a fakeDiscovery that the end of the test stops.
 func newFakeDiscovery(t *testing.T) *fakeDiscovery {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -43,6 +44,7 @@
 	return d
 }
 
+// serve answers one call.
 func (d *fakeDiscovery) serve(c net.Conn) {
 	if _, err := bufio.NewReader(c).ReadString('\n'); err != nil {
 		return
@@ -55,6 +57,7 @@
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(line), line)
 }
 
+// drop closes all calls and forgets their times.
 func (d *fakeDiscovery) drop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,41 +67,43 @@
 	d.open, d.calledAt = nil, nil
 }
 
+// calls returns the times of the calls since the last drop.
 func (d *fakeDiscovery) calls() []time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]time.Time(nil), d.calledAt...)
 }
 
-// All brokers of a fleet lose the directory in one moment. What they do at once is not seen by any of them; the
-// directory would have to serve all in the same millisecond.
+// All brokers of a fleet lose discovery in one moment. If all called again at once, discovery would have to serve them in the
+// same millisecond.
 func TestWatchersReconnectApartAfterALossInOneMoment(t *testing.T) {
-	const fleet, here = 40, 20 // of a fleet of 40, whose calls after a loss are spread over a second, 20 stand here
+	const fleet, brokers = 40, 20 // 20 brokers of a fleet of 40, whose calls after a loss are spread over a second
 	d := newFakeDiscovery(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	for i := range here {
+	for i := range brokers {
 		w := &discovery.Watcher{Addr: d.Addr().String(), Update: func(broker.EndpointUpdate) {},
 			Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Backoff: backoff.New(fleet, uint64(i))}
 		go w.Run(ctx)
 	}
 	for _, spread := range []time.Duration{100 * time.Millisecond, 500 * time.Millisecond} { // the start, and a loss
-		require.Eventually(t, func() bool { return len(d.calls()) == here }, 4*time.Second, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return len(d.calls()) == brokers }, 4*time.Second, 5*time.Millisecond)
 		at := d.calls()
-		require.Greater(t, at[here-1].Sub(at[0]), spread)
+		require.Greater(t, at[brokers-1].Sub(at[0]), spread)
 		together := 0
 		for i := range at {
-			for j := i; j < here && at[j].Sub(at[i]) < spread/5; j++ {
+			for j := i; j < brokers && at[j].Sub(at[i]) < spread/5; j++ {
 				together = max(together, j-i+1)
 			}
 		}
-		require.Less(t, together, here/2)
+		require.Less(t, together, brokers/2)
 		d.drop()
 	}
 }
 
-// newScriptedDiscovery serves each call as the next of its steps says; the last one serves all that follow.
-func newScriptedDiscovery(t *testing.T, steps ...func(c net.Conn)) (addr string, asked func() []string) {
+// newScriptedDiscovery starts a discovery that serves each call by the next step, and all further calls by the last. requests
+// returns the request line of each call.
+func newScriptedDiscovery(t *testing.T, steps ...func(c net.Conn)) (addr string, requests func() []string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -128,31 +133,35 @@
 	}
 }
 
+// okHead is the header of a watch.
 const okHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
+// chunk returns one chunk of a response.
 func chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
+// writes returns a step that sends a text.
 func writes(text string) func(net.Conn) { return func(c net.Conn) { fmt.Fprint(c, text) } }
 
-// runWatcher runs a watcher of a small fleet and hands on its news.
+// runWatcher runs a watcher of a small fleet and returns its updates.
 func runWatcher(t *testing.T, addr string) chan broker.EndpointUpdate {
-	news := make(chan broker.EndpointUpdate, 10)
+	updates := make(chan broker.EndpointUpdate, 10)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	w := &discovery.Watcher{Addr: addr, Since: 5, Update: func(l broker.EndpointUpdate) { news <- l },
+	w := &discovery.Watcher{Addr: addr, Since: 5, Update: func(l broker.EndpointUpdate) { updates <- l },
 		NameTable: discovery.NameTable{Zones: []string{"a"}, Kinds: []string{"m"}},
 		Log:       slog.New(slog.NewTextHandler(io.Discard, nil)), Backoff: backoff.New(3, 1)}
 	go w.Run(ctx)
-	return news
+	return updates
 }
 
+// entry returns a message with one server.
 func entry(version int, full bool) string {
 	return fmt.Sprintf(`{"version":%d,"full":%t,"servers":[{"id":"s","addr":"127.0.0.1:1","zone":"a","kind":"m","state":"leaving"}]}`,
 		version, full) + "\n"
 }
 
-// What a silent watch misses binds 6 s after its last word. Whatever the silence looks like, the news have come by
-// then, and the call for them names the version last heard.
+// An update that a silent watch misses is in force 6 s after the last message. Whatever form the silence has, the update has
+// been received by then, by a call from the version received last.
 func TestWatcherReplacesASilentWatchWithinTheUpdateDeadline(t *testing.T) {
 	t.Parallel()
 	first := okHead + chunk(`{"version":7,"full":false,"servers":[]}`+"\n")
@@ -165,19 +174,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			addr, asked := newScriptedDiscovery(t, silence, writes(okHead+chunk(entry(9, false))))
-			news := runWatcher(t, addr)
-			require.EqualValues(t, 7, (<-news).Version)
-			fell := time.Now()
-			require.EqualValues(t, 9, (<-news).Version)
-			require.Less(t, time.Since(fell), 6*time.Second)
-			require.Greater(t, time.Since(fell), 2*time.Second, "an empty line comes every 2 s: this was no silence yet")
-			require.Contains(t, asked()[1], "since=7")
+			addr, requests := newScriptedDiscovery(t, silence, writes(okHead+chunk(entry(9, false))))
+			updates := runWatcher(t, addr)
+			require.EqualValues(t, 7, (<-updates).Version)
+			silentSince := time.Now()
+			require.EqualValues(t, 9, (<-updates).Version)
+			require.Less(t, time.Since(silentSince), 6*time.Second)
+			require.Greater(t, time.Since(silentSince), 2*time.Second, "a keepalive comes every 2 s: the watch was not silent yet")
+			require.Contains(t, requests()[1], "since=7")
 		})
 	}
 }
 
-// drip writes a byte of a line now and then: a peer that lives, but brings nothing whole.
+// drip writes one byte of a line every 200 ms: a peer that is alive, but sends no complete message.
 func drip(c net.Conn, first, line string) {
 	fmt.Fprint(c, first)
 	for i := range line {
@@ -188,24 +197,24 @@
 	}
 }
 
-// An agent that takes the call and says nothing, or no more than a head, has not answered.
+// An agent that accepts the call and sends nothing, or only a response header, has not answered.
 func TestWatcherRetriesACallWithoutAnswer(t *testing.T) {
 	t.Parallel()
 	for name, step := range map[string]func(net.Conn){"nothing": writes(""), "a head": writes(okHead)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			addr, _ := newScriptedDiscovery(t, step, writes(okHead+chunk(entry(9, true))))
-			began := time.Now()
+			startedAt := time.Now()
 			l := <-runWatcher(t, addr)
 			require.EqualValues(t, 9, l.Version)
-			require.Less(t, time.Since(began), 4*time.Second)
+			require.Less(t, time.Since(startedAt), 4*time.Second)
 		})
 	}
 }
 
 func TestWatcherKeepsAWatchWithKeepalives(t *testing.T) {
 	t.Parallel()
-	addr, asked := newScriptedDiscovery(t, func(c net.Conn) {
+	addr, requests := newScriptedDiscovery(t, func(c net.Conn) {
 		fmt.Fprint(c, okHead+chunk(`{"version":7,"full":false,"servers":[]}`+"\n"))
 		for range 3 {
 			time.Sleep(2 * time.Second)
@@ -213,20 +222,20 @@
 		}
 		fmt.Fprint(c, chunk(entry(8, false)))
 	})
-	news := runWatcher(t, addr)
-	<-news
-	require.EqualValues(t, 8, (<-news).Version)
-	require.Len(t, asked(), 1)
+	updates := runWatcher(t, addr)
+	<-updates
+	require.EqualValues(t, 8, (<-updates).Version)
+	require.Len(t, requests(), 1)
 }
 
-// An agent that has fallen behind, perhaps the one that a new configuration names, must not bring back what drains.
+// An agent that lags behind, perhaps the one at a new address, must not bring back servers that drain.
 func TestWatcherRejectsOlderVersions(t *testing.T) {
 	t.Parallel()
-	addr, asked := newScriptedDiscovery(t, writes(okHead+chunk(entry(4, true))), writes(okHead+chunk(entry(6, true))))
+	addr, requests := newScriptedDiscovery(t, writes(okHead+chunk(entry(4, true))), writes(okHead+chunk(entry(6, true))))
 	l := <-runWatcher(t, addr)
 	require.EqualValues(t, 6, l.Version)
-	require.Len(t, asked(), 2)
-	require.Contains(t, asked()[1], "since=5")
+	require.Len(t, requests(), 2)
+	require.Contains(t, requests()[1], "since=5")
 }
 
 func TestWatcherReadsIndentedMessages(t *testing.T) {
@@ -239,10 +248,10 @@
 			body += chunk(rest[:min(step, len(rest))])
 		}
 		addr, _ := newScriptedDiscovery(t, writes(okHead+body+chunk(entry(10, false))))
-		news := runWatcher(t, addr)
-		l := <-news
+		updates := runWatcher(t, addr)
+		l := <-updates
 		require.EqualValues(t, 9, l.Version)
 		require.Equal(t, `s{"}`, l.Servers[0].ID)
-		require.EqualValues(t, 10, (<-news).Version)
+		require.EqualValues(t, 10, (<-updates).Version)
 	}
 }
--- a/internal/endpoints/listwatch/listwatch_test.go
+++ b/internal/endpoints/listwatch/listwatch_test.go
@@ -15,19 +15,21 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// agentSimulation plays the agent of a broker in virtual time. While it is down it takes calls and says nothing; all that are
-// open have its news the moment it is back. It speaks every 2 s else.
+// agentSimulation simulates the agent of a broker in virtual time. While it is down it accepts calls and sends nothing; the
+// moment it is up again all open calls receive its update. Otherwise it sends a message every 2 s.
 type agentSimulation struct {
 	*listwatch.Watch
 	open    map[int]bool
-	opened  []time.Duration // when each call was made
-	maxOpen int             // calls open at once
+	opened  []time.Duration // start of each call, by its id
+	maxOpen int             // largest number of open calls
 }
 
+// newAgentSimulation returns an agent with the watch of one of several callers.
 func newAgentSimulation(callers int, seed uint64) *agentSimulation {
 	return &agentSimulation{Watch: listwatch.New(backoff.New(callers, seed), start), open: map[int]bool{}}
 }
 
+// perform opens and closes calls.
 func (a *agentSimulation) perform(at time.Duration, actions []listwatch.Action) {
 	for _, x := range actions {
 		if x.Close {
@@ -40,10 +42,10 @@
 	}
 }
 
-// runUntil runs from the start to a time in steps of 10 ms. It returns when the agent, which is down from one time to another, was last
-// heard.
-func (a *agentSimulation) runUntil(to, down, up time.Duration) (heard time.Duration) {
-	heard = -1
+// runUntil simulates from the start until to in steps of 10 ms, with an agent that is down from down until up. It returns the
+// time of the last message, or -1.
+func (a *agentSimulation) runUntil(to, down, up time.Duration) (lastMessageAt time.Duration) {
+	lastMessageAt = -1
 	for at := time.Duration(0); at < to; at += 10 * time.Millisecond {
 		now := start.Add(at)
 		if w := a.WakeAt(); !w.IsZero() && !now.Before(w) {
@@ -52,21 +54,21 @@
 		if at >= down && at < up {
 			continue
 		}
-		fresh := len(a.opened) > 0 && a.opened[len(a.opened)-1] == at
-		if !fresh && at%(2*time.Second) != 0 && at != up {
+		callStarted := len(a.opened) > 0 && a.opened[len(a.opened)-1] == at
+		if !callStarted && at%(2*time.Second) != 0 && at != up {
 			continue
 		}
 		for id := range a.open {
 			a.perform(at, a.MessageReceived(now, id))
-			heard = at
+			lastMessageAt = at
 			break
 		}
 	}
-	return heard
+	return lastMessageAt
 }
 
-// On herd+mass, seed 5, the agent was silent from the first word to 9.5 s. What it has then binds 250 ms later. A
-// watcher that gave up a silent call before it made the next was deaf at that moment, and 300 brokers broke a drain.
+// An agent that was silent for 9 s sends its update to the open calls alone, and the update is in force 250 ms later. A watch
+// that closed a silent call before it started the next would miss it.
 func TestSilentCallStaysOpenUntilAnotherAnswers(t *testing.T) {
 	for seed := range uint64(300) {
 		a := newAgentSimulation(300, seed)
@@ -77,7 +79,7 @@
 	}
 }
 
-// The watch has fallen silent, but a new call is answered: its news come before they bind.
+// A watch becomes silent, but a new call is answered: its first message comes before the update is in force.
 func TestSilentCallIsReplacedWithinTheUpdateDeadline(t *testing.T) {
 	for _, callers := range []int{1, 3, 80, 300, 100_000} {
 		for seed := range uint64(100) {
@@ -102,7 +104,7 @@
 		old := len(a.opened)
 		a.perform(10*time.Second, a.AddressChanged(start.Add(10*time.Second)))
 		require.Len(t, a.open, 1)
-		a.perform(10*time.Second, a.MessageReceived(start.Add(10*time.Second), old)) // what it says does not make it the watch again
+		a.perform(10*time.Second, a.MessageReceived(start.Add(10*time.Second), old)) // a message does not make it the watch again
 		at := 10 * time.Second
 		for ; len(a.opened) == old; at += 10 * time.Millisecond {
 			if now := start.Add(at); !now.Before(a.WakeAt()) {
@@ -116,7 +118,7 @@
 	}
 }
 
-// Whatever happens, a watch either listens or has its next call planned, and calls are few.
+// After any events a watch has a time at which Tick is due, and few calls are open.
 func TestWatchAlwaysHasAWakeTimeAndBoundedCalls(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newAgentSimulation(rapid.IntRange(1, 400).Draw(t, "callers"), rapid.Uint64().Draw(t, "seed"))
@@ -143,32 +145,32 @@
 				}
 			default:
 				a.perform(at, a.Tick(now))
-				require.True(t, a.WakeAt().After(now), "a look at the time that leaves nothing to do is not wanted again at once")
+				require.True(t, a.WakeAt().After(now), "Tick is due again at once")
 			}
-			require.False(t, a.WakeAt().IsZero(), "nothing is planned")
+			require.False(t, a.WakeAt().IsZero(), "Tick is never due")
 			require.Less(t, a.WakeAt().Sub(now), 5*time.Second)
 			require.LessOrEqual(t, len(a.open), 4)
 		}
 	})
 }
 
-// Discovery cannot be reached for a while: it refuses calls, takes them and says nothing, or lets them hang, in any
-// order. From the moment at which it can be reached a call that is made is answered within its limit, and so a change
-// is in hand within 6 s, whatever became of the calls before, in a fleet of any size. Nor do all call in one moment.
+// Discovery cannot be reached for a while: calls are refused, time out before they connect, or receive nothing, in any order.
+// Once it can be reached, a call is answered within its timeout, so an update is applied within 6 s whatever the calls before,
+// in a fleet of any size. The calls of a fleet are spread over time.
 func TestWatchCallsWithinTheUpdateDeadlineOfRecovery(t *testing.T) {
 	for _, callers := range []int{1, 5, 30, 300, 100_000} {
-		var after []time.Duration // when each broker called first once it could
+		var after []time.Duration // from the recovery to the first call, by broker
 		made := 0
 		for seed := range uint64(200) {
 			rng := rand.New(rand.NewPCG(seed, uint64(callers)))
 			a := newAgentSimulation(callers, seed)
-			a.runUntil(time.Second, 0, 0) // heard, then lost: by a reset, or in silence
+			a.runUntil(time.Second, 0, 0) // then the watch is reset or becomes silent
 			up := time.Second + time.Duration(rng.IntN(3000))*10*time.Millisecond
 			ends := map[int]time.Duration{}
 			if rng.IntN(2) == 0 {
 				ends[1] = time.Second
 			}
-			if rng.IntN(3) == 0 { // a new configuration has come meanwhile
+			if rng.IntN(3) == 0 { // the address changes meanwhile
 				ends[0] = time.Second + time.Duration(rng.IntN(int((up-time.Second)/(10*time.Millisecond))+1))*10*time.Millisecond
 			}
 			calls := len(a.opened)
@@ -193,8 +195,8 @@
 					case 0:
 						ends[calls+1] = at + 10*time.Millisecond // refused
 					case 1:
-						ends[calls+1] = at + listwatch.CallTimeout // never came up
-					} // or stays silent
+						ends[calls+1] = at + listwatch.CallTimeout // could not connect
+					} // or receives nothing
 				}
 				if last := a.opened[len(a.opened)-1]; last >= up {
 					after = append(after, last-up)
@@ -206,8 +208,8 @@
 		}
 		slices.Sort(after)
 		if callers >= 300 {
-			require.Greater(t, after[len(after)*9/10]-after[len(after)/10], 800*time.Millisecond, "they call in step")
-			require.Less(t, made, 200*16, "and too often")
+			require.Greater(t, after[len(after)*9/10]-after[len(after)/10], 800*time.Millisecond, "calls are not spread over time")
+			require.Less(t, made, 200*16, "too many calls")
 		}
 	}
 }
