--- a/internal/admin/callreader.go
+++ b/internal/admin/callreader.go
@@ -1,5 +1,5 @@
-// Package admin is the address where operators call: a line machine that knows no socket, and a thin driver. Each
-// connection carries one line and gets one reply, in time whatever the load and whoever else is calling.
+// Package admin serves the address for operators: a reader of calls without I/O, and a thin server. Each connection carries
+// one call of one line and receives one reply within a second, whatever the load and the other callers.
 package admin
 
 import (
@@ -7,22 +7,25 @@
 	"errors"
 )
 
-// Call is what a caller wants.
+// Call is what a caller asks for.
 type Call int
 
-// What callers may want.
+// The calls.
 const (
-	CheckHealth Call = iota // does this process take clients?
-	DumpMetrics             // the figures
-	StartDrain              // drain
-	CancelDrain             // take clients again
+	CheckHealth Call = iota // whether the process accepts clients
+	DumpMetrics             // all metrics
+	StartDrain              // start a drain
+	CancelDrain             // cancel the drain
 )
 
-var calls = map[string]Call{"HEALTH": CheckHealth, "DUMP": DumpMetrics, "LEAVE": StartDrain, "JOIN": CancelDrain}
+// calls are the calls by their lines.
+var calls = map[string]Call{
+	"HEALTH": CheckHealth, "DUMP": DumpMetrics, "LEAVE": StartDrain, "JOIN": CancelDrain,
+}
 
-const maxLineLength = 64 // bytes of a call, its end included
+const maxLineLength = 64 // bytes of a call, with the end of the line
 
-// Errors of a call that cannot be used. Their texts go to the caller.
+// Errors of a call that is rejected. Their texts go to the caller.
 var (
 	ErrCallTooLong   = errors.New("the call is too long")
 	ErrUnknownCall   = errors.New("no such call")
@@ -32,21 +35,22 @@
 
 // CallReader reads one call. The zero value is ready.
 type CallReader struct {
-	line [maxLineLength]byte
-	n    int
+	line   [maxLineLength]byte
+	length int // bytes of line that have been received
 }
 
-// Grow returns where to read the next bytes to.
-func (m *CallReader) Grow() []byte { return m.line[m.n:] }
+// Grow returns the buffer for the bytes that are received next. It is not empty before Next has returned an error.
+func (r *CallReader) Grow() []byte { return r.line[r.length:] }
 
-// Advance tells that n more bytes stand at the start of what Grow returned.
-func (m *CallReader) Advance(n int) { m.n += n }
+// Advance adds the first n bytes of the buffer that Grow returned.
+func (r *CallReader) Advance(n int) { r.length += n }
 
-// Next returns the call; ok is false where more bytes must come first.
-func (m *CallReader) Next() (c Call, ok bool, err error) {
-	line, rest, whole := bytes.Cut(m.line[:m.n], []byte{'\n'})
-	if !whole {
-		if m.n == len(m.line) {
+// Next returns the call and true, or false where more bytes are needed. The error is ErrCallTooLong, ErrMultipleLines or
+// ErrUnknownCall.
+func (r *CallReader) Next() (Call, bool, error) {
+	line, rest, complete := bytes.Cut(r.line[:r.length], []byte{'\n'})
+	if !complete {
+		if r.length == len(r.line) {
 			return 0, false, ErrCallTooLong
 		}
 		return 0, false, nil
@@ -54,9 +58,9 @@
 	if len(rest) > 0 {
 		return 0, false, ErrMultipleLines
 	}
-	c, known := calls[string(bytes.TrimSuffix(line, []byte{'\r'}))]
+	call, known := calls[string(bytes.TrimSuffix(line, []byte{'\r'}))]
 	if !known {
 		return 0, false, ErrUnknownCall
 	}
-	return c, true, nil
+	return call, true, nil
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -23,33 +23,35 @@
 		"JOIN\nLEAVE\n": admin.ErrMultipleLines, strings.Repeat("x", 64): admin.ErrCallTooLong, "HEAL": nil, "": nil,
 	} {
 		for _, piece := range []int{1, 64} {
-			var m admin.CallReader
+			var reader admin.CallReader
 			var got any
 			for rest := text; rest != "" && got == nil; {
-				n := copy(m.Grow(), rest[:min(piece, len(rest))])
-				m.Advance(n)
+				n := copy(reader.Grow(), rest[:min(piece, len(rest))])
+				reader.Advance(n)
 				rest = rest[n:]
-				if c, ok, err := m.Next(); err != nil {
+				if c, ok, err := reader.Next(); err != nil {
 					got = err
 				} else if ok && rest == "" {
 					got = c
 				}
 			}
 			if err, ok := want.(error); ok && errors.Is(err, admin.ErrMultipleLines) && piece == 1 {
-				continue // the first line is whole before the second has begun to come
+				continue // the first line is complete before the second is received
 			}
 			require.Equal(t, want, got, "%q by %d", text, piece)
 		}
 	}
 }
 
-type process struct{ away atomic.Bool }
+// process is a Process that only drains.
+type process struct{ draining atomic.Bool }
 
-func (p *process) AcceptsClients() bool          { return !p.away.Load() }
-func (p *process) StartDrain()                   { p.away.Store(true) }
-func (p *process) CancelDrain()                  { p.away.Store(false) }
+func (p *process) AcceptsClients() bool          { return !p.draining.Load() }
+func (p *process) StartDrain()                   { p.draining.Store(true) }
+func (p *process) CancelDrain()                  { p.draining.Store(false) }
 func (p *process) AppendMetrics(b []byte) []byte { return append(b, "svc.open_requests:3|g\n"...) }
 
+// serve starts a server that the end of the test stops.
 func serve(t *testing.T) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -58,16 +60,17 @@
 	return l.Addr().String()
 }
 
+// call makes one call and returns the reply.
 func call(t *testing.T, addr, text string) string {
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer c.Close()
-	began := time.Now()
+	startedAt := time.Now()
 	fmt.Fprint(c, text)
-	c.SetReadDeadline(began.Add(2 * time.Second))
+	c.SetReadDeadline(startedAt.Add(2 * time.Second))
 	reply, err := io.ReadAll(c)
 	require.NoError(t, err)
-	require.Less(t, time.Since(began), time.Second, "%q", text)
+	require.Less(t, time.Since(startedAt), time.Second, "%q", text)
 	return string(reply)
 }
 
@@ -85,7 +88,7 @@
 	}
 }
 
-// Callers that say nothing, or half a call, and stay, starve nobody.
+// Callers that stay connected and send nothing, or half a call, do not keep others from a reply.
 func TestServerRepliesBesideSilentCallers(t *testing.T) {
 	addr := serve(t)
 	var stay []net.Conn
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,8 +1,8 @@
-// Package backoff decides when a caller of a shared service retries. It does no I/O and keeps no clock.
+// Package backoff decides when a client of a shared service retries. It does no I/O and keeps no clock.
 //
-// It is built for fleets (a thundering herd): what one caller does at once is harmless, and overloads the service when
-// hundreds do it in the same millisecond, as they do when they were started, or lost their connections, together. So every
-// wait has jitter, and the first ones and the longest grow with the number of callers.
+// It prevents a thundering herd: calls that a fleet makes in one millisecond, since its callers were started or lost their
+// connections together, would overload the service. So every wait has jitter, and the spans from which the first waits and the
+// longest are drawn grow with the number of callers.
 package backoff
 
 import (
@@ -12,24 +12,26 @@
 )
 
 const (
-	minRetrySpan = 100 * time.Millisecond // the shortest wait after a failure, but for its random part
-	callDuration = 25 * time.Millisecond  // of the service's time that one caller's call may take
+	minRetrySpan = 100 * time.Millisecond // of the first wait after a failure, which is drawn from its upper half
+	callDuration = 25 * time.Millisecond  // the service's time that one call may take
 
-	// The list that a caller knows at its start may be old, and a drain is in force 250 ms after a call would have brought
-	// it. Updates that are missed while a watch is broken are in force only after 6 s.
+	// maxStartSpan is below the 250 ms after which a drain is in force that the first call would have received: the endpoint
+	// list that a caller has at its start may be old. Updates that are missed later are in force after 6 s.
 	maxStartSpan      = 200 * time.Millisecond
 	maxFirstSpan      = 2 * time.Second
 	minLongestSpan    = time.Second
 	maxLongestSpan    = 3 * time.Second
-	longestSpanFactor = 2 // the longest wait, in times that it takes to serve all callers once
+	longestSpanFactor = 2 // times the time that the service takes to serve all callers once
 
-	// DefaultCallers is the size of a fleet that does not state it, or states an absurd one.
+	// DefaultCallers is the assumed size of a fleet that states none, or an implausible one.
 	DefaultCallers = 100
-	// MaxCallers is the largest size that is believed.
+	// MaxCallers is the largest plausible size of a fleet.
 	MaxCallers = 100_000
+
+	seedStream = 0xbb67ae8584caa73b // of the random numbers, so that other users of the seed draw different ones
 )
 
-// ClampCallers returns a fleet's size, or DefaultCallers and false where it is absurd.
+// ClampCallers returns n and true, or DefaultCallers and false where n is outside 1 to MaxCallers.
 func ClampCallers(n int) (int, bool) {
 	if n < 1 || n > MaxCallers {
 		return DefaultCallers, false
@@ -37,55 +39,62 @@
 	return n, true
 }
 
-// Backoff is one caller's waits. Make it with New.
+// Backoff is the waits of one caller. Make it with New. But for Resize it is not safe for concurrent use.
 type Backoff struct {
 	rng         *rand.Rand
-	firstSpan   atomic.Int64  // nanoseconds: the first call after a success waits for less than this
-	started     bool          // the first call of all is over
-	longestSpan atomic.Int64  // the same of the longest
-	span        time.Duration // of the wait before; 0: the last call succeeded, or there was none
+	started     bool          // the wait before the first call of all has been drawn
+	firstSpan   atomic.Int64  // nanoseconds from which the wait after a success is drawn
+	longestSpan atomic.Int64  // nanoseconds from which the longest wait is drawn
+	span        time.Duration // from whose upper half the last wait was drawn; 0: no call has failed since a success
 }
 
-// New returns the waits of one of so many callers. Equal seeds give equal waits: callers need different ones.
+// New returns the waits of one of a number of callers. Equal seeds give equal waits, so callers need different ones.
 func New(callers int, seed uint64) *Backoff {
-	b := &Backoff{rng: rand.New(rand.NewPCG(seed, 0xbb67ae8584caa73b))}
+	b := &Backoff{rng: rand.New(rand.NewPCG(seed, seedStream))}
 	b.Resize(callers)
 	return b
 }
 
-// Resize takes note of how many callers there are. Any goroutine may call it.
+// Resize sets the number of callers. Any goroutine may call it.
 func (b *Backoff) Resize(callers int) {
 	callers, _ = ClampCallers(callers)
-	all := time.Duration(callers) * callDuration
-	b.firstSpan.Store(int64(min(all, maxFirstSpan)))
-	b.longestSpan.Store(int64(min(max(longestSpanFactor*all, minLongestSpan), maxLongestSpan)))
+	serveAll := time.Duration(callers) * callDuration
+	b.firstSpan.Store(int64(min(serveAll, maxFirstSpan)))
+	b.longestSpan.Store(int64(min(max(longestSpanFactor*serveAll, minLongestSpan), maxLongestSpan)))
 }
 
-// Next is how long to wait before the next call. A first wait may be nothing. Each later one is drawn from the upper half of a
-// span that doubles: whatever the service bears, callers that fail together drift apart and call less and less, until it can
-// serve them one by one. Where the call has to start within timeLeft, no wait is longer; 0 or less: there is no such limit.
+// Next returns the wait before the next call. The wait after a success may be 0. After that each wait is drawn from the upper
+// half of a span that doubles: callers that fail together drift apart and call less often, until the service can serve them
+// one by one, whatever its capacity. Where timeLeft is above 0, the wait is at most timeLeft.
 func (b *Backoff) Next(timeLeft time.Duration) time.Duration {
 	if b.span == 0 {
-		first := time.Duration(b.firstSpan.Load())
-		if !b.started {
-			b.started, first = true, min(first, maxStartSpan)
-		}
-		if timeLeft > 0 {
-			first = min(first, timeLeft)
-		}
-		b.span = max(time.Duration(b.firstSpan.Load())/2, minRetrySpan/2)
-		return b.draw(0, first)
+		return b.firstWait(timeLeft)
 	}
 	b.span = min(2*b.span, time.Duration(b.longestSpan.Load()))
-	if from, to := b.span/2, b.span; timeLeft <= 0 || to <= timeLeft {
-		return b.draw(from, to)
+	if timeLeft > 0 && timeLeft < b.span {
+		return b.draw(timeLeft/2, timeLeft)
+	}
+	return b.draw(b.span/2, b.span)
+}
+
+// firstWait returns the wait at the start or after a success.
+func (b *Backoff) firstWait(timeLeft time.Duration) time.Duration {
+	first := time.Duration(b.firstSpan.Load())
+	b.span = max(first, minRetrySpan) / 2
+	if !b.started {
+		b.started = true
+		first = min(first, maxStartSpan)
+	}
+	if timeLeft > 0 {
+		first = min(first, timeLeft)
 	}
-	return b.draw(timeLeft/2, timeLeft)
+	return b.draw(0, first)
 }
 
+// draw returns a wait of at least from and below to, or from where to is not above it.
 func (b *Backoff) draw(from, to time.Duration) time.Duration {
 	return from + time.Duration(b.rng.Int64N(max(int64(to-from), 1)))
 }
 
-// Succeeded tells that a call was served: the next wait is a first one again.
+// Succeeded records that a call has succeeded: the next wait is that after a success.
 func (b *Backoff) Succeeded() { b.span = 0 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -11,12 +11,13 @@
 	"mothrouter/internal/backoff"
 )
 
-// call is one call of a caller, due at a time.
+// call is a call of one caller.
 type call struct {
-	at     time.Duration
+	at     time.Duration // when it is made
 	caller int
 }
 
+// calls is a heap of calls by their time.
 type calls []call
 
 func (c calls) Len() int           { return len(c) }
@@ -30,48 +31,49 @@
 	return last
 }
 
-// simulateReconnects plays callers that all lose their watch at one moment, and a directory that serves one call after the
-// other. Calls wait in turn, and take its time even where their caller has left after two seconds. It returns
-// when each caller was served and how many calls were made.
-func simulateReconnects(callers int, each time.Duration, next func(caller int) time.Duration) (at []time.Duration, made int) {
-	const patience = 2 * time.Second
-	at = make([]time.Duration, callers)
+// simulateReconnects simulates callers that all lose their watch at one moment, and a discovery that serves one call after the
+// other, each for the same time. Calls queue, and are served also where their caller has timed out after two seconds. It
+// returns when each caller was served and the number of calls.
+func simulateReconnects(callers int, each time.Duration, next func(caller int) time.Duration) (servedAt []time.Duration, made int) {
+	const callTimeout = 2 * time.Second
+	servedAt = make([]time.Duration, callers)
 	var due calls
 	for i := range callers {
 		due = append(due, call{next(i), i})
 	}
 	heap.Init(&due)
-	free := time.Duration(0)
-	for left := callers; left > 0 && made < 100*callers; made++ {
+	freeAt := time.Duration(0) // when discovery can serve the next call
+	for waiting := callers; waiting > 0 && made < 100*callers; made++ {
 		c := heap.Pop(&due).(call)
-		start := max(free, c.at)
-		if start > c.at+patience {
-			heap.Push(&due, call{c.at + patience + next(c.caller), c.caller})
-			if queue := start - c.at; queue > 2*patience {
-				continue // its line is full: turned away, which costs it nothing
+		start := max(freeAt, c.at)
+		if start > c.at+callTimeout {
+			heap.Push(&due, call{c.at + callTimeout + next(c.caller), c.caller})
+			if queue := start - c.at; queue > 2*callTimeout {
+				continue // the queue is full: the call is rejected, which takes no time
 			}
-			free = start + each
+			freeAt = start + each
 			continue
 		}
-		free = start + each
-		at[c.caller] = free
-		left--
+		freeAt = start + each
+		servedAt[c.caller] = freeAt
+		waiting--
 	}
-	return at, made
+	return servedAt, made
 }
 
+// newWaits returns the waits of callers after their first success, by caller.
 func newWaits(callers int) func(int) time.Duration {
 	waits := make([]*backoff.Backoff, callers)
 	for i := range waits {
 		waits[i] = backoff.New(callers, uint64(i))
-		waits[i].Next(0) // the start
+		waits[i].Next(0) // that of the start
 		waits[i].Succeeded()
 	}
 	return func(i int) time.Duration { return waits[i].Next(0) }
 }
 
-// A directory of fixed capacity, and all brokers of a fleet that lose it in the same moment: each has to have
-// its watch again soon, whatever the directory bears.
+// All brokers of a fleet lose discovery in the same moment: each has its watch again soon, whatever the capacity of
+// discovery.
 func TestFleetReconnectsAfterALossInOneMoment(t *testing.T) {
 	for _, callers := range []int{1, 3, 80, 300} {
 		for _, each := range []time.Duration{5 * time.Millisecond, 10 * time.Millisecond, 20 * time.Millisecond} {
@@ -87,7 +89,8 @@
 	}
 }
 
-// A list from before the start may be old and binds soon; later news bind after 6 s, and a call may wait for 2 s.
+// The endpoint list of the start may be old, and updates of it are in force soon; later ones are in force after 6 s, of which
+// a call may take 2 s.
 func TestNextStaysBelowTheUpdateDeadline(t *testing.T) {
 	for _, callers := range []int{1, 80, 300, 100_000} {
 		b := backoff.New(callers, 5)
@@ -100,8 +103,8 @@
 	}
 }
 
-// News that come while there is no watch bind after 6 s. A call that can still be in time must not wait for so long
-// that it is not, however many calls have failed; and even then a fleet's calls must not be made in one moment.
+// Updates that are missed while there is no watch are in force after 6 s. A call that can still be in time must not be
+// delayed beyond that, however many calls have failed, and even then the calls of a fleet are spread over time.
 func TestNextEndsWithinTheTimeLeft(t *testing.T) {
 	const callers = 300
 	for _, failures := range []int{0, 1, 2, 8} {
@@ -122,18 +125,18 @@
 	}
 }
 
-// Callers whose calls all fail at one moment must not come back together: not at the first try, nor the third.
+// Callers whose calls all fail at one moment must not retry together: not in the first attempt, nor in the third.
 func TestCallersThatFailTogetherRetryApart(t *testing.T) {
 	const callers, window = 300, 50 * time.Millisecond
 	next, due := newWaits(callers), make([]time.Duration, callers)
-	for try := range 3 {
+	for attempt := range 3 {
 		slots := map[time.Duration]int{}
 		for i := range due {
 			due[i] += next(i)
 			slots[due[i]/window]++
 		}
 		for at, n := range slots {
-			require.Less(t, n, callers/6, "try %d: %d calls within %v of %v", try, n, window, at*window)
+			require.Less(t, n, callers/6, "attempt %d: %d calls within %v of %v", attempt, n, window, at*window)
 		}
 	}
 }
@@ -157,7 +160,7 @@
 		require.True(t, differs)
 	}
 	alone := backoff.New(1, 3)
-	require.Less(t, alone.Next(0), 30*time.Millisecond, "a broker that is alone need not wait for others")
+	require.Less(t, alone.Next(0), 30*time.Millisecond, "a single broker need not wait for others")
 	for range 50 {
 		require.LessOrEqual(t, alone.Next(0), time.Second)
 	}
@@ -165,8 +168,8 @@
 
 func TestClampCallersReplacesAbsurdSizes(t *testing.T) {
 	for n, want := range map[int]int{0: 100, -5: 100, 1: 1, 300: 300, 1 << 40: 100} {
-		got, told := backoff.ClampCallers(n)
+		got, plausible := backoff.ClampCallers(n)
 		require.Equal(t, want, got)
-		require.Equal(t, want == n, told)
+		require.Equal(t, want == n, plausible)
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,82 +1,113 @@
 // Package metrics counts what a process has done and writes it in the form in which operators fetch it. Counters are
-// atomics: they are read whatever the load, without asking a loop that may be busy.
+// atomics: they are read whatever the load, without a request to a loop that may be busy.
 package metrics
 
 import (
-	"sort"
+	"slices"
 	"strconv"
+	"strings"
 	"sync/atomic"
 )
 
-// Class counts the requests of one class by how they ended, and the attempts of their parts.
-type Class struct{ Fulfilled, Throttled, Faulted, Sent atomic.Uint64 }
+// Class counts the requests of one class by their final answers, and the attempts of their parts.
+type Class struct {
+	Fulfilled atomic.Uint64 // requests answered 200
+	Throttled atomic.Uint64 // requests answered 429 or 503
+	Faulted   atomic.Uint64 // requests with any other answer
+	Sent      atomic.Uint64 // attempts that were written completely to a record server
+}
 
-// Gauges are figures of the present moment.
+// Gauges are values of the present moment.
 type Gauges struct {
 	Queries   int // in flight
-	Endpoints int // record servers on the list
-	Avoided   int // of those, the ones that get no work now: they drain, or fail each time
+	Endpoints int // record servers on the endpoint list
+	Avoided   int // record servers on the endpoint list that receive no work now, as they drain or are unhealthy
 }
 
-// Counters is a process's counts. Make it with New.
+// Counters are the counters of a process. Make them with New. Their methods may be called by any goroutine; the Record
+// methods do nothing on a nil *Counters.
 type Counters struct {
 	classNames []string // by class
 	classes    []Class
 	gauges     func() Gauges
 }
 
-// New returns counts of 0 for the classes, and asks gauges for what holds.
+// New returns counters at 0 for the classes, which are given by name, and gauges that are read by the given function.
 func New(classes map[string]int, gauges func() Gauges) *Counters {
-	t := &Counters{classNames: make([]string, len(classes)), classes: make([]Class, len(classes)), gauges: gauges}
-	for name, i := range classes {
-		t.classNames[i] = name
+	c := &Counters{classNames: make([]string, len(classes)), classes: make([]Class, len(classes)), gauges: gauges}
+	for name, class := range classes {
+		c.classNames[class] = name
 	}
-	return t
+	return c
 }
 
-// RecordResponse counts a request by the status that its client was answered with.
-func (t *Counters) RecordResponse(class, status int) {
-	if t == nil || class < 0 || class >= len(t.classes) {
+// class returns the counters of a class, or nil for one that does not exist.
+func (c *Counters) class(class int) *Class {
+	if c == nil || class < 0 || class >= len(c.classes) {
+		return nil
+	}
+	return &c.classes[class]
+}
+
+// RecordResponse counts a request by the HTTP status of its final answer.
+func (c *Counters) RecordResponse(class, status int) {
+	counters := c.class(class)
+	if counters == nil {
 		return
 	}
-	switch c := &t.classes[class]; status {
+	switch status {
 	case 200:
-		c.Fulfilled.Add(1)
+		counters.Fulfilled.Add(1)
 	case 429, 503:
-		c.Throttled.Add(1)
+		counters.Throttled.Add(1)
 	default:
-		c.Faulted.Add(1)
+		counters.Faulted.Add(1)
 	}
 }
 
-// RecordSent counts an attempt that was written whole.
-func (t *Counters) RecordSent(class int) {
-	if t != nil && class >= 0 && class < len(t.classes) {
-		t.classes[class].Sent.Add(1)
+// RecordSent counts an attempt that was written completely.
+func (c *Counters) RecordSent(class int) {
+	if counters := c.class(class); counters != nil {
+		counters.Sent.Add(1)
 	}
 }
 
-// Append writes all figures, a line each, behind b.
-func (t *Counters) Append(b []byte) []byte {
-	line := func(name string, v uint64, kind byte) {
-		b = append(append(b, "svc."...), name...)
-		b = append(strconv.AppendUint(append(b, ':'), v, 10), '|', kind, '\n')
-	}
-	order := make([]int, len(t.classNames))
-	for i := range order {
-		order[i] = i
+// The types of a metric, as the form of a line has them.
+const (
+	typeCounter = 'c'
+	typeGauge   = 'g'
+)
+
+// Append appends a line for each metric to b and returns it. Classes are in the order of their names.
+func (c *Counters) Append(b []byte) []byte {
+	order := make([]int, len(c.classNames))
+	for class := range order {
+		order[class] = class
 	}
-	sort.Slice(order, func(a, b int) bool { return t.classNames[order[a]] < t.classNames[order[b]] })
-	for _, i := range order {
-		c, name := &t.classes[i], "operations."+t.classNames[i]+"."
-		line(name+"fulfilled", c.Fulfilled.Load(), 'c')
-		line(name+"throttled", c.Throttled.Load(), 'c')
-		line(name+"faulted", c.Faulted.Load(), 'c')
-		line(name+"relayed", c.Sent.Load(), 'c')
+	slices.SortFunc(order, func(x, y int) int { return strings.Compare(c.classNames[x], c.classNames[y]) })
+	for _, class := range order {
+		counters, prefix := &c.classes[class], "operations."+c.classNames[class]+"."
+		b = appendMetric(b, prefix+"fulfilled", counters.Fulfilled.Load(), typeCounter)
+		b = appendMetric(b, prefix+"throttled", counters.Throttled.Load(), typeCounter)
+		b = appendMetric(b, prefix+"faulted", counters.Faulted.Load(), typeCounter)
+		b = appendMetric(b, prefix+"relayed", counters.Sent.Load(), typeCounter)
 	}
-	g := t.gauges()
-	line("open_requests", uint64(max(g.Queries, 0)), 'g')
-	line("registry_entries", uint64(max(g.Endpoints, 0)), 'g')
-	line("out_of_rotation", uint64(max(g.Avoided, 0)), 'g')
+	gauges := c.gauges()
+	b = appendMetric(b, "open_requests", nonNegative(gauges.Queries), typeGauge)
+	b = appendMetric(b, "registry_entries", nonNegative(gauges.Endpoints), typeGauge)
+	b = appendMetric(b, "out_of_rotation", nonNegative(gauges.Avoided), typeGauge)
 	return b
 }
+
+// nonNegative returns a gauge's value, or 0 for one that is negative in passing.
+func nonNegative(value int) uint64 { return uint64(max(value, 0)) }
+
+// appendMetric appends a line such as svc.open_requests:3|g.
+func appendMetric(b []byte, name string, value uint64, metricType byte) []byte {
+	b = append(b, "svc."...)
+	b = append(b, name...)
+	b = append(b, ':')
+	b = strconv.AppendUint(b, value, 10)
+	b = append(b, '|', metricType)
+	return append(b, '\n')
+}
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -14,7 +14,7 @@
 		c.RecordResponse(1, status)
 	}
 	c.RecordSent(0)
-	c.RecordResponse(7, 200) // of no class
+	c.RecordResponse(7, 200) // no such class
 	(*metrics.Counters)(nil).RecordResponse(0, 200)
 	require.Equal(t, `svc.operations.a.fulfilled:2|c
 svc.operations.a.throttled:2|c
