--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -81,7 +81,7 @@
 		{`"memory_mb":128`, `"memory_mb":1`, "limits.memory_mb: 1 not allowed, want 16 to 1048576"},
 		{`"sockets":512`, `"sockets":5`, "limits.sockets: 5 not allowed, want 64 to 1048576"},
 		{`"state":"leaving"`, `"state":"odd"`, `known.servers[0].state: "odd" not allowed, want one of active, leaving, left`},
-		{`"id":"s1"`, `"id":""`, "known.servers[0].id: "},
+		{`"id":"s1"`, `"id":""`, "known.servers[0].id: missing, want a text that is not empty"},
 		{`"deadlineS":2`, `"deadlineS":0`, "settings.classes[0].deadlineS: 0 not allowed, want above 0, at most 1e+06"},
 		{`"name":"c"`, `"name":""`, "settings.classes[0].name: missing, want a text that is not empty"},
 		{`"semantics":"free"`, `"semantics":"odd"`, `settings.classes[0].semantics: "odd" not allowed, want one of free, guarded, single_shot`},
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -75,7 +75,7 @@
 	}
 	for _, key := range slices.Sorted(maps.Keys(top)) {
 		if key == "" {
-			return notAllowed(documentKey, "", "only the keys discovery and settings")
+			return notAllowed(documentKey, description("an empty key"), "only the keys discovery and settings")
 		}
 		if key != "discovery" && key != "settings" {
 			return &KeyError{Key: key, Value: "unknown key", Allowed: "one of discovery, settings"}
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -272,3 +272,16 @@
 		require.EqualError(t, changed.CheckChangeFrom(parseDocument(t, validDocument)), c.want)
 	}
 }
+
+// A value of the wrong type is named by its key, in the words of JSON.
+func TestParseDocumentDescribesWrongTypes(t *testing.T) {
+	for _, c := range []struct{ old, new, want string }{
+		{`"openCap":9`, `"openCap":9.5`, "settings.caps.openCap: a number 9.5 not allowed, want an integer in the range of int"},
+		{`"deadlineS":3`, `"deadlineS":"3"`, "settings.classes.deadlineS: a string not allowed, want a number in the range of float64"},
+		{`"zones":["a","b"]`, `"zones":"a"`, "settings.zones: a string not allowed, want an array"},
+		{`"name":"d"`, `"name":""`, "settings.classes[1].name: missing, want a text that is not empty"},
+	} {
+		_, err := config.ParseDocument([]byte(strings.Replace(validDocument, c.old, c.new, 1)))
+		require.EqualError(t, err, c.want)
+	}
+}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -77,19 +77,3 @@
 	}
 	return nil
 }
-
-// checkName returns the error of a name that is empty or longer than maxLength bytes.
-func checkName(key, name string, maxLength int) error {
-	if name == "" {
-		return missingKey(key, fmt.Sprintf("1 to %d bytes", maxLength))
-	}
-	return checkNameLength(key, name, maxLength)
-}
-
-// checkNameLength returns the error of a name that is longer than maxLength bytes.
-func checkNameLength(key, name string, maxLength int) error {
-	if len(name) > maxLength {
-		return notAllowed(key, name, "at most %d bytes", maxLength)
-	}
-	return nil
-}
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -51,6 +51,3 @@
 	}
 	return snapshot.Fingerprint(text)
 }
-
-// seconds converts seconds to a duration.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
