--- a/internal/admin/control_test.go
+++ b/internal/admin/server_test.go
@@ -16,40 +16,42 @@
 	"mothrouter/internal/admin"
 )
 
-func TestMachine(t *testing.T) {
+func TestCallReaderReadsOneLine(t *testing.T) {
 	for text, want := range map[string]any{
-		"HEALTH\n": admin.Health, "DUMP\r\n": admin.Dump, "LEAVE\n": admin.Leave, "JOIN\n": admin.Join,
-		"health\n": admin.ErrUnknown, "\n": admin.ErrUnknown, " JOIN\n": admin.ErrUnknown,
-		"JOIN\nLEAVE\n": admin.ErrMore, strings.Repeat("x", 64): admin.ErrLong, "HEAL": nil, "": nil,
+		"HEALTH\n": admin.CheckHealth, "DUMP\r\n": admin.DumpMetrics, "LEAVE\n": admin.StartDrain, "JOIN\n": admin.CancelDrain,
+		"health\n": admin.ErrUnknownCall, "\n": admin.ErrUnknownCall, " JOIN\n": admin.ErrUnknownCall,
+		"JOIN\nLEAVE\n": admin.ErrMultipleLines, strings.Repeat("x", 64): admin.ErrCallTooLong, "HEAL": nil, "": nil,
 	} {
 		for _, piece := range []int{1, 64} {
-			var m admin.Machine
+			var reader admin.CallReader
 			var got any
 			for rest := text; rest != "" && got == nil; {
-				n := copy(m.Grow(), rest[:min(piece, len(rest))])
-				m.Advance(n)
+				n := copy(reader.Grow(), rest[:min(piece, len(rest))])
+				reader.Advance(n)
 				rest = rest[n:]
-				if c, ok, err := m.Next(); err != nil {
+				if c, ok, err := reader.Next(); err != nil {
 					got = err
 				} else if ok && rest == "" {
 					got = c
 				}
 			}
-			if err, ok := want.(error); ok && errors.Is(err, admin.ErrMore) && piece == 1 {
-				continue // the first line is whole before the second has begun to come
+			if err, ok := want.(error); ok && errors.Is(err, admin.ErrMultipleLines) && piece == 1 {
+				continue // the first line is complete before the second is received
 			}
 			require.Equal(t, want, got, "%q by %d", text, piece)
 		}
 	}
 }
 
-type process struct{ away atomic.Bool }
+// process is a Process that only drains.
+type process struct{ draining atomic.Bool }
 
-func (p *process) AcceptsClients() bool          { return !p.away.Load() }
-func (p *process) StartDrain()                   { p.away.Store(true) }
-func (p *process) CancelDrain()                  { p.away.Store(false) }
+func (p *process) AcceptsClients() bool          { return !p.draining.Load() }
+func (p *process) StartDrain()                   { p.draining.Store(true) }
+func (p *process) CancelDrain()                  { p.draining.Store(false) }
 func (p *process) AppendMetrics(b []byte) []byte { return append(b, "svc.open_requests:3|g\n"...) }
 
+// serve starts a server that the end of the test stops.
 func serve(t *testing.T) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -58,20 +60,21 @@
 	return l.Addr().String()
 }
 
+// call makes one call and returns the reply.
 func call(t *testing.T, addr, text string) string {
 	c, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer c.Close()
-	began := time.Now()
+	startedAt := time.Now()
 	fmt.Fprint(c, text)
-	c.SetReadDeadline(began.Add(2 * time.Second))
+	c.SetReadDeadline(startedAt.Add(2 * time.Second))
 	reply, err := io.ReadAll(c)
 	require.NoError(t, err)
-	require.Less(t, time.Since(began), time.Second, "%q", text)
+	require.Less(t, time.Since(startedAt), time.Second, "%q", text)
 	return string(reply)
 }
 
-func TestCalls(t *testing.T) {
+func TestServerRepliesToEachCall(t *testing.T) {
 	addr := serve(t)
 	for _, step := range [][2]string{
 		{"HEALTH\n", "ACK\n"}, {"DUMP\n", "ACK\nsvc.open_requests:3|g\n--\n"},
@@ -85,8 +88,8 @@
 	}
 }
 
-// Callers that say nothing, or half a call, and stay, starve nobody.
-func TestSilentCallersStarveNobody(t *testing.T) {
+// Callers that stay connected and send nothing, or half a call, do not keep others from a reply.
+func TestServerRepliesBesideSilentCallers(t *testing.T) {
 	addr := serve(t)
 	var stay []net.Conn
 	defer func() {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -8,13 +8,13 @@
 	"mothrouter/internal/metrics"
 )
 
-func TestFigures(t *testing.T) {
+func TestAppendWritesCountersAndGauges(t *testing.T) {
 	c := metrics.New(map[string]int{"b": 0, "a": 1}, func() metrics.Gauges { return metrics.Gauges{Queries: 3, Endpoints: 12, Avoided: 1} })
 	for _, status := range []int{200, 200, 503, 429, 500, 504, 400} {
 		c.RecordResponse(1, status)
 	}
 	c.RecordSent(0)
-	c.RecordResponse(7, 200) // of no class
+	c.RecordResponse(7, 200) // no such class
 	(*metrics.Counters)(nil).RecordResponse(0, 200)
 	require.Equal(t, `svc.operations.a.fulfilled:2|c
 svc.operations.a.throttled:2|c
