--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -58,7 +58,7 @@
 
 // Broker is the core. Make it with New, then Run it.
 type Broker struct {
-	opt     Options
+	options Options
 	decider decision.Decider
 	link    Link
 	clock   clock
@@ -69,7 +69,7 @@
 	// Owned by the loop.
 	batch            []decision.Event
 	lastID           decision.RequestID
-	inFlight         int // queries and parts
+	usedSlots        int // queries and parts
 	queries          map[decision.RequestID]*query
 	parts            map[decision.RequestID]*part
 	byName           map[string]*query
@@ -94,7 +94,7 @@
 		servers = NewEndpoints()
 	}
 	return &Broker{
-		opt: opt, decider: d, link: link, clock: newClock(), log: opt.Log,
+		options: opt, decider: d, link: link, clock: newClock(), log: opt.Log,
 		inbox: inbox{wake: make(chan struct{}, 1)}, stopped: make(chan struct{}),
 		queries: map[decision.RequestID]*query{}, parts: map[decision.RequestID]*part{},
 		byName: map[string]*query{}, endpoints: servers, timers: map[*time.Timer]struct{}{},
--- a/internal/broker/call.go
+++ b/internal/broker/call.go
@@ -66,7 +66,7 @@
 // idempotency window are not over, its client is there and its server takes calls. A link asks again where TryStart has
 // returned true and the server took none of its bytes for a while.
 func (c *Call) MayStart() bool {
-	return !c.Server.Unavailable() && !c.part.query.req.disconnected() && time.Now().Before(c.startBy)
+	return !c.Server.Unavailable() && !c.part.query.request.disconnected() && time.Now().Before(c.startBy)
 }
 
 // Finished tells whether the call's result is in, or is not wanted any more.
@@ -94,7 +94,7 @@
 	pt.attempts++
 	server := b.endpoints.get(a.Server)
 	if err := b.checkRules(pt, server); err != nil {
-		b.log.Warn("attempt stopped by a rule", "error", err, "server", a.Server, "query", pt.query.req.ID)
+		b.log.Warn("attempt stopped by a rule", "error", err, "server", a.Server, "query", pt.query.request.ID)
 		b.enqueueEvent(decision.AttemptFinished{
 			ID: pt.id, Attempt: attempt, Server: a.Server, Status: decision.NotSent,
 			PartConcluded: pt.answered || pt.finished, LoadReport: decision.NoLoadReport,
@@ -111,7 +111,7 @@
 func (b *Broker) newCall(pt *part, attempt int, server *Server, timeout float64) *Call {
 	q := pt.query
 	c := &Call{
-		Query: q.req.ID, Shard: pt.Shard, Class: q.req.Class, Payload: q.req.Payload, FirstPhase: pt.firstPhase,
+		Query: q.request.ID, Shard: pt.Shard, Class: q.request.Class, Payload: q.request.Payload, FirstPhase: pt.firstPhase,
 		NonIdempotent: q.class.Idempotency == decision.NonIdempotent,
 		Server:        server, Addr: server.Addr, Deadline: q.deadline,
 		broker: b, part: pt, attempt: attempt, sentAt: b.clock.now(),
@@ -153,7 +153,7 @@
 
 // checkRules returns the rule that an attempt would break; nil: it may go.
 func (b *Broker) checkRules(pt *part, s *Server) error {
-	settings := &b.opt.Settings
+	settings := &b.options.Settings
 	switch {
 	case pt.finished || pt.answered:
 		return errPartFinished
@@ -161,15 +161,15 @@
 		return errAttemptInFlight
 	case settings.MaxAttempts > 0 && pt.attempts > settings.MaxAttempts:
 		return maxAttemptsError(settings.MaxAttempts)
-	case pt.mayRun && pt.query.class.Idempotency == decision.NonIdempotent:
+	case pt.mayHaveRun && pt.query.class.Idempotency == decision.NonIdempotent:
 		return errNotIdempotent
 	case !pt.retryUntil.IsZero() && !time.Now().Before(pt.retryUntil):
 		return errWindowExpired
-	case pt.query.req.disconnected():
+	case pt.query.request.disconnected():
 		return errDisconnected
 	case s == nil || s.Unavailable():
 		return errServerUnavailable
-	case !servesShard(settings, s.ReplicaSet, pt.Shard):
+	case !holdsShard(settings, s.ReplicaSet, pt.Shard):
 		return wrongShardError{pt.Shard, s.ReplicaSet}
 	case !time.Now().Before(pt.query.deadline):
 		return errDeadlineExceeded
@@ -177,8 +177,8 @@
 	return nil
 }
 
-// servesShard tells whether the servers of a replica set hold a shard.
-func servesShard(settings *decision.Settings, replicaSet, shard int) bool {
+// holdsShard tells whether the servers of a replica set hold a shard.
+func holdsShard(settings *decision.Settings, replicaSet, shard int) bool {
 	n := settings.ReplicaSets
 	if n <= 0 {
 		return true
@@ -211,10 +211,10 @@
 	pt.call = nil
 	if mayHaveRun(r.Status) {
 		// Where servers drop duplicates, they do so for a time from the first attempt that may have run.
-		if class := &pt.query.class; !pt.mayRun && class.Idempotency == decision.IdempotentWithKey {
+		if class := &pt.query.class; !pt.mayHaveRun && class.Idempotency == decision.IdempotentWithKey {
 			pt.retryUntil = time.Now().Add(b.clock.until(c.sentAt + class.IdempotencyWindow - idempotencyMargin))
 		}
-		pt.mayRun = true
+		pt.mayHaveRun = true
 	}
 	if r.Status == decision.OK && !pt.finished {
 		pt.answered, pt.value, pt.score = true, r.Value, r.Score
--- a/internal/broker/configure.go
+++ b/internal/broker/configure.go
@@ -74,12 +74,12 @@
 
 // configure is the one point at which a change comes into force. The loop calls it.
 func (b *Broker) configure(c Change) error {
-	set := &b.opt.Settings
+	set := &b.options.Settings
 	if err := c.validate(set.Classes); err != nil {
 		return err
 	}
-	if b.opt.SharedLimiter == nil {
-		b.opt.ConcurrencyLimit = c.ConcurrencyLimit
+	if b.options.SharedLimiter == nil {
+		b.options.ConcurrencyLimit = c.ConcurrencyLimit
 	}
 	if slices.Equal(c.Classes, set.Classes) {
 		return nil // nothing changes for the Decider
@@ -92,7 +92,7 @@
 // timeout is how long a query's client waits.
 func (b *Broker) timeout(r *Request) time.Duration {
 	if r.TimeoutUnstated {
-		return min(secondsToDuration(b.opt.Settings.Classes[r.Class].Deadline), maxTimeout)
+		return min(secondsToDuration(b.options.Settings.Classes[r.Class].Deadline), maxTimeout)
 	}
 	return r.Timeout
 }
@@ -103,7 +103,7 @@
 	longest := make(chan float64, 1)
 	b.post(func() {
 		deadline := 0.0
-		for _, class := range b.opt.Settings.Classes {
+		for _, class := range b.options.Settings.Classes {
 			deadline = max(deadline, class.Deadline)
 		}
 		for _, q := range b.queries {
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -120,7 +120,7 @@
 // server that drains or is removed, however far behind the loop is. Where loops share their Endpoints, the caller has
 // applied the update there before.
 func (b *Broker) Update(u EndpointUpdate) {
-	if b.opt.Endpoints == nil {
+	if b.options.Endpoints == nil {
 		b.endpoints.Apply(u)
 	}
 	select {
--- a/internal/broker/healthcheck.go
+++ b/internal/broker/healthcheck.go
@@ -41,10 +41,10 @@
 		return
 	}
 	h := &HealthCheck{
-		broker: b, Server: s, Addr: s.Addr, WantsLoadReport: b.opt.Settings.ReportMode != decision.ReportNone,
-		sentAt: b.clock.now(), Deadline: time.Now().Add(b.opt.HealthCheckTimeout),
+		broker: b, Server: s, Addr: s.Addr, WantsLoadReport: b.options.Settings.ReportMode != decision.ReportNone,
+		sentAt: b.clock.now(), Deadline: time.Now().Add(b.options.HealthCheckTimeout),
 	}
-	h.stopTimer = b.after(b.opt.HealthCheckTimeout, func() {
+	h.stopTimer = b.after(b.options.HealthCheckTimeout, func() {
 		if !h.finished.Swap(true) {
 			b.onHealthChecked(h, ResultOf(decision.TimedOut))
 		}
--- a/internal/broker/query.go
+++ b/internal/broker/query.go
@@ -37,7 +37,7 @@
 }
 
 type query struct {
-	req        *Request
+	request    *Request
 	client     Client
 	id         decision.RequestID
 	class      decision.Class
@@ -53,7 +53,7 @@
 	query      *query
 	attempts   int
 	call       *Call     // in flight; nil: none is
-	mayRun     bool      // an attempt that ended may have run
+	mayHaveRun bool      // an attempt that ended may have run
 	retryUntil time.Time // the end of the idempotency window; zero: nothing limits retries
 	answered   bool
 	finished   bool // its phase or its query has ended
@@ -72,7 +72,7 @@
 // Disconnect tells that the client of a query has gone away.
 func (b *Broker) Disconnect(r *Request) {
 	b.post(func() {
-		if q := b.byName[r.ID]; q != nil && q.req == r {
+		if q := b.byName[r.ID]; q != nil && q.request == r {
 			b.forget(q)
 			notifyDisconnected(q.client)
 			b.enqueueEvent(decision.ClientDisconnected{ID: q.id})
@@ -101,7 +101,7 @@
 		c.Finish(Result{Outcome: Rejected, RetryAfter: b.retryAfter()})
 		return
 	}
-	q := &query{req: r, client: c, id: b.nextID(), class: b.opt.Settings.Classes[r.Class]}
+	q := &query{request: r, client: c, id: b.nextID(), class: b.options.Settings.Classes[r.Class]}
 	q.deadline = r.ReceivedAt.Add(b.timeout(r))
 	if !b.shutdownDeadline.IsZero() && q.deadline.After(b.shutdownDeadline) {
 		q.deadline = b.shutdownDeadline
@@ -120,7 +120,7 @@
 
 // enqueueQuery tells the Decider of a query and its parts.
 func (b *Broker) enqueueQuery(q *query, work float64) {
-	r := q.req
+	r := q.request
 	b.enqueueEvent(decision.Query{
 		ID: q.id, Number: int64(q.id), Class: r.Class, Key: r.Key, Parts: len(r.Parts),
 		Deadline: b.clock.at(q.deadline), Retry: r.Retry, Work: work, ReceivedAt: b.clock.at(r.ReceivedAt),
@@ -139,20 +139,20 @@
 
 // acquireSlots takes n of the concurrency limit's slots, all or none.
 func (b *Broker) acquireSlots(n int) bool {
-	if limit := b.opt.ConcurrencyLimit; limit > 0 && b.inFlight+n > limit {
+	if limit := b.options.ConcurrencyLimit; limit > 0 && b.usedSlots+n > limit {
 		return false
 	}
-	if b.opt.SharedLimiter != nil && !b.opt.SharedLimiter.TryAcquire(n) {
+	if b.options.SharedLimiter != nil && !b.options.SharedLimiter.TryAcquire(n) {
 		return false
 	}
-	b.inFlight += n
+	b.usedSlots += n
 	return true
 }
 
 func (b *Broker) releaseSlots(n int) {
-	b.inFlight -= n
-	if b.opt.SharedLimiter != nil {
-		b.opt.SharedLimiter.Release(n)
+	b.usedSlots -= n
+	if b.options.SharedLimiter != nil {
+		b.options.SharedLimiter.Release(n)
 	}
 }
 
@@ -192,8 +192,8 @@
 
 // retryAfter is when, in seconds, a client that is rejected for want of capacity should retry; 0: no advice.
 func (b *Broker) retryAfter() float64 {
-	if b.opt.Settings.RetryAfterSupported {
-		return b.opt.Settings.MaxRetryAfter
+	if b.options.Settings.RetryAfterSupported {
+		return b.options.Settings.MaxRetryAfter
 	}
 	return 0
 }
@@ -208,7 +208,7 @@
 func (b *Broker) forget(q *query) {
 	q.stopTimer()
 	delete(b.queries, q.id)
-	delete(b.byName, q.req.ID)
+	delete(b.byName, q.request.ID)
 	b.releaseSlots(1 + len(q.parts))
 	b.finishPhase(q)
 }
@@ -257,7 +257,7 @@
 // forgotten, so that none of its calls can start any more.
 func (q *query) rejection(retryAfter float64) Result {
 	mayRun := q.firstPhase != nil || slices.ContainsFunc(q.parts, func(pt *part) bool {
-		return pt.mayRun || pt.answered || pt.call != nil && pt.call.started()
+		return pt.mayHaveRun || pt.answered || pt.call != nil && pt.call.started()
 	})
 	if mayRun && q.class.Idempotency != decision.Idempotent {
 		return Result{Outcome: Failed}
--- a/internal/broker/server.go
+++ b/internal/broker/server.go
@@ -10,7 +10,7 @@
 // A server that has failed this often in a row, the last time this recently, counts as avoided in the gauges.
 const (
 	avoidedFailures = 3
-	avoidedFor      = 5 * time.Second
+	avoidedDuration = 5 * time.Second
 )
 
 // Server is a record server as a link sees it.
@@ -20,7 +20,7 @@
 
 	unavailable   atomic.Bool
 	failuresInRow atomic.Int64
-	lastFailure   atomic.Int64 // Unix nanoseconds
+	lastFailureAt atomic.Int64 // Unix nanoseconds
 }
 
 // Unavailable tells that the server drains or is removed, or that its address has changed: it gets nothing new. Any
@@ -35,10 +35,10 @@
 		s.failuresInRow.Store(0)
 	case decision.Error, decision.Reset, decision.Unreachable, decision.TimedOut:
 		s.failuresInRow.Add(1)
-		s.lastFailure.Store(time.Now().UnixNano())
+		s.lastFailureAt.Store(time.Now().UnixNano())
 	}
 }
 
 func (s *Server) avoided(now time.Time) bool {
-	return s.failuresInRow.Load() >= avoidedFailures && now.UnixNano()-s.lastFailure.Load() < int64(avoidedFor)
+	return s.failuresInRow.Load() >= avoidedFailures && now.UnixNano()-s.lastFailureAt.Load() < int64(avoidedDuration)
 }
