--- /dev/null
+++ b/internal/broker/attempt.go
@@ -0,0 +1,131 @@
+package broker
+
+import (
+	"time"
+
+	"mothrouter/internal/decision"
+)
+
+// idempotencyMargin, in seconds, is for a retry's transmission to its server: the idempotency window ends with its last
+// byte. Within a data center 5 ms is ample.
+const idempotencyMargin = 0.005
+
+// send starts an attempt, if the rules allow it.
+func (b *Broker) send(a decision.Send) {
+	pt := b.parts[a.ID]
+	if pt == nil {
+		return // its query has ended and nothing of it is in flight
+	}
+	attempt := pt.attempts
+	pt.attempts++
+	server := b.endpoints.get(a.Server)
+	if err := b.checkRules(pt, a.Server, server); err != nil {
+		b.log.Warn("attempt stopped by a rule", "error", err, "server", a.Server, "query", pt.query.request.ID)
+		b.enqueueEvent(decision.AttemptFinished{
+			ID:            pt.id,
+			Attempt:       attempt,
+			Server:        a.Server,
+			Status:        decision.NotSent,
+			PartConcluded: pt.concluded(),
+			LoadReport:    decision.NoLoadReport,
+		})
+		return
+	}
+	c := b.newCall(pt, attempt, server, a.Timeout)
+	pt.call = c
+	c.stopTimer = b.after(time.Until(c.Deadline), func() { b.abandonCall(c, decision.TimedOut) })
+	b.link.Send(c)
+}
+
+// newCall returns the call of an attempt that times out after timeout seconds; 0: at its query's deadline.
+func (b *Broker) newCall(pt *part, attempt int, server *Server, timeout float64) *Call {
+	q := pt.query
+	deadline := q.deadline
+	if t := time.Now().Add(secondsToDuration(timeout)); timeout > 0 && t.Before(deadline) {
+		deadline = t
+	}
+	startBy := deadline
+	if !pt.retryUntil.IsZero() && pt.retryUntil.Before(startBy) {
+		startBy = pt.retryUntil
+	}
+	return &Call{
+		Query:         q.request.ID,
+		Shard:         pt.Shard,
+		Class:         q.request.Class,
+		NonIdempotent: q.class.Idempotency == decision.NonIdempotent,
+		Payload:       q.request.Payload,
+		FirstPhase:    pt.firstPhase,
+		Server:        server,
+		Addr:          server.Addr,
+		Deadline:      deadline,
+		broker:        b,
+		part:          pt,
+		attempt:       attempt,
+		sentAt:        b.clock.now(),
+		startBy:       startBy,
+	}
+}
+
+// cancel ends the attempt that the Decider names, if it is in flight.
+func (b *Broker) cancel(a decision.Cancel) {
+	pt := b.parts[a.ID]
+	if pt == nil || pt.call == nil || pt.call.attempt != a.Attempt {
+		return
+	}
+	b.abandonCall(pt.call, decision.Cancelled)
+}
+
+// abandonCall finishes a call without its result. A call that has not started cannot have run and finishes as not sent.
+func (b *Broker) abandonCall(c *Call, status decision.Status) {
+	before := c.state.Or(callFinished)
+	if before&callFinished != 0 {
+		return // its result is in the inbox
+	}
+	if before == callQueued {
+		status = decision.NotSent
+	}
+	b.link.Cancel(c)
+	b.onCallFinished(c, ResultOf(status))
+}
+
+// onCallFinished records the result of a call and passes it to the Decider.
+func (b *Broker) onCallFinished(c *Call, r CallResult) {
+	pt := c.part
+	c.stopTimer()
+	if r.Status == decision.OK && !r.Scored && pt.selectsSecondPhase() {
+		r.Status = decision.Error // without a score the second phase cannot be selected
+	}
+	c.Server.recordOutcome(r.Status)
+	pt.call = nil
+	if mayHaveRun(r.Status) {
+		b.recordMayHaveRun(pt, c)
+	}
+	if r.Status == decision.OK && !pt.finished {
+		pt.answered = true
+		pt.value = r.Value
+		pt.score = r.Score
+	}
+	if pt.finished {
+		delete(b.parts, pt.id)
+	}
+	b.enqueueEvent(decision.AttemptFinished{
+		ID:            pt.id,
+		Attempt:       c.attempt,
+		Server:        c.Server.ID,
+		Status:        r.Status,
+		Latency:       b.clock.now() - c.sentAt,
+		PartConcluded: pt.concluded(),
+		LoadReport:    r.LoadReport,
+	})
+}
+
+// recordMayHaveRun records that an attempt of a part may have run. Servers that know idempotency keys drop duplicates for a
+// window that begins with the first such attempt; later retries could run again.
+func (b *Broker) recordMayHaveRun(pt *part, c *Call) {
+	class := &pt.query.class
+	if !pt.mayHaveRun && class.Idempotency == decision.IdempotentWithKey {
+		windowEnd := c.sentAt + class.IdempotencyWindow - idempotencyMargin
+		pt.retryUntil = time.Now().Add(b.clock.until(windowEnd))
+	}
+	pt.mayHaveRun = true
+}
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -63,7 +63,10 @@
 	twoStepPartial
 )
 
-func newRig(t *testing.T) *rig {
+func newRig(t *testing.T) *rig { return newRigWith(t, broker.Options{}) }
+
+// newRigWith starts a core with options whose Settings and ConcurrencyLimit are the rig's.
+func newRigWith(t *testing.T, options broker.Options) *rig {
 	r := &rig{T: t, script: script{make(chan decision.Event, 100), make(chan []decision.Action, 10)},
 		link: link{make(chan *broker.Call, 10), make(chan *broker.Call, 10)}}
 	set := decision.Settings{ReplicaSets: 4, ReplicationFactor: 2, MaxAttempts: 3, RetryAfterSupported: true, MaxRetryAfter: 0.5,
@@ -74,7 +77,9 @@
 			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 1, Idempotency: decision.IdempotentWithKey, IdempotencyWindow: 0.2},
 			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 1, SecondPhaseFanout: 2},
 			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 0.5, SecondPhaseFanout: 2}}}
-	r.b = broker.New(broker.Options{Settings: set, ConcurrencyLimit: 7}, r.script, r.link)
+	options.Settings = set
+	options.ConcurrencyLimit = 7
+	r.b = broker.New(options, r.script, r.link)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go r.b.Run(ctx)
--- a/internal/broker/configure_test.go
+++ b/internal/broker/configure_test.go
@@ -239,20 +239,26 @@
 		f(&c[1])
 		return broker.Change{Classes: c, ConcurrencyLimit: newCap}
 	}
-	for name, c := range map[string]broker.Change{
-		"fewer":    {Classes: classes(newDeadline)[:1], ConcurrencyLimit: newCap},
-		"more":     {Classes: append(classes(newDeadline), classes(newDeadline)[0]), ConcurrencyLimit: newCap},
-		"cap":      {Classes: classes(newDeadline), ConcurrencyLimit: -1},
-		"repeat":   spoil(func(c *decision.Class) { c.Idempotency = decision.NonIdempotent }),
-		"window":   spoil(func(c *decision.Class) { c.IdempotencyWindow = 9 }),
-		"need":     spoil(func(c *decision.Class) { c.CompletenessThreshold = 0.1 }),
-		"floor":    spoil(func(c *decision.Class) { c.MinCompleteness = 0.1 }),
-		"step":     spoil(func(c *decision.Class) { c.SecondPhaseFanout = 3 }),
-		"stretch":  spoil(func(c *decision.Class) { c.ObjectivePerWork = 3 }),
-		"aim":      spoil(func(c *decision.Class) { c.LatencyObjective = 0 }),
-		"deadline": spoil(func(c *decision.Class) { c.Deadline = -1 }),
+	const immutable = "settings.classes[1]: differs"
+	for name, c := range map[string]struct {
+		change broker.Change
+		want   string // in the error
+	}{
+		"fewer classes": {broker.Change{Classes: classes(newDeadline)[:1], ConcurrencyLimit: newCap},
+			"settings.classes: has 1 entries instead of 2"},
+		"more classes": {broker.Change{Classes: append(classes(newDeadline), classes(newDeadline)[0]), ConcurrencyLimit: newCap},
+			"settings.classes: has 3 entries instead of 2"},
+		"limit":          {broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: -1}, "settings.caps.openCap: -1"},
+		"idempotency":    {spoil(func(c *decision.Class) { c.Idempotency = decision.NonIdempotent }), immutable},
+		"window":         {spoil(func(c *decision.Class) { c.IdempotencyWindow = 9 }), immutable},
+		"threshold":      {spoil(func(c *decision.Class) { c.CompletenessThreshold = 0.1 }), immutable},
+		"minimum":        {spoil(func(c *decision.Class) { c.MinCompleteness = 0.1 }), immutable},
+		"second phase":   {spoil(func(c *decision.Class) { c.SecondPhaseFanout = 3 }), immutable},
+		"work objective": {spoil(func(c *decision.Class) { c.ObjectivePerWork = 3 }), immutable},
+		"objective":      {spoil(func(c *decision.Class) { c.LatencyObjective = 0 }), "settings.classes[1].objectiveS: 0 is not above 0"},
+		"deadline":       {spoil(func(c *decision.Class) { c.Deadline = -1 }), "settings.classes[1].deadlineS: -1 is not above 0"},
 	} {
-		require.Error(t, h.b.Configure(c), name)
+		require.ErrorContains(t, h.b.Configure(c.change), c.want, name)
 	}
 	require.NoError(t, h.b.Configure(broker.Change{Classes: classes(oldDeadline), ConcurrencyLimit: oldCap}))
 	require.Equal(t, oldDeadline, h.b.LongestDeadline().Seconds())
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -7,41 +7,41 @@
 	"mothrouter/internal/decision"
 )
 
-// Endpoint is one record server of the endpoint list.
+// Endpoint is a record server of the endpoint list.
 type Endpoint struct {
 	decision.Server
-	Addr string
+	Addr string // HOST:PORT
 }
 
-// EndpointUpdate is a change of the endpoint list.
+// EndpointUpdate is a watch event of the endpoint list.
 type EndpointUpdate struct {
 	Mode    decision.UpdateMode
 	Version int64
 	Servers []Endpoint
 }
 
-// Event is the update in the Decider's terms.
+// Event returns the update as an event of the Decider.
 func (u EndpointUpdate) Event() decision.EndpointUpdate {
 	e := decision.EndpointUpdate{Mode: u.Mode, Version: u.Version}
-	for _, n := range u.Servers {
-		e.Servers = append(e.Servers, n.Server)
+	for _, endpoint := range u.Servers {
+		e.Servers = append(e.Servers, endpoint.Server)
 	}
 	return e
 }
 
-// replacesAll tells whether servers that the update lacks are removed.
+// replacesAll reports whether servers that the update lacks are removed.
 func (u *EndpointUpdate) replacesAll() bool {
 	return u.Mode == decision.FullUpdate || u.Mode == decision.CachedUpdate
 }
 
-// Endpoints are the record servers as the endpoint list last told of them. Links and loops look at one object a server. A
-// process with one loop has its own; several loops share one, which is updated before any of them: a loop that is busy then
-// must not delay what a drain forbids. It may be used by several goroutines.
+// Endpoints are the listed record servers, with one Server object each that links and loops share. A process with one loop
+// has its own Endpoints. Several loops share one, which is updated before any of them, so that a busy loop does not delay a
+// drain. It is safe for concurrent use.
 type Endpoints struct {
 	mu       sync.RWMutex
-	byID     map[string]*Server // those that take work
-	draining map[string]bool    // by id
-	known    bool
+	byID     map[string]*Server // available servers
+	draining map[string]bool    // by id; in none of byID
+	known    bool               // a server has been available since the start
 }
 
 // NewEndpoints returns an empty list.
@@ -49,7 +49,7 @@
 	return &Endpoints{byID: map[string]*Server{}, draining: map[string]bool{}}
 }
 
-// Apply applies an update. From its return on no attempt starts at a server that drains or is removed.
+// Apply applies an update. After it returns, no attempt starts at a server that the update drains or removes.
 func (e *Endpoints) Apply(u EndpointUpdate) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -60,65 +60,68 @@
 	for id := range e.byID {
 		ready[id] = !u.replacesAll()
 	}
-	for _, n := range u.Servers {
-		e.put(n)
-		ready[n.ID] = n.State == decision.Ready
+	for _, endpoint := range u.Servers {
+		e.put(endpoint)
+		ready[endpoint.ID] = endpoint.State == decision.Ready
 	}
-	for id, s := range e.byID {
-		s.unavailable.Store(!ready[id])
-		if !ready[id] { // it gets nothing new, so nothing needs to be known of it
+	for id, server := range e.byID {
+		server.unavailable.Store(!ready[id])
+		if ready[id] {
+			e.known = true
+		} else {
 			delete(e.byID, id)
 		}
-		e.known = e.known || ready[id]
 	}
 }
 
-// put takes up one entry. The caller holds mu.
-func (e *Endpoints) put(n Endpoint) {
-	old := e.byID[n.ID]
-	if old == nil || old.Addr != n.Addr || old.ReplicaSet != n.ReplicaSet {
-		if old != nil {
-			old.unavailable.Store(true) // what waits for the old address must not go there
-		}
-		e.byID[n.ID] = &Server{ID: n.ID, Addr: n.Addr, ReplicaSet: n.ReplicaSet}
+// put adds or replaces an endpoint. The caller holds mu.
+func (e *Endpoints) put(endpoint Endpoint) {
+	server := e.byID[endpoint.ID]
+	changed := server != nil && (server.Addr != endpoint.Addr || server.ReplicaSet != endpoint.ReplicaSet)
+	if changed {
+		server.unavailable.Store(true) // calls that are queued for the old address must not start
+	}
+	if server == nil || changed {
+		e.byID[endpoint.ID] = &Server{ID: endpoint.ID, Addr: endpoint.Addr, ReplicaSet: endpoint.ReplicaSet}
 	}
-	delete(e.draining, n.ID)
-	if n.State == decision.Draining {
-		e.draining[n.ID] = true
+	delete(e.draining, endpoint.ID)
+	if endpoint.State == decision.Draining {
+		e.draining[endpoint.ID] = true
 	}
 }
 
-// get returns a server that may get new parts, or nil.
+// get returns the available server with an id, or nil.
 func (e *Endpoints) get(id string) *Server {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return e.byID[id]
 }
 
-// Size is how many servers are on the list, and how many of them get no work now.
+// Size returns how many servers are listed, and how many of them are avoided: draining, or failing again and again.
 func (e *Endpoints) Size() (listed, avoided int) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	now := time.Now()
 	avoided = len(e.draining)
-	for _, s := range e.byID {
-		if s.avoided(now) {
+	for _, server := range e.byID {
+		if server.avoided(now) {
 			avoided++
 		}
 	}
-	return len(e.byID) + len(e.draining), avoided
+	listed = len(e.byID) + len(e.draining)
+	return listed, avoided
 }
 
-// Known tells whether any server has been listed since the start.
+// Known reports whether a server has been available since the start.
 func (e *Endpoints) Known() bool {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return e.known
 }
 
-// Update hands an update to the core, and returns once the loop has it. From the first moment on no attempt starts at a
-// server that drains or is removed, however far behind the loop is. Where loops share their Endpoints, the caller has
-// applied the update there before.
+// Update applies an update and returns once the loop has it. The endpoints change first, so that no attempt starts at a
+// server that drains or is removed, however busy the loop is. Where loops share Endpoints, their owner has applied the update
+// already.
 func (b *Broker) Update(u EndpointUpdate) {
 	if b.options.Endpoints == nil {
 		b.endpoints.Apply(u)
@@ -129,12 +132,13 @@
 	}
 }
 
-// UpdateAsync is Update without the wait: the channel is closed once the loop has the update.
+// UpdateAsync passes an update to the loop without waiting. The channel is closed once the loop has it. It does not change
+// the endpoints.
 func (b *Broker) UpdateAsync(u EndpointUpdate) <-chan struct{} {
-	taken := make(chan struct{})
+	received := make(chan struct{})
 	b.post(func() {
 		b.enqueueEvent(u.Event())
-		close(taken)
+		close(received)
 	})
-	return taken
+	return received
 }
--- a/internal/broker/healthcheck.go
+++ b/internal/broker/healthcheck.go
@@ -7,27 +7,28 @@
 	"mothrouter/internal/decision"
 )
 
-// HealthCheck asks a record server for its health.
+// HealthCheck is one health check of a record server.
 type HealthCheck struct {
 	Server          *Server
-	Addr            string
-	WantsLoadReport bool
+	Addr            string // the server's address when the check was created, HOST:PORT
+	WantsLoadReport bool   // the server is to add its load report
 	Deadline        time.Time
 
 	broker    *Broker
-	sentAt    float64
+	sentAt    float64 // Unix seconds
 	finished  atomic.Bool
-	stopTimer func() // owned by the loop
+	stopTimer func() // stops the timeout; owned by the loop
 }
 
-// Finish tells a check's result. Only the first counts.
+// Finish reports the check's result to the core. Only the first call counts.
 func (h *HealthCheck) Finish(r CallResult) {
 	if !h.finished.Swap(true) {
 		h.broker.post(func() { h.broker.onHealthChecked(h, r) })
 	}
 }
 
-// TryStart is asked by the link just before the first byte of a check is written, as for a call.
+// TryStart reports whether the check's first byte may be written. The link calls it just before, as for a call. If the
+// server has become unavailable or the deadline has passed, the check finishes as not sent.
 func (h *HealthCheck) TryStart() bool {
 	if h.Server.Unavailable() || !time.Now().Before(h.Deadline) {
 		h.Finish(ResultOf(decision.NotSent))
@@ -35,14 +36,19 @@
 	return !h.finished.Load()
 }
 
+// checkHealth starts a health check of the server with an id, if it is available.
 func (b *Broker) checkHealth(id string) {
 	s := b.endpoints.get(id)
 	if s == nil || s.Unavailable() {
 		return
 	}
 	h := &HealthCheck{
-		broker: b, Server: s, Addr: s.Addr, WantsLoadReport: b.options.Settings.ReportMode != decision.ReportNone,
-		sentAt: b.clock.now(), Deadline: time.Now().Add(b.options.HealthCheckTimeout),
+		Server:          s,
+		Addr:            s.Addr,
+		WantsLoadReport: b.options.Settings.ReportMode != decision.ReportNone,
+		Deadline:        time.Now().Add(b.options.HealthCheckTimeout),
+		broker:          b,
+		sentAt:          b.clock.now(),
 	}
 	h.stopTimer = b.after(b.options.HealthCheckTimeout, func() {
 		if !h.finished.Swap(true) {
@@ -52,9 +58,13 @@
 	b.link.CheckHealth(h)
 }
 
+// onHealthChecked passes the result of a check to the Decider.
 func (b *Broker) onHealthChecked(h *HealthCheck, r CallResult) {
 	h.stopTimer()
 	b.enqueueEvent(decision.HealthChecked{
-		Server: h.Server.ID, Status: r.Status, Latency: b.clock.now() - h.sentAt, LoadReport: r.LoadReport,
+		Server:     h.Server.ID,
+		Status:     r.Status,
+		Latency:    b.clock.now() - h.sentAt,
+		LoadReport: r.LoadReport,
 	})
 }
--- a/internal/broker/query.go
+++ b/internal/broker/query.go
@@ -1,98 +1,82 @@
 package broker
 
 import (
-	"slices"
 	"time"
 
+	"mothrouter/internal/completeness"
 	"mothrouter/internal/decision"
 )
 
-// idempotencyMargin is for a retry's way to its server: the idempotency window counts up to its last byte.
-const idempotencyMargin = 0.005 // seconds
-
-// Outcome is how a query ended.
-type Outcome int
-
-// How queries end.
-const (
-	Answered         Outcome = iota
-	Rejected                 // no non-idempotent part of it can have run: a retry does no harm
-	Failed                   // nothing is promised
-	DeadlineExceeded         // failed because its time was up
-	Duplicate                // a query of the same name is still in flight; this one was not accepted
-)
-
-// Result is a query's final answer.
-type Result struct {
-	Outcome    Outcome
-	Complete   bool
-	Values     []Value // of the parts that are in
-	RetryAfter float64 // seconds; 0: no advice
-}
-
-// Value is what a record server gave for a part.
-type Value struct {
-	Shard int
-	Data  []byte
-}
+// answerLead is how long before its deadline a query without an answer is ended by the core: enough to write an answer,
+// also on a busy machine.
+const answerLead = 8 * time.Millisecond
 
+// query is a query in flight.
 type query struct {
 	request    *Request
 	client     Client
 	id         decision.RequestID
-	class      decision.Class
-	parts      []*part     // of the present phase
-	firstPhase *FirstPhase // what the first phase brought; nil: it is the present one
-	deadline   time.Time
-	stopTimer  func() // the deadline's
+	class      decision.Class // as it was when the query was accepted
+	parts      []*part        // of the present phase
+	firstPhase *FirstPhase    // the first phase's result; nil: the first is the present phase
+	deadline   time.Time      // of the client, or of the shutdown if earlier
+	stopTimer  func()         // stops the deadline's timer
 }
 
+// part is a part of a query in its present phase, or one that has finished with an attempt in flight.
 type part struct {
 	Part
 	id         decision.RequestID
 	query      *query
-	attempts   int
-	call       *Call     // in flight; nil: none is
+	attempts   int       // so far, also those that a rule stopped
+	call       *Call     // the attempt in flight; nil: none
 	mayHaveRun bool      // an attempt that ended may have run
-	retryUntil time.Time // the end of the idempotency window; zero: nothing limits retries
+	retryUntil time.Time // end of the idempotency window; zero: retries are not limited by one
 	answered   bool
 	finished   bool // its phase or its query has ended
 	value      []byte
-	score      int64
-	firstPhase *FirstPhase // of a part of a second phase; nil: of the first
+	score      int64       // of the answer
+	firstPhase *FirstPhase // for a part of a second phase; nil: a part of the first
 }
 
-// Submit hands a query to the core. The client gets its final answer once, unless it disconnects before.
+// concluded reports whether the part gets no further attempt.
+func (p *part) concluded() bool { return p.answered || p.finished }
+
+// Submit posts a query to the core. The client gets its final answer once, unless it disconnects first.
 func (b *Broker) Submit(r *Request, c Client) {
 	if !b.post(func() { b.accept(r, c) }) {
 		c.Finish(Result{Outcome: Failed})
 	}
 }
 
-// Disconnect tells that the client of a query has gone away.
+// Disconnect reports that the client of a query has disconnected. It does not wait.
 func (b *Broker) Disconnect(r *Request) {
 	b.post(func() {
-		if q := b.byName[r.ID]; q != nil && q.request == r {
-			b.forget(q)
-			notifyDisconnected(q.client)
-			b.enqueueEvent(decision.ClientDisconnected{ID: q.id})
+		q := b.byName[r.ID]
+		if q == nil || q.request != r {
+			return // it has ended; a query of the same name may have followed
 		}
+		b.forget(q)
+		notifyDisconnected(q.client)
+		b.enqueueEvent(decision.ClientDisconnected{ID: q.id})
 	})
 }
 
+// notifyDisconnected notifies a client that implements DisconnectObserver.
 func notifyDisconnected(c Client) {
-	if o, ok := c.(DisconnectObserver); ok {
-		o.Disconnected()
+	if observer, ok := c.(DisconnectObserver); ok {
+		observer.Disconnected()
 	}
 }
 
-// accept takes a query in, unless it cannot be served.
+// accept admits a query, or answers it at once: its client has disconnected, its name is in flight, the process ends or the
+// concurrency limit is reached.
 func (b *Broker) accept(r *Request, c Client) {
-	if r.disconnected() { // before the loop came to it
+	if r.disconnected() {
 		notifyDisconnected(c)
 		return
 	}
-	// Part ids on the wire are made of the query's name: two of one name could not be told apart.
+	// Part ids on the wire are derived from the query's name: two queries of one name could not be distinguished.
 	if b.byName[r.ID] != nil {
 		c.Finish(Result{Outcome: Duplicate})
 		return
@@ -101,68 +85,94 @@
 		c.Finish(Result{Outcome: Rejected, RetryAfter: b.retryAfter()})
 		return
 	}
-	q := &query{request: r, client: c, id: b.nextID(), class: b.options.Settings.Classes[r.Class]}
-	q.deadline = r.ReceivedAt.Add(b.timeout(r))
-	if !b.shutdownDeadline.IsZero() && q.deadline.After(b.shutdownDeadline) {
-		q.deadline = b.shutdownDeadline
-	}
-	b.queries[q.id], b.byName[r.ID] = q, q
-	work := 0.0
+	q := b.newQuery(r, c)
+	b.queries[q.id] = q
+	b.byName[r.ID] = q
 	for _, p := range r.Parts {
-		pt := &part{Part: p, id: b.nextID(), query: q}
-		q.parts = append(q.parts, pt)
-		b.parts[pt.id] = pt
-		work += p.Work
+		b.addPart(q, &part{Part: p})
 	}
 	b.armDeadline(q)
-	b.enqueueQuery(q, work)
+	b.enqueueQuery(q)
 }
 
-// enqueueQuery tells the Decider of a query and its parts.
-func (b *Broker) enqueueQuery(q *query, work float64) {
-	r := q.request
-	b.enqueueEvent(decision.Query{
-		ID: q.id, Number: int64(q.id), Class: r.Class, Key: r.Key, Parts: len(r.Parts),
-		Deadline: b.clock.at(q.deadline), Retry: r.Retry, Work: work, ReceivedAt: b.clock.at(r.ReceivedAt),
-	})
-	for _, pt := range q.parts {
-		b.enqueueEvent(decision.Part{
-			ID: pt.id, QueryNumber: int64(q.id), Shard: pt.Shard, Weight: pt.Weight, Key: pt.RouteKey, Work: pt.Work,
-		})
+// newQuery returns a query without parts, under the classes and the shutdown deadline in force.
+func (b *Broker) newQuery(r *Request, c Client) *query {
+	deadline := r.ReceivedAt.Add(b.timeout(r))
+	if !b.shutdownDeadline.IsZero() && deadline.After(b.shutdownDeadline) {
+		deadline = b.shutdownDeadline
+	}
+	return &query{
+		request:  r,
+		client:   c,
+		id:       b.nextID(),
+		class:    b.options.Settings.Classes[r.Class],
+		deadline: deadline,
 	}
 }
 
-// shuttingDownSoon tells that the process ends too soon for a further query.
-func (b *Broker) shuttingDownSoon() bool {
-	return !b.shutdownDeadline.IsZero() && time.Until(b.shutdownDeadline) <= answerLead
+// addPart gives a part its id and adds it to the present phase of a query.
+func (b *Broker) addPart(q *query, pt *part) {
+	pt.id = b.nextID()
+	pt.query = q
+	q.parts = append(q.parts, pt)
+	b.parts[pt.id] = pt
 }
 
-// acquireSlots takes n of the concurrency limit's slots, all or none.
-func (b *Broker) acquireSlots(n int) bool {
-	if limit := b.options.ConcurrencyLimit; limit > 0 && b.usedSlots+n > limit {
-		return false
+// timeout returns how long a query's client waits.
+func (b *Broker) timeout(r *Request) time.Duration {
+	if r.TimeoutUnstated {
+		return min(secondsToDuration(b.options.Settings.Classes[r.Class].Deadline), maxTimeout)
 	}
-	if b.options.SharedLimiter != nil && !b.options.SharedLimiter.TryAcquire(n) {
-		return false
-	}
-	b.usedSlots += n
-	return true
+	return r.Timeout
+}
+
+// nextID returns an id that no other query or part of the broker has.
+func (b *Broker) nextID() decision.RequestID {
+	b.lastID++
+	return b.lastID
 }
 
-func (b *Broker) releaseSlots(n int) {
-	b.usedSlots -= n
-	if b.options.SharedLimiter != nil {
-		b.options.SharedLimiter.Release(n)
+// enqueueQuery passes a query and its parts to the Decider.
+func (b *Broker) enqueueQuery(q *query) {
+	r := q.request
+	work := 0.0
+	for _, p := range r.Parts {
+		work += p.Work
+	}
+	b.enqueueEvent(decision.Query{
+		ID:         q.id,
+		Number:     int64(q.id),
+		Class:      r.Class,
+		Key:        r.Key,
+		Parts:      len(r.Parts),
+		Deadline:   b.clock.at(q.deadline),
+		Retry:      r.Retry,
+		Work:       work,
+		ReceivedAt: b.clock.at(r.ReceivedAt),
+	})
+	for _, pt := range q.parts {
+		b.enqueuePart(pt)
 	}
 }
 
-// armDeadline sees to it that a query has its final answer before the client's deadline or the process's, even if the
-// Decider forgets it or ends it too late.
+// enqueuePart passes a part to the Decider.
+func (b *Broker) enqueuePart(pt *part) {
+	b.enqueueEvent(decision.Part{
+		ID:          pt.id,
+		QueryNumber: int64(pt.query.id),
+		Shard:       pt.Shard,
+		Weight:      pt.Weight,
+		Key:         pt.RouteKey,
+		Work:        pt.Work,
+	})
+}
+
+// armDeadline sets the timer that ends a query before its deadline, if the Decider has not ended it by then.
 func (b *Broker) armDeadline(q *query) {
 	q.stopTimer = b.after(time.Until(q.deadline)-answerLead, func() {
-		b.forget(q) // first: what has not started by now never will, so that a rejection holds
+		b.forget(q) // first, so that no call can start after a rejection
 		last := Result{Outcome: DeadlineExceeded}
-		if q.deadline.Equal(b.shutdownDeadline) { // the client would wait on
+		if q.deadline.Equal(b.shutdownDeadline) { // the client still waits
 			last = q.bestEffortResult(b.retryAfter())
 		}
 		q.client.Finish(last)
@@ -170,41 +180,19 @@
 	})
 }
 
-// SetShutdownDeadline has every query in flight, and every later one, answered by then: the process will be killed. One
-// that its client would wait for longer is answered from the parts that are in, rejected or failed.
-func (b *Broker) SetShutdownDeadline(t time.Time) {
-	b.post(func() {
-		b.shutdownDeadline = t
-		for _, q := range b.queries {
-			if q.deadline.After(t) {
-				q.stopTimer()
-				q.deadline = t
-				b.armDeadline(q)
-			}
-		}
-	})
-}
-
-func (b *Broker) nextID() decision.RequestID {
-	b.lastID++
-	return b.lastID
-}
-
-// retryAfter is when, in seconds, a client that is rejected for want of capacity should retry; 0: no advice.
-func (b *Broker) retryAfter() float64 {
-	if b.options.Settings.RetryAfterSupported {
-		return b.options.Settings.MaxRetryAfter
-	}
-	return 0
-}
-
 // finish gives a query its final answer and forgets it.
 func (b *Broker) finish(q *query, r Result) {
 	b.forget(q)
 	q.client.Finish(r)
 }
 
-// forget drops a query. Its attempts may still be in flight; each part is kept until its attempt has ended.
+// reject ends a query with a rejection, or a failure if a rejection is not allowed.
+func (b *Broker) reject(q *query, retryAfter float64) {
+	b.forget(q) // first, so that no call can start after the rejection
+	q.client.Finish(q.rejection(retryAfter))
+}
+
+// forget removes a query and releases its slots. A part with an attempt in flight is kept until that has finished.
 func (b *Broker) forget(q *query) {
 	q.stopTimer()
 	delete(b.queries, q.id)
@@ -213,54 +201,35 @@
 	b.finishPhase(q)
 }
 
-// finishPhase drops the parts of the present phase.
+// finishPhase finishes the parts of the present phase.
 func (b *Broker) finishPhase(q *query) {
 	for _, pt := range q.parts {
 		pt.finished = true
 		if pt.call == nil {
 			delete(b.parts, pt.id)
-		} else if pt.call.state.CompareAndSwap(callQueued, callFinished) {
-			// Guards against an attempt that still waits for a connection and would start for nothing: whether or not
-			// cancels are allowed, nothing of it has gone out.
+			continue
+		}
+		// An attempt that still waits for a connection must not start any more. Nothing of it was sent, so this is no
+		// cancellation that the settings could forbid.
+		if pt.call.state.CompareAndSwap(callQueued, callFinished) {
 			b.link.Cancel(pt.call)
 			b.onCallFinished(pt.call, ResultOf(decision.NotSent))
 		}
 	}
 }
 
-// bestEffortResult ends a query early: with the parts that are in, if they are enough.
-func (q *query) bestEffortResult(retryAfter float64) Result {
-	if r := q.result(true); r.Outcome == Answered && len(r.Values) > 0 {
-		return r
-	}
-	return q.rejection(retryAfter)
-}
+// thresholds returns the completeness thresholds of the present phase.
+func (q *query) thresholds() completeness.Thresholds { return q.class.Thresholds(q.firstPhase != nil) }
 
-// result makes the answer from the parts that are in. Under the class's least completeness there is none, and it is marked
-// complete only if it is, whatever the Decider says.
-func (q *query) result(complete bool) Result {
-	tally, at := q.tally(), q.thresholds()
-	if q.awaitsSecondPhase() || !tally.Enough(at) {
-		return Result{Outcome: Failed}
-	}
-	complete = complete && tally.Complete(at) && (q.firstPhase == nil || q.firstPhase.Complete)
-	r := Result{Outcome: Answered, Complete: complete}
+// tally sums the parts of the present phase.
+func (q *query) tally() completeness.Tally {
+	var tally completeness.Tally
 	for _, pt := range q.parts {
 		if pt.answered {
-			r.Values = append(r.Values, Value{pt.Shard, pt.value})
+			tally.AddAnswered(pt.Weight)
+		} else {
+			tally.AddPending(pt.Weight)
 		}
 	}
-	return r
-}
-
-// rejection rejects a query, unless a non-idempotent part of it may have run: then it has failed. The query has been
-// forgotten, so that none of its calls can start any more.
-func (q *query) rejection(retryAfter float64) Result {
-	mayRun := q.firstPhase != nil || slices.ContainsFunc(q.parts, func(pt *part) bool {
-		return pt.mayHaveRun || pt.answered || pt.call != nil && pt.call.started()
-	})
-	if mayRun && q.class.Idempotency != decision.Idempotent {
-		return Result{Outcome: Failed}
-	}
-	return Result{Outcome: Rejected, RetryAfter: retryAfter}
+	return tally
 }
--- a/internal/broker/request.go
+++ b/internal/broker/request.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// Request is one query as a front received it. The core keeps Payload and Parts: they must outlive the call.
+// Request is a query as a front received it. The core keeps Payload and Parts, so they must not be written to afterwards.
 type Request struct {
-	ID              string // the client's name for it
-	Class           int
-	Key             uint64 // what it is about; 0: not told
-	Retry           bool
+	ID              string // the client's name for the query
+	Class           int    // index into decision.Settings.Classes
+	Key             uint64 // identifies what the query is about; keys are only compared; 0: none
+	Retry           bool   // the client has sent the query before
 	ReceivedAt      time.Time
-	Timeout         time.Duration // how long the client waits
-	TimeoutUnstated bool          // it has not said so: Timeout is the deadline of its class when the query is accepted
+	Timeout         time.Duration // how long the client waits from ReceivedAt on
+	TimeoutUnstated bool          // Timeout is not set: the deadline of the class in force at acceptance applies
 	Parts           []Part
-	Payload         []byte // what each part carries
-	// Disconnected is set by the front, on any goroutine, the moment it learns that the client has gone: no attempt starts
-	// from then on, however long the loop needs to hear of it. Nil: the front cannot learn it.
+	Payload         []byte // sent with each part
+	// Disconnected is set by the front, on any goroutine, as soon as it detects that the client has disconnected. No attempt
+	// starts from then on, even before the loop has processed Disconnect. Nil: the front cannot detect it.
 	Disconnected *atomic.Bool
 }
 
-// disconnected tells that the client has gone.
+// disconnected reports whether the front has detected that the client has disconnected.
 func (r *Request) disconnected() bool { return r.Disconnected != nil && r.Disconnected.Load() }
 
-// Part is one part of a request.
+// Part is a part of a request: the work at one shard.
 type Part struct {
-	Shard    int
-	Weight   float64 // of the whole answer
-	Work     float64 // seconds expected; 0: unknown
-	RouteKey uint64
+	Shard    int     // from 0
+	Weight   float64 // fraction of the complete answer; those of a request sum to 1
+	Work     float64 // estimated service time in seconds; 0: unknown
+	RouteKey uint64  // identifies what the part reads; keys are only compared; 0: none
 }
 
 const (
-	maxIDLength = 64
-	weightSlack = 0.05 // clients round shares
-	maxTimeout  = time.Hour
+	maxIDLength = 64        // bytes; a name must fit into a line of the record servers' protocol
+	weightSlack = 0.05      // clients round weights
+	maxTimeout  = time.Hour // longer timeouts are errors of the client
 )
 
-// Normalize checks a request, whatever front it came by, and has its weights sum to 1: clients round them, and a complete
-// answer must not be missed by a rounding. There are so many shards; 0: not told. Its errors name the field as clients
-// know it.
+// Normalize checks a request and scales its weights to a sum of 1: clients round them, and rounding must not make a complete
+// answer look incomplete. A partition must be below shards; 0: their number is unknown. Its errors name the field as clients
+// know it; fronts send their texts to clients, so they are part of the wire format.
 func (r *Request) Normalize(shards int) error {
 	if !validID(r.ID) {
 		return fmt.Errorf("id: cannot use %q", r.ID)
@@ -54,15 +54,11 @@
 	if len(r.Parts) == 0 {
 		return fmt.Errorf("targets: a query has a part at least")
 	}
-	seen, sum := make(map[int]bool, len(r.Parts)), 0.0
+	sum := 0.0
+	seen := make(map[int]bool, len(r.Parts))
 	for i, p := range r.Parts {
-		switch {
-		case p.Shard < 0 || seen[p.Shard] || shards > 0 && p.Shard >= shards:
-			return fmt.Errorf("targets[%d].partition: %d does not exist or stands twice", i, p.Shard)
-		case !(p.Weight >= 0 && p.Weight <= 1+weightSlack):
-			return fmt.Errorf("targets[%d].share: %g is outside 0 to 1", i, p.Weight)
-		case !(p.Work >= 0) || math.IsInf(p.Work, 0):
-			return fmt.Errorf("targets[%d].est_us: %g s is no time", i, p.Work)
+		if err := p.validate(i, shards, seen[p.Shard]); err != nil {
+			return err
 		}
 		seen[p.Shard] = true
 		sum += p.Weight
@@ -76,7 +72,24 @@
 	return nil
 }
 
-// validID tells whether a query's name can be part of a line of the record servers' protocol.
+// validate checks the part at an index of a request. Its conditions are written so that NaN fails them.
+func (p Part) validate(index, shards int, duplicate bool) error {
+	switch {
+	case p.Shard < 0 || duplicate || shards > 0 && p.Shard >= shards:
+		return fmt.Errorf("targets[%d].partition: %d does not exist or stands twice", index, p.Shard)
+	case !(p.Weight >= 0 && p.Weight <= 1+weightSlack):
+		return fmt.Errorf("targets[%d].share: %g is outside 0 to 1", index, p.Weight)
+	case !(p.Work >= 0) || math.IsInf(p.Work, 0):
+		return fmt.Errorf("targets[%d].est_us: %g s is no time", index, p.Work)
+	}
+	return nil
+}
+
+// validID reports whether a query's name can be part of a line of the record servers' protocol: printable ASCII without
+// spaces.
 func validID(id string) bool {
-	return id != "" && len(id) <= maxIDLength && strings.IndexFunc(id, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
+	if id == "" || len(id) > maxIDLength {
+		return false
+	}
+	return strings.IndexFunc(id, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
 }
--- a/internal/broker/server.go
+++ b/internal/broker/server.go
@@ -7,28 +7,30 @@
 	"mothrouter/internal/decision"
 )
 
-// A server that has failed this often in a row, the last time this recently, counts as avoided in the gauges.
+// The gauges count a server as avoided after avoidedFailures failures in a row, for avoidedDuration after the latest: about
+// when the Decider avoids it. A single failure or two are chance.
 const (
 	avoidedFailures = 3
 	avoidedDuration = 5 * time.Second
 )
 
-// Server is a record server as a link sees it.
+// Server is a listed record server, shared by links and loops.
 type Server struct {
-	ID, Addr   string
-	ReplicaSet int
+	ID         string
+	Addr       string // HOST:PORT
+	ReplicaSet int    // from 0
 
 	unavailable   atomic.Bool
 	failuresInRow atomic.Int64
-	lastFailureAt atomic.Int64 // Unix nanoseconds
+	lastFailureAt atomic.Int64 // Unix nanoseconds; 0: none
 }
 
-// Unavailable tells that the server drains or is removed, or that its address has changed: it gets nothing new. Any
-// goroutine may ask.
+// Unavailable reports whether the server is draining or removed, or its address or replica set has changed: no new attempt
+// or health check may start at it. It may be called on any goroutine.
 func (s *Server) Unavailable() bool { return s.unavailable.Load() }
 
-// recordOutcome counts failures in a row. They tell operators what the Decider most likely avoids; nothing is decided by
-// them.
+// recordOutcome counts failures in a row, for the gauges only. A status that says nothing about the server's health, such
+// as an overload, neither counts nor ends the row.
 func (s *Server) recordOutcome(status decision.Status) {
 	switch status {
 	case decision.OK:
@@ -39,6 +41,10 @@
 	}
 }
 
+// avoided reports whether the gauges count the server as avoided.
 func (s *Server) avoided(now time.Time) bool {
-	return s.failuresInRow.Load() >= avoidedFailures && now.UnixNano()-s.lastFailureAt.Load() < int64(avoidedDuration)
+	if s.failuresInRow.Load() < avoidedFailures {
+		return false
+	}
+	return now.UnixNano()-s.lastFailureAt.Load() < int64(avoidedDuration)
 }
