--- a/internal/collections/median/median.go
+++ b/internal/collections/median/median.go
@@ -30,17 +30,17 @@
 	// Negligible is the value up to which the caller does not care what the median is: 0 is told instead.
 	Negligible float64
 
-	low, high    float64 // the band around the median
-	epoch        int
-	below, above int
-	near         []*Entry[T]
-	values       []float64
-	nearAtReset  int // values near the band when it was new; -1: the median was not asked for since
-	wasted       int // values computed since beyond these
+	low, high              float64 // the band around the median
+	epoch                  int
+	belowCount, aboveCount int
+	near                   []*Entry[T]
+	values                 []float64
+	nearAtReset            int // values near the band when it was new; -1: the median was not asked for since
+	excess                 int // values computed since beyond these
 }
 
 // Len is the number of values.
-func (t *Tracker[T]) Len() int { return t.below + t.above + len(t.near) }
+func (t *Tracker[T]) Len() int { return t.belowCount + t.aboveCount + len(t.near) }
 
 // Remove takes an entry out. It may be in or not.
 func (t *Tracker[T]) Remove(e *Entry[T]) {
@@ -49,9 +49,9 @@
 	}
 	switch e.side {
 	case below:
-		t.below--
+		t.belowCount--
 	case above:
-		t.above--
+		t.aboveCount--
 	case near:
 		last := len(t.near) - 1
 		t.near[e.index] = t.near[last]
@@ -69,10 +69,10 @@
 	switch {
 	case upper <= t.low:
 		e.side = below
-		t.below++
+		t.belowCount++
 	case lower >= t.high:
 		e.side = above
-		t.above++
+		t.aboveCount++
 	default:
 		e.side, e.index = near, len(t.near)
 		t.near = append(t.near, e)
@@ -84,7 +84,7 @@
 func (t *Tracker[T]) Reset(median float64) {
 	t.low, t.high = max(median/bandWidth, t.Negligible), max(median*bandWidth, t.Negligible)
 	t.epoch++
-	t.below, t.above, t.nearAtReset, t.wasted = 0, 0, -1, 0
+	t.belowCount, t.aboveCount, t.nearAtReset, t.excess = 0, 0, -1, 0
 	clear(t.near)
 	t.near = t.near[:0]
 }
@@ -93,22 +93,22 @@
 // do not tell, or there is no value: the caller computes it by Lower, and calls Reset.
 func (t *Tracker[T]) Median(value func(T) float64) (float64, bool) {
 	rank := (t.Len() - 1) / 2
-	if rank < t.below {
+	if rank < t.belowCount {
 		// Only values near the band can be negative. There are too few of them to be the median.
 		return 0, t.low == t.Negligible && len(t.near) <= rank
 	}
-	if t.Len() == 0 || rank >= t.below+len(t.near) || t.wasted > scansPerBand*t.Len() {
+	if t.Len() == 0 || rank >= t.belowCount+len(t.near) || t.excess > scansPerBand*t.Len() {
 		return 0, false
 	}
 	if t.nearAtReset < 0 {
 		t.nearAtReset = len(t.near)
 	}
-	t.wasted += max(len(t.near)-t.nearAtReset, 0)
+	t.excess += max(len(t.near)-t.nearAtReset, 0)
 	t.values = t.values[:0]
 	for _, e := range t.near {
 		t.values = append(t.values, value(e.Item))
 	}
-	v := choose(t.values, rank-t.below)
+	v := selectRank(t.values, rank-t.belowCount)
 	if v >= 0 && v < t.Negligible && t.low == t.Negligible {
 		return 0, true // what is below the band is as negligible
 	}
@@ -116,14 +116,14 @@
 }
 
 // Lower is the lower median of at least one value. It changes their order.
-func Lower(values []float64) float64 { return choose(values, (len(values)-1)/2) }
+func Lower(values []float64) float64 { return selectRank(values, (len(values)-1)/2) }
 
-const sortBelow = 16 // so few values are sorted at once
+const insertionSize = 16 // so few values are sorted at once
 
-// choose is the value at a rank, counted from 0, in the order of the values: Hoare's selection.
-func choose(values []float64, rank int) float64 {
-	for len(values) > sortBelow {
-		pivot := middle(values[0], values[len(values)/2], values[len(values)-1])
+// selectRank is the value at a rank, counted from 0, in the order of the values: Hoare's selection.
+func selectRank(values []float64, rank int) float64 {
+	for len(values) > insertionSize {
+		pivot := medianOfThree(values[0], values[len(values)/2], values[len(values)-1])
 		i, j := 0, len(values)-1
 		for i <= j {
 			for values[i] < pivot {
@@ -150,4 +150,4 @@
 	return values[rank]
 }
 
-func middle(a, b, c float64) float64 { return max(min(a, b), min(max(a, b), c)) }
+func medianOfThree(a, b, c float64) float64 { return max(min(a, b), min(max(a, b), c)) }
--- a/internal/collections/recent/window.go
+++ b/internal/collections/recent/window.go
@@ -8,14 +8,14 @@
 }
 
 type run struct {
-	at float64
-	n  int
+	at    float64
+	count int
 }
 
 // Add counts one more at a time.
 func (w *Window) Add(at float64) {
 	if n := len(w.runs); n > 0 && w.runs[n-1].at == at {
-		w.runs[n-1].n++
+		w.runs[n-1].count++
 	} else {
 		w.runs = append(w.runs, run{at, 1})
 	}
@@ -26,7 +26,7 @@
 func (w *Window) Forget(before float64) {
 	n := 0
 	for n < len(w.runs) && w.runs[n].at < before {
-		w.total -= w.runs[n].n
+		w.total -= w.runs[n].count
 		n++
 	}
 	w.runs = w.runs[n:]
--- a/internal/completeness/completeness.go
+++ b/internal/completeness/completeness.go
@@ -22,9 +22,9 @@
 
 // Tally sums the weights of a query's parts. Its zero value has none.
 type Tally struct {
-	Answered float64 // weight of the parts that are in
-	pending  float64 // of those that may still come in
-	missing  int     // parts that are not in
+	Answered   float64 // weight of the parts that are in
+	pending    float64 // of those that may still come in
+	unanswered int     // parts that are not in
 }
 
 // AddAnswered counts a part that is in.
@@ -33,16 +33,16 @@
 // AddPending counts a part that may still come in.
 func (t *Tally) AddPending(weight float64) {
 	t.pending += weight
-	t.missing++
+	t.unanswered++
 }
 
 // AddLost counts a part that cannot come in any more.
-func (t *Tally) AddLost() { t.missing++ }
+func (t *Tally) AddLost() { t.unanswered++ }
 
 // Complete tells whether the parts that are in make a complete answer.
 func (t *Tally) Complete(at Thresholds) bool {
 	if at.EveryPart {
-		return t.missing == 0
+		return t.unanswered == 0
 	}
 	return t.Answered >= at.Complete-Slack
 }
@@ -54,7 +54,7 @@
 
 // CannotComplete tells that too many parts are lost for a complete answer.
 func (t *Tally) CannotComplete(at Thresholds) bool {
-	if at.EveryPart && t.missing == 0 {
+	if at.EveryPart && t.unanswered == 0 {
 		return false
 	}
 	return t.Answered+t.pending < at.Complete-Slack
--- a/internal/estimate/clientpatience/clientpatience.go
+++ b/internal/estimate/clientpatience/clientpatience.go
@@ -5,30 +5,30 @@
 import "mothrouter/internal/collections/recent"
 
 const (
-	weight         = 0.05 // of one query in the disconnect ratio
-	manyDisconnect = 0.1  // a disconnect ratio beyond a few impatient clients
-	retryWaitRatio = 0.95 // clients count the time that is left themselves
+	outcomeWeight   = 0.05 // of one query in the disconnect ratio
+	highDisconnects = 0.1  // a disconnect ratio beyond a few impatient clients
+	retryWaitRatio  = 0.95 // clients count the time that is left themselves
 )
 
 // Estimate is what was seen of the clients of one broker. Its zero value has seen none.
 type Estimate struct {
-	ages            recent.Ring // of the latest queries whose clients disconnected
+	disconnectAges  recent.Ring // of the latest queries whose clients disconnected
 	disconnectRatio float64     // decayed
 }
 
 // Disconnected counts a query whose client left at this age.
 func (e *Estimate) Disconnected(age float64) {
-	e.ages.Add(age)
-	e.disconnectRatio += weight * (1 - e.disconnectRatio)
+	e.disconnectAges.Add(age)
+	e.disconnectRatio += outcomeWeight * (1 - e.disconnectRatio)
 }
 
 // Finished counts a query whose client stayed to its final answer.
-func (e *Estimate) Finished() { e.disconnectRatio -= weight * e.disconnectRatio }
+func (e *Estimate) Finished() { e.disconnectRatio -= outcomeWeight * e.disconnectRatio }
 
 // Short is the time that most clients wait, while many leave long before their deadline; else 0.
 func (e *Estimate) Short() float64 {
-	if e.disconnectRatio > manyDisconnect {
-		return e.ages.Quantile(0.25)
+	if e.disconnectRatio > highDisconnects {
+		return e.disconnectAges.Quantile(0.25)
 	}
 	return 0
 }
--- a/internal/estimate/failures/failures.go
+++ b/internal/estimate/failures/failures.go
@@ -28,16 +28,16 @@
 	At    float64
 	Slow  bool // it fades as Ratios.SlowHalfLife tells, if that is longer
 
-	entry    median.Entry[*Server]
-	memberOf int // the zone among whose members it is, while it is included
-	number   int // its place there, counted from 1; 0: excluded
+	entry      median.Entry[*Server]
+	memberZone int // the zone among whose members it is, while it is included
+	position   int // its place there, counted from 1; 0: excluded
 }
 
 type zone struct {
-	ratio, at      float64
-	faded, fadedAt float64 // the ratio at a later time, since all servers there need it
-	maxRatio       float64 // its ratio is no greater, as its members' bounds assume
-	members        []*Server
+	ratio, at          float64
+	decayed, decayedAt float64 // the ratio at a later time, since all servers there need it
+	maxRatio           float64 // its ratio is no greater, as its members' bounds assume
+	members            []*Server
 }
 
 // Ratios measures the servers of one fleet. It is not safe for concurrent use.
@@ -68,30 +68,30 @@
 // Include counts a server in the median, or takes note of a change of its fields. Its zone is 0 or more.
 func (s *Ratios) Include(r *Server) {
 	s.ensureZone(r.Zone)
-	if r.number > 0 && r.memberOf != r.Zone {
+	if r.position > 0 && r.memberZone != r.Zone {
 		s.Exclude(r)
 	}
-	if r.number == 0 {
+	if r.position == 0 {
 		z := &s.zones[r.Zone]
 		z.members = append(z.members, r)
-		r.memberOf, r.number, r.entry.Item = r.Zone, len(z.members), r
+		r.memberZone, r.position, r.entry.Item = r.Zone, len(z.members), r
 		s.included++
 	}
-	s.bound(r)
+	s.putBounds(r)
 }
 
 // Exclude leaves a server out of the median.
 func (s *Ratios) Exclude(r *Server) {
 	s.ensureZone(r.Zone)
-	if r.number == 0 {
+	if r.position == 0 {
 		return
 	}
-	members := s.zones[r.memberOf].members
+	members := s.zones[r.memberZone].members
 	last := len(members) - 1
-	members[r.number-1] = members[last]
-	members[r.number-1].number = r.number
+	members[r.position-1] = members[last]
+	members[r.position-1].position = r.position
 	members[last] = nil
-	s.zones[r.memberOf].members, r.number = members[:last], 0
+	s.zones[r.memberZone].members, r.position = members[:last], 0
 	s.included--
 	s.tracker.Remove(&r.entry)
 }
@@ -121,10 +121,10 @@
 		return 0 // a single one tells nothing of a server
 	}
 	z := &s.zones[name]
-	if z.fadedAt != s.Now {
-		z.faded, z.fadedAt = z.ratio*math.Exp2(-(s.Now-z.at)/s.HalfLife), s.Now
+	if z.decayedAt != s.Now {
+		z.decayed, z.decayedAt = z.ratio*math.Exp2(-(s.Now-z.at)/s.HalfLife), s.Now
 	}
-	return z.faded
+	return z.decayed
 }
 
 // Record counts an outcome: failed is 1 or 0, weight its weight in the server's ratio.
@@ -133,41 +133,41 @@
 	r.Ratio, r.At, r.Slow = share+weight*(failed-share), s.Now, slow
 	z := &s.zones[r.Zone]
 	z.ratio = s.ZoneWeight*failed + (1-s.ZoneWeight)*z.ratio*math.Exp2(-(s.Now-z.at)/s.HalfLife)
-	z.at, z.faded, z.fadedAt = s.Now, z.ratio, s.Now
+	z.at, z.decayed, z.decayedAt = s.Now, z.ratio, s.Now
 	switch {
 	case len(s.zones) <= 1:
 	case z.ratio > z.maxRatio:
-		s.refit(z, min(z.ratio*zoneHeadroom, 1))
+		s.setMaxRatio(z, min(z.ratio*zoneHeadroom, 1))
 	case z.ratio < z.maxRatio*zoneTighten && z.maxRatio > s.negligible:
-		s.refit(z, z.ratio)
+		s.setMaxRatio(z, z.ratio)
 	}
-	s.rebound(r)
+	s.updateBounds(r)
 }
 
 // RecordPeer moves a server's ratio towards what others observed at a time.
 func (s *Ratios) RecordPeer(r *Server, failed, weight, at float64) {
 	share := s.Of(r)
 	r.Ratio, r.At = share+weight*(failed-share), at
-	s.rebound(r)
+	s.updateBounds(r)
 }
 
-// refit renews the bounds of a zone's members, with a bound of its ratio that holds from now on.
-func (s *Ratios) refit(z *zone, maxRatio float64) {
+// setMaxRatio renews the bounds of a zone's members, with a bound of its ratio that holds from now on.
+func (s *Ratios) setMaxRatio(z *zone, maxRatio float64) {
 	z.maxRatio = maxRatio
 	for _, r := range z.members {
-		s.bound(r)
+		s.putBounds(r)
 	}
 }
 
-func (s *Ratios) rebound(r *Server) {
-	if r.number > 0 {
-		s.bound(r)
+func (s *Ratios) updateBounds(r *Server) {
+	if r.position > 0 {
+		s.putBounds(r)
 	}
 }
 
-// bound tells the tracker between what a share stays while the bounds hold, if its server sees no outcome: it fades
+// putBounds tells the tracker between what a share stays while the bounds hold, if its server sees no outcome: it fades
 // from its own towards its zone's, which is between 0 and zone.maxRatio.
-func (s *Ratios) bound(r *Server) {
+func (s *Ratios) putBounds(r *Server) {
 	if r.At > s.Now || r.Ratio < 0 { // observed by a clock ahead, or odd: computed each time
 		s.tracker.Put(&r.entry, math.Inf(-1), math.Inf(1))
 		return
@@ -211,7 +211,7 @@
 	m := median.Lower(s.values)
 	s.tracker.Reset(m)
 	for i := range s.zones {
-		s.refit(&s.zones[i], s.zones[i].maxRatio)
+		s.setMaxRatio(&s.zones[i], s.zones[i].maxRatio)
 	}
 	return m
 }
--- a/internal/estimate/serverstats/fleet.go
+++ b/internal/estimate/serverstats/fleet.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	zoneWeight      = 0.05  // weight of one outcome in a zone's failure ratio and in the disconnect ratio
-	failureWeight   = 0.25  // weight of one outcome in a server's failure ratio
-	negligibleRatio = 1e-33 // below 2^-108: 1 less a ratio and such a median rounds as 1 less the ratio
-	failureHalfLife = 5.0   // seconds in which a failure ratio halves; about a fault's shortest duration
+	zoneWeight       = 0.05  // weight of one outcome in a zone's failure ratio and in the disconnect ratio
+	minFailureWeight = 0.25  // weight of one outcome in a server's failure ratio
+	negligibleRatio  = 1e-33 // below 2^-108: 1 less a ratio and such a median rounds as 1 less the ratio
+	failureHalfLife  = 5.0   // seconds in which a failure ratio halves; about a fault's shortest duration
 )
 
 // Fleet compares the servers of one broker. Use NewFleet.
@@ -26,8 +26,8 @@
 	PeakRate           slowstart.PeakRate
 	SlowStartWindows   slowstart.WindowUsage
 
-	now  float64
-	warm float64 // warm servers, at least a third of all
+	now         float64
+	warmServers float64 // warm servers, at least a third of all
 }
 
 // NewFleet returns a fleet without servers whose queries are of so many classes.
@@ -47,10 +47,10 @@
 	if f.Failures.Len() > 0 {
 		f.MedianFailureRatio = f.Failures.Median()
 	}
-	f.warm = float64(max(f.Failures.Len()-warming, known/3, 1))
+	f.warmServers = float64(max(f.Failures.Len()-warming, known/3, 1))
 	f.SlowStartWindows.Advance(elapsed, float64(warming), window)
-	f.PeakRate.Advance(now, f.warm)
-	f.ServiceTime.Advance(elapsed, f.warm)
+	f.PeakRate.Advance(now, f.warmServers)
+	f.ServiceTime.Advance(elapsed, f.warmServers)
 	f.Failures.SlowHalfLife = f.ServiceTime.HalfLife // broken links fade as slowly as service times
 }
 
@@ -62,7 +62,7 @@
 }
 
 // Warm is how many servers count as warm.
-func (f *Fleet) Warm() float64 { return f.warm }
+func (f *Fleet) Warm() float64 { return f.warmServers }
 
 // RecordSuccess counts an outcome for a server, its zone and the links of this broker.
 func (f *Fleet) RecordSuccess(s *Stats) { f.recordOutcome(s, 0, 0) }
@@ -77,7 +77,7 @@
 }
 
 func (f *Fleet) recordOutcome(s *Stats, failed, disconnected float64) {
-	weight := max(failureWeight, servicetime.ObservationWeight(f.now-s.Failures.At))
+	weight := max(minFailureWeight, servicetime.ObservationWeight(f.now-s.Failures.At))
 	f.Failures.Record(&s.Failures, failed, weight, disconnected > 0)
 	f.DisconnectRatio += zoneWeight * (disconnected - f.DisconnectRatio)
 	s.ObservedAt = f.now
--- a/internal/estimate/serverstats/loadreport.go
+++ b/internal/estimate/serverstats/loadreport.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	aggression        = 1.02 // utilization term: aggression^-(busy points)
+	utilizationBase   = 1.02 // utilization term: aggression^-(busy points)
 	queueCeilingRatio = 10.0 // queue ceiling in mean reported queues, well above ordinary ones
 	minQueueCeiling   = 8.0  // and at least this, so that an idle fleet does not split hairs
 	minFitness        = 0.01 // a report starves no server
@@ -67,7 +67,7 @@
 			continue
 		}
 		queue := max(0, 1-s.queueLength()/ceiling)
-		idle := math.Pow(aggression, -100*max(s.LoadReport.Utilization, 0))
+		idle := math.Pow(utilizationBase, -100*max(s.LoadReport.Utilization, 0))
 		s.Fitness = max(queue*idle, minFitness)
 		if server.IsReady() {
 			total += s.Fitness
--- a/internal/estimate/servicetime/servicetime.go
+++ b/internal/estimate/servicetime/servicetime.go
@@ -15,7 +15,7 @@
 	recentSpan   = 2.0  // seconds of observations that outweigh older ones
 	maxWeight    = 0.9  // the last observation never tells all
 	maxHalfLife  = 15.0 // a fault may be over by then
-	minRate      = 0.1  // answers a second
+	minAnswers   = 0.1  // answers a second
 	minMean      = 1e-6 // no mean counts as shorter
 )
 
@@ -30,7 +30,7 @@
 func (f *Fleet) Advance(elapsed, warmServers float64) {
 	f.answers *= math.Exp(-elapsed / rateWindow)
 	f.Mean *= math.Exp2(-elapsed / meanHalfLife)
-	f.HalfLife = min(MinHalfLife+warmServers*rateWindow/max(f.answers, minRate), maxHalfLife)
+	f.HalfLife = min(MinHalfLife+warmServers*rateWindow/max(f.answers, minAnswers), maxHalfLife)
 }
 
 // Answered counts an answer.
