--- a/internal/collections/lazyheap/lazyheap.go
+++ b/internal/collections/lazyheap/lazyheap.go
@@ -1,23 +1,23 @@
-// Package lazyheap keeps the item with the least key where keys only grow and change far more often than they are asked
-// for: a key is brought up to date when its item comes to the top.
+// Package lazyheap is a priority queue for keys that only grow, and that change far more often than the minimum is read: the
+// heap updates a key when its item reaches the top.
 package lazyheap
 
 import "container/heap"
 
-// Heap keeps items by their keys, equal ones by their numbers. It is not safe for concurrent use.
+// Heap is a min-heap of items by key, then by number. It is not safe for concurrent use.
 type Heap[T comparable] struct {
 	key    func(T) float64
 	number func(T) int
-	in     map[T]bool
+	in     map[T]bool // the items of the heap
 	items  items[T]
 }
 
-// New returns an empty heap. The key of an item that is in it never falls, and its number never changes.
+// New returns an empty heap. The key of an item in the heap must not fall, and its number must not change.
 func New[T comparable](key func(T) float64, number func(T) int) *Heap[T] {
 	return &Heap[T]{key: key, number: number, in: map[T]bool{}}
 }
 
-// Push puts an item in, unless it is in.
+// Push adds an item, unless the heap has it.
 func (h *Heap[T]) Push(item T) {
 	if !h.in[item] {
 		h.in[item] = true
@@ -25,16 +25,17 @@
 	}
 }
 
-// Min is the item with the least key of those that fit. Items that do not fit are taken out, until pushed again.
+// Min returns the item with the least key among those that accept reports true for; found is false if there is none. It
+// removes the items that it finds not accepted on the way; Push adds them again.
 func (h *Heap[T]) Min(accept func(T) bool) (smallest T, found bool) {
 	for len(h.items) > 0 {
 		top := &h.items[0]
-		switch now := h.key(top.item); {
+		switch key := h.key(top.item); {
 		case !accept(top.item):
 			delete(h.in, top.item)
 			heap.Pop(&h.items)
-		case top.key < now:
-			top.key = now
+		case top.key < key:
+			top.key = key
 			heap.Fix(&h.items, 0)
 		default:
 			return top.item, true
@@ -43,42 +44,48 @@
 	return smallest, false
 }
 
-// Remove takes items out. It walks all.
+// Remove removes the items that drop reports true for. It takes time in proportion to the size of the heap.
 func (h *Heap[T]) Remove(drop func(T) bool) {
-	kept := h.items[:0]
+	remaining := h.items[:0]
 	for _, e := range h.items {
 		if drop(e.item) {
 			delete(h.in, e.item)
 		} else {
-			kept = append(kept, e)
+			remaining = append(remaining, e)
 		}
 	}
-	clear(h.items[len(kept):])
-	h.items = kept
+	clear(h.items[len(remaining):])
+	h.items = remaining
 	heap.Init(&h.items)
 }
 
+// entry is an item with its key as it was when last updated.
 type entry[T any] struct {
 	item   T
-	key    float64 // at most that of the item now
+	key    float64 // at most the item's present key
 	number int
 }
 
+// items implements heap.Interface.
 type items[T any] []entry[T]
 
-func (q items[T]) Len() int      { return len(q) }
+func (q items[T]) Len() int { return len(q) }
+
 func (q items[T]) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+
 func (q items[T]) Less(i, j int) bool {
 	if q[i].key != q[j].key {
 		return q[i].key < q[j].key
 	}
 	return q[i].number < q[j].number
 }
+
 func (q *items[T]) Push(e any) { *q = append(*q, e.(entry[T])) }
+
 func (q *items[T]) Pop() any {
 	last := len(*q) - 1
 	e := (*q)[last]
-	(*q)[last] = entry[T]{}
+	(*q)[last] = entry[T]{} // so that the array does not keep the item alive
 	*q = (*q)[:last]
 	return e
 }
--- a/internal/collections/recent/recent.go
+++ b/internal/collections/recent/recent.go
@@ -1,25 +1,30 @@
-// Package recent keeps the latest of some values and tells their quantiles.
+// Package recent keeps the latest values, events and averages of a kind: a ring with quantiles, a sliding window's count,
+// and exponential decay. It takes the time as an argument.
 package recent
 
 import "slices"
 
 const (
 	capacity        = 64 // values; enough for a steady 95th percentile
-	minQuantileSize = 8  // fewer have no quantile
+	minQuantileSize = 8  // values; a quantile of fewer is chance
 )
 
-// Ring keeps the latest values of a kind. Its zero value is empty. They are sorted once a change, since quantiles are asked
-// for far more often.
-type Ring struct{ latest, sorted []float64 }
+// Ring keeps the latest 64 values of a kind. Its zero value is empty. It is not safe for concurrent use.
+type Ring struct {
+	latest []float64 // oldest first
+	sorted []float64 // the same, sorted at the first Quantile after an Add; empty until then
+}
 
-// Add adds a value and forgets the oldest of too many.
+// Add adds a value, in place of the oldest if the ring is full.
 func (r *Ring) Add(v float64) {
-	if r.latest, r.sorted = append(r.latest, v), r.sorted[:0]; len(r.latest) > capacity {
+	r.latest = append(r.latest, v)
+	r.sorted = r.sorted[:0]
+	if len(r.latest) > capacity {
 		r.latest = r.latest[1:]
 	}
 }
 
-// Quantile is a quantile, 0 to 1, of the values; 0 where there are too few.
+// Quantile returns the quantile f, from 0 to 1, of the values; 0 if there are fewer than 8.
 func (r *Ring) Quantile(f float64) float64 {
 	if len(r.latest) < minQuantileSize {
 		return 0
--- a/internal/collections/recent/window.go
+++ b/internal/collections/recent/window.go
@@ -1,36 +1,38 @@
 package recent
 
-// Window counts what happened lately. Its zero value is empty. Times must not run backwards; those that are equal, as
-// in a batch, share one entry.
+// Window counts events in a sliding window. Its zero value is empty. Times must not run backwards; events at one time, as in
+// a batch, share an entry. It is not safe for concurrent use.
 type Window struct {
-	runs  []run // in the order of time
-	total int
+	runs  []run // ascending by time
+	total int   // events in runs
 }
 
+// run is the number of events at one time.
 type run struct {
 	at    float64
 	count int
 }
 
-// Add counts one more at a time.
+// Add counts one event at a time.
 func (w *Window) Add(at float64) {
-	if n := len(w.runs); n > 0 && w.runs[n-1].at == at {
-		w.runs[n-1].count++
-	} else {
-		w.runs = append(w.runs, run{at, 1})
-	}
 	w.total++
+	last := len(w.runs) - 1
+	if last >= 0 && w.runs[last].at == at {
+		w.runs[last].count++
+		return
+	}
+	w.runs = append(w.runs, run{at, 1})
 }
 
-// Forget drops what was before a time.
+// Forget removes the events before a time.
 func (w *Window) Forget(before float64) {
-	n := 0
-	for n < len(w.runs) && w.runs[n].at < before {
-		w.total -= w.runs[n].count
-		n++
+	expired := 0
+	for expired < len(w.runs) && w.runs[expired].at < before {
+		w.total -= w.runs[expired].count
+		expired++
 	}
-	w.runs = w.runs[n:]
+	w.runs = w.runs[expired:]
 }
 
-// Len is how much is kept.
+// Len returns the number of events in the window.
 func (w *Window) Len() int { return w.total }
--- a/internal/completeness/completeness.go
+++ b/internal/completeness/completeness.go
@@ -1,18 +1,18 @@
-// Package completeness tells how complete the answer to a query is, from the weights of its parts. It decides nothing and
-// does no I/O.
+// Package completeness compares the weights of a query's answered parts with the thresholds of an answer. It decides nothing
+// and does no I/O.
 package completeness
 
-// Slack is the rounding of sums of weights; the rules allow more.
+// Slack allows for the rounding of sums of weights. The platform's rules tolerate more.
 const Slack = 1e-6
 
-// Thresholds are the weights that an answer needs. A query's weights sum to 1.
+// Thresholds are the weights of answered parts that an answer needs. The weights of a query's parts sum to 1.
 type Thresholds struct {
-	Complete  float64 // that of a complete answer
-	Min       float64 // that of any answer; at or above Complete, nothing less is answered
+	Complete  float64 // for a complete answer
+	Min       float64 // for any answer; if it is not below Complete, there are no partial answers
 	EveryPart bool    // a complete answer needs every part, whatever its weight
 }
 
-// OfEveryPart are thresholds of which a complete answer needs every part. The least that is answered stays.
+// OfEveryPart returns thresholds whose complete answer needs every part. The minimum for a partial answer stays.
 func (t Thresholds) OfEveryPart() Thresholds {
 	if t.Min >= t.Complete {
 		t.Min = 1
@@ -22,24 +22,24 @@
 
 // Tally sums the weights of a query's parts. Its zero value has none.
 type Tally struct {
-	Answered   float64 // weight of the parts that are in
-	pending    float64 // of those that may still come in
-	unanswered int     // parts that are not in
+	Answered   float64 // weight of the answered parts
+	pending    float64 // weight of the parts that may still be answered
+	unanswered int     // parts, pending or lost
 }
 
-// AddAnswered counts a part that is in.
+// AddAnswered adds an answered part.
 func (t *Tally) AddAnswered(weight float64) { t.Answered += weight }
 
-// AddPending counts a part that may still come in.
+// AddPending adds a part that may still be answered.
 func (t *Tally) AddPending(weight float64) {
 	t.pending += weight
 	t.unanswered++
 }
 
-// AddLost counts a part that cannot come in any more.
+// AddLost adds a part that will not be answered.
 func (t *Tally) AddLost() { t.unanswered++ }
 
-// Complete tells whether the parts that are in make a complete answer.
+// Complete reports whether the answered parts make a complete answer.
 func (t *Tally) Complete(at Thresholds) bool {
 	if at.EveryPart {
 		return t.unanswered == 0
@@ -47,12 +47,15 @@
 	return t.Answered >= at.Complete-Slack
 }
 
-// Enough tells whether the parts that are in make an answer, complete or not.
+// Enough reports whether the answered parts make an answer, complete or partial.
 func (t *Tally) Enough(at Thresholds) bool {
-	return t.Complete(at) || at.Min < at.Complete && t.Answered >= at.Min-Slack
+	if t.Complete(at) {
+		return true
+	}
+	return at.Min < at.Complete && t.Answered >= at.Min-Slack
 }
 
-// CannotComplete tells that too many parts are lost for a complete answer.
+// CannotComplete reports whether too many parts are lost for a complete answer.
 func (t *Tally) CannotComplete(at Thresholds) bool {
 	if at.EveryPart && t.unanswered == 0 {
 		return false
@@ -60,7 +63,10 @@
 	return t.Answered+t.pending < at.Complete-Slack
 }
 
-// CannotAnswer tells that too many parts are lost for any answer.
+// CannotAnswer reports whether too many parts are lost for any answer.
 func (t *Tally) CannotAnswer(at Thresholds) bool {
-	return t.CannotComplete(at) && (at.Min >= at.Complete || t.Answered+t.pending < at.Min-Slack)
+	if !t.CannotComplete(at) {
+		return false
+	}
+	return at.Min >= at.Complete || t.Answered+t.pending < at.Min-Slack
 }
--- a/internal/estimate/serverstats/serverstats.go
+++ b/internal/estimate/serverstats/serverstats.go
@@ -1,6 +1,6 @@
-// Package serverstats keeps what one broker has seen of its record servers: attempts in flight, latencies, failures and
-// load reports, and what can be estimated from these for each server and for the fleet. It decides nothing, does no I/O and
-// takes the time as an argument; times and durations are seconds.
+// Package serverstats keeps what one broker has observed of its record servers: attempts in flight, latencies, failures and
+// load reports, and the estimates for each server and for the fleet that follow from these. It decides nothing, does no I/O
+// and takes the time as an argument; times and durations are seconds.
 package serverstats
 
 import (
@@ -10,32 +10,35 @@
 	"mothrouter/internal/estimate/servicetime"
 )
 
-// abandonedLifetime is for how long an abandoned attempt counts as queued: about the length of a full queue.
+// abandonedLifetime is how long an abandoned attempt counts as queued, in seconds: about the time that a full queue takes.
 const abandonedLifetime = 3.0
 
 // Stats are those of one server. Use NewStats: absent values of a load report are not zero.
 type Stats struct {
-	InFlight         int     // this broker's attempts
-	AnsweredAt       float64 // its latest success
-	NewestAnsweredAt float64 // when the latest attempt was sent that it answered
-	BusySince        float64 // when the first attempt was sent after its latest success
-	ObservedAt       float64 // its latest outcome, or when its health was last checked
-	Failures         failures.Server
+	InFlight         int             // this broker's attempts
+	AnsweredAt       float64         // time of its latest success
+	NewestAnsweredAt float64         // when the most recently sent of its successful attempts was sent
+	BusySince        float64         // when the first attempt after its latest success was sent
+	ObservedAt       float64         // time of its latest outcome or health check
+	Failures         failures.Server // failure ratio
 	ServiceTime      servicetime.Server
-	LoadReport       LoadReport
-	LoadReportedAt   float64 // 0: never
-	Fitness          float64 // from its load report; 0: unreported when it was last computed
+	LoadReport       LoadReport // the latest
+	LoadReportedAt   float64    // when it was made; 0: there was none
+	Fitness          float64    // by ComputeFitness, above 0 to 1; 0: no report was known then
 
 	abandoned []abandonedAttempt
 }
 
-// abandonedAttempt was given up; its server may still work through it until then.
-type abandonedAttempt struct{ sentAt, until float64 }
+// abandonedAttempt is an attempt that the broker gave up but its server may still have queued.
+type abandonedAttempt struct {
+	sentAt float64
+	until  float64 // end of abandonedLifetime
+}
 
-// NewStats returns what is known of a server before anything was seen of it.
+// NewStats returns the stats of a server that nothing was observed of.
 func NewStats() Stats { return Stats{LoadReport: NoLoadReport} }
 
-// Restarted forgets what ended with the server's old process.
+// Restarted resets what belonged to the server's previous process. Its service time stays.
 func (s *Stats) Restarted() {
 	s.LoadReport = NoLoadReport
 	s.LoadReportedAt = 0
@@ -44,21 +47,23 @@
 	s.abandoned = nil
 }
 
-// Sent counts an attempt that is sent now.
+// Sent records an attempt that is sent now.
 func (s *Stats) Sent(now float64) {
 	s.InFlight++
-	if s.InFlight == 1 || s.BusySince <= s.AnsweredAt { // one that answers owes nothing older
+	if s.InFlight == 1 || s.BusySince <= s.AnsweredAt { // a server that answers is not silent about older attempts
 		s.BusySince = now
 	}
 }
 
-// QueueDepth counts this broker's attempts at the server: those in flight, and abandoned ones that may still be queued.
+// QueueDepth returns the number of this broker's attempts at the server: those in flight, and abandoned ones that may still
+// be queued.
 func (s *Stats) QueueDepth(now float64) int {
 	s.abandoned = slices.DeleteFunc(s.abandoned, func(a abandonedAttempt) bool { return now > a.until })
 	return s.InFlight + len(s.abandoned)
 }
 
-// Silence is for how long the server has had attempts in flight without answering any; 0: it owes no answer.
+// Silence returns how long the server has had attempts in flight without any success; 0: it has none in flight, or has
+// succeeded since.
 func (s *Stats) Silence(now float64) float64 {
 	if s.InFlight == 0 || s.BusySince < s.AnsweredAt {
 		return 0
@@ -66,12 +71,12 @@
 	return now - s.BusySince
 }
 
-// abandon counts an attempt as queued that was given up.
+// abandon records an abandoned attempt.
 func (s *Stats) abandon(sentAt, now float64) {
 	s.abandoned = append(s.abandoned, abandonedAttempt{sentAt, now + abandonedLifetime})
 }
 
-// answered counts a success. Queues go in order, so whatever was sent before it is done.
+// answered records a success. Queues are first in, first out, so attempts that were sent before it have left the queue.
 func (s *Stats) answered(sentAt, now float64) {
 	s.AnsweredAt = now
 	s.NewestAnsweredAt = max(s.NewestAnsweredAt, sentAt)
--- a/internal/estimate/servicetime/servicetime.go
+++ b/internal/estimate/servicetime/servicetime.go
@@ -1,71 +1,75 @@
 // Package servicetime estimates how long record servers take for a part of a query, for the fleet and for each server. A
-// latency counts divided by the concurrency that the part met, so that a queue of one's own does not pass for a slow server.
+// latency is divided by the concurrency that the part met, so that the broker's own queue does not make a server look slow.
 // The package decides nothing, does no I/O and takes the time as an argument; times and durations are seconds.
 package servicetime
 
-import "math"
+import (
+	"mothrouter/internal/collections/recent"
+)
 
-// MinHalfLife is the least half-life of a server's own estimate, in seconds: that of a fleet that answers all the time.
+// MinHalfLife is the least half-life of a server's own estimate, in seconds: that of a fleet that answers continuously.
 const MinHalfLife = 1.0
 
 const (
-	rateWindow   = 5.0  // time constant of the answer rate
-	averageSpan  = 2.0  // seconds of answers that make the fleet's mean
-	meanHalfLife = 10.0 // of the fleet's mean: a broker that rejects everything hears no more of it
-	recentSpan   = 2.0  // seconds of observations that outweigh older ones
-	maxWeight    = 0.9  // the last observation never tells all
-	maxHalfLife  = 15.0 // a fault may be over by then
-	minAnswers   = 0.1  // answers a second
-	minMean      = 1e-6 // no mean counts as shorter
+	rateWindow   = 5.0  // time constant of the answer count, in seconds: long enough for a steady rate
+	averageSpan  = 2.0  // seconds of answers that the fleet's mean averages over
+	meanHalfLife = 10.0 // seconds; without it, a broker that rejects everything would never see that the fleet has recovered
+	recentSpan   = 2.0  // seconds without an observation after which the next one weighs half
+	maxWeight    = 0.9  // of one observation: none replaces the estimate
+	maxHalfLife  = 15.0 // seconds; a fault is mostly over by then
+	minAnswers   = 0.1  // answer count below which the half-life grows no further
+	minMean      = 1e-6 // seconds; least divisor of a relative service time
 )
 
 // Fleet is the estimate over all servers. Its zero value has seen no answer.
 type Fleet struct {
-	Mean     float64 // seconds for one part; 0: not known
-	HalfLife float64 // seconds in which a server's own estimate is half forgotten: the less is seen, the longer
+	Mean     float64 // seconds for one part; 0: unknown
+	HalfLife float64 // of a server's own estimate, seconds: the fewer answers, the longer
 	answers  float64 // decayed over rateWindow
 }
 
-// Advance lets elapsed seconds pass; so many servers are warm.
+// Advance advances the estimate by elapsed seconds, after which warmServers servers are warm.
 func (f *Fleet) Advance(elapsed, warmServers float64) {
-	f.answers *= math.Exp(-elapsed / rateWindow)
-	f.Mean *= math.Exp2(-elapsed / meanHalfLife)
-	f.HalfLife = min(MinHalfLife+warmServers*rateWindow/max(f.answers, minAnswers), maxHalfLife)
+	f.answers *= recent.Decay(elapsed, rateWindow)
+	f.Mean *= recent.HalfLifeDecay(elapsed, meanHalfLife)
+	// The mean time between the answers of one server.
+	interval := warmServers * rateWindow / max(f.answers, minAnswers)
+	f.HalfLife = min(MinHalfLife+interval, maxHalfLife)
 }
 
-// Answered counts an answer.
+// Answered records an answer.
 func (f *Fleet) Answered() { f.answers++ }
 
-// Observe moves the mean towards a service time, by a weight from 0 to 1.
+// Observe moves the mean towards a service time, with a weight from 0 to 1.
 func (f *Fleet) Observe(serviceTime, weight float64) {
 	f.Mean += weight * (serviceTime - f.Mean) / (1 + averageSpan*f.answers/rateWindow)
 }
 
 // Server is the estimate of one server. Its zero value has seen no answer.
 type Server struct {
-	Mean float64
+	Mean float64 // at the time At
 	At   float64 // time of the latest observation
 }
 
-// Of is the service time of a server: its own as far as it is remembered, else the fleet's.
+// Of returns the service time of a server: its own estimate, which decays to the fleet's mean.
 func (f *Fleet) Of(s *Server, now float64) float64 {
-	return f.Mean + (s.Mean-f.Mean)*math.Exp2(-(now-s.At)/f.HalfLife)
+	return f.Mean + (s.Mean-f.Mean)*recent.HalfLifeDecay(now-s.At, f.HalfLife)
 }
 
-// Relative is a server's service time as a multiple of the fleet's mean.
+// Relative returns a server's service time as a multiple of the fleet's mean.
 func (f *Fleet) Relative(s *Server, now float64) float64 {
 	return f.Of(s, now) / max(f.Mean, minMean)
 }
 
-// ObserveServer moves a server's own estimate towards a service time that was seen now.
+// ObserveServer moves a server's own estimate towards a service time that was observed now.
 func (f *Fleet) ObserveServer(s *Server, serviceTime, now float64) {
-	own := f.Of(s, now)
-	s.Mean = own + ObservationWeight(now-s.At)*(serviceTime-own)
+	previous := f.Of(s, now)
+	s.Mean = previous + ObservationWeight(now-s.At)*(serviceTime-previous)
 	s.At = now
 }
 
-// ObservationWeight is the weight of one more observation of a server, from 0 to 1, so many seconds after the latest: the
-// rarer they are, the more each tells.
+// ObservationWeight returns the weight, from 0 to 0.9, of an observation of a server that follows the previous one after
+// elapsed seconds: the rarer observations are, the more each weighs.
 func ObservationWeight(elapsed float64) float64 {
-	return min(maxWeight, 1-math.Exp2(-elapsed/recentSpan))
+	return min(maxWeight, 1-recent.HalfLifeDecay(elapsed, recentSpan))
 }
