--- a/internal/controlplane/consensus/checker_test.go
+++ b/internal/controlplane/consensus/checker_test.go
@@ -42,7 +42,7 @@
 	breachNoAgreement breach = "no agreement after the heal"
 	breachStale       breach = "confirmed is too small"
 	breachTwoLeaders  breach = "two leaders in a term"
-	breachRefused     breach = "a member refused an honest message or stopped"
+	breachRejected    breach = "a member refused an honest message or stopped"
 )
 
 type violation struct {
@@ -52,10 +52,10 @@
 
 // acknowledgement is a publication that a member has acknowledged.
 type acknowledgement struct {
-	at       time.Duration // of the simulation
-	highest  uint64        // number acknowledged so far
-	number   uint64
-	checksum uint64
+	acknowledgedAt time.Duration // of the simulation
+	highest        uint64        // number acknowledged so far
+	number         uint64
+	checksum       uint64
 }
 
 // checker watches a simulation.
@@ -82,7 +82,7 @@
 
 const maxViolations = 64
 
-func (c *checker) report(broken breach, format string, arguments ...any) {
+func (c *checker) addViolation(broken breach, format string, arguments ...any) {
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, violation{breach: broken, what: fmt.Sprintf(format, arguments...)})
 	}
@@ -97,65 +97,65 @@
 	return false
 }
 
-// restarted checks a member that has been made anew from its disk.
-func (c *checker) restarted(id uint64, machine *revision.Machine) {
-	c.notBack(id, machine)
-	c.contentsOf(id, machine)
+// checkRestarted checks a member that has been made anew from its disk.
+func (c *checker) checkRestarted(id uint64, machine *revision.Machine) {
+	c.checkApplied(id, machine)
+	c.checkHistory(id, machine)
 	c.lastNumber[id] = machine.Number()
 }
 
-func (c *checker) notBack(id uint64, machine *revision.Machine) {
+func (c *checker) checkApplied(id uint64, machine *revision.Machine) {
 	if machine.Applied() < c.lastApplied[id] {
-		c.report(breachWentBack, "member %d applied %d after %d", id, machine.Applied(), c.lastApplied[id])
+		c.addViolation(breachWentBack, "member %d applied %d after %d", id, machine.Applied(), c.lastApplied[id])
 	}
 	c.lastApplied[id] = machine.Applied()
 }
 
-func (c *checker) contentsOf(id uint64, machine *revision.Machine) {
+func (c *checker) checkHistory(id uint64, machine *revision.Machine) {
 	for number := max(machine.Oldest(), 1); number <= machine.Number(); number++ {
-		c.content(id, machine.Get(number))
+		c.checkContent(id, machine.Get(number))
 	}
 }
 
-func (c *checker) content(id uint64, found *configpb.Revision) {
+func (c *checker) checkContent(id uint64, found *configpb.Revision) {
 	number, sum := found.GetNumber(), configpb.Checksum(found.GetDocument())
 	known, seen := c.contents[number]
 	if seen && known != sum || sum != found.GetChecksum() {
-		c.report(breachContent, "member %d has %x as revision %d, not %x", id, sum, number, known)
+		c.addViolation(breachContent, "member %d has %x as revision %d, not %x", id, sum, number, known)
 	}
 	c.contents[number] = sum
 }
 
-// applied checks what an Advance of a member has brought.
-func (c *checker) applied(id uint64, applied Applied, machine *revision.Machine) {
-	c.notBack(id, machine)
+// checkAdvance checks what an Advance of a member has brought.
+func (c *checker) checkAdvance(id uint64, applied Applied, machine *revision.Machine) {
+	c.checkApplied(id, machine)
 	if applied.Restored {
-		c.contentsOf(id, machine)
+		c.checkHistory(id, machine)
 		c.lastNumber[id] = machine.Number() - uint64(len(applied.Revisions))
 	}
 	for _, found := range applied.Revisions {
 		if found.GetNumber() != c.lastNumber[id]+1 {
-			c.report(breachGap, "member %d: revision %d follows %d", id, found.GetNumber(), c.lastNumber[id])
+			c.addViolation(breachGap, "member %d: revision %d follows %d", id, found.GetNumber(), c.lastNumber[id])
 		}
 		c.lastNumber[id] = found.GetNumber()
-		c.content(id, found)
+		c.checkContent(id, found)
 	}
 	if c.lastNumber[id] != machine.Number() {
-		c.report(breachGap, "member %d told %d, has %d", id, c.lastNumber[id], machine.Number())
+		c.addViolation(breachGap, "member %d told %d, has %d", id, c.lastNumber[id], machine.Number())
 	}
 }
 
-func (c *checker) leads(id, term uint64) {
+func (c *checker) checkLeader(id, term uint64) {
 	if other, found := c.leaders[term]; found && other != id {
-		c.report(breachTwoLeaders, "members %d and %d lead in term %d", other, id, term)
+		c.addViolation(breachTwoLeaders, "members %d and %d lead in term %d", other, id, term)
 	}
 	c.leaders[term] = id
 }
 
-// acknowledged books the acknowledgement of a publication.
-func (c *checker) acknowledged(at time.Duration, request, number, checksum uint64) {
+// recordAcknowledgement books the acknowledgement of a publication.
+func (c *checker) recordAcknowledgement(at time.Duration, request, number, checksum uint64) {
 	if known, found := c.numbers[request]; found && known != number {
-		c.report(breachTwoNumbers, "request %x has numbers %d and %d", request, known, number)
+		c.addViolation(breachTwoNumbers, "request %x has numbers %d and %d", request, known, number)
 	}
 	c.numbers[request] = number
 	highest := number
@@ -163,18 +163,18 @@
 		highest = max(highest, c.acknowledgements[count-1].highest)
 	}
 	c.acknowledgements = append(c.acknowledgements, acknowledgement{
-		at: at, highest: highest, number: number, checksum: checksum,
+		acknowledgedAt: at, highest: highest, number: number, checksum: checksum,
 	})
 }
 
-// confirms checks that a member has all that was acknowledged up to a time.
-func (c *checker) confirms(id uint64, upTo time.Duration, number uint64) {
-	after := sort.Search(len(c.acknowledgements), func(i int) bool { return c.acknowledgements[i].at > upTo })
+// checkConfirmed checks that a member has all that was acknowledged up to a time.
+func (c *checker) checkConfirmed(id uint64, upTo time.Duration, number uint64) {
+	after := sort.Search(len(c.acknowledgements), func(i int) bool { return c.acknowledgements[i].acknowledgedAt > upTo })
 	if after == 0 {
 		return
 	}
 	if highest := c.acknowledgements[after-1].highest; number < highest {
-		c.report(breachStale, "member %d has %d, confirmed at %v, when %d was acknowledged", id, number, upTo, highest)
+		c.addViolation(breachStale, "member %d has %d, confirmed at %v, when %d was acknowledged", id, number, upTo, highest)
 	}
 }
 
@@ -184,13 +184,13 @@
 		for id, member := range members {
 			found := member.node.Machine().Get(acknowledged.number)
 			if found.GetChecksum() != acknowledged.checksum {
-				c.report(breachLost, "member %d has %x as revision %d, acknowledged was %x", id, found.GetChecksum(),
+				c.addViolation(breachLost, "member %d has %x as revision %d, acknowledged was %x", id, found.GetChecksum(),
 					acknowledged.number, acknowledged.checksum)
 			}
 		}
 	}
 	if result := porcupine.CheckOperationsTimeout(revisionsModel, c.history, historyTimeout); result != porcupine.Ok {
-		c.report(breachHistory, "%d operations: %v", len(c.history), result)
+		c.addViolation(breachHistory, "%d operations: %v", len(c.history), result)
 	}
 }
 
--- a/internal/controlplane/consensus/client_test.go
+++ b/internal/controlplane/consensus/client_test.go
@@ -14,12 +14,12 @@
 // client publishes and reads, one operation after another. It sends a publication again under the same request id
 // until it has an answer or has tried maxAttempts times.
 type client struct {
-	s         *simulation
-	id        int
-	known     uint64 // newest number by its knowledge
-	leader    uint64 // where it sends publications
-	operation uint64 // count
-	busy      bool
+	s              *simulation
+	id             int
+	newestKnown    uint64 // newest number by its knowledge
+	leader         uint64 // where it sends publications
+	operationCount uint64 // count
+	inOperation    bool
 }
 
 const (
@@ -31,10 +31,10 @@
 // attempt is one operation in progress.
 type attempt struct {
 	client   *client
-	asked    operation
+	input    operation
 	command  *configpb.Command // of a publication
-	called   time.Duration
-	tries    int
+	calledAt time.Duration
+	attempts int
 	finished bool
 }
 
@@ -46,22 +46,22 @@
 
 // next starts an operation.
 func (c *client) next() {
-	if c.s.now >= askUntil {
+	if c.s.now >= clientsUntil {
 		return
 	}
-	c.operation++
-	c.busy = true
-	a := &attempt{client: c, called: c.s.now}
+	c.operationCount++
+	c.inOperation = true
+	a := &attempt{client: c, calledAt: c.s.now}
 	if c.s.chance(0.5) {
-		a.asked.publish = true
+		a.input.publish = true
 		if c.s.chance(0.4) {
-			a.asked.expected = c.known
+			a.input.expected = c.newestKnown
 		}
-		document := fmt.Appendf(nil, "%c client %d operation %d", documentMark, c.id, c.operation)
-		a.asked.checksum = configpb.Checksum(document)
+		document := fmt.Appendf(nil, "%c client %d operation %d", documentMark, c.id, c.operationCount)
+		a.input.checksum = configpb.Checksum(document)
 		a.command = &configpb.Command{
-			Request:  uint64(c.id+1)<<32 | c.operation,
-			Expected: a.asked.expected,
+			Request:  uint64(c.id+1)<<32 | c.operationCount,
+			Expected: a.input.expected,
 			Document: document,
 		}
 	}
@@ -74,27 +74,27 @@
 		return
 	}
 	s := a.client.s
-	a.tries++
-	if a.tries > maxAttempts {
-		a.giveUp()
+	a.attempts++
+	if a.attempts > maxAttempts {
+		a.abandon()
 		return
 	}
 	to := testMembers[s.random.IntN(len(testMembers))]
-	if a.asked.publish && a.tries == 1 {
+	if a.input.publish && a.attempts == 1 {
 		to = a.client.leader
 	}
 	s.transmit(0, to, func() { a.arrive(s.members[to]) })
-	tries := a.tries
+	tries := a.attempts
 	s.after(attemptTimeout, func() {
-		if a.tries == tries {
+		if a.attempts == tries {
 			a.try()
 		}
 	})
 }
 
-// giveUp ends an operation without an answer. A publication may have taken effect, now or later.
-func (a *attempt) giveUp() {
-	if a.asked.publish {
+// abandon ends an operation without an answer. A publication may have taken effect, now or later.
+func (a *attempt) abandon() {
+	if a.input.publish {
 		a.record(operation{publish: true, unknown: true}, endAt+time.Second)
 	}
 	a.end()
@@ -103,13 +103,13 @@
 func (a *attempt) record(told operation, at time.Duration) {
 	s := a.client.s
 	s.checker.history = append(s.checker.history, porcupine.Operation{
-		ClientId: a.client.id, Input: a.asked, Output: told, Call: int64(a.called), Return: int64(at),
+		ClientId: a.client.id, Input: a.input, Output: told, Call: int64(a.calledAt), Return: int64(at),
 	})
 }
 
 func (a *attempt) end() {
 	a.finished = true
-	a.client.busy = false
+	a.client.inOperation = false
 	s := a.client.s
 	s.after(s.between(50*time.Millisecond, 700*time.Millisecond), a.client.next)
 }
@@ -120,16 +120,16 @@
 	if !m.up {
 		return
 	}
-	if s.now < m.paused {
-		s.at(m.paused, func() { a.arrive(m) })
+	if s.now < m.pausedUntil {
+		s.at(m.pausedUntil, func() { a.arrive(m) })
 		return
 	}
-	if a.asked.publish {
+	if a.input.publish {
 		a.propose(m)
 	} else {
 		a.readAt(m)
 	}
-	s.work(m)
+	s.startSave(m)
 }
 
 // propose is what a member does with a publication.
@@ -138,7 +138,7 @@
 	command := a.command
 	if s.fault == faultNewRequest {
 		command = &configpb.Command{
-			Request: command.GetRequest() | uint64(a.tries)<<24, Expected: command.GetExpected(),
+			Request: command.GetRequest() | uint64(a.attempts)<<24, Expected: command.GetExpected(),
 			Document: command.GetDocument(),
 		}
 	}
@@ -154,7 +154,7 @@
 		a.acknowledge(m, revision.Result{Number: m.node.Machine().Number() + 1})
 		return
 	}
-	m.publish[command.GetRequest()] = append(m.publish[command.GetRequest()], func(outcome Outcome) {
+	m.publish[command.GetRequest()] = append(m.publish[command.GetRequest()], func(outcome ProposalOutcome) {
 		if outcome.Err == nil {
 			a.acknowledge(m, outcome.Result)
 		}
@@ -165,13 +165,13 @@
 func (a *attempt) acknowledge(m *simulatedMember, result revision.Result) {
 	s := a.client.s
 	if result.Rejection == revision.Accepted {
-		s.checker.acknowledged(s.now, a.command.GetRequest(), result.Number, a.asked.checksum)
+		s.checker.recordAcknowledgement(s.now, a.command.GetRequest(), result.Number, a.input.checksum)
 	}
 	s.transmit(m.id, 0, func() {
 		if a.finished {
 			return
 		}
-		a.client.known = max(a.client.known, result.Number)
+		a.client.newestKnown = max(a.client.newestKnown, result.Number)
 		a.client.leader = m.id
 		a.record(operation{
 			publish: true, number: result.Number, rejected: result.Rejection == revision.NotNewest,
@@ -191,7 +191,7 @@
 				return
 			}
 			s.stats.reads++
-			a.client.known = max(a.client.known, told.number)
+			a.client.newestKnown = max(a.client.newestKnown, told.number)
 			a.record(told, s.now)
 			a.end()
 		})
--- a/internal/controlplane/consensus/consensus.go
+++ b/internal/controlplane/consensus/consensus.go
@@ -52,16 +52,16 @@
 	heartbeatTicks = 2
 	electionTicks  = 15
 
-	// maxTicksAtOnce is how many ticks a late Tick makes up for. A member that was paused listens before it asks for
+	// maxTicksPerCall is how many ticks a late Tick makes up for. A member that was paused listens before it asks for
 	// an election.
-	maxTicksAtOnce = heartbeatTicks
+	maxTicksPerCall = heartbeatTicks
 
-	// roundTicks is the time between two rounds of ReadIndex, 0.5 s: what Confirmed tells is 0.5 s and one round at
+	// roundIntervalTicks is the time between two rounds of ReadIndex, 0.5 s: what Confirmed tells is 0.5 s and one round at
 	// most while all is well. A round costs 2 messages of about 60 bytes a member.
-	roundTicks = 5
+	roundIntervalTicks = 5
 
-	// DefaultLostAfter is how long a voter is silent before the spare takes its place.
-	DefaultLostAfter = 60 * time.Second
+	// DefaultVoterTimeout is how long a voter is silent before the spare takes its place.
+	DefaultVoterTimeout = 60 * time.Second
 
 	// ReadTimeout is when a read without an answer ends with ErrTimeout.
 	ReadTimeout = 5 * time.Second
@@ -72,8 +72,8 @@
 	// snapshotTimeout is when a snapshot that a member hasn't acknowledged is sent again: 17 MiB at 10 Mbit/s.
 	snapshotTimeout = 15 * time.Second
 
-	// changeInterval is the least time between two attempts to change the members.
-	changeInterval = 5 * time.Second
+	// confChangeInterval is the least time between two attempts to change the members.
+	confChangeInterval = 5 * time.Second
 )
 
 // Limits.
@@ -84,8 +84,8 @@
 	// MaxReads is how many reads wait at a member, 24 bytes each.
 	MaxReads = 1024
 
-	// maxRounds is how many rounds of ReadIndex are open: 16 x 0.5 s = 8 s. Beyond that the oldest joins the next.
-	maxRounds = 16
+	// maxOpenRounds is how many rounds of ReadIndex are open: 16 x 0.5 s = 8 s. Beyond that the oldest joins the next.
+	maxOpenRounds = 16
 
 	// maxUncommittedBytes bounds the entries of a leader that are not committed, like MaxProposals.
 	maxUncommittedBytes = MaxProposals * revision.MaxCommandBytes
@@ -116,21 +116,21 @@
 	// transport must take as much.
 	MaxMessageBytes = revision.MaxSnapshotBytes + 64<<10
 
-	// spareLag is how many entries the spare may be behind and still take the place of a voter.
-	spareLag = 64
+	// maxPromotionLag is how many entries the spare may be behind and still take the place of a voter.
+	maxPromotionLag = 64
 )
 
 // Errors of a node. NotLeaderError is another.
 var (
-	ErrBusy     = errors.New("consensus: too much is waiting")
-	ErrTimeout  = errors.New("consensus: no answer in time")
-	ErrUnknown  = errors.New("consensus: leadership lost, the proposal may be applied or not")
-	ErrDropped  = errors.New("consensus: proposal dropped")
-	ErrMessage  = errors.New("consensus: malformed message")
-	ErrLostLog  = errors.New("consensus: the stored log lacks entries that this member has acknowledged")
-	ErrBroken   = errors.New("consensus: node stopped on a message it cannot take")
-	ErrStorage  = errors.New("consensus: storage is not that of this member")
-	ErrSettings = errors.New("consensus: invalid options")
+	ErrBusy             = errors.New("consensus: too much is waiting")
+	ErrTimeout          = errors.New("consensus: no answer in time")
+	ErrOutcomeUnknown   = errors.New("consensus: leadership lost, the proposal may be applied or not")
+	ErrProposalDropped  = errors.New("consensus: proposal dropped")
+	ErrMalformedMessage = errors.New("consensus: malformed message")
+	ErrMissingEntries   = errors.New("consensus: the stored log lacks entries that this member has acknowledged")
+	ErrRaftPanic        = errors.New("consensus: node stopped on a message it cannot take")
+	ErrInvalidStorage   = errors.New("consensus: storage is not that of this member")
+	ErrInvalidOptions   = errors.New("consensus: invalid options")
 )
 
 // NotLeaderError tells that a proposal must go to another member.
@@ -156,7 +156,7 @@
 	Incarnation uint64
 
 	TickInterval time.Duration // 0: DefaultTickInterval
-	LostAfter    time.Duration // 0: DefaultLostAfter
+	VoterTimeout time.Duration // 0: DefaultLostAfter
 	Logger       *slog.Logger  // nil: none
 
 	// Smaller in tests: 0 stands for SnapshotEntries and trailingEntries.
@@ -168,8 +168,8 @@
 	if o.TickInterval == 0 {
 		o.TickInterval = DefaultTickInterval
 	}
-	if o.LostAfter == 0 {
-		o.LostAfter = DefaultLostAfter
+	if o.VoterTimeout == 0 {
+		o.VoterTimeout = DefaultVoterTimeout
 	}
 	if o.Logger == nil {
 		o.Logger = slog.New(slog.DiscardHandler)
@@ -180,17 +180,17 @@
 	known := make(map[uint64]bool, len(o.Members))
 	for _, id := range o.Members {
 		if id == 0 || known[id] || id > maxID {
-			return o, fmt.Errorf("%w: member %d", ErrSettings, id)
+			return o, fmt.Errorf("%w: member %d", ErrInvalidOptions, id)
 		}
 		known[id] = true
 	}
 	switch {
 	case !known[o.ID]:
-		return o, fmt.Errorf("%w: member %d is not among the members", ErrSettings, o.ID)
+		return o, fmt.Errorf("%w: member %d is not among the members", ErrInvalidOptions, o.ID)
 	case o.TickInterval < 0:
-		return o, fmt.Errorf("%w: tick interval %v", ErrSettings, o.TickInterval)
-	case o.LostAfter < o.electionTimeout():
-		return o, fmt.Errorf("%w: a voter is lost after %v, less than the election timeout", ErrSettings, o.LostAfter)
+		return o, fmt.Errorf("%w: tick interval %v", ErrInvalidOptions, o.TickInterval)
+	case o.VoterTimeout < o.electionTimeout():
+		return o, fmt.Errorf("%w: a voter is lost after %v, less than the election timeout", ErrInvalidOptions, o.VoterTimeout)
 	}
 	return o, nil
 }
@@ -202,19 +202,19 @@
 
 // The start of every log: one entry, of term 1, that all members have.
 const (
-	startIndex = 1
-	startTerm  = 1
+	bootstrapIndex = 1
+	bootstrapTerm  = 1
 )
 
-// StartSnapshot returns what the log of each member starts with: no revision, these voters and this spare (learner).
-func StartSnapshot(voters, learners []uint64) *raftpb.Snapshot {
+// BootstrapSnapshot returns what the log of each member starts with: no revision, these voters and this spare (learner).
+func BootstrapSnapshot(voters, learners []uint64) *raftpb.Snapshot {
 	machine := revision.NewMachine()
-	machine.Skip(startIndex)
+	machine.Skip(bootstrapIndex)
 	return &raftpb.Snapshot{
 		Data: machine.Snapshot(),
 		Metadata: &raftpb.SnapshotMetadata{
-			Index:     new(uint64(startIndex)),
-			Term:      new(uint64(startTerm)),
+			Index:     new(uint64(bootstrapIndex)),
+			Term:      new(uint64(bootstrapTerm)),
 			ConfState: raftpb.EnsureConfState(&raftpb.ConfState{Voters: voters, Learners: learners}),
 		},
 	}
--- a/internal/controlplane/consensus/disk_test.go
+++ b/internal/controlplane/consensus/disk_test.go
@@ -19,10 +19,10 @@
 // memoryDisk is a disk in memory, with the faults that can be planted in one.
 type memoryDisk struct {
 	*raft.MemoryStorage
-	fault    fault
-	saves    int
-	earlier  *raft.MemoryStorage // with faultSaveSkipped: what a crash leaves
-	hardness *raftpb.HardState   // last saved
+	fault       fault
+	saves       int
+	beforeSaves *raft.MemoryStorage // with faultSaveSkipped: what a crash leaves
+	savedState  *raftpb.HardState   // last saved
 }
 
 var _ disk = (*memoryDisk)(nil)
@@ -30,9 +30,9 @@
 func newMemoryDisk(start *raftpb.Snapshot, planted fault) *memoryDisk {
 	d := &memoryDisk{MemoryStorage: raft.NewMemoryStorage(), fault: planted}
 	must(d.ApplySnapshot(start))
-	d.hardness = &raftpb.HardState{Term: new(uint64(startTerm)), Commit: new(uint64(startIndex))}
-	must(d.SetHardState(d.hardness))
-	d.earlier = d.copy()
+	d.savedState = &raftpb.HardState{Term: new(uint64(bootstrapTerm)), Commit: new(uint64(bootstrapIndex))}
+	must(d.SetHardState(d.savedState))
+	d.beforeSaves = d.clone()
 	return d
 }
 
@@ -44,27 +44,27 @@
 
 func (d *memoryDisk) Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	d.saves++
-	if d.saves%savesUntilKept == 0 && d.fault == faultSaveSkipped {
-		d.earlier = d.copy()
+	if d.saves%maxSkippedSaves == 0 && d.fault == faultSaveSkipped {
+		d.beforeSaves = d.clone()
 	}
 	if !raft.IsEmptySnap(snapshot) {
 		must(d.ApplySnapshot(snapshot))
 	}
 	if len(entries) > 0 {
-		must(d.Append(d.spoil(entries)))
+		must(d.Append(d.corrupt(entries)))
 	}
 	if !raft.IsEmptyHardState(hardState) {
-		d.hardness = hardState
+		d.savedState = hardState
 		must(d.SetHardState(hardState))
 	}
 	return nil
 }
 
-// savesUntilKept is how many saves a disk with faultSaveSkipped forgets at most.
-const savesUntilKept = 8
+// maxSkippedSaves is how many saves a disk with faultSaveSkipped forgets at most.
+const maxSkippedSaves = 8
 
-// spoil changes the documents that are stored, with faultContent.
-func (d *memoryDisk) spoil(entries []*raftpb.Entry) []*raftpb.Entry {
+// corrupt changes the documents that are stored, with faultContent.
+func (d *memoryDisk) corrupt(entries []*raftpb.Entry) []*raftpb.Entry {
 	if d.fault != faultContent {
 		return entries
 	}
@@ -98,22 +98,22 @@
 	}
 	switch d.fault {
 	case faultSaveSkipped:
-		d.MemoryStorage = d.earlier
-		d.earlier = d.copy()
-		d.hardness, _, _ = d.InitialState()
+		d.MemoryStorage = d.beforeSaves
+		d.beforeSaves = d.clone()
+		d.savedState, _, _ = d.InitialState()
 	case faultVoteForgotten:
-		d.hardness = &raftpb.HardState{Term: new(d.hardness.GetTerm()), Commit: new(d.hardness.GetCommit())}
-		return d.SetHardState(d.hardness)
+		d.savedState = &raftpb.HardState{Term: new(d.savedState.GetTerm()), Commit: new(d.savedState.GetCommit())}
+		return d.SetHardState(d.savedState)
 	case faultCommitForgotten:
-		d.hardness = proto.CloneOf(d.hardness)
-		d.hardness.Commit = new(snapshot.GetMetadata().GetIndex())
-		return d.SetHardState(d.hardness)
+		d.savedState = proto.CloneOf(d.savedState)
+		d.savedState.Commit = new(snapshot.GetMetadata().GetIndex())
+		return d.SetHardState(d.savedState)
 	}
 	return nil
 }
 
-// copy returns the state of now. Entries before the snapshot are left out.
-func (d *memoryDisk) copy() *raft.MemoryStorage {
+// clone returns the state of now. Entries before the snapshot are left out.
+func (d *memoryDisk) clone() *raft.MemoryStorage {
 	copied := raft.NewMemoryStorage()
 	snapshot, err := d.Snapshot()
 	must(err)
@@ -125,6 +125,6 @@
 		must(err)
 		must(copied.Append(entries))
 	}
-	must(copied.SetHardState(d.hardness))
+	must(copied.SetHardState(d.savedState))
 	return copied
 }
--- a/internal/controlplane/consensus/members.go
+++ b/internal/controlplane/consensus/members.go
@@ -14,18 +14,18 @@
 
 // members is what this member knows of the others while it leads.
 type members struct {
-	leadership  uint64 // term in which this member leads; 0: it doesn't
-	lastContact map[uint64]time.Time
-	snapshots   map[uint64]time.Time // when a snapshot was last sent that is not acknowledged
-	changedAt   time.Time            // when a change of the members was last proposed
-	readsSent   uint64               // highest position of a read in a heartbeat of this leadership
+	leaderTerm     uint64 // term in which this member leads; 0: it doesn't
+	lastContactAt  map[uint64]time.Time
+	snapshotSentAt map[uint64]time.Time // when a snapshot was last sent that is not acknowledged
+	confChangeAt   time.Time            // when a change of the members was last proposed
+	lastReadSent   uint64               // highest position of a read in a heartbeat of this leadership
 }
 
 // MemberStatus is one member, as this one sees it.
 type MemberStatus struct {
-	ID     uint64
-	Voter  bool
-	Silent time.Duration // since it was heard; known on the leader, else Unconfirmed, and 0 of the member itself
+	ID           uint64
+	Voter        bool
+	SinceContact time.Duration // since it was heard; known on the leader, else Unconfirmed, and 0 of the member itself
 }
 
 // Status is what a node knows of the log.
@@ -44,11 +44,11 @@
 		Leader: basic.Lead, Term: basic.GetTerm(), Commit: basic.GetCommit(), Applied: n.machine.Applied(),
 	}
 	for _, id := range n.options.Members {
-		member := MemberStatus{ID: id, Voter: isVoter(n.confState, id), Silent: Unconfirmed}
+		member := MemberStatus{ID: id, Voter: isVoter(n.confState, id), SinceContact: Unconfirmed}
 		if id == n.options.ID {
-			member.Silent = 0
-		} else if n.members.leadership != 0 {
-			member.Silent = max(now.Sub(n.members.lastContact[id]), 0)
+			member.SinceContact = 0
+		} else if n.members.leaderTerm != 0 {
+			member.SinceContact = max(now.Sub(n.members.lastContactAt[id]), 0)
 		}
 		status.Members = append(status.Members, member)
 	}
@@ -61,109 +61,111 @@
 }
 
 func newMembers(ids []uint64, now time.Time) members {
-	m := members{lastContact: make(map[uint64]time.Time, len(ids)), snapshots: make(map[uint64]time.Time, len(ids))}
+	m := members{lastContactAt: make(map[uint64]time.Time, len(ids)), snapshotSentAt: make(map[uint64]time.Time, len(ids))}
 	for _, id := range ids {
-		m.lastContact[id] = now
+		m.lastContactAt[id] = now
 	}
 	return m
 }
 
-func (m *members) recordContact(id uint64, now time.Time) { m.lastContact[id] = now }
+func (m *members) recordContact(id uint64, now time.Time) { m.lastContactAt[id] = now }
 
 // recordAllContacts lets every silence begin anew: at the begin of a leadership, and after a pause of this process, in which the
 // others may have spoken.
 func (m *members) recordAllContacts(now time.Time) {
-	for id := range m.lastContact {
-		m.lastContact[id] = now
+	for id := range m.lastContactAt {
+		m.lastContactAt[id] = now
 	}
 }
 
 // startLeadership forgets what was known in an earlier leadership. Term 0 ends one.
 func (m *members) startLeadership(term uint64, now time.Time) {
-	m.leadership = term
-	m.readsSent = 0
-	clear(m.snapshots)
+	m.leaderTerm = term
+	m.lastReadSent = 0
+	clear(m.snapshotSentAt)
 	m.recordAllContacts(now)
 }
 
-// noteSent books the snapshots and the reads in messages that go out.
-func (m *members) noteSent(messages []*raftpb.Message, now time.Time) {
+// recordSent books the snapshots and the reads in messages that go out.
+func (m *members) recordSent(messages []*raftpb.Message, now time.Time) {
 	for _, message := range messages {
 		switch message.GetType() {
 		case raftpb.MsgSnap:
-			m.snapshots[message.GetTo()] = now
+			m.snapshotSentAt[message.GetTo()] = now
 		case raftpb.MsgHeartbeat:
-			if context := message.GetContext(); len(context) == readPositionBytes {
-				m.readsSent = max(m.readsSent, binary.LittleEndian.Uint64(context))
+			if context := message.GetContext(); len(context) == heartbeatContextBytes {
+				m.lastReadSent = max(m.lastReadSent, binary.LittleEndian.Uint64(context))
 			}
 		}
 	}
 }
 
-// readPositionBytes is the size of the position of a read in the context of a heartbeat, as raft encodes it.
-const readPositionBytes = 8
+// heartbeatContextBytes is the size of the position of a read in the context of a heartbeat, as raft encodes it.
+const heartbeatContextBytes = 8
 
-// watchMembers does what a leader must while others are silent or lag.
-func (n *Node) watchMembers() {
-	if n.members.leadership == 0 {
+// maintainMembers does what a leader must while others are silent or lag.
+func (n *Node) maintainMembers() {
+	if n.members.leaderTerm == 0 {
 		return
 	}
 	n.retrySnapshots()
-	if n.now.Sub(n.members.changedAt) < changeInterval {
+	if n.now.Sub(n.members.confChangeAt) < confChangeInterval {
 		return
 	}
-	if lost, spare, ok := n.replacement(); ok {
-		n.replace(lost, spare)
+	if lost, spare, ok := n.findReplacement(); ok {
+		n.proposeReplacement(lost, spare)
 	}
 }
 
 // retrySnapshots tells raft that a snapshot was lost: it sends nothing else to that member until it hears of it.
 func (n *Node) retrySnapshots() {
 	for _, id := range n.options.Members {
-		sent, found := n.members.snapshots[id]
+		sent, found := n.members.snapshotSentAt[id]
 		if !found || n.now.Sub(sent) < snapshotTimeout {
 			continue
 		}
-		delete(n.members.snapshots, id)
+		delete(n.members.snapshotSentAt, id)
 		n.raw.ReportSnapshot(id, raft.SnapshotFailure)
 	}
 }
 
-// replacement returns the voter that is lost and the spare that can take its place. There is none while a change is
+// findReplacement returns the voter that is lost and the spare that can take its place. There is none while a change is
 // under way, while more than one voter is lost, or while any other voter or the spare is not heard: then the majority
 // of the old or of the new voters would be in doubt.
-func (n *Node) replacement() (lost, spare uint64, ok bool) {
+func (n *Node) findReplacement() (lost, spare uint64, ok bool) {
 	state := n.confState
 	if len(state.GetVotersOutgoing()) > 0 || len(state.GetLearners()) != 1 {
 		return 0, 0, false
 	}
 	for _, id := range state.GetVoters() {
 		switch {
-		case id == n.options.ID || n.isActive(id):
-		case lost == 0 && n.silence(id) >= n.options.LostAfter:
+		case id == n.options.ID || n.isRecentlyActive(id):
+		case lost == 0 && n.sinceContact(id) >= n.options.VoterTimeout:
 			lost = id
 		default:
 			return 0, 0, false
 		}
 	}
 	spare = state.GetLearners()[0]
-	return lost, spare, lost != 0 && n.isActive(spare) && n.isCaughtUp(spare)
+	return lost, spare, lost != 0 && n.isRecentlyActive(spare) && n.isCaughtUp(spare)
 }
 
-func (n *Node) silence(id uint64) time.Duration { return n.now.Sub(n.members.lastContact[id]) }
+func (n *Node) sinceContact(id uint64) time.Duration { return n.now.Sub(n.members.lastContactAt[id]) }
 
-func (n *Node) isActive(id uint64) bool { return n.silence(id) < n.options.electionTimeout() }
+func (n *Node) isRecentlyActive(id uint64) bool {
+	return n.sinceContact(id) < n.options.electionTimeout()
+}
 
 func (n *Node) isCaughtUp(id uint64) bool {
 	progress, found := n.raw.Status().Progress[id]
 	commit := n.raw.BasicStatus().GetCommit()
-	return found && progress.State == tracker.StateReplicate && progress.Match+spareLag >= commit
+	return found && progress.State == tracker.StateReplicate && progress.Match+maxPromotionLag >= commit
 }
 
-// replace proposes the joint change that makes the spare a voter and the lost voter the spare. raft leaves the joint
+// proposeReplacement proposes the joint change that makes the spare a voter and the lost voter the spare. raft leaves the joint
 // configuration by itself once it is applied.
-func (n *Node) replace(lost, spare uint64) {
-	n.members.changedAt = n.now
+func (n *Node) proposeReplacement(lost, spare uint64) {
+	n.members.confChangeAt = n.now
 	change := &raftpb.ConfChangeV2{
 		Transition: raftpb.ConfChangeTransitionJointImplicit.Enum(),
 		Changes: []*raftpb.ConfChangeSingle{
@@ -175,8 +177,8 @@
 	n.options.Logger.Warn("voter lost, promoting the spare", "lost", lost, "spare", spare, "error", err)
 }
 
-// changeMembers applies a change of the members, which checkMessage has checked on its way here.
-func (n *Node) changeMembers(entry *raftpb.Entry) {
+// applyConfChange applies a change of the members, which checkMessage has checked on its way here.
+func (n *Node) applyConfChange(entry *raftpb.Entry) {
 	change := &raftpb.ConfChangeV2{}
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
 		panic(fmt.Sprintf("consensus: entry %d: %v", entry.GetIndex(), err))
--- a/internal/controlplane/consensus/members_test.go
+++ b/internal/controlplane/consensus/members_test.go
@@ -32,7 +32,7 @@
 	g.publish(1, "before")
 	lost := g.otherVoter()
 	g.cut[lost] = true
-	g.run(DefaultLostAfter - 5*time.Second)
+	g.run(DefaultVoterTimeout - 5*time.Second)
 	require.ElementsMatch(t, testVoters, g.voters(), "not before it counts as lost")
 	g.run(10 * time.Second)
 	require.NotContains(t, g.voters(), lost)
@@ -52,7 +52,7 @@
 	// Another voter is lost, and the new spare takes its place in turn.
 	second := g.otherVoter()
 	g.cut[second] = true
-	g.run(DefaultLostAfter + 5*time.Second)
+	g.run(DefaultVoterTimeout + 5*time.Second)
 	require.NotContains(t, g.voters(), second)
 	require.Contains(t, g.voters(), lost)
 	g.publish(3, "with the returned")
@@ -65,7 +65,7 @@
 	g.run(5 * time.Second)
 	lost := g.leader().options.ID
 	g.cut[lost] = true
-	g.run(DefaultLostAfter + 10*time.Second)
+	g.run(DefaultVoterTimeout + 10*time.Second)
 	require.NotContains(t, g.voters(), lost)
 	require.Contains(t, g.voters(), testSpares[0])
 }
@@ -76,14 +76,14 @@
 		g.run(5 * time.Second)
 		g.cut[g.otherVoter()] = true
 		g.cut[testSpares[0]] = true
-		g.run(2 * DefaultLostAfter)
+		g.run(2 * DefaultVoterTimeout)
 		require.ElementsMatch(t, testVoters, g.voters())
 	})
 	t.Run("other voter silent", func(t *testing.T) {
 		g := newGroup(t)
 		g.run(5 * time.Second)
 		leader := g.leader()
-		leader.now = leader.now.Add(DefaultLostAfter)
+		leader.now = leader.now.Add(DefaultVoterTimeout)
 		var other uint64
 		for _, id := range testVoters {
 			if id != leader.options.ID {
@@ -93,13 +93,13 @@
 		leader.members.recordAllContacts(leader.now)
 		for _, id := range testVoters {
 			if id != leader.options.ID && id != other {
-				leader.members.lastContact[id] = leader.now.Add(-DefaultLostAfter)
+				leader.members.lastContactAt[id] = leader.now.Add(-DefaultVoterTimeout)
 			}
 		}
-		_, _, ok := leader.replacement()
+		_, _, ok := leader.findReplacement()
 		require.True(t, ok, "the other is heard")
-		leader.members.lastContact[other] = leader.now.Add(-2 * time.Second)
-		_, _, ok = leader.replacement()
+		leader.members.lastContactAt[other] = leader.now.Add(-2 * time.Second)
+		_, _, ok = leader.findReplacement()
 		require.False(t, ok, "the other is silent")
 	})
 	t.Run("two voters lost", func(t *testing.T) {
@@ -109,8 +109,8 @@
 		for _, id := range testVoters {
 			g.cut[id] = id != leader
 		}
-		g.run(2 * DefaultLostAfter)
-		require.Zero(t, g.nodes[leader].members.leadership, "it has stepped down")
+		g.run(2 * DefaultVoterTimeout)
+		require.Zero(t, g.nodes[leader].members.leaderTerm, "it has stepped down")
 		require.ElementsMatch(t, testVoters, g.nodes[testSpares[0]].confState.GetVoters())
 	})
 	t.Run("spare lags", func(t *testing.T) {
@@ -120,10 +120,10 @@
 		g.lose = func(message *raftpb.Message) bool {
 			return message.GetTo() == testSpares[0] && message.GetType() == raftpb.MsgApp
 		}
-		for request := uint64(1); request <= spareLag+2; request++ {
+		for request := uint64(1); request <= maxPromotionLag+2; request++ {
 			g.publish(request, "one more")
 		}
-		g.run(2 * DefaultLostAfter)
+		g.run(2 * DefaultVoterTimeout)
 		require.ElementsMatch(t, testVoters, g.voters())
 	})
 }
@@ -132,18 +132,18 @@
 	g := newGroup(t)
 	g.run(5 * time.Second)
 	leader := g.leader()
-	g.now = g.now.Add(2 * DefaultLostAfter) // nobody ran
+	g.now = g.now.Add(2 * DefaultVoterTimeout) // nobody ran
 	leader.Tick(g.now)
-	_, _, ok := leader.replacement()
+	_, _, ok := leader.findReplacement()
 	require.False(t, ok)
-	require.Less(t, leader.silence(g.otherVoter()), time.Second)
+	require.Less(t, leader.sinceContact(g.otherVoter()), time.Second)
 }
 
 func TestLaggingFollowerIsNotConfirmed(t *testing.T) {
 	g := newGroup(t)
 	g.run(5 * time.Second)
 	follower := g.otherVoter()
-	require.Less(t, g.nodes[follower].Confirmed(g.now), time.Second)
+	require.Less(t, g.nodes[follower].ConfirmedAge(g.now), time.Second)
 	g.lose = func(message *raftpb.Message) bool {
 		return message.GetTo() == follower && message.GetType() == raftpb.MsgApp
 	}
@@ -152,10 +152,10 @@
 	g.run(10 * time.Second)
 	require.Zero(t, g.nodes[follower].Machine().Number(), "heartbeats still come")
 	require.Equal(t, g.leader().options.ID, g.nodes[follower].Leader())
-	require.GreaterOrEqual(t, g.nodes[follower].Confirmed(g.now), g.now.Sub(published))
+	require.GreaterOrEqual(t, g.nodes[follower].ConfirmedAge(g.now), g.now.Sub(published))
 	g.lose = nil
 	g.run(time.Second)
-	require.Less(t, g.nodes[follower].Confirmed(g.now), time.Second)
+	require.Less(t, g.nodes[follower].ConfirmedAge(g.now), time.Second)
 }
 
 func TestLeaderWithoutQuorumIsNotConfirmed(t *testing.T) {
@@ -164,13 +164,13 @@
 	leader := g.leader().options.ID
 	g.cut[leader] = true
 	g.run(10 * time.Second)
-	require.GreaterOrEqual(t, g.nodes[leader].Confirmed(g.now), 9*time.Second)
-	require.Less(t, g.leader().Confirmed(g.now), time.Second)
+	require.GreaterOrEqual(t, g.nodes[leader].ConfirmedAge(g.now), 9*time.Second)
+	require.Less(t, g.leader().ConfirmedAge(g.now), time.Second)
 }
 
 func TestNewNodeIsUnconfirmed(t *testing.T) {
 	g := newGroup(t)
-	require.Equal(t, Unconfirmed, g.nodes[1].Confirmed(g.now))
+	require.Equal(t, Unconfirmed, g.nodes[1].ConfirmedAge(g.now))
 }
 
 func TestLostSnapshotIsSentAgain(t *testing.T) {
@@ -220,7 +220,7 @@
 	outcomes := g.outcomes(leader.options.ID)
 	require.Len(t, outcomes, MaxProposals)
 	for _, outcome := range outcomes {
-		require.ErrorIs(t, outcome.Err, ErrUnknown, "it has lost its quorum")
+		require.ErrorIs(t, outcome.Err, ErrOutcomeUnknown, "it has lost its quorum")
 	}
 }
 
@@ -264,15 +264,15 @@
 	g.run(time.Second)
 	lost := g.otherVoter()
 	g.disks[lost] = raft.NewMemoryStorage()
-	require.NoError(t, g.disks[lost].ApplySnapshot(StartSnapshot(testVoters, testSpares)))
+	require.NoError(t, g.disks[lost].ApplySnapshot(BootstrapSnapshot(testVoters, testSpares)))
 	require.NoError(t, g.disks[lost].SetHardState(&raftpb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}))
 	g.start(lost)
 	err := g.nodes[lost].Step(&raftpb.Message{
 		Type: raftpb.MsgHeartbeat.Enum(), From: new(g.leader().options.ID), To: new(lost),
-		Term: new(g.leader().members.leadership), Commit: new(g.leader().Machine().Applied()),
+		Term: new(g.leader().members.leaderTerm), Commit: new(g.leader().Machine().Applied()),
 	})
-	require.ErrorIs(t, err, ErrLostLog)
-	require.ErrorIs(t, g.nodes[lost].Err(), ErrLostLog)
+	require.ErrorIs(t, err, ErrMissingEntries)
+	require.ErrorIs(t, g.nodes[lost].Err(), ErrMissingEntries)
 	require.Nil(t, g.nodes[lost].Ready())
 }
 
@@ -301,8 +301,8 @@
 		require.NoError(t, g.nodes[follower].Step(message))
 	}
 	g.settle()
-	require.Equal(t, Unconfirmed, g.nodes[follower].Confirmed(g.now))
+	require.Equal(t, Unconfirmed, g.nodes[follower].ConfirmedAge(g.now))
 	require.NoError(t, g.nodes[follower].Step(kept[len(kept)-1]))
 	g.settle()
-	require.Less(t, g.nodes[follower].Confirmed(g.now), time.Second, "the answer to its own last question does")
+	require.Less(t, g.nodes[follower].ConfirmedAge(g.now), time.Second, "the answer to its own last question does")
 }
--- a/internal/controlplane/consensus/message.go
+++ b/internal/controlplane/consensus/message.go
@@ -19,7 +19,7 @@
 func EncodeMessage(message *raftpb.Message) ([]byte, error) {
 	data, err := proto.Marshal(message)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrMessage, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformedMessage, err)
 	}
 	return data, nil
 }
@@ -28,24 +28,24 @@
 // Step checks what it says.
 func DecodeMessage(data []byte) (*raftpb.Message, error) {
 	if len(data) > MaxMessageBytes {
-		return nil, fmt.Errorf("%w: %d bytes, of at most %d", ErrMessage, len(data), MaxMessageBytes)
+		return nil, fmt.Errorf("%w: %d bytes, of at most %d", ErrMalformedMessage, len(data), MaxMessageBytes)
 	}
 	message := &raftpb.Message{}
 	if err := proto.Unmarshal(data, message); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrMessage, err)
+		return nil, fmt.Errorf("%w: %w", ErrMalformedMessage, err)
 	}
 	return message, nil
 }
 
 func malformed(message *raftpb.Message, format string, arguments ...any) error {
-	return fmt.Errorf("%w: %v from %d: %s", ErrMessage, message.GetType(), message.GetFrom(),
+	return fmt.Errorf("%w: %v from %d: %s", ErrMalformedMessage, message.GetType(), message.GetFrom(),
 		fmt.Sprintf(format, arguments...))
 }
 
 // checkMessage refuses what no member sends: raft trusts its messages, and panics on some of those.
 func (n *Node) checkMessage(message *raftpb.Message) error {
 	if message == nil {
-		return fmt.Errorf("%w: none", ErrMessage)
+		return fmt.Errorf("%w: none", ErrMalformedMessage)
 	}
 	from := message.GetFrom()
 	if from == n.options.ID || !slices.Contains(n.options.Members, from) || message.GetTo() != n.options.ID {
@@ -87,7 +87,7 @@
 
 func checkRead(message *raftpb.Message) error {
 	entries := message.GetEntries()
-	if len(entries) != 1 || len(entries[0].GetData()) != roundNameBytes {
+	if len(entries) != 1 || len(entries[0].GetData()) != roundContextBytes {
 		return malformed(message, "%d entries", len(entries))
 	}
 	return nil
@@ -96,16 +96,16 @@
 // checkHeartbeat finds out that this member has lost entries: a leader tells it a commit index no higher than what it
 // has acknowledged, and it acknowledges only what is stored.
 func (n *Node) checkHeartbeat(message *raftpb.Message, current bool) error {
-	if len(message.GetContext()) != 0 && len(message.GetContext()) != readPositionBytes {
+	if len(message.GetContext()) != 0 && len(message.GetContext()) != heartbeatContextBytes {
 		return malformed(message, "context of %d bytes", len(message.GetContext()))
 	}
 	last := n.lastStored()
 	if !current || message.GetCommit() <= last {
 		return nil
 	}
-	n.stopped = fmt.Errorf("%w: commit %d of term %d, stored up to %d", ErrLostLog, message.GetCommit(),
+	n.stopErr = fmt.Errorf("%w: commit %d of term %d, stored up to %d", ErrMissingEntries, message.GetCommit(),
 		message.GetTerm(), last)
-	return n.stopped
+	return n.stopErr
 }
 
 func (n *Node) checkHeartbeatResponse(message *raftpb.Message) error {
@@ -113,12 +113,12 @@
 	if len(context) == 0 {
 		return nil
 	}
-	if len(context) != readPositionBytes {
+	if len(context) != heartbeatContextBytes {
 		return malformed(message, "context of %d bytes", len(context))
 	}
 	position := binary.LittleEndian.Uint64(context)
-	if n.isLeaderOf(message) && position > n.members.readsSent {
-		return malformed(message, "read %d, of %d", position, n.members.readsSent)
+	if n.isLeaderOf(message) && position > n.members.lastReadSent {
+		return malformed(message, "read %d, of %d", position, n.members.lastReadSent)
 	}
 	return nil
 }
@@ -159,12 +159,12 @@
 	if !current {
 		return nil
 	}
-	return n.checkCommitted(message)
+	return n.checkNoCommittedConflict(message)
 }
 
 // isLeaderOf tells whether a message is of the term that this member leads.
 func (n *Node) isLeaderOf(message *raftpb.Message) bool {
-	return n.members.leadership != 0 && n.members.leadership == message.GetTerm()
+	return n.members.leaderTerm != 0 && n.members.leaderTerm == message.GetTerm()
 }
 
 func (n *Node) checkEntry(message *raftpb.Message, entry *raftpb.Entry) error {
@@ -175,12 +175,12 @@
 	case raftpb.EntryNormal:
 		return nil
 	case raftpb.EntryConfChangeV2:
-		return n.checkChange(message, entry)
+		return n.checkConfChange(message, entry)
 	}
 	return malformed(message, "entry of type %v", entry.GetType())
 }
 
-func (n *Node) checkChange(message *raftpb.Message, entry *raftpb.Entry) error {
+func (n *Node) checkConfChange(message *raftpb.Message, entry *raftpb.Entry) error {
 	change := &raftpb.ConfChangeV2{}
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
 		return malformed(message, "change of members: %v", err)
@@ -195,8 +195,8 @@
 	return nil
 }
 
-// checkCommitted refuses entries that contradict stored ones that are committed.
-func (n *Node) checkCommitted(message *raftpb.Message) error {
+// checkNoCommittedConflict refuses entries that contradict stored ones that are committed.
+func (n *Node) checkNoCommittedConflict(message *raftpb.Message) error {
 	commit := n.storedCommit()
 	for _, entry := range message.GetEntries() {
 		if entry.GetIndex() > commit {
@@ -223,7 +223,7 @@
 	if n.isLeaderOf(message) {
 		return malformed(message, "snapshot of term %d to its leader", message.GetTerm())
 	}
-	if _, err := restore(message.GetSnapshot(), n.options.Members); err != nil {
+	if _, err := restoreMachine(message.GetSnapshot(), n.options.Members); err != nil {
 		return malformed(message, "%v", err)
 	}
 	if message.GetSnapshot().GetMetadata().GetTerm() > message.GetTerm() {
@@ -232,10 +232,10 @@
 	return nil
 }
 
-// restore reads the state machine of a snapshot and checks the members in it.
-func restore(snapshot *raftpb.Snapshot, members []uint64) (*revision.Machine, error) {
+// restoreMachine reads the state machine of a snapshot and checks the members in it.
+func restoreMachine(snapshot *raftpb.Snapshot, members []uint64) (*revision.Machine, error) {
 	if raft.IsEmptySnap(snapshot) {
-		return nil, fmt.Errorf("%w: empty snapshot", ErrMessage)
+		return nil, fmt.Errorf("%w: empty snapshot", ErrMalformedMessage)
 	}
 	if err := checkConfState(snapshot.GetMetadata().GetConfState(), members); err != nil {
 		return nil, err
@@ -245,7 +245,7 @@
 		return nil, err
 	}
 	if machine.Applied() != snapshot.GetMetadata().GetIndex() {
-		return nil, fmt.Errorf("%w: snapshot of entry %d holds the state of entry %d", ErrMessage,
+		return nil, fmt.Errorf("%w: snapshot of entry %d holds the state of entry %d", ErrMalformedMessage,
 			snapshot.GetMetadata().GetIndex(), machine.Applied())
 	}
 	return machine, nil
@@ -254,9 +254,9 @@
 // checkConfState tells whether members and their parts fit together: voters, learners that are no voters, and next
 // learners that are voters of the outgoing configuration only.
 func checkConfState(state *raftpb.ConfState, members []uint64) error {
-	bad := func(id uint64) error { return fmt.Errorf("%w: configuration with member %d", ErrMessage, id) }
+	bad := func(id uint64) error { return fmt.Errorf("%w: configuration with member %d", ErrMalformedMessage, id) }
 	if len(state.GetVoters()) == 0 {
-		return fmt.Errorf("%w: configuration without voters", ErrMessage)
+		return fmt.Errorf("%w: configuration without voters", ErrMalformedMessage)
 	}
 	for _, set := range [][]uint64{
 		state.GetVoters(), state.GetLearners(), state.GetVotersOutgoing(), state.GetLearnersNext(),
@@ -278,7 +278,7 @@
 		}
 	}
 	if state.GetAutoLeave() && len(state.GetVotersOutgoing()) == 0 {
-		return fmt.Errorf("%w: configuration is left that is not joint", ErrMessage)
+		return fmt.Errorf("%w: configuration is left that is not joint", ErrMalformedMessage)
 	}
 	return nil
 }
--- a/internal/controlplane/consensus/message_test.go
+++ b/internal/controlplane/consensus/message_test.go
@@ -14,21 +14,21 @@
 )
 
 func TestOptionsAreChecked(t *testing.T) {
-	storage := newMemoryDisk(StartSnapshot(testVoters, testSpares), noFault)
+	storage := newMemoryDisk(BootstrapSnapshot(testVoters, testSpares), noFault)
 	for name, options := range map[string]Options{
 		"not a member":   {ID: 5, Members: testMembers},
 		"member 0":       {ID: 1, Members: []uint64{0, 1}},
 		"member twice":   {ID: 1, Members: []uint64{1, 1}},
-		"lost too early": {ID: 1, Members: testMembers, LostAfter: time.Second},
+		"lost too early": {ID: 1, Members: testMembers, VoterTimeout: time.Second},
 		"negative ticks": {ID: 1, Members: testMembers, TickInterval: -1},
 	} {
 		_, err := New(options, storage, epoch)
-		require.ErrorIs(t, err, ErrSettings, name)
+		require.ErrorIs(t, err, ErrInvalidOptions, name)
 	}
 	_, err := New(Options{ID: 1, Members: []uint64{1, 2, 3}}, storage, epoch)
-	require.ErrorIs(t, err, ErrStorage, "the storage has a member more")
+	require.ErrorIs(t, err, ErrInvalidStorage, "the storage has a member more")
 	_, err = New(Options{ID: 1, Members: testMembers}, raft.NewMemoryStorage(), epoch)
-	require.ErrorIs(t, err, ErrStorage, "an empty storage")
+	require.ErrorIs(t, err, ErrInvalidStorage, "an empty storage")
 }
 
 // addressed returns a message from member 1 to member 2.
@@ -78,28 +78,28 @@
 		"huge entry":       appending(entryOf(raftpb.EntryNormal, make([]byte, revision.MaxCommandBytes+1))),
 		"no snapshot":      addressed(raftpb.MsgSnap, 5, nil),
 		"foreign snapshot": addressed(raftpb.MsgSnap, 5, func(m *raftpb.Message) {
-			m.Snapshot = StartSnapshot(testVoters, testSpares)
+			m.Snapshot = BootstrapSnapshot(testVoters, testSpares)
 			m.Snapshot.Data = []byte("something else")
 		}),
 		"snapshot without voters": addressed(raftpb.MsgSnap, 5, func(m *raftpb.Message) {
-			m.Snapshot = StartSnapshot(nil, testSpares)
+			m.Snapshot = BootstrapSnapshot(nil, testSpares)
 		}),
 		"snapshot of other index": addressed(raftpb.MsgSnap, 5, func(m *raftpb.Message) {
-			m.Snapshot = StartSnapshot(testVoters, testSpares)
+			m.Snapshot = BootstrapSnapshot(testVoters, testSpares)
 			m.Snapshot.Metadata.Index = new(uint64(7))
 		}),
 	} {
-		storage := newMemoryDisk(StartSnapshot(testVoters, testSpares), noFault)
+		storage := newMemoryDisk(BootstrapSnapshot(testVoters, testSpares), noFault)
 		node, err := New(Options{ID: 2, Members: testMembers}, storage, epoch)
 		require.NoError(t, err)
-		require.ErrorIs(t, node.Step(message), ErrMessage, name)
+		require.ErrorIs(t, node.Step(message), ErrMalformedMessage, name)
 		require.NoError(t, node.Err(), name)
 		require.Nil(t, node.Ready(), "%s: it has changed nothing", name)
 	}
 	_, err = DecodeMessage([]byte{0xff})
-	require.ErrorIs(t, err, ErrMessage)
+	require.ErrorIs(t, err, ErrMalformedMessage)
 	_, err = DecodeMessage(make([]byte, MaxMessageBytes+1))
-	require.ErrorIs(t, err, ErrMessage)
+	require.ErrorIs(t, err, ErrMalformedMessage)
 }
 
 // FuzzMessages gives a follower, and a leader, messages of any content. They never panic, and neither loses a revision.
@@ -110,7 +110,7 @@
 		m.Entries = []*raftpb.Entry{{Index: new(uint64(2)), Term: new(uint64(5)), Data: []byte("entry")}}
 	})
 	snapshot := addressed(raftpb.MsgSnap, 5, func(m *raftpb.Message) {
-		m.Snapshot = StartSnapshot(testVoters, testSpares)
+		m.Snapshot = BootstrapSnapshot(testVoters, testSpares)
 	})
 	response := addressed(raftpb.MsgHeartbeatResp, 2, func(m *raftpb.Message) { m.Context = make([]byte, 8) })
 	vote := addressed(raftpb.MsgVote, 9, func(m *raftpb.Message) { m.Index, m.LogTerm = new(uint64(9)), new(uint64(9)) })
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -18,29 +18,29 @@
 	storage   raft.Storage
 	machine   *revision.Machine
 	confState *raftpb.ConfState
-	stopped   error // what every further call returns
+	stopErr   error // what every further call returns
 
-	now         time.Time // of the last Tick
-	tickDue     time.Time
-	ready       *raft.Ready // handed out, Advance is awaited
-	appliedTerm uint64      // of the last entry applied
-	proposals   proposals
-	reads       reads
-	members     members
-	log         logSize
-	compaction  *Compaction
+	now           time.Time // of the last Tick
+	nextTickAt    time.Time
+	pendingReady  *raft.Ready // handed out, Advance is awaited
+	appliedTerm   uint64      // of the last entry applied
+	proposals     proposals
+	reads         reads
+	members       members
+	sinceSnapshot appliedSize
+	compaction    *Compaction
 }
 
-// logSize is what was applied since the last snapshot.
-type logSize struct {
+// appliedSize is what was applied since the last snapshot.
+type appliedSize struct {
 	entries int
 	bytes   int
 }
 
 // Compaction asks the storage to keep a snapshot and to drop the entries before First.
 type Compaction struct {
-	Snapshot *raftpb.Snapshot
-	First    uint64
+	Snapshot   *raftpb.Snapshot
+	FirstIndex uint64
 }
 
 // Ready is what a driver must do next, in the order of the fields: store the first three in one synced write, store
@@ -55,14 +55,14 @@
 
 // Applied is what an Advance has brought.
 type Applied struct {
-	Outcomes  []Outcome            // of proposals made at this member
+	Proposals []ProposalOutcome    // of proposals made at this member
 	Reads     []ReadOutcome        // of reads asked at this member
 	Revisions []*configpb.Revision // new ones, ascending; after Restored there may be a gap before the first
 	Restored  bool                 // the state came from a snapshot of the leader: see Machine for the newest
 }
 
-// Outcome is what became of a proposal.
-type Outcome struct {
+// ProposalOutcome is what became of a proposal.
+type ProposalOutcome struct {
 	Request uint64
 	Result  revision.Result
 	Err     error // ErrUnknown or ErrTimeout: it may be applied or not, ask again with the same request
@@ -85,17 +85,17 @@
 	}
 	snapshot, err := storage.Snapshot()
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrStorage, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidStorage, err)
 	}
-	machine, err := restore(snapshot, options.Members)
+	machine, err := restoreMachine(snapshot, options.Members)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrStorage, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidStorage, err)
 	}
 	node = &Node{
 		options:     options,
 		storage:     storage,
 		now:         now,
-		tickDue:     now.Add(options.TickInterval),
+		nextTickAt:  now.Add(options.TickInterval),
 		machine:     machine,
 		confState:   snapshot.GetMetadata().GetConfState(),
 		appliedTerm: snapshot.GetMetadata().GetTerm(),
@@ -104,12 +104,12 @@
 	}
 	defer func() {
 		if cause := recover(); cause != nil { // raft panics where the storage contradicts itself
-			node, err = nil, fmt.Errorf("%w: %v", ErrStorage, cause)
+			node, err = nil, fmt.Errorf("%w: %v", ErrInvalidStorage, cause)
 		}
 	}()
 	node.raw, err = raft.NewRawNode(node.config())
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrStorage, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidStorage, err)
 	}
 	node.replay()
 	return node, nil
@@ -161,30 +161,30 @@
 
 // Err returns why the node has stopped, or nil. A stopped node sends and applies nothing more and must be made anew
 // from its storage.
-func (n *Node) Err() error { return n.stopped }
+func (n *Node) Err() error { return n.stopErr }
 
 // Tick tells the node the time. It is called every Options.TickInterval; where it comes late, two ticks are made up
 // for at most.
 func (n *Node) Tick(now time.Time) {
-	if n.stopped != nil {
+	if n.stopErr != nil {
 		return
 	}
-	paused := n.observe(now)
+	paused := n.advanceClock(now)
 	for range n.ticksDue() {
 		n.raw.Tick()
 	}
-	n.checkLeadership()
+	n.observeLeadership()
 	if paused {
 		n.members.recordAllContacts(n.now)
 	}
 	n.proposals.expire(n.now)
 	n.reads.expire(n.now)
-	n.watchMembers()
-	n.startRound()
+	n.maintainMembers()
+	n.startRoundIfDue()
 }
 
-// observe takes the time in and tells whether more than an election timeout has passed since it last did.
-func (n *Node) observe(now time.Time) (paused bool) {
+// advanceClock takes the time in and tells whether more than an election timeout has passed since it last did.
+func (n *Node) advanceClock(now time.Time) (paused bool) {
 	if now.Before(n.now) {
 		return false
 	}
@@ -195,11 +195,11 @@
 
 func (n *Node) ticksDue() int {
 	due := 0
-	for ; due < maxTicksAtOnce && !n.tickDue.After(n.now); due++ {
-		n.tickDue = n.tickDue.Add(n.options.TickInterval)
+	for ; due < maxTicksPerCall && !n.nextTickAt.After(n.now); due++ {
+		n.nextTickAt = n.nextTickAt.Add(n.options.TickInterval)
 	}
-	if !n.tickDue.After(n.now) {
-		n.tickDue = n.now.Add(n.options.TickInterval)
+	if !n.nextTickAt.After(n.now) {
+		n.nextTickAt = n.now.Add(n.options.TickInterval)
 	}
 	return due
 }
@@ -208,8 +208,8 @@
 // latest; a request that is waiting already is not appended again. Its error is a NotLeaderError, or wraps ErrBusy,
 // ErrDropped, revision.ErrCommand or ErrBroken, and then there is no outcome.
 func (n *Node) Propose(command *configpb.Command) error {
-	if n.stopped != nil {
-		return n.stopped
+	if n.stopErr != nil {
+		return n.stopErr
 	}
 	status := n.raw.BasicStatus()
 	if status.RaftState != raft.StateLeader {
@@ -226,7 +226,7 @@
 		return err
 	}
 	if err := n.raw.Propose(data); err != nil {
-		return fmt.Errorf("%w: %w", ErrDropped, err)
+		return fmt.Errorf("%w: %w", ErrProposalDropped, err)
 	}
 	n.proposals.add(command.GetRequest(), n.now.Add(ProposalTimeout))
 	return nil
@@ -235,44 +235,44 @@
 // Step takes in a message of another member. Its error wraps ErrMessage where the message is malformed: it has changed
 // nothing. It wraps ErrLostLog or ErrBroken where the node has stopped, see Err.
 func (n *Node) Step(message *raftpb.Message) error {
-	if n.stopped != nil {
-		return n.stopped
+	if n.stopErr != nil {
+		return n.stopErr
 	}
 	if err := n.checkMessage(message); err != nil {
 		return err
 	}
-	if message.GetType() == raftpb.MsgReadIndex && (n.members.leadership == 0 || !n.answersReads()) {
+	if message.GetType() == raftpb.MsgReadIndex && (n.members.leaderTerm == 0 || !n.canServeReads()) {
 		return nil // raft would pass it on in circles, or keep it without bound; the other asks again
 	}
 	n.members.recordContact(message.GetFrom(), n.now)
 	if err := n.stepRaft(message); err != nil {
 		return err
 	}
-	n.checkLeadership()
+	n.observeLeadership()
 	return nil
 }
 
 func (n *Node) stepRaft(message *raftpb.Message) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			n.stopped = fmt.Errorf("%w: %v from %d: %v", ErrBroken, message.GetType(), message.GetFrom(), cause)
-			err = n.stopped
+			n.stopErr = fmt.Errorf("%w: %v from %d: %v", ErrRaftPanic, message.GetType(), message.GetFrom(), cause)
+			err = n.stopErr
 		}
 	}()
 	if err := n.raw.Step(message); err != nil {
-		return fmt.Errorf("%w: %w", ErrMessage, err)
+		return fmt.Errorf("%w: %w", ErrMalformedMessage, err)
 	}
 	return nil
 }
 
-// checkLeadership ends the proposals of a term that is over.
-func (n *Node) checkLeadership() {
+// observeLeadership ends the proposals of a term that is over.
+func (n *Node) observeLeadership() {
 	status := n.raw.BasicStatus()
 	term := uint64(0) // of this node's leadership
 	if status.RaftState == raft.StateLeader {
 		term = status.GetTerm()
 	}
-	if term == n.members.leadership {
+	if term == n.members.leaderTerm {
 		return
 	}
 	n.members.startLeadership(term, n.now)
--- a/internal/controlplane/consensus/node_test.go
+++ b/internal/controlplane/consensus/node_test.go
@@ -40,7 +40,7 @@
 	}
 	for _, id := range testMembers {
 		g.disks[id] = raft.NewMemoryStorage()
-		require.NoError(t, g.disks[id].ApplySnapshot(StartSnapshot(testVoters, testSpares)))
+		require.NoError(t, g.disks[id].ApplySnapshot(BootstrapSnapshot(testVoters, testSpares)))
 		require.NoError(t, g.disks[id].SetHardState(&raftpb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}))
 		g.start(id)
 	}
@@ -107,8 +107,8 @@
 		metadata := compaction.Snapshot.GetMetadata()
 		_, err := disk.CreateSnapshot(metadata.GetIndex(), metadata.GetConfState(), compaction.Snapshot.GetData())
 		require.NoError(t, err)
-		if first, _ := disk.FirstIndex(); compaction.First > first {
-			require.NoError(t, disk.Compact(compaction.First-1))
+		if first, _ := disk.FirstIndex(); compaction.FirstIndex > first {
+			require.NoError(t, disk.Compact(compaction.FirstIndex-1))
 		}
 	}
 }
@@ -118,7 +118,7 @@
 	g.t.Helper()
 	var found *Node
 	for _, id := range testMembers {
-		if node := g.nodes[id]; !g.cut[id] && node.members.leadership != 0 {
+		if node := g.nodes[id]; !g.cut[id] && node.members.leaderTerm != 0 {
 			require.Nil(g.t, found, "two leaders")
 			found = node
 		}
@@ -133,10 +133,10 @@
 	g.settle()
 }
 
-func (g *group) outcomes(id uint64) []Outcome {
-	var outcomes []Outcome
+func (g *group) outcomes(id uint64) []ProposalOutcome {
+	var outcomes []ProposalOutcome
 	for _, applied := range g.applied[id] {
-		outcomes = append(outcomes, applied.Outcomes...)
+		outcomes = append(outcomes, applied.Proposals...)
 	}
 	return outcomes
 }
@@ -150,7 +150,7 @@
 	for _, id := range testMembers {
 		require.Equal(t, uint64(2), g.nodes[id].Machine().Number(), "member %d", id)
 		require.Equal(t, "first", string(g.nodes[id].Machine().Get(1).GetDocument()))
-		require.LessOrEqual(t, g.nodes[id].Confirmed(g.now), time.Second)
+		require.LessOrEqual(t, g.nodes[id].ConfirmedAge(g.now), time.Second)
 	}
 	outcomes := g.outcomes(g.leader().options.ID)
 	require.Len(t, outcomes, 2)
--- a/internal/controlplane/consensus/proof_test.go
+++ b/internal/controlplane/consensus/proof_test.go
@@ -61,7 +61,7 @@
 			options: raftlog.Options{Identity: raftlog.Identity{Fleet: 1, Node: id}},
 		}
 		var err error
-		d.Log, err = raftlog.Create(d.path, d.options, StartSnapshot(testVoters, testSpares))
+		d.Log, err = raftlog.Create(d.path, d.options, BootstrapSnapshot(testVoters, testSpares))
 		require.NoError(t, err)
 		opened = append(opened, d)
 		return d
@@ -94,7 +94,7 @@
 
 // TestPlantedFaultsAreCaught shows that each checker sees what it is for.
 func TestPlantedFaultsAreCaught(t *testing.T) {
-	const atMost = 60 // seeds until the fault must have shown, from the one that showed it first
+	const maxSeeds = 60 // seeds until the fault must have shown, from the one that showed it first
 	for _, planted := range []struct {
 		name   string
 		fault  fault
@@ -102,7 +102,7 @@
 		first  uint64
 	}{
 		{"acknowledged before commit", faultAckBeforeCommit, breachLost, 1},
-		{"save skipped", faultSaveSkipped, breachRefused, 1},
+		{"save skipped", faultSaveSkipped, breachRejected, 1},
 		{"vote forgotten", faultVoteForgotten, breachTwoLeaders, 3},
 		{"commit forgotten", faultCommitForgotten, breachWentBack, 1},
 		{"read without ReadIndex", faultStaleRead, breachHistory, 1},
@@ -113,7 +113,7 @@
 		{"a cut stays", faultNeverHeals, breachNoAgreement, 1},
 	} {
 		t.Run(planted.name, func(t *testing.T) {
-			for seed := planted.first; seed < planted.first+atMost; seed++ {
+			for seed := planted.first; seed < planted.first+maxSeeds; seed++ {
 				if simulate(seed, planted.fault, nil).checker.found(planted.breach) {
 					t.Logf("caught by seed %d", seed)
 					return
--- a/internal/controlplane/consensus/proposals.go
+++ b/internal/controlplane/consensus/proposals.go
@@ -9,7 +9,7 @@
 // proposals are the commands that this member has appended as leader and that are not applied yet.
 type proposals struct {
 	deadlines map[uint64]time.Time // by request, at most MaxProposals
-	outcomes  []Outcome            // to be told by the next Advance
+	outcomes  []ProposalOutcome    // to be told by the next Advance
 }
 
 func newProposals() proposals {
@@ -25,8 +25,8 @@
 
 func (p *proposals) add(request uint64, deadline time.Time) { p.deadlines[request] = deadline }
 
-// end books the outcome of a request, if it was waiting.
-func (p *proposals) end(outcome Outcome) {
+// finish books the outcome of a request, if it was waiting.
+func (p *proposals) finish(outcome ProposalOutcome) {
 	if !p.has(outcome.Request) {
 		return
 	}
@@ -37,14 +37,14 @@
 func (p *proposals) expire(now time.Time) {
 	for _, request := range p.requests() {
 		if !now.Before(p.deadlines[request]) {
-			p.end(Outcome{Request: request, Err: ErrTimeout})
+			p.finish(ProposalOutcome{Request: request, Err: ErrTimeout})
 		}
 	}
 }
 
 func (p *proposals) abandonAll() {
 	for _, request := range p.requests() {
-		p.end(Outcome{Request: request, Err: ErrUnknown})
+		p.finish(ProposalOutcome{Request: request, Err: ErrOutcomeUnknown})
 	}
 }
 
@@ -53,7 +53,7 @@
 
 func (p *proposals) hasOutcomes() bool { return len(p.outcomes) > 0 }
 
-func (p *proposals) drainOutcomes() []Outcome {
+func (p *proposals) drainOutcomes() []ProposalOutcome {
 	outcomes := p.outcomes
 	p.outcomes = nil
 	return outcomes
--- a/internal/controlplane/consensus/reads.go
+++ b/internal/controlplane/consensus/reads.go
@@ -16,13 +16,13 @@
 // commit index the highest, at some time after the round began. Once this member has applied up to that index, its
 // state holds all that was acknowledged to anybody before the round began.
 type reads struct {
-	waiting   []read  // for the next round
-	rounds    []round // open, oldest first
-	sequence  uint64  // of the last round
-	startedAt time.Time
-	confirmed time.Time // begin of the latest round that is complete
-	outcomes  []ReadOutcome
-	count     int // reads that wait, in waiting and in rounds
+	waiting      []read  // for the next round
+	rounds       []round // open, oldest first
+	sequence     uint64  // of the last round
+	lastRoundAt  time.Time
+	confirmedAt  time.Time // begin of the latest round that is complete
+	outcomes     []ReadOutcome
+	pendingCount int // reads that wait, in waiting and in rounds
 }
 
 type read struct {
@@ -31,29 +31,29 @@
 }
 
 type round struct {
-	sequence uint64
-	started  time.Time
-	reads    []read
-	answered bool
-	index    uint64 // to be applied, where answered
+	sequence  uint64
+	startedAt time.Time
+	reads     []read
+	answered  bool
+	readIndex uint64 // to be applied, where answered
 }
 
 // Read asks for the number of the newest revision. It is answered by a ReadOutcome of the same id, by ReadTimeout at
 // the latest. It returns ErrBusy where MaxReads are waiting, or the error of a stopped node.
 func (n *Node) Read(id uint64) error {
-	if n.stopped != nil {
-		return n.stopped
+	if n.stopErr != nil {
+		return n.stopErr
 	}
-	if n.reads.count >= MaxReads {
+	if n.reads.pendingCount >= MaxReads {
 		return ErrBusy
 	}
-	n.reads.count++
+	n.reads.pendingCount++
 	n.reads.waiting = append(n.reads.waiting, read{id: id, deadline: n.now.Add(ReadTimeout)})
-	n.startRound()
+	n.startRoundIfDue()
 	return nil
 }
 
-// Confirmed tells how old the newest revision of this member can be: every revision whose publication was acknowledged
+// ConfirmedAge tells how old the newest revision of this member can be: every revision whose publication was acknowledged
 // more than so long ago is applied here. It is the time since the begin of the latest round of ReadIndex that came
 // back and up to whose index this member has applied, on a leader as on its followers, and Unconfirmed before the
 // first.
@@ -62,81 +62,81 @@
 // in a heartbeat is no higher than what the follower has acknowledged, so that one that lags is told its own index.
 // Only this member's clock counts, between two readings of its own; a delay of messages makes the figure larger, never
 // too small. It is exact up to the drift of this clock.
-func (n *Node) Confirmed(now time.Time) time.Duration {
-	if n.reads.confirmed.IsZero() {
+func (n *Node) ConfirmedAge(now time.Time) time.Duration {
+	if n.reads.confirmedAt.IsZero() {
 		return Unconfirmed
 	}
-	return max(now.Sub(n.reads.confirmed), 0)
+	return max(now.Sub(n.reads.confirmedAt), 0)
 }
 
-// answersReads tells whether this member, if it leads, has committed an entry of its term, without which its commit
+// canServeReads tells whether this member, if it leads, has committed an entry of its term, without which its commit
 // index may be behind.
-func (n *Node) answersReads() bool {
+func (n *Node) canServeReads() bool {
 	status := n.raw.BasicStatus()
 	return status.RaftState != raft.StateLeader || n.appliedTerm == status.GetTerm()
 }
 
-// startRound begins a round where reads wait and none is open, or where the last began long enough ago.
-func (n *Node) startRound() {
-	due := n.now.Sub(n.reads.startedAt) >= roundTicks*n.options.TickInterval
-	asked := len(n.reads.waiting) > 0 && !n.reads.open()
-	if !due && !asked || n.Leader() == raft.None || !n.answersReads() {
+// startRoundIfDue begins a round where reads wait and none is open, or where the last began long enough ago.
+func (n *Node) startRoundIfDue() {
+	due := n.now.Sub(n.reads.lastRoundAt) >= roundIntervalTicks*n.options.TickInterval
+	asked := len(n.reads.waiting) > 0 && !n.reads.hasOpenRound()
+	if !due && !asked || n.Leader() == raft.None || !n.canServeReads() {
 		return
 	}
-	n.raw.ReadIndex(n.reads.start(n.options.Incarnation, n.now))
+	n.raw.ReadIndex(n.reads.openRound(n.options.Incarnation, n.now))
 }
 
-// open tells whether a round waits for its answer.
-func (r *reads) open() bool {
+// hasOpenRound tells whether a round waits for its answer.
+func (r *reads) hasOpenRound() bool {
 	return len(r.rounds) > 0 && !r.rounds[len(r.rounds)-1].answered
 }
 
-// start opens a round for all reads that wait and returns what names it.
-func (r *reads) start(incarnation uint64, now time.Time) []byte {
+// openRound opens a round for all reads that wait and returns what names it.
+func (r *reads) openRound(incarnation uint64, now time.Time) []byte {
 	r.sequence++
-	r.startedAt = now
-	r.rounds = append(r.rounds, round{sequence: r.sequence, started: now, reads: r.waiting})
+	r.lastRoundAt = now
+	r.rounds = append(r.rounds, round{sequence: r.sequence, startedAt: now, reads: r.waiting})
 	r.waiting = nil
-	if len(r.rounds) > maxRounds {
-		r.dropOldest()
+	if len(r.rounds) > maxOpenRounds {
+		r.mergeOldestRound()
 	}
 	return binary.BigEndian.AppendUint64(binary.BigEndian.AppendUint64(nil, incarnation), r.sequence)
 }
 
-// dropOldest lets the reads of the oldest round join the next, whose answer serves them as well.
-func (r *reads) dropOldest() {
+// mergeOldestRound lets the reads of the oldest round join the next, whose answer serves them as well.
+func (r *reads) mergeOldestRound() {
 	next := &r.rounds[1]
 	next.reads = append(r.rounds[0].reads, next.reads...)
 	r.rounds = r.rounds[1:]
 }
 
-// answer books the answer to a round. The answer to a later round serves the earlier ones too.
-func (r *reads) answer(name []byte, incarnation, index uint64) {
-	if len(name) != roundNameBytes || binary.BigEndian.Uint64(name) != incarnation {
+// recordAnswer books the answer to a round. The answer to a later round serves the earlier ones too.
+func (r *reads) recordAnswer(name []byte, incarnation, index uint64) {
+	if len(name) != roundContextBytes || binary.BigEndian.Uint64(name) != incarnation {
 		return
 	}
 	sequence := binary.BigEndian.Uint64(name[8:])
 	for i := range r.rounds {
 		if r.rounds[i].sequence == sequence && !r.rounds[i].answered {
 			r.rounds[i].answered = true
-			r.rounds[i].index = index
+			r.rounds[i].readIndex = index
 		}
 	}
 }
 
-// roundNameBytes is the size of a round's name: incarnation and sequence.
-const roundNameBytes = 16
+// roundContextBytes is the size of a round's name: incarnation and sequence.
+const roundContextBytes = 16
 
-// complete ends the latest round whose index is applied, and all before it.
-func (r *reads) complete(applied, newest uint64) {
+// completeRounds ends the latest round whose index is applied, and all before it.
+func (r *reads) completeRounds(applied, newest uint64) {
 	for i := len(r.rounds) - 1; i >= 0; i-- {
-		if !r.rounds[i].answered || r.rounds[i].index > applied {
+		if !r.rounds[i].answered || r.rounds[i].readIndex > applied {
 			continue
 		}
-		r.confirmed = r.rounds[i].started
+		r.confirmedAt = r.rounds[i].startedAt
 		for _, done := range r.rounds[:i+1] {
 			for _, read := range done.reads {
-				r.end(ReadOutcome{ID: read.id, Newest: newest})
+				r.finish(ReadOutcome{ID: read.id, Newest: newest})
 			}
 		}
 		r.rounds = append([]round(nil), r.rounds[i+1:]...)
@@ -144,22 +144,22 @@
 	}
 }
 
-func (r *reads) end(outcome ReadOutcome) {
-	r.count--
+func (r *reads) finish(outcome ReadOutcome) {
+	r.pendingCount--
 	r.outcomes = append(r.outcomes, outcome)
 }
 
 func (r *reads) expire(now time.Time) {
-	r.waiting = r.expireOf(r.waiting, now)
+	r.waiting = r.expireReads(r.waiting, now)
 	for i := range r.rounds {
-		r.rounds[i].reads = r.expireOf(r.rounds[i].reads, now)
+		r.rounds[i].reads = r.expireReads(r.rounds[i].reads, now)
 	}
 }
 
-// expireOf ends the reads whose deadline is over. They lie in the order of their deadlines.
-func (r *reads) expireOf(reads []read, now time.Time) []read {
+// expireReads ends the reads whose deadline is over. They lie in the order of their deadlines.
+func (r *reads) expireReads(reads []read, now time.Time) []read {
 	for len(reads) > 0 && !now.Before(reads[0].deadline) {
-		r.end(ReadOutcome{ID: reads[0].id, Err: ErrTimeout})
+		r.finish(ReadOutcome{ID: reads[0].id, Err: ErrTimeout})
 		reads = reads[1:]
 	}
 	return reads
--- a/internal/controlplane/consensus/ready.go
+++ b/internal/controlplane/consensus/ready.go
@@ -12,23 +12,23 @@
 // Ready returns what must be done next, or nil where nothing is. After a Ready, Advance must be called before the
 // next; Tick, Step, Propose and Read may come between.
 func (n *Node) Ready() *Ready {
-	if n.stopped != nil {
+	if n.stopErr != nil {
 		return nil
 	}
-	if n.ready != nil {
+	if n.pendingReady != nil {
 		panic("consensus: Ready before Advance")
 	}
 	if !n.raw.HasReady() && n.compaction == nil && !n.proposals.hasOutcomes() && !n.reads.hasOutcomes() {
 		return nil
 	}
 	ready := n.raw.Ready()
-	n.ready = &ready
+	n.pendingReady = &ready
 	compaction := n.compaction
 	n.compaction = nil
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		compaction = nil // that of the leader is newer
 	}
-	n.members.noteSent(ready.Messages, n.now)
+	n.members.recordSent(ready.Messages, n.now)
 	return &Ready{
 		HardState:  ready.HardState,
 		Entries:    ready.Entries,
@@ -41,11 +41,11 @@
 // Advance tells that all of the last Ready is stored and sent. It applies what is committed and returns what came of
 // it. It panics where no Ready is out.
 func (n *Node) Advance() Applied {
-	if n.ready == nil {
+	if n.pendingReady == nil {
 		panic("consensus: Advance without Ready")
 	}
-	ready := n.ready
-	n.ready = nil
+	ready := n.pendingReady
+	n.pendingReady = nil
 	var applied Applied
 	if !raft.IsEmptySnap(ready.Snapshot) {
 		n.restore(ready.Snapshot)
@@ -55,21 +55,21 @@
 		n.apply(entry, &applied)
 	}
 	n.raw.Advance(*ready)
-	n.checkLeadership()
+	n.observeLeadership()
 	for _, state := range ready.ReadStates {
-		n.reads.answer(state.RequestCtx, n.options.Incarnation, state.Index)
+		n.reads.recordAnswer(state.RequestCtx, n.options.Incarnation, state.Index)
 	}
-	n.reads.complete(n.machine.Applied(), n.machine.Number())
-	n.startRound()
+	n.reads.completeRounds(n.machine.Applied(), n.machine.Number())
+	n.startRoundIfDue()
 	n.planCompaction()
-	applied.Outcomes = n.proposals.drainOutcomes()
+	applied.Proposals = n.proposals.drainOutcomes()
 	applied.Reads = n.reads.drainOutcomes()
 	return applied
 }
 
 // restore takes over a snapshot of the leader, which checkMessage has read before.
 func (n *Node) restore(snapshot *raftpb.Snapshot) {
-	machine, err := restore(snapshot, n.options.Members)
+	machine, err := restoreMachine(snapshot, n.options.Members)
 	if err != nil {
 		panic(fmt.Sprintf("consensus: a snapshot that was checked: %v", err))
 	}
@@ -79,17 +79,17 @@
 	n.machine = machine
 	n.confState = snapshot.GetMetadata().GetConfState()
 	n.appliedTerm = snapshot.GetMetadata().GetTerm()
-	n.log = logSize{}
+	n.sinceSnapshot = appliedSize{}
 }
 
 func (n *Node) apply(entry *raftpb.Entry, applied *Applied) {
 	n.appliedTerm = entry.GetTerm()
-	n.log.entries++
-	n.log.bytes += len(entry.GetData())
+	n.sinceSnapshot.entries++
+	n.sinceSnapshot.bytes += len(entry.GetData())
 	switch {
 	case entry.GetType() == raftpb.EntryConfChangeV2:
 		n.machine.Skip(entry.GetIndex())
-		n.changeMembers(entry)
+		n.applyConfChange(entry)
 	case entry.GetType() != raftpb.EntryNormal || len(entry.GetData()) == 0:
 		n.machine.Skip(entry.GetIndex()) // the first of a new leader
 	default:
@@ -107,12 +107,12 @@
 	if result.Rejection == revision.Accepted && !result.Repeated {
 		applied.Revisions = append(applied.Revisions, n.machine.Newest())
 	}
-	n.proposals.end(Outcome{Request: command.GetRequest(), Result: result})
+	n.proposals.finish(ProposalOutcome{Request: command.GetRequest(), Result: result})
 }
 
 // planCompaction asks for a snapshot where enough was applied since the last.
 func (n *Node) planCompaction() {
-	if n.log.entries < n.options.snapshotEntries && n.log.bytes < SnapshotBytes {
+	if n.sinceSnapshot.entries < n.options.snapshotEntries && n.sinceSnapshot.bytes < SnapshotBytes {
 		return
 	}
 	index := n.machine.Applied()
@@ -123,9 +123,9 @@
 	if trailing := uint64(n.options.trailingEntries); index > trailing {
 		first = max(first, index-trailing+1)
 	}
-	n.log = logSize{}
+	n.sinceSnapshot = appliedSize{}
 	n.compaction = &Compaction{
-		First: first,
+		FirstIndex: first,
 		Snapshot: &raftpb.Snapshot{
 			Data: n.machine.Snapshot(),
 			Metadata: &raftpb.SnapshotMetadata{
--- a/internal/controlplane/consensus/simulation_test.go
+++ b/internal/controlplane/consensus/simulation_test.go
@@ -15,32 +15,32 @@
 // A simulation is four members and some clients on a virtual network and clock, from one seed: the same seed gives the
 // same run. It goes in three parts: calm, then disorder, then healed.
 const (
-	calmUntil     = 4 * time.Second
-	disorderUntil = 30 * time.Second
-	agreeWithin   = 20 * time.Second // after the heal: an election of 3 s, and a lost snapshot again after 15 s
-	askUntil      = disorderUntil + 3*time.Second
-	endAt         = disorderUntil + agreeWithin
-
-	simulatedLostAfter = 6 * time.Second
-	maxDrift           = 0.05 // of a clock, to either side
-	clientCount        = 3
+	calmUntil        = 4 * time.Second
+	disorderUntil    = 30 * time.Second
+	agreementTimeout = 20 * time.Second // after the heal: an election of 3 s, and a lost snapshot again after 15 s
+	clientsUntil     = disorderUntil + 3*time.Second
+	endAt            = disorderUntil + agreementTimeout
+
+	simulatedVoterTimeout = 6 * time.Second
+	maxDrift              = 0.05 // of a clock, to either side
+	clientCount           = 3
 )
 
 type simulation struct {
-	seed    uint64
-	fault   fault
-	random  *rand.Rand
-	now     time.Duration
-	events  eventQueue
-	count   int // of events pushed: orders those of one time
-	ended   bool
-	members map[uint64]*simulatedMember
-	network network
-	clients []*client
-	checker *checker
-	trace   io.Writer // digest of the run
-	digest  func() uint64
-	stats   simulationStats
+	seed       uint64
+	fault      fault
+	random     *rand.Rand
+	now        time.Duration
+	events     eventQueue
+	eventCount int // of events pushed: orders those of one time
+	ended      bool
+	members    map[uint64]*simulatedMember
+	network    network
+	clients    []*client
+	checker    *checker
+	trace      io.Writer // digest of the run
+	digest     func() uint64
+	stats      simulationStats
 }
 
 // simulationStats tells what a run has met, so that a test sees that there was something to check.
@@ -56,26 +56,26 @@
 }
 
 type simulatedMember struct {
-	id       uint64
-	node     *Node
-	disk     disk
-	up       bool
-	life     int // of restarts: events of an earlier one are void
-	paused   time.Duration
-	saving   *Ready
-	offset   time.Duration // of its clock
-	rate     float64       // of its clock
-	heard    time.Duration // when its leader last spoke, with faultHeartbeatsConfirm
-	publish  map[uint64][]func(Outcome)
-	read     map[uint64]func(ReadOutcome)
-	readID   uint64
-	skipping bool // with faultRevisionSkipped: it has yet to lose one
+	id              uint64
+	node            *Node
+	disk            disk
+	up              bool
+	incarnation     int // of restarts: events of an earlier one are void
+	pausedUntil     time.Duration
+	saving          *Ready
+	offset          time.Duration // of its clock
+	rate            float64       // of its clock
+	leaderContactAt time.Duration // when its leader last spoke, with faultHeartbeatsConfirm
+	publish         map[uint64][]func(ProposalOutcome)
+	read            map[uint64]func(ReadOutcome)
+	readID          uint64
+	skipping        bool // with faultRevisionSkipped: it has yet to lose one
 }
 
 type event struct {
 	at    time.Duration
 	order int
-	do    func()
+	run   func()
 }
 
 type eventQueue []event
@@ -125,12 +125,12 @@
 	}
 	s.after(calmUntil, s.disturb)
 	s.at(disorderUntil, s.heal)
-	s.at(askUntil, s.endEarly)
+	s.at(clientsUntil, s.endEarly)
 	s.run()
 	for _, disagreement := range s.disagreements() {
-		s.checker.report(breachNoAgreement, "%s", disagreement)
+		s.checker.addViolation(breachNoAgreement, "%s", disagreement)
 	}
-	s.sumUp()
+	s.collectStats()
 	s.checker.finish(s.members)
 	return s
 }
@@ -140,21 +140,21 @@
 	if planted == faultContent && id != 2 {
 		planted = noFault
 	}
-	return newMemoryDisk(StartSnapshot(testVoters, testSpares), planted)
+	return newMemoryDisk(BootstrapSnapshot(testVoters, testSpares), planted)
 }
 
 func (s *simulation) run() {
 	for len(s.events) > 0 && s.events[0].at < endAt && !s.ended {
 		next := heap.Pop(&s.events).(event)
 		s.now = next.at
-		next.do()
+		next.run()
 	}
 }
 
 // endEarly ends the run once the clients are done and the members agree.
 func (s *simulation) endEarly() {
 	for _, c := range s.clients {
-		s.ended = s.now >= askUntil && !c.busy
+		s.ended = s.now >= clientsUntil && !c.inOperation
 		if !s.ended {
 			break
 		}
@@ -164,8 +164,8 @@
 }
 
 func (s *simulation) at(when time.Duration, do func()) {
-	s.count++
-	heap.Push(&s.events, event{at: max(when, s.now), order: s.count, do: do})
+	s.eventCount++
+	heap.Push(&s.events, event{at: max(when, s.now), order: s.eventCount, run: do})
 }
 
 func (s *simulation) after(wait time.Duration, do func()) { s.at(s.now+wait, do) }
@@ -176,7 +176,7 @@
 	return low + time.Duration(s.random.Int64N(int64(high-low)+1))
 }
 
-func (s *simulation) disorderly() bool { return s.now >= calmUntil && s.now < disorderUntil }
+func (s *simulation) isDisturbed() bool { return s.now >= calmUntil && s.now < disorderUntil }
 
 func (s *simulation) addMember(id uint64, storage disk) {
 	m := &simulatedMember{
@@ -196,65 +196,65 @@
 }
 
 func (s *simulation) start(m *simulatedMember) {
-	m.up, m.saving, m.paused = true, nil, 0
-	m.life++
-	m.publish = make(map[uint64][]func(Outcome))
+	m.up, m.saving, m.pausedUntil = true, nil, 0
+	m.incarnation++
+	m.publish = make(map[uint64][]func(ProposalOutcome))
 	m.read = make(map[uint64]func(ReadOutcome))
 	node, err := New(Options{
-		ID: m.id, Members: testMembers, Incarnation: uint64(m.life), LostAfter: simulatedLostAfter,
+		ID: m.id, Members: testMembers, Incarnation: uint64(m.incarnation), VoterTimeout: simulatedVoterTimeout,
 		snapshotEntries: 12, trailingEntries: 4,
 	}, m.disk, s.local(m))
 	if err != nil {
-		s.checker.report(breachRefused, "member %d does not start: %v", m.id, err)
+		s.checker.addViolation(breachRejected, "member %d does not start: %v", m.id, err)
 		m.up = false
 		s.after(time.Second, func() { s.start(m) })
 		return
 	}
 	m.node = node
-	s.checker.restarted(m.id, node.Machine())
-	s.tick(m, m.life)
+	s.checker.checkRestarted(m.id, node.Machine())
+	s.tick(m, m.incarnation)
 }
 
 func (s *simulation) tick(m *simulatedMember, life int) {
-	if !m.up || m.life != life {
+	if !m.up || m.incarnation != life {
 		return
 	}
-	if s.now >= m.paused {
+	if s.now >= m.pausedUntil {
 		m.node.Tick(s.local(m))
-		s.work(m)
-		s.sample(m)
+		s.startSave(m)
+		s.checkMember(m)
 	}
-	if m.life == life {
+	if m.incarnation == life {
 		wait := time.Duration(float64(DefaultTickInterval) / m.rate)
-		s.after(max(wait, m.paused-s.now), func() { s.tick(m, life) })
+		s.after(max(wait, m.pausedUntil-s.now), func() { s.tick(m, life) })
 	}
 }
 
-// sample checks what a member tells of itself.
-func (s *simulation) sample(m *simulatedMember) {
+// checkMember checks what a member tells of itself.
+func (s *simulation) checkMember(m *simulatedMember) {
 	if !m.up {
 		return
 	}
-	if m.node.members.leadership != 0 {
-		s.checker.leads(m.id, m.node.members.leadership)
+	if m.node.members.leaderTerm != 0 {
+		s.checker.checkLeader(m.id, m.node.members.leaderTerm)
 	}
-	confirmed := m.node.Confirmed(s.local(m))
+	confirmed := m.node.ConfirmedAge(s.local(m))
 	if s.fault == faultHeartbeatsConfirm {
-		confirmed = time.Duration(float64(s.now-m.heard) * m.rate)
+		confirmed = time.Duration(float64(s.now-m.leaderContactAt) * m.rate)
 	}
 	if confirmed == Unconfirmed {
 		return
 	}
-	s.checker.confirms(m.id, s.now-time.Duration(float64(confirmed)/m.rate), m.node.Machine().Number())
+	s.checker.checkConfirmed(m.id, s.now-time.Duration(float64(confirmed)/m.rate), m.node.Machine().Number())
 }
 
-// work starts the next save, unless one is under way.
-func (s *simulation) work(m *simulatedMember) {
+// startSave starts the next save, unless one is under way.
+func (s *simulation) startSave(m *simulatedMember) {
 	if !m.up || m.saving != nil {
 		return
 	}
 	if err := m.node.Err(); err != nil {
-		s.checker.report(breachRefused, "member %d: %v", m.id, err)
+		s.checker.addViolation(breachRejected, "member %d: %v", m.id, err)
 		s.crash(m, time.Second)
 		return
 	}
@@ -262,17 +262,17 @@
 	if m.saving == nil {
 		return
 	}
-	life := m.life
-	s.after(s.between(100*time.Microsecond, 8*time.Millisecond), func() { s.saved(m, life) })
+	life := m.incarnation
+	s.after(s.between(100*time.Microsecond, 8*time.Millisecond), func() { s.finishSave(m, life) })
 }
 
-// saved ends a save: the messages go, and what is committed is applied.
-func (s *simulation) saved(m *simulatedMember, life int) {
-	if !m.up || m.life != life {
+// finishSave ends a save: the messages go, and what is committed is applied.
+func (s *simulation) finishSave(m *simulatedMember, life int) {
+	if !m.up || m.incarnation != life {
 		return
 	}
-	if s.now < m.paused {
-		s.at(m.paused, func() { s.saved(m, life) })
+	if s.now < m.pausedUntil {
+		s.at(m.pausedUntil, func() { s.finishSave(m, life) })
 		return
 	}
 	ready := m.saving
@@ -281,12 +281,12 @@
 		s.send(message)
 	}
 	m.saving = nil
-	if s.disorderly() && s.chance(crashChance(ready.Messages)) { // between sending and applying
+	if s.isDisturbed() && s.chance(crashChance(ready.Messages)) { // between sending and applying
 		s.crash(m, s.between(0, 20*time.Millisecond))
 		return
 	}
-	s.told(m, m.node.Advance())
-	s.work(m)
+	s.handleApplied(m, m.node.Advance())
+	s.startSave(m)
 }
 
 // crashChance is higher right after a vote, where a restart that forgets it would do harm.
@@ -302,21 +302,21 @@
 func (s *simulation) save(m *simulatedMember, ready *Ready) {
 	must(m.disk.Save(ready.HardState, ready.Entries, ready.Snapshot))
 	if ready.Compaction != nil {
-		must(m.disk.Compact(ready.Compaction.Snapshot, ready.Compaction.First))
+		must(m.disk.Compact(ready.Compaction.Snapshot, ready.Compaction.FirstIndex))
 	}
 }
 
-// told hands out what an Advance has brought.
-func (s *simulation) told(m *simulatedMember, applied Applied) {
-	if m.skipping && len(applied.Revisions) > 0 && s.disorderly() {
+// handleApplied hands out what an Advance has brought.
+func (s *simulation) handleApplied(m *simulatedMember, applied Applied) {
+	if m.skipping && len(applied.Revisions) > 0 && s.isDisturbed() {
 		m.skipping = false
 		applied.Revisions = applied.Revisions[1:]
 	}
 	if applied.Restored {
 		s.stats.snapshots++
 	}
-	s.checker.applied(m.id, applied, m.node.Machine())
-	for _, outcome := range applied.Outcomes {
+	s.checker.checkAdvance(m.id, applied, m.node.Machine())
+	for _, outcome := range applied.Proposals {
 		waiting := m.publish[outcome.Request]
 		delete(m.publish, outcome.Request)
 		for _, answer := range waiting {
@@ -359,20 +359,20 @@
 	if !m.up {
 		return
 	}
-	if s.now < m.paused {
-		s.at(m.paused, func() { s.deliver(to, data) })
+	if s.now < m.pausedUntil {
+		s.at(m.pausedUntil, func() { s.deliver(to, data) })
 		return
 	}
 	message, err := DecodeMessage(data)
 	must(err)
 	if err := m.node.Step(message); err != nil {
-		s.checker.report(breachRefused, "member %d: %v", to, err)
+		s.checker.addViolation(breachRejected, "member %d: %v", to, err)
 	}
 	if message.GetFrom() == m.node.Leader() {
-		m.heard = s.now
+		m.leaderContactAt = s.now
 	}
-	s.work(m)
-	s.sample(m)
+	s.startSave(m)
+	s.checkMember(m)
 }
 
 // crash ends a member: only what it saved is left. A save under way has reached the disk or not.
@@ -385,9 +385,9 @@
 		s.save(m, m.saving)
 	}
 	m.up, m.saving = false, nil
-	life := m.life
+	life := m.incarnation
 	s.after(downFor, func() {
-		if m.up || m.life != life {
+		if m.up || m.incarnation != life {
 			return
 		}
 		must(m.disk.Reopen())
@@ -406,7 +406,7 @@
 		s.crash(m, s.between(50*time.Millisecond, 10*time.Second))
 	case 1:
 		s.stats.pauses++
-		m.paused = s.now + s.between(100*time.Millisecond, 6*time.Second)
+		m.pausedUntil = s.now + s.between(100*time.Millisecond, 6*time.Second)
 	case 2, 3:
 		s.cutOff(m)
 	case 4:
@@ -416,30 +416,30 @@
 	case 5:
 		s.crashLeader()
 	case 6:
-		s.contest()
+		s.campaignTogether()
 	default:
 		clear(s.network.cut)
 	}
 	s.after(s.between(200*time.Millisecond, 3*time.Second), s.disturb)
 }
 
-// contest lets two members ask for the same term, when all have lost their leader.
-func (s *simulation) contest() {
+// campaignTogether lets two members ask for the same term, when all have lost their leader.
+func (s *simulation) campaignTogether() {
 	for _, from := range testMembers {
 		for _, to := range testMembers {
 			s.network.cut[[2]uint64{from, to}] = true
 		}
 	}
 	s.after(2*electionTicks*DefaultTickInterval, func() {
-		if !s.disorderly() {
+		if !s.isDisturbed() {
 			return
 		}
 		clear(s.network.cut)
 		s.network.delay = 400 * time.Millisecond
 		for range 2 {
-			if m := s.members[testMembers[s.random.IntN(len(testMembers))]]; m.up && s.now >= m.paused {
+			if m := s.members[testMembers[s.random.IntN(len(testMembers))]]; m.up && s.now >= m.pausedUntil {
 				must(m.node.raw.Campaign())
-				s.work(m)
+				s.startSave(m)
 			}
 		}
 	})
@@ -460,7 +460,7 @@
 
 func (s *simulation) crashLeader() {
 	for _, id := range testMembers {
-		if m := s.members[id]; m.up && m.node.members.leadership != 0 {
+		if m := s.members[id]; m.up && m.node.members.leaderTerm != 0 {
 			s.crash(m, s.between(50*time.Millisecond, 10*time.Second))
 			return
 		}
@@ -471,7 +471,7 @@
 	s.network = network{cut: make(map[[2]uint64]bool), delay: 30 * time.Millisecond}
 	for _, id := range testMembers {
 		m := s.members[id]
-		m.paused = min(m.paused, s.now)
+		m.pausedUntil = min(m.pausedUntil, s.now)
 		if !m.up {
 			must(m.disk.Reopen())
 			s.start(m)
@@ -490,7 +490,7 @@
 	first := s.members[1].node
 	for _, id := range testMembers {
 		m := s.members[id]
-		confirmed := m.node.Confirmed(s.local(m))
+		confirmed := m.node.ConfirmedAge(s.local(m))
 		same := m.node.Machine().Number() == first.Machine().Number() && m.node.Leader() == first.Leader() &&
 			m.node.Machine().Applied() == first.Machine().Applied()
 		if !m.up || !same || first.Leader() == 0 || confirmed > 2*time.Second {
@@ -501,14 +501,14 @@
 	return found
 }
 
-func (s *simulation) sumUp() {
-	s.stats.changes = s.changes()
+func (s *simulation) collectStats() {
+	s.stats.changes = s.promotions()
 	s.stats.acknowledged = len(s.checker.acknowledgements)
 	s.stats.leaders = len(s.checker.leaders)
 }
 
-// changes tells whether the voters are others than at the start.
-func (s *simulation) changes() int {
+// promotions tells whether the voters are others than at the start.
+func (s *simulation) promotions() int {
 	for _, id := range testVoters {
 		if !isVoter(s.members[1].node.confState, id) {
 			return 1
--- a/internal/controlplane/controlserver/publications.go
+++ b/internal/controlplane/controlserver/publications.go
@@ -21,7 +21,7 @@
 
 type publication struct {
 	checksum uint64 // of the document
-	waiting  []chan<- consensus.Outcome
+	waiting  []chan<- consensus.ProposalOutcome
 }
 
 // check tells whether a publisher can wait for a request. A request whose outcome is awaited already must have the same
@@ -40,7 +40,7 @@
 }
 
 // add has a publisher wait. The channel has to be of capacity 1.
-func (p publications) add(request, checksum uint64, waiting chan<- consensus.Outcome) {
+func (p publications) add(request, checksum uint64, waiting chan<- consensus.ProposalOutcome) {
 	if p[request] == nil {
 		p[request] = &publication{checksum: checksum}
 	}
@@ -48,7 +48,7 @@
 }
 
 // end tells an outcome to all who wait for it.
-func (p publications) end(outcome consensus.Outcome) {
+func (p publications) end(outcome consensus.ProposalOutcome) {
 	done := p[outcome.Request]
 	if done == nil {
 		return
--- a/internal/controlplane/controlserver/publications_test.go
+++ b/internal/controlplane/controlserver/publications_test.go
@@ -11,7 +11,7 @@
 func TestPublicationsTakeOneFirstRevisionAtATime(t *testing.T) {
 	p := publications{}
 	require.NoError(t, p.check(1, 101, 0))
-	p.add(1, 101, make(chan consensus.Outcome, 1))
+	p.add(1, 101, make(chan consensus.ProposalOutcome, 1))
 	require.ErrorIs(t, p.check(2, 102, 0), errFirst)
 	require.NoError(t, p.check(1, 101, 0), "the same again waits with the first")
 	require.NoError(t, p.check(2, 102, 1), "there is a revision")
@@ -19,7 +19,7 @@
 
 func TestPublicationsRefuseARequestWithAnotherDocument(t *testing.T) {
 	p := publications{}
-	p.add(1, 101, make(chan consensus.Outcome, 1))
+	p.add(1, 101, make(chan consensus.ProposalOutcome, 1))
 	require.ErrorIs(t, p.check(1, 102, 1), errReused)
 }
 
@@ -27,23 +27,23 @@
 	p := publications{}
 	for range maxWaiting {
 		require.NoError(t, p.check(1, 101, 1))
-		p.add(1, 101, make(chan consensus.Outcome, 1))
+		p.add(1, 101, make(chan consensus.ProposalOutcome, 1))
 	}
 	require.ErrorIs(t, p.check(1, 101, 1), errBusy)
 	require.ErrorIs(t, p.check(2, 102, 1), errBusy)
-	p.end(consensus.Outcome{Request: 1})
+	p.end(consensus.ProposalOutcome{Request: 1})
 	require.NoError(t, p.check(2, 102, 1))
 }
 
 func TestPublicationsTellAllWhoWait(t *testing.T) {
 	p := publications{}
-	first, second := make(chan consensus.Outcome, 1), make(chan consensus.Outcome, 1)
+	first, second := make(chan consensus.ProposalOutcome, 1), make(chan consensus.ProposalOutcome, 1)
 	p.add(1, 101, first)
 	p.add(1, 101, second)
-	p.end(consensus.Outcome{Request: 2})
+	p.end(consensus.ProposalOutcome{Request: 2})
 	require.Empty(t, first)
-	p.end(consensus.Outcome{Request: 1, Err: consensus.ErrUnknown})
-	require.ErrorIs(t, (<-first).Err, consensus.ErrUnknown)
-	require.ErrorIs(t, (<-second).Err, consensus.ErrUnknown)
+	p.end(consensus.ProposalOutcome{Request: 1, Err: consensus.ErrOutcomeUnknown})
+	require.ErrorIs(t, (<-first).Err, consensus.ErrOutcomeUnknown)
+	require.ErrorIs(t, (<-second).Err, consensus.ErrOutcomeUnknown)
 	require.Empty(t, p)
 }
--- a/internal/controlplane/controlserver/publish.go
+++ b/internal/controlplane/controlserver/publish.go
@@ -111,30 +111,30 @@
 
 // propose validates a document, appends it to the log and waits for its outcome. The error is a NotLeaderError or a
 // status.
-func (p *publisher) propose(ctx context.Context, request *configpb.PublishRequest) (consensus.Outcome, error) {
+func (p *publisher) propose(ctx context.Context, request *configpb.PublishRequest) (consensus.ProposalOutcome, error) {
 	newest, err := p.newest(ctx)
 	if err != nil {
-		return consensus.Outcome{}, notAppended("%v", err)
+		return consensus.ProposalOutcome{}, notAppended("%v", err)
 	}
 	if refusal := p.validate(request.GetDocument(), newest.GetDocument()); refusal != nil {
-		return consensus.Outcome{}, rejected(codes.InvalidArgument, refusal)
+		return consensus.ProposalOutcome{}, rejected(codes.InvalidArgument, refusal)
 	}
-	waiting := make(chan consensus.Outcome, 1)
+	waiting := make(chan consensus.ProposalOutcome, 1)
 	var proposed error
 	err = p.replica.runOnLoop(ctx, func() { proposed = p.append(request, newest, waiting) })
 	if err != nil {
-		return consensus.Outcome{}, unknown(err)
+		return consensus.ProposalOutcome{}, unknown(err)
 	}
 	if proposed != nil {
-		return consensus.Outcome{}, proposalError(proposed)
+		return consensus.ProposalOutcome{}, proposalError(proposed)
 	}
 	select {
 	case outcome := <-waiting:
 		return outcome, nil
 	case <-ctx.Done():
-		return consensus.Outcome{}, unknown(ctx.Err())
+		return consensus.ProposalOutcome{}, unknown(ctx.Err())
 	case <-p.replica.ended:
-		return consensus.Outcome{}, unknown(errStopped)
+		return consensus.ProposalOutcome{}, unknown(errStopped)
 	}
 }
 
@@ -158,7 +158,7 @@
 
 // append runs on the replica's goroutine.
 func (p *publisher) append(request *configpb.PublishRequest, validated *configpb.Revision,
-	waiting chan<- consensus.Outcome) error {
+	waiting chan<- consensus.ProposalOutcome) error {
 	r := p.replica
 	newest := r.node.Machine().Number()
 	if validated == nil && newest != 0 { // compared with nothing, and now there is something
@@ -193,7 +193,7 @@
 }
 
 // answer is what a publisher is told of an outcome.
-func answer(outcome consensus.Outcome) (*configpb.PublishResponse, error) {
+func answer(outcome consensus.ProposalOutcome) (*configpb.PublishResponse, error) {
 	if outcome.Err != nil {
 		return nil, unknown(outcome.Err)
 	}
--- a/internal/controlplane/controlserver/replica.go
+++ b/internal/controlplane/controlserver/replica.go
@@ -100,7 +100,7 @@
 // advance takes in a message and those that wait behind it.
 func (r *replica) advance(message *raftpb.Message) {
 	for range maxMessagesAtOnce {
-		if err := r.node.Step(message); errors.Is(err, consensus.ErrMessage) {
+		if err := r.node.Step(message); errors.Is(err, consensus.ErrMalformedMessage) {
 			r.malformed++
 			r.log.Warn("message of a control machine rejected", "error", err)
 		}
@@ -140,7 +140,7 @@
 		}
 	}
 	if c := ready.Compaction; c != nil {
-		if err := r.storage.Compact(c.Snapshot, c.First); err != nil {
+		if err := r.storage.Compact(c.Snapshot, c.FirstIndex); err != nil {
 			return fmt.Errorf("compacting the log: %w", err)
 		}
 	}
@@ -149,7 +149,7 @@
 
 // applied answers those who wait for what was applied.
 func (r *replica) applied(applied consensus.Applied) {
-	for _, outcome := range applied.Outcomes {
+	for _, outcome := range applied.Proposals {
 		r.publications.end(outcome)
 	}
 	for _, outcome := range applied.Reads {
@@ -170,7 +170,7 @@
 func (r *replica) updateHub() {
 	now := time.Now()
 	confirmed := time.Time{}
-	if age := r.node.Confirmed(now); age != consensus.Unconfirmed {
+	if age := r.node.ConfirmedAge(now); age != consensus.Unconfirmed {
 		confirmed = now.Add(-age)
 	}
 	var revision *configpb.Revision
--- a/internal/controlplane/controlserver/replica_test.go
+++ b/internal/controlplane/controlserver/replica_test.go
@@ -37,7 +37,7 @@
 // What cannot be stored is not acknowledged, and stops the replica with the reason.
 func TestReplicaStopsWhereItsDiskFails(t *testing.T) {
 	log, err := raftlog.Create(t.TempDir()+"/"+LogName, raftlog.Options{Identity: raftlog.Identity{Fleet: 1, Node: 1}},
-		consensus.StartSnapshot([]uint64{1}, nil))
+		consensus.BootstrapSnapshot([]uint64{1}, nil))
 	require.NoError(t, err)
 	defer log.Close()
 	disk := &failingStorage{log, make(chan struct{})}
@@ -63,7 +63,7 @@
 // A publication that was sent on to a leader is given up once this machine knows another one.
 func TestPublicationSentOnIsGivenUpWithItsLeader(t *testing.T) {
 	log, err := raftlog.Create(t.TempDir()+"/"+LogName, raftlog.Options{Identity: raftlog.Identity{Fleet: 1, Node: 1}},
-		consensus.StartSnapshot([]uint64{1}, nil))
+		consensus.BootstrapSnapshot([]uint64{1}, nil))
 	require.NoError(t, err)
 	defer log.Close()
 	node, err := consensus.New(consensus.Options{ID: 1, Members: []uint64{1}}, log, time.Now())
--- a/internal/controlplane/controlserver/server.go
+++ b/internal/controlplane/controlserver/server.go
@@ -121,7 +121,7 @@
 			spares = append(spares, m.ID)
 		}
 	}
-	log, err := raftlog.Create(path, options, consensus.StartSnapshot(voters, spares))
+	log, err := raftlog.Create(path, options, consensus.BootstrapSnapshot(voters, spares))
 	return log, describe(path, err)
 }
 
@@ -137,7 +137,7 @@
 func (o Options) run(ctx context.Context, self Member, peers []peerAddress, log *raftlog.Log) error {
 	node, err := consensus.New(consensus.Options{
 		ID: self.ID, Members: ids(o.Members), Incarnation: uint64(time.Now().UnixNano()),
-		LostAfter: o.PromoteAfter, Logger: o.Log,
+		VoterTimeout: o.PromoteAfter, Logger: o.Log,
 	}, log, time.Now())
 	if err != nil {
 		return err
