--- a/internal/controlplane/consensus/logger.go
+++ b/internal/controlplane/consensus/logger.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/raft/v3"
 )
 
-// raftLogger hands the lines of raft to a structured log, one level lower than raft has them: it tells each step of an
-// election as information.
+// raftLogger writes raft's log lines to a structured log, one level lower than raft does: raft logs each step of an
+// election at level info.
 type raftLogger struct {
 	logger *slog.Logger
 }
@@ -52,7 +52,7 @@
 	l.logf(slog.LevelError, format, arguments)
 }
 
-// Fatal panics: raft must not go on, but its process may have more to do.
+// Fatal panics instead of ending the process: that decision is the driver's.
 func (l *raftLogger) Fatal(arguments ...any) { panic(fmt.Sprint(arguments...)) }
 
 func (l *raftLogger) Fatalf(format string, arguments ...any) {
--- a/internal/controlplane/consensus/members_test.go
+++ b/internal/controlplane/consensus/members_test.go
@@ -215,7 +215,7 @@
 		require.NoError(t, leader.Propose(&configpb.Command{Request: request, Document: []byte("{}")}))
 	}
 	require.NoError(t, leader.Propose(&configpb.Command{Request: 1, Document: []byte("{}")}), "it waits already")
-	require.ErrorIs(t, leader.Propose(&configpb.Command{Request: 99, Document: []byte("{}")}), ErrBusy)
+	require.ErrorIs(t, leader.Propose(&configpb.Command{Request: 99, Document: []byte("{}")}), ErrTooManyProposals)
 	g.run(ProposalTimeout + time.Second)
 	outcomes := g.outcomes(leader.options.ID)
 	require.Len(t, outcomes, MaxProposals)
@@ -229,7 +229,7 @@
 	for id := range uint64(MaxReads) {
 		require.NoError(t, g.nodes[2].Read(id))
 	}
-	require.ErrorIs(t, g.nodes[2].Read(MaxReads), ErrBusy)
+	require.ErrorIs(t, g.nodes[2].Read(MaxReads), ErrTooManyReads)
 	g.cut[2] = true
 	g.run(ReadTimeout + time.Second)
 	var ended int
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -17,13 +17,13 @@
 	raw       *raft.RawNode
 	storage   raft.Storage
 	machine   *revision.Machine
-	confState *raftpb.ConfState
-	stopErr   error // what every further call returns
+	confState *raftpb.ConfState // configuration as of the last applied entry
+	stopErr   error             // if not nil, the node has stopped and every call returns it
 
 	now           time.Time // of the last Tick
 	nextTickAt    time.Time
-	pendingReady  *raft.Ready // handed out, Advance is awaited
-	appliedTerm   uint64      // of the last entry applied
+	pendingReady  *raft.Ready // returned by Ready, until Advance
+	appliedTerm   uint64      // of the last applied entry
 	proposals     proposals
 	reads         reads
 	members       members
@@ -31,20 +31,20 @@
 	compaction    *Compaction
 }
 
-// appliedSize is what was applied since the last snapshot.
+// appliedSize is the size of the entries applied since the last snapshot.
 type appliedSize struct {
 	entries int
 	bytes   int
 }
 
-// Compaction asks the storage to keep a snapshot and to drop the entries before First.
+// Compaction requests that the storage persists a snapshot and deletes the entries before FirstIndex.
 type Compaction struct {
 	Snapshot   *raftpb.Snapshot
 	FirstIndex uint64
 }
 
-// Ready is what a driver must do next, in the order of the fields: store the first three in one synced write, store
-// the compaction, send the messages. Then it calls Advance. All parts are immutable and may be empty.
+// Ready is the work of a driver, in the order of the fields: persist the first three in one synced write, persist the
+// compaction, send the messages. Then it calls Advance. All fields are immutable and may be empty.
 type Ready struct {
 	HardState  *raftpb.HardState
 	Entries    []*raftpb.Entry
@@ -53,31 +53,31 @@
 	Messages   []*raftpb.Message
 }
 
-// Applied is what an Advance has brought.
+// Applied is the result of an Advance.
 type Applied struct {
-	Proposals []ProposalOutcome    // of proposals made at this member
-	Reads     []ReadOutcome        // of reads asked at this member
-	Revisions []*configpb.Revision // new ones, ascending; after Restored there may be a gap before the first
-	Restored  bool                 // the state came from a snapshot of the leader: see Machine for the newest
+	Proposals []ProposalOutcome    // of proposals at this member
+	Reads     []ReadOutcome        // of reads at this member
+	Revisions []*configpb.Revision // newly applied, ascending; if Restored, there may be a gap before the first
+	Restored  bool                 // the state was replaced by a snapshot of the leader: Machine has the newest revision
 }
 
-// ProposalOutcome is what became of a proposal.
+// ProposalOutcome is the outcome of a proposal.
 type ProposalOutcome struct {
-	Request uint64
-	Result  revision.Result
-	Err     error // ErrUnknown or ErrTimeout: it may be applied or not, ask again with the same request
+	Request uint64          // id
+	Result  revision.Result // unless Err
+	Err     error           // wraps ErrOutcomeUnknown or ErrTimeout: applied or not; propose the same request again
 }
 
-// ReadOutcome is the answer to a read.
+// ReadOutcome is the outcome of a read.
 type ReadOutcome struct {
 	ID     uint64
-	Newest uint64 // number of the newest revision, at some time between the Read and this
-	Err    error  // ErrTimeout
+	Newest uint64 // number of the newest revision at some time between Read and this outcome
+	Err    error  // wraps ErrTimeout
 }
 
-// New returns the node of a storage, which must hold StartSnapshot or what grew from it. The node has applied all that
-// the storage knows to be committed, so that its newest revision is not behind that of an earlier run. The error wraps
-// ErrSettings or ErrStorage.
+// New returns the node of a storage, which has to contain BootstrapSnapshot or a log that started with it. The node has
+// applied all entries that the storage knows to be committed, so its newest revision is at least that of an earlier run.
+// The error wraps ErrInvalidOptions or ErrInvalidStorage.
 func New(options Options, storage raft.Storage, now time.Time) (node *Node, err error) {
 	options, err = options.withDefaults()
 	if err != nil {
@@ -103,7 +103,7 @@
 		members:     newMembers(options.Members, now),
 	}
 	defer func() {
-		if cause := recover(); cause != nil { // raft panics where the storage contradicts itself
+		if cause := recover(); cause != nil { // raft panics on an inconsistent storage
 			node, err = nil, fmt.Errorf("%w: %v", ErrInvalidStorage, cause)
 		}
 	}()
@@ -115,13 +115,13 @@
 	return node, nil
 }
 
-// replay applies the entries that the storage knows to be committed. There is nothing to store or to send for them.
+// replay applies the entries that the storage knows to be committed. Nothing has to be persisted or sent for them.
 func (n *Node) replay() {
-	var applied Applied // nobody waits for it
+	var applied Applied // discarded: no proposal or read is pending
 	for n.raw.HasReady() {
 		ready := n.raw.Ready()
 		if len(ready.Entries) > 0 || len(ready.Messages) > 0 || !raft.IsEmptyHardState(ready.HardState) {
-			panic("consensus: a new node has something to store or to send")
+			panic("consensus: a new node has something to persist or to send")
 		}
 		for _, entry := range ready.CommittedEntries {
 			n.apply(entry, &applied)
@@ -147,24 +147,24 @@
 		PreVote:                   true,
 		ReadOnlyOption:            raft.ReadOnlySafe,
 		Logger:                    &raftLogger{logger: n.options.Logger},
-		DisableProposalForwarding: true, // the leader stamps the time of publication
+		DisableProposalForwarding: true, // only the leader sets the publication time
 		StepDownOnRemoval:         true,
 	}
 }
 
-// Machine returns the state machine, to be read only, and only while no method of the node runs. After an Advance with
-// Restored it is another one.
+// Machine returns the state machine. It is read-only, must not be used while a method of the node runs, and is replaced
+// by an Advance with Restored.
 func (n *Node) Machine() *revision.Machine { return n.machine }
 
-// Leader returns the id of the leader, 0 where none is known.
+// Leader returns the id of the leader, 0 if none is known.
 func (n *Node) Leader() uint64 { return n.raw.BasicStatus().Lead }
 
-// Err returns why the node has stopped, or nil. A stopped node sends and applies nothing more and must be made anew
-// from its storage.
+// Err returns the error that has stopped the node, or nil. It wraps ErrMissingEntries or ErrRaftPanic. A stopped node
+// neither sends nor applies anything; a new one has to be created from its storage.
 func (n *Node) Err() error { return n.stopErr }
 
-// Tick tells the node the time. It is called every Options.TickInterval; where it comes late, two ticks are made up
-// for at most.
+// Tick advances the node's clock. It has to be called every Options.TickInterval; a late call makes up for at most
+// maxTicksPerCall ticks.
 func (n *Node) Tick(now time.Time) {
 	if n.stopErr != nil {
 		return
@@ -183,7 +183,7 @@
 	n.startRoundIfDue()
 }
 
-// advanceClock takes the time in and tells whether more than an election timeout has passed since it last did.
+// advanceClock sets the time and reports whether more than an election timeout has passed since the last call.
 func (n *Node) advanceClock(now time.Time) (paused bool) {
 	if now.Before(n.now) {
 		return false
@@ -193,6 +193,7 @@
 	return paused
 }
 
+// ticksDue returns the number of ticks to make up for, at most maxTicksPerCall, and schedules the next one.
 func (n *Node) ticksDue() int {
 	due := 0
 	for ; due < maxTicksPerCall && !n.nextTickAt.After(n.now); due++ {
@@ -204,9 +205,9 @@
 	return due
 }
 
-// Propose appends a command to the log. It is answered by an Outcome with its request id, by ProposalTimeout at the
-// latest; a request that is waiting already is not appended again. Its error is a NotLeaderError, or wraps ErrBusy,
-// ErrDropped, revision.ErrCommand or ErrBroken, and then there is no outcome.
+// Propose appends a command to the log. The ProposalOutcome with its request id is returned by an Advance within
+// ProposalTimeout; a pending request is not appended again. Its error is a NotLeaderError, that of a stopped node, or
+// wraps ErrTooManyProposals, ErrProposalDropped or revision.ErrCommand; there is no outcome then.
 func (n *Node) Propose(command *configpb.Command) error {
 	if n.stopErr != nil {
 		return n.stopErr
@@ -218,22 +219,22 @@
 	if n.proposals.has(command.GetRequest()) {
 		return nil
 	}
-	if n.proposals.full() {
-		return ErrBusy
+	if n.proposals.isFull() {
+		return fmt.Errorf("%w: the limit is %d", ErrTooManyProposals, MaxProposals)
 	}
 	data, err := revision.Encode(command)
 	if err != nil {
 		return err
 	}
 	if err := n.raw.Propose(data); err != nil {
-		return fmt.Errorf("%w: %w", ErrProposalDropped, err)
+		return fmt.Errorf("%w: request %x: %w", ErrProposalDropped, command.GetRequest(), err)
 	}
 	n.proposals.add(command.GetRequest(), n.now.Add(ProposalTimeout))
 	return nil
 }
 
-// Step takes in a message of another member. Its error wraps ErrMessage where the message is malformed: it has changed
-// nothing. It wraps ErrLostLog or ErrBroken where the node has stopped, see Err.
+// Step processes a message of another member. Its error wraps ErrMalformedMessage if the message is rejected without
+// effect, and ErrMissingEntries or ErrRaftPanic if the node has stopped, see Err.
 func (n *Node) Step(message *raftpb.Message) error {
 	if n.stopErr != nil {
 		return n.stopErr
@@ -242,7 +243,7 @@
 		return err
 	}
 	if message.GetType() == raftpb.MsgReadIndex && (n.members.leaderTerm == 0 || !n.canServeReads()) {
-		return nil // raft would pass it on in circles, or keep it without bound; the other asks again
+		return nil // raft would forward it in circles or queue it without bound; the other member sends another
 	}
 	n.members.recordContact(message.GetFrom(), n.now)
 	if err := n.stepRaft(message); err != nil {
@@ -252,6 +253,7 @@
 	return nil
 }
 
+// stepRaft passes a checked message to raft. A panic of raft stops the node.
 func (n *Node) stepRaft(message *raftpb.Message) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -265,16 +267,16 @@
 	return nil
 }
 
-// observeLeadership ends the proposals of a term that is over.
+// observeLeadership abandons the pending proposals when this member gains or loses the leadership.
 func (n *Node) observeLeadership() {
 	status := n.raw.BasicStatus()
-	term := uint64(0) // of this node's leadership
+	leaderTerm := uint64(0)
 	if status.RaftState == raft.StateLeader {
-		term = status.GetTerm()
+		leaderTerm = status.GetTerm()
 	}
-	if term == n.members.leaderTerm {
+	if leaderTerm == n.members.leaderTerm {
 		return
 	}
-	n.members.startLeadership(term, n.now)
+	n.members.setLeaderTerm(leaderTerm, n.now)
 	n.proposals.abandonAll()
 }
--- a/internal/controlplane/consensus/proposals.go
+++ b/internal/controlplane/consensus/proposals.go
@@ -1,31 +1,34 @@
 package consensus
 
 import (
+	"fmt"
 	"maps"
 	"slices"
 	"time"
 )
 
-// proposals are the commands that this member has appended as leader and that are not applied yet.
+// proposals are the pending proposals of this member: appended as leader and not applied yet.
 type proposals struct {
-	deadlines map[uint64]time.Time // by request, at most MaxProposals
-	outcomes  []ProposalOutcome    // to be told by the next Advance
+	deadlines map[uint64]time.Time // by request id, at most MaxProposals
+	outcomes  []ProposalOutcome    // for the next Advance
 }
 
 func newProposals() proposals {
 	return proposals{deadlines: make(map[uint64]time.Time)}
 }
 
+// has reports whether the proposal of a request is pending.
 func (p *proposals) has(request uint64) bool {
 	_, found := p.deadlines[request]
 	return found
 }
 
-func (p *proposals) full() bool { return len(p.deadlines) >= MaxProposals }
+// isFull reports whether MaxProposals are pending.
+func (p *proposals) isFull() bool { return len(p.deadlines) >= MaxProposals }
 
 func (p *proposals) add(request uint64, deadline time.Time) { p.deadlines[request] = deadline }
 
-// finish books the outcome of a request, if it was waiting.
+// finish records the outcome of a request, unless it is not pending.
 func (p *proposals) finish(outcome ProposalOutcome) {
 	if !p.has(outcome.Request) {
 		return
@@ -34,25 +37,31 @@
 	p.outcomes = append(p.outcomes, outcome)
 }
 
+// expire ends the proposals whose deadline has passed.
 func (p *proposals) expire(now time.Time) {
 	for _, request := range p.requests() {
-		if !now.Before(p.deadlines[request]) {
-			p.finish(ProposalOutcome{Request: request, Err: ErrTimeout})
+		if now.Before(p.deadlines[request]) {
+			continue
 		}
+		err := fmt.Errorf("%w: request %x not applied within %v", ErrTimeout, request, ProposalTimeout)
+		p.finish(ProposalOutcome{Request: request, Err: err})
 	}
 }
 
+// abandonAll ends all pending proposals when the leadership is lost.
 func (p *proposals) abandonAll() {
 	for _, request := range p.requests() {
 		p.finish(ProposalOutcome{Request: request, Err: ErrOutcomeUnknown})
 	}
 }
 
-// requests are sorted, so that the same run gives the same outcomes in the same order.
+// requests returns the pending request ids in ascending order, so that the same run gives the outcomes in the same
+// order.
 func (p *proposals) requests() []uint64 { return slices.Sorted(maps.Keys(p.deadlines)) }
 
 func (p *proposals) hasOutcomes() bool { return len(p.outcomes) > 0 }
 
+// drainOutcomes returns the outcomes recorded since its last call.
 func (p *proposals) drainOutcomes() []ProposalOutcome {
 	outcomes := p.outcomes
 	p.outcomes = nil
--- a/internal/controlplane/consensus/ready.go
+++ b/internal/controlplane/consensus/ready.go
@@ -9,8 +9,8 @@
 	"mothrouter/internal/controlplane/revision"
 )
 
-// Ready returns what must be done next, or nil where nothing is. After a Ready, Advance must be called before the
-// next; Tick, Step, Propose and Read may come between.
+// Ready returns the next work of the driver, or nil if there is none. Advance has to be called before the next Ready;
+// Tick, Step, Propose and Read may be called in between.
 func (n *Node) Ready() *Ready {
 	if n.stopErr != nil {
 		return nil
@@ -26,7 +26,7 @@
 	compaction := n.compaction
 	n.compaction = nil
 	if !raft.IsEmptySnap(ready.Snapshot) {
-		compaction = nil // that of the leader is newer
+		compaction = nil // the leader's snapshot is newer
 	}
 	n.members.recordSent(ready.Messages, n.now)
 	return &Ready{
@@ -38,8 +38,8 @@
 	}
 }
 
-// Advance tells that all of the last Ready is stored and sent. It applies what is committed and returns what came of
-// it. It panics where no Ready is out.
+// Advance confirms that the last Ready is persisted and sent. It applies the committed entries and returns the result.
+// It panics without a preceding Ready.
 func (n *Node) Advance() Applied {
 	if n.pendingReady == nil {
 		panic("consensus: Advance without Ready")
@@ -57,7 +57,7 @@
 	n.raw.Advance(*ready)
 	n.observeLeadership()
 	for _, state := range ready.ReadStates {
-		n.reads.recordAnswer(state.RequestCtx, n.options.Incarnation, state.Index)
+		n.reads.recordResponse(state.RequestCtx, n.options.Incarnation, state.Index)
 	}
 	n.reads.completeRounds(n.machine.Applied(), n.machine.Number())
 	n.startRoundIfDue()
@@ -67,14 +67,14 @@
 	return applied
 }
 
-// restore takes over a snapshot of the leader, which checkMessage has read before.
+// restore replaces the state by a snapshot of the leader, which checkMessage has accepted.
 func (n *Node) restore(snapshot *raftpb.Snapshot) {
 	machine, err := restoreMachine(snapshot, n.options.Members)
 	if err != nil {
-		panic(fmt.Sprintf("consensus: a snapshot that was checked: %v", err))
+		panic(fmt.Sprintf("consensus: restoring an accepted snapshot: %v", err))
 	}
 	if machine.Applied() < n.machine.Applied() || machine.Number() < n.machine.Number() {
-		panic(fmt.Sprintf("consensus: snapshot of entry %d after entry %d", machine.Applied(), n.machine.Applied()))
+		panic(fmt.Sprintf("consensus: snapshot at index %d after index %d", machine.Applied(), n.machine.Applied()))
 	}
 	n.machine = machine
 	n.confState = snapshot.GetMetadata().GetConfState()
@@ -82,6 +82,7 @@
 	n.sinceSnapshot = appliedSize{}
 }
 
+// apply applies one committed entry.
 func (n *Node) apply(entry *raftpb.Entry, applied *Applied) {
 	n.appliedTerm = entry.GetTerm()
 	n.sinceSnapshot.entries++
@@ -91,12 +92,13 @@
 		n.machine.Skip(entry.GetIndex())
 		n.applyConfChange(entry)
 	case entry.GetType() != raftpb.EntryNormal || len(entry.GetData()) == 0:
-		n.machine.Skip(entry.GetIndex()) // the first of a new leader
+		n.machine.Skip(entry.GetIndex()) // the empty entry of a new leader
 	default:
 		n.applyCommand(entry, applied)
 	}
 }
 
+// applyCommand applies the command of an entry. One that does not decode is rejected, the same at every member.
 func (n *Node) applyCommand(entry *raftpb.Entry, applied *Applied) {
 	command, err := revision.Decode(entry.GetData())
 	if err != nil {
@@ -110,7 +112,7 @@
 	n.proposals.finish(ProposalOutcome{Request: command.GetRequest(), Result: result})
 }
 
-// planCompaction asks for a snapshot where enough was applied since the last.
+// planCompaction requests a compaction once enough entries are applied since the last snapshot.
 func (n *Node) planCompaction() {
 	if n.sinceSnapshot.entries < n.options.snapshotEntries && n.sinceSnapshot.bytes < SnapshotBytes {
 		return
--- /dev/null
+++ b/internal/controlplane/consensus/snapshot.go
@@ -0,0 +1,92 @@
+package consensus
+
+import (
+	"fmt"
+	"slices"
+
+	"go.etcd.io/raft/v3"
+	"go.etcd.io/raft/v3/raftpb"
+
+	"mothrouter/internal/controlplane/revision"
+)
+
+// Index and term of the bootstrap snapshot, which all members share.
+const (
+	bootstrapIndex = 1
+	bootstrapTerm  = 1
+)
+
+// BootstrapSnapshot returns the snapshot that the log of every member starts with: no revision, and this configuration.
+func BootstrapSnapshot(voters, learners []uint64) *raftpb.Snapshot {
+	machine := revision.NewMachine()
+	machine.Skip(bootstrapIndex)
+	return &raftpb.Snapshot{
+		Data: machine.Snapshot(),
+		Metadata: &raftpb.SnapshotMetadata{
+			Index:     new(uint64(bootstrapIndex)),
+			Term:      new(uint64(bootstrapTerm)),
+			ConfState: raftpb.EnsureConfState(&raftpb.ConfState{Voters: voters, Learners: learners}),
+		},
+	}
+}
+
+// restoreMachine restores the state machine of a snapshot and checks its configuration against the members.
+func restoreMachine(snapshot *raftpb.Snapshot, members []uint64) (*revision.Machine, error) {
+	if raft.IsEmptySnap(snapshot) {
+		return nil, fmt.Errorf("%w: empty snapshot", ErrMalformedMessage)
+	}
+	if err := checkConfState(snapshot.GetMetadata().GetConfState(), members); err != nil {
+		return nil, err
+	}
+	machine, err := revision.Restore(snapshot.GetData())
+	if err != nil {
+		return nil, err
+	}
+	if machine.Applied() != snapshot.GetMetadata().GetIndex() {
+		return nil, fmt.Errorf("%w: snapshot at index %d, its state machine at index %d", ErrMalformedMessage,
+			snapshot.GetMetadata().GetIndex(), machine.Applied())
+	}
+	return machine, nil
+}
+
+// checkConfState checks a configuration: its sets contain only members, each once; a learner is no voter; a next learner
+// is a voter of the outgoing configuration only; and only a joint configuration is left automatically.
+func checkConfState(state *raftpb.ConfState, members []uint64) error {
+	if len(state.GetVoters()) == 0 {
+		return fmt.Errorf("%w: configuration without voters", ErrMalformedMessage)
+	}
+	if err := checkMemberSets(state, members); err != nil {
+		return err
+	}
+	for _, id := range state.GetLearners() {
+		if slices.Contains(state.GetVoters(), id) || slices.Contains(state.GetVotersOutgoing(), id) {
+			return fmt.Errorf("%w: configuration with learner %d as a voter", ErrMalformedMessage, id)
+		}
+	}
+	for _, id := range state.GetLearnersNext() {
+		if slices.Contains(state.GetVoters(), id) || !slices.Contains(state.GetVotersOutgoing(), id) {
+			return fmt.Errorf("%w: configuration with next learner %d, which is no outgoing voter", ErrMalformedMessage, id)
+		}
+	}
+	if state.GetAutoLeave() && len(state.GetVotersOutgoing()) == 0 {
+		return fmt.Errorf("%w: automatic leave of a configuration that is not joint", ErrMalformedMessage)
+	}
+	return nil
+}
+
+// checkMemberSets checks that each set of a configuration contains only members, each once.
+func checkMemberSets(state *raftpb.ConfState, members []uint64) error {
+	for _, set := range [][]uint64{
+		state.GetVoters(), state.GetLearners(), state.GetVotersOutgoing(), state.GetLearnersNext(),
+	} {
+		for i, id := range set {
+			if !slices.Contains(members, id) {
+				return fmt.Errorf("%w: configuration with unknown member %d", ErrMalformedMessage, id)
+			}
+			if slices.Contains(set[:i], id) {
+				return fmt.Errorf("%w: configuration with duplicate member %d", ErrMalformedMessage, id)
+			}
+		}
+	}
+	return nil
+}
