--- a/internal/controlplane/consensus/checker_test.go
+++ b/internal/controlplane/consensus/invariants_test.go
@@ -29,25 +29,25 @@
 	faultCount
 )
 
-// breach names what a checker found broken.
-type breach string
+// invariant names what a checker found broken.
+type invariant string
 
 const (
-	breachContent     breach = "two contents of one number"
-	breachGap         breach = "gap in the numbers"
-	breachLost        breach = "an acknowledged publication is lost"
-	breachTwoNumbers  breach = "two numbers of one request"
-	breachWentBack    breach = "a member went back"
-	breachHistory     breach = "history is not linearizable"
-	breachNoAgreement breach = "no agreement after the heal"
-	breachStale       breach = "confirmed is too small"
-	breachTwoLeaders  breach = "two leaders in a term"
-	breachRejected    breach = "a member refused an honest message or stopped"
+	sameContent    invariant = "two contents of one number"
+	noGap          invariant = "gap in the numbers"
+	durable        invariant = "an acknowledged publication is lost"
+	idempotent     invariant = "two numbers of one request"
+	monotonic      invariant = "a member went back"
+	linearizable   invariant = "history is not linearizable"
+	convergent     invariant = "no agreement after the heal"
+	confirmedFresh invariant = "confirmed is too small"
+	singleLeader   invariant = "two leaders in a term"
+	accepting      invariant = "a member refused an honest message or stopped"
 )
 
 type violation struct {
-	breach breach
-	what   string
+	invariant invariant
+	what      string
 }
 
 // acknowledgement is a publication that a member has acknowledged.
@@ -58,8 +58,8 @@
 	checksum       uint64
 }
 
-// checker watches a simulation.
-type checker struct {
+// invariantChecker watches a simulation.
+type invariantChecker struct {
 	violations       []violation
 	contents         map[uint64]uint64 // checksum by number
 	lastNumber       map[uint64]uint64 // told to brokers, by member
@@ -70,8 +70,8 @@
 	history          []porcupine.Operation
 }
 
-func newChecker() *checker {
-	return &checker{
+func newChecker() *invariantChecker {
+	return &invariantChecker{
 		contents:    make(map[uint64]uint64),
 		lastNumber:  make(map[uint64]uint64),
 		lastApplied: make(map[uint64]uint64),
@@ -82,15 +82,15 @@
 
 const maxViolations = 64
 
-func (c *checker) addViolation(broken breach, format string, arguments ...any) {
+func (c *invariantChecker) addViolation(broken invariant, format string, arguments ...any) {
 	if len(c.violations) < maxViolations {
-		c.violations = append(c.violations, violation{breach: broken, what: fmt.Sprintf(format, arguments...)})
+		c.violations = append(c.violations, violation{invariant: broken, what: fmt.Sprintf(format, arguments...)})
 	}
 }
 
-func (c *checker) found(broken breach) bool {
+func (c *invariantChecker) found(broken invariant) bool {
 	for _, violation := range c.violations {
-		if violation.breach == broken {
+		if violation.invariant == broken {
 			return true
 		}
 	}
@@ -98,36 +98,36 @@
 }
 
 // checkRestarted checks a member that has been made anew from its disk.
-func (c *checker) checkRestarted(id uint64, machine *revision.Machine) {
+func (c *invariantChecker) checkRestarted(id uint64, machine *revision.Machine) {
 	c.checkApplied(id, machine)
 	c.checkHistory(id, machine)
 	c.lastNumber[id] = machine.Number()
 }
 
-func (c *checker) checkApplied(id uint64, machine *revision.Machine) {
+func (c *invariantChecker) checkApplied(id uint64, machine *revision.Machine) {
 	if machine.Applied() < c.lastApplied[id] {
-		c.addViolation(breachWentBack, "member %d applied %d after %d", id, machine.Applied(), c.lastApplied[id])
+		c.addViolation(monotonic, "member %d applied %d after %d", id, machine.Applied(), c.lastApplied[id])
 	}
 	c.lastApplied[id] = machine.Applied()
 }
 
-func (c *checker) checkHistory(id uint64, machine *revision.Machine) {
+func (c *invariantChecker) checkHistory(id uint64, machine *revision.Machine) {
 	for number := max(machine.Oldest(), 1); number <= machine.Number(); number++ {
 		c.checkContent(id, machine.Get(number))
 	}
 }
 
-func (c *checker) checkContent(id uint64, found *configpb.Revision) {
+func (c *invariantChecker) checkContent(id uint64, found *configpb.Revision) {
 	number, sum := found.GetNumber(), configpb.Checksum(found.GetDocument())
 	known, seen := c.contents[number]
 	if seen && known != sum || sum != found.GetChecksum() {
-		c.addViolation(breachContent, "member %d has %x as revision %d, not %x", id, sum, number, known)
+		c.addViolation(sameContent, "member %d has %x as revision %d, not %x", id, sum, number, known)
 	}
 	c.contents[number] = sum
 }
 
 // checkAdvance checks what an Advance of a member has brought.
-func (c *checker) checkAdvance(id uint64, applied Applied, machine *revision.Machine) {
+func (c *invariantChecker) checkAdvance(id uint64, applied Applied, machine *revision.Machine) {
 	c.checkApplied(id, machine)
 	if applied.Restored {
 		c.checkHistory(id, machine)
@@ -135,27 +135,27 @@
 	}
 	for _, found := range applied.Revisions {
 		if found.GetNumber() != c.lastNumber[id]+1 {
-			c.addViolation(breachGap, "member %d: revision %d follows %d", id, found.GetNumber(), c.lastNumber[id])
+			c.addViolation(noGap, "member %d: revision %d follows %d", id, found.GetNumber(), c.lastNumber[id])
 		}
 		c.lastNumber[id] = found.GetNumber()
 		c.checkContent(id, found)
 	}
 	if c.lastNumber[id] != machine.Number() {
-		c.addViolation(breachGap, "member %d told %d, has %d", id, c.lastNumber[id], machine.Number())
+		c.addViolation(noGap, "member %d told %d, has %d", id, c.lastNumber[id], machine.Number())
 	}
 }
 
-func (c *checker) checkLeader(id, term uint64) {
+func (c *invariantChecker) checkLeader(id, term uint64) {
 	if other, found := c.leaders[term]; found && other != id {
-		c.addViolation(breachTwoLeaders, "members %d and %d lead in term %d", other, id, term)
+		c.addViolation(singleLeader, "members %d and %d lead in term %d", other, id, term)
 	}
 	c.leaders[term] = id
 }
 
 // recordAcknowledgement books the acknowledgement of a publication.
-func (c *checker) recordAcknowledgement(at time.Duration, request, number, checksum uint64) {
+func (c *invariantChecker) recordAcknowledgement(at time.Duration, request, number, checksum uint64) {
 	if known, found := c.numbers[request]; found && known != number {
-		c.addViolation(breachTwoNumbers, "request %x has numbers %d and %d", request, known, number)
+		c.addViolation(idempotent, "request %x has numbers %d and %d", request, known, number)
 	}
 	c.numbers[request] = number
 	highest := number
@@ -168,29 +168,29 @@
 }
 
 // checkConfirmed checks that a member has all that was acknowledged up to a time.
-func (c *checker) checkConfirmed(id uint64, upTo time.Duration, number uint64) {
+func (c *invariantChecker) checkConfirmed(id uint64, upTo time.Duration, number uint64) {
 	after := sort.Search(len(c.acknowledgements), func(i int) bool { return c.acknowledgements[i].acknowledgedAt > upTo })
 	if after == 0 {
 		return
 	}
 	if highest := c.acknowledgements[after-1].highest; number < highest {
-		c.addViolation(breachStale, "member %d has %d, confirmed at %v, when %d was acknowledged", id, number, upTo, highest)
+		c.addViolation(confirmedFresh, "member %d has %d, confirmed at %v, when %d was acknowledged", id, number, upTo, highest)
 	}
 }
 
 // finish checks the end: nothing acknowledged is lost, and the history is linearizable.
-func (c *checker) finish(members map[uint64]*simulatedMember) {
+func (c *invariantChecker) finish(members map[uint64]*simulatedMember) {
 	for _, acknowledged := range c.acknowledgements {
 		for id, member := range members {
 			found := member.node.Machine().Get(acknowledged.number)
 			if found.GetChecksum() != acknowledged.checksum {
-				c.addViolation(breachLost, "member %d has %x as revision %d, acknowledged was %x", id, found.GetChecksum(),
+				c.addViolation(durable, "member %d has %x as revision %d, acknowledged was %x", id, found.GetChecksum(),
 					acknowledged.number, acknowledged.checksum)
 			}
 		}
 	}
 	if result := porcupine.CheckOperationsTimeout(revisionsModel, c.history, historyTimeout); result != porcupine.Ok {
-		c.addViolation(breachHistory, "%d operations: %v", len(c.history), result)
+		c.addViolation(linearizable, "%d operations: %v", len(c.history), result)
 	}
 }
 
@@ -215,12 +215,12 @@
 
 var revisionsModel = porcupine.Model{
 	Init:              func() any { return newest{} },
-	Step:              stepModel,
+	Step:              applyOperation,
 	Equal:             func(a, b any) bool { return a == b },
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 }
 
-func stepModel(state, input, output any) (bool, any) {
+func applyOperation(state, input, output any) (bool, any) {
 	before, asked, told := state.(newest), input.(operation), output.(operation)
 	if !asked.publish {
 		return told.number == before.number && told.checksum == before.checksum, before
--- a/internal/controlplane/consensus/message_test.go
+++ b/internal/controlplane/consensus/message_test.go
@@ -13,8 +13,8 @@
 	"mothrouter/internal/controlplane/revision"
 )
 
-func TestOptionsAreChecked(t *testing.T) {
-	storage := newMemoryDisk(BootstrapSnapshot(testVoters, testSpares), noFault)
+func TestNewRejectsInvalidOptionsAndStorage(t *testing.T) {
+	storage := newMemoryDisk(BootstrapSnapshot(testVoters, testLearners), noFault)
 	for name, options := range map[string]Options{
 		"not a member":   {ID: 5, Members: testMembers},
 		"member 0":       {ID: 1, Members: []uint64{0, 1}},
@@ -40,7 +40,7 @@
 	return message
 }
 
-func TestMalformedMessagesAreRefused(t *testing.T) {
+func TestStepRejectsMalformedMessages(t *testing.T) {
 	entryAt := func(index, term uint64) *raftpb.Entry { return &raftpb.Entry{Index: new(index), Term: new(term)} }
 	entryOf := func(kind raftpb.EntryType, data []byte) *raftpb.Entry {
 		return &raftpb.Entry{Index: new(uint64(2)), Term: new(uint64(5)), Type: kind.Enum(), Data: data}
@@ -78,18 +78,18 @@
 		"huge entry":       appending(entryOf(raftpb.EntryNormal, make([]byte, revision.MaxCommandBytes+1))),
 		"no snapshot":      addressed(raftpb.MsgSnap, 5, nil),
 		"foreign snapshot": addressed(raftpb.MsgSnap, 5, func(m *raftpb.Message) {
-			m.Snapshot = BootstrapSnapshot(testVoters, testSpares)
+			m.Snapshot = BootstrapSnapshot(testVoters, testLearners)
 			m.Snapshot.Data = []byte("something else")
 		}),
 		"snapshot without voters": addressed(raftpb.MsgSnap, 5, func(m *raftpb.Message) {
-			m.Snapshot = BootstrapSnapshot(nil, testSpares)
+			m.Snapshot = BootstrapSnapshot(nil, testLearners)
 		}),
 		"snapshot of other index": addressed(raftpb.MsgSnap, 5, func(m *raftpb.Message) {
-			m.Snapshot = BootstrapSnapshot(testVoters, testSpares)
+			m.Snapshot = BootstrapSnapshot(testVoters, testLearners)
 			m.Snapshot.Metadata.Index = new(uint64(7))
 		}),
 	} {
-		storage := newMemoryDisk(BootstrapSnapshot(testVoters, testSpares), noFault)
+		storage := newMemoryDisk(BootstrapSnapshot(testVoters, testLearners), noFault)
 		node, err := New(Options{ID: 2, Members: testMembers}, storage, epoch)
 		require.NoError(t, err)
 		require.ErrorIs(t, node.Step(message), ErrMalformedMessage, name)
@@ -102,15 +102,15 @@
 	require.ErrorIs(t, err, ErrMalformedMessage)
 }
 
-// FuzzMessages gives a follower, and a leader, messages of any content. They never panic, and neither loses a revision.
-func FuzzMessages(f *testing.F) {
+// FuzzStep gives a follower, and a leader, messages of any content. They never panic, and neither loses a revision.
+func FuzzStep(f *testing.F) {
 	heartbeat := addressed(raftpb.MsgHeartbeat, 5, func(m *raftpb.Message) { m.Commit = new(uint64(1)) })
 	appending := addressed(raftpb.MsgApp, 5, func(m *raftpb.Message) {
 		m.Index, m.LogTerm, m.Commit = new(uint64(1)), new(uint64(1)), new(uint64(3))
 		m.Entries = []*raftpb.Entry{{Index: new(uint64(2)), Term: new(uint64(5)), Data: []byte("entry")}}
 	})
 	snapshot := addressed(raftpb.MsgSnap, 5, func(m *raftpb.Message) {
-		m.Snapshot = BootstrapSnapshot(testVoters, testSpares)
+		m.Snapshot = BootstrapSnapshot(testVoters, testLearners)
 	})
 	response := addressed(raftpb.MsgHeartbeatResp, 2, func(m *raftpb.Message) { m.Context = make([]byte, 8) })
 	vote := addressed(raftpb.MsgVote, 9, func(m *raftpb.Message) { m.Index, m.LogTerm = new(uint64(9)), new(uint64(9)) })
@@ -122,16 +122,16 @@
 		f.Add(data, data, false)
 		f.Add(data, data, true)
 	}
-	f.Fuzz(func(t *testing.T, first, second []byte, leads bool) {
-		g := newGroup(t)
+	f.Fuzz(func(t *testing.T, first, other []byte, leads bool) {
+		c := newCluster(t)
 		if leads {
-			require.NoError(t, g.nodes[2].raw.Campaign())
-			g.settle()
-			g.publish(1, "kept")
+			require.NoError(t, c.nodes[2].raw.Campaign())
+			c.deliverAll()
+			c.propose(1, "kept")
 		}
-		node := g.nodes[2]
+		node := c.nodes[2]
 		before := node.Machine().Number()
-		for _, data := range [][]byte{first, second, first} {
+		for _, data := range [][]byte{first, other, first} {
 			message, err := DecodeMessage(data)
 			if err != nil {
 				continue
@@ -139,7 +139,7 @@
 			err = node.Step(message) // any error will do, but no panic
 			require.Equal(t, node.Err() != nil, err != nil && errors.Is(err, node.Err()))
 			for ready := node.Ready(); ready != nil; ready = node.Ready() {
-				saveToMemory(t, g.disks[2], ready)
+				saveToMemory(t, c.storages[2], ready)
 				node.Advance()
 			}
 		}
