--- a/internal/controlplane/consensus/cluster_test.go
+++ b/internal/controlplane/consensus/cluster_test.go
@@ -19,13 +19,13 @@
 	testLearners = []uint64{4}
 )
 
-// cluster is four nodes on a network without delay, for tests of single properties.
+// cluster is four nodes on a network without delay, for tests of one behaviour.
 type cluster struct {
 	t           testing.TB
 	now         time.Time
 	nodes       map[uint64]*Node
 	storages    map[uint64]*raft.MemoryStorage
-	partitioned map[uint64]bool // members that neither send nor receive
+	partitioned map[uint64]bool // members whose messages are dropped
 	drop        func(message *raftpb.Message) bool
 	applied     map[uint64][]Applied
 }
@@ -55,7 +55,7 @@
 	c.nodes[id] = node
 }
 
-// run ticks all nodes for a time and carries their messages.
+// run advances the clock in ticks of all nodes and delivers their messages.
 func (c *cluster) run(span time.Duration) {
 	c.t.Helper()
 	for end := c.now.Add(span); c.now.Before(end); {
@@ -67,7 +67,7 @@
 	}
 }
 
-// deliverAll carries messages until there are none.
+// deliverAll processes Ready of all nodes until none is left.
 func (c *cluster) deliverAll() {
 	c.t.Helper()
 	for busy := true; busy; {
@@ -81,6 +81,7 @@
 	}
 }
 
+// drive persists a Ready, delivers its messages and advances the node.
 func (c *cluster) drive(id uint64, ready *Ready) {
 	c.t.Helper()
 	saveToMemory(c.t, c.storages[id], ready)
@@ -113,7 +114,7 @@
 	}
 }
 
-// leader returns the one member that leads, or fails.
+// leader returns the only leader that is not partitioned, or fails.
 func (c *cluster) leader() *Node {
 	c.t.Helper()
 	var found *Node
@@ -141,18 +142,17 @@
 	return outcomes
 }
 
-func TestProposalIsAppliedByAllMembers(t *testing.T) {
-	c := newCluster(t)
-	c.run(5 * time.Second)
-	c.propose(11, "first")
-	c.propose(12, "second")
-	c.run(time.Second)
-	for _, id := range testMembers {
-		require.Equal(t, uint64(2), c.nodes[id].Machine().Number(), "member %d", id)
-		require.Equal(t, "first", string(c.nodes[id].Machine().Get(1).GetDocument()))
-		require.LessOrEqual(t, c.nodes[id].ConfirmedAge(c.now), time.Second)
+// otherVoter returns a voter that is not the leader.
+func (c *cluster) otherVoter() uint64 {
+	c.t.Helper()
+	leader := c.leader()
+	for _, id := range leader.confState.GetVoters() {
+		if id != leader.options.ID {
+			return id
+		}
 	}
-	outcomes := c.outcomes(c.leader().options.ID)
-	require.Len(t, outcomes, 2)
-	require.Equal(t, uint64(2), outcomes[1].Result.Number)
+	c.t.Fatal("no other voter")
+	return 0
 }
+
+func (c *cluster) voters() []uint64 { return c.leader().confState.GetVoters() }
--- a/internal/controlplane/consensus/invariants_test.go
+++ b/internal/controlplane/consensus/invariants_test.go
@@ -11,61 +11,63 @@
 	"mothrouter/internal/controlplane/revision"
 )
 
-// fault is one that is planted in the simulation to show that a checker sees it.
+// fault is a fault planted in the simulation to prove that an invariant detects it.
 type fault int
 
 const (
 	noFault                fault = iota
-	faultAckBeforeCommit         // a publication is acknowledged once it is proposed
+	faultAckBeforeCommit         // a publication is acknowledged when it is proposed
 	faultSaveSkipped             // a crash loses the last saves
 	faultVoteForgotten           // a restart forgets the vote
-	faultCommitForgotten         // a restart forgets what is committed
+	faultCommitForgotten         // a restart forgets the commit index
 	faultStaleRead               // a read is answered without ReadIndex
 	faultContent                 // a disk changes what it stores
-	faultRevisionSkipped         // a member loses a revision on its way to the brokers
-	faultNewRequest              // a publication sent again gets another request id
-	faultHeartbeatsConfirm       // staleness is taken from the messages of the leader
-	faultNeverHeals              // a member stays cut off
+	faultRevisionSkipped         // a member drops a newly applied revision
+	faultNewRequest              // a retried publication has another request id
+	faultHeartbeatsConfirm       // ConfirmedAge is the time since the last message of the leader
+	faultNeverHeals              // a member stays partitioned
 	faultCount
 )
 
-// invariant names what a checker found broken.
+// invariant is a property of every run, named by its violation.
 type invariant string
 
+// The invariants.
 const (
-	sameContent    invariant = "two contents of one number"
-	noGap          invariant = "gap in the numbers"
+	sameContent    invariant = "two documents of one number"
+	noGap          invariant = "gap between revision numbers"
 	durable        invariant = "an acknowledged publication is lost"
 	idempotent     invariant = "two numbers of one request"
-	monotonic      invariant = "a member went back"
+	monotonic      invariant = "applied index or newest revision decreased"
 	linearizable   invariant = "history is not linearizable"
-	convergent     invariant = "no agreement after the heal"
-	confirmedFresh invariant = "confirmed is too small"
+	convergent     invariant = "members differ after the partitions healed"
+	confirmedFresh invariant = "ConfirmedAge too small"
 	singleLeader   invariant = "two leaders in a term"
-	accepting      invariant = "a member refused an honest message or stopped"
+	accepting      invariant = "a member rejected a valid message or stopped"
 )
 
+// violation is a violated invariant and its details.
 type violation struct {
 	invariant invariant
-	what      string
+	details   string
 }
 
 // acknowledgement is a publication that a member has acknowledged.
 type acknowledgement struct {
-	acknowledgedAt time.Duration // of the simulation
-	highest        uint64        // number acknowledged so far
+	acknowledgedAt time.Duration // since the start of the run
+	highest        uint64        // number acknowledged until then
 	number         uint64
 	checksum       uint64
 }
 
-// invariantChecker watches a simulation.
+// invariantChecker checks the invariants of a run.
 type invariantChecker struct {
 	violations       []violation
 	contents         map[uint64]uint64 // checksum by number
-	lastNumber       map[uint64]uint64 // told to brokers, by member
-	lastApplied      map[uint64]uint64 // by member
-	numbers          map[uint64]uint64 // by request
-	leaders          map[uint64]uint64 // by term
+	lastNumber       map[uint64]uint64 // of the revisions returned by Advance, by member
+	lastApplied      map[uint64]uint64 // index, by member
+	numbers          map[uint64]uint64 // of revisions, by request id
+	leaders          map[uint64]uint64 // id, by term
 	acknowledgements []acknowledgement
 	history          []porcupine.Operation
 }
@@ -80,30 +82,33 @@
 	}
 }
 
+// maxViolations bounds the violations kept of a run.
 const maxViolations = 64
 
-func (c *invariantChecker) addViolation(broken invariant, format string, arguments ...any) {
+func (c *invariantChecker) addViolation(violated invariant, format string, arguments ...any) {
 	if len(c.violations) < maxViolations {
-		c.violations = append(c.violations, violation{invariant: broken, what: fmt.Sprintf(format, arguments...)})
+		c.violations = append(c.violations, violation{invariant: violated, details: fmt.Sprintf(format, arguments...)})
 	}
 }
 
-func (c *invariantChecker) found(broken invariant) bool {
+// found reports whether an invariant was violated.
+func (c *invariantChecker) found(violated invariant) bool {
 	for _, violation := range c.violations {
-		if violation.invariant == broken {
+		if violation.invariant == violated {
 			return true
 		}
 	}
 	return false
 }
 
-// checkRestarted checks a member that has been made anew from its disk.
+// checkRestarted checks a member that was restarted from its disk.
 func (c *invariantChecker) checkRestarted(id uint64, machine *revision.Machine) {
 	c.checkApplied(id, machine)
 	c.checkHistory(id, machine)
 	c.lastNumber[id] = machine.Number()
 }
 
+// checkApplied checks that the applied index does not decrease.
 func (c *invariantChecker) checkApplied(id uint64, machine *revision.Machine) {
 	if machine.Applied() < c.lastApplied[id] {
 		c.addViolation(monotonic, "member %d applied %d after %d", id, machine.Applied(), c.lastApplied[id])
@@ -111,22 +116,24 @@
 	c.lastApplied[id] = machine.Applied()
 }
 
+// checkHistory checks the contents of all revisions of a member.
 func (c *invariantChecker) checkHistory(id uint64, machine *revision.Machine) {
 	for number := max(machine.Oldest(), 1); number <= machine.Number(); number++ {
 		c.checkContent(id, machine.Get(number))
 	}
 }
 
-func (c *invariantChecker) checkContent(id uint64, found *configpb.Revision) {
-	number, sum := found.GetNumber(), configpb.Checksum(found.GetDocument())
-	known, seen := c.contents[number]
-	if seen && known != sum || sum != found.GetChecksum() {
+// checkContent checks that a revision has the same document at all members.
+func (c *invariantChecker) checkContent(id uint64, applied *configpb.Revision) {
+	number, sum := applied.GetNumber(), configpb.Checksum(applied.GetDocument())
+	known, found := c.contents[number]
+	if found && known != sum || sum != applied.GetChecksum() {
 		c.addViolation(sameContent, "member %d has %x as revision %d, not %x", id, sum, number, known)
 	}
 	c.contents[number] = sum
 }
 
-// checkAdvance checks what an Advance of a member has brought.
+// checkAdvance checks the result of an Advance.
 func (c *invariantChecker) checkAdvance(id uint64, applied Applied, machine *revision.Machine) {
 	c.checkApplied(id, machine)
 	if applied.Restored {
@@ -141,10 +148,11 @@
 		c.checkContent(id, found)
 	}
 	if c.lastNumber[id] != machine.Number() {
-		c.addViolation(noGap, "member %d told %d, has %d", id, c.lastNumber[id], machine.Number())
+		c.addViolation(noGap, "member %d returned revision %d, its newest is %d", id, c.lastNumber[id], machine.Number())
 	}
 }
 
+// checkLeader checks that a term has one leader.
 func (c *invariantChecker) checkLeader(id, term uint64) {
 	if other, found := c.leaders[term]; found && other != id {
 		c.addViolation(singleLeader, "members %d and %d lead in term %d", other, id, term)
@@ -152,7 +160,7 @@
 	c.leaders[term] = id
 }
 
-// recordAcknowledgement books the acknowledgement of a publication.
+// recordAcknowledgement records the acknowledgement of a publication, and checks that a request has one number.
 func (c *invariantChecker) recordAcknowledgement(at time.Duration, request, number, checksum uint64) {
 	if known, found := c.numbers[request]; found && known != number {
 		c.addViolation(idempotent, "request %x has numbers %d and %d", request, known, number)
@@ -167,18 +175,18 @@
 	})
 }
 
-// checkConfirmed checks that a member has all that was acknowledged up to a time.
+// checkConfirmed checks that a member has all revisions acknowledged until a time.
 func (c *invariantChecker) checkConfirmed(id uint64, upTo time.Duration, number uint64) {
 	after := sort.Search(len(c.acknowledgements), func(i int) bool { return c.acknowledgements[i].acknowledgedAt > upTo })
 	if after == 0 {
 		return
 	}
 	if highest := c.acknowledgements[after-1].highest; number < highest {
-		c.addViolation(confirmedFresh, "member %d has %d, confirmed at %v, when %d was acknowledged", id, number, upTo, highest)
+		c.addViolation(confirmedFresh, "member %d has revision %d, confirmed at %v, when revision %d was acknowledged", id, number, upTo, highest)
 	}
 }
 
-// finish checks the end: nothing acknowledged is lost, and the history is linearizable.
+// finish checks the end of a run: no acknowledged revision is lost, and the history is linearizable.
 func (c *invariantChecker) finish(members map[uint64]*simulatedMember) {
 	for _, acknowledged := range c.acknowledgements {
 		for id, member := range members {
@@ -193,47 +201,3 @@
 		c.addViolation(linearizable, "%d operations: %v", len(c.history), result)
 	}
 }
-
-// historyTimeout bounds the search of porcupine, in real time. A history that isn't decided by then counts as broken.
-const historyTimeout = 20 * time.Second
-
-// operation is what a client asked for, or what it was told.
-type operation struct {
-	publish  bool
-	expected uint64 // of a publication
-	checksum uint64 // of the document published, or of the newest read
-	number   uint64 // of the revision published, or of the newest read
-	rejected bool   // expected was not the newest
-	unknown  bool   // the client gave up
-}
-
-// newest is the state of the model: number and checksum of the newest revision.
-type newest struct {
-	number   uint64
-	checksum uint64
-}
-
-var revisionsModel = porcupine.Model{
-	Init:              func() any { return newest{} },
-	Step:              applyOperation,
-	Equal:             func(a, b any) bool { return a == b },
-	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
-}
-
-func applyOperation(state, input, output any) (bool, any) {
-	before, asked, told := state.(newest), input.(operation), output.(operation)
-	if !asked.publish {
-		return told.number == before.number && told.checksum == before.checksum, before
-	}
-	fits := asked.expected == 0 || asked.expected == before.number
-	after := newest{number: before.number + 1, checksum: asked.checksum}
-	switch {
-	case told.unknown && fits:
-		return true, after
-	case told.unknown:
-		return true, before
-	case told.rejected:
-		return !fits, before
-	}
-	return fits && told.number == after.number, after
-}
--- /dev/null
+++ b/internal/controlplane/consensus/promotion_test.go
@@ -0,0 +1,122 @@
+package consensus
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"go.etcd.io/raft/v3/raftpb"
+)
+
+func TestLearnerReplacesLostVoter(t *testing.T) {
+	c := newCluster(t)
+	c.run(5 * time.Second)
+	c.propose(1, "with all voters")
+	lost := c.otherVoter()
+	c.partitioned[lost] = true
+	c.run(DefaultVoterTimeout - 5*time.Second)
+	require.ElementsMatch(t, testVoters, c.voters(), "not before the voter timeout")
+	c.run(10 * time.Second)
+	require.NotContains(t, c.voters(), lost)
+	require.Contains(t, c.voters(), testLearners[0])
+	require.Empty(t, c.leader().confState.GetVotersOutgoing(), "the joint configuration was left")
+	c.propose(2, "after the promotion")
+
+	c.partitioned[lost] = false
+	c.run(5 * time.Second)
+	require.Equal(t, []uint64{lost}, c.leader().confState.GetLearners(), "it is the new learner")
+	require.Equal(t, uint64(2), c.nodes[lost].Machine().Number())
+	status := c.nodes[lost].Status(c.now)
+	for _, member := range status.Members {
+		require.Equal(t, member.ID != lost, member.Voter)
+	}
+
+	// A second voter is lost, and the new learner replaces it.
+	secondLost := c.otherVoter()
+	c.partitioned[secondLost] = true
+	c.run(DefaultVoterTimeout + 5*time.Second)
+	require.NotContains(t, c.voters(), secondLost)
+	require.Contains(t, c.voters(), lost)
+	c.propose(3, "after the second promotion")
+	c.run(time.Second)
+	require.Equal(t, uint64(3), c.leader().Machine().Number())
+}
+
+func TestLearnerReplacesLostLeader(t *testing.T) {
+	c := newCluster(t)
+	c.run(5 * time.Second)
+	lost := c.leader().options.ID
+	c.partitioned[lost] = true
+	c.run(DefaultVoterTimeout + 10*time.Second)
+	require.NotContains(t, c.voters(), lost)
+	require.Contains(t, c.voters(), testLearners[0])
+}
+
+func TestLearnerIsNotPromotedWithoutQuorum(t *testing.T) {
+	t.Run("learner lost too", func(t *testing.T) {
+		c := newCluster(t)
+		c.run(5 * time.Second)
+		c.partitioned[c.otherVoter()] = true
+		c.partitioned[testLearners[0]] = true
+		c.run(2 * DefaultVoterTimeout)
+		require.ElementsMatch(t, testVoters, c.voters())
+	})
+	t.Run("other voter silent", func(t *testing.T) {
+		c := newCluster(t)
+		c.run(5 * time.Second)
+		leader := c.leader()
+		leader.now = leader.now.Add(DefaultVoterTimeout)
+		var other uint64
+		for _, id := range testVoters {
+			if id != leader.options.ID {
+				other = id
+			}
+		}
+		leader.members.recordAllContacts(leader.now)
+		for _, id := range testVoters {
+			if id != leader.options.ID && id != other {
+				leader.members.lastContactAt[id] = leader.now.Add(-DefaultVoterTimeout)
+			}
+		}
+		_, _, ok := leader.findReplacement()
+		require.True(t, ok, "the other voter is recently active")
+		leader.members.lastContactAt[other] = leader.now.Add(-2 * time.Second)
+		_, _, ok = leader.findReplacement()
+		require.False(t, ok, "the other voter is silent")
+	})
+	t.Run("two voters lost", func(t *testing.T) {
+		c := newCluster(t)
+		c.run(5 * time.Second)
+		leader := c.leader().options.ID
+		for _, id := range testVoters {
+			c.partitioned[id] = id != leader
+		}
+		c.run(2 * DefaultVoterTimeout)
+		require.Zero(t, c.nodes[leader].members.leaderTerm, "it has stepped down")
+		require.ElementsMatch(t, testVoters, c.nodes[testLearners[0]].confState.GetVoters())
+	})
+	t.Run("learner lags", func(t *testing.T) {
+		c := newCluster(t)
+		c.run(5 * time.Second)
+		c.partitioned[c.otherVoter()] = true
+		c.drop = func(message *raftpb.Message) bool {
+			return message.GetTo() == testLearners[0] && message.GetType() == raftpb.MsgApp
+		}
+		for request := uint64(1); request <= maxPromotionLag+2; request++ {
+			c.propose(request, "document")
+		}
+		c.run(2 * DefaultVoterTimeout)
+		require.ElementsMatch(t, testVoters, c.voters())
+	})
+}
+
+func TestPausedLeaderReplacesNoVoter(t *testing.T) {
+	c := newCluster(t)
+	c.run(5 * time.Second)
+	leader := c.leader()
+	c.now = c.now.Add(2 * DefaultVoterTimeout) // no node ran
+	leader.Tick(c.now)
+	_, _, ok := leader.findReplacement()
+	require.False(t, ok)
+	require.Less(t, leader.sinceContact(c.otherVoter()), time.Second)
+}
--- a/internal/controlplane/consensus/simulated_client_test.go
+++ b/internal/controlplane/consensus/simulated_client_test.go
@@ -11,33 +11,34 @@
 	"mothrouter/internal/controlplane/revision"
 )
 
-// client publishes and reads, one operation after another. It sends a publication again under the same request id
-// until it has an answer or has tried maxAttempts times.
+// client publishes and reads, one operation after another. It retries a publication under the same request id until it
+// has a response or made maxAttempts attempts.
 type client struct {
 	s              *simulation
 	id             int
-	newestKnown    uint64 // newest number by its knowledge
-	leader         uint64 // where it sends publications
-	operationCount uint64 // count
+	newestKnown    uint64 // newest revision number it has seen
+	leader         uint64 // id of the member that it sends publications to first
+	operationCount uint64 // operations started
 	inOperation    bool
 }
 
 const (
 	maxAttempts    = 8
 	attemptTimeout = 1500 * time.Millisecond
-	documentMark   = '#' // faultContent changes it
+	documentMark   = '#' // first byte of each document; faultContent changes it
 )
 
-// attempt is one operation in progress.
+// attempt is an operation in progress.
 type attempt struct {
 	client   *client
 	input    operation
-	command  *configpb.Command // of a publication
+	command  *configpb.Command // of a publication, else nil
 	calledAt time.Duration
 	attempts int
 	finished bool
 }
 
+// addClient adds a client that starts within a second.
 func (s *simulation) addClient(id int) {
 	c := &client{s: s, id: id, leader: 1}
 	s.clients = append(s.clients, c)
@@ -68,7 +69,7 @@
 	a.try()
 }
 
-// try sends the operation to a member, and again where no answer comes.
+// try sends the operation to a member, and to another one after attemptTimeout.
 func (a *attempt) try() {
 	if a.finished {
 		return
@@ -92,7 +93,7 @@
 	})
 }
 
-// abandon ends an operation without an answer. A publication may have taken effect, now or later.
+// abandon ends an operation without a response. A publication may be applied, now or later.
 func (a *attempt) abandon() {
 	if a.input.publish {
 		a.record(operation{publish: true, unknown: true}, endAt+time.Second)
@@ -100,13 +101,15 @@
 	a.end()
 }
 
-func (a *attempt) record(told operation, at time.Duration) {
+// record appends the operation to the history.
+func (a *attempt) record(output operation, at time.Duration) {
 	s := a.client.s
 	s.checker.history = append(s.checker.history, porcupine.Operation{
-		ClientId: a.client.id, Input: a.input, Output: told, Call: int64(a.calledAt), Return: int64(at),
+		ClientId: a.client.id, Input: a.input, Output: output, Call: int64(a.calledAt), Return: int64(at),
 	})
 }
 
+// end ends the operation and schedules the client's next one.
 func (a *attempt) end() {
 	a.finished = true
 	a.client.inOperation = false
@@ -114,7 +117,7 @@
 	s.after(s.between(50*time.Millisecond, 700*time.Millisecond), a.client.next)
 }
 
-// arrive is the operation at a member.
+// arrive processes the operation at a member.
 func (a *attempt) arrive(m *simulatedMember) {
 	s := a.client.s
 	if !m.up {
@@ -132,7 +135,7 @@
 	s.startSave(m)
 }
 
-// propose is what a member does with a publication.
+// propose proposes a publication at a member.
 func (a *attempt) propose(m *simulatedMember) {
 	s := a.client.s
 	command := a.command
@@ -143,9 +146,9 @@
 		}
 	}
 	err := m.node.Propose(command)
-	var elsewhere *NotLeaderError
-	if errors.As(err, &elsewhere) && elsewhere.Leader != 0 {
-		s.transmit(m.id, 0, func() { a.client.leader = elsewhere.Leader })
+	var notLeader *NotLeaderError
+	if errors.As(err, &notLeader) && notLeader.Leader != 0 {
+		s.transmit(m.id, 0, func() { a.client.leader = notLeader.Leader })
 	}
 	if err != nil {
 		return
@@ -161,7 +164,7 @@
 	})
 }
 
-// acknowledge answers a publication from a member.
+// acknowledge sends the response to a publication from a member.
 func (a *attempt) acknowledge(m *simulatedMember, result revision.Result) {
 	s := a.client.s
 	if result.Rejection == revision.Accepted {
@@ -180,24 +183,24 @@
 	})
 }
 
-// readAt is what a member does with a read.
+// readAt reads the newest revision at a member.
 func (a *attempt) readAt(m *simulatedMember) {
 	s := a.client.s
-	answer := func() {
+	respond := func() {
 		machine := m.node.Machine()
-		told := operation{number: machine.Number(), checksum: machine.Newest().GetChecksum()}
+		output := operation{number: machine.Number(), checksum: machine.Newest().GetChecksum()}
 		s.transmit(m.id, 0, func() {
 			if a.finished {
 				return
 			}
 			s.stats.reads++
-			a.client.newestKnown = max(a.client.newestKnown, told.number)
-			a.record(told, s.now)
+			a.client.newestKnown = max(a.client.newestKnown, output.number)
+			a.record(output, s.now)
 			a.end()
 		})
 	}
 	if s.fault == faultStaleRead {
-		answer()
+		respond()
 		return
 	}
 	m.readID++
@@ -206,7 +209,7 @@
 	}
 	m.read[m.readID] = func(outcome ReadOutcome) {
 		if outcome.Err == nil {
-			answer()
+			respond()
 		}
 	}
 }
--- a/internal/controlplane/consensus/simulated_disk_test.go
+++ b/internal/controlplane/consensus/simulated_disk_test.go
@@ -8,21 +8,22 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// disk is the storage of a simulated member: what is on it survives a crash.
+// disk is the storage of a simulated member. It survives a crash.
 type disk interface {
 	raft.Storage
 	Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error
 	Compact(snapshot *raftpb.Snapshot, first uint64) error
-	Reopen() error // after a crash
+	// Reopen opens it after a crash.
+	Reopen() error
 }
 
-// memoryDisk is a disk in memory, with the faults that can be planted in one.
+// memoryDisk is a disk in memory with planted faults.
 type memoryDisk struct {
 	*raft.MemoryStorage
 	fault       fault
 	saves       int
-	beforeSaves *raft.MemoryStorage // with faultSaveSkipped: what a crash leaves
-	savedState  *raftpb.HardState   // last saved
+	beforeSaves *raft.MemoryStorage // with faultSaveSkipped: the state after a crash
+	savedState  *raftpb.HardState   // hard state of the last Save
 }
 
 var _ disk = (*memoryDisk)(nil)
@@ -60,24 +61,24 @@
 	return nil
 }
 
-// maxSkippedSaves is how many saves a disk with faultSaveSkipped forgets at most.
+// maxSkippedSaves is the maximum number of saves that a disk with faultSaveSkipped loses.
 const maxSkippedSaves = 8
 
-// corrupt changes the documents that are stored, with faultContent.
+// corrupt returns the entries with changed documents with faultContent, else the entries.
 func (d *memoryDisk) corrupt(entries []*raftpb.Entry) []*raftpb.Entry {
 	if d.fault != faultContent {
 		return entries
 	}
-	spoilt := make([]*raftpb.Entry, len(entries))
+	corrupted := make([]*raftpb.Entry, len(entries))
 	for i, entry := range entries {
-		spoilt[i] = proto.CloneOf(entry)
-		for at, letter := range spoilt[i].GetData() {
-			if letter == documentMark {
-				spoilt[i].Data[at] = documentMark + 1
+		corrupted[i] = proto.CloneOf(entry)
+		for offset, character := range corrupted[i].GetData() {
+			if character == documentMark {
+				corrupted[i].Data[offset] = documentMark + 1
 			}
 		}
 	}
-	return spoilt
+	return corrupted
 }
 
 func (d *memoryDisk) Compact(snapshot *raftpb.Snapshot, first uint64) error {
@@ -85,7 +86,7 @@
 	if _, err := d.CreateSnapshot(metadata.GetIndex(), metadata.GetConfState(), snapshot.GetData()); err != nil {
 		return err
 	}
-	if kept, _ := d.FirstIndex(); first > kept {
+	if stored, _ := d.FirstIndex(); first > stored {
 		return d.MemoryStorage.Compact(first - 1)
 	}
 	return nil
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// clone returns the state of now. Entries before the snapshot are left out.
+// clone returns a copy of the current state without entries before the snapshot.
 func (d *memoryDisk) clone() *raft.MemoryStorage {
 	copied := raft.NewMemoryStorage()
 	snapshot, err := d.Snapshot()
--- a/internal/controlplane/consensus/simulation_test.go
+++ b/internal/controlplane/consensus/simulation_test.go
@@ -12,17 +12,17 @@
 )
 
 var (
-	seedCount = flag.Uint64("seeds", 40, "seeds of the simulation")
-	firstSeed = flag.Uint64("first-seed", 1, "first seed of the simulation")
+	seedCount = flag.Uint64("seeds", 40, "number of simulated seeds")
+	firstSeed = flag.Uint64("first-seed", 1, "first simulated seed")
 )
 
-// TestSimulationKeepsInvariants plays the log from many seeds. go test -run TestSimulation -seeds 500 plays more of them.
+// TestSimulationKeepsInvariants simulates many seeds. go test -run TestSimulation -seeds 500 simulates more.
 func TestSimulationKeepsInvariants(t *testing.T) {
 	var all simulationStats
 	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
 		s := simulate(seed, noFault, nil)
 		for _, violation := range s.checker.violations {
-			t.Errorf("seed %d: %s: %s", seed, violation.invariant, violation.what)
+			t.Errorf("seed %d: %s: %s", seed, violation.invariant, violation.details)
 		}
 		all.add(s.stats)
 		if t.Failed() {
@@ -32,14 +32,14 @@
 	t.Logf("%d seeds: %+v", *seedCount, all)
 	if *seedCount >= 40 && !t.Failed() {
 		require.Positive(t, all.snapshots, "no snapshot was sent")
-		require.Positive(t, all.changes, "no spare was promoted")
+		require.Positive(t, all.promotions, "no spare was promoted")
 		require.Greater(t, all.leaders, int(*seedCount), "no leader changed")
 		require.Greater(t, all.acknowledged, 10*int(*seedCount))
 		require.Greater(t, all.reads, 10*int(*seedCount))
 	}
 }
 
-// fileDisk is the real storage.
+// fileDisk is a simulated member's disk in raftlog files.
 type fileDisk struct {
 	*raftlog.Log
 	path    string
@@ -52,7 +52,7 @@
 	return err
 }
 
-// TestSimulationOnRaftlogFiles plays a seed on the real storage.
+// TestSimulationOnRaftlogFiles simulates a seed with the storage of production.
 func TestSimulationOnRaftlogFiles(t *testing.T) {
 	var opened []*fileDisk
 	s := simulate(*firstSeed, noFault, func(id uint64) disk {
@@ -69,17 +69,18 @@
 	require.Empty(t, s.checker.violations)
 	require.Greater(t, s.stats.acknowledged, 5)
 	for _, d := range opened {
-		require.NoError(t, d.Reopen(), "what is on the disk is whole")
+		require.NoError(t, d.Reopen(), "the file is intact")
 		require.NoError(t, d.Close())
 	}
 }
 
+// add adds the statistics of another run.
 func (s *simulationStats) add(other simulationStats) {
 	s.crashes += other.crashes
 	s.pauses += other.pauses
-	s.cuts += other.cuts
+	s.partitions += other.partitions
 	s.snapshots += other.snapshots
-	s.changes += other.changes
+	s.promotions += other.promotions
 	s.acknowledged += other.acknowledged
 	s.reads += other.reads
 	s.leaders += other.leaders
@@ -92,34 +93,34 @@
 	require.NotEqual(t, simulate(1, noFault, nil).digest(), simulate(2, noFault, nil).digest())
 }
 
-// TestInvariantsDetectPlantedFaults shows that each checker sees what it is for.
+// TestInvariantsDetectPlantedFaults proves that each invariant detects the fault that violates it.
 func TestInvariantsDetectPlantedFaults(t *testing.T) {
-	const maxSeeds = 60 // seeds until the fault must have shown, from the one that showed it first
+	const maxSeeds = 60 // number of seeds within which a fault has to be detected, from the first that detects it
 	for _, planted := range []struct {
-		name   string
-		fault  fault
-		breach invariant
-		first  uint64
+		name      string
+		fault     fault
+		invariant invariant
+		firstSeed uint64
 	}{
 		{"acknowledged before commit", faultAckBeforeCommit, durable, 1},
 		{"save skipped", faultSaveSkipped, accepting, 1},
 		{"vote forgotten", faultVoteForgotten, singleLeader, 3},
 		{"commit forgotten", faultCommitForgotten, monotonic, 1},
 		{"read without ReadIndex", faultStaleRead, linearizable, 1},
-		{"content changed on a disk", faultContent, sameContent, 1},
+		{"document changed on disk", faultContent, sameContent, 1},
 		{"revision skipped", faultRevisionSkipped, noGap, 1},
-		{"new request id", faultNewRequest, idempotent, 15},
+		{"new request id for a retry", faultNewRequest, idempotent, 15},
 		{"heartbeats confirm", faultHeartbeatsConfirm, confirmedFresh, 1},
-		{"a cut stays", faultNeverHeals, convergent, 1},
+		{"partition stays", faultNeverHeals, convergent, 1},
 	} {
 		t.Run(planted.name, func(t *testing.T) {
-			for seed := planted.first; seed < planted.first+maxSeeds; seed++ {
-				if simulate(seed, planted.fault, nil).checker.found(planted.breach) {
-					t.Logf("caught by seed %d", seed)
+			for seed := planted.firstSeed; seed < planted.firstSeed+maxSeeds; seed++ {
+				if simulate(seed, planted.fault, nil).checker.found(planted.invariant) {
+					t.Logf("detected by seed %d", seed)
 					return
 				}
 			}
-			t.Errorf("not caught: %s", planted.breach)
+			t.Errorf("not detected: %s", planted.invariant)
 		})
 	}
 }
