--- a/cmd/mothrouter/control.go
+++ b/cmd/mothrouter/control.go
@@ -49,9 +49,9 @@
 		return err
 	}
 	options := controlserver.Options{
-		Fleet: file.Fleet, Name: file.Name, Folder: file.Folder, Create: create, PromoteAfter: file.PromoteAfter,
+		Fleet: file.Fleet, Name: file.Name, Folder: file.Folder, Create: create, VoterTimeout: file.PromoteAfter,
 		Listener: brokers, PeerListener: peers, Validate: validateDocument,
-		Log: slog.New(slog.NewTextHandler(os.Stderr, nil)).With("control", file.Name),
+		Logger: slog.New(slog.NewTextHandler(os.Stderr, nil)).With("control", file.Name),
 	}
 	for _, m := range file.Members {
 		options.Members = append(options.Members, controlserver.Member{
--- a/internal/controlplane/controlserver/control.go
+++ b/internal/controlplane/controlserver/control.go
@@ -13,8 +13,8 @@
 	"mothrouter/internal/controlplane/consensus"
 )
 
-// callTimeout is how long Status and Get wait for the replica.
-const callTimeout = 2 * time.Second
+// replicaTimeout is how long Status and Get wait for the replica.
+const replicaTimeout = 2 * time.Second
 
 // service is the Control service of one control machine.
 type service struct {
@@ -39,7 +39,7 @@
 
 // Get returns a revision that this machine has applied. Errors: NOT_FOUND.
 func (s *service) Get(ctx context.Context, request *configpb.GetRequest) (*configpb.Revision, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, replicaTimeout)
 	defer cancel()
 	found := make(chan *configpb.Revision, 1)
 	err := s.replica.runOnLoop(ctx, func() { found <- s.replica.node.Machine().Get(request.GetNumber()) })
@@ -56,7 +56,7 @@
 
 // Status tells what this machine knows.
 func (s *service) Status(ctx context.Context, _ *configpb.StatusRequest) (*configpb.StatusResponse, error) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, replicaTimeout)
 	defer cancel()
 	found := make(chan consensus.Status, 1)
 	err := s.replica.runOnLoop(ctx, func() { found <- s.replica.node.Status(time.Now()) })
--- a/internal/controlplane/controlserver/outbox_test.go
+++ b/internal/controlplane/controlserver/outbox_test.go
@@ -13,31 +13,31 @@
 	return message
 }
 
-func TestOutboxDropsTheOldestBeyondItsNumber(t *testing.T) {
+func TestOutboxDropsOldestBeyondMaxMessages(t *testing.T) {
 	o := newOutbox()
-	for i := range MaxQueued + 3 {
-		o.put(numbered(i, 4))
+	for i := range MaxQueuedMessages + 3 {
+		o.push(numbered(i, 4))
 	}
-	require.Equal(t, uint64(3), o.totalDropped())
-	for i := 3; i < MaxQueued+3; i++ {
-		message, ok := o.drain()
+	require.Equal(t, uint64(3), o.droppedCount())
+	for i := 3; i < MaxQueuedMessages+3; i++ {
+		message, ok := o.pop()
 		require.True(t, ok)
 		require.Equal(t, numbered(i, 4), message)
 	}
-	_, ok := o.drain()
+	_, ok := o.pop()
 	require.False(t, ok)
 	require.Zero(t, o.bytes)
 }
 
-func TestOutboxDropsTheOldestBeyondItsBytes(t *testing.T) {
+func TestOutboxDropsOldestBeyondMaxBytes(t *testing.T) {
 	const size = 4 << 20
 	o := newOutbox()
 	for i := range MaxQueuedBytes/size + 2 {
-		o.put(numbered(i, size))
+		o.push(numbered(i, size))
 		require.LessOrEqual(t, o.bytes, MaxQueuedBytes)
 	}
-	require.Equal(t, uint64(2), o.totalDropped())
-	first, ok := o.drain()
+	require.Equal(t, uint64(2), o.droppedCount())
+	first, ok := o.pop()
 	require.True(t, ok)
 	require.Equal(t, numbered(2, size), first)
 }
--- a/internal/controlplane/controlserver/publications.go
+++ b/internal/controlplane/controlserver/publications.go
@@ -6,22 +6,22 @@
 	"mothrouter/internal/controlplane/consensus"
 )
 
-// maxWaiting is how many publishers wait for the outcomes of all requests: four for each that the log takes.
-const maxWaiting = 4 * consensus.MaxProposals
+// maxWaitingPublishers is how many publishers wait for the outcomes of all requests: four for each that the log takes.
+const maxWaitingPublishers = 4 * consensus.MaxProposals
 
 // Errors of publications.
 var (
-	errBusy   = errors.New("too many publications wait")
-	errReused = errors.New("the request is waiting with another document")
-	errFirst  = errors.New("the first revision is being published")
+	errTooManyPublishers    = errors.New("too many publications wait")
+	errRequestReused        = errors.New("the request is waiting with another document")
+	errFirstRevisionPending = errors.New("the first revision is being published")
 )
 
 // publications are the requests that wait for their outcome, by request id.
 type publications map[uint64]*publication
 
 type publication struct {
-	checksum uint64 // of the document
-	waiting  []chan<- consensus.ProposalOutcome
+	checksum   uint64 // of the document
+	publishers []chan<- consensus.ProposalOutcome
 }
 
 // check tells whether a publisher can wait for a request. A request whose outcome is awaited already must have the same
@@ -30,11 +30,11 @@
 	before := p[request]
 	switch {
 	case before != nil && before.checksum != checksum:
-		return errReused
-	case p.count() >= maxWaiting:
-		return errBusy
+		return errRequestReused
+	case p.waitingCount() >= maxWaitingPublishers:
+		return errTooManyPublishers
 	case before == nil && newest == 0 && len(p) > 0:
-		return errFirst
+		return errFirstRevisionPending
 	}
 	return nil
 }
@@ -44,24 +44,24 @@
 	if p[request] == nil {
 		p[request] = &publication{checksum: checksum}
 	}
-	p[request].waiting = append(p[request].waiting, waiting)
+	p[request].publishers = append(p[request].publishers, waiting)
 }
 
-// end tells an outcome to all who wait for it.
-func (p publications) end(outcome consensus.ProposalOutcome) {
+// finish tells an outcome to all who wait for it.
+func (p publications) finish(outcome consensus.ProposalOutcome) {
 	done := p[outcome.Request]
 	if done == nil {
 		return
 	}
 	delete(p, outcome.Request)
-	for _, waiting := range done.waiting {
+	for _, waiting := range done.publishers {
 		waiting <- outcome
 	}
 }
 
-func (p publications) count() (count int) {
+func (p publications) waitingCount() (count int) {
 	for _, one := range p {
-		count += len(one.waiting)
+		count += len(one.publishers)
 	}
 	return count
 }
--- a/internal/controlplane/controlserver/publications_test.go
+++ b/internal/controlplane/controlserver/publications_test.go
@@ -8,41 +8,41 @@
 	"mothrouter/internal/controlplane/consensus"
 )
 
-func TestPublicationsTakeOneFirstRevisionAtATime(t *testing.T) {
+func TestPublicationsAdmitOneFirstRevision(t *testing.T) {
 	p := publications{}
 	require.NoError(t, p.check(1, 101, 0))
 	p.add(1, 101, make(chan consensus.ProposalOutcome, 1))
-	require.ErrorIs(t, p.check(2, 102, 0), errFirst)
+	require.ErrorIs(t, p.check(2, 102, 0), errFirstRevisionPending)
 	require.NoError(t, p.check(1, 101, 0), "the same again waits with the first")
 	require.NoError(t, p.check(2, 102, 1), "there is a revision")
 }
 
-func TestPublicationsRefuseARequestWithAnotherDocument(t *testing.T) {
+func TestPublicationsRejectReusedRequest(t *testing.T) {
 	p := publications{}
 	p.add(1, 101, make(chan consensus.ProposalOutcome, 1))
-	require.ErrorIs(t, p.check(1, 102, 1), errReused)
+	require.ErrorIs(t, p.check(1, 102, 1), errRequestReused)
 }
 
-func TestPublicationsAreBounded(t *testing.T) {
+func TestPublicationsLimitWaitingPublishers(t *testing.T) {
 	p := publications{}
-	for range maxWaiting {
+	for range maxWaitingPublishers {
 		require.NoError(t, p.check(1, 101, 1))
 		p.add(1, 101, make(chan consensus.ProposalOutcome, 1))
 	}
-	require.ErrorIs(t, p.check(1, 101, 1), errBusy)
-	require.ErrorIs(t, p.check(2, 102, 1), errBusy)
-	p.end(consensus.ProposalOutcome{Request: 1})
+	require.ErrorIs(t, p.check(1, 101, 1), errTooManyPublishers)
+	require.ErrorIs(t, p.check(2, 102, 1), errTooManyPublishers)
+	p.finish(consensus.ProposalOutcome{Request: 1})
 	require.NoError(t, p.check(2, 102, 1))
 }
 
-func TestPublicationsTellAllWhoWait(t *testing.T) {
+func TestPublicationsNotifyAllPublishersOfARequest(t *testing.T) {
 	p := publications{}
 	first, second := make(chan consensus.ProposalOutcome, 1), make(chan consensus.ProposalOutcome, 1)
 	p.add(1, 101, first)
 	p.add(1, 101, second)
-	p.end(consensus.ProposalOutcome{Request: 2})
+	p.finish(consensus.ProposalOutcome{Request: 2})
 	require.Empty(t, first)
-	p.end(consensus.ProposalOutcome{Request: 1, Err: consensus.ErrOutcomeUnknown})
+	p.finish(consensus.ProposalOutcome{Request: 1, Err: consensus.ErrOutcomeUnknown})
 	require.ErrorIs(t, (<-first).Err, consensus.ErrOutcomeUnknown)
 	require.ErrorIs(t, (<-second).Err, consensus.ErrOutcomeUnknown)
 	require.Empty(t, p)
--- a/internal/controlplane/controlserver/publish.go
+++ b/internal/controlplane/controlserver/publish.go
@@ -25,8 +25,8 @@
 	// publishTimeout bounds a publication with all that it waits for.
 	publishTimeout = consensus.ReadTimeout + consensus.ProposalTimeout
 
-	// leaderCheck is how often a machine that has sent a publication on looks whether the leader still leads.
-	leaderCheck = 200 * time.Millisecond
+	// leaderCheckInterval is how often a machine that has sent a publication on looks whether the leader still leads.
+	leaderCheckInterval = 200 * time.Millisecond
 
 	// forwardedKey marks a publication that another control machine has sent on: it is not sent on again.
 	forwardedKey = "mothrouter-forwarded"
@@ -47,52 +47,52 @@
 // publisher takes publications. One that comes to a machine which does not lead is sent on to the leader, once: so an
 // operator needs no more than one machine that is reached, in whichever region, and the leader alone stamps the time.
 type publisher struct {
-	self     uint64
-	replica  *replica
-	validate Validate
-	forward  func(ctx context.Context, leader uint64, request *configpb.PublishRequest) (*configpb.PublishResponse, error)
-	describe func(id uint64) string // a member, for errors
+	self           uint64
+	replica        *replica
+	validate       Validate
+	forward        func(ctx context.Context, leader uint64, request *configpb.PublishRequest) (*configpb.PublishResponse, error)
+	describeMember func(id uint64) string // a member, for errors
 
-	mu       sync.Mutex // guards what follows
-	stopping bool
-	open     int           // publications under way
-	idle     chan struct{} // closed once stopping and none is under way
+	mu         sync.Mutex // guards what follows
+	stopping   bool
+	inProgress int           // publications under way
+	drained    chan struct{} // closed once stopping and none is under way
 }
 
 func newPublisher(self uint64, replica *replica, validate Validate) *publisher {
-	return &publisher{self: self, replica: replica, validate: validate, idle: make(chan struct{})}
+	return &publisher{self: self, replica: replica, validate: validate, drained: make(chan struct{})}
 }
 
 // publish answers a publication once it is committed, refused, or given up.
 func (p *publisher) publish(ctx context.Context, request *configpb.PublishRequest) (*configpb.PublishResponse, error) {
-	if !p.start() {
-		return nil, notAppended("%v", errStopped)
+	if !p.begin() {
+		return nil, notAppendedError("%v", errStopping)
 	}
-	defer p.end()
+	defer p.finish()
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
 	if refusal := checkRequest(request); refusal != nil {
-		return nil, rejected(codes.InvalidArgument, refusal)
+		return nil, rejectionError(codes.InvalidArgument, refusal)
 	}
 	leader, err := p.leader(ctx)
 	if err != nil {
-		return nil, notAppended("%v", err)
+		return nil, notAppendedError("%v", err)
 	}
 	if leader != p.self {
-		return p.sendOn(ctx, leader, request)
+		return p.forwardToLeader(ctx, leader, request)
 	}
 	if err := p.replica.barrier(ctx); err != nil {
-		return nil, notAppended("no quorum has answered: %v", err)
+		return nil, notAppendedError("no quorum has answered: %v", err)
 	}
 	outcome, err := p.propose(ctx, request)
 	var elsewhere *consensus.NotLeaderError
 	if errors.As(err, &elsewhere) {
-		return p.sendOn(ctx, elsewhere.Leader, request)
+		return p.forwardToLeader(ctx, elsewhere.Leader, request)
 	}
 	if err != nil {
 		return nil, err
 	}
-	return answer(outcome)
+	return responseOf(outcome)
 }
 
 // checkRequest checks what needs no log.
@@ -114,27 +114,27 @@
 func (p *publisher) propose(ctx context.Context, request *configpb.PublishRequest) (consensus.ProposalOutcome, error) {
 	newest, err := p.newest(ctx)
 	if err != nil {
-		return consensus.ProposalOutcome{}, notAppended("%v", err)
+		return consensus.ProposalOutcome{}, notAppendedError("%v", err)
 	}
 	if refusal := p.validate(request.GetDocument(), newest.GetDocument()); refusal != nil {
-		return consensus.ProposalOutcome{}, rejected(codes.InvalidArgument, refusal)
+		return consensus.ProposalOutcome{}, rejectionError(codes.InvalidArgument, refusal)
 	}
 	waiting := make(chan consensus.ProposalOutcome, 1)
 	var proposed error
-	err = p.replica.runOnLoop(ctx, func() { proposed = p.append(request, newest, waiting) })
+	err = p.replica.runOnLoop(ctx, func() { proposed = p.appendToLog(request, newest, waiting) })
 	if err != nil {
-		return consensus.ProposalOutcome{}, unknown(err)
+		return consensus.ProposalOutcome{}, outcomeUnknownError(err)
 	}
 	if proposed != nil {
-		return consensus.ProposalOutcome{}, proposalError(proposed)
+		return consensus.ProposalOutcome{}, statusOfProposeError(proposed)
 	}
 	select {
 	case outcome := <-waiting:
 		return outcome, nil
 	case <-ctx.Done():
-		return consensus.ProposalOutcome{}, unknown(ctx.Err())
+		return consensus.ProposalOutcome{}, outcomeUnknownError(ctx.Err())
 	case <-p.replica.ended:
-		return consensus.ProposalOutcome{}, unknown(errStopped)
+		return consensus.ProposalOutcome{}, outcomeUnknownError(errStopping)
 	}
 }
 
@@ -156,13 +156,13 @@
 	return <-found, nil
 }
 
-// append runs on the replica's goroutine.
-func (p *publisher) append(request *configpb.PublishRequest, validated *configpb.Revision,
+// appendToLog runs on the replica's goroutine.
+func (p *publisher) appendToLog(request *configpb.PublishRequest, validated *configpb.Revision,
 	waiting chan<- consensus.ProposalOutcome) error {
 	r := p.replica
 	newest := r.node.Machine().Number()
 	if validated == nil && newest != 0 { // compared with nothing, and now there is something
-		return errFirst
+		return errFirstRevisionPending
 	}
 	checksum := configpb.Checksum(request.GetDocument())
 	if err := r.publications.check(request.GetRequest(), checksum, newest); err != nil {
@@ -178,67 +178,67 @@
 	return err
 }
 
-// proposalError is the answer to a publication that was not appended.
-func proposalError(err error) error {
+// statusOfProposeError is the answer to a publication that was not appended.
+func statusOfProposeError(err error) error {
 	var elsewhere *consensus.NotLeaderError
 	switch {
 	case errors.As(err, &elsewhere):
 		return err
-	case errors.Is(err, errReused):
-		return rejected(codes.InvalidArgument, &configpb.Refusal{Key: keyRequest, Reason: err.Error()})
+	case errors.Is(err, errRequestReused):
+		return rejectionError(codes.InvalidArgument, &configpb.Refusal{Key: keyRequest, Reason: err.Error()})
 	case errors.Is(err, revision.ErrCommand):
-		return rejected(codes.InvalidArgument, &configpb.Refusal{Key: keyDocument, Reason: err.Error()})
+		return rejectionError(codes.InvalidArgument, &configpb.Refusal{Key: keyDocument, Reason: err.Error()})
 	}
-	return notAppended("%v", err)
+	return notAppendedError("%v", err)
 }
 
-// answer is what a publisher is told of an outcome.
-func answer(outcome consensus.ProposalOutcome) (*configpb.PublishResponse, error) {
+// responseOf is what a publisher is told of an outcome.
+func responseOf(outcome consensus.ProposalOutcome) (*configpb.PublishResponse, error) {
 	if outcome.Err != nil {
-		return nil, unknown(outcome.Err)
+		return nil, outcomeUnknownError(outcome.Err)
 	}
 	switch result := outcome.Result; result.Rejection {
 	case revision.Accepted:
 		return &configpb.PublishResponse{Number: result.Number}, nil
 	case revision.NotNewest:
-		return nil, rejected(codes.FailedPrecondition, &configpb.Refusal{Number: result.Number, Key: keyExpected,
+		return nil, rejectionError(codes.FailedPrecondition, &configpb.Refusal{Number: result.Number, Key: keyExpected,
 			Reason: fmt.Sprintf("the newest revision is %d", result.Number)})
 	case revision.RequestReused:
-		return nil, rejected(codes.InvalidArgument, &configpb.Refusal{Key: keyRequest, Reason: result.Rejection.String()})
+		return nil, rejectionError(codes.InvalidArgument, &configpb.Refusal{Key: keyRequest, Reason: result.Rejection.String()})
 	default:
-		return nil, rejected(codes.InvalidArgument, &configpb.Refusal{Key: keyDocument, Reason: result.Rejection.String()})
+		return nil, rejectionError(codes.InvalidArgument, &configpb.Refusal{Key: keyDocument, Reason: result.Rejection.String()})
 	}
 }
 
-// sendOn sends a publication to the leader.
-func (p *publisher) sendOn(ctx context.Context, leader uint64, request *configpb.PublishRequest) (
+// forwardToLeader sends a publication to the leader.
+func (p *publisher) forwardToLeader(ctx context.Context, leader uint64, request *configpb.PublishRequest) (
 	*configpb.PublishResponse, error) {
 	if leader == 0 {
-		return nil, notAppended("no leader")
+		return nil, notAppendedError("no leader")
 	}
 	if sent, _ := metadata.FromIncomingContext(ctx); len(sent.Get(forwardedKey)) > 0 {
-		return nil, notAppended("the leader is %s", p.describe(leader))
+		return nil, notAppendedError("the leader is %s", p.describeMember(leader))
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var changed atomic.Bool
 	go func() {
-		changed.Store(p.waitForChange(ctx, leader))
+		changed.Store(p.waitForLeaderChange(ctx, leader))
 		cancel()
 	}()
 	response, err := p.forward(ctx, leader, request)
 	if err != nil && changed.Load() {
-		return nil, unknown(errLeaderChanged)
+		return nil, outcomeUnknownError(errLeaderChanged)
 	}
 	return response, err
 }
 
-// waitForChange returns true once this machine no longer takes a member for the leader, or false once the context ends:
+// waitForLeaderChange returns true once this machine no longer takes a member for the leader, or false once the context ends:
 // a leader that is lost would let its publishers wait.
-func (p *publisher) waitForChange(ctx context.Context, leader uint64) bool {
+func (p *publisher) waitForLeaderChange(ctx context.Context, leader uint64) bool {
 	for {
 		select {
-		case <-time.After(leaderCheck):
+		case <-time.After(leaderCheckInterval):
 		case <-ctx.Done():
 			return false
 		}
@@ -253,51 +253,51 @@
 	*configpb.PublishResponse, error) {
 	p := t.peers[leader]
 	if p == nil || p.conn.GetState() != connectivity.Ready {
-		return nil, notAppended("the leader is machine %d, which cannot be reached from here", leader)
+		return nil, notAppendedError("the leader is machine %d, which cannot be reached from here", leader)
 	}
 	ctx = metadata.NewOutgoingContext(ctx, metadata.Pairs(forwardedKey, fmt.Sprint(t.self)))
 	return configpb.NewControlClient(p.conn).Publish(ctx, request, grpc.WaitForReady(false))
 }
 
-// start books a publication. It returns false once this machine is stopping.
-func (p *publisher) start() bool {
+// begin books a publication. It returns false once this machine is stopping.
+func (p *publisher) begin() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.stopping {
-		p.open++
+		p.inProgress++
 	}
 	return !p.stopping
 }
 
-func (p *publisher) end() {
+func (p *publisher) finish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.open--; p.stopping && p.open == 0 {
-		close(p.idle)
+	if p.inProgress--; p.stopping && p.inProgress == 0 {
+		close(p.drained)
 	}
 }
 
-// stop takes no more publications. The channel is closed once none is under way.
-func (p *publisher) stop() <-chan struct{} {
+// drain takes no more publications. The channel is closed once none is under way.
+func (p *publisher) drain() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.stopping && p.open == 0 {
-		close(p.idle)
+	if !p.stopping && p.inProgress == 0 {
+		close(p.drained)
 	}
 	p.stopping = true
-	return p.idle
+	return p.drained
 }
 
-func notAppended(format string, arguments ...any) error {
+func notAppendedError(format string, arguments ...any) error {
 	return withDetails(status.Newf(codes.Unavailable, format, arguments...),
 		&errdetails.ErrorInfo{Reason: configpb.NotAppended, Domain: configpb.ErrorDomain})
 }
 
-func unknown(err error) error {
+func outcomeUnknownError(err error) error {
 	return status.Errorf(codes.DeadlineExceeded, "the publication may be committed or not: %v", err)
 }
 
-func rejected(code codes.Code, refusal *configpb.Refusal) error {
+func rejectionError(code codes.Code, refusal *configpb.Refusal) error {
 	return withDetails(status.Newf(code, "%s: %s", refusal.GetKey(), refusal.GetReason()), refusal)
 }
 
--- a/internal/controlplane/controlserver/receive.go
+++ b/internal/controlplane/controlserver/receive.go
@@ -35,16 +35,16 @@
 	self    uint64
 	deliver func(context.Context, *raftpb.Message) error // may wait
 
-	mu     sync.Mutex // guards what follows
-	counts EnvelopeCounts
-	heard  map[uint64]time.Time // by each peer; zero: never
+	mu             sync.Mutex // guards what follows
+	counts         EnvelopeCounts
+	lastEnvelopeAt map[uint64]time.Time // by each peer; zero: never
 }
 
 func newReceiver(fleet, self uint64, peers []peerAddress,
 	deliver func(context.Context, *raftpb.Message) error) *receiver {
-	r := &receiver{fleet: fleet, self: self, deliver: deliver, heard: map[uint64]time.Time{}}
+	r := &receiver{fleet: fleet, self: self, deliver: deliver, lastEnvelopeAt: map[uint64]time.Time{}}
 	for _, p := range peers {
-		r.heard[p.id] = time.Time{}
+		r.lastEnvelopeAt[p.id] = time.Time{}
 	}
 	return r
 }
@@ -58,11 +58,11 @@
 		}
 		if err != nil {
 			if status.Code(err) == codes.ResourceExhausted {
-				r.recordDrop(func(c *EnvelopeCounts) { c.Oversized++ })
+				r.count(func(c *EnvelopeCounts) { c.Oversized++ })
 			}
 			return err
 		}
-		message := r.open(time.Now(), envelope)
+		message := r.openEnvelope(time.Now(), envelope)
 		if message == nil {
 			continue
 		}
@@ -72,15 +72,15 @@
 	}
 }
 
-// open returns the message of an envelope, or nil where it has none or was dropped.
-func (r *receiver) open(now time.Time, envelope *configpb.Envelope) *raftpb.Message {
+// openEnvelope returns the message of an envelope, or nil where it has none or was dropped.
+func (r *receiver) openEnvelope(now time.Time, envelope *configpb.Envelope) *raftpb.Message {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, member := r.heard[envelope.GetFrom()]; !member || envelope.GetFleet() != r.fleet {
+	if _, member := r.lastEnvelopeAt[envelope.GetFrom()]; !member || envelope.GetFleet() != r.fleet {
 		r.counts.Foreign++
 		return nil
 	}
-	r.heard[envelope.GetFrom()] = now
+	r.lastEnvelopeAt[envelope.GetFrom()] = now
 	switch size := len(envelope.GetMessage()); {
 	case size == 0: // says only that the peer is there
 		return nil
@@ -101,7 +101,7 @@
 	return message
 }
 
-func (r *receiver) recordDrop(change func(*EnvelopeCounts)) {
+func (r *receiver) count(change func(*EnvelopeCounts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.counts)
@@ -117,6 +117,6 @@
 func (r *receiver) reachable(now time.Time, id uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	heard := r.heard[id]
-	return !heard.IsZero() && now.Sub(heard) <= aliveFor
+	heard := r.lastEnvelopeAt[id]
+	return !heard.IsZero() && now.Sub(heard) <= reachableTimeout
 }
--- a/internal/controlplane/controlserver/receive_test.go
+++ b/internal/controlplane/controlserver/receive_test.go
@@ -20,7 +20,7 @@
 	return data
 }
 
-func TestReceiverCountsAndDropsWhatCannotBeUsed(t *testing.T) {
+func TestReceiverCountsDroppedEnvelopes(t *testing.T) {
 	fleet := plane.FleetFingerprint("f")
 	now := time.Unix(1_700_000_000, 0)
 	for _, c := range []struct {
@@ -46,21 +46,21 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newReceiver(fleet, 1, []peerAddress{{id: 2}, {id: 3}}, nil)
-			message := r.open(now, c.envelope)
+			message := r.openEnvelope(now, c.envelope)
 			require.Equal(t, c.counts, r.envelopes())
 			require.Equal(t, c.counts.Accepted == 1, message != nil)
 		})
 	}
 }
 
-func TestReceiverKnowsWhoWasHeardLately(t *testing.T) {
+func TestReceiverReportsReachablePeers(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	r := newReceiver(7, 1, []peerAddress{{id: 2}, {id: 3}}, nil)
 	require.False(t, r.reachable(now, 2))
-	r.open(now, &configpb.Envelope{Fleet: 7, From: 2})
-	require.True(t, r.reachable(now.Add(aliveFor), 2))
-	require.False(t, r.reachable(now.Add(aliveFor+time.Millisecond), 2))
+	r.openEnvelope(now, &configpb.Envelope{Fleet: 7, From: 2})
+	require.True(t, r.reachable(now.Add(reachableTimeout), 2))
+	require.False(t, r.reachable(now.Add(reachableTimeout+time.Millisecond), 2))
 	require.False(t, r.reachable(now, 3))
-	r.open(now, &configpb.Envelope{Fleet: 8, From: 3})
+	r.openEnvelope(now, &configpb.Envelope{Fleet: 8, From: 3})
 	require.False(t, r.reachable(now, 3), "of another fleet")
 }
--- a/internal/controlplane/controlserver/replica.go
+++ b/internal/controlplane/controlserver/replica.go
@@ -21,14 +21,14 @@
 	maxInbox = 64
 	// maxCalls is how many calls of handlers wait for the replica.
 	maxCalls = 64
-	// maxMessagesAtOnce is how many messages are taken before what they ask for is written: one sync for all.
-	maxMessagesAtOnce = 32
-	// countsEvery is how often the counts of dropped messages are logged, where they have changed.
-	countsEvery = time.Minute
+	// maxMessagesPerSync is how many messages are taken before what they ask for is written: one sync for all.
+	maxMessagesPerSync = 32
+	// dropLogInterval is how often the counts of dropped messages are logged, where they have changed.
+	dropLogInterval = time.Minute
 )
 
-// errStopped is what calls to a replica return that no longer runs.
-var errStopped = errors.New("this control machine is stopping")
+// errStopping is what calls to a replica return that no longer runs.
+var errStopping = errors.New("this control machine is stopping")
 
 // storage is that of the replicated log: raftlog.Log but in tests.
 type storage interface {
@@ -42,29 +42,29 @@
 // replica is the goroutine that owns the consensus node, the state machine of revisions and the log. All others talk to
 // it by bounded channels.
 type replica struct {
-	node     *consensus.Node
-	storage  storage
-	send     func(*raftpb.Message) // must not wait
-	nameOf   func(id uint64) string
-	hub      *confighub.Hub
-	log      *slog.Logger
-	interval time.Duration // between ticks
+	node         *consensus.Node
+	storage      storage
+	send         func(*raftpb.Message) // must not wait
+	memberName   func(id uint64) string
+	hub          *confighub.Hub
+	logger       *slog.Logger
+	tickInterval time.Duration // between ticks
 
 	inbox chan *raftpb.Message
 	calls chan func()
 	ended chan struct{} // closed once run has returned
 
-	publications publications
-	reads        map[uint64]chan<- consensus.ReadOutcome // by id, at most consensus.MaxReads
-	lastRead     uint64
-	newest       uint64 // of what the hub was told
-	leader       uint64 // that was logged last
-	malformed    uint64 // messages that the node refused
+	publications   publications
+	reads          map[uint64]chan<- consensus.ReadOutcome // by id, at most consensus.MaxReads
+	lastReadID     uint64
+	hubNewest      uint64 // of what the hub was told
+	loggedLeader   uint64 // that was logged last
+	malformedCount uint64 // messages that the node refused
 }
 
 func newReplica(node *consensus.Node, storage storage, hub *confighub.Hub, log *slog.Logger) *replica {
 	return &replica{
-		node: node, storage: storage, hub: hub, log: log, interval: consensus.DefaultTickInterval,
+		node: node, storage: storage, hub: hub, logger: log, tickInterval: consensus.DefaultTickInterval,
 		inbox:        make(chan *raftpb.Message, maxInbox),
 		calls:        make(chan func(), maxCalls),
 		ended:        make(chan struct{}),
@@ -77,7 +77,7 @@
 // or the node found it wanting.
 func (r *replica) run(ctx context.Context) error {
 	defer close(r.ended)
-	ticks := time.NewTicker(r.interval)
+	ticks := time.NewTicker(r.tickInterval)
 	defer ticks.Stop()
 	r.updateHub()
 	for {
@@ -87,22 +87,22 @@
 		case <-ticks.C:
 			r.node.Tick(time.Now())
 		case message := <-r.inbox:
-			r.advance(message)
+			r.stepBatch(message)
 		case call := <-r.calls:
 			call()
 		}
-		if err := r.work(); err != nil {
+		if err := r.processReady(); err != nil {
 			return err
 		}
 	}
 }
 
-// advance takes in a message and those that wait behind it.
-func (r *replica) advance(message *raftpb.Message) {
-	for range maxMessagesAtOnce {
+// stepBatch takes in a message and those that wait behind it.
+func (r *replica) stepBatch(message *raftpb.Message) {
+	for range maxMessagesPerSync {
 		if err := r.node.Step(message); errors.Is(err, consensus.ErrMalformedMessage) {
-			r.malformed++
-			r.log.Warn("message of a control machine rejected", "error", err)
+			r.malformedCount++
+			r.logger.Warn("message of a control machine rejected", "error", err)
 		}
 		select {
 		case message = <-r.inbox:
@@ -112,8 +112,8 @@
 	}
 }
 
-// work does what the node asks for until it asks for nothing more.
-func (r *replica) work() error {
+// processReady does what the node asks for until it asks for nothing more.
+func (r *replica) processReady() error {
 	for ready := r.node.Ready(); ready != nil; ready = r.node.Ready() {
 		if err := r.save(ready); err != nil {
 			return err
@@ -121,13 +121,13 @@
 		for _, message := range ready.Messages {
 			r.send(message)
 		}
-		r.applied(r.node.Advance())
+		r.deliverOutcomes(r.node.Advance())
 	}
 	if err := r.node.Err(); err != nil {
 		return err
 	}
 	r.updateHub()
-	r.announceLeader()
+	r.logLeaderChange()
 	return nil
 }
 
@@ -147,10 +147,10 @@
 	return nil
 }
 
-// applied answers those who wait for what was applied.
-func (r *replica) applied(applied consensus.Applied) {
+// deliverOutcomes answers those who wait for what was applied.
+func (r *replica) deliverOutcomes(applied consensus.Applied) {
 	for _, outcome := range applied.Proposals {
-		r.publications.end(outcome)
+		r.publications.finish(outcome)
 	}
 	for _, outcome := range applied.Reads {
 		if waiting, ok := r.reads[outcome.ID]; ok {
@@ -159,10 +159,10 @@
 		}
 	}
 	if applied.Restored {
-		r.log.Info("state restored from a snapshot of the leader", "newest", r.node.Machine().Number())
+		r.logger.Info("state restored from a snapshot of the leader", "newest", r.node.Machine().Number())
 	}
 	for _, revision := range applied.Revisions {
-		r.log.Info("revision committed", "number", revision.GetNumber(), "bytes", len(revision.GetDocument()))
+		r.logger.Info("revision committed", "number", revision.GetNumber(), "bytes", len(revision.GetDocument()))
 	}
 }
 
@@ -174,35 +174,35 @@
 		confirmed = now.Add(-age)
 	}
 	var revision *configpb.Revision
-	if newest := r.node.Machine().Newest(); newest.GetNumber() > r.newest {
+	if newest := r.node.Machine().Newest(); newest.GetNumber() > r.hubNewest {
 		revision = newest
-		r.newest = newest.GetNumber()
+		r.hubNewest = newest.GetNumber()
 	}
 	if err := r.hub.SetNewest(revision, confirmed); err != nil {
 		panic(fmt.Sprintf("controlserver: an applied revision that cannot be distributed: %v", err))
 	}
 }
 
-func (r *replica) announceLeader() {
-	if leader := r.node.Leader(); leader != r.leader {
-		r.leader = leader
+func (r *replica) logLeaderChange() {
+	if leader := r.node.Leader(); leader != r.loggedLeader {
+		r.loggedLeader = leader
 		if leader == 0 {
-			r.log.Warn("no leader")
+			r.logger.Warn("no leader")
 			return
 		}
-		r.log.Info("leader known", "leader", r.nameOf(leader))
+		r.logger.Info("leader known", "leader", r.memberName(leader))
 	}
 }
 
-// deliver hands a message to the replica. It waits while the inbox is full.
-func (r *replica) deliver(ctx context.Context, message *raftpb.Message) error {
+// enqueue hands a message to the replica. It waits while the inbox is full.
+func (r *replica) enqueue(ctx context.Context, message *raftpb.Message) error {
 	select {
 	case r.inbox <- message:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-r.ended:
-		return errStopped
+		return errStopping
 	}
 }
 
@@ -215,7 +215,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-r.ended:
-		return errStopped
+		return errStopping
 	}
 	return r.wait(ctx, done)
 }
@@ -227,7 +227,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-r.ended:
-		return errStopped
+		return errStopping
 	}
 }
 
@@ -237,9 +237,9 @@
 	answer := make(chan consensus.ReadOutcome, 1)
 	var asked error
 	err := r.runOnLoop(ctx, func() {
-		r.lastRead++
-		if asked = r.node.Read(r.lastRead); asked == nil {
-			r.reads[r.lastRead] = answer
+		r.lastReadID++
+		if asked = r.node.Read(r.lastReadID); asked == nil {
+			r.reads[r.lastReadID] = answer
 		}
 	})
 	if err != nil {
@@ -254,6 +254,6 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-r.ended:
-		return errStopped
+		return errStopping
 	}
 }
--- a/internal/controlplane/controlserver/replica_test.go
+++ b/internal/controlplane/controlserver/replica_test.go
@@ -22,12 +22,12 @@
 // failingStorage is a log whose disk fails once it is told to.
 type failingStorage struct {
 	*raftlog.Log
-	fails chan struct{} // closed: from now on
+	failed chan struct{} // closed: from now on
 }
 
 func (f *failingStorage) Save(state *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	select {
-	case <-f.fails:
+	case <-f.failed:
 		return errDisk
 	default:
 		return f.Log.Save(state, entries, snapshot)
@@ -35,8 +35,8 @@
 }
 
 // What cannot be stored is not acknowledged, and stops the replica with the reason.
-func TestReplicaStopsWhereItsDiskFails(t *testing.T) {
-	log, err := raftlog.Create(t.TempDir()+"/"+LogName, raftlog.Options{Identity: raftlog.Identity{Fleet: 1, Node: 1}},
+func TestReplicaStopsOnStorageError(t *testing.T) {
+	log, err := raftlog.Create(t.TempDir()+"/"+LogFileName, raftlog.Options{Identity: raftlog.Identity{Fleet: 1, Node: 1}},
 		consensus.BootstrapSnapshot([]uint64{1}, nil))
 	require.NoError(t, err)
 	defer log.Close()
@@ -44,16 +44,16 @@
 	node, err := consensus.New(consensus.Options{ID: 1, Members: []uint64{1}}, disk, time.Now())
 	require.NoError(t, err)
 	r := newReplica(node, disk, confighub.New(quiet()), quiet())
-	r.nameOf = func(uint64) string { return "x" }
+	r.memberName = func(uint64) string { return "x" }
 	ended := make(chan error, 1)
 	go func() { ended <- r.run(t.Context()) }()
-	p := newPublisher(1, r, refuseBad)
+	p := newPublisher(1, r, rejectBad)
 	publish := func(request uint64) error {
 		_, err := p.publish(t.Context(), &configpb.PublishRequest{Request: request, Document: []byte("one")})
 		return err
 	}
-	require.Eventually(t, func() bool { return publish(1) == nil }, patience, 20*time.Millisecond)
-	close(disk.fails)
+	require.Eventually(t, func() bool { return publish(1) == nil }, eventTimeout, 20*time.Millisecond)
+	close(disk.failed)
 	require.Error(t, publish(2))
 	require.ErrorIs(t, <-ended, errDisk)
 	require.Equal(t, uint64(1), node.Machine().Number())
@@ -61,29 +61,29 @@
 }
 
 // A publication that was sent on to a leader is given up once this machine knows another one.
-func TestPublicationSentOnIsGivenUpWithItsLeader(t *testing.T) {
-	log, err := raftlog.Create(t.TempDir()+"/"+LogName, raftlog.Options{Identity: raftlog.Identity{Fleet: 1, Node: 1}},
+func TestForwardedPublicationEndsOnLeaderChange(t *testing.T) {
+	log, err := raftlog.Create(t.TempDir()+"/"+LogFileName, raftlog.Options{Identity: raftlog.Identity{Fleet: 1, Node: 1}},
 		consensus.BootstrapSnapshot([]uint64{1}, nil))
 	require.NoError(t, err)
 	defer log.Close()
 	node, err := consensus.New(consensus.Options{ID: 1, Members: []uint64{1}}, log, time.Now())
 	require.NoError(t, err)
 	r := newReplica(node, log, confighub.New(quiet()), quiet())
-	r.nameOf = func(uint64) string { return "x" }
+	r.memberName = func(uint64) string { return "x" }
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- r.run(ctx) }()
-	p := newPublisher(1, r, refuseBad)
+	p := newPublisher(1, r, rejectBad)
 	p.forward = func(ctx context.Context, _ uint64, _ *configpb.PublishRequest) (*configpb.PublishResponse, error) {
 		<-ctx.Done() // a leader that no longer answers
 		return nil, ctx.Err()
 	}
 	const lostLeader = 2
 	began := time.Now()
-	_, err = p.sendOn(t.Context(), lostLeader, &configpb.PublishRequest{Request: 1, Document: []byte("one")})
+	_, err = p.forwardToLeader(t.Context(), lostLeader, &configpb.PublishRequest{Request: 1, Document: []byte("one")})
 	require.Equal(t, codes.DeadlineExceeded, status.Code(err))
 	require.ErrorContains(t, err, errLeaderChanged.Error())
-	require.Less(t, time.Since(began), patience)
+	require.Less(t, time.Since(began), eventTimeout)
 	cancel()
 	require.NoError(t, <-ended)
 }
--- a/internal/controlplane/controlserver/server.go
+++ b/internal/controlplane/controlserver/server.go
@@ -28,8 +28,8 @@
 )
 
 const (
-	// LogName is the file of the log in its folder.
-	LogName = "raft.db"
+	// LogFileName is the file of the log in its folder.
+	LogFileName = "raft.db"
 
 	// maxConnections of brokers and operators: one for each session of the hub, and 100 for operators.
 	maxConnections = distribution.MaxSessions + 100
@@ -37,10 +37,10 @@
 	maxPeerConnections = 16
 
 	// minPingInterval is how often a peer may ping at most, half of pingAfter.
-	minPingInterval = pingAfter / 2
+	minPingInterval = pingInterval / 2
 
-	// stopTimeout is how long a machine that is told to end waits for publications under way.
-	stopTimeout = 2 * time.Second
+	// drainTimeout is how long a machine that is told to end waits for publications under way.
+	drainTimeout = 2 * time.Second
 )
 
 // Member is one of the control machines.
@@ -59,11 +59,11 @@
 	Members      []Member
 	Folder       string // of the log; must exist
 	Create       bool   // make a new log: the folder must have none. Otherwise it must have one
-	PromoteAfter time.Duration
+	VoterTimeout time.Duration
 	Listener     net.Listener // for brokers and operators; closed by Run
 	PeerListener net.Listener // for the other members; closed by Run
 	Validate     Validate
-	Log          *slog.Logger
+	Logger       *slog.Logger
 }
 
 // ErrNoLog tells that the folder has no log, and that none was to be made.
@@ -74,7 +74,7 @@
 func Run(ctx context.Context, o Options) error {
 	defer o.Listener.Close()
 	defer o.PeerListener.Close()
-	self, peers, err := o.split()
+	self, peers, err := o.resolveMembers()
 	if err != nil {
 		return err
 	}
@@ -86,8 +86,8 @@
 	return errors.Join(err, log.Close())
 }
 
-// split returns this machine and where the others are reached.
-func (o Options) split() (self Member, peers []peerAddress, err error) {
+// resolveMembers returns this machine and where the others are reached.
+func (o Options) resolveMembers() (self Member, peers []peerAddress, err error) {
 	for _, m := range o.Members {
 		if m.Name == o.Name {
 			self = m
@@ -103,7 +103,7 @@
 
 // openLog opens the log, or makes it.
 func (o Options) openLog(id uint64) (*raftlog.Log, error) {
-	path := filepath.Join(o.Folder, LogName)
+	path := filepath.Join(o.Folder, LogFileName)
 	options := raftlog.Options{Identity: raftlog.Identity{Fleet: plane.FleetFingerprint(o.Fleet), Node: id}}
 	if !o.Create {
 		log, err := raftlog.Open(path, options)
@@ -111,7 +111,7 @@
 			return nil, fmt.Errorf("%w in %s: a new one is made with --create, when the fleet of control machines is "+
 				"new; a machine that has lost its log must not come back with an empty one", ErrNoLog, o.Folder)
 		}
-		return log, describe(path, err)
+		return log, wrapLogError(path, err)
 	}
 	var voters, spares []uint64
 	for _, m := range o.Members {
@@ -122,11 +122,11 @@
 		}
 	}
 	log, err := raftlog.Create(path, options, consensus.BootstrapSnapshot(voters, spares))
-	return log, describe(path, err)
+	return log, wrapLogError(path, err)
 }
 
-// describe names the file of an error.
-func describe(path string, err error) error {
+// wrapLogError names the file of an error.
+func wrapLogError(path string, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -136,29 +136,29 @@
 // run starts all parts on an open log and ends them in turn.
 func (o Options) run(ctx context.Context, self Member, peers []peerAddress, log *raftlog.Log) error {
 	node, err := consensus.New(consensus.Options{
-		ID: self.ID, Members: ids(o.Members), Incarnation: uint64(time.Now().UnixNano()),
-		VoterTimeout: o.PromoteAfter, Logger: o.Log,
+		ID: self.ID, Members: memberIDs(o.Members), Incarnation: uint64(time.Now().UnixNano()),
+		VoterTimeout: o.VoterTimeout, Logger: o.Logger,
 	}, log, time.Now())
 	if err != nil {
 		return err
 	}
 	fleet := plane.FleetFingerprint(o.Fleet)
-	streams, err := newTransport(fleet, self.ID, peers, o.Log)
+	streams, err := newTransport(fleet, self.ID, peers, o.Logger)
 	if err != nil {
 		return err
 	}
 	defer streams.close()
-	hub := confighub.New(o.Log)
-	owner := newReplica(node, log, hub, o.Log)
+	hub := confighub.New(o.Logger)
+	owner := newReplica(node, log, hub, o.Logger)
 	owner.send = streams.send
-	owner.nameOf = func(id uint64) string { return findMember(o.Members, id).Name }
-	received := newReceiver(fleet, self.ID, peers, owner.deliver)
+	owner.memberName = func(id uint64) string { return findMember(o.Members, id).Name }
+	received := newReceiver(fleet, self.ID, peers, owner.enqueue)
 	control := &service{
 		publisher: newPublisher(self.ID, owner, o.Validate),
 		self:      self, members: o.Members, replica: owner, hub: hub, reachable: received.reachable,
 	}
 	control.forward = streams.forward
-	control.describe = func(id uint64) string {
+	control.describeMember = func(id uint64) string {
 		leader := control.member(id)
 		return fmt.Sprintf("%s at %s", leader.Name, leader.Address)
 	}
@@ -170,32 +170,32 @@
 	owning, stop := context.WithCancel(context.Background())
 	defer stop()
 	go func() { failed <- owner.run(owning) }()
-	o.Log.Info("control machine started", "name", self.Name, "id", self.ID, "listen", o.Listener.Addr().String(),
+	o.Logger.Info("control machine started", "name", self.Name, "id", self.ID, "listen", o.Listener.Addr().String(),
 		"peers", o.PeerListener.Addr().String(), "newest", node.Machine().Number())
 
-	err = control.runUntil(ctx, failed, func(report *dropReport) { report.log(o.Log, received.envelopes(), streams.dropped()) })
+	err = control.waitUntilStopped(ctx, failed, func(report *dropLogger) { report.logChanges(o.Logger, received.envelopes(), streams.droppedCount()) })
 	stop()
 	<-owner.ended
 	brokers.Stop()
 	members.Stop()
 	if err != nil {
 		return fmt.Errorf("control machine %s stops, with its log at %s: %w", self.Name,
-			filepath.Join(o.Folder, LogName), err)
+			filepath.Join(o.Folder, LogFileName), err)
 	}
-	o.Log.Info("control machine ended", "name", self.Name)
+	o.Logger.Info("control machine ended", "name", self.Name)
 	return nil
 }
 
-// runUntil waits until ctx ends, and publications then, or until a component fails with the error that it returns. It calls
+// waitUntilStopped waits until ctx ends, and publications then, or until a component fails with the error that it returns. It calls
 // report at intervals.
-func (s *service) runUntil(ctx context.Context, failed <-chan error, report func(*dropReport)) error {
-	counts := time.NewTicker(countsEvery)
+func (s *service) waitUntilStopped(ctx context.Context, failed <-chan error, report func(*dropLogger)) error {
+	counts := time.NewTicker(dropLogInterval)
 	defer counts.Stop()
-	reported := &dropReport{}
+	reported := &dropLogger{}
 	for {
 		select {
 		case <-ctx.Done():
-			waitFor(s.stop(), stopTimeout)
+			waitAtMost(s.drain(), drainTimeout)
 			return nil
 		case err := <-failed:
 			return err
@@ -205,14 +205,14 @@
 	}
 }
 
-func waitFor(done <-chan struct{}, limit time.Duration) {
+func waitAtMost(done <-chan struct{}, limit time.Duration) {
 	select {
 	case <-done:
 	case <-time.After(limit):
 	}
 }
 
-func ids(members []Member) (list []uint64) {
+func memberIDs(members []Member) (list []uint64) {
 	for _, m := range members {
 		list = append(list, m.ID)
 	}
@@ -231,20 +231,20 @@
 	server := grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxPeerMessageBytes),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true}),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingAfter, Timeout: pingTimeout}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingInterval, Timeout: pingTimeout}),
 	)
 	configpb.RegisterControlServer(server, control)
 	configpb.RegisterConsensusServer(server, received)
 	return server
 }
 
-// dropReport logs what peers sent in vain and what could not be sent, where that has changed.
-type dropReport struct {
+// dropLogger logs what peers sent in vain and what could not be sent, where that has changed.
+type dropLogger struct {
 	envelopes EnvelopeCounts
 	dropped   uint64
 }
 
-func (r *dropReport) log(log *slog.Logger, envelopes EnvelopeCounts, dropped uint64) {
+func (r *dropLogger) logChanges(log *slog.Logger, envelopes EnvelopeCounts, dropped uint64) {
 	before := r.envelopes
 	r.envelopes = envelopes
 	bad := EnvelopeCounts{Foreign: envelopes.Foreign - before.Foreign, Oversized: envelopes.Oversized - before.Oversized,
--- a/internal/controlplane/controlserver/server_test.go
+++ b/internal/controlplane/controlserver/server_test.go
@@ -18,16 +18,16 @@
 	"mothrouter/internal/controlplane/revision"
 )
 
-// running is three control machines in this process.
-type running struct {
+// testMachines is three control machines in this process.
+type testMachines struct {
 	members []Member
 	clients []configpb.ControlClient
 	ended   []chan error
 }
 
 // startMachines starts machines that refuse documents which begin with "bad".
-func startMachines(t *testing.T, count int) *running {
-	r := &running{}
+func startMachines(t *testing.T, count int) *testMachines {
+	r := &testMachines{}
 	var listeners [][2]net.Listener
 	for i := range count {
 		pair := [2]net.Listener{listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")}
@@ -43,8 +43,8 @@
 	})
 	for i, m := range r.members {
 		options := Options{
-			Fleet: "test", Name: m.Name, Members: r.members, Folder: t.TempDir(), Create: true, PromoteAfter: time.Minute,
-			Listener: listeners[i][0], PeerListener: listeners[i][1], Validate: refuseBad, Log: quiet(),
+			Fleet: "test", Name: m.Name, Members: r.members, Folder: t.TempDir(), Create: true, VoterTimeout: time.Minute,
+			Listener: listeners[i][0], PeerListener: listeners[i][1], Validate: rejectBad, Logger: quiet(),
 		}
 		ended := make(chan error, 1)
 		r.ended = append(r.ended, ended)
@@ -57,7 +57,7 @@
 	return r
 }
 
-func refuseBad(document, _ []byte) *configpb.Refusal {
+func rejectBad(document, _ []byte) *configpb.Refusal {
 	if len(document) >= 3 && string(document[:3]) == "bad" {
 		return &configpb.Refusal{Key: "settings.bad", Reason: "is bad"}
 	}
@@ -65,7 +65,7 @@
 }
 
 // leader waits until all machines name the same leader, and returns its index.
-func (r *running) leader(t *testing.T) int {
+func (r *testMachines) leader(t *testing.T) int {
 	leader := -1
 	require.Eventually(t, func() bool {
 		names := map[string]bool{}
@@ -83,7 +83,7 @@
 			}
 		}
 		return false
-	}, patience, 20*time.Millisecond)
+	}, eventTimeout, 20*time.Millisecond)
 	return leader
 }
 
@@ -93,8 +93,8 @@
 	return response.GetNumber(), err
 }
 
-// requireRefused checks the code and the key of a refusal.
-func requireRefused(t *testing.T, err error, code codes.Code, key string) {
+// requireRejected checks the code and the key of a refusal.
+func requireRejected(t *testing.T, err error, code codes.Code, key string) {
 	t.Helper()
 	require.Equal(t, code, status.Code(err), "%v", err)
 	details := status.Convert(err).Details()
@@ -104,7 +104,7 @@
 	require.Equal(t, key, refusal.GetKey())
 }
 
-func TestPublishAtAnyMachine(t *testing.T) {
+func TestPublishAtLeaderAndFollower(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("machines", func(t *testing.T) {
 		r := startMachines(t, 3)
@@ -123,17 +123,17 @@
 
 		for _, client := range []configpb.ControlClient{r.clients[leader], follower} {
 			_, err = publishTo(t, client, 3, 1, "three")
-			requireRefused(t, err, codes.FailedPrecondition, "expected")
+			requireRejected(t, err, codes.FailedPrecondition, "expected")
 			_, err = publishTo(t, client, 1, 0, "another")
-			requireRefused(t, err, codes.InvalidArgument, "request")
+			requireRejected(t, err, codes.InvalidArgument, "request")
 			_, err = publishTo(t, client, 0, 0, "three")
-			requireRefused(t, err, codes.InvalidArgument, "request")
+			requireRejected(t, err, codes.InvalidArgument, "request")
 			_, err = publishTo(t, client, 4, 0, "")
-			requireRefused(t, err, codes.InvalidArgument, "document")
+			requireRejected(t, err, codes.InvalidArgument, "document")
 			_, err = publishTo(t, client, 5, 0, string(make([]byte, revision.MaxDocumentBytes+1)))
-			requireRefused(t, err, codes.InvalidArgument, "document")
+			requireRejected(t, err, codes.InvalidArgument, "document")
 			_, err = publishTo(t, client, 6, 0, "bad document")
-			requireRefused(t, err, codes.InvalidArgument, "settings.bad")
+			requireRejected(t, err, codes.InvalidArgument, "settings.bad")
 		}
 
 		newest, err := r.clients[leader].Get(t.Context(), &configpb.GetRequest{})
@@ -145,7 +145,7 @@
 	})
 }
 
-func TestStatusKnowsTheMembers(t *testing.T) {
+func TestStatusNamesReachableMembers(t *testing.T) {
 	r := startMachines(t, 3)
 	leader := r.leader(t)
 	require.Eventually(t, func() bool {
@@ -160,11 +160,11 @@
 			}
 		}
 		return s.GetName() == r.members[leader].Name
-	}, patience, 20*time.Millisecond)
+	}, eventTimeout, 20*time.Millisecond)
 }
 
 // A machine without a quorum, whose peers are of another fleet or away, says that it has surely not taken a document.
-func TestPublishWithoutAQuorumIsSurelyNotTaken(t *testing.T) {
+func TestPublishWithoutQuorumIsNotAppended(t *testing.T) {
 	r := startMachines(t, 1)
 	alone := r.members[0]
 	l := listen(t, "127.0.0.1:0")
@@ -178,7 +178,7 @@
 	ended := make(chan error, 1)
 	go func() {
 		ended <- Run(ctx, Options{Fleet: "another", Name: "x", Members: members, Folder: t.TempDir(), Create: true,
-			PromoteAfter: time.Minute, Listener: l, PeerListener: peers, Validate: refuseBad, Log: quiet()})
+			VoterTimeout: time.Minute, Listener: l, PeerListener: peers, Validate: rejectBad, Logger: quiet()})
 	}()
 	conn, err := dial(l.Addr().String())
 	require.NoError(t, err)
@@ -192,15 +192,15 @@
 	require.NoError(t, <-ended)
 }
 
-func TestRunNeedsALogOrTheWordToMakeOne(t *testing.T) {
+func TestRunRequiresLogUnlessCreating(t *testing.T) {
 	folder := t.TempDir()
 	members := []Member{{Name: "x", ID: 1, Voter: true, Address: "127.0.0.1:1", PeerAddress: "127.0.0.1:2"}}
 	run := func(create bool) error {
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		return Run(ctx, Options{Fleet: "f", Name: "x", Members: members, Folder: folder, Create: create,
-			PromoteAfter: time.Minute, Listener: listen(t, "127.0.0.1:0"), PeerListener: listen(t, "127.0.0.1:0"),
-			Validate: refuseBad, Log: quiet()})
+			VoterTimeout: time.Minute, Listener: listen(t, "127.0.0.1:0"), PeerListener: listen(t, "127.0.0.1:0"),
+			Validate: rejectBad, Logger: quiet()})
 	}
 	require.ErrorIs(t, run(false), ErrNoLog)
 	require.NoError(t, run(true))
--- a/internal/controlplane/controlserver/transport.go
+++ b/internal/controlplane/controlserver/transport.go
@@ -19,20 +19,20 @@
 )
 
 const (
-	// sayAlive is how often a peer is sent something at least.
-	sayAlive = time.Second
-	// aliveFor is how long a peer counts as reachable after it was heard: three of sayAlive.
-	aliveFor = 3 * sayAlive
+	// keepaliveInterval is how often a peer is sent something at least.
+	keepaliveInterval = time.Second
+	// reachableTimeout is how long a peer counts as reachable after it was heard: three of sayAlive.
+	reachableTimeout = 3 * keepaliveInterval
 
 	// Waits between attempts to reach a peer, by gRPC for connections and by the transport for streams. Peers are
 	// three, so short waits cost little.
-	reconnectFirst    = 100 * time.Millisecond
+	minReconnectDelay = 100 * time.Millisecond
 	maxReconnectDelay = 2 * time.Second
 	connectTimeout    = 3 * time.Second
 
 	// A connection that answers no ping is given up after both: 10 s is the least that gRPC allows.
-	pingAfter   = 10 * time.Second
-	pingTimeout = 3 * time.Second
+	pingInterval = 10 * time.Second
+	pingTimeout  = 3 * time.Second
 )
 
 // peer is another control machine.
@@ -44,13 +44,13 @@
 
 // transport sends messages of the replicated log to the other control machines: one stream for each.
 type transport struct {
-	fleet uint64 // fingerprint
-	self  uint64
-	log   *slog.Logger
-	peers map[uint64]*peer
+	fleet  uint64 // fingerprint
+	self   uint64
+	logger *slog.Logger
+	peers  map[uint64]*peer
 
-	cancel context.CancelFunc
-	ended  sync.WaitGroup
+	cancel  context.CancelFunc
+	streams sync.WaitGroup
 }
 
 // peerAddress is where another control machine is reached.
@@ -63,7 +63,7 @@
 // newTransport starts sending to the peers. It has to be closed.
 func newTransport(fleet, self uint64, peers []peerAddress, log *slog.Logger) (*transport, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	t := &transport{fleet: fleet, self: self, log: log, peers: map[uint64]*peer{}, cancel: cancel}
+	t := &transport{fleet: fleet, self: self, logger: log, peers: map[uint64]*peer{}, cancel: cancel}
 	for _, p := range peers {
 		conn, err := dial(p.address)
 		if err != nil {
@@ -73,9 +73,9 @@
 		t.peers[p.id] = &peer{name: p.name, outbox: newOutbox(), conn: conn}
 	}
 	for _, p := range t.peers {
-		t.ended.Add(1)
+		t.streams.Add(1)
 		go func() {
-			defer t.ended.Done()
+			defer t.streams.Done()
 			t.run(ctx, p)
 		}()
 	}
@@ -87,11 +87,11 @@
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff: backoff.Config{
-				BaseDelay: reconnectFirst, Multiplier: 1.6, Jitter: 0.5, MaxDelay: maxReconnectDelay,
+				BaseDelay: minReconnectDelay, Multiplier: 1.6, Jitter: 0.5, MaxDelay: maxReconnectDelay,
 			},
 			MinConnectTimeout: connectTimeout,
 		}),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfter, Timeout: pingTimeout}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingInterval, Timeout: pingTimeout}),
 		grpc.WithIdleTimeout(0),
 	)
 }
@@ -102,7 +102,7 @@
 	for _, p := range t.peers {
 		p.conn.Close()
 	}
-	t.ended.Wait()
+	t.streams.Wait()
 }
 
 // send queues a message for its receiver, without waiting. A message to a machine that is no peer is dropped.
@@ -115,21 +115,21 @@
 	if err != nil {
 		panic(fmt.Sprintf("controlserver: a message that cannot be encoded: %v", err))
 	}
-	p.outbox.put(data)
+	p.outbox.push(data)
 }
 
 // run keeps a stream to a peer open until the context ends.
 func (t *transport) run(ctx context.Context, p *peer) {
-	wait := reconnectFirst
+	wait := minReconnectDelay
 	for ctx.Err() == nil {
 		began := time.Now()
-		err := t.stream(ctx, p)
+		err := t.runStream(ctx, p)
 		if ctx.Err() != nil {
 			return
 		}
-		t.log.Warn("stream to a control machine ended", "peer", p.name, "error", err)
-		if time.Since(began) > aliveFor {
-			wait = reconnectFirst
+		t.logger.Warn("stream to a control machine ended", "peer", p.name, "error", err)
+		if time.Since(began) > reachableTimeout {
+			wait = minReconnectDelay
 		}
 		select {
 		case <-time.After(wait/2 + rand.N(wait/2)):
@@ -139,8 +139,8 @@
 	}
 }
 
-// stream opens one stream and sends what the outbox holds until that fails.
-func (t *transport) stream(ctx context.Context, p *peer) error {
+// runStream opens one stream and sends what the outbox holds until that fails.
+func (t *transport) runStream(ctx context.Context, p *peer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stream, err := configpb.NewConsensusClient(p.conn).Send(ctx, grpc.WaitForReady(true))
@@ -152,18 +152,18 @@
 		why <- stream.RecvMsg(&configpb.Received{})
 		cancel()
 	}()
-	t.feed(ctx, p, stream)
+	t.sendQueued(ctx, p, stream)
 	cancel()
 	return <-why
 }
 
-// feed sends what the outbox holds until the stream or the context ends.
-func (t *transport) feed(ctx context.Context, p *peer,
+// sendQueued sends what the outbox holds until the stream or the context ends.
+func (t *transport) sendQueued(ctx context.Context, p *peer,
 	stream grpc.ClientStreamingClient[configpb.Envelope, configpb.Received]) {
-	alive := time.NewTicker(sayAlive)
+	alive := time.NewTicker(keepaliveInterval)
 	defer alive.Stop()
 	for {
-		message, ok := p.outbox.drain()
+		message, ok := p.outbox.pop()
 		if !ok {
 			select {
 			case <-p.outbox.ready:
@@ -179,10 +179,10 @@
 	}
 }
 
-// dropped returns how many messages were dropped because their peer did not take them in time.
-func (t *transport) dropped() (count uint64) {
+// droppedCount returns how many messages were dropped because their peer did not take them in time.
+func (t *transport) droppedCount() (count uint64) {
 	for _, p := range t.peers {
-		count += p.outbox.totalDropped()
+		count += p.outbox.droppedCount()
 	}
 	return count
 }
--- a/internal/controlplane/controlserver/transport_test.go
+++ b/internal/controlplane/controlserver/transport_test.go
@@ -14,7 +14,7 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-const patience = 10 * time.Second // for what must come
+const eventTimeout = 10 * time.Second // for what must come
 
 func listen(t *testing.T, address string) net.Listener {
 	l, err := net.Listen("tcp", address)
@@ -45,7 +45,7 @@
 	return server.Stop
 }
 
-func TestTransportReconnectsToAPeerThatWasAway(t *testing.T) {
+func TestTransportReconnectsToRestartedPeer(t *testing.T) {
 	l := listen(t, "127.0.0.1:0")
 	address := l.Addr().String()
 	got := make(chan uint64, 100)
@@ -64,7 +64,7 @@
 	require.Eventually(t, func() bool {
 		sender.send(heartbeatTo(1, 2))
 		return len(got) > 0
-	}, patience, 50*time.Millisecond)
+	}, eventTimeout, 50*time.Millisecond)
 	require.Equal(t, uint64(2), receive(t, got))
 }
 
@@ -72,14 +72,14 @@
 	select {
 	case commit := <-from:
 		return commit
-	case <-time.After(patience):
+	case <-time.After(eventTimeout):
 		t.Fatal("no message comes")
 		return 0
 	}
 }
 
 // A peer that takes connections and then reads nothing holds nobody up: what it is sent is bounded, the oldest goes.
-func TestTransportToAPeerThatTakesNothing(t *testing.T) {
+func TestTransportBoundsQueueOfStuckPeer(t *testing.T) {
 	stuck := make(chan struct{})
 	l := listen(t, "127.0.0.1:0")
 	stop := serve(l, func(ctx context.Context, _ *raftpb.Message) error {
@@ -99,8 +99,8 @@
 	for range sent {
 		sender.send(message)
 	}
-	require.Less(t, time.Since(began), patience)
-	require.Greater(t, sender.dropped(), uint64(sent/2))
+	require.Less(t, time.Since(began), eventTimeout)
+	require.Greater(t, sender.droppedCount(), uint64(sent/2))
 	box := sender.peers[1].outbox
 	box.mu.Lock()
 	defer box.mu.Unlock()
--- a/internal/harness/controlplanetest/disk_test.go
+++ b/internal/harness/controlplanetest/disk_test.go
@@ -55,10 +55,10 @@
 	waitForMore(t, rig, 3)
 	m := rig.Machine("c")
 	require.Zero(t, m.End())
-	path := filepath.Join(m.Folder, controlserver.LogName)
+	path := filepath.Join(m.Folder, controlserver.LogFileName)
 	whole, err := os.ReadFile(path)
 	require.NoError(t, err)
-	other, err := os.ReadFile(filepath.Join(rig.Machine("b").Folder, controlserver.LogName))
+	other, err := os.ReadFile(filepath.Join(rig.Machine("b").Folder, controlserver.LogFileName))
 	require.NoError(t, err)
 	corrupt := append([]byte(nil), whole...)
 	for i := len(corrupt) / 4; i < len(corrupt); i += 100 {
