--- a/internal/controlplane/controlserver/control.go
+++ b/internal/controlplane/controlserver/control.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"fmt"
 	"time"
 
 	"google.golang.org/grpc"
@@ -13,7 +14,7 @@
 	"mothrouter/internal/controlplane/consensus"
 )
 
-// replicaTimeout is how long Status and Get wait for the replica.
+// replicaTimeout is the maximum time that Status and Get wait for the replica: far above one sync of the log.
 const replicaTimeout = 2 * time.Second
 
 // service is the Control service of one control machine.
@@ -21,32 +22,33 @@
 	configpb.UnimplementedControlServer
 	*publisher
 	self      Member
-	members   []Member
+	members   []Member // all, self included
 	replica   *replica
 	hub       *confighub.Hub
-	reachable func(now time.Time, id uint64) bool
+	reachable func(now time.Time, id uint64) bool // of another member
 }
 
-// Follow serves a broker: see confighub.Hub.Follow.
+// Follow streams revisions to a broker: see confighub.Hub.Follow.
 func (s *service) Follow(stream grpc.BidiStreamingServer[configpb.Report, configpb.Update]) error {
 	return s.hub.Follow(stream)
 }
 
-// Publish appends a revision: see publisher.
+// Publish appends a revision to the log: see publisher.
 func (s *service) Publish(ctx context.Context, request *configpb.PublishRequest) (*configpb.PublishResponse, error) {
 	return s.publish(ctx, request)
 }
 
-// Get returns a revision that this machine has applied. Errors: NOT_FOUND.
+// Get returns a revision that this machine has applied, the newest for number 0. Its errors are NOT_FOUND and
+// UNAVAILABLE.
 func (s *service) Get(ctx context.Context, request *configpb.GetRequest) (*configpb.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, replicaTimeout)
 	defer cancel()
-	found := make(chan *configpb.Revision, 1)
-	err := s.replica.runOnLoop(ctx, func() { found <- s.replica.node.Machine().Get(request.GetNumber()) })
+	revision, err := query(ctx, s.replica, func() *configpb.Revision {
+		return s.replica.node.Machine().Get(request.GetNumber())
+	})
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
-	revision := <-found
 	if revision == nil {
 		return nil, status.Errorf(codes.NotFound, "%s does not have revision %d, or no longer", s.self.Name,
 			request.GetNumber())
@@ -54,42 +56,47 @@
 	return revision, nil
 }
 
-// Status tells what this machine knows.
+// Status returns the status of the log, the brokers and the revisions as this machine sees it. Its error is UNAVAILABLE.
 func (s *service) Status(ctx context.Context, _ *configpb.StatusRequest) (*configpb.StatusResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, replicaTimeout)
 	defer cancel()
-	found := make(chan consensus.Status, 1)
-	err := s.replica.runOnLoop(ctx, func() { found <- s.replica.node.Status(time.Now()) })
+	logStatus, err := query(ctx, s.replica, func() consensus.Status { return s.replica.node.Status(time.Now()) })
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
-	log, brokers := <-found, s.hub.Status()
+	hubStatus := s.hub.Status()
 	response := &configpb.StatusResponse{
-		Name: s.self.Name, Newest: brokers.Newest, ConfirmedMs: brokers.ConfirmedMS,
-		Brokers: brokers.Brokers, InForce: brokers.InForce,
+		Name:        s.self.Name,
+		Newest:      hubStatus.Newest,
+		ConfirmedMs: hubStatus.ConfirmedMS,
+		Brokers:     hubStatus.Brokers,
+		InForce:     hubStatus.InForce,
 	}
 	now := time.Now()
-	for _, m := range log.Members {
-		member := s.member(m.ID)
-		if m.ID == log.Leader {
+	for _, memberStatus := range logStatus.Members {
+		member := s.member(memberStatus.ID)
+		if member.ID == logStatus.Leader {
 			response.Leader = member.Name
 		}
 		response.Members = append(response.Members, &configpb.Member{
-			Name: member.Name, Address: member.Address, Voter: m.Voter,
-			Reachable: m.ID == s.self.ID || s.reachable(now, m.ID),
+			Name:      member.Name,
+			Address:   member.Address,
+			Voter:     memberStatus.Voter,
+			Reachable: member.ID == s.self.ID || s.reachable(now, member.ID),
 		})
 	}
 	return response, nil
 }
 
-// member returns a member by its id in the log.
+// member returns the member with a raft id.
 func (s *service) member(id uint64) Member { return findMember(s.members, id) }
 
+// findMember returns the member with a raft id. It panics if there is none, which consensus excludes when it opens a log.
 func findMember(members []Member, id uint64) Member {
 	for _, m := range members {
 		if m.ID == id {
 			return m
 		}
 	}
-	panic("controlserver: the log has a member that the options lack") // consensus refuses such a log
+	panic(fmt.Sprintf("controlserver: member %d is not in the options", id))
 }
--- /dev/null
+++ b/internal/controlplane/controlserver/forward.go
@@ -0,0 +1,66 @@
+package controlserver
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"mothrouter/internal/controlplane/configpb"
+	"sync/atomic"
+	"time"
+
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/connectivity"
+	"google.golang.org/grpc/metadata"
+)
+
+// errLeaderChanged is the error of a publication that was forwarded to a leader which is no longer the leader.
+var errLeaderChanged = errors.New("the leader changed after the publication was forwarded")
+
+// forwardToLeader forwards a publication to the leader, unless it was forwarded before, and ends when the leader changes.
+func (p *publisher) forwardToLeader(ctx context.Context, leader uint64, request *configpb.PublishRequest) (
+	*configpb.PublishResponse, error) {
+	if leader == 0 {
+		return nil, notAppendedError("no leader")
+	}
+	if incoming, _ := metadata.FromIncomingContext(ctx); len(incoming.Get(forwardedKey)) > 0 {
+		return nil, notAppendedError("the leader is %s", p.describeMember(leader))
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	var changed atomic.Bool
+	go func() {
+		changed.Store(p.waitForLeaderChange(ctx, leader))
+		cancel()
+	}()
+	response, err := p.forward(ctx, leader, request)
+	if err != nil && changed.Load() {
+		return nil, outcomeUnknownError(errLeaderChanged)
+	}
+	return response, err
+}
+
+// waitForLeaderChange waits until the leader is another member than the given one, or the context ends, and reports
+// whether the leader has changed. Without it a publication forwarded to a lost leader would wait for its timeout.
+func (p *publisher) waitForLeaderChange(ctx context.Context, leader uint64) bool {
+	for {
+		select {
+		case <-time.After(leaderCheckInterval):
+		case <-ctx.Done():
+			return false
+		}
+		if now, err := p.leader(ctx); err != nil || now != leader {
+			return err == nil
+		}
+	}
+}
+
+// forward sends a publication to the leader over the existing connection. It does not wait for a connection.
+func (t *transport) forward(ctx context.Context, leader uint64, request *configpb.PublishRequest) (
+	*configpb.PublishResponse, error) {
+	p := t.peers[leader]
+	if p == nil || p.conn.GetState() != connectivity.Ready {
+		return nil, notAppendedError("the leader is machine %d, which cannot be reached from here", leader)
+	}
+	ctx = metadata.NewOutgoingContext(ctx, metadata.Pairs(forwardedKey, fmt.Sprint(t.self)))
+	return configpb.NewControlClient(p.conn).Publish(ctx, request, grpc.WaitForReady(false))
+}
--- a/internal/controlplane/controlserver/outbox.go
+++ b/internal/controlplane/controlserver/outbox.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// MaxQueuedMessages is how many messages wait for one peer at most: a leader sends a follower a handful each heartbeat,
-	// so this is minutes of silence.
+	// MaxQueuedMessages is the maximum number of messages queued for one peer: a leader sends a handful per heartbeat, so
+	// these are minutes without a connection.
 	MaxQueuedMessages = 1024
-	// MaxQueuedBytes bounds the messages that wait for one peer: one snapshot, and 8 MiB of entries.
+	// MaxQueuedBytes bounds the messages queued for one peer: one snapshot and 8 MiB of entries.
 	MaxQueuedBytes = consensus.MaxMessageBytes + 8<<20
 )
 
-// outbox is the bounded queue of messages to one peer. Where it is full the oldest message is dropped: the log sends
-// what matters again, and a newer message tells more.
+// outbox is the bounded queue of messages to one peer. When it is full it drops the oldest: raft retries, and a newer
+// message supersedes an older one. It is safe for concurrent use.
 type outbox struct {
-	mu       sync.Mutex // guards what follows
-	messages [][]byte
-	bytes    int
-	dropped  uint64
+	mu       sync.Mutex // guards the next three
+	messages [][]byte   // oldest first
+	bytes    int        // of messages
+	dropped  uint64     // messages so far
 
-	ready chan struct{} // holds a value after each put
+	ready chan struct{} // capacity 1; has a value after each push
 }
 
 func newOutbox() *outbox { return &outbox{ready: make(chan struct{}, 1)} }
 
-// push appends an encoded message.
+// push appends an encoded message and drops the oldest beyond the limits.
 func (o *outbox) push(message []byte) {
 	o.mu.Lock()
 	o.messages = append(o.messages, message)
@@ -39,11 +39,11 @@
 	o.mu.Unlock()
 	select {
 	case o.ready <- struct{}{}:
-	default: // it holds one already
+	default: // it has a value already
 	}
 }
 
-// pop removes the oldest message. It returns false where there is none.
+// pop removes and returns the oldest message, or reports false if there is none.
 func (o *outbox) pop() (message []byte, ok bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -53,7 +53,7 @@
 	return o.removeOldest(), true
 }
 
-// removeOldest needs the lock held and a message there.
+// removeOldest removes and returns the oldest message. The caller holds mu, and the queue is not empty.
 func (o *outbox) removeOldest() []byte {
 	oldest := o.messages[0]
 	o.messages[0] = nil
@@ -62,7 +62,7 @@
 	return oldest
 }
 
-// dropped returns how many messages were dropped.
+// droppedCount returns the number of messages dropped so far.
 func (o *outbox) droppedCount() uint64 {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/controlplane/controlserver/publications.go
+++ b/internal/controlplane/controlserver/publications.go
@@ -2,66 +2,70 @@
 
 import (
 	"errors"
+	"fmt"
 
 	"mothrouter/internal/controlplane/consensus"
 )
 
-// maxWaitingPublishers is how many publishers wait for the outcomes of all requests: four for each that the log takes.
+// maxWaitingPublishers is the maximum number of publishers that wait for an outcome: four for each pending proposal.
 const maxWaitingPublishers = 4 * consensus.MaxProposals
 
-// Errors of publications.
+// Errors of publications.check.
 var (
-	errTooManyPublishers    = errors.New("too many publications wait")
-	errRequestReused        = errors.New("the request is waiting with another document")
+	errTooManyPublishers    = errors.New("too many publishers wait")
+	errRequestReused        = errors.New("the request is pending with another document")
 	errFirstRevisionPending = errors.New("the first revision is being published")
 )
 
-// publications are the requests that wait for their outcome, by request id.
+// publications are the pending publications by request id.
 type publications map[uint64]*publication
 
+// publication is a pending publication.
 type publication struct {
-	checksum   uint64 // of the document
-	publishers []chan<- consensus.ProposalOutcome
+	checksum   uint64                             // of the document
+	publishers []chan<- consensus.ProposalOutcome // of capacity 1
 }
 
-// check tells whether a publisher can wait for a request. A request whose outcome is awaited already must have the same
-// document. Before there is a revision one request is taken at a time: there is nothing yet to compare documents with.
+// check returns why a publisher cannot wait for a request, or nil. A pending request must have the same document. Before
+// the first revision, newest is 0 and one request is admitted at a time: there is no revision to compare documents with.
 func (p publications) check(request, checksum, newest uint64) error {
-	before := p[request]
+	pending := p[request]
 	switch {
-	case before != nil && before.checksum != checksum:
+	case pending != nil && pending.checksum != checksum:
 		return errRequestReused
 	case p.waitingCount() >= maxWaitingPublishers:
-		return errTooManyPublishers
-	case before == nil && newest == 0 && len(p) > 0:
+		return fmt.Errorf("%w: the limit is %d", errTooManyPublishers, maxWaitingPublishers)
+	case pending == nil && newest == 0 && len(p) > 0:
 		return errFirstRevisionPending
 	}
 	return nil
 }
 
-// add has a publisher wait. The channel has to be of capacity 1.
-func (p publications) add(request, checksum uint64, waiting chan<- consensus.ProposalOutcome) {
+// add adds a publisher that waits for a request. The channel has to have capacity 1.
+func (p publications) add(request, checksum uint64, publisher chan<- consensus.ProposalOutcome) {
 	if p[request] == nil {
 		p[request] = &publication{checksum: checksum}
 	}
-	p[request].publishers = append(p[request].publishers, waiting)
+	p[request].publishers = append(p[request].publishers, publisher)
 }
 
-// finish tells an outcome to all who wait for it.
+// finish sends an outcome to all publishers that wait for it.
 func (p publications) finish(outcome consensus.ProposalOutcome) {
-	done := p[outcome.Request]
-	if done == nil {
+	finished := p[outcome.Request]
+	if finished == nil {
 		return
 	}
 	delete(p, outcome.Request)
-	for _, waiting := range done.publishers {
-		waiting <- outcome
+	for _, publisher := range finished.publishers {
+		publisher <- outcome
 	}
 }
 
-func (p publications) waitingCount() (count int) {
-	for _, one := range p {
-		count += len(one.publishers)
+// waitingCount returns the number of waiting publishers.
+func (p publications) waitingCount() int {
+	total := 0
+	for _, pending := range p {
+		total += len(pending.publishers)
 	}
-	return count
+	return total
 }
--- a/internal/controlplane/controlserver/publications_test.go
+++ b/internal/controlplane/controlserver/publications_test.go
@@ -13,8 +13,8 @@
 	require.NoError(t, p.check(1, 101, 0))
 	p.add(1, 101, make(chan consensus.ProposalOutcome, 1))
 	require.ErrorIs(t, p.check(2, 102, 0), errFirstRevisionPending)
-	require.NoError(t, p.check(1, 101, 0), "the same again waits with the first")
-	require.NoError(t, p.check(2, 102, 1), "there is a revision")
+	require.NoError(t, p.check(1, 101, 0), "a retry waits for the same outcome")
+	require.NoError(t, p.check(2, 102, 1), "after the first revision")
 }
 
 func TestPublicationsRejectReusedRequest(t *testing.T) {
--- a/internal/controlplane/controlserver/publish.go
+++ b/internal/controlplane/controlserver/publish.go
@@ -5,16 +5,9 @@
 	"errors"
 	"fmt"
 	"sync"
-	"sync/atomic"
 	"time"
 
-	"google.golang.org/genproto/googleapis/rpc/errdetails"
-	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/connectivity"
-	"google.golang.org/grpc/metadata"
-	"google.golang.org/grpc/status"
-	"google.golang.org/protobuf/protoadapt"
 
 	"mothrouter/internal/controlplane/configpb"
 	"mothrouter/internal/controlplane/consensus"
@@ -22,48 +15,45 @@
 )
 
 const (
-	// publishTimeout bounds a publication with all that it waits for.
+	// publishTimeout is the maximum duration of a publication: of its read barrier and its proposal.
 	publishTimeout = consensus.ReadTimeout + consensus.ProposalTimeout
 
-	// leaderCheckInterval is how often a machine that has sent a publication on looks whether the leader still leads.
+	// leaderCheckInterval is the interval at which a machine that has forwarded a publication checks for a new leader.
 	leaderCheckInterval = 200 * time.Millisecond
 
-	// forwardedKey marks a publication that another control machine has sent on: it is not sent on again.
+	// forwardedKey is the metadata key of a publication forwarded by another control machine, which is not forwarded again.
 	forwardedKey = "mothrouter-forwarded"
 
-	// Keys of refusals that name no part of the document.
+	// Keys of rejections that name no key of the document.
 	keyDocument = "document"
 	keyRequest  = "request"
 	keyExpected = "expected"
 )
 
-// errLeaderChanged is why a publication that was sent on to a leader is given up.
-var errLeaderChanged = errors.New("its leader was lost on the way")
-
-// Validate checks a document whole and compares it with the newest revision's, nil before the first. It returns why it
-// is refused, by the key at fault, or nil.
+// Validate validates a document and its changes from the newest revision's document, nil before the first revision. It
+// returns the rejection with the invalid key, or nil.
 type Validate func(document, newest []byte) *configpb.Refusal
 
-// publisher takes publications. One that comes to a machine which does not lead is sent on to the leader, once: so an
-// operator needs no more than one machine that is reached, in whichever region, and the leader alone stamps the time.
+// publisher serves publications. A machine that is not the leader forwards a publication to the leader, once: an operator
+// then needs to reach only one machine, in any region, and the leader alone sets the publication time.
 type publisher struct {
 	self           uint64
 	replica        *replica
 	validate       Validate
 	forward        func(ctx context.Context, leader uint64, request *configpb.PublishRequest) (*configpb.PublishResponse, error)
-	describeMember func(id uint64) string // a member, for errors
+	describeMember func(id uint64) string // for errors
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	stopping   bool
-	inProgress int           // publications under way
-	drained    chan struct{} // closed once stopping and none is under way
+	inProgress int           // publications
+	drained    chan struct{} // closed when stopping and none is in progress
 }
 
 func newPublisher(self uint64, replica *replica, validate Validate) *publisher {
 	return &publisher{self: self, replica: replica, validate: validate, drained: make(chan struct{})}
 }
 
-// publish answers a publication once it is committed, refused, or given up.
+// publish returns when a publication is committed, rejected, or ended by its timeout. Its errors are gRPC statuses.
 func (p *publisher) publish(ctx context.Context, request *configpb.PublishRequest) (*configpb.PublishResponse, error) {
 	if !p.begin() {
 		return nil, notAppendedError("%v", errStopping)
@@ -71,8 +61,8 @@
 	defer p.finish()
 	ctx, cancel := context.WithTimeout(ctx, publishTimeout)
 	defer cancel()
-	if refusal := checkRequest(request); refusal != nil {
-		return nil, rejectionError(codes.InvalidArgument, refusal)
+	if rejection := checkRequest(request); rejection != nil {
+		return nil, rejectionError(codes.InvalidArgument, rejection)
 	}
 	leader, err := p.leader(ctx)
 	if err != nil {
@@ -82,12 +72,12 @@
 		return p.forwardToLeader(ctx, leader, request)
 	}
 	if err := p.replica.barrier(ctx); err != nil {
-		return nil, notAppendedError("no quorum has answered: %v", err)
+		return nil, notAppendedError("no confirmation by a quorum: %v", err)
 	}
 	outcome, err := p.propose(ctx, request)
-	var elsewhere *consensus.NotLeaderError
-	if errors.As(err, &elsewhere) {
-		return p.forwardToLeader(ctx, elsewhere.Leader, request)
+	var notLeader *consensus.NotLeaderError
+	if errors.As(err, &notLeader) {
+		return p.forwardToLeader(ctx, notLeader.Leader, request)
 	}
 	if err != nil {
 		return nil, err
@@ -95,7 +85,7 @@
 	return responseOf(outcome)
 }
 
-// checkRequest checks what needs no log.
+// checkRequest returns the rejection of a malformed request, or nil.
 func checkRequest(request *configpb.PublishRequest) *configpb.Refusal {
 	switch size := len(request.GetDocument()); {
 	case request.GetRequest() == 0:
@@ -109,27 +99,27 @@
 	return nil
 }
 
-// propose validates a document, appends it to the log and waits for its outcome. The error is a NotLeaderError or a
+// propose validates a document, appends it to the log and waits for its outcome. Its error is a NotLeaderError or a gRPC
 // status.
 func (p *publisher) propose(ctx context.Context, request *configpb.PublishRequest) (consensus.ProposalOutcome, error) {
 	newest, err := p.newest(ctx)
 	if err != nil {
 		return consensus.ProposalOutcome{}, notAppendedError("%v", err)
 	}
-	if refusal := p.validate(request.GetDocument(), newest.GetDocument()); refusal != nil {
-		return consensus.ProposalOutcome{}, rejectionError(codes.InvalidArgument, refusal)
+	if rejection := p.validate(request.GetDocument(), newest.GetDocument()); rejection != nil {
+		return consensus.ProposalOutcome{}, rejectionError(codes.InvalidArgument, rejection)
 	}
-	waiting := make(chan consensus.ProposalOutcome, 1)
-	var proposed error
-	err = p.replica.runOnLoop(ctx, func() { proposed = p.appendToLog(request, newest, waiting) })
+	result := make(chan consensus.ProposalOutcome, 1)
+	var proposeErr error
+	err = p.replica.runOnLoop(ctx, func() { proposeErr = p.appendToLog(request, newest, result) })
 	if err != nil {
 		return consensus.ProposalOutcome{}, outcomeUnknownError(err)
 	}
-	if proposed != nil {
-		return consensus.ProposalOutcome{}, statusOfProposeError(proposed)
+	if proposeErr != nil {
+		return consensus.ProposalOutcome{}, statusOfProposeError(proposeErr)
 	}
 	select {
-	case outcome := <-waiting:
+	case outcome := <-result:
 		return outcome, nil
 	case <-ctx.Done():
 		return consensus.ProposalOutcome{}, outcomeUnknownError(ctx.Err())
@@ -138,30 +128,23 @@
 	}
 }
 
-// leader returns the id of the leader, 0 where none is known.
+// leader returns the id of the leader, 0 if none is known.
 func (p *publisher) leader(ctx context.Context) (uint64, error) {
-	found := make(chan uint64, 1)
-	if err := p.replica.runOnLoop(ctx, func() { found <- p.replica.node.Leader() }); err != nil {
-		return 0, err
-	}
-	return <-found, nil
+	return query(ctx, p.replica, func() uint64 { return p.replica.node.Leader() })
 }
 
 // newest returns the newest applied revision, nil before the first.
 func (p *publisher) newest(ctx context.Context) (*configpb.Revision, error) {
-	found := make(chan *configpb.Revision, 1)
-	if err := p.replica.runOnLoop(ctx, func() { found <- p.replica.node.Machine().Newest() }); err != nil {
-		return nil, err
-	}
-	return <-found, nil
+	return query(ctx, p.replica, func() *configpb.Revision { return p.replica.node.Machine().Newest() })
 }
 
-// appendToLog runs on the replica's goroutine.
+// appendToLog proposes a document that was validated against a revision, nil for none, and adds the publisher that waits
+// for its outcome. It runs on the replica's goroutine.
 func (p *publisher) appendToLog(request *configpb.PublishRequest, validated *configpb.Revision,
-	waiting chan<- consensus.ProposalOutcome) error {
+	publisher chan<- consensus.ProposalOutcome) error {
 	r := p.replica
 	newest := r.node.Machine().Number()
-	if validated == nil && newest != 0 { // compared with nothing, and now there is something
+	if validated == nil && newest != 0 { // validated without a revision to compare with
 		return errFirstRevisionPending
 	}
 	checksum := configpb.Checksum(request.GetDocument())
@@ -169,97 +152,18 @@
 		return err
 	}
 	err := r.node.Propose(&configpb.Command{
-		Request: request.GetRequest(), Expected: request.GetExpected(), Document: request.GetDocument(),
+		Request:         request.GetRequest(),
+		Expected:        request.GetExpected(),
+		Document:        request.GetDocument(),
 		PublishedUnixMs: time.Now().UnixMilli(),
 	})
 	if err == nil {
-		r.publications.add(request.GetRequest(), checksum, waiting)
+		r.publications.add(request.GetRequest(), checksum, publisher)
 	}
 	return err
 }
 
-// statusOfProposeError is the answer to a publication that was not appended.
-func statusOfProposeError(err error) error {
-	var elsewhere *consensus.NotLeaderError
-	switch {
-	case errors.As(err, &elsewhere):
-		return err
-	case errors.Is(err, errRequestReused):
-		return rejectionError(codes.InvalidArgument, &configpb.Refusal{Key: keyRequest, Reason: err.Error()})
-	case errors.Is(err, revision.ErrCommand):
-		return rejectionError(codes.InvalidArgument, &configpb.Refusal{Key: keyDocument, Reason: err.Error()})
-	}
-	return notAppendedError("%v", err)
-}
-
-// responseOf is what a publisher is told of an outcome.
-func responseOf(outcome consensus.ProposalOutcome) (*configpb.PublishResponse, error) {
-	if outcome.Err != nil {
-		return nil, outcomeUnknownError(outcome.Err)
-	}
-	switch result := outcome.Result; result.Rejection {
-	case revision.Accepted:
-		return &configpb.PublishResponse{Number: result.Number}, nil
-	case revision.NotNewest:
-		return nil, rejectionError(codes.FailedPrecondition, &configpb.Refusal{Number: result.Number, Key: keyExpected,
-			Reason: fmt.Sprintf("the newest revision is %d", result.Number)})
-	case revision.RequestReused:
-		return nil, rejectionError(codes.InvalidArgument, &configpb.Refusal{Key: keyRequest, Reason: result.Rejection.String()})
-	default:
-		return nil, rejectionError(codes.InvalidArgument, &configpb.Refusal{Key: keyDocument, Reason: result.Rejection.String()})
-	}
-}
-
-// forwardToLeader sends a publication to the leader.
-func (p *publisher) forwardToLeader(ctx context.Context, leader uint64, request *configpb.PublishRequest) (
-	*configpb.PublishResponse, error) {
-	if leader == 0 {
-		return nil, notAppendedError("no leader")
-	}
-	if sent, _ := metadata.FromIncomingContext(ctx); len(sent.Get(forwardedKey)) > 0 {
-		return nil, notAppendedError("the leader is %s", p.describeMember(leader))
-	}
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	var changed atomic.Bool
-	go func() {
-		changed.Store(p.waitForLeaderChange(ctx, leader))
-		cancel()
-	}()
-	response, err := p.forward(ctx, leader, request)
-	if err != nil && changed.Load() {
-		return nil, outcomeUnknownError(errLeaderChanged)
-	}
-	return response, err
-}
-
-// waitForLeaderChange returns true once this machine no longer takes a member for the leader, or false once the context ends:
-// a leader that is lost would let its publishers wait.
-func (p *publisher) waitForLeaderChange(ctx context.Context, leader uint64) bool {
-	for {
-		select {
-		case <-time.After(leaderCheckInterval):
-		case <-ctx.Done():
-			return false
-		}
-		if now, err := p.leader(ctx); err != nil || now != leader {
-			return err == nil
-		}
-	}
-}
-
-// forward sends a publication to the leader over the connection to it that is open.
-func (t *transport) forward(ctx context.Context, leader uint64, request *configpb.PublishRequest) (
-	*configpb.PublishResponse, error) {
-	p := t.peers[leader]
-	if p == nil || p.conn.GetState() != connectivity.Ready {
-		return nil, notAppendedError("the leader is machine %d, which cannot be reached from here", leader)
-	}
-	ctx = metadata.NewOutgoingContext(ctx, metadata.Pairs(forwardedKey, fmt.Sprint(t.self)))
-	return configpb.NewControlClient(p.conn).Publish(ctx, request, grpc.WaitForReady(false))
-}
-
-// begin books a publication. It returns false once this machine is stopping.
+// begin counts a publication in progress. It reports false when this machine is stopping.
 func (p *publisher) begin() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -269,6 +173,7 @@
 	return !p.stopping
 }
 
+// finish ends a publication that begin has counted.
 func (p *publisher) finish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -277,7 +182,7 @@
 	}
 }
 
-// drain takes no more publications. The channel is closed once none is under way.
+// drain rejects further publications. The channel that it returns is closed when none is in progress.
 func (p *publisher) drain() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -287,24 +192,3 @@
 	p.stopping = true
 	return p.drained
 }
-
-func notAppendedError(format string, arguments ...any) error {
-	return withDetails(status.Newf(codes.Unavailable, format, arguments...),
-		&errdetails.ErrorInfo{Reason: configpb.NotAppended, Domain: configpb.ErrorDomain})
-}
-
-func outcomeUnknownError(err error) error {
-	return status.Errorf(codes.DeadlineExceeded, "the publication may be committed or not: %v", err)
-}
-
-func rejectionError(code codes.Code, refusal *configpb.Refusal) error {
-	return withDetails(status.Newf(code, "%s: %s", refusal.GetKey(), refusal.GetReason()), refusal)
-}
-
-func withDetails(s *status.Status, details protoadapt.MessageV1) error {
-	detailed, err := s.WithDetails(details)
-	if err != nil {
-		panic(fmt.Sprintf("controlserver: details that cannot be encoded: %v", err))
-	}
-	return detailed.Err()
-}
--- a/internal/controlplane/controlserver/receive.go
+++ b/internal/controlplane/controlserver/receive.go
@@ -16,28 +16,28 @@
 	"mothrouter/internal/controlplane/consensus"
 )
 
-// maxPeerMessageBytes is the largest message that is read from a peer at all: one envelope that is a little too large
-// is counted and dropped without the loss of its stream.
+// maxPeerMessageBytes is the maximum size of a gRPC message from a peer: 1 MiB above the limit of a raft message, so that
+// a slightly oversized envelope is counted and dropped without the loss of its stream.
 const maxPeerMessageBytes = consensus.MaxMessageBytes + 1<<20
 
-// EnvelopeCounts are the envelopes that were received, by what became of them.
+// EnvelopeCounts counts the received envelopes by result.
 type EnvelopeCounts struct {
-	Accepted   uint64
-	Foreign    uint64 // of another fleet, of no member, or for another machine
-	Oversized  uint64
-	Unreadable uint64
+	Accepted   uint64 // with a message for the replica
+	Foreign    uint64 // from another fleet, from no member, or for another machine
+	Oversized  uint64 // with a message beyond consensus.MaxMessageBytes
+	Unreadable uint64 // with a message that does not decode
 }
 
-// receiver serves the Consensus service: it checks what peers send and hands the messages on.
+// receiver implements the Consensus service: it checks the envelopes of peers and passes their messages to the replica.
 type receiver struct {
 	configpb.UnimplementedConsensusServer
 	fleet   uint64 // fingerprint
 	self    uint64
-	deliver func(context.Context, *raftpb.Message) error // may wait
+	deliver func(context.Context, *raftpb.Message) error // may block
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	counts         EnvelopeCounts
-	lastEnvelopeAt map[uint64]time.Time // by each peer; zero: never
+	lastEnvelopeAt map[uint64]time.Time // by peer id, zero before the first; has all peers
 }
 
 func newReceiver(fleet, self uint64, peers []peerAddress,
@@ -49,7 +49,8 @@
 	return r
 }
 
-// Send reads envelopes until the stream ends. While the messages before are not taken it reads no further.
+// Send receives envelopes until the stream ends. It does not read ahead of the replica, which is backpressure by gRPC's
+// flow control.
 func (r *receiver) Send(stream grpc.ClientStreamingServer[configpb.Envelope, configpb.Received]) error {
 	for {
 		envelope, err := stream.Recv()
@@ -72,7 +73,7 @@
 	}
 }
 
-// openEnvelope returns the message of an envelope, or nil where it has none or was dropped.
+// openEnvelope counts an envelope and returns its message, or nil if it has none or is dropped.
 func (r *receiver) openEnvelope(now time.Time, envelope *configpb.Envelope) *raftpb.Message {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -82,7 +83,7 @@
 	}
 	r.lastEnvelopeAt[envelope.GetFrom()] = now
 	switch size := len(envelope.GetMessage()); {
-	case size == 0: // says only that the peer is there
+	case size == 0: // a keepalive
 		return nil
 	case size > consensus.MaxMessageBytes:
 		r.counts.Oversized++
@@ -101,22 +102,24 @@
 	return message
 }
 
+// count changes the counts.
 func (r *receiver) count(change func(*EnvelopeCounts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.counts)
 }
 
+// envelopes returns the counts so far.
 func (r *receiver) envelopes() EnvelopeCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts
 }
 
-// reachable tells whether a peer was heard lately.
+// reachable reports whether a peer has sent an envelope within reachableTimeout.
 func (r *receiver) reachable(now time.Time, id uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	heard := r.lastEnvelopeAt[id]
-	return !heard.IsZero() && now.Sub(heard) <= reachableTimeout
+	receivedAt := r.lastEnvelopeAt[id]
+	return !receivedAt.IsZero() && now.Sub(receivedAt) <= reachableTimeout
 }
--- a/internal/controlplane/controlserver/receive_test.go
+++ b/internal/controlplane/controlserver/receive_test.go
@@ -28,16 +28,16 @@
 		envelope *configpb.Envelope
 		counts   EnvelopeCounts
 	}{
-		{"sound", &configpb.Envelope{Fleet: fleet, From: 2, Message: heartbeat(t, 2, 1)}, EnvelopeCounts{Accepted: 1}},
-		{"says that it is there", &configpb.Envelope{Fleet: fleet, From: 2}, EnvelopeCounts{}},
-		{"of another fleet", &configpb.Envelope{Fleet: fleet + 1, From: 2, Message: heartbeat(t, 2, 1)},
+		{"valid", &configpb.Envelope{Fleet: fleet, From: 2, Message: heartbeat(t, 2, 1)}, EnvelopeCounts{Accepted: 1}},
+		{"keepalive", &configpb.Envelope{Fleet: fleet, From: 2}, EnvelopeCounts{}},
+		{"other fleet", &configpb.Envelope{Fleet: fleet + 1, From: 2, Message: heartbeat(t, 2, 1)},
 			EnvelopeCounts{Foreign: 1}},
-		{"of no member", &configpb.Envelope{Fleet: fleet, From: 9, Message: heartbeat(t, 9, 1)}, EnvelopeCounts{Foreign: 1}},
-		{"of this machine", &configpb.Envelope{Fleet: fleet, From: 1, Message: heartbeat(t, 1, 1)},
+		{"unknown sender", &configpb.Envelope{Fleet: fleet, From: 9, Message: heartbeat(t, 9, 1)}, EnvelopeCounts{Foreign: 1}},
+		{"sent by this machine", &configpb.Envelope{Fleet: fleet, From: 1, Message: heartbeat(t, 1, 1)},
 			EnvelopeCounts{Foreign: 1}},
-		{"of another member than it says", &configpb.Envelope{Fleet: fleet, From: 2, Message: heartbeat(t, 3, 1)},
+		{"message of another sender", &configpb.Envelope{Fleet: fleet, From: 2, Message: heartbeat(t, 3, 1)},
 			EnvelopeCounts{Foreign: 1}},
-		{"for another machine", &configpb.Envelope{Fleet: fleet, From: 2, Message: heartbeat(t, 2, 3)},
+		{"other receiver", &configpb.Envelope{Fleet: fleet, From: 2, Message: heartbeat(t, 2, 3)},
 			EnvelopeCounts{Foreign: 1}},
 		{"unreadable", &configpb.Envelope{Fleet: fleet, From: 2, Message: []byte{0xff, 0xff}},
 			EnvelopeCounts{Unreadable: 1}},
--- a/internal/controlplane/controlserver/replica.go
+++ b/internal/controlplane/controlserver/replica.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// maxInbox is how many messages of peers wait for the replica. Streams are read no further while it is full.
+	// maxInbox is the maximum number of messages from peers that wait for the replica. Their streams are not read while it
+	// is full.
 	maxInbox = 64
-	// maxCalls is how many calls of handlers wait for the replica.
+	// maxCalls is the maximum number of function calls of handlers that wait for the replica.
 	maxCalls = 64
-	// maxMessagesPerSync is how many messages are taken before what they ask for is written: one sync for all.
+	// maxMessagesPerSync is the maximum number of messages stepped before their entries are persisted with one sync.
 	maxMessagesPerSync = 32
-	// dropLogInterval is how often the counts of dropped messages are logged, where they have changed.
+	// dropLogInterval is the interval at which dropped messages are logged.
 	dropLogInterval = time.Minute
 )
 
-// errStopping is what calls to a replica return that no longer runs.
+// errStopping is the error of calls to a replica whose run has returned.
 var errStopping = errors.New("this control machine is stopping")
 
-// storage is that of the replicated log: raftlog.Log but in tests.
+// storage is the storage of the raft log: raftlog.Log, except in tests.
 type storage interface {
 	raft.Storage
 	Save(*raftpb.HardState, []*raftpb.Entry, *raftpb.Snapshot) error
@@ -39,16 +40,16 @@
 
 var _ storage = (*raftlog.Log)(nil)
 
-// replica is the goroutine that owns the consensus node, the state machine of revisions and the log. All others talk to
-// it by bounded channels.
+// replica is the goroutine that owns the consensus node, its state machine and the raft log. Other goroutines communicate
+// with it through bounded channels.
 type replica struct {
 	node         *consensus.Node
 	storage      storage
-	send         func(*raftpb.Message) // must not wait
-	memberName   func(id uint64) string
+	send         func(*raftpb.Message)  // must not block
+	memberName   func(id uint64) string // of a member, for logs
 	hub          *confighub.Hub
 	logger       *slog.Logger
-	tickInterval time.Duration // between ticks
+	tickInterval time.Duration // of node
 
 	inbox chan *raftpb.Message
 	calls chan func()
@@ -57,9 +58,9 @@
 	publications   publications
 	reads          map[uint64]chan<- consensus.ReadOutcome // by id, at most consensus.MaxReads
 	lastReadID     uint64
-	hubNewest      uint64 // of what the hub was told
-	loggedLeader   uint64 // that was logged last
-	malformedCount uint64 // messages that the node refused
+	hubNewest      uint64 // number of the newest revision passed to hub
+	loggedLeader   uint64 // id, as last logged
+	malformedCount uint64 // messages rejected by the node
 }
 
 func newReplica(node *consensus.Node, storage storage, hub *confighub.Hub, log *slog.Logger) *replica {
@@ -73,8 +74,8 @@
 	}
 }
 
-// run owns the node until the context ends. Its error tells why this control machine cannot go on: its storage failed,
-// or the node found it wanting.
+// run drives the node until the context ends, the storage fails or the node stops. Its error is that of the storage or
+// of consensus.Node.Err.
 func (r *replica) run(ctx context.Context) error {
 	defer close(r.ended)
 	ticks := time.NewTicker(r.tickInterval)
@@ -97,7 +98,7 @@
 	}
 }
 
-// stepBatch takes in a message and those that wait behind it.
+// stepBatch steps the node with a message and those waiting in the inbox, at most maxMessagesPerSync.
 func (r *replica) stepBatch(message *raftpb.Message) {
 	for range maxMessagesPerSync {
 		if err := r.node.Step(message); errors.Is(err, consensus.ErrMalformedMessage) {
@@ -112,7 +113,7 @@
 	}
 }
 
-// processReady does what the node asks for until it asks for nothing more.
+// processReady processes Ready of the node until there is none, and updates the hub.
 func (r *replica) processReady() error {
 	for ready := r.node.Ready(); ready != nil; ready = r.node.Ready() {
 		if err := r.save(ready); err != nil {
@@ -131,31 +132,31 @@
 	return nil
 }
 
-// save stores what has to be durable before the messages go out.
+// save persists what has to be durable before the messages are sent.
 func (r *replica) save(ready *consensus.Ready) error {
-	saves := !raft.IsEmptyHardState(ready.HardState) || len(ready.Entries) > 0 || !raft.IsEmptySnap(ready.Snapshot)
-	if saves {
+	hasState := !raft.IsEmptyHardState(ready.HardState) || len(ready.Entries) > 0 || !raft.IsEmptySnap(ready.Snapshot)
+	if hasState {
 		if err := r.storage.Save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
 			return fmt.Errorf("writing the log: %w", err)
 		}
 	}
-	if c := ready.Compaction; c != nil {
-		if err := r.storage.Compact(c.Snapshot, c.FirstIndex); err != nil {
+	if compaction := ready.Compaction; compaction != nil {
+		if err := r.storage.Compact(compaction.Snapshot, compaction.FirstIndex); err != nil {
 			return fmt.Errorf("compacting the log: %w", err)
 		}
 	}
 	return nil
 }
 
-// deliverOutcomes answers those who wait for what was applied.
+// deliverOutcomes sends the outcomes to the waiting publishers and readers, and logs new revisions.
 func (r *replica) deliverOutcomes(applied consensus.Applied) {
 	for _, outcome := range applied.Proposals {
 		r.publications.finish(outcome)
 	}
 	for _, outcome := range applied.Reads {
-		if waiting, ok := r.reads[outcome.ID]; ok {
+		if reader, ok := r.reads[outcome.ID]; ok {
 			delete(r.reads, outcome.ID)
-			waiting <- outcome // of capacity 1
+			reader <- outcome // does not block: capacity 1
 		}
 	}
 	if applied.Restored {
@@ -166,23 +167,24 @@
 	}
 }
 
-// updateHub has brokers told of the newest revision and of how lately a quorum confirmed it.
+// updateHub passes the newest revision to the hub, and when a quorum last confirmed it.
 func (r *replica) updateHub() {
 	now := time.Now()
-	confirmed := time.Time{}
+	var confirmedAt time.Time
 	if age := r.node.ConfirmedAge(now); age != consensus.Unconfirmed {
-		confirmed = now.Add(-age)
+		confirmedAt = now.Add(-age)
 	}
 	var revision *configpb.Revision
 	if newest := r.node.Machine().Newest(); newest.GetNumber() > r.hubNewest {
 		revision = newest
 		r.hubNewest = newest.GetNumber()
 	}
-	if err := r.hub.SetNewest(revision, confirmed); err != nil {
-		panic(fmt.Sprintf("controlserver: an applied revision that cannot be distributed: %v", err))
+	if err := r.hub.SetNewest(revision, confirmedAt); err != nil {
+		panic(fmt.Sprintf("controlserver: hub rejects applied revision %d: %v", revision.GetNumber(), err))
 	}
 }
 
+// logLeaderChange logs the leader if it differs from the last logged one.
 func (r *replica) logLeaderChange() {
 	if leader := r.node.Leader(); leader != r.loggedLeader {
 		r.loggedLeader = leader
@@ -194,7 +196,7 @@
 	}
 }
 
-// enqueue hands a message to the replica. It waits while the inbox is full.
+// enqueue passes a message to the replica. It blocks while the inbox is full. Its error is the context's or errStopping.
 func (r *replica) enqueue(ctx context.Context, message *raftpb.Message) error {
 	select {
 	case r.inbox <- message:
@@ -206,8 +208,8 @@
 	}
 }
 
-// runOnLoop runs a function on the replica's goroutine and returns once it has run. Where it returns an error, the function
-// may still run, or not.
+// runOnLoop runs a function on the replica's goroutine and returns when it has run. If it returns an error, the context's
+// or errStopping, the function may still run.
 func (r *replica) runOnLoop(ctx context.Context, call func()) error {
 	done := make(chan struct{})
 	select {
@@ -217,10 +219,6 @@
 	case <-r.ended:
 		return errStopping
 	}
-	return r.wait(ctx, done)
-}
-
-func (r *replica) wait(ctx context.Context, done <-chan struct{}) error {
 	select {
 	case <-done:
 		return nil
@@ -231,25 +229,36 @@
 	}
 }
 
-// barrier returns once this machine has applied all that was acknowledged to anybody before the call. Errors: those of
-// consensus.Node.Read and consensus.ErrTimeout; then nobody knows whether this machine is behind.
+// query returns the result of a function that runs on the replica's goroutine. Its error is that of runOnLoop.
+func query[T any](ctx context.Context, r *replica, call func() T) (T, error) {
+	result := make(chan T, 1)
+	if err := r.runOnLoop(ctx, func() { result <- call() }); err != nil {
+		var none T
+		return none, err
+	}
+	return <-result, nil
+}
+
+// barrier is a linearizable read: it returns when this machine has applied every publication acknowledged before the
+// call. Its error is that of consensus.Node.Read, of the read's outcome, the context's or errStopping; this machine may
+// lag then.
 func (r *replica) barrier(ctx context.Context) error {
-	answer := make(chan consensus.ReadOutcome, 1)
-	var asked error
+	result := make(chan consensus.ReadOutcome, 1)
+	var readErr error
 	err := r.runOnLoop(ctx, func() {
 		r.lastReadID++
-		if asked = r.node.Read(r.lastReadID); asked == nil {
-			r.reads[r.lastReadID] = answer
+		if readErr = r.node.Read(r.lastReadID); readErr == nil {
+			r.reads[r.lastReadID] = result
 		}
 	})
 	if err != nil {
 		return err
 	}
-	if asked != nil {
-		return asked
+	if readErr != nil {
+		return readErr
 	}
 	select {
-	case outcome := <-answer:
+	case outcome := <-result:
 		return outcome.Err
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/controlplane/controlserver/replica_test.go
+++ b/internal/controlplane/controlserver/replica_test.go
@@ -19,10 +19,10 @@
 
 var errDisk = errors.New("the disk fails")
 
-// failingStorage is a log whose disk fails once it is told to.
+// failingStorage is a log whose Save fails after a signal.
 type failingStorage struct {
 	*raftlog.Log
-	failed chan struct{} // closed: from now on
+	failed chan struct{} // closed: Save fails
 }
 
 func (f *failingStorage) Save(state *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
@@ -34,7 +34,8 @@
 	}
 }
 
-// What cannot be stored is not acknowledged, and stops the replica with the reason.
+// TestReplicaStopsOnStorageError checks that what is not persisted is not acknowledged, and that the replica returns the
+// storage's error.
 func TestReplicaStopsOnStorageError(t *testing.T) {
 	log, err := raftlog.Create(t.TempDir()+"/"+LogFileName, raftlog.Options{Identity: raftlog.Identity{Fleet: 1, Node: 1}},
 		consensus.BootstrapSnapshot([]uint64{1}, nil))
@@ -57,10 +58,11 @@
 	require.Error(t, publish(2))
 	require.ErrorIs(t, <-ended, errDisk)
 	require.Equal(t, uint64(1), node.Machine().Number())
-	require.Error(t, publish(3), "a replica that has stopped takes nothing")
+	require.Error(t, publish(3), "a stopped replica accepts no publication")
 }
 
-// A publication that was sent on to a leader is given up once this machine knows another one.
+// TestForwardedPublicationEndsOnLeaderChange forwards a publication to a leader that does not respond, while this machine
+// is the leader itself.
 func TestForwardedPublicationEndsOnLeaderChange(t *testing.T) {
 	log, err := raftlog.Create(t.TempDir()+"/"+LogFileName, raftlog.Options{Identity: raftlog.Identity{Fleet: 1, Node: 1}},
 		consensus.BootstrapSnapshot([]uint64{1}, nil))
@@ -75,15 +77,15 @@
 	go func() { ended <- r.run(ctx) }()
 	p := newPublisher(1, r, rejectBad)
 	p.forward = func(ctx context.Context, _ uint64, _ *configpb.PublishRequest) (*configpb.PublishResponse, error) {
-		<-ctx.Done() // a leader that no longer answers
+		<-ctx.Done() // a leader that no longer responds
 		return nil, ctx.Err()
 	}
 	const lostLeader = 2
-	began := time.Now()
+	startedAt := time.Now()
 	_, err = p.forwardToLeader(t.Context(), lostLeader, &configpb.PublishRequest{Request: 1, Document: []byte("one")})
 	require.Equal(t, codes.DeadlineExceeded, status.Code(err))
 	require.ErrorContains(t, err, errLeaderChanged.Error())
-	require.Less(t, time.Since(began), eventTimeout)
+	require.Less(t, time.Since(startedAt), eventTimeout)
 	cancel()
 	require.NoError(t, <-ended)
 }
--- a/internal/controlplane/controlserver/server_test.go
+++ b/internal/controlplane/controlserver/server_test.go
@@ -18,14 +18,14 @@
 	"mothrouter/internal/controlplane/revision"
 )
 
-// testMachines is three control machines in this process.
+// testMachines is control machines in this process.
 type testMachines struct {
 	members []Member
 	clients []configpb.ControlClient
 	ended   []chan error
 }
 
-// startMachines starts machines that refuse documents which begin with "bad".
+// startMachines starts machines that validate with rejectBad.
 func startMachines(t *testing.T, count int) *testMachines {
 	r := &testMachines{}
 	var listeners [][2]net.Listener
@@ -57,6 +57,7 @@
 	return r
 }
 
+// rejectBad rejects documents that begin with "bad".
 func rejectBad(document, _ []byte) *configpb.Refusal {
 	if len(document) >= 3 && string(document[:3]) == "bad" {
 		return &configpb.Refusal{Key: "settings.bad", Reason: "is bad"}
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// leader waits until all machines name the same leader, and returns its index.
+// leader waits until all machines report the same leader, and returns its index.
 func (r *testMachines) leader(t *testing.T) int {
 	leader := -1
 	require.Eventually(t, func() bool {
@@ -93,15 +94,15 @@
 	return response.GetNumber(), err
 }
 
-// requireRejected checks the code and the key of a refusal.
+// requireRejected requires the code and the key of a rejection.
 func requireRejected(t *testing.T, err error, code codes.Code, key string) {
 	t.Helper()
 	require.Equal(t, code, status.Code(err), "%v", err)
 	details := status.Convert(err).Details()
 	require.Len(t, details, 1)
-	refusal, ok := details[0].(*configpb.Refusal)
+	rejection, ok := details[0].(*configpb.Refusal)
 	require.True(t, ok, "%v", details[0])
-	require.Equal(t, key, refusal.GetKey())
+	require.Equal(t, key, rejection.GetKey())
 }
 
 func TestPublishAtLeaderAndFollower(t *testing.T) {
@@ -112,10 +113,10 @@
 		follower := r.clients[(leader+1)%3]
 
 		number, err := publishTo(t, follower, 1, 0, "one")
-		require.NoError(t, err, "a follower sends it on to the leader")
+		require.NoError(t, err, "a follower forwards it to the leader")
 		require.Equal(t, uint64(1), number)
 		number, err = publishTo(t, r.clients[leader], 1, 0, "one")
-		require.NoError(t, err, "the same again")
+		require.NoError(t, err, "a retry")
 		require.Equal(t, uint64(1), number)
 		number, err = publishTo(t, r.clients[leader], 2, 1, "two")
 		require.NoError(t, err)
@@ -154,8 +155,8 @@
 			return false
 		}
 		for i, m := range s.GetMembers() {
-			sound := m.GetName() == r.members[i].Name && m.GetAddress() == r.members[i].Address && m.GetVoter()
-			if !sound || !m.GetReachable() {
+			matches := m.GetName() == r.members[i].Name && m.GetAddress() == r.members[i].Address && m.GetVoter()
+			if !matches || !m.GetReachable() {
 				return false
 			}
 		}
@@ -163,7 +164,7 @@
 	}, eventTimeout, 20*time.Millisecond)
 }
 
-// A machine without a quorum, whose peers are of another fleet or away, says that it has surely not taken a document.
+// TestPublishWithoutQuorumIsNotAppended publishes at a machine whose peers are of another fleet or unreachable.
 func TestPublishWithoutQuorumIsNotAppended(t *testing.T) {
 	r := startMachines(t, 1)
 	alone := r.members[0]
@@ -204,6 +205,6 @@
 	}
 	require.ErrorIs(t, run(false), ErrNoLog)
 	require.NoError(t, run(true))
-	require.Error(t, run(true), "there is a log already")
+	require.Error(t, run(true), "the log exists")
 	require.NoError(t, run(false))
 }
--- a/internal/controlplane/controlserver/transport.go
+++ b/internal/controlplane/controlserver/transport.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// keepaliveInterval is how often a peer is sent something at least.
+	// keepaliveInterval is the maximum time between two envelopes to a peer.
 	keepaliveInterval = time.Second
-	// reachableTimeout is how long a peer counts as reachable after it was heard: three of sayAlive.
+	// reachableTimeout is the time after its last envelope for which a peer counts as reachable: three keepalives.
 	reachableTimeout = 3 * keepaliveInterval
 
-	// Waits between attempts to reach a peer, by gRPC for connections and by the transport for streams. Peers are
-	// three, so short waits cost little.
+	// Backoff between attempts to reach a peer, by gRPC for connections and by the transport for streams. There are three
+	// peers, so a short backoff costs little.
 	minReconnectDelay = 100 * time.Millisecond
 	maxReconnectDelay = 2 * time.Second
-	connectTimeout    = 3 * time.Second
+	connectTimeout    = 3 * time.Second // of one connection attempt
 
-	// A connection that answers no ping is given up after both: 10 s is the least that gRPC allows.
+	// A connection without a response to a keepalive ping is closed after the sum of both. 10 s is gRPC's minimum.
 	pingInterval = 10 * time.Second
 	pingTimeout  = 3 * time.Second
 )
@@ -42,25 +42,25 @@
 	conn   *grpc.ClientConn
 }
 
-// transport sends messages of the replicated log to the other control machines: one stream for each.
+// transport sends raft messages to the other control machines, by one stream for each.
 type transport struct {
 	fleet  uint64 // fingerprint
-	self   uint64
+	self   uint64 // raft id
 	logger *slog.Logger
-	peers  map[uint64]*peer
+	peers  map[uint64]*peer // by raft id
 
 	cancel  context.CancelFunc
 	streams sync.WaitGroup
 }
 
-// peerAddress is where another control machine is reached.
+// peerAddress is the address of another control machine.
 type peerAddress struct {
-	id      uint64
+	id      uint64 // raft id
 	name    string
 	address string // host:port
 }
 
-// newTransport starts sending to the peers. It has to be closed.
+// newTransport connects to the peers and starts their streams. The transport has to be closed.
 func newTransport(fleet, self uint64, peers []peerAddress, log *slog.Logger) (*transport, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &transport{fleet: fleet, self: self, logger: log, peers: map[uint64]*peer{}, cancel: cancel}
@@ -82,6 +82,7 @@
 	return t, nil
 }
 
+// dial returns a connection to a control machine that reconnects by itself.
 func dial(address string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -96,7 +97,7 @@
 	)
 }
 
-// close ends all streams and returns once they have ended.
+// close closes the connections and returns when all streams have ended.
 func (t *transport) close() {
 	t.cancel()
 	for _, p := range t.peers {
@@ -105,7 +106,7 @@
 	t.streams.Wait()
 }
 
-// send queues a message for its receiver, without waiting. A message to a machine that is no peer is dropped.
+// send queues a message for its receiver and does not block. A message to a machine that is no peer is dropped.
 func (t *transport) send(message *raftpb.Message) {
 	p := t.peers[message.GetTo()]
 	if p == nil {
@@ -113,33 +114,33 @@
 	}
 	data, err := consensus.EncodeMessage(message)
 	if err != nil {
-		panic(fmt.Sprintf("controlserver: a message that cannot be encoded: %v", err))
+		panic(fmt.Sprintf("controlserver: encoding a message to %d: %v", message.GetTo(), err))
 	}
 	p.outbox.push(data)
 }
 
-// run keeps a stream to a peer open until the context ends.
+// run reopens the stream to a peer until the context ends.
 func (t *transport) run(ctx context.Context, p *peer) {
-	wait := minReconnectDelay
+	backoffDelay := minReconnectDelay
 	for ctx.Err() == nil {
-		began := time.Now()
+		startedAt := time.Now()
 		err := t.runStream(ctx, p)
 		if ctx.Err() != nil {
 			return
 		}
 		t.logger.Warn("stream to a control machine ended", "peer", p.name, "error", err)
-		if time.Since(began) > reachableTimeout {
-			wait = minReconnectDelay
+		if time.Since(startedAt) > reachableTimeout {
+			backoffDelay = minReconnectDelay
 		}
 		select {
-		case <-time.After(wait/2 + rand.N(wait/2)):
+		case <-time.After(backoffDelay/2 + rand.N(backoffDelay/2)):
 		case <-ctx.Done():
 		}
-		wait = min(2*wait, maxReconnectDelay)
+		backoffDelay = min(2*backoffDelay, maxReconnectDelay)
 	}
 }
 
-// runStream opens one stream and sends what the outbox holds until that fails.
+// runStream opens one stream and sends the queued messages until it fails. It returns the error of the stream.
 func (t *transport) runStream(ctx context.Context, p *peer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -147,28 +148,28 @@
 	if err != nil {
 		return err
 	}
-	why := make(chan error, 1)
-	go func() { // a stream that ends says so here, also while there is nothing to send
-		why <- stream.RecvMsg(&configpb.Received{})
+	ended := make(chan error, 1)
+	go func() { // detects the end of the stream while there is nothing to send
+		ended <- stream.RecvMsg(&configpb.Received{})
 		cancel()
 	}()
 	t.sendQueued(ctx, p, stream)
 	cancel()
-	return <-why
+	return <-ended
 }
 
-// sendQueued sends what the outbox holds until the stream or the context ends.
+// sendQueued sends the queued messages and keepalives until the stream or the context ends.
 func (t *transport) sendQueued(ctx context.Context, p *peer,
 	stream grpc.ClientStreamingClient[configpb.Envelope, configpb.Received]) {
-	alive := time.NewTicker(keepaliveInterval)
-	defer alive.Stop()
+	keepalive := time.NewTicker(keepaliveInterval)
+	defer keepalive.Stop()
 	for {
 		message, ok := p.outbox.pop()
 		if !ok {
 			select {
 			case <-p.outbox.ready:
 				continue
-			case <-alive.C: // an envelope without a message
+			case <-keepalive.C: // an envelope without a message
 			case <-ctx.Done():
 				return
 			}
@@ -179,10 +180,11 @@
 	}
 }
 
-// droppedCount returns how many messages were dropped because their peer did not take them in time.
-func (t *transport) droppedCount() (count uint64) {
+// droppedCount returns the number of messages dropped so far from the outboxes of all peers.
+func (t *transport) droppedCount() uint64 {
+	var total uint64
 	for _, p := range t.peers {
-		count += p.outbox.droppedCount()
+		total += p.outbox.droppedCount()
 	}
-	return count
+	return total
 }
--- a/internal/controlplane/controlserver/transport_test.go
+++ b/internal/controlplane/controlserver/transport_test.go
@@ -14,7 +14,7 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-const eventTimeout = 10 * time.Second // for what must come
+const eventTimeout = 10 * time.Second // for an event that has to happen
 
 func listen(t *testing.T, address string) net.Listener {
 	l, err := net.Listen("tcp", address)
@@ -37,7 +37,7 @@
 		Commit: new(commit)}
 }
 
-// serve serves the Consensus service until the function that it returns is called.
+// serve serves the Consensus service until stop is called.
 func serve(l net.Listener, deliver func(context.Context, *raftpb.Message) error) (stop func()) {
 	server := grpc.NewServer(grpc.MaxRecvMsgSize(maxPeerMessageBytes))
 	configpb.RegisterConsensusServer(server, newReceiver(7, 1, []peerAddress{{id: 2}}, deliver))
@@ -48,24 +48,24 @@
 func TestTransportReconnectsToRestartedPeer(t *testing.T) {
 	l := listen(t, "127.0.0.1:0")
 	address := l.Addr().String()
-	got := make(chan uint64, 100)
+	received := make(chan uint64, 100)
 	deliver := func(_ context.Context, m *raftpb.Message) error {
-		got <- m.GetCommit()
+		received <- m.GetCommit()
 		return nil
 	}
 	stop := serve(l, deliver)
 	sender := newTestTransport(t, address)
 	sender.send(heartbeatTo(1, 1))
-	require.Equal(t, uint64(1), receive(t, got))
+	require.Equal(t, uint64(1), receive(t, received))
 	stop()
 	l = listen(t, address)
 	defer serve(l, deliver)()
-	sender.send(heartbeatTo(9, 5)) // there is no such peer
+	sender.send(heartbeatTo(9, 5)) // no peer has this id
 	require.Eventually(t, func() bool {
 		sender.send(heartbeatTo(1, 2))
-		return len(got) > 0
+		return len(received) > 0
 	}, eventTimeout, 50*time.Millisecond)
-	require.Equal(t, uint64(2), receive(t, got))
+	require.Equal(t, uint64(2), receive(t, received))
 }
 
 func receive(t *testing.T, from <-chan uint64) uint64 {
@@ -73,12 +73,13 @@
 	case commit := <-from:
 		return commit
 	case <-time.After(eventTimeout):
-		t.Fatal("no message comes")
+		t.Fatal("no message within the timeout")
 		return 0
 	}
 }
 
-// A peer that takes connections and then reads nothing holds nobody up: what it is sent is bounded, the oldest goes.
+// TestTransportBoundsQueueOfStuckPeer sends to a peer that accepts connections and reads no messages: send does not block,
+// and the oldest messages are dropped.
 func TestTransportBoundsQueueOfStuckPeer(t *testing.T) {
 	stuck := make(chan struct{})
 	l := listen(t, "127.0.0.1:0")
@@ -94,12 +95,12 @@
 	sender := newTestTransport(t, l.Addr().String())
 	message := heartbeatTo(1, 1)
 	message.Context = make([]byte, 1<<20)
-	began := time.Now()
+	startedAt := time.Now()
 	const sent = 3 * MaxQueuedBytes >> 20
 	for range sent {
 		sender.send(message)
 	}
-	require.Less(t, time.Since(began), eventTimeout)
+	require.Less(t, time.Since(startedAt), eventTimeout)
 	require.Greater(t, sender.droppedCount(), uint64(sent/2))
 	box := sender.peers[1].outbox
 	box.mu.Lock()
