--- a/internal/controlplane/raftlog/corruption_test.go
+++ b/internal/controlplane/raftlog/corruption_test.go
@@ -16,7 +16,7 @@
 )
 
 // filledLog returns the content of a file with a snapshot, entries of several pages and free pages.
-func filledLog(t testing.TB) ([]byte, memory) {
+func filledLog(t testing.TB) ([]byte, logState) {
 	t.Helper()
 	log, path := create(t)
 	random := rand.New(rand.NewPCG(9, 9))
@@ -38,7 +38,7 @@
 	return Open(path, testOptions)
 }
 
-func isNamed(err error) bool {
+func isSentinel(err error) bool {
 	for _, named := range []error{ErrForeign, ErrVersion, ErrTorn, ErrCorrupt} {
 		if errors.Is(err, named) {
 			return true
@@ -47,17 +47,17 @@
 	return false
 }
 
-var changeCount = flag.Int("changes", 250, "trials of TestChangedBytesAreDetected")
+var corruptionTrials = flag.Int("changes", 250, "trials of TestChangedBytesAreDetected")
 
-// TestChangedBytesAreDetected changes bytes anywhere: the log is refused with an error that has a name, or nothing
+// TestOpenDetectsChangedBytes changes bytes anywhere: the log is refused with an error that has a name, or nothing
 // that it holds has changed.
-func TestChangedBytesAreDetected(t *testing.T) {
+func TestOpenDetectsChangedBytes(t *testing.T) {
 	t.Parallel()
 	content, kept := filledLog(t)
 	used := bytes.LastIndexFunc(content, func(r rune) bool { return r != 0 })
 	random := rand.New(rand.NewPCG(1, 2))
 	refused := 0
-	changes := *changeCount
+	changes := *corruptionTrials
 	for range changes {
 		damaged := bytes.Clone(content)
 		for range 1 + random.IntN(3) {
@@ -65,7 +65,7 @@
 		}
 		log, err := openContent(t, damaged)
 		if err != nil {
-			require.True(t, isNamed(err), "%v", err)
+			require.True(t, isSentinel(err), "%v", err)
 			refused++
 			continue
 		}
@@ -76,24 +76,24 @@
 	require.Greater(t, refused, changes/10)
 }
 
-// TestEveryChangedRecordIsDetected changes a byte within each record.
-func TestEveryChangedRecordIsDetected(t *testing.T) {
+// TestOpenDetectsChangeInEveryRecord changes a byte within each record.
+func TestOpenDetectsChangeInEveryRecord(t *testing.T) {
 	content, kept := filledLog(t)
 	for _, stored := range kept.entries {
 		payload, err := proto.Marshal(stored)
 		require.NoError(t, err)
-		record := seal(entriesBucket, entryKey(stored.GetIndex()), payload)
-		requireChangeRefused(t, content, record)
+		record := encodeRecord(entriesBucket, entryKey(stored.GetIndex()), payload)
+		requireChangeDetected(t, content, record)
 	}
-	state := seal(stateBucket, onlyKey, kept.state().encode())
-	requireChangeRefused(t, content, state)
+	state := encodeRecord(stateBucket, singleKey, kept.state().encode())
+	requireChangeDetected(t, content, state)
 	snapshot, err := proto.Marshal(kept.snapshot)
 	require.NoError(t, err)
-	requireChangeRefused(t, content, seal(snapshotBucket, onlyKey, snapshot))
-	requireChangeRefused(t, content, seal(identityBucket, onlyKey, encodeIdentity(testOptions.Identity)))
+	requireChangeDetected(t, content, encodeRecord(snapshotBucket, singleKey, snapshot))
+	requireChangeDetected(t, content, encodeRecord(identityBucket, singleKey, encodeIdentity(testOptions.Identity)))
 }
 
-func requireChangeRefused(t *testing.T, content, record []byte) {
+func requireChangeDetected(t *testing.T, content, record []byte) {
 	t.Helper()
 	damaged := bytes.Clone(content)
 	found := 0
@@ -111,8 +111,8 @@
 	require.ErrorIs(t, err, ErrCorrupt)
 }
 
-// TestMissingEntryIsDetected shortens the count of a page, which hides its last record from bbolt.
-func TestMissingEntryIsDetected(t *testing.T) {
+// TestOpenDetectsMissingEntry shortens the count of a page, which hides its last record from bbolt.
+func TestOpenDetectsMissingEntry(t *testing.T) {
 	log, path := create(t)
 	require.NoError(t, log.Save(hardState(2, 0, 2), entries(2, 9, 2), nil))
 	require.NoError(t, log.db.Update(func(tx *bolt.Tx) error {
@@ -124,7 +124,7 @@
 	require.ErrorContains(t, err, "last entry is 8, not 9")
 }
 
-func TestTruncatedFilesAreRefused(t *testing.T) {
+func TestOpenRejectsTruncatedFile(t *testing.T) {
 	content, kept := filledLog(t)
 	random := rand.New(rand.NewPCG(3, 3))
 	for range 200 {
@@ -134,7 +134,7 @@
 			require.NoError(t, log.Close())
 			continue
 		}
-		require.True(t, isNamed(err), "%v", err)
+		require.True(t, isSentinel(err), "%v", err)
 	}
 	_, err := openContent(t, nil)
 	require.ErrorIs(t, err, ErrTorn)
@@ -142,7 +142,7 @@
 	require.Error(t, err)
 }
 
-func TestForeignFilesAreRefused(t *testing.T) {
+func TestOpenRejectsForeignFile(t *testing.T) {
 	_, err := openContent(t, []byte(strings.Repeat("a letter to nobody\n", 1000)))
 	require.ErrorIs(t, err, ErrForeign)
 
@@ -154,18 +154,18 @@
 	require.ErrorIs(t, err, ErrForeign, "a bbolt file of another program")
 }
 
-func TestOtherVersionsAreRefused(t *testing.T) {
+func TestOpenRejectsOtherVersion(t *testing.T) {
 	log, path := create(t)
 	identity := encodeIdentity(testOptions.Identity)
 	identity[len(magic)+3] = formatVersion + 1
-	require.NoError(t, log.db.Update(func(tx *bolt.Tx) error { return put(tx, identityBucket, onlyKey, identity) }))
+	require.NoError(t, log.db.Update(func(tx *bolt.Tx) error { return putRecord(tx, identityBucket, singleKey, identity) }))
 	require.NoError(t, log.Close())
 	_, err := Open(path, testOptions)
 	require.ErrorIs(t, err, ErrVersion)
 }
 
-// TestPageVerifierAcceptsManySizes plays logs of many shapes, so that trees have depth and free lists many pages.
-func TestPageVerifierAcceptsManySizes(t *testing.T) {
+// TestVerifyPagesAcceptsDeepTreesAndLongFreelists plays logs of many shapes, so that trees have depth and free lists many pages.
+func TestVerifyPagesAcceptsDeepTreesAndLongFreelists(t *testing.T) {
 	log, path := create(t)
 	require.NoError(t, log.Save(hardState(2, 0, 2), entries(2, 3000, 2), nil))
 	log = reopen(t, log, path)
@@ -176,15 +176,15 @@
 	reopen(t, log, path)
 }
 
-// FuzzRecord reads records of any content: only what seal made for that place is taken.
-func FuzzRecord(f *testing.F) {
+// FuzzDecodeEntry reads records of any content: only what seal made for that place is taken.
+func FuzzDecodeEntry(f *testing.F) {
 	payload, err := proto.Marshal(entry(5, 2, "content"))
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(uint64(5), seal(entriesBucket, entryKey(5), payload))
-	f.Add(uint64(6), seal(entriesBucket, entryKey(5), payload))
-	f.Add(uint64(6), seal(entriesBucket, entryKey(6), payload))
+	f.Add(uint64(5), encodeRecord(entriesBucket, entryKey(5), payload))
+	f.Add(uint64(6), encodeRecord(entriesBucket, entryKey(5), payload))
+	f.Add(uint64(6), encodeRecord(entriesBucket, entryKey(6), payload))
 	f.Add(uint64(5), []byte("short"))
 	f.Fuzz(func(t *testing.T, index uint64, record []byte) {
 		key := entryKey(index)
@@ -194,7 +194,7 @@
 			return
 		}
 		require.ErrorIs(t, err, ErrCorrupt)
-		resealed, err := decodeEntry(key, seal(entriesBucket, key, record))
+		resealed, err := decodeEntry(key, encodeRecord(entriesBucket, key, record))
 		if err != nil {
 			require.ErrorIs(t, err, ErrCorrupt)
 		} else {
--- a/internal/controlplane/raftlog/crash_test.go
+++ b/internal/controlplane/raftlog/crash_test.go
@@ -26,7 +26,7 @@
 	childFault = "RAFTLOG_CHILD_FAULT"
 	childLimit = "RAFTLOG_CHILD_LIMIT" // bytes of a file, after which the disk counts as full
 
-	faultEarly = "early" // tells that a write is saved before it is
+	faultEarlyAcknowledgement = "early" // tells that a write is saved before it is
 
 	killedFiles = 5
 	kills       = 20 // of the writers of each file
@@ -60,7 +60,7 @@
 	random := rand.New(rand.NewPCG(seed, 3))
 	for {
 		next := randomWrite(log, random)
-		if os.Getenv(childFault) == faultEarly {
+		if os.Getenv(childFault) == faultEarlyAcknowledgement {
 			fmt.Println("saved", next.describe())
 			time.Sleep(time.Millisecond)
 		}
@@ -74,9 +74,9 @@
 
 // randomSave is one write: a Save, and a Compact after it now and then.
 type randomSave struct {
-	hard    *raftpb.HardState
-	entries []*raftpb.Entry
-	compact bool
+	hardState *raftpb.HardState
+	entries   []*raftpb.Entry
+	compact   bool
 }
 
 // randomWrite draws a write that fits the log. Its content depends on its indexes and terms alone.
@@ -91,7 +91,7 @@
 	}
 	end := added[len(added)-1].GetIndex()
 	commit := hard.GetCommit() + uint64(random.Int64N(int64(end-hard.GetCommit()+1)))
-	return randomSave{hard: hardState(term, 1+term%3, commit), entries: added, compact: random.IntN(10) == 0}
+	return randomSave{hardState: hardState(term, 1+term%3, commit), entries: added, compact: random.IntN(10) == 0}
 }
 
 func contentOf(index, term uint64) string {
@@ -100,14 +100,14 @@
 
 func (w randomSave) describe() string {
 	last := w.entries[len(w.entries)-1]
-	return fmt.Sprint(w.hard.GetTerm(), w.hard.GetVote(), w.hard.GetCommit(), last.GetIndex())
+	return fmt.Sprint(w.hardState.GetTerm(), w.hardState.GetVote(), w.hardState.GetCommit(), last.GetIndex())
 }
 
 func (w randomSave) write(log *Log) error {
-	if err := log.Save(w.hard, w.entries, nil); err != nil {
+	if err := log.Save(w.hardState, w.entries, nil); err != nil {
 		return err
 	}
-	commit := w.hard.GetCommit()
+	commit := w.hardState.GetCommit()
 	if !w.compact || commit <= log.memory.snapshot.GetMetadata().GetIndex() {
 		return nil
 	}
@@ -155,8 +155,8 @@
 	return told
 }
 
-// lost tells what a log lacks of what was acknowledged. One write more than that may be there, as a whole.
-func lost(log *Log, told acknowledged) error {
+// checkNothingLost tells what a log lacks of what was acknowledged. One write more than that may be there, as a whole.
+func checkNothingLost(log *Log, told acknowledged) error {
 	hard, last := log.memory.hardState, log.memory.last()
 	switch {
 	case hard.GetTerm() < told.term || hard.GetTerm() > told.term+1:
@@ -176,9 +176,9 @@
 	return nil
 }
 
-// TestKilledWriterLosesNothingAcknowledged kills writers a hundred times, at random moments of their writes, over
+// TestKilledWriterKeepsAcknowledgedWrites kills writers a hundred times, at random moments of their writes, over
 // five files.
-func TestKilledWriterLosesNothingAcknowledged(t *testing.T) {
+func TestKilledWriterKeepsAcknowledgedWrites(t *testing.T) {
 	for file := range uint64(killedFiles) {
 		t.Run(fmt.Sprint("file ", file), func(t *testing.T) {
 			t.Parallel()
@@ -188,23 +188,23 @@
 				told := killChild(t, path, kill)
 				log, err := Open(path, testOptions)
 				require.NoError(t, err, "kill %d", kill)
-				require.NoError(t, lost(log, told), "kill %d", kill)
+				require.NoError(t, checkNothingLost(log, told), "kill %d", kill)
 				require.NoError(t, log.Close())
 			}
 		})
 	}
 }
 
-// TestEarlyAcknowledgementIsSeen plants a writer that tells of writes before they are saved: lost must see it.
-func TestEarlyAcknowledgementIsSeen(t *testing.T) {
+// TestCrashCheckDetectsEarlyAcknowledgement plants a writer that tells of writes before they are saved: lost must see it.
+func TestCrashCheckDetectsEarlyAcknowledgement(t *testing.T) {
 	t.Parallel()
 	for kill := range uint64(40) {
 		log, path := create(t)
 		require.NoError(t, log.Close())
-		told := killChild(t, path, kill, childFault+"="+faultEarly)
+		told := killChild(t, path, kill, childFault+"="+faultEarlyAcknowledgement)
 		log, err := Open(path, testOptions)
 		require.NoError(t, err)
-		err = lost(log, told)
+		err = checkNothingLost(log, told)
 		require.NoError(t, log.Close())
 		if err != nil {
 			t.Logf("seen after kill %d: %v", kill, err)
@@ -214,8 +214,8 @@
 	t.Error("not seen")
 }
 
-// TestFullDiskLosesNothingAcknowledged lets a writer run into a limit of its file, with an error of the system.
-func TestFullDiskLosesNothingAcknowledged(t *testing.T) {
+// TestFullDiskKeepsAcknowledgedWrites lets a writer run into a limit of its file, with an error of the system.
+func TestFullDiskKeepsAcknowledgedWrites(t *testing.T) {
 	log, path := create(t)
 	require.NoError(t, log.Close())
 	limit := 200 << 10
@@ -225,18 +225,18 @@
 		before, last = last, lines.Text()
 	}
 	require.Error(t, command.Wait())
-	require.Contains(t, last, "error "+ErrFull.Error())
+	require.Contains(t, last, "error "+ErrNoSpace.Error())
 	var told acknowledged
 	_, err := fmt.Sscanf(before, "saved %d %d %d %d", &told.term, &told.vote, &told.commit, &told.last)
 	require.NoError(t, err, "line before %q", before)
 	log, err = Open(path, testOptions)
 	require.NoError(t, err)
-	require.NoError(t, lost(log, told))
+	require.NoError(t, checkNothingLost(log, told))
 	require.NoError(t, randomWrite(log, rand.New(rand.NewPCG(2, 2))).write(log), "there is room again")
 	require.NoError(t, log.Close())
 }
 
-func TestFullFileStopsTheLog(t *testing.T) {
+func TestSaveFailsForeverAfterMaxBytes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	options := testOptions
 	options.MaxBytes = 1 << 20
@@ -248,13 +248,13 @@
 		require.Less(t, index, uint64(40))
 		err = log.Save(hardState(1, 0, 1), []*raftpb.Entry{entry(index, 1, large)}, nil)
 	}
-	require.ErrorIs(t, err, ErrFull)
+	require.ErrorIs(t, err, ErrNoSpace)
 	require.Equal(t, err, log.Save(hardState(2, 0, 1), nil, nil), "broken until it is opened anew")
 }
 
-// TestPowerCutInASave mixes the file before a save with the file after it, sector by sector: what a disk may hold when
+// TestOpenAfterPowerLossInSave mixes the file before a save with the file after it, sector by sector: what a disk may hold when
 // the power fails. bbolt syncs its pages before it writes the meta page, which lies within one sector.
-func TestPowerCutInASave(t *testing.T) {
+func TestOpenAfterPowerLossInSave(t *testing.T) {
 	t.Parallel()
 	const sector = 512
 	random := rand.New(rand.NewPCG(5, 5))
@@ -290,7 +290,7 @@
 	return data
 }
 
-func requireOpensAs(t *testing.T, content []byte, want memory, round int) {
+func requireOpensAs(t *testing.T, content []byte, want logState, round int) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "cut")
 	require.NoError(t, os.WriteFile(path, content, fileMode))
--- a/internal/controlplane/raftlog/asfound_test.go
+++ b/internal/controlplane/raftlog/earlier_release_test.go
@@ -11,7 +11,7 @@
 )
 
 // A log that was written before the names in the code changed is opened with all that it holds.
-func TestOpenReadsALogOfTheFirstVersion(t *testing.T) {
+func TestOpenReadsLogOfEarlierRelease(t *testing.T) {
 	packed, err := os.Open("testdata/as-found.log.gz")
 	require.NoError(t, err)
 	defer func() { _ = packed.Close() }() // it was only read
--- a/internal/controlplane/raftlog/load.go
+++ b/internal/controlplane/raftlog/load.go
@@ -10,8 +10,8 @@
 
 // load reads the whole file into memory and checks it.
 func (l *Log) load(identity Identity) (err error) {
-	defer guard(&err)
-	defer faultsPanic()()
+	defer recoverCorruption(&err)
+	defer panicOnFault()()
 	return l.db.View(func(tx *bolt.Tx) error {
 		if err := loadIdentity(tx, identity); err != nil {
 			return err
@@ -29,40 +29,40 @@
 	if tx.Bucket(identityBucket) == nil {
 		return fmt.Errorf("%w: it has no identity", ErrForeign)
 	}
-	payload, err := get(tx, identityBucket)
+	payload, err := getRecord(tx, identityBucket)
 	if err != nil {
 		return err
 	}
 	return checkIdentity(payload, identity)
 }
 
-func loadMemory(tx *bolt.Tx) (memory, error) {
-	payload, err := get(tx, stateBucket)
+func loadMemory(tx *bolt.Tx) (logState, error) {
+	payload, err := getRecord(tx, stateBucket)
 	if err != nil {
-		return memory{}, err
+		return logState{}, err
 	}
 	stored, err := decodeState(payload)
 	if err != nil {
-		return memory{}, err
+		return logState{}, err
 	}
-	loaded := memory{
+	loaded := logState{
 		hardState: &raftpb.HardState{Term: new(stored.term), Vote: new(stored.vote), Commit: new(stored.commit)},
 		compacted: stored.compacted,
 	}
 	if loaded.snapshot, err = loadSnapshot(tx); err != nil {
-		return memory{}, err
+		return logState{}, err
 	}
 	if loaded.entries, err = loadEntries(tx, stored); err != nil {
-		return memory{}, err
+		return logState{}, err
 	}
 	if loaded.last() != stored.last {
-		return memory{}, fmt.Errorf("%w: last entry is %d, not %d", ErrCorrupt, loaded.last().index, stored.last.index)
+		return logState{}, fmt.Errorf("%w: last entry is %d, not %d", ErrCorrupt, loaded.last().index, stored.last.index)
 	}
-	return loaded, loaded.check()
+	return loaded, loaded.checkInvariants()
 }
 
 func loadSnapshot(tx *bolt.Tx) (*raftpb.Snapshot, error) {
-	payload, err := get(tx, snapshotBucket)
+	payload, err := getRecord(tx, snapshotBucket)
 	if err != nil {
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 }
 
 // loadEntries reads the entries. It stops at the first that isn't where the state has it.
-func loadEntries(tx *bolt.Tx, stored state) ([]*raftpb.Entry, error) {
+func loadEntries(tx *bolt.Tx, stored stateRecord) ([]*raftpb.Entry, error) {
 	bucket := tx.Bucket(entriesBucket)
 	if bucket == nil {
 		return nil, fmt.Errorf("%w: no bucket %s", ErrCorrupt, entriesBucket)
--- a/internal/controlplane/raftlog/memory.go
+++ b/internal/controlplane/raftlog/memory.go
@@ -8,52 +8,52 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// memory is the copy of the log that is read. It is replaced as a whole by each write that the disk has.
-type memory struct {
+// logState is the copy of the log that is read. It is replaced as a whole by each write that the disk has.
+type logState struct {
 	hardState *raftpb.HardState
 	snapshot  *raftpb.Snapshot
-	compacted position        // of the entry before the first one held
+	compacted entryID         // of the entry before the first one held
 	entries   []*raftpb.Entry // ascending, without gaps, from compacted.index + 1; immutable
 }
 
-// position names an entry.
-type position struct {
+// entryID names an entry.
+type entryID struct {
 	index uint64
 	term  uint64
 }
 
-func (m memory) last() position {
+func (m logState) last() entryID {
 	if len(m.entries) == 0 {
 		return m.compacted
 	}
 	entry := m.entries[len(m.entries)-1]
-	return position{index: entry.GetIndex(), term: entry.GetTerm()}
+	return entryID{index: entry.GetIndex(), term: entry.GetTerm()}
 }
 
 // withSnapshot replaces the whole log by a snapshot.
-func (m memory) withSnapshot(snapshot *raftpb.Snapshot) memory {
+func (m logState) withSnapshot(snapshot *raftpb.Snapshot) logState {
 	metadata := snapshot.GetMetadata()
 	m.snapshot = snapshot
-	m.compacted = position{index: metadata.GetIndex(), term: metadata.GetTerm()}
+	m.compacted = entryID{index: metadata.GetIndex(), term: metadata.GetTerm()}
 	m.entries = nil
 	return m
 }
 
 // withEntries appends entries in the place of those of the same and higher indexes.
-func (m memory) withEntries(entries []*raftpb.Entry) memory {
+func (m logState) withEntries(entries []*raftpb.Entry) logState {
 	kept := entries[0].GetIndex() - m.compacted.index - 1
 	m.entries = append(m.entries[:kept:kept], entries...)
 	return m
 }
 
-// withoutBefore drops the entries before an index.
-func (m memory) withoutBefore(first uint64) memory {
+// compactedTo drops the entries before an index.
+func (m logState) compactedTo(first uint64) logState {
 	dropped := first - m.compacted.index - 1
 	if dropped == 0 {
 		return m
 	}
 	entry := m.entries[dropped-1]
-	m.compacted = position{index: entry.GetIndex(), term: entry.GetTerm()}
+	m.compacted = entryID{index: entry.GetIndex(), term: entry.GetTerm()}
 	m.entries = append([]*raftpb.Entry(nil), m.entries[dropped:]...)
 	return m
 }
@@ -108,8 +108,8 @@
 // Snapshot implements raft.Storage. The snapshot is shared and must not be changed.
 func (l *Log) Snapshot() (*raftpb.Snapshot, error) { return l.memory.snapshot, nil }
 
-// check states what holds of every log, and is checked of each that is opened.
-func (m memory) check() error {
+// checkInvariants states what holds of every log, and is checked of each that is opened.
+func (m logState) checkInvariants() error {
 	snapshot := m.snapshot.GetMetadata().GetIndex()
 	last, commit := m.last(), m.hardState.GetCommit()
 	switch {
@@ -121,17 +121,17 @@
 	case last.term > m.hardState.GetTerm():
 		return fmt.Errorf("%w: last entry of term %d in term %d", ErrCorrupt, last.term, m.hardState.GetTerm())
 	}
-	return checkSequence(m.compacted, m.entries)
+	return checkConsecutive(m.compacted, m.entries)
 }
 
-// checkSequence tells whether entries follow a position without gaps and without a term that goes back.
-func checkSequence(before position, entries []*raftpb.Entry) error {
+// checkConsecutive tells whether entries follow a position without gaps and without a term that goes back.
+func checkConsecutive(before entryID, entries []*raftpb.Entry) error {
 	for _, entry := range entries {
 		if entry.GetIndex() != before.index+1 || entry.GetTerm() < before.term {
 			return fmt.Errorf("%w: entry %d of term %d follows entry %d of term %d", ErrCorrupt, entry.GetIndex(),
 				entry.GetTerm(), before.index, before.term)
 		}
-		before = position{index: entry.GetIndex(), term: entry.GetTerm()}
+		before = entryID{index: entry.GetIndex(), term: entry.GetTerm()}
 	}
 	return nil
 }
--- a/internal/controlplane/raftlog/raftlog.go
+++ b/internal/controlplane/raftlog/raftlog.go
@@ -33,16 +33,16 @@
 
 // Errors of this package; those that are returned wrap one of them.
 var (
-	ErrNotExist = errors.New("raftlog: no such log")
-	ErrExists   = errors.New("raftlog: log exists already")
-	ErrLocked   = errors.New("raftlog: log is open in another process")
-	ErrForeign  = errors.New("raftlog: not the log of this member")
-	ErrVersion  = errors.New("raftlog: log of another version")
-	ErrTorn     = errors.New("raftlog: file is shorter than its content")
-	ErrCorrupt  = errors.New("raftlog: file corrupt")
-	ErrFull     = errors.New("raftlog: no room on the disk")
-	ErrInvalid  = errors.New("raftlog: write that doesn't fit the log")
-	ErrClosed   = errors.New("raftlog: log is closed")
+	ErrNotExist     = errors.New("raftlog: no such log")
+	ErrExists       = errors.New("raftlog: log exists already")
+	ErrLocked       = errors.New("raftlog: log is open in another process")
+	ErrForeign      = errors.New("raftlog: not the log of this member")
+	ErrVersion      = errors.New("raftlog: log of another version")
+	ErrTorn         = errors.New("raftlog: file is shorter than its content")
+	ErrCorrupt      = errors.New("raftlog: file corrupt")
+	ErrNoSpace      = errors.New("raftlog: no room on the disk")
+	ErrInvalidWrite = errors.New("raftlog: write that doesn't fit the log")
+	ErrClosed       = errors.New("raftlog: log is closed")
 )
 
 // DefaultMaxBytes bounds the file: a snapshot of 17 MiB and 40 MiB of entries, each twice while bbolt writes the new
@@ -50,7 +50,7 @@
 const DefaultMaxBytes = 256 << 20
 
 const (
-	lockWait      = 500 * time.Millisecond
+	lockTimeout   = 500 * time.Millisecond
 	fileMode      = 0o600
 	magic         = "mothrouter raft log\n"
 	formatVersion = 1
@@ -71,9 +71,9 @@
 
 // Log is an open log.
 type Log struct {
-	db     *bolt.DB
-	memory memory
-	broken error // what every further write returns
+	db        *bolt.DB
+	memory    logState
+	brokenErr error // what every further write returns
 }
 
 var _ raft.Storage = (*Log)(nil)
@@ -83,7 +83,7 @@
 // error wraps ErrExists where there is a file already, ErrInvalid where the snapshot is empty, or ErrFull.
 func Create(path string, options Options, start *raftpb.Snapshot) (*Log, error) {
 	if raft.IsEmptySnap(start) {
-		return nil, fmt.Errorf("%w: a log starts with a snapshot", ErrInvalid)
+		return nil, fmt.Errorf("%w: a log starts with a snapshot", ErrInvalidWrite)
 	}
 	if _, err := os.Lstat(path); err == nil {
 		return nil, fmt.Errorf("%w: %s", ErrExists, path)
@@ -124,24 +124,24 @@
 				return err
 			}
 		}
-		if err := put(tx, identityBucket, onlyKey, encodeIdentity(identity)); err != nil {
+		if err := putRecord(tx, identityBucket, singleKey, encodeIdentity(identity)); err != nil {
 			return err
 		}
-		next := memory{}.withSnapshot(start)
+		next := logState{}.withSnapshot(start)
 		next.hardState = &raftpb.HardState{
 			Term: new(start.GetMetadata().GetTerm()), Vote: new(uint64(0)), Commit: new(start.GetMetadata().GetIndex()),
 		}
 		if err := putSnapshot(tx, start); err != nil {
 			return err
 		}
-		return put(tx, stateBucket, onlyKey, next.state().encode())
+		return putRecord(tx, stateBucket, singleKey, next.state().encode())
 	})
 }
 
 // Open opens a log, checks it whole and loads it. Its error wraps ErrNotExist, ErrLocked, ErrForeign, ErrVersion,
 // ErrTorn or ErrCorrupt.
 func Open(path string, options Options) (log *Log, err error) {
-	defer guard(&err)
+	defer recoverCorruption(&err)
 	var verifyErr error
 	db, err := bolt.Open(path, fileMode, &bolt.Options{
 		MaxSize: options.maxBytes(),
@@ -186,7 +186,7 @@
 // lock takes the lock of a file. It waits a little: a system may release that of a killed process some time after it
 // has ended.
 func lock(file *os.File) error {
-	for deadline := time.Now().Add(lockWait); ; time.Sleep(lockWait / 50) {
+	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockTimeout / 50) {
 		err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
 		if !errors.Is(err, syscall.EWOULDBLOCK) {
 			return err
@@ -204,7 +204,7 @@
 	}
 	err := l.db.Close()
 	l.db = nil
-	l.broken = ErrClosed
+	l.brokenErr = ErrClosed
 	return err
 }
 
@@ -261,25 +261,25 @@
 		return nil
 	}
 	if errors.Is(err, berrors.ErrMaxSizeReached) {
-		return fmt.Errorf("%w: %w", ErrFull, err)
+		return fmt.Errorf("%w: %w", ErrNoSpace, err)
 	}
 	for _, full := range []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG} {
 		if errors.Is(err, full) || strings.Contains(err.Error(), full.Error()) {
-			return fmt.Errorf("%w: %w", ErrFull, err)
+			return fmt.Errorf("%w: %w", ErrNoSpace, err)
 		}
 	}
 	return err
 }
 
-// guard turns a panic of bbolt, and a fault in its mapped file, into an error that wraps ErrCorrupt. It is deferred.
-func guard(err *error) {
+// recoverCorruption turns a panic of bbolt, and a fault in its mapped file, into an error that wraps ErrCorrupt. It is deferred.
+func recoverCorruption(err *error) {
 	if cause := recover(); cause != nil {
 		*err = fmt.Errorf("%w: %v", ErrCorrupt, cause)
 	}
 }
 
-// faultsPanic makes a fault in the mapped file a panic until the function that it returns is called.
-func faultsPanic() (restore func()) {
+// panicOnFault makes a fault in the mapped file a panic until the function that it returns is called.
+func panicOnFault() (restore func()) {
 	before := debug.SetPanicOnFault(true)
 	return func() { debug.SetPanicOnFault(before) }
 }
--- a/internal/controlplane/raftlog/raftlog_test.go
+++ b/internal/controlplane/raftlog/raftlog_test.go
@@ -60,7 +60,7 @@
 	return opened
 }
 
-func requireSame(t testing.TB, want, got memory) {
+func requireSame(t testing.TB, want, got logState) {
 	t.Helper()
 	require.Equal(t, want.state(), got.state())
 	require.True(t, proto.Equal(want.snapshot, got.snapshot))
@@ -70,7 +70,7 @@
 	}
 }
 
-func TestNewLogStartsWithItsSnapshot(t *testing.T) {
+func TestCreateStartsWithSnapshot(t *testing.T) {
 	log, path := create(t)
 	hard, conf, err := log.InitialState()
 	require.NoError(t, err)
@@ -87,7 +87,7 @@
 	reopen(t, log, path)
 }
 
-func TestSavedStateIsThereAfterReopening(t *testing.T) {
+func TestSaveSurvivesReopening(t *testing.T) {
 	log, path := create(t)
 	require.NoError(t, log.Save(hardState(2, 3, 1), entries(2, 9, 2), nil))
 	log = reopen(t, log, path)
@@ -103,7 +103,7 @@
 	require.Equal(t, uint64(3), got[5].GetTerm())
 }
 
-func TestEntriesKeepTheirBounds(t *testing.T) {
+func TestEntriesAndTermBounds(t *testing.T) {
 	log, _ := create(t)
 	require.NoError(t, log.Save(hardState(2, 0, 1), entries(2, 9, 2), nil))
 	size := uint64(proto.Size(entry(2, 2, "entry")))
@@ -124,7 +124,7 @@
 	require.ErrorIs(t, err, raft.ErrUnavailable)
 }
 
-func TestCompactKeepsWhatTheSnapshotLacks(t *testing.T) {
+func TestCompactKeepsEntriesAfterFirst(t *testing.T) {
 	log, path := create(t)
 	require.NoError(t, log.Save(hardState(2, 0, 8), entries(2, 9, 2), nil))
 	require.NoError(t, log.Compact(snapshotAt(8, 2, "eight"), 6))
@@ -146,7 +146,7 @@
 	reopen(t, log, path)
 }
 
-func TestSnapshotOfTheLeaderReplacesTheLog(t *testing.T) {
+func TestSaveOfSnapshotReplacesLog(t *testing.T) {
 	log, path := create(t)
 	require.NoError(t, log.Save(hardState(2, 0, 3), entries(2, 9, 2), nil))
 	require.NoError(t, log.Save(hardState(4, 0, 20), entries(21, 22, 4), snapshotAt(20, 4, "twenty")))
@@ -156,7 +156,7 @@
 	require.Equal(t, []uint64{21, 22}, []uint64{first, last})
 }
 
-func TestWritesThatDoNotFitAreRefusedAndChangeNothing(t *testing.T) {
+func TestInvalidWritesAreRejectedWithoutEffect(t *testing.T) {
 	log, path := create(t)
 	require.NoError(t, log.Save(hardState(3, 2, 4), entries(2, 9, 3), nil))
 	gapWithin := []*raftpb.Entry{entry(10, 3, ""), entry(12, 3, "")}
@@ -178,13 +178,13 @@
 		"snapshot not in log":    func() error { return log.Compact(snapshotAt(12, 3, ""), 5) },
 		"uncovered compaction":   func() error { return log.Compact(snapshotAt(4, 3, ""), 6) },
 	} {
-		require.ErrorIs(t, write(), ErrInvalid, name)
+		require.ErrorIs(t, write(), ErrInvalidWrite, name)
 	}
 	log = reopen(t, log, path)
 	require.NoError(t, log.Save(hardState(3, 2, 9), entries(10, 10, 3), nil), "the log still works")
 }
 
-func TestCreateRefusesWhatExistsAndTakesOverWhatIsUnfinished(t *testing.T) {
+func TestCreateRejectsExistingAndReplacesUnfinishedFile(t *testing.T) {
 	_, path := create(t)
 	_, err := Create(path, testOptions, snapshotAt(1, 1, "start"))
 	require.ErrorIs(t, err, ErrExists)
@@ -195,10 +195,10 @@
 	require.NoError(t, err)
 	require.NoError(t, log.Close())
 	_, err = Create(filepath.Join(t.TempDir(), "log"), testOptions, nil)
-	require.ErrorIs(t, err, ErrInvalid)
+	require.ErrorIs(t, err, ErrInvalidWrite)
 }
 
-func TestOpenNamesWhatIsWrong(t *testing.T) {
+func TestOpenErrors(t *testing.T) {
 	log, path := create(t)
 	_, err := Open(path+".none", testOptions)
 	require.ErrorIs(t, err, ErrNotExist)
@@ -212,8 +212,8 @@
 	require.ErrorIs(t, log.Save(hardState(5, 0, 1), nil, nil), ErrClosed)
 }
 
-// TestRandomHistoryEqualsMemoryStorage holds a log against the storage in memory that raft brings with it.
-func TestRandomHistoryEqualsMemoryStorage(t *testing.T) {
+// TestRandomWritesMatchMemoryStorage holds a log against the storage in memory that raft brings with it.
+func TestRandomWritesMatchMemoryStorage(t *testing.T) {
 	for seed := range uint64(8) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		log, path := create(t)
--- a/internal/controlplane/raftlog/record.go
+++ b/internal/controlplane/raftlog/record.go
@@ -18,27 +18,27 @@
 	snapshotBucket = []byte("snapshot")
 	entriesBucket  = []byte("entries")
 
-	onlyKey = []byte("only") // of the buckets that hold one record
+	singleKey = []byte("only") // of the buckets that hold one record
 )
 
 const checksumBytes = 8
 
-// state is the record that every Save writes. It has the bounds of the entries, so that none can be missing unseen.
-type state struct {
+// stateRecord is the record that every Save writes. It has the bounds of the entries, so that none can be missing unseen.
+type stateRecord struct {
 	term, vote, commit uint64
-	compacted, last    position
+	compacted, last    entryID
 }
 
 const stateBytes = 7 * 8
 
-func (m memory) state() state {
-	return state{
+func (m logState) state() stateRecord {
+	return stateRecord{
 		term: m.hardState.GetTerm(), vote: m.hardState.GetVote(), commit: m.hardState.GetCommit(),
 		compacted: m.compacted, last: m.last(),
 	}
 }
 
-func (s state) encode() []byte {
+func (s stateRecord) encode() []byte {
 	data := make([]byte, 0, stateBytes)
 	for _, number := range []uint64{
 		s.term, s.vote, s.commit, s.compacted.index, s.compacted.term, s.last.index, s.last.term,
@@ -48,27 +48,27 @@
 	return data
 }
 
-func decodeState(data []byte) (state, error) {
+func decodeState(data []byte) (stateRecord, error) {
 	if len(data) != stateBytes {
-		return state{}, fmt.Errorf("%w: state of %d bytes", ErrCorrupt, len(data))
+		return stateRecord{}, fmt.Errorf("%w: state of %d bytes", ErrCorrupt, len(data))
 	}
 	number := func(i int) uint64 { return binary.BigEndian.Uint64(data[8*i:]) }
-	return state{
+	return stateRecord{
 		term: number(0), vote: number(1), commit: number(2),
-		compacted: position{index: number(3), term: number(4)},
-		last:      position{index: number(5), term: number(6)},
+		compacted: entryID{index: number(3), term: number(4)},
+		last:      entryID{index: number(5), term: number(6)},
 	}, nil
 }
 
-// seal returns a record: the payload and a checksum over its place and the payload.
-func seal(bucket, key, payload []byte) []byte {
+// encodeRecord returns a record: the payload and a checksum over its place and the payload.
+func encodeRecord(bucket, key, payload []byte) []byte {
 	record := make([]byte, 0, len(payload)+checksumBytes)
 	record = append(record, payload...)
 	return binary.BigEndian.AppendUint64(record, checksum(bucket, key, payload))
 }
 
-// unseal returns the payload of a record, as part of it.
-func unseal(bucket, key, record []byte) ([]byte, error) {
+// decodeRecord returns the payload of a record, as part of it.
+func decodeRecord(bucket, key, record []byte) ([]byte, error) {
 	if len(record) < checksumBytes {
 		return nil, fmt.Errorf("%w: record %s/%x of %d bytes", ErrCorrupt, bucket, key, len(record))
 	}
@@ -91,8 +91,8 @@
 	return digest.Sum64()
 }
 
-func put(tx *bolt.Tx, bucket, key, payload []byte) error {
-	return tx.Bucket(bucket).Put(key, seal(bucket, key, payload))
+func putRecord(tx *bolt.Tx, bucket, key, payload []byte) error {
+	return tx.Bucket(bucket).Put(key, encodeRecord(bucket, key, payload))
 }
 
 func putSnapshot(tx *bolt.Tx, snapshot *raftpb.Snapshot) error {
@@ -100,7 +100,7 @@
 	if err != nil {
 		return err
 	}
-	return put(tx, snapshotBucket, onlyKey, data)
+	return putRecord(tx, snapshotBucket, singleKey, data)
 }
 
 func putEntry(tx *bolt.Tx, entry *raftpb.Entry) error {
@@ -108,27 +108,27 @@
 	if err != nil {
 		return err
 	}
-	return put(tx, entriesBucket, entryKey(entry.GetIndex()), data)
+	return putRecord(tx, entriesBucket, entryKey(entry.GetIndex()), data)
 }
 
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// get returns the payload of the one record of a bucket, as part of the mapped file.
-func get(tx *bolt.Tx, name []byte) ([]byte, error) {
+// getRecord returns the payload of the one record of a bucket, as part of the mapped file.
+func getRecord(tx *bolt.Tx, name []byte) ([]byte, error) {
 	bucket := tx.Bucket(name)
 	if bucket == nil {
 		return nil, fmt.Errorf("%w: no bucket %s", ErrCorrupt, name)
 	}
-	record := bucket.Get(onlyKey)
+	record := bucket.Get(singleKey)
 	if record == nil {
 		return nil, fmt.Errorf("%w: no record in bucket %s", ErrCorrupt, name)
 	}
-	return unseal(name, onlyKey, record)
+	return decodeRecord(name, singleKey, record)
 }
 
 // decodeEntry reads the record of an entry.
 func decodeEntry(key, record []byte) (*raftpb.Entry, error) {
-	payload, err := unseal(entriesBucket, key, record)
+	payload, err := decodeRecord(entriesBucket, key, record)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/controlplane/raftlog/save.go
+++ b/internal/controlplane/raftlog/save.go
@@ -13,14 +13,14 @@
 // error wraps ErrInvalid where the write doesn't fit the log (nothing is written), ErrFull where the disk or the file
 // can take no more, ErrCorrupt where the file turned out corrupt, or is that of the disk.
 func (l *Log) Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
-	if l.broken != nil {
-		return l.broken
+	if l.brokenErr != nil {
+		return l.brokenErr
 	}
 	before := l.memory
 	next := before
 	if !raft.IsEmptySnap(snapshot) {
 		if snapshot.GetMetadata().GetIndex() <= before.snapshot.GetMetadata().GetIndex() {
-			return fmt.Errorf("%w: snapshot of entry %d after that of %d", ErrInvalid,
+			return fmt.Errorf("%w: snapshot of entry %d after that of %d", ErrInvalidWrite,
 				snapshot.GetMetadata().GetIndex(), before.snapshot.GetMetadata().GetIndex())
 		}
 		next = next.withSnapshot(snapshot)
@@ -34,84 +34,84 @@
 	if !raft.IsEmptyHardState(hardState) {
 		next.hardState = hardState
 	}
-	if err := next.checkSave(before); err != nil {
+	if err := next.checkTransition(before); err != nil {
 		return err
 	}
-	return l.replace(next, func(tx *bolt.Tx) error { return writeSave(tx, before, next, entries) })
+	return l.commitWrite(next, func(tx *bolt.Tx) error { return writeSave(tx, before, next, entries) })
 }
 
 // Compact stores a snapshot that this member made itself and drops the entries before an index, in one transaction
 // that is synced before it returns. The snapshot must be newer than the stored one and of a committed entry, and the
 // entries that it doesn't cover are kept. Errors are those of Save.
 func (l *Log) Compact(snapshot *raftpb.Snapshot, first uint64) error {
-	if l.broken != nil {
-		return l.broken
+	if l.brokenErr != nil {
+		return l.brokenErr
 	}
 	before := l.memory
 	index := snapshot.GetMetadata().GetIndex()
 	term, err := l.Term(index)
 	switch {
 	case err != nil || term != snapshot.GetMetadata().GetTerm():
-		return fmt.Errorf("%w: snapshot of entry %d, which is not in the log", ErrInvalid, index)
+		return fmt.Errorf("%w: snapshot of entry %d, which is not in the log", ErrInvalidWrite, index)
 	case index <= before.snapshot.GetMetadata().GetIndex() || index > before.hardState.GetCommit():
-		return fmt.Errorf("%w: snapshot of entry %d, commit is %d", ErrInvalid, index, before.hardState.GetCommit())
+		return fmt.Errorf("%w: snapshot of entry %d, commit is %d", ErrInvalidWrite, index, before.hardState.GetCommit())
 	case first <= before.compacted.index || first > index+1:
-		return fmt.Errorf("%w: snapshot of entry %d, entries kept from %d", ErrInvalid, index, first)
+		return fmt.Errorf("%w: snapshot of entry %d, entries kept from %d", ErrInvalidWrite, index, first)
 	}
-	next := before.withoutBefore(first)
+	next := before.compactedTo(first)
 	next.snapshot = snapshot
-	return l.replace(next, func(tx *bolt.Tx) error {
+	return l.commitWrite(next, func(tx *bolt.Tx) error {
 		if err := deleteEntries(tx, before.compacted.index+1, first); err != nil {
 			return err
 		}
 		if err := putSnapshot(tx, snapshot); err != nil {
 			return err
 		}
-		return put(tx, stateBucket, onlyKey, next.state().encode())
+		return putRecord(tx, stateBucket, singleKey, next.state().encode())
 	})
 }
 
-func (m memory) checkAppend(entries []*raftpb.Entry) error {
+func (m logState) checkAppend(entries []*raftpb.Entry) error {
 	first := entries[0].GetIndex()
 	if first <= m.compacted.index || first > m.last().index+1 {
-		return fmt.Errorf("%w: entry %d, the log has %d to %d", ErrInvalid, first, m.compacted.index+1, m.last().index)
+		return fmt.Errorf("%w: entry %d, the log has %d to %d", ErrInvalidWrite, first, m.compacted.index+1, m.last().index)
 	}
 	before := m.compacted
 	if kept := first - m.compacted.index - 1; kept > 0 {
 		entry := m.entries[kept-1]
-		before = position{index: entry.GetIndex(), term: entry.GetTerm()}
+		before = entryID{index: entry.GetIndex(), term: entry.GetTerm()}
 	}
-	if err := checkSequence(before, entries); err != nil {
-		return fmt.Errorf("%w: %w", ErrInvalid, err)
+	if err := checkConsecutive(before, entries); err != nil {
+		return fmt.Errorf("%w: %w", ErrInvalidWrite, err)
 	}
 	return nil
 }
 
-// checkSave states what a write must never undo: the term, the vote in a term, and what is committed.
-func (m memory) checkSave(before memory) error {
+// checkTransition states what a write must never undo: the term, the vote in a term, and what is committed.
+func (m logState) checkTransition(before logState) error {
 	was, is := before.hardState, m.hardState
 	switch {
 	case is.GetTerm() < was.GetTerm():
-		return fmt.Errorf("%w: term %d after %d", ErrInvalid, is.GetTerm(), was.GetTerm())
+		return fmt.Errorf("%w: term %d after %d", ErrInvalidWrite, is.GetTerm(), was.GetTerm())
 	case is.GetTerm() == was.GetTerm() && was.GetVote() != 0 && is.GetVote() != was.GetVote():
-		return fmt.Errorf("%w: vote for %x after %x in term %d", ErrInvalid, is.GetVote(), was.GetVote(), is.GetTerm())
+		return fmt.Errorf("%w: vote for %x after %x in term %d", ErrInvalidWrite, is.GetVote(), was.GetVote(), is.GetTerm())
 	case is.GetCommit() < was.GetCommit():
-		return fmt.Errorf("%w: commit %d after %d", ErrInvalid, is.GetCommit(), was.GetCommit())
+		return fmt.Errorf("%w: commit %d after %d", ErrInvalidWrite, is.GetCommit(), was.GetCommit())
 	}
 	for index := max(before.compacted.index, m.compacted.index) + 1; index <= was.GetCommit(); index++ {
 		if index > m.last().index || before.termAt(index) != m.termAt(index) {
-			return fmt.Errorf("%w: committed entry %d would be lost", ErrInvalid, index)
+			return fmt.Errorf("%w: committed entry %d would be lost", ErrInvalidWrite, index)
 		}
 	}
-	if err := m.check(); err != nil {
-		return fmt.Errorf("%w: %w", ErrInvalid, err)
+	if err := m.checkInvariants(); err != nil {
+		return fmt.Errorf("%w: %w", ErrInvalidWrite, err)
 	}
 	return nil
 }
 
-func (m memory) termAt(index uint64) uint64 { return m.entries[index-m.compacted.index-1].GetTerm() }
+func (m logState) termAt(index uint64) uint64 { return m.entries[index-m.compacted.index-1].GetTerm() }
 
-func writeSave(tx *bolt.Tx, before, next memory, entries []*raftpb.Entry) error {
+func writeSave(tx *bolt.Tx, before, next logState, entries []*raftpb.Entry) error {
 	replaced := next.snapshot != before.snapshot
 	first, end := uint64(0), before.last().index+1
 	switch {
@@ -135,7 +135,7 @@
 			return err
 		}
 	}
-	return put(tx, stateBucket, onlyKey, next.state().encode())
+	return putRecord(tx, stateBucket, singleKey, next.state().encode())
 }
 
 func deleteEntries(tx *bolt.Tx, first, end uint64) error {
@@ -148,10 +148,10 @@
 	return nil
 }
 
-// replace runs a write and, once it is on the disk, makes next what is read.
-func (l *Log) replace(next memory, write func(tx *bolt.Tx) error) error {
+// commitWrite runs a write and, once it is on the disk, makes next what is read.
+func (l *Log) commitWrite(next logState, write func(tx *bolt.Tx) error) error {
 	if err := l.update(write); err != nil {
-		l.broken = err
+		l.brokenErr = err
 		return err
 	}
 	l.memory = next
@@ -159,7 +159,7 @@
 }
 
 func (l *Log) update(write func(tx *bolt.Tx) error) (err error) {
-	defer guard(&err)
-	defer faultsPanic()()
+	defer recoverCorruption(&err)
+	defer panicOnFault()()
 	return diskError(l.db.Update(write))
 }
