--- a/internal/controlplane/controlserver/replica.go
+++ b/internal/controlplane/controlserver/replica.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// maxInbox is how many messages of peers wait for the replica. Streams are read no further while it is full.
+	// maxInbox is the maximum number of messages from peers that wait for the replica. Their streams are not read while it
+	// is full.
 	maxInbox = 64
-	// maxCalls is how many calls of handlers wait for the replica.
+	// maxCalls is the maximum number of function calls of handlers that wait for the replica.
 	maxCalls = 64
-	// maxMessagesAtOnce is how many messages are taken before what they ask for is written: one sync for all.
-	maxMessagesAtOnce = 32
-	// countsEvery is how often the counts of dropped messages are logged, where they have changed.
-	countsEvery = time.Minute
+	// maxMessagesPerSync is the maximum number of messages stepped before their entries are persisted with one sync.
+	maxMessagesPerSync = 32
+	// dropLogInterval is the interval at which dropped messages are logged.
+	dropLogInterval = time.Minute
 )
 
-// errStopped is what calls to a replica return that no longer runs.
-var errStopped = errors.New("this control machine is stopping")
+// errStopping is the error of calls to a replica whose run has returned.
+var errStopping = errors.New("this control machine is stopping")
 
-// storage is that of the replicated log: raftlog.Log but in tests.
+// storage is the storage of the raft log: raftlog.Log, except in tests.
 type storage interface {
 	raft.Storage
 	Save(*raftpb.HardState, []*raftpb.Entry, *raftpb.Snapshot) error
@@ -39,32 +40,32 @@
 
 var _ storage = (*raftlog.Log)(nil)
 
-// replica is the goroutine that owns the consensus node, the state machine of revisions and the log. All others talk to
-// it by bounded channels.
+// replica is the goroutine that owns the consensus node, its state machine and the raft log. Other goroutines communicate
+// with it through bounded channels.
 type replica struct {
-	node     *consensus.Node
-	storage  storage
-	send     func(*raftpb.Message) // must not wait
-	nameOf   func(id uint64) string
-	hub      *confighub.Hub
-	log      *slog.Logger
-	interval time.Duration // between ticks
+	node         *consensus.Node
+	storage      storage
+	send         func(*raftpb.Message)  // must not block
+	memberName   func(id uint64) string // of a member, for logs
+	hub          *confighub.Hub
+	logger       *slog.Logger
+	tickInterval time.Duration // of node
 
 	inbox chan *raftpb.Message
 	calls chan func()
 	ended chan struct{} // closed once run has returned
 
-	publications publications
-	reads        map[uint64]chan<- consensus.ReadOutcome // by id, at most consensus.MaxReads
-	lastRead     uint64
-	newest       uint64 // of what the hub was told
-	leader       uint64 // that was logged last
-	malformed    uint64 // messages that the node refused
+	publications   publications
+	reads          map[uint64]chan<- consensus.ReadOutcome // by id, at most consensus.MaxReads
+	lastReadID     uint64
+	hubNewest      uint64 // number of the newest revision passed to hub
+	loggedLeader   uint64 // id, as last logged
+	malformedCount uint64 // messages rejected by the node
 }
 
 func newReplica(node *consensus.Node, storage storage, hub *confighub.Hub, log *slog.Logger) *replica {
 	return &replica{
-		node: node, storage: storage, hub: hub, log: log, interval: consensus.DefaultTickInterval,
+		node: node, storage: storage, hub: hub, logger: log, tickInterval: consensus.DefaultTickInterval,
 		inbox:        make(chan *raftpb.Message, maxInbox),
 		calls:        make(chan func(), maxCalls),
 		ended:        make(chan struct{}),
@@ -73,11 +74,11 @@
 	}
 }
 
-// run owns the node until the context ends. Its error tells why this control machine cannot go on: its storage failed,
-// or the node found it wanting.
+// run drives the node until the context ends, the storage fails or the node stops. Its error is that of the storage or
+// of consensus.Node.Err.
 func (r *replica) run(ctx context.Context) error {
 	defer close(r.ended)
-	ticks := time.NewTicker(r.interval)
+	ticks := time.NewTicker(r.tickInterval)
 	defer ticks.Stop()
 	r.updateHub()
 	for {
@@ -87,22 +88,22 @@
 		case <-ticks.C:
 			r.node.Tick(time.Now())
 		case message := <-r.inbox:
-			r.advance(message)
+			r.stepBatch(message)
 		case call := <-r.calls:
 			call()
 		}
-		if err := r.work(); err != nil {
+		if err := r.processReady(); err != nil {
 			return err
 		}
 	}
 }
 
-// advance takes in a message and those that wait behind it.
-func (r *replica) advance(message *raftpb.Message) {
-	for range maxMessagesAtOnce {
-		if err := r.node.Step(message); errors.Is(err, consensus.ErrMessage) {
-			r.malformed++
-			r.log.Warn("message of a control machine rejected", "error", err)
+// stepBatch steps the node with a message and those waiting in the inbox, at most maxMessagesPerSync.
+func (r *replica) stepBatch(message *raftpb.Message) {
+	for range maxMessagesPerSync {
+		if err := r.node.Step(message); errors.Is(err, consensus.ErrMalformedMessage) {
+			r.malformedCount++
+			r.logger.Warn("message of a control machine rejected", "error", err)
 		}
 		select {
 		case message = <-r.inbox:
@@ -112,8 +113,8 @@
 	}
 }
 
-// work does what the node asks for until it asks for nothing more.
-func (r *replica) work() error {
+// processReady processes Ready of the node until there is none, and updates the hub.
+func (r *replica) processReady() error {
 	for ready := r.node.Ready(); ready != nil; ready = r.node.Ready() {
 		if err := r.save(ready); err != nil {
 			return err
@@ -121,93 +122,94 @@
 		for _, message := range ready.Messages {
 			r.send(message)
 		}
-		r.applied(r.node.Advance())
+		r.deliverOutcomes(r.node.Advance())
 	}
 	if err := r.node.Err(); err != nil {
 		return err
 	}
 	r.updateHub()
-	r.announceLeader()
+	r.logLeaderChange()
 	return nil
 }
 
-// save stores what has to be durable before the messages go out.
+// save persists what has to be durable before the messages are sent.
 func (r *replica) save(ready *consensus.Ready) error {
-	saves := !raft.IsEmptyHardState(ready.HardState) || len(ready.Entries) > 0 || !raft.IsEmptySnap(ready.Snapshot)
-	if saves {
+	hasState := !raft.IsEmptyHardState(ready.HardState) || len(ready.Entries) > 0 || !raft.IsEmptySnap(ready.Snapshot)
+	if hasState {
 		if err := r.storage.Save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
 			return fmt.Errorf("writing the log: %w", err)
 		}
 	}
-	if c := ready.Compaction; c != nil {
-		if err := r.storage.Compact(c.Snapshot, c.First); err != nil {
+	if compaction := ready.Compaction; compaction != nil {
+		if err := r.storage.Compact(compaction.Snapshot, compaction.FirstIndex); err != nil {
 			return fmt.Errorf("compacting the log: %w", err)
 		}
 	}
 	return nil
 }
 
-// applied answers those who wait for what was applied.
-func (r *replica) applied(applied consensus.Applied) {
-	for _, outcome := range applied.Outcomes {
-		r.publications.end(outcome)
+// deliverOutcomes sends the outcomes to the waiting publishers and readers, and logs new revisions.
+func (r *replica) deliverOutcomes(applied consensus.Applied) {
+	for _, outcome := range applied.Proposals {
+		r.publications.finish(outcome)
 	}
 	for _, outcome := range applied.Reads {
-		if waiting, ok := r.reads[outcome.ID]; ok {
+		if reader, ok := r.reads[outcome.ID]; ok {
 			delete(r.reads, outcome.ID)
-			waiting <- outcome // of capacity 1
+			reader <- outcome // does not block: capacity 1
 		}
 	}
 	if applied.Restored {
-		r.log.Info("state restored from a snapshot of the leader", "newest", r.node.Machine().Number())
+		r.logger.Info("state restored from a snapshot of the leader", "newest", r.node.Machine().Number())
 	}
 	for _, revision := range applied.Revisions {
-		r.log.Info("revision committed", "number", revision.GetNumber(), "bytes", len(revision.GetDocument()))
+		r.logger.Info("revision committed", "number", revision.GetNumber(), "bytes", len(revision.GetDocument()))
 	}
 }
 
-// updateHub has brokers told of the newest revision and of how lately a quorum confirmed it.
+// updateHub passes the newest revision to the hub, and when a quorum last confirmed it.
 func (r *replica) updateHub() {
 	now := time.Now()
-	confirmed := time.Time{}
-	if age := r.node.Confirmed(now); age != consensus.Unconfirmed {
-		confirmed = now.Add(-age)
+	var confirmedAt time.Time
+	if age := r.node.ConfirmedAge(now); age != consensus.Unconfirmed {
+		confirmedAt = now.Add(-age)
 	}
 	var revision *configpb.Revision
-	if newest := r.node.Machine().Newest(); newest.GetNumber() > r.newest {
+	if newest := r.node.Machine().Newest(); newest.GetNumber() > r.hubNewest {
 		revision = newest
-		r.newest = newest.GetNumber()
+		r.hubNewest = newest.GetNumber()
 	}
-	if err := r.hub.SetNewest(revision, confirmed); err != nil {
-		panic(fmt.Sprintf("controlserver: an applied revision that cannot be distributed: %v", err))
+	if err := r.hub.SetNewest(revision, confirmedAt); err != nil {
+		panic(fmt.Sprintf("controlserver: hub rejects applied revision %d: %v", revision.GetNumber(), err))
 	}
 }
 
-func (r *replica) announceLeader() {
-	if leader := r.node.Leader(); leader != r.leader {
-		r.leader = leader
+// logLeaderChange logs the leader if it differs from the last logged one.
+func (r *replica) logLeaderChange() {
+	if leader := r.node.Leader(); leader != r.loggedLeader {
+		r.loggedLeader = leader
 		if leader == 0 {
-			r.log.Warn("no leader")
+			r.logger.Warn("no leader")
 			return
 		}
-		r.log.Info("leader known", "leader", r.nameOf(leader))
+		r.logger.Info("leader known", "leader", r.memberName(leader))
 	}
 }
 
-// deliver hands a message to the replica. It waits while the inbox is full.
-func (r *replica) deliver(ctx context.Context, message *raftpb.Message) error {
+// enqueue passes a message to the replica. It blocks while the inbox is full. Its error is the context's or errStopping.
+func (r *replica) enqueue(ctx context.Context, message *raftpb.Message) error {
 	select {
 	case r.inbox <- message:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-r.ended:
-		return errStopped
+		return errStopping
 	}
 }
 
-// runOnLoop runs a function on the replica's goroutine and returns once it has run. Where it returns an error, the function
-// may still run, or not.
+// runOnLoop runs a function on the replica's goroutine and returns when it has run. If it returns an error, the context's
+// or errStopping, the function may still run.
 func (r *replica) runOnLoop(ctx context.Context, call func()) error {
 	done := make(chan struct{})
 	select {
@@ -215,45 +217,52 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-r.ended:
-		return errStopped
+		return errStopping
 	}
-	return r.wait(ctx, done)
-}
-
-func (r *replica) wait(ctx context.Context, done <-chan struct{}) error {
 	select {
 	case <-done:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-r.ended:
-		return errStopped
+		return errStopping
+	}
+}
+
+// query returns the result of a function that runs on the replica's goroutine. Its error is that of runOnLoop.
+func query[T any](ctx context.Context, r *replica, call func() T) (T, error) {
+	result := make(chan T, 1)
+	if err := r.runOnLoop(ctx, func() { result <- call() }); err != nil {
+		var none T
+		return none, err
 	}
+	return <-result, nil
 }
 
-// barrier returns once this machine has applied all that was acknowledged to anybody before the call. Errors: those of
-// consensus.Node.Read and consensus.ErrTimeout; then nobody knows whether this machine is behind.
+// barrier is a linearizable read: it returns when this machine has applied every publication acknowledged before the
+// call. Its error is that of consensus.Node.Read, of the read's outcome, the context's or errStopping; this machine may
+// lag then.
 func (r *replica) barrier(ctx context.Context) error {
-	answer := make(chan consensus.ReadOutcome, 1)
-	var asked error
+	result := make(chan consensus.ReadOutcome, 1)
+	var readErr error
 	err := r.runOnLoop(ctx, func() {
-		r.lastRead++
-		if asked = r.node.Read(r.lastRead); asked == nil {
-			r.reads[r.lastRead] = answer
+		r.lastReadID++
+		if readErr = r.node.Read(r.lastReadID); readErr == nil {
+			r.reads[r.lastReadID] = result
 		}
 	})
 	if err != nil {
 		return err
 	}
-	if asked != nil {
-		return asked
+	if readErr != nil {
+		return readErr
 	}
 	select {
-	case outcome := <-answer:
+	case outcome := <-result:
 		return outcome.Err
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-r.ended:
-		return errStopped
+		return errStopping
 	}
 }
