--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -103,7 +103,7 @@
 		p.backoff.Resize(n)
 		p.core.Notify(decision.FleetResized{Brokers: n})
 		if p.revisions != nil {
-			p.revisions.Resize(n)
+			p.revisions.SetFleetSize(n)
 		}
 	})
 	if err != nil {
--- a/cmd/mothrouter/configuration.go
+++ b/cmd/mothrouter/configuration.go
@@ -27,8 +27,8 @@
 	}
 	applier := &applier{start: start, core: p.core, followed: p.followed, log: p.log}
 	p.revisions, err = configfollower.New(configfollower.Options{
-		Name: machines.Name, Started: p.started, Zone: machines.Zone, Region: machines.Region,
-		Control: machines.Control, Callers: p.fleetSize, Seed: p.cfg.Seed, Log: p.log, Apply: applier.apply,
+		Name: machines.Name, StartedAt: p.started, Zone: machines.Zone, Region: machines.Region,
+		Machines: machines.Control, FleetSize: p.fleetSize, Seed: p.cfg.Seed, Log: p.log, Apply: applier.apply,
 	})
 	if err != nil {
 		return err
--- a/internal/controlplane/configfollower/configclient.go
+++ b/internal/controlplane/configfollower/configclient.go
@@ -14,14 +14,14 @@
 
 // Options are what a client is started with.
 type Options struct {
-	Name    string    // of the broker
-	Started time.Time // of this process
-	Zone    string
-	Region  string
-	Control []distribution.Machine
-	Callers int    // brokers of the fleet, by which waits are spread
-	Seed    uint64 // of the waits: brokers need different ones
-	Log     *slog.Logger
+	Name      string    // of the broker
+	StartedAt time.Time // of this process
+	Zone      string
+	Region    string
+	Machines  []distribution.Machine
+	FleetSize int    // brokers of the fleet, by which waits are spread
+	Seed      uint64 // of the waits: brokers need different ones
+	Log       *slog.Logger
 
 	// Apply puts a revision in force whole, or returns why it cannot, by the key that is at fault: then the one before
 	// stays in force. It is called by one goroutine, one at a time, and may wait for the broker's loop. It has to
@@ -31,8 +31,8 @@
 
 // Client keeps a broker at the newest revision. Make it with New.
 type Client struct {
-	opt    Options
-	events chan event
+	options Options
+	events  chan event
 
 	mu       sync.Mutex // held for no longer than one step of the follower
 	follower *distribution.Follower
@@ -44,18 +44,18 @@
 // New returns a client that is not running yet. Errors: those of distribution.NewFollower.
 func New(opt Options) (*Client, error) {
 	follower, err := distribution.NewFollower(time.Now(), distribution.FollowerOptions{
-		Name:    opt.Name,
-		Started: opt.Started,
-		Zone:    opt.Zone,
-		Region:  opt.Region,
-		Control: opt.Control,
-		Callers: opt.Callers,
-		Seed:    opt.Seed,
+		Name:      opt.Name,
+		StartedAt: opt.StartedAt,
+		Zone:      opt.Zone,
+		Region:    opt.Region,
+		Machines:  opt.Machines,
+		FleetSize: opt.FleetSize,
+		Seed:      opt.Seed,
 	})
 	if err != nil {
 		return nil, err
 	}
-	return &Client{opt: opt, events: make(chan event), follower: follower}, nil
+	return &Client{options: opt, events: make(chan event), follower: follower}, nil
 }
 
 // Status returns what the client knows. Any goroutine may call it.
@@ -65,11 +65,11 @@
 	return c.follower.Status(time.Now())
 }
 
-// Resize takes up how many brokers the fleet has. Any goroutine may call it.
-func (c *Client) Resize(callers int) {
+// SetFleetSize takes up how many brokers the fleet has. Any goroutine may call it.
+func (c *Client) SetFleetSize(callers int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.follower.Resize(callers)
+	c.follower.SetFleetSize(callers)
 }
 
 // Run follows control machines until ctx ends, and returns once every goroutine of it has ended. It is called once.
@@ -83,7 +83,7 @@
 	goroutines.Go(func() { c.apply(ctx, revisions) })
 	var present *stream
 	defer func() { present.close() }()
-	news := newReporter(c.opt.Log, time.Now())
+	news := newStatusLogger(c.options.Log, time.Now())
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -126,11 +126,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	return c.follower.Ready(now), c.follower.Status(now), c.follower.Wake()
+	return c.follower.Ready(now), c.follower.Status(now), c.follower.NextTick()
 }
 
-// logStatus hands an event to Run, or drops it where ctx has ended.
-func (c *Client) logStatus(ctx context.Context, e event) {
+// post hands an event to Run, or drops it where ctx has ended.
+func (c *Client) post(ctx context.Context, e event) {
 	select {
 	case c.events <- e:
 	case <-ctx.Done():
@@ -144,12 +144,12 @@
 		case <-ctx.Done():
 			return
 		case revision := <-revisions:
-			refusal := c.opt.Apply(revision)
-			c.logStatus(ctx, func(now time.Time, f *distribution.Follower) {
+			refusal := c.options.Apply(revision)
+			c.post(ctx, func(now time.Time, f *distribution.Follower) {
 				if refusal != nil {
 					f.RevisionRejected(now, revision.GetNumber(), refusal.GetKey(), refusal.GetReason())
 				} else {
-					f.Applied(now, revision.GetNumber())
+					f.RevisionApplied(now, revision.GetNumber())
 				}
 			})
 		}
--- a/internal/controlplane/configfollower/configclient_test.go
+++ b/internal/controlplane/configfollower/configclient_test.go
@@ -100,13 +100,13 @@
 		machines = append(machines, distribution.Machine{Address: address})
 	}
 	client, err := configfollower.New(configfollower.Options{
-		Name:    "b1",
-		Started: time.Now(),
-		Zone:    "a",
-		Control: machines,
-		Callers: 1,
-		Log:     slog.New(slog.DiscardHandler),
-		Apply:   b.apply,
+		Name:      "b1",
+		StartedAt: time.Now(),
+		Zone:      "a",
+		Machines:  machines,
+		FleetSize: 1,
+		Log:       slog.New(slog.DiscardHandler),
+		Apply:     b.apply,
 	})
 	require.NoError(t, err)
 	b.Client = client
@@ -180,7 +180,7 @@
 		address := listener.Addr().String()
 		require.NoError(t, listener.Close())
 		b := startBroker(t, nil, address)
-		require.Eventually(t, func() bool { return b.Status().Counts.Ended > 1 }, 8*time.Second, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return b.Status().Counts.StreamsEnded > 1 }, 8*time.Second, 5*time.Millisecond)
 		require.False(t, b.Status().StalenessKnown)
 		require.Zero(t, b.Status().InForce)
 
@@ -220,7 +220,7 @@
 		time.Sleep(2 * time.Millisecond) // instances are told apart by the millisecond of their start
 		restarted := startBroker(t, nil, s.address)
 		require.Eventually(t, func() bool { return restarted.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
-		require.Eventually(t, func() bool { return old.Status().Counts.Ended > 0 }, 8*time.Second, 5*time.Millisecond)
+		require.Eventually(t, func() bool { return old.Status().Counts.StreamsEnded > 0 }, 8*time.Second, 5*time.Millisecond)
 		require.Len(t, s.hub.Status().Brokers, 1)
 	})
 }
--- a/internal/controlplane/configfollower/cost_test.go
+++ b/internal/controlplane/configfollower/cost_test.go
@@ -188,7 +188,7 @@
 	defer cancel()
 	for i := range n {
 		client, err := configfollower.New(configfollower.Options{
-			Name: fmt.Sprint("broker-", i), Started: time.Now(), Control: control, Callers: n, Seed: uint64(i),
+			Name: fmt.Sprint("broker-", i), StartedAt: time.Now(), Machines: control, FleetSize: n, Seed: uint64(i),
 			Log: slog.New(slog.DiscardHandler),
 			Apply: func(*configpb.Revision) *configpb.Refusal {
 				applied.Add(1)
--- a/internal/controlplane/configfollower/stream.go
+++ b/internal/controlplane/configfollower/stream.go
@@ -20,14 +20,14 @@
 // stream is one Follow call on a connection of its own. The follower gives it up when it is silent for too long, so no
 // keepalive is needed.
 type stream struct {
-	distribution.Open
+	distribution.StreamTarget
 	ctx     context.Context
 	cancel  context.CancelFunc
 	reports chan *configpb.Report // of capacity 1: the latest
 }
 
-func newStream(ctx context.Context, open distribution.Open) *stream {
-	s := &stream{Open: open, reports: make(chan *configpb.Report, 1)}
+func newStream(ctx context.Context, target distribution.StreamTarget) *stream {
+	s := &stream{StreamTarget: target, reports: make(chan *configpb.Report, 1)}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	return s
 }
@@ -53,9 +53,9 @@
 	defer s.cancel()
 	err := c.receive(s)
 	if s.ctx.Err() == nil {
-		c.opt.Log.Debug("the stream of the configuration has ended", "control", s.Address, "error", err)
+		c.options.Log.Debug("the stream of the configuration has ended", "control", s.Address, "error", err)
 	}
-	c.logStatus(ctx, func(now time.Time, f *distribution.Follower) { f.Ended(now, s.Stream) })
+	c.post(ctx, func(now time.Time, f *distribution.Follower) { f.StreamEnded(now, s.Stream) })
 }
 
 // receive connects, has reports sent and takes updates.
@@ -83,7 +83,7 @@
 		if err != nil {
 			return err
 		}
-		c.logStatus(s.ctx, func(now time.Time, f *distribution.Follower) { f.Receive(now, s.Stream, update) })
+		c.post(s.ctx, func(now time.Time, f *distribution.Follower) { f.UpdateReceived(now, s.Stream, update) })
 	}
 }
 
@@ -108,7 +108,7 @@
 		grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(),
 		grpc.WithConnectParams(grpc.ConnectParams{
 			Backoff:           backoff.Config{BaseDelay: time.Minute, Multiplier: 1, MaxDelay: time.Minute},
-			MinConnectTimeout: distribution.ConnectLimit,
+			MinConnectTimeout: distribution.ConnectTimeout,
 		}),
 		grpc.WithInitialWindowSize(window), grpc.WithInitialConnWindowSize(window),
 		grpc.WithReadBufferSize(ioBuffer), grpc.WithWriteBufferSize(ioBuffer),
--- a/internal/controlplane/confighub/confighub.go
+++ b/internal/controlplane/confighub/confighub.go
@@ -62,14 +62,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if revision != nil {
-		if err := h.hub.Newest(time.Now(), revision); err != nil {
+		if err := h.hub.SetNewest(time.Now(), revision); err != nil {
 			return err
 		}
 		for _, wake := range h.streams {
 			signal(wake)
 		}
 	}
-	h.hub.Confirmed(confirmed)
+	h.hub.SetConfirmed(confirmed)
 	return nil
 }
 
@@ -164,7 +164,7 @@
 func (h *Hub) open() (distribution.SessionID, chan struct{}, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	id, err := h.hub.Open(time.Now())
+	id, err := h.hub.OpenSession(time.Now())
 	if err != nil {
 		h.log.Warn("broker rejected", "error", err, "sessions", h.hub.Sessions())
 		return 0, nil, err
@@ -177,14 +177,14 @@
 func (h *Hub) close(id distribution.SessionID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.hub.Close(time.Now(), id)
+	h.hub.CloseSession(time.Now(), id)
 	delete(h.streams, id)
 }
 
 func (h *Hub) check(id distribution.SessionID) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.hub.Check(time.Now(), id)
+	return h.hub.CheckSession(time.Now(), id)
 }
 
 func (h *Hub) report(id distribution.SessionID, report *configpb.Report) error {
@@ -196,7 +196,7 @@
 func (h *Hub) next(id distribution.SessionID) (*configpb.Update, time.Time, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.hub.Next(time.Now(), id)
+	return h.hub.NextUpdate(time.Now(), id)
 }
 
 func signal(wake chan struct{}) {
@@ -209,9 +209,9 @@
 // statusOf returns what a broker is told.
 func statusOf(err error) error {
 	switch {
-	case errors.Is(err, distribution.ErrFull):
+	case errors.Is(err, distribution.ErrTooManySessions):
 		return status.Error(codes.ResourceExhausted, err.Error())
-	case errors.Is(err, distribution.ErrSilent),
+	case errors.Is(err, distribution.ErrSessionTimeout),
 		errors.Is(err, distribution.ErrSuperseded),
 		errors.Is(err, distribution.ErrNoSession):
 		return status.Error(codes.Unavailable, err.Error())
--- a/internal/controlplane/distribution/checkers_test.go
+++ b/internal/controlplane/distribution/checkers_test.go
@@ -322,15 +322,15 @@
 func (c *checkers) counts() (sum distribution.UpdateCounts) {
 	for _, b := range c.sim.fleet {
 		counts := b.follower.Status(c.sim.time()).Counts
-		sum.Torn += counts.Torn
-		sum.Older += counts.Older
-		sum.Doubled += counts.Doubled
+		sum.Corrupt += counts.Corrupt
+		sum.Stale += counts.Stale
+		sum.Duplicate += counts.Duplicate
 		sum.Oversized += counts.Oversized
 		sum.Malformed += counts.Malformed
-		sum.Silent += counts.Silent
-		sum.Unconfirmed += counts.Unconfirmed
-		sum.Ended += counts.Ended
-		sum.Opened += counts.Opened
+		sum.StreamsTimedOut += counts.StreamsTimedOut
+		sum.Failovers += counts.Failovers
+		sum.StreamsEnded += counts.StreamsEnded
+		sum.StreamsOpened += counts.StreamsOpened
 	}
 	return sum
 }
--- a/internal/controlplane/distribution/distribution.go
+++ b/internal/controlplane/distribution/distribution.go
@@ -28,28 +28,28 @@
 	// NeverConfirmed is Update.confirmed_ms of a control machine that has not heard of a quorum yet.
 	NeverConfirmed = 1<<32 - 1
 
-	maxName = 128 // bytes of a broker's or a zone's name
+	maxNameLength = 128 // bytes of a broker's or a zone's name
 )
 
 // Errors of CheckRevision.
 var (
-	ErrNoNumber = errors.New("the revision has no number")
-	ErrEmpty    = errors.New("the document is empty")
-	ErrTooLarge = fmt.Errorf("the document is larger than %d bytes", MaxDocument)
-	ErrTorn     = errors.New("the document is not what its checksum names")
+	ErrNoRevisionNumber = errors.New("the revision has no number")
+	ErrEmptyDocument    = errors.New("the document is empty")
+	ErrDocumentTooLarge = fmt.Errorf("the document is larger than %d bytes", MaxDocument)
+	ErrChecksumMismatch = errors.New("the document is not what its checksum names")
 )
 
 // CheckRevision returns why a revision is not whole: one of ErrNoNumber, ErrEmpty, ErrTooLarge and ErrTorn.
 func CheckRevision(revision *configpb.Revision) error {
 	switch document := revision.GetDocument(); {
 	case revision.GetNumber() == 0:
-		return ErrNoNumber
+		return ErrNoRevisionNumber
 	case len(document) == 0:
-		return ErrEmpty
+		return ErrEmptyDocument
 	case len(document) > MaxDocument:
-		return ErrTooLarge
+		return ErrDocumentTooLarge
 	case configpb.Checksum(document) != revision.GetChecksum():
-		return ErrTorn
+		return ErrChecksumMismatch
 	}
 	return nil
 }
@@ -58,7 +58,7 @@
 
 // isValidReport tells whether a report is well-formed by itself.
 func isValidReport(report *configpb.Report) bool {
-	if report.GetName() == "" || !isValidString(report.GetName(), maxName) || !isValidString(report.GetZone(), maxName) {
+	if report.GetName() == "" || !isValidString(report.GetName(), maxNameLength) || !isValidString(report.GetZone(), maxNameLength) {
 		return false
 	}
 	if report.GetStartedUnixMs() <= 0 || report.GetSequence() == 0 {
--- a/internal/controlplane/distribution/follower_test.go
+++ b/internal/controlplane/distribution/follower_test.go
@@ -18,10 +18,10 @@
 		control[i].Address = string(rune('a' + i))
 	}
 	f, err := distribution.NewFollower(epoch, distribution.FollowerOptions{
-		Name: "b", Started: epoch, Control: control, Callers: 100, Seed: 1,
+		Name: "b", StartedAt: epoch, Machines: control, FleetSize: 100, Seed: 1,
 	})
 	require.NoError(t, err)
-	now := f.Wake()
+	now := f.NextTick()
 	stream := openStream(t, f, now)
 	return f, stream, now
 }
@@ -53,13 +53,13 @@
 func TestARevisionIsHandedOutOnceAndTheNewestWaits(t *testing.T) {
 	f, stream, now := newFollower(t, 2)
 	for number := uint64(1); number <= 4; number++ {
-		f.Receive(now, stream, updateOf(number))
+		f.UpdateReceived(now, stream, updateOf(number))
 		if number == 1 {
 			require.EqualValues(t, 1, f.Ready(now).Apply.GetNumber())
 		}
 		require.Nil(t, f.Ready(now).Apply, "one is under application")
 	}
-	f.Applied(now, 1)
+	f.RevisionApplied(now, 1)
 	ready := f.Ready(now)
 	require.EqualValues(t, 1, ready.Report.GetInForce())
 	require.EqualValues(t, 2, ready.Report.GetSequence())
@@ -69,20 +69,20 @@
 	require.EqualValues(t, 1, report.GetInForce())
 	require.EqualValues(t, 4, report.GetRefusal().GetNumber())
 	require.Len(t, report.GetRefusal().GetReason(), 1024)
-	f.Receive(now, stream, updateOf(4))
+	f.UpdateReceived(now, stream, updateOf(4))
 	require.Nil(t, f.Ready(now).Apply, "it was refused")
-	f.Receive(now, stream, updateOf(5))
+	f.UpdateReceived(now, stream, updateOf(5))
 	require.EqualValues(t, 5, f.Ready(now).Apply.GetNumber())
-	f.Applied(now, 5)
+	f.RevisionApplied(now, 5)
 	require.Nil(t, f.Ready(now).Report.GetRefusal())
 	counts := f.Status(now).Counts
 	require.EqualValues(t, 2, counts.Skipped)
-	require.EqualValues(t, 1, counts.Doubled)
+	require.EqualValues(t, 1, counts.Duplicate)
 }
 
 func TestUpdatesThatCannotBeUsedAreCountedAndDropped(t *testing.T) {
 	f, stream, now := newFollower(t, 2)
-	f.Receive(now, stream, updateOf(5))
+	f.UpdateReceived(now, stream, updateOf(5))
 	require.NotNil(t, f.Ready(now).Apply)
 	spoil := func(number uint64, change func(*configpb.Update)) *configpb.Update {
 		update := updateOf(number)
@@ -94,15 +94,15 @@
 		count  func(distribution.UpdateCounts) uint64
 	}{
 		"nil":     {nil, func(c distribution.UpdateCounts) uint64 { return c.Malformed }},
-		"older":   {updateOf(4), func(c distribution.UpdateCounts) uint64 { return c.Older }},
-		"doubled": {updateOf(5), func(c distribution.UpdateCounts) uint64 { return c.Doubled }},
-		"behind":  {heartbeat(4, 0), func(c distribution.UpdateCounts) uint64 { return c.Behind }},
+		"older":   {updateOf(4), func(c distribution.UpdateCounts) uint64 { return c.Stale }},
+		"doubled": {updateOf(5), func(c distribution.UpdateCounts) uint64 { return c.Duplicate }},
+		"behind":  {heartbeat(4, 0), func(c distribution.UpdateCounts) uint64 { return c.Lagging }},
 		"conflict": {spoil(5, func(u *configpb.Update) { rewrite(u, "{}") }),
 			func(c distribution.UpdateCounts) uint64 { return c.Conflicts }},
 		"conflict of a heartbeat": {&configpb.Update{Newest: 5, NewestChecksum: 1, Report: 1},
 			func(c distribution.UpdateCounts) uint64 { return c.Conflicts }},
 		"torn": {spoil(6, func(u *configpb.Update) { u.Revision.Document = u.Revision.Document[1:] }),
-			func(c distribution.UpdateCounts) uint64 { return c.Torn }},
+			func(c distribution.UpdateCounts) uint64 { return c.Corrupt }},
 		"oversized": {spoil(6, func(u *configpb.Update) { rewrite(u, strings.Repeat("x", distribution.MaxDocument+1)) }),
 			func(c distribution.UpdateCounts) uint64 { return c.Oversized }},
 		"another number": {spoil(6, func(u *configpb.Update) { u.Newest = 7 }),
@@ -111,12 +111,12 @@
 			func(c distribution.UpdateCounts) uint64 { return c.Malformed }},
 	} {
 		before := x.count(f.Status(now).Counts)
-		f.Receive(now, stream, x.update)
+		f.UpdateReceived(now, stream, x.update)
 		require.Equal(t, before+1, x.count(f.Status(now).Counts), name)
 	}
-	f.Receive(now, stream+1, updateOf(6))
-	require.EqualValues(t, 1, f.Status(now).Counts.Foreign)
-	f.Applied(now, 5)
+	f.UpdateReceived(now, stream+1, updateOf(6))
+	require.EqualValues(t, 1, f.Status(now).Counts.WrongStream)
+	f.RevisionApplied(now, 5)
 	require.Nil(t, f.Ready(now).Apply)
 }
 
@@ -129,14 +129,14 @@
 func TestASilentStreamIsLeftForAnotherMachine(t *testing.T) {
 	f, stream, now := newFollower(t, 2)
 	first := f.Status(now).Control
-	f.Receive(now, stream, heartbeat(0, 0))
-	f.Tick(now.Add(distribution.Silence - 1))
+	f.UpdateReceived(now, stream, heartbeat(0, 0))
+	f.Tick(now.Add(distribution.StreamTimeout - 1))
 	require.Zero(t, f.Ready(now).Close)
-	now = now.Add(distribution.Silence)
+	now = now.Add(distribution.StreamTimeout)
 	f.Tick(now)
 	require.Equal(t, stream, f.Ready(now).Close)
-	require.LessOrEqual(t, f.Wake().Sub(now), 2*time.Second)
-	now = f.Wake()
+	require.LessOrEqual(t, f.NextTick().Sub(now), 2*time.Second)
+	now = f.NextTick()
 	f.Tick(now)
 	require.NotEqual(t, first, f.Ready(now).Open.Address)
 }
@@ -149,7 +149,7 @@
 	update := heartbeat(0, 100)
 	update.ReportMs = 50
 	now := opened.Add(4 * time.Second)
-	f.Receive(now, stream, update)
+	f.UpdateReceived(now, stream, update)
 	behind, known := f.Staleness(now.Add(time.Second))
 	require.True(t, known)
 	require.Equal(t, 5*time.Second+50*time.Millisecond, behind)
@@ -158,34 +158,34 @@
 // Seed 9 of the simulation: one old update ended a stream to a healthy control machine.
 func TestOneOldUpdateDoesNotEndAStream(t *testing.T) {
 	f, stream, now := newFollower(t, 2)
-	f.Receive(now, stream, updateOf(5))
+	f.UpdateReceived(now, stream, updateOf(5))
 	for i := range 20 {
 		now = now.Add(distribution.Heartbeat)
 		update := heartbeat(5, 0)
 		update.ReportMs = uint32((i + 1) * 1000)
-		f.Receive(now, stream, update)
+		f.UpdateReceived(now, stream, update)
 		f.Tick(now)
 	}
-	f.Receive(now, stream, heartbeat(4, 0))
+	f.UpdateReceived(now, stream, heartbeat(4, 0))
 	f.Tick(now)
 	require.Zero(t, f.Ready(now).Close)
 }
 
 func TestAControlMachineThatIsBehindIsLeftAndTakesNothingBack(t *testing.T) {
 	f, stream, now := newFollower(t, 3)
-	f.Receive(now, stream, updateOf(5))
+	f.UpdateReceived(now, stream, updateOf(5))
 	require.NotNil(t, f.Ready(now).Apply)
-	f.Applied(now, 5)
-	f.Ended(now, stream)
-	now = f.Wake()
+	f.RevisionApplied(now, 5)
+	f.StreamEnded(now, stream)
+	now = f.NextTick()
 	stream = openStream(t, f, now)
 	opened := now
-	for f.Status(now).Counts.Unconfirmed == 0 {
-		f.Receive(now, stream, updateOf(4))
+	for f.Status(now).Counts.Failovers == 0 {
+		f.UpdateReceived(now, stream, updateOf(4))
 		f.Tick(now)
 		require.Nil(t, f.Ready(now).Apply)
 		now = now.Add(distribution.Heartbeat)
-		require.LessOrEqual(t, now.Sub(opened), distribution.UnconfirmedLimit+2*distribution.Heartbeat)
+		require.LessOrEqual(t, now.Sub(opened), distribution.ConfirmationTimeout+2*distribution.Heartbeat)
 	}
 	require.EqualValues(t, 5, f.Status(now).InForce)
 }
@@ -194,8 +194,8 @@
 	first := map[string]int{}
 	for seed := range uint64(200) {
 		f, err := distribution.NewFollower(epoch, distribution.FollowerOptions{
-			Name: "b", Started: epoch, Zone: "a1", Region: "a", Callers: 100, Seed: seed,
-			Control: []distribution.Machine{
+			Name: "b", StartedAt: epoch, Zone: "a1", Region: "a", FleetSize: 100, Seed: seed,
+			Machines: []distribution.Machine{
 				{Address: "1", Zone: "c1", Region: "c"}, {Address: "2", Zone: "a2", Region: "a"},
 				{Address: "3", Zone: "b1", Region: "b"}, {Address: "4", Zone: "a3", Region: "a"},
 			},
@@ -203,11 +203,11 @@
 		require.NoError(t, err)
 		var order string
 		for len(order) < 4 {
-			now := f.Wake()
+			now := f.NextTick()
 			f.Tick(now)
 			ready := f.Ready(now)
 			order += ready.Open.Address
-			f.Ended(now, ready.Stream)
+			f.StreamEnded(now, ready.Stream)
 		}
 		require.Contains(t, []string{"24", "42"}, order[:2])
 		first[order]++
@@ -215,16 +215,16 @@
 	require.Len(t, first, 4, "machines at the same distance are chosen by chance")
 	f, err := distribution.NewFollower(epoch, distribution.FollowerOptions{
 		Name: "b", Zone: "a3", Region: "a",
-		Control: []distribution.Machine{{Address: "2", Region: "a"}, {Address: "4", Zone: "a3", Region: "a"}},
+		Machines: []distribution.Machine{{Address: "2", Region: "a"}, {Address: "4", Zone: "a3", Region: "a"}},
 	})
 	require.NoError(t, err)
-	f.Tick(f.Wake())
-	require.Equal(t, "4", f.Ready(f.Wake()).Open.Address)
+	f.Tick(f.NextTick())
+	require.Equal(t, "4", f.Ready(f.NextTick()).Open.Address)
 }
 
 func TestAFollowerThatWasPausedReadsBeforeItLeaves(t *testing.T) {
 	f, stream, now := newFollower(t, 2)
-	f.Receive(now, stream, heartbeat(0, 0))
+	f.UpdateReceived(now, stream, heartbeat(0, 0))
 	now = now.Add(time.Minute)
 	f.Tick(now)
 	require.Zero(t, f.Ready(now).Close)
@@ -236,8 +236,8 @@
 	one := []distribution.Machine{{Address: "a"}}
 	for want, opt := range map[error]distribution.FollowerOptions{
 		distribution.ErrNoMachines:      {Name: "b"},
-		distribution.ErrTooManyMachines: {Name: "b", Control: make([]distribution.Machine, distribution.MaxMachines+1)},
-		distribution.ErrInvalidName:     {Control: one},
+		distribution.ErrTooManyMachines: {Name: "b", Machines: make([]distribution.Machine, distribution.MaxMachines+1)},
+		distribution.ErrInvalidName:     {Machines: one},
 	} {
 		_, err := distribution.NewFollower(epoch, opt)
 		require.ErrorIs(t, err, want)
--- a/internal/controlplane/distribution/fuzz_test.go
+++ b/internal/controlplane/distribution/fuzz_test.go
@@ -129,17 +129,17 @@
 			switch r.byte() % 8 {
 			case 0, 1, 2:
 				update := fuzzedUpdate(r, sequence)
-				follower.Receive(now, stream, update)
+				follower.UpdateReceived(now, stream, update)
 				oracle.receive(update, sequence, stream != 0)
 			case 3:
 				update := fuzzedUpdate(r, sequence)
-				follower.Receive(now, stream+1, update) // of another stream
+				follower.UpdateReceived(now, stream+1, update) // of another stream
 			case 4:
 				now = now.Add(time.Duration(r.byte()) * 20 * time.Millisecond)
 				follower.Tick(now)
 			case 5:
 				if applying != 0 {
-					follower.Applied(now, applying)
+					follower.RevisionApplied(now, applying)
 					oracle.inForce, oracle.busy, applying = applying, false, 0
 				}
 			case 6:
@@ -148,7 +148,7 @@
 					oracle.refused, oracle.busy, applying = applying, false, 0
 				}
 			case 7:
-				follower.Ended(now, stream)
+				follower.StreamEnded(now, stream)
 			}
 			ready := follower.Ready(now)
 			if ready.Open != nil {
@@ -173,7 +173,7 @@
 				require.Nil(t, status.Rejection)
 			}
 			require.GreaterOrEqual(t, status.Staleness, time.Duration(0))
-			require.Less(t, follower.Wake().Sub(now), 11*time.Second)
+			require.Less(t, follower.NextTick().Sub(now), 11*time.Second)
 		}
 	})
 }
@@ -190,7 +190,7 @@
 		for steps := 0; len(r.data) > 0 && steps < 300; steps++ {
 			switch r.byte() % 5 {
 			case 0:
-				if id, err := h.Open(now); err == nil {
+				if id, err := h.OpenSession(now); err == nil {
 					sessions = append(sessions, id)
 				}
 			case 1:
@@ -200,7 +200,7 @@
 					before := h.Counts()
 					err := h.ReportReceived(now, id, report)
 					after := h.Counts()
-					dropped := after.Malformed + after.Foreign + after.Older - before.Malformed - before.Foreign - before.Older
+					dropped := after.Malformed + after.WrongInstance + after.OutOfOrder - before.Malformed - before.WrongInstance - before.OutOfOrder
 					if err == nil {
 						require.EqualValues(t, 1, after.Accepted-before.Accepted+dropped)
 					}
@@ -208,15 +208,15 @@
 				}
 			case 2:
 				newest += uint64(r.byte()%3) + 1
-				require.NoError(t, h.Newest(now, revisionOf(newest)))
+				require.NoError(t, h.SetNewest(now, revisionOf(newest)))
 			case 3:
 				if len(sessions) > 0 {
-					h.Close(now, sessions[int(r.byte())%len(sessions)])
+					h.CloseSession(now, sessions[int(r.byte())%len(sessions)])
 				}
 			case 4:
 				now = now.Add(time.Duration(r.byte()) * 100 * time.Millisecond)
 				for _, id := range sessions {
-					update, _, err := h.Next(now, id)
+					update, _, err := h.NextUpdate(now, id)
 					if err == nil && update.GetRevision() != nil {
 						require.Equal(t, newest, update.GetRevision().GetNumber())
 					}
--- a/internal/controlplane/distribution/hub_report.go
+++ b/internal/controlplane/distribution/hub_report.go
@@ -24,15 +24,15 @@
 		return nil
 	}
 	if s.broker == nil {
-		return h.firstReport(now, id, s, report)
+		return h.attachBroker(now, id, s, report)
 	}
-	before := s.broker.report
+	before := s.broker.lastReport
 	if !sameInstance(before, report) {
-		h.counts.Foreign++
+		h.counts.WrongInstance++
 		return nil
 	}
-	if report.GetSequence() <= s.sequence || goesBack(before, report) {
-		h.counts.Older++
+	if report.GetSequence() <= s.lastSequence || regresses(before, report) {
+		h.counts.OutOfOrder++
 		return nil
 	}
 	h.dropInForce(before.GetInForce())
@@ -40,25 +40,25 @@
 	return nil
 }
 
-// firstReport joins a session and its broker. A former session of the same broker is superseded.
-func (h *Hub) firstReport(now time.Time, id SessionID, s *session, report *configpb.Report) error {
+// attachBroker joins a session and its broker. A former session of the same broker is superseded.
+func (h *Hub) attachBroker(now time.Time, id SessionID, s *session, report *configpb.Report) error {
 	b := h.brokers[report.GetName()]
-	if b != nil && b.session != 0 && report.GetStartedUnixMs() < b.report.GetStartedUnixMs() {
-		h.counts.Foreign++
+	if b != nil && b.session != 0 && report.GetStartedUnixMs() < b.lastReport.GetStartedUnixMs() {
+		h.counts.WrongInstance++
 		return ErrSuperseded
 	}
 	if b == nil {
-		if len(h.brokers) >= MaxBrokers && !h.forgetOldest() {
-			return ErrFull
+		if len(h.brokers) >= MaxBrokers && !h.forgetLongestDisconnected() {
+			return ErrTooManySessions
 		}
 		b = &broker{}
 		h.brokers[report.GetName()] = b
 	}
 	if b.session != 0 {
 		h.sessions[b.session].superseded = true
-		h.dropInForce(b.report.GetInForce())
+		h.dropInForce(b.lastReport.GetInForce())
 	}
-	b.session, b.opened = id, s.opened
+	b.session, b.connectedAt = id, s.openedAt
 	s.broker = b
 	h.applyReport(now, s, report)
 	return nil
@@ -67,20 +67,20 @@
 // applyReport makes a report the last one of its session's broker.
 func (h *Hub) applyReport(now time.Time, s *session, report *configpb.Report) {
 	h.counts.Accepted++
-	s.heard, s.sequence = now, report.GetSequence()
-	s.broker.lastReceived = now
-	s.broker.report = proto.CloneOf(report)
-	h.inForce[report.GetInForce()]++
-	h.checkEverywhere(now)
+	s.lastReportAt, s.lastSequence = now, report.GetSequence()
+	s.broker.lastSeenAt = now
+	s.broker.lastReport = proto.CloneOf(report)
+	h.inForceCounts[report.GetInForce()]++
+	h.recordEverywhere(now)
 }
 
 // dropInForce takes a connected broker out of those that have a revision in force.
 func (h *Hub) dropInForce(number uint64) {
-	if h.inForce[number] <= 0 {
+	if h.inForceCounts[number] <= 0 {
 		panic("distribution: fewer brokers have a revision in force than none")
 	}
-	if h.inForce[number]--; h.inForce[number] == 0 {
-		delete(h.inForce, number)
+	if h.inForceCounts[number]--; h.inForceCounts[number] == 0 {
+		delete(h.inForceCounts, number)
 	}
 }
 
@@ -88,16 +88,16 @@
 	return a.GetName() == b.GetName() && a.GetStartedUnixMs() == b.GetStartedUnixMs() && a.GetZone() == b.GetZone()
 }
 
-// goesBack tells whether a report contradicts the order of those of one instance: what is in force only rises, and so
+// regresses tells whether a report contradicts the order of those of one instance: what is in force only rises, and so
 // does the highest revision that was tried.
-func goesBack(before, report *configpb.Report) bool {
+func regresses(before, report *configpb.Report) bool {
 	if report.GetInForce() < before.GetInForce() {
 		return true
 	}
-	return tried(report) < tried(before)
+	return highestTried(report) < highestTried(before)
 }
 
-// tried returns the highest revision that a broker has tried to put in force; 0: none.
-func tried(report *configpb.Report) uint64 {
+// highestTried returns the highest revision that a broker has tried to put in force; 0: none.
+func highestTried(report *configpb.Report) uint64 {
 	return max(report.GetInForce(), report.GetRefusal().GetNumber())
 }
--- a/internal/controlplane/distribution/hub_status.go
+++ b/internal/controlplane/distribution/hub_status.go
@@ -10,38 +10,38 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// booked is what a hub keeps of one of the latest revisions.
-type booked struct {
-	number      uint64
-	publishedMS int64
-	at          time.Time // when the hub had it
-	everywhere  time.Time // when it was first in force at all connected brokers; zero: not yet
+// trackedRevision is what a hub keeps of one of the latest revisions.
+type trackedRevision struct {
+	number       uint64
+	publishedMS  int64
+	receivedAt   time.Time // when the hub had it
+	everywhereAt time.Time // when it was first in force at all connected brokers; zero: not yet
 }
 
-// book notes a revision, in place of the oldest where the book is full.
-func (h *Hub) book(now time.Time, revision *configpb.Revision) {
-	if len(h.booked) == BookedRevisions {
-		h.booked = slices.Delete(h.booked, 0, 1)
+// track notes a revision, in place of the oldest where the book is full.
+func (h *Hub) track(now time.Time, revision *configpb.Revision) {
+	if len(h.tracked) == TrackedRevisions {
+		h.tracked = slices.Delete(h.tracked, 0, 1)
 	}
-	h.booked = append(h.booked, booked{
+	h.tracked = append(h.tracked, trackedRevision{
 		number:      revision.GetNumber(),
 		publishedMS: revision.GetPublishedUnixMs(),
-		at:          now,
+		receivedAt:  now,
 	})
 }
 
-// checkEverywhere notes which revisions have come to be in force at all connected brokers.
-func (h *Hub) checkEverywhere(now time.Time) {
-	if len(h.inForce) == 0 {
+// recordEverywhere notes which revisions have come to be in force at all connected brokers.
+func (h *Hub) recordEverywhere(now time.Time) {
+	if len(h.inForceCounts) == 0 {
 		return
 	}
 	least := uint64(1<<64 - 1)
-	for number := range h.inForce {
+	for number := range h.inForceCounts {
 		least = min(least, number)
 	}
-	for i := range h.booked {
-		if b := &h.booked[i]; b.number <= least && b.everywhere.IsZero() {
-			b.everywhere = now
+	for i := range h.tracked {
+		if b := &h.tracked[i]; b.number <= least && b.everywhereAt.IsZero() {
+			b.everywhereAt = now
 		}
 	}
 }
@@ -62,20 +62,20 @@
 
 // Status returns what the hub knows. Brokers that were cut off for longer than RememberCutOff are forgotten.
 func (h *Hub) Status(now time.Time) Status {
-	h.forget(now)
-	status := Status{Newest: h.newest.GetNumber(), ConfirmedMS: milliseconds(now, h.confirmed)}
+	h.forgetDisconnected(now)
+	status := Status{Newest: h.newest.GetNumber(), ConfirmedMS: ageMilliseconds(now, h.confirmedAt)}
 	for _, b := range h.brokers {
 		status.Brokers = append(status.Brokers, &configpb.Broker{
-			Report:    proto.CloneOf(b.report),
-			SilentMs:  milliseconds(now, b.lastReceived),
+			Report:    proto.CloneOf(b.lastReport),
+			SilentMs:  ageMilliseconds(now, b.lastSeenAt),
 			Connected: b.session != 0,
 		})
 	}
 	slices.SortFunc(status.Brokers, func(a, b *configpb.Broker) int {
 		return cmp.Compare(a.GetReport().GetName(), b.GetReport().GetName())
 	})
-	for i := len(h.booked) - 1; i >= 0; i-- {
-		status.InForce = append(status.InForce, h.inForceOf(now, h.booked[i]))
+	for i := len(h.tracked) - 1; i >= 0; i-- {
+		status.InForce = append(status.InForce, h.inForceOf(now, h.tracked[i]))
 	}
 	return status
 }
@@ -85,7 +85,7 @@
 func (h *Hub) Lagging(now time.Time) []string {
 	var names []string
 	for name, b := range h.brokers {
-		if untried, ok := h.firstUntried(b); ok && b.session != 0 && lags(now, b, untried) {
+		if untried, ok := h.firstUntried(b); ok && b.session != 0 && overdue(now, b, untried) {
 			names = append(names, name)
 		}
 	}
@@ -94,59 +94,59 @@
 }
 
 // firstUntried returns the first booked revision that a broker has not tried, and whether there is one.
-func (h *Hub) firstUntried(b *broker) (booked, bool) {
-	for _, x := range h.booked {
-		if x.number > tried(b.report) {
+func (h *Hub) firstUntried(b *broker) (trackedRevision, bool) {
+	for _, x := range h.tracked {
+		if x.number > highestTried(b.lastReport) {
 			return x, true
 		}
 	}
-	return booked{}, false
+	return trackedRevision{}, false
 }
 
-// lags tells whether a broker that has not tried a revision has had its time for it.
-func lags(now time.Time, b *broker, x booked) bool {
-	since := x.at
-	if b.opened.After(since) {
-		since = b.opened
+// overdue tells whether a broker that has not tried a revision has had its time for it.
+func overdue(now time.Time, b *broker, x trackedRevision) bool {
+	since := x.receivedAt
+	if b.connectedAt.After(since) {
+		since = b.connectedAt
 	}
-	return now.Sub(since) > LagLimit
+	return now.Sub(since) > PropagationDeadline
 }
 
-func (h *Hub) inForceOf(now time.Time, x booked) *configpb.InForce {
+func (h *Hub) inForceOf(now time.Time, x trackedRevision) *configpb.InForce {
 	result := &configpb.InForce{Number: x.number, PublishedUnixMs: x.publishedMS}
-	if !x.everywhere.IsZero() {
-		result.EverywhereUnixMs = x.everywhere.UnixMilli()
+	if !x.everywhereAt.IsZero() {
+		result.EverywhereUnixMs = x.everywhereAt.UnixMilli()
 	}
 	for _, b := range h.brokers {
 		switch {
 		case b.session == 0:
-		case b.report.GetInForce() >= x.number:
+		case b.lastReport.GetInForce() >= x.number:
 			result.Brokers++
-		case tried(b.report) < x.number && lags(now, b, x):
+		case highestTried(b.lastReport) < x.number && overdue(now, b, x):
 			result.Lagging++
 		}
 	}
 	return result
 }
 
-// forget drops the brokers that were cut off for too long.
-func (h *Hub) forget(now time.Time) {
+// forgetDisconnected drops the brokers that were cut off for too long.
+func (h *Hub) forgetDisconnected(now time.Time) {
 	for name, b := range h.brokers {
-		if b.session == 0 && now.Sub(b.lastReceived) > RememberCutOff {
+		if b.session == 0 && now.Sub(b.lastSeenAt) > DisconnectedRetention {
 			delete(h.brokers, name)
 		}
 	}
 }
 
-// forgetOldest drops the broker that was cut off first, and tells whether there was one.
-func (h *Hub) forgetOldest() bool {
+// forgetLongestDisconnected drops the broker that was cut off first, and tells whether there was one.
+func (h *Hub) forgetLongestDisconnected() bool {
 	oldest := ""
 	for name, b := range h.brokers {
 		if b.session != 0 {
 			continue
 		}
-		first := oldest == "" || b.lastReceived.Before(h.brokers[oldest].lastReceived)
-		if first || b.lastReceived.Equal(h.brokers[oldest].lastReceived) && name < oldest {
+		first := oldest == "" || b.lastSeenAt.Before(h.brokers[oldest].lastSeenAt)
+		if first || b.lastSeenAt.Equal(h.brokers[oldest].lastSeenAt) && name < oldest {
 			oldest = name
 		}
 	}
--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -28,14 +28,14 @@
 
 // openSession opens a session with a first report.
 func openSession(t testing.TB, h *distribution.Hub, now time.Time, name string, inForce uint64) distribution.SessionID {
-	id, err := h.Open(now)
+	id, err := h.OpenSession(now)
 	require.NoError(t, err)
 	require.NoError(t, h.ReportReceived(now, id, reportOf(name, 1, inForce)))
 	return id
 }
 
 func next(t testing.TB, h *distribution.Hub, now time.Time, id distribution.SessionID) *configpb.Update {
-	update, wake, err := h.Next(now, id)
+	update, wake, err := h.NextUpdate(now, id)
 	require.NoError(t, err)
 	require.True(t, wake.After(now))
 	return update
@@ -46,9 +46,9 @@
 	id := openSession(t, h, epoch, "b", 0)
 	require.Zero(t, next(t, h, epoch, id).GetNewest())
 	for number := uint64(1); number <= 3; number++ {
-		require.NoError(t, h.Newest(epoch, revisionOf(number)))
+		require.NoError(t, h.SetNewest(epoch, revisionOf(number)))
 	}
-	h.Confirmed(epoch)
+	h.SetConfirmed(epoch)
 	update := next(t, h, epoch.Add(70*time.Millisecond), id)
 	require.EqualValues(t, 3, update.GetRevision().GetNumber())
 	require.EqualValues(t, 70, update.GetConfirmedMs())
@@ -62,7 +62,7 @@
 
 func TestARevisionThatIsNotReportedIsSentAgainMoreAndMoreSeldom(t *testing.T) {
 	h := distribution.NewHub()
-	require.NoError(t, h.Newest(epoch, revisionOf(1)))
+	require.NoError(t, h.SetNewest(epoch, revisionOf(1)))
 	id := openSession(t, h, epoch, "b", 0)
 	var sent []time.Duration
 	for at, sequence := time.Duration(0), uint64(2); at < time.Minute; at += 100 * time.Millisecond {
@@ -70,7 +70,7 @@
 			require.NoError(t, h.ReportReceived(epoch.Add(at), id, reportOf("b", sequence, 0)))
 			sequence++
 		}
-		if update, _, err := h.Next(epoch.Add(at), id); err == nil && update.GetRevision() != nil {
+		if update, _, err := h.NextUpdate(epoch.Add(at), id); err == nil && update.GetRevision() != nil {
 			sent = append(sent, at)
 		}
 	}
@@ -87,7 +87,7 @@
 
 func TestReportsThatCannotBeAreCountedAndDropped(t *testing.T) {
 	h := distribution.NewHub()
-	require.NoError(t, h.Newest(epoch, revisionOf(9)))
+	require.NoError(t, h.SetNewest(epoch, revisionOf(9)))
 	id := openSession(t, h, epoch, "b", 5)
 	spoil := func(change func(*configpb.Report)) *configpb.Report {
 		report := reportOf("b", 7, 6)
@@ -122,22 +122,22 @@
 }
 
 func malformed(c distribution.ReportCounts) uint64 { return c.Malformed }
-func foreign(c distribution.ReportCounts) uint64   { return c.Foreign }
-func older(c distribution.ReportCounts) uint64     { return c.Older }
+func foreign(c distribution.ReportCounts) uint64   { return c.WrongInstance }
+func older(c distribution.ReportCounts) uint64     { return c.OutOfOrder }
 
 func TestARestartedBrokerTakesThePlaceOfItsFormerSession(t *testing.T) {
 	h := distribution.NewHub()
 	old := openSession(t, h, epoch, "b", 3)
-	restarted, err := h.Open(epoch)
+	restarted, err := h.OpenSession(epoch)
 	require.NoError(t, err)
 	report := reportOf("b", 1, 0)
 	report.StartedUnixMs = 2000
 	require.NoError(t, h.ReportReceived(epoch, restarted, report))
-	require.ErrorIs(t, h.Check(epoch, old), distribution.ErrSuperseded)
-	h.Close(epoch, old)
+	require.ErrorIs(t, h.CheckSession(epoch, old), distribution.ErrSuperseded)
+	h.CloseSession(epoch, old)
 	require.True(t, h.Status(epoch).Brokers[0].GetConnected())
 
-	late, err := h.Open(epoch)
+	late, err := h.OpenSession(epoch)
 	require.NoError(t, err)
 	require.ErrorIs(t, h.ReportReceived(epoch, late, reportOf("b", 1, 3)), distribution.ErrSuperseded)
 	require.EqualValues(t, 2000, h.Status(epoch).Brokers[0].GetReport().GetStartedUnixMs())
@@ -145,27 +145,27 @@
 
 func TestASilentSessionEnds(t *testing.T) {
 	h := distribution.NewHub()
-	id, err := h.Open(epoch)
+	id, err := h.OpenSession(epoch)
 	require.NoError(t, err)
-	require.NoError(t, h.Check(epoch.Add(distribution.FirstReportLimit-1), id))
-	require.ErrorIs(t, h.Check(epoch.Add(distribution.FirstReportLimit), id), distribution.ErrSilent)
+	require.NoError(t, h.CheckSession(epoch.Add(distribution.FirstReportTimeout-1), id))
+	require.ErrorIs(t, h.CheckSession(epoch.Add(distribution.FirstReportTimeout), id), distribution.ErrSessionTimeout)
 	require.NoError(t, h.ReportReceived(epoch, id, reportOf("b", 1, 0)))
-	require.NoError(t, h.Check(epoch.Add(distribution.SessionSilence-1), id))
-	_, _, err = h.Next(epoch.Add(distribution.SessionSilence), id)
-	require.ErrorIs(t, err, distribution.ErrSilent)
-	h.Close(epoch, id)
-	require.ErrorIs(t, h.Check(epoch, id), distribution.ErrNoSession)
+	require.NoError(t, h.CheckSession(epoch.Add(distribution.SessionTimeout-1), id))
+	_, _, err = h.NextUpdate(epoch.Add(distribution.SessionTimeout), id)
+	require.ErrorIs(t, err, distribution.ErrSessionTimeout)
+	h.CloseSession(epoch, id)
+	require.ErrorIs(t, h.CheckSession(epoch, id), distribution.ErrNoSession)
 }
 
 func TestTheBookTellsWhenARevisionWasInForceEverywhere(t *testing.T) {
 	h := distribution.NewHub()
 	a, b := openSession(t, h, epoch, "a", 0), openSession(t, h, epoch, "b", 0)
 	for number := uint64(1); number <= 70; number++ {
-		require.NoError(t, h.Newest(epoch.Add(time.Duration(number)), revisionOf(number)))
+		require.NoError(t, h.SetNewest(epoch.Add(time.Duration(number)), revisionOf(number)))
 	}
 	require.NoError(t, h.ReportReceived(epoch.Add(time.Second), a, reportOf("a", 2, 70)))
 	status := h.Status(epoch.Add(9 * time.Second))
-	require.Len(t, status.InForce, distribution.BookedRevisions)
+	require.Len(t, status.InForce, distribution.TrackedRevisions)
 	newest := status.InForce[0]
 	require.EqualValues(t, 70, newest.GetNumber())
 	require.EqualValues(t, 1, newest.GetBrokers())
@@ -175,7 +175,7 @@
 	status = h.Status(epoch.Add(10 * time.Second))
 	require.Zero(t, status.InForce[0].GetEverywhereUnixMs())
 	require.Equal(t, epoch.Add(10*time.Second).UnixMilli(), status.InForce[1].GetEverywhereUnixMs())
-	h.Close(epoch.Add(11*time.Second), b)
+	h.CloseSession(epoch.Add(11*time.Second), b)
 	status = h.Status(epoch.Add(11 * time.Second))
 	require.Equal(t, epoch.Add(11*time.Second).UnixMilli(), status.InForce[0].GetEverywhereUnixMs(), "b is cut off")
 }
@@ -183,19 +183,19 @@
 func TestABrokerThatIsCutOffIsRememberedForAWhile(t *testing.T) {
 	h := distribution.NewHub()
 	id := openSession(t, h, epoch, "b", 1)
-	h.Close(epoch.Add(time.Second), id)
+	h.CloseSession(epoch.Add(time.Second), id)
 	broker := h.Status(epoch.Add(3 * time.Second)).Brokers[0]
 	require.False(t, broker.GetConnected())
 	require.EqualValues(t, 2000, broker.GetSilentMs())
-	require.Len(t, h.Status(epoch.Add(time.Second+distribution.RememberCutOff)).Brokers, 1)
-	require.Empty(t, h.Status(epoch.Add(2*time.Second+distribution.RememberCutOff)).Brokers)
+	require.Len(t, h.Status(epoch.Add(time.Second+distribution.DisconnectedRetention)).Brokers, 1)
+	require.Empty(t, h.Status(epoch.Add(2*time.Second+distribution.DisconnectedRetention)).Brokers)
 }
 
 func TestSessionsAndBrokersAreBounded(t *testing.T) {
 	h := distribution.NewHub()
 	for i := range distribution.MaxBrokers + 50 {
 		id := openSession(t, h, epoch.Add(time.Duration(i)), fmt.Sprint("b", i), 0)
-		h.Close(epoch.Add(time.Duration(i)), id)
+		h.CloseSession(epoch.Add(time.Duration(i)), id)
 	}
 	status := h.Status(epoch.Add(time.Second))
 	require.Len(t, status.Brokers, distribution.MaxBrokers)
@@ -203,26 +203,26 @@
 		require.NotEqual(t, "b0", broker.GetReport().GetName(), "the first that was cut off is forgotten first")
 	}
 	for range distribution.MaxSessions {
-		_, err := h.Open(epoch)
+		_, err := h.OpenSession(epoch)
 		require.NoError(t, err)
 	}
-	_, err := h.Open(epoch)
-	require.ErrorIs(t, err, distribution.ErrFull)
+	_, err := h.OpenSession(epoch)
+	require.ErrorIs(t, err, distribution.ErrTooManySessions)
 }
 
 func TestOnlyWholeAndNewerRevisionsAreDistributed(t *testing.T) {
 	h := distribution.NewHub()
-	require.NoError(t, h.Newest(epoch, revisionOf(2)))
-	require.NoError(t, h.Newest(epoch, revisionOf(2)))
-	require.ErrorIs(t, h.Newest(epoch, revisionOf(1)), distribution.ErrOlder)
+	require.NoError(t, h.SetNewest(epoch, revisionOf(2)))
+	require.NoError(t, h.SetNewest(epoch, revisionOf(2)))
+	require.ErrorIs(t, h.SetNewest(epoch, revisionOf(1)), distribution.ErrStaleRevision)
 	other := revisionOf(2)
 	other.Document = []byte("{}")
-	require.ErrorIs(t, h.Newest(epoch, other), distribution.ErrTorn)
+	require.ErrorIs(t, h.SetNewest(epoch, other), distribution.ErrChecksumMismatch)
 	other.Checksum = configpb.Checksum(other.Document)
-	require.ErrorIs(t, h.Newest(epoch, other), distribution.ErrConflict)
-	require.ErrorIs(t, h.Newest(epoch, nil), distribution.ErrNoNumber)
-	require.ErrorIs(t, h.Newest(epoch, &configpb.Revision{Number: 3}), distribution.ErrEmpty)
+	require.ErrorIs(t, h.SetNewest(epoch, other), distribution.ErrRevisionConflict)
+	require.ErrorIs(t, h.SetNewest(epoch, nil), distribution.ErrNoRevisionNumber)
+	require.ErrorIs(t, h.SetNewest(epoch, &configpb.Revision{Number: 3}), distribution.ErrEmptyDocument)
 	large := &configpb.Revision{Number: 3, Document: make([]byte, distribution.MaxDocument+1)}
-	require.ErrorIs(t, h.Newest(epoch, large), distribution.ErrTooLarge)
+	require.ErrorIs(t, h.SetNewest(epoch, large), distribution.ErrDocumentTooLarge)
 	require.EqualValues(t, 2, h.Status(epoch).Newest)
 }
--- a/internal/controlplane/distribution/machines.go
+++ b/internal/controlplane/distribution/machines.go
@@ -20,9 +20,9 @@
 // candidate is a control machine that a follower may choose.
 type candidate struct {
 	Machine
-	tried     bool      // in this round
-	confirmed time.Time // by its last update: when a quorum last confirmed its newest revision
-	reached   bool      // in this round
+	tried       bool      // in this round
+	confirmedAt time.Time // by its last update: when a quorum last confirmed its newest revision
+	reached     bool      // in this round
 }
 
 // machines are the control machines of a follower, the preferred ones first. They are tried in rounds: each once, then
@@ -49,24 +49,24 @@
 	return result
 }
 
-// untried returns the index of the first machine that is not tried yet in this round; -1: the round is over.
-func (m machines) untried() int {
+// firstUntried returns the index of the first machine that is not tried yet in this round; -1: the round is over.
+func (m machines) firstUntried() int {
 	return slices.IndexFunc(m, func(c candidate) bool { return !c.tried })
 }
 
-// best returns the index of the machine that was reached in this round and that a quorum confirmed last; -1: none was.
-func (m machines) best() int {
+// lastConfirmed returns the index of the machine that was reached in this round and that a quorum confirmed last; -1: none was.
+func (m machines) lastConfirmed() int {
 	best := -1
 	for i, c := range m {
-		if c.reached && (best < 0 || c.confirmed.After(m[best].confirmed)) {
+		if c.reached && (best < 0 || c.confirmedAt.After(m[best].confirmedAt)) {
 			best = i
 		}
 	}
 	return best
 }
 
-// newRound has every machine tried again.
-func (m machines) newRound() {
+// startRound has every machine tried again.
+func (m machines) startRound() {
 	for i := range m {
 		m[i].tried, m[i].reached = false, false
 	}
--- a/internal/controlplane/distribution/network_test.go
+++ b/internal/controlplane/distribution/network_test.go
@@ -57,7 +57,7 @@
 		}
 		require.NotEmpty(t, s.check.healed)
 		counts := s.check.counts()
-		require.NotZero(t, counts.Torn)
+		require.NotZero(t, counts.Corrupt)
 		require.NotZero(t, counts.Oversized)
 		t.Logf("%d revisions, %d steps, in force after %v at p99 and %v at most; after heals %v at p99, %v at most; %+v",
 			len(s.log), s.steps, percentile(s.check.usual, 0.99), percentile(s.check.usual, 1),
--- a/internal/controlplane/distribution/simulation_stream_test.go
+++ b/internal/controlplane/distribution/simulation_stream_test.go
@@ -34,7 +34,7 @@
 	running bool
 }
 
-func newStream(b *simBroker, open distribution.Open) *simStream {
+func newStream(b *simBroker, open distribution.StreamTarget) *simStream {
 	hub, err := strconv.Atoi(open.Address)
 	if err != nil {
 		panic(err)
@@ -112,7 +112,7 @@
 		st.plan(s.now + retransmit)
 		return
 	}
-	update, wake, err := st.hub.hub.Next(s.time(), st.session)
+	update, wake, err := st.hub.hub.NextUpdate(s.time(), st.session)
 	if err != nil {
 		st.close()
 		return
@@ -170,7 +170,7 @@
 	b := st.broker
 	st.send(&st.down, toBroker, func() {
 		b.whenAwake(func() {
-			b.follower.Receive(st.sim.time(), st.id, update)
+			b.follower.UpdateReceived(st.sim.time(), st.id, update)
 			b.drive()
 		})
 	})
@@ -247,7 +247,7 @@
 
 // close ends the stream by the hub.
 func (st *simStream) close() {
-	st.hub.hub.Close(st.sim.time(), st.session)
+	st.hub.hub.CloseSession(st.sim.time(), st.session)
 	for i, other := range st.hub.streams {
 		if other == st {
 			last := len(st.hub.streams) - 1
@@ -272,7 +272,7 @@
 	b := st.broker
 	st.send(&st.down, toBroker, func() {
 		b.whenAwake(func() {
-			b.follower.Ended(st.sim.time(), st.id)
+			b.follower.StreamEnded(st.sim.time(), st.id)
 			b.drive()
 		})
 	})
--- a/internal/controlplane/distribution/simulation_test.go
+++ b/internal/controlplane/distribution/simulation_test.go
@@ -236,9 +236,9 @@
 	for _, h := range s.hubs {
 		if s.quorum(h) {
 			h.catchUp()
-			h.hub.Confirmed(s.time())
+			h.hub.SetConfirmed(s.time())
 		} else if h.up && s.plant == plantBoastfulHub {
-			h.hub.Confirmed(s.time())
+			h.hub.SetConfirmed(s.time())
 		}
 	}
 	s.after(confirmEvery, s.confirm)
@@ -288,7 +288,7 @@
 	}
 	newest := h.sim.log[len(h.sim.log)-1]
 	h.newest = newest.GetNumber()
-	if err := h.hub.Newest(h.sim.time(), newest); err != nil {
+	if err := h.hub.SetNewest(h.sim.time(), newest); err != nil {
 		panic(err)
 	}
 	h.pumpAll()
@@ -308,7 +308,7 @@
 	}
 	for i, revision := range h.sim.log[have:newest] {
 		h.sim.after(time.Duration(i)*10*time.Millisecond, func() {
-			if h.hub.Newest(h.sim.time(), revision) == nil {
+			if h.hub.SetNewest(h.sim.time(), revision) == nil {
 				h.newest = revision.GetNumber()
 				h.pumpAll()
 			}
@@ -332,7 +332,7 @@
 // accept takes a call of a broker.
 func (h *simHub) accept(st *simStream) {
 	h.calls = append(h.calls, h.sim.now)
-	id, err := h.hub.Open(h.sim.time())
+	id, err := h.hub.OpenSession(h.sim.time())
 	if err != nil {
 		st.endToBroker()
 		return
@@ -375,13 +375,13 @@
 		callers = 1
 	}
 	follower, err := distribution.NewFollower(b.sim.time(), distribution.FollowerOptions{
-		Name:    b.name(),
-		Started: b.sim.time(),
-		Zone:    fmt.Sprint("z", b.zone),
-		Region:  fmt.Sprint("r", regionOfZone(b.zone)),
-		Control: control,
-		Callers: callers,
-		Seed:    b.sim.seed<<32 + uint64(b.index)<<12 + uint64(b.instance),
+		Name:      b.name(),
+		StartedAt: b.sim.time(),
+		Zone:      fmt.Sprint("z", b.zone),
+		Region:    fmt.Sprint("r", regionOfZone(b.zone)),
+		Machines:  control,
+		FleetSize: callers,
+		Seed:      b.sim.seed<<32 + uint64(b.index)<<12 + uint64(b.instance),
 	})
 	if err != nil {
 		panic(err)
@@ -457,7 +457,7 @@
 	if ready.Apply != nil {
 		b.apply(ready.Apply)
 	}
-	wake := b.follower.Wake().Sub(epoch)
+	wake := b.follower.NextTick().Sub(epoch)
 	if b.tickAt > b.sim.now && b.tickAt <= wake {
 		return
 	}
@@ -469,7 +469,7 @@
 		}
 		b.tickAt = 0
 		b.whenAwake(func() {
-			if !b.sim.time().Before(b.follower.Wake()) {
+			if !b.sim.time().Before(b.follower.NextTick()) {
 				b.follower.Tick(b.sim.time())
 			}
 			b.drive()
@@ -490,7 +490,7 @@
 			b.sim.note("applied", b.index, number)
 			b.sim.check.applied(b, revision)
 			b.plantedApply(revision)
-			b.follower.Applied(b.sim.time(), number)
+			b.follower.RevisionApplied(b.sim.time(), number)
 			b.drive()
 		})
 	})
--- a/internal/harness/controlplanetest/follower.go
+++ b/internal/harness/controlplanetest/follower.go
@@ -44,7 +44,7 @@
 	f := &follower{name: name, region: region}
 	var err error
 	f.client, err = configfollower.New(configfollower.Options{
-		Name: name, Started: time.Now(), Zone: region, Region: region, Control: control, Callers: 600,
+		Name: name, StartedAt: time.Now(), Zone: region, Region: region, Machines: control, FleetSize: 600,
 		Seed: r.options.Seed + uint64(len(r.followers)), Log: slog.New(slog.DiscardHandler),
 		Apply: func(got *configpb.Revision) *configpb.Refusal {
 			r.mu.Lock()
--- a/internal/harness/scale/configuration_followers.go
+++ b/internal/harness/scale/configuration_followers.go
@@ -107,7 +107,7 @@
 	case command.Lost != "":
 		err = c.until(func(f *follower) bool {
 			status := f.Status()
-			return status.Control != "" && status.Control != command.Lost && !status.LastReceived.IsZero()
+			return status.Control != "" && status.Control != command.Lost && !status.LastUpdateAt.IsZero()
 		})
 	}
 	answer.Done, answer.Processor = time.Now().UnixNano(), processorTime()
@@ -126,8 +126,8 @@
 	for i := range c.count {
 		f := &follower{start: start}
 		f.Client, err = configfollower.New(configfollower.Options{
-			Name: fmt.Sprint("n", i), Started: time.Now(), Region: regionName(i), Zone: fmt.Sprint("zone-", i%TargetZones),
-			Control: command.Start, Callers: c.count, Seed: command.Seed + uint64(i)*7919, Log: nobody, Apply: f.apply,
+			Name: fmt.Sprint("n", i), StartedAt: time.Now(), Region: regionName(i), Zone: fmt.Sprint("zone-", i%TargetZones),
+			Machines: command.Start, FleetSize: c.count, Seed: command.Seed + uint64(i)*7919, Log: nobody, Apply: f.apply,
 		})
 		if err != nil {
 			return err
