--- a/internal/controlplane/confighub/confighub.go
+++ b/internal/controlplane/confighub/confighub.go
@@ -209,7 +209,7 @@
 // statusOf returns what a broker is told.
 func statusOf(err error) error {
 	switch {
-	case errors.Is(err, distribution.ErrTooManySessions):
+	case errors.Is(err, distribution.ErrTooManySessions), errors.Is(err, distribution.ErrTooManyBrokers):
 		return status.Error(codes.ResourceExhausted, err.Error())
 	case errors.Is(err, distribution.ErrSessionTimeout),
 		errors.Is(err, distribution.ErrSuperseded),
--- a/internal/controlplane/distribution/distribution.go
+++ b/internal/controlplane/distribution/distribution.go
@@ -1,10 +1,13 @@
-// Package distribution decides how revisions of the configuration get from control machines to brokers. Hub is the
-// control machine's side: what each of its sessions is sent, and what the brokers reported. Follower is the broker's
-// side: which control machine it follows, when a stream is silent, which revision is taken, and how far behind the
-// broker may be.
+// Package distribution decides how revisions of the configuration reach the brokers. Hub is the control machine's
+// side: what it sends on each broker's session, and which revisions the brokers report. Follower is the broker's side:
+// which control machine it follows, when a stream has timed out, which revision it applies, and how stale its
+// configuration may be.
 //
-// Neither does I/O, starts a goroutine or keeps a clock: a driver hands in the time and what happened. Times given to
-// one Hub or Follower must not go back. Neither is safe for use by several goroutines at once.
+// The protocol resembles xDS over one bidirectional stream (configpb.Control.Follow): a control machine sends updates,
+// a broker answers with status reports that acknowledge (ACK) or reject (NACK) a revision.
+//
+// Neither type does I/O, starts a goroutine or reads a clock: a driver passes in the time and the events. The times
+// given to one Hub or Follower must not decrease. Neither is safe for concurrent use.
 package distribution
 
 import (
@@ -17,18 +20,18 @@
 )
 
 const (
-	// Heartbeat is how often a session is told something at least.
+	// Heartbeat is the longest interval between two updates of a session.
 	Heartbeat = time.Second
-	// ReportInterval is how often a broker reports at least, whether or not anything changed.
+	// ReportInterval is the longest interval between two status reports of a broker, with or without a change.
 	ReportInterval = 10 * time.Second
 	// MaxDocument is the largest document of a revision, in bytes.
 	MaxDocument = configpb.MaxDocument
-	// MaxMessage bounds one message on the wire: a document, and 4 KiB for every other field of it.
+	// MaxMessage is the largest message on the wire, in bytes: a document and 4 KiB for all other fields.
 	MaxMessage = MaxDocument + 4<<10
-	// NeverConfirmed is Update.confirmed_ms of a control machine that has not heard of a quorum yet.
+	// NeverConfirmed is the value of Update.confirmed_ms of a control machine that no quorum has confirmed yet.
 	NeverConfirmed = 1<<32 - 1
 
-	maxNameLength = 128 // bytes of a broker's or a zone's name
+	maxNameLength = 128 // bytes of the name of a broker or of a zone
 )
 
 // Errors of CheckRevision.
@@ -36,14 +39,25 @@
 	ErrNoRevisionNumber = errors.New("the revision has no number")
 	ErrEmptyDocument    = errors.New("the document is empty")
 	ErrDocumentTooLarge = fmt.Errorf("the document is larger than %d bytes", MaxDocument)
-	ErrChecksumMismatch = errors.New("the document is not what its checksum names")
+	ErrChecksumMismatch = errors.New("the document does not match its checksum")
 )
 
-// CheckRevision returns why a revision is not whole: one of ErrNoNumber, ErrEmpty, ErrTooLarge and ErrTorn.
+// CheckRevision checks that a revision is intact. Errors: ErrNoRevisionNumber, ErrEmptyDocument, ErrDocumentTooLarge
+// and ErrChecksumMismatch; all but the first are wrapped with the revision's number.
 func CheckRevision(revision *configpb.Revision) error {
-	switch document := revision.GetDocument(); {
-	case revision.GetNumber() == 0:
+	number := revision.GetNumber()
+	if number == 0 {
 		return ErrNoRevisionNumber
+	}
+	if err := checkDocument(revision); err != nil {
+		return fmt.Errorf("revision %d: %w", number, err)
+	}
+	return nil
+}
+
+// checkDocument checks the size and the checksum of a revision's document.
+func checkDocument(revision *configpb.Revision) error {
+	switch document := revision.GetDocument(); {
 	case len(document) == 0:
 		return ErrEmptyDocument
 	case len(document) > MaxDocument:
@@ -54,21 +68,25 @@
 	return nil
 }
 
+// isValidString reports whether s is UTF-8 of at most maxLength bytes.
 func isValidString(s string, maxLength int) bool { return len(s) <= maxLength && utf8.ValidString(s) }
 
-// isValidReport tells whether a report is well-formed by itself.
+// isValidReport reports whether each field of a status report is within its bounds and consistent with the others.
 func isValidReport(report *configpb.Report) bool {
-	if report.GetName() == "" || !isValidString(report.GetName(), maxNameLength) || !isValidString(report.GetZone(), maxNameLength) {
+	if report.GetName() == "" || !isValidString(report.GetName(), maxNameLength) {
+		return false
+	}
+	if !isValidString(report.GetZone(), maxNameLength) {
 		return false
 	}
 	if report.GetStartedUnixMs() <= 0 || report.GetSequence() == 0 {
 		return false
 	}
-	refusal := report.GetRefusal()
-	if refusal == nil {
+	rejection := report.GetRefusal()
+	if rejection == nil {
 		return true
 	}
-	return refusal.GetNumber() > report.GetInForce() &&
-		isValidString(refusal.GetKey(), configpb.MaxRejectionKey) &&
-		isValidString(refusal.GetReason(), configpb.MaxRejectionReason)
+	return rejection.GetNumber() > report.GetInForce() &&
+		isValidString(rejection.GetKey(), configpb.MaxRejectionKey) &&
+		isValidString(rejection.GetReason(), configpb.MaxRejectionReason)
 }
--- a/internal/controlplane/distribution/follower_receive.go
+++ b/internal/controlplane/distribution/follower_receive.go
@@ -7,27 +7,28 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// UpdateCounts are what came to a follower, and what became of its streams.
+// UpdateCounts are a follower's counters of updates, of the revisions in them and of streams.
 type UpdateCounts struct {
-	Updates     uint64 // well-formed ones of the present stream, with a revision or without
+	Updates     uint64 // valid ones on the current stream, with or without a revision
 	Accepted    uint64 // revisions
-	Skipped     uint64 // revisions that were accepted and replaced by a newer one before they were handed out
-	WrongStream uint64 // updates of another stream than the present one
-	Malformed   uint64 // updates that are nil or contradict themselves
-	Oversized   uint64 // revisions with a document of more than MaxDocument
-	Corrupt     uint64 // revisions without a document, or with one that is not what the checksum names
-	Stale       uint64 // revisions below the one in hand
-	Duplicate   uint64 // revisions that are in hand
-	Conflicts   uint64 // updates with the number in hand and another content
-	Lagging     uint64 // updates of a control machine that lacks the revision in hand
+	Skipped     uint64 // revisions accepted, but replaced by a newer one before they were applied
+	WrongStream uint64 // updates on another stream than the current one
+	Malformed   uint64 // updates that are nil, or whose fields contradict each other
+	Oversized   uint64 // revisions with a document larger than MaxDocument
+	Corrupt     uint64 // revisions with an empty document, or one that does not match its checksum
+	Stale       uint64 // revisions below the latest one accepted
+	Duplicate   uint64 // revisions equal to the latest one accepted
+	Conflicts   uint64 // updates with the number of the latest revision accepted, but another checksum
+	Lagging     uint64 // updates of a control machine whose newest revision is below the latest one accepted
 
-	StreamsOpened   uint64 // streams
-	StreamsEnded    uint64 // streams that the other side or the network ended
-	StreamsTimedOut uint64 // streams that were given up as silent
-	Failovers       uint64 // streams that were left because no quorum confirmed the control machine
+	StreamsOpened   uint64
+	StreamsEnded    uint64 // by the control machine or the network
+	StreamsTimedOut uint64 // left by the follower: no update within StreamTimeout, or ConnectTimeout for the first one
+	Failovers       uint64 // streams left by the follower: the control machine's confirmation was too old
 }
 
-// UpdateReceived takes an update of a stream. What cannot be used is counted and dropped, and is no sign of life.
+// UpdateReceived handles an update on a stream. An update on another stream than the current one, or one that is not
+// valid, is counted and dropped; it does not extend the stream's timeout.
 func (f *Follower) UpdateReceived(now time.Time, stream StreamID, update *configpb.Update) {
 	if stream == 0 || stream != f.stream {
 		f.counts.WrongStream++
@@ -52,9 +53,13 @@
 	f.recordConfirmation(now, update)
 }
 
-// validateUpdate tells whether an update is whole, and counts it otherwise.
+// validateUpdate reports whether an update is valid, and counts one that is not.
 func (f *Follower) validateUpdate(update *configpb.Update) bool {
-	if update == nil || update.GetNewest() == 0 && update.GetNewestChecksum() != 0 || !f.acknowledgesReport(update) {
+	if update == nil || !f.acknowledgesReport(update) {
+		f.counts.Malformed++
+		return false
+	}
+	if update.GetNewest() == 0 && update.GetNewestChecksum() != 0 {
 		f.counts.Malformed++
 		return false
 	}
@@ -62,16 +67,8 @@
 	if revision == nil {
 		return true
 	}
-	switch err := CheckRevision(revision); {
-	case err == nil:
-	case errors.Is(err, ErrDocumentTooLarge):
-		f.counts.Oversized++
-		return false
-	case errors.Is(err, ErrNoRevisionNumber):
-		f.counts.Malformed++
-		return false
-	default:
-		f.counts.Corrupt++
+	if err := CheckRevision(revision); err != nil {
+		f.countInvalidRevision(err)
 		return false
 	}
 	if revision.GetNumber() != update.GetNewest() || revision.GetChecksum() != update.GetNewestChecksum() {
@@ -81,12 +78,24 @@
 	return true
 }
 
-// acknowledgesReport tells whether an update names a report of the present stream.
+// countInvalidRevision counts an error of CheckRevision.
+func (f *Follower) countInvalidRevision(err error) {
+	switch {
+	case errors.Is(err, ErrDocumentTooLarge):
+		f.counts.Oversized++
+	case errors.Is(err, ErrNoRevisionNumber):
+		f.counts.Malformed++
+	default:
+		f.counts.Corrupt++
+	}
+}
+
+// acknowledgesReport reports whether an update acknowledges a status report of the current stream.
 func (f *Follower) acknowledgesReport(update *configpb.Update) bool {
 	return update.GetReport() > 0 && update.GetReport() <= f.lastSequence
 }
 
-// acceptRevision accepts a whole revision if its number is above the one in hand.
+// acceptRevision accepts a valid revision if its number is above the latest one, and counts it.
 func (f *Follower) acceptRevision(revision *configpb.Revision) {
 	r := &f.revisions
 	switch number := revision.GetNumber(); {
@@ -102,46 +111,48 @@
 	}
 }
 
-// conflictsWithLatest tells whether an update names another content for the revision in hand.
+// conflictsWithLatest reports whether an update has the number of the latest revision, but another checksum.
 func (f *Follower) conflictsWithLatest(update *configpb.Update) bool {
 	r := &f.revisions
 	return r.latest != 0 && update.GetNewest() == r.latest && update.GetNewestChecksum() != r.latestChecksum
 }
 
-// recordConfirmation notes when a quorum last confirmed the present machine. Updates that lack the revision in hand, or
-// have another content for it, confirm nothing: a machine that goes on with them is left like an unconfirmed one. The
-// age counts from when the update was sent at the earliest: it may have been held up by the network or by a pause of this process.
+// recordConfirmation records when a quorum last confirmed the current machine. An update that lags behind the latest
+// revision or conflicts with it confirms nothing, so that a machine which keeps sending such updates is left like an
+// unconfirmed one. The age in the update counts from the earliest time at which the update can have been sent, since
+// the network or a pause of this process may have delayed it.
 func (f *Follower) recordConfirmation(now time.Time, update *configpb.Update) {
-	m := &f.machines[f.current]
-	m.reached = true
-	at := earliest(now, f.earliestSentAt(update)).Add(-time.Duration(update.GetConfirmedMs()) * time.Millisecond)
-	lagging := update.GetNewest() < f.revisions.latest
-	switch {
-	case lagging || f.conflictsWithLatest(update):
-		if lagging {
-			f.counts.Lagging++
-		}
+	machine := &f.machines[f.current]
+	machine.reached = true
+	if update.GetNewest() < f.revisions.latest {
+		f.counts.Lagging++
+		return
+	}
+	if f.conflictsWithLatest(update) {
 		return
-	case update.GetConfirmedMs() == NeverConfirmed:
-		m.confirmedAt = time.Time{}
+	}
+	if update.GetConfirmedMs() == NeverConfirmed {
+		machine.confirmedAt = time.Time{}
 		return
 	}
-	m.confirmedAt = at
-	f.confirmedAt = latest(f.confirmedAt, m.confirmedAt)
-	if now.Sub(at) <= ConfirmationTimeout {
-		f.keepsBest, f.reconsiderInterval = false, minReconsiderInterval
+	age := time.Duration(update.GetConfirmedMs()) * time.Millisecond
+	machine.confirmedAt = earliest(now, f.earliestSentAt(update)).Add(-age)
+	f.confirmedAt = latest(f.confirmedAt, machine.confirmedAt)
+	if now.Sub(machine.confirmedAt) <= ConfirmationTimeout {
+		f.keepsBest = false
+		f.reconsiderInterval = minReconsiderInterval
 		f.machines.startRound()
 	}
 }
 
-// RevisionApplied tells that the revision that Ready handed out is in force.
+// RevisionApplied handles the success of applying the revision that Ready returned. It panics on any other number.
 func (f *Follower) RevisionApplied(now time.Time, number uint64) {
 	f.revisions.applied(now, number)
 	f.reportDue = true
 }
 
-// RevisionRejected tells that the revision that Ready handed out cannot be applied, by which key and why. The one before stays
-// in force, and a newer one is tried.
+// RevisionRejected handles the rejection of the revision that Ready returned, by the key of the document at fault. The
+// revision before stays in force. It panics on any other number.
 func (f *Follower) RevisionRejected(_ time.Time, number uint64, key, reason string) {
 	f.revisions.rejected(number, key, reason)
 	f.reportDue = true
--- a/internal/controlplane/distribution/follower_status.go
+++ b/internal/controlplane/distribution/follower_status.go
@@ -6,21 +6,21 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// FollowerStatus is what a follower knows.
+// FollowerStatus is a snapshot of a follower's state.
 type FollowerStatus struct {
-	Control        string    // address of the control machine that is followed; "": none at present
-	LastUpdateAt   time.Time // last update of its stream; zero: none yet
-	InForce        uint64    // 0: the file of the start
+	Control        string    // address of the control machine that is followed; "": no stream at present
+	LastUpdateAt   time.Time // on the current stream; zero: none yet
+	InForce        uint64    // number of the revision in force; 0: the configuration file of the start
 	InForceSince   time.Time
-	Applying       uint64            // 0: none
-	Newest         uint64            // the highest number that any control machine told
-	Rejection      *configpb.Refusal // of a revision above InForce; nil: none
-	Staleness      time.Duration     // as Stale returns it
+	Applying       uint64            // number of the revision that is being applied; 0: none
+	Newest         uint64            // highest number that any control machine has sent; 0: none
+	Rejection      *configpb.Refusal // NACK of a revision above InForce; nil: none
+	Staleness      time.Duration     // as returned by Follower.Staleness
 	StalenessKnown bool
 	Counts         UpdateCounts
 }
 
-// Status returns what the follower knows.
+// Status returns a snapshot of the follower's state.
 func (f *Follower) Status(now time.Time) FollowerStatus {
 	status := FollowerStatus{
 		InForce:      f.revisions.inForce,
@@ -31,15 +31,16 @@
 		Counts:       f.counts,
 	}
 	if f.stream != 0 {
-		status.Control, status.LastUpdateAt = f.machines[f.current].Address, f.lastUpdateAt
+		status.Control = f.machines[f.current].Address
+		status.LastUpdateAt = f.lastUpdateAt
 	}
 	status.Staleness, status.StalenessKnown = f.Staleness(now)
 	return status
 }
 
-// Staleness returns how old the news may be that the follower has not heard: how long ago a quorum confirmed, to the
-// control machine that told so, that the newest revision the follower knows of was the newest. known is false if none
-// ever did: the broker serves by its file, and cannot tell.
+// Staleness returns for how long a newer revision may exist without the follower knowing it: the time since a quorum
+// last confirmed that the newest revision known to the follower was the newest. known is false if none ever did: then
+// the staleness of the configuration file is unknown.
 func (f *Follower) Staleness(now time.Time) (staleness time.Duration, known bool) {
 	if f.confirmedAt.IsZero() {
 		return 0, false
@@ -47,7 +48,7 @@
 	return max(now.Sub(f.confirmedAt), 0), true
 }
 
-// currentReport is the broker's word on the revision it serves by.
+// currentReport returns the broker's status report: an ACK of the revision in force, and a NACK of a rejected one.
 func (f *Follower) currentReport() *configpb.Report {
 	return &configpb.Report{
 		Name:               f.options.Name,
@@ -60,19 +61,20 @@
 	}
 }
 
-// recordReport notes that the next report of the stream is handed out.
+// recordReport assigns the next sequence number to a report that is sent now.
 func (f *Follower) recordReport(now time.Time) {
 	f.lastReportAt = now
 	f.lastSequence++
 	f.reportedAt[f.lastSequence%reportHistory] = now
 }
 
-// earliestSentAt returns a time before which an update cannot have been sent: the control machine had the report that the
-// update names for some time, and that report was not sent before it was handed out.
+// earliestSentAt returns the earliest time at which an update can have been sent. The control machine sent it
+// report_ms after it received the report that the update acknowledges, which was sent at a known time; the opening of
+// the stream stands in for a report that is no longer in the history.
 func (f *Follower) earliestSentAt(update *configpb.Update) time.Time {
-	since := f.openedAt
+	reportedAt := f.openedAt
 	if sequence := update.GetReport(); sequence+reportHistory > f.lastSequence {
-		since = f.reportedAt[sequence%reportHistory]
+		reportedAt = f.reportedAt[sequence%reportHistory]
 	}
-	return since.Add(time.Duration(update.GetReportMs()) * time.Millisecond)
+	return reportedAt.Add(time.Duration(update.GetReportMs()) * time.Millisecond)
 }
--- a/internal/controlplane/distribution/machines.go
+++ b/internal/controlplane/distribution/machines.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// MaxMachines is how many control machines a broker may be told: four are set aside, and four may take their places.
+// MaxMachines is how many control machines a follower may be configured with: four in service, and four that may
+// replace them.
 const MaxMachines = 8
 
-// Machine is a control machine as a broker is told of it.
+// Machine is a control machine in a broker's configuration.
 type Machine struct {
 	Address string // host:port
-	Zone    string // "": not told
-	Region  string // "": not told
+	Zone    string // "": not configured
+	Region  string // "": not configured
 }
 
 // candidate is a control machine that a follower may choose.
 type candidate struct {
 	Machine
+	confirmedAt time.Time // when a quorum last confirmed its newest revision, by its latest update; zero: never
 	tried       bool      // in this round
-	confirmedAt time.Time // by its last update: when a quorum last confirmed its newest revision
-	reached     bool      // in this round
+	reached     bool      // in this round: it has sent an update
 }
 
-// machines are the control machines of a follower, the preferred ones first. They are tried in rounds: each once, then
-// a wait.
+// machines are the candidates of a follower, in order of preference. A follower tries them in rounds: each at most
+// once, followed by a backoff.
 type machines []candidate
 
-// newMachines orders machines: those of the own zone first, then those of the own region; by chance within, so that
-// the brokers of a region spread over its machines.
+// newMachines orders the configured machines by locality: the follower's zone first, then its region, then the others.
+// Within one locality the order is random, so that the brokers of a region spread over its machines.
 func newMachines(list []Machine, zone, region string, rng *rand.Rand) machines {
 	result := make(machines, len(list))
-	for i, place := range rng.Perm(len(list)) {
-		result[place] = candidate{Machine: list[i]}
+	for i, position := range rng.Perm(len(list)) {
+		result[position] = candidate{Machine: list[i]}
 	}
 	distance := func(c candidate) int {
 		switch {
@@ -49,12 +50,13 @@
 	return result
 }
 
-// firstUntried returns the index of the first machine that is not tried yet in this round; -1: the round is over.
+// firstUntried returns the index of the first machine that has not been tried in this round; -1: all have.
 func (m machines) firstUntried() int {
 	return slices.IndexFunc(m, func(c candidate) bool { return !c.tried })
 }
 
-// lastConfirmed returns the index of the machine that was reached in this round and that a quorum confirmed last; -1: none was.
+// lastConfirmed returns the index of the machine with the latest confirmation among those reached in this round; -1:
+// none was reached.
 func (m machines) lastConfirmed() int {
 	best := -1
 	for i, c := range m {
@@ -65,7 +67,7 @@
 	return best
 }
 
-// startRound has every machine tried again.
+// startRound makes every machine untried.
 func (m machines) startRound() {
 	for i := range m {
 		m[i].tried, m[i].reached = false, false
--- a/internal/controlplane/distribution/revisions.go
+++ b/internal/controlplane/distribution/revisions.go
@@ -6,31 +6,33 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// revisionState are those of a follower: one in force, at most one under application, at most one that waits for it.
-// Their numbers rise in this order.
+// revisionState is a follower's progress through the revisions: at most one is in force, one is being applied and one
+// is pending. Their numbers increase in this order.
 type revisionState struct {
-	inForce      uint64 // 0: the file of the start
+	inForce      uint64 // number; 0: the configuration file of the start
 	inForceSince time.Time
-	rejection    *configpb.Refusal // of a revision above inForce; nil: none
-	applying     uint64            // was handed out; 0: none
-	pending      *configpb.Revision
+	rejection    *configpb.Refusal  // NACK of a revision above inForce; nil: none
+	applying     uint64             // number of the revision that the driver applies; 0: none
+	pending      *configpb.Revision // applied next; nil: none
 
-	latest         uint64 // the highest that was accepted
+	latest         uint64 // highest number accepted; 0: none
 	latestChecksum uint64 // of its document
 }
 
-// accept takes a revision above the one in hand, and tells whether it replaces one that waited.
+// accept makes a revision above the latest one pending, and reports whether it replaces one that was.
 func (r *revisionState) accept(revision *configpb.Revision) (replaced bool) {
 	if revision.GetNumber() <= r.latest {
-		panic("distribution: a revision goes back")
+		panic("distribution: accepted a revision that is not above the latest one")
 	}
 	replaced = r.pending != nil
 	r.pending = revision
-	r.latest, r.latestChecksum = revision.GetNumber(), revision.GetChecksum()
+	r.latest = revision.GetNumber()
+	r.latestChecksum = revision.GetChecksum()
 	return replaced
 }
 
-// startNext returns the revision that is to be applied next, once; nil: none, or one is under application.
+// startNext returns the pending revision and marks it as being applied. It returns nil if none is pending or another
+// one is being applied.
 func (r *revisionState) startNext() *configpb.Revision {
 	if r.applying != 0 || r.pending == nil {
 		return nil
@@ -41,12 +43,15 @@
 	return revision
 }
 
+// applied puts the revision that is being applied in force.
 func (r *revisionState) applied(now time.Time, number uint64) {
 	r.finish(number)
-	r.inForce, r.inForceSince = number, now
+	r.inForce = number
+	r.inForceSince = now
 	r.rejection = nil
 }
 
+// rejected records the rejection of the revision that is being applied.
 func (r *revisionState) rejected(number uint64, key, reason string) {
 	r.finish(number)
 	r.rejection = configpb.NewRejection(number, key, reason)
@@ -55,10 +60,10 @@
 // finish ends the application of a revision.
 func (r *revisionState) finish(number uint64) {
 	if number == 0 || number != r.applying {
-		panic("distribution: this revision is not under application")
+		panic("distribution: finished a revision that is not being applied")
 	}
 	if number <= r.inForce {
-		panic("distribution: the revision in force goes back")
+		panic("distribution: finished a revision that is not above the one in force")
 	}
 	r.applying = 0
 }
--- /dev/null
+++ b/internal/controlplane/distribution/times.go
@@ -0,0 +1,34 @@
+package distribution
+
+import "time"
+
+// earliest returns the earliest of the times that are not zero; zero if all are.
+func earliest(times ...time.Time) time.Time {
+	first := time.Time{}
+	for _, t := range times {
+		if !t.IsZero() && (first.IsZero() || t.Before(first)) {
+			first = t
+		}
+	}
+	return first
+}
+
+// latest returns the latest of the times, of which there is at least one.
+func latest(times ...time.Time) time.Time {
+	last := times[0]
+	for _, t := range times[1:] {
+		if t.After(last) {
+			last = t
+		}
+	}
+	return last
+}
+
+// ageMilliseconds returns the time since at in milliseconds, below NeverConfirmed; NeverConfirmed if at is zero.
+func ageMilliseconds(now, at time.Time) uint32 {
+	if at.IsZero() {
+		return NeverConfirmed
+	}
+	age := max(now.Sub(at), 0).Milliseconds()
+	return uint32(min(age, NeverConfirmed-1))
+}
