--- a/internal/controlplane/distribution/faults_test.go
+++ b/internal/controlplane/distribution/faults_test.go
@@ -4,46 +4,46 @@
 	"time"
 )
 
-// playFaults has a fault happen every few seconds until a time.
-func (s *simulation) playFaults(end time.Duration) {
-	s.after(s.between(2*time.Second, 20*time.Second), func() {
+// injectFaults has a fault happen every few seconds until a time.
+func (s *simulation) injectFaults(end time.Duration) {
+	s.after(s.uniform(2*time.Second, 20*time.Second), func() {
 		if s.now >= end {
 			return
 		}
-		s.fault()
-		s.check.faultsChanged()
-		s.check.honest()
-		s.playFaults(end)
+		s.injectFault()
+		s.checks.faultsChanged()
+		s.checks.checkStaleness()
+		s.injectFaults(end)
 	})
 }
 
-// fault plays one fault. Each heals by itself.
-func (s *simulation) fault() {
-	last := s.between(time.Second, 30*time.Second)
+// injectFault plays one fault. Each heals by itself.
+func (s *simulation) injectFault() {
+	duration := s.uniform(time.Second, 30*time.Second)
 	kind := s.rng.IntN(10)
-	s.note("fault", kind, last)
+	s.record("fault", kind, duration)
 	switch kind {
 	case 0, 1:
 		s.resetStreams()
 	case 2:
-		s.silenceStreams()
+		s.stallStreams()
 	case 3:
-		s.pauseBrokers(last)
+		s.pauseBrokers(duration)
 	case 4:
-		s.restartBrokers(last)
+		s.restartBrokers(duration)
 	case 5:
-		s.stopHub(s.rng.IntN(hubs), false, last)
+		s.stopHub(s.rng.IntN(hubs), false, duration)
 	case 6:
-		s.stopHub(s.rng.IntN(hubs), true, last)
+		s.stopHub(s.rng.IntN(hubs), true, duration)
 	case 7:
-		s.cutHalf(last)
+		s.blockOneWay(duration)
 	case 8:
-		s.cutRegion(s.rng.IntN(regions), last)
+		s.partitionRegion(s.rng.IntN(regions), duration)
 	case 9:
 		if s.chance(0.5) {
-			s.loseBrokers(func(b *simBroker) bool { return b.index%20 == 3 }, last) // a rack
+			s.stopBrokers(func(b *simBroker) bool { return b.index%20 == 3 }, duration) // a rack
 		} else {
-			s.loseZone(s.rng.IntN(zones), last)
+			s.stopZone(s.rng.IntN(zones), duration)
 		}
 	}
 }
@@ -52,78 +52,78 @@
 func (s *simulation) heal(wait time.Duration, run func()) {
 	s.after(wait, func() {
 		run()
-		s.check.faultsChanged()
+		s.checks.faultsChanged()
 	})
 }
 
 func (s *simulation) resetStreams() {
 	for _, b := range s.fleet {
-		if b.up && b.stream != nil && !b.stream.hubGone && b.stream.session != 0 && s.chance(0.2) {
+		if b.up && b.stream != nil && !b.stream.hubClosed && b.stream.session != 0 && s.chance(0.2) {
 			b.stream.close()
 		}
 	}
 }
 
-func (s *simulation) silenceStreams() {
+func (s *simulation) stallStreams() {
 	for _, b := range s.fleet {
 		if b.stream != nil && s.chance(0.2) {
-			b.stream.silenced = true
+			b.stream.stalled = true
 		}
 	}
 }
 
-func (s *simulation) pauseBrokers(last time.Duration) {
+func (s *simulation) pauseBrokers(duration time.Duration) {
 	for _, b := range s.fleet {
 		if s.chance(0.1) {
-			b.pause(last)
+			b.pause(duration)
 		}
 	}
 }
 
-func (s *simulation) restartBrokers(last time.Duration) {
+func (s *simulation) restartBrokers(duration time.Duration) {
 	for _, b := range s.fleet {
 		if s.chance(0.1) {
-			s.loseBroker(b, s.chance(0.5), last)
+			s.stopBroker(b, s.chance(0.5), duration)
 		}
 	}
 }
 
-func (s *simulation) loseBroker(b *simBroker, machineLost bool, last time.Duration) {
+func (s *simulation) stopBroker(b *simBroker, machineLost bool, duration time.Duration) {
 	if !b.up {
 		return
 	}
 	b.stop(machineLost)
-	s.heal(last, b.start)
+	s.heal(duration, b.start)
 }
 
-func (s *simulation) loseBrokers(which func(*simBroker) bool, last time.Duration) {
+func (s *simulation) stopBrokers(which func(*simBroker) bool, duration time.Duration) {
 	for _, b := range s.fleet {
 		if which(b) {
-			s.loseBroker(b, true, last)
+			s.stopBroker(b, true, duration)
 		}
 	}
 }
 
-func (s *simulation) stopHub(i int, machineLost bool, last time.Duration) {
+func (s *simulation) stopHub(i int, machineLost bool, duration time.Duration) {
 	h := s.hubs[i]
 	if !h.up {
 		return
 	}
 	h.stop(machineLost)
-	s.heal(last, h.start)
+	s.heal(duration, h.start)
 }
 
-func (s *simulation) loseZone(zone int, last time.Duration) {
-	s.loseBrokers(func(b *simBroker) bool { return b.zone == zone }, last)
+func (s *simulation) stopZone(zone int, duration time.Duration) {
+	s.stopBrokers(func(b *simBroker) bool { return b.zone == zone }, duration)
 	for i, h := range s.hubs {
 		if h.zone == zone {
-			s.stopHub(i, true, last)
+			s.stopHub(i, true, duration)
 		}
 	}
 }
 
-// cutHalf cuts one way between some brokers and a hub.
-func (s *simulation) cutHalf(last time.Duration) {
+// blockOneWay cuts one way between some brokers and a hub.
+func (s *simulation) blockOneWay(duration time.Duration) {
 	hub := s.rng.IntN(hubs)
 	way := toHub
 	if s.chance(0.5) {
@@ -132,22 +132,22 @@
 	var pairs [][2]int
 	for _, b := range s.fleet {
 		pair := [2]int{b.index, hub}
-		if s.halves[pair] == 0 && s.chance(0.3) {
-			s.halves[pair] = way
+		if s.blocked[pair] == 0 && s.chance(0.3) {
+			s.blocked[pair] = way
 			pairs = append(pairs, pair)
 		}
 	}
-	s.heal(last, func() {
+	s.heal(duration, func() {
 		for _, pair := range pairs {
-			delete(s.halves, pair)
+			delete(s.blocked, pair)
 		}
 	})
 }
 
-func (s *simulation) cutRegion(region int, last time.Duration) {
-	if s.cut[region] {
+func (s *simulation) partitionRegion(region int, duration time.Duration) {
+	if s.partitioned[region] {
 		return
 	}
-	s.cut[region] = true
-	s.heal(last, func() { s.cut[region] = false })
+	s.partitioned[region] = true
+	s.heal(duration, func() { s.partitioned[region] = false })
 }
--- a/internal/controlplane/distribution/follower_test.go
+++ b/internal/controlplane/distribution/follower_test.go
@@ -50,7 +50,7 @@
 	return update
 }
 
-func TestARevisionIsHandedOutOnceAndTheNewestWaits(t *testing.T) {
+func TestFollowerAppliesOneRevisionAtATimeAndSkipsToNewest(t *testing.T) {
 	f, stream, now := newFollower(t, 2)
 	for number := uint64(1); number <= 4; number++ {
 		f.UpdateReceived(now, stream, updateOf(number))
@@ -80,11 +80,11 @@
 	require.EqualValues(t, 1, counts.Duplicate)
 }
 
-func TestUpdatesThatCannotBeUsedAreCountedAndDropped(t *testing.T) {
+func TestFollowerCountsAndDropsInvalidUpdates(t *testing.T) {
 	f, stream, now := newFollower(t, 2)
 	f.UpdateReceived(now, stream, updateOf(5))
 	require.NotNil(t, f.Ready(now).Apply)
-	spoil := func(number uint64, change func(*configpb.Update)) *configpb.Update {
+	modified := func(number uint64, change func(*configpb.Update)) *configpb.Update {
 		update := updateOf(number)
 		change(update)
 		return update
@@ -97,17 +97,17 @@
 		"older":   {updateOf(4), func(c distribution.UpdateCounts) uint64 { return c.Stale }},
 		"doubled": {updateOf(5), func(c distribution.UpdateCounts) uint64 { return c.Duplicate }},
 		"behind":  {heartbeat(4, 0), func(c distribution.UpdateCounts) uint64 { return c.Lagging }},
-		"conflict": {spoil(5, func(u *configpb.Update) { rewrite(u, "{}") }),
+		"conflict": {modified(5, func(u *configpb.Update) { setDocument(u, "{}") }),
 			func(c distribution.UpdateCounts) uint64 { return c.Conflicts }},
 		"conflict of a heartbeat": {&configpb.Update{Newest: 5, NewestChecksum: 1, Report: 1},
 			func(c distribution.UpdateCounts) uint64 { return c.Conflicts }},
-		"torn": {spoil(6, func(u *configpb.Update) { u.Revision.Document = u.Revision.Document[1:] }),
+		"torn": {modified(6, func(u *configpb.Update) { u.Revision.Document = u.Revision.Document[1:] }),
 			func(c distribution.UpdateCounts) uint64 { return c.Corrupt }},
-		"oversized": {spoil(6, func(u *configpb.Update) { rewrite(u, strings.Repeat("x", distribution.MaxDocument+1)) }),
+		"oversized": {modified(6, func(u *configpb.Update) { setDocument(u, strings.Repeat("x", distribution.MaxDocument+1)) }),
 			func(c distribution.UpdateCounts) uint64 { return c.Oversized }},
-		"another number": {spoil(6, func(u *configpb.Update) { u.Newest = 7 }),
+		"another number": {modified(6, func(u *configpb.Update) { u.Newest = 7 }),
 			func(c distribution.UpdateCounts) uint64 { return c.Malformed }},
-		"another report": {spoil(6, func(u *configpb.Update) { u.Report = 9 }),
+		"another report": {modified(6, func(u *configpb.Update) { u.Report = 9 }),
 			func(c distribution.UpdateCounts) uint64 { return c.Malformed }},
 	} {
 		before := x.count(f.Status(now).Counts)
@@ -120,13 +120,13 @@
 	require.Nil(t, f.Ready(now).Apply)
 }
 
-func rewrite(u *configpb.Update, document string) {
+func setDocument(u *configpb.Update, document string) {
 	u.Revision.Document = []byte(document)
 	u.Revision.Checksum = configpb.Checksum(u.Revision.Document)
 	u.NewestChecksum = u.Revision.Checksum
 }
 
-func TestASilentStreamIsLeftForAnotherMachine(t *testing.T) {
+func TestFollowerLeavesTimedOutStreamForAnotherMachine(t *testing.T) {
 	f, stream, now := newFollower(t, 2)
 	first := f.Status(now).Control
 	f.UpdateReceived(now, stream, heartbeat(0, 0))
@@ -142,7 +142,7 @@
 }
 
 // Seed 1 of the simulation: an update that a cut or a pause held up was taken for a new one.
-func TestAnUpdateThatWasHeldUpIsOld(t *testing.T) {
+func TestStalenessIncludesDelayOfUpdate(t *testing.T) {
 	f, stream, opened := newFollower(t, 2)
 	_, known := f.Staleness(opened)
 	require.False(t, known, "no control machine has confirmed anything")
@@ -150,13 +150,13 @@
 	update.ReportMs = 50
 	now := opened.Add(4 * time.Second)
 	f.UpdateReceived(now, stream, update)
-	behind, known := f.Staleness(now.Add(time.Second))
+	staleness, known := f.Staleness(now.Add(time.Second))
 	require.True(t, known)
-	require.Equal(t, 5*time.Second+50*time.Millisecond, behind)
+	require.Equal(t, 5*time.Second+50*time.Millisecond, staleness)
 }
 
 // Seed 9 of the simulation: one old update ended a stream to a healthy control machine.
-func TestOneOldUpdateDoesNotEndAStream(t *testing.T) {
+func TestFollowerKeepsStreamAfterOneLaggingUpdate(t *testing.T) {
 	f, stream, now := newFollower(t, 2)
 	f.UpdateReceived(now, stream, updateOf(5))
 	for i := range 20 {
@@ -171,7 +171,7 @@
 	require.Zero(t, f.Ready(now).Close)
 }
 
-func TestAControlMachineThatIsBehindIsLeftAndTakesNothingBack(t *testing.T) {
+func TestFollowerFailsOverFromLaggingMachineAndKeepsItsRevision(t *testing.T) {
 	f, stream, now := newFollower(t, 3)
 	f.UpdateReceived(now, stream, updateOf(5))
 	require.NotNil(t, f.Ready(now).Apply)
@@ -190,7 +190,7 @@
 	require.EqualValues(t, 5, f.Status(now).InForce)
 }
 
-func TestAFollowerPrefersItsZoneAndThenItsRegion(t *testing.T) {
+func TestFollowerPrefersItsZoneThenItsRegion(t *testing.T) {
 	first := map[string]int{}
 	for seed := range uint64(200) {
 		f, err := distribution.NewFollower(epoch, distribution.FollowerOptions{
@@ -222,7 +222,7 @@
 	require.Equal(t, "4", f.Ready(f.NextTick()).Open.Address)
 }
 
-func TestAFollowerThatWasPausedReadsBeforeItLeaves(t *testing.T) {
+func TestFollowerExtendsTimeoutOnceAfterPause(t *testing.T) {
 	f, stream, now := newFollower(t, 2)
 	f.UpdateReceived(now, stream, heartbeat(0, 0))
 	now = now.Add(time.Minute)
@@ -232,7 +232,7 @@
 	require.Equal(t, stream, f.Ready(now.Add(distribution.Heartbeat)).Close, "but once only")
 }
 
-func TestOptionsAreChecked(t *testing.T) {
+func TestNewFollowerChecksOptions(t *testing.T) {
 	one := []distribution.Machine{{Address: "a"}}
 	for want, opt := range map[error]distribution.FollowerOptions{
 		distribution.ErrNoMachines:      {Name: "b"},
--- a/internal/controlplane/distribution/fuzz_test.go
+++ b/internal/controlplane/distribution/fuzz_test.go
@@ -11,10 +11,10 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// bytesReader hands out a fuzz input piece by piece; zeros once it is over.
-type bytesReader struct{ data []byte }
+// fuzzInput hands out a fuzz input piece by piece; zeros once it is over.
+type fuzzInput struct{ data []byte }
 
-func (r *bytesReader) byte() byte {
+func (r *fuzzInput) byte() byte {
 	if len(r.data) == 0 {
 		return 0
 	}
@@ -23,19 +23,19 @@
 	return b
 }
 
-func (r *bytesReader) number() uint64 {
+func (r *fuzzInput) number() uint64 {
 	if b := r.byte(); b < 250 {
 		return uint64(b % 8)
 	}
-	var wide [8]byte
-	for i := range wide {
-		wide[i] = r.byte()
+	var word [8]byte
+	for i := range word {
+		word[i] = r.byte()
 	}
-	return binary.LittleEndian.Uint64(wide[:])
+	return binary.LittleEndian.Uint64(word[:])
 }
 
 // fuzzedUpdate returns an update that is often well-formed and often almost so.
-func fuzzedUpdate(r *bytesReader, sequence uint64) *configpb.Update {
+func fuzzedUpdate(r *fuzzInput, sequence uint64) *configpb.Update {
 	kind := r.byte()
 	if kind == 255 {
 		return nil
@@ -65,16 +65,16 @@
 	return update
 }
 
-// slowFollower is the oracle: it keeps every revision that was ever acceptable in a list and looks through all of it.
-type slowFollower struct {
+// followerOracle is the oracle: it keeps every revision that was ever acceptable in a list and looks through all of it.
+type followerOracle struct {
 	accepted []*configpb.Revision
-	handed   []uint64
-	busy     bool
+	applied  []uint64
+	applying bool
 	inForce  uint64
-	refused  uint64
+	rejected uint64
 }
 
-func (o *slowFollower) receive(update *configpb.Update, sequence uint64, present bool) {
+func (o *followerOracle) receive(update *configpb.Update, sequence uint64, present bool) {
 	if !present || update == nil || update.Revision == nil {
 		return
 	}
@@ -99,19 +99,19 @@
 	o.accepted = append(o.accepted, revision)
 }
 
-// handOut returns the number that is to be applied next; 0: none.
-func (o *slowFollower) handOut() uint64 {
-	if o.busy || len(o.accepted) == 0 {
+// startNext returns the number that is to be applied next; 0: none.
+func (o *followerOracle) startNext() uint64 {
+	if o.applying || len(o.accepted) == 0 {
 		return 0
 	}
 	newest := o.accepted[len(o.accepted)-1].Number
-	for _, old := range o.handed {
+	for _, old := range o.applied {
 		if old == newest {
 			return 0
 		}
 	}
-	o.handed = append(o.handed, newest)
-	o.busy = true
+	o.applied = append(o.applied, newest)
+	o.applying = true
 	return newest
 }
 
@@ -122,7 +122,7 @@
 	f.Add([]byte{0, 255, 0, 3, 3, 0, 1, 0, 1, 1, 9, 1, 3, 4, 5, 6})
 	f.Add([]byte{0, 2, 5, 0, 0, 0, 6, 0, 6, 5, 0, 0, 1, 3, 0, 2, 4, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, oracle := &bytesReader{data}, &slowFollower{}
+		r, oracle := &fuzzInput{data}, &followerOracle{}
 		follower, stream, now := newFollower(t, 3)
 		sequence, applying := uint64(1), uint64(0)
 		for steps := 0; len(r.data) > 0 && steps < 300; steps++ {
@@ -140,12 +140,12 @@
 			case 5:
 				if applying != 0 {
 					follower.RevisionApplied(now, applying)
-					oracle.inForce, oracle.busy, applying = applying, false, 0
+					oracle.inForce, oracle.applying, applying = applying, false, 0
 				}
 			case 6:
 				if applying != 0 {
 					follower.RevisionRejected(now, applying, "key", string(r.byte()))
-					oracle.refused, oracle.busy, applying = applying, false, 0
+					oracle.rejected, oracle.applying, applying = applying, false, 0
 				}
 			case 7:
 				follower.StreamEnded(now, stream)
@@ -160,15 +160,15 @@
 				require.Equal(t, oracle.inForce, ready.Report.GetInForce())
 			}
 			stream = ready.Stream
-			want := oracle.handOut()
+			want := oracle.startNext()
 			require.Equal(t, want, ready.Apply.GetNumber())
 			if want != 0 {
 				applying = want
 			}
 			status := follower.Status(now)
 			require.Equal(t, oracle.inForce, status.InForce)
-			if oracle.refused > oracle.inForce {
-				require.Equal(t, oracle.refused, status.Rejection.GetNumber())
+			if oracle.rejected > oracle.inForce {
+				require.Equal(t, oracle.rejected, status.Rejection.GetNumber())
 			} else {
 				require.Nil(t, status.Rejection)
 			}
@@ -184,7 +184,7 @@
 	f.Add([]byte{0, 1, 0, 0, 1, 1, 1, 1, 0, 1, 1, 1, 2, 1, 2, 0})
 	f.Add([]byte{0, 0, 1, 0, 1, 1, 1, 1, 1, 1, 1, 2, 1, 2, 2, 0, 3, 0, 4, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, h, now := &bytesReader{data}, distribution.NewHub(), epoch
+		r, h, now := &fuzzInput{data}, distribution.NewHub(), epoch
 		newest := uint64(0)
 		var sessions []distribution.SessionID
 		for steps := 0; len(r.data) > 0 && steps < 300; steps++ {
@@ -222,12 +222,12 @@
 					}
 				}
 			}
-			requireBook(t, h.Status(now))
+			requirePropagation(t, h.Status(now))
 		}
 	})
 }
 
-func fuzzedReport(r *bytesReader) *configpb.Report {
+func fuzzedReport(r *fuzzInput) *configpb.Report {
 	report := &configpb.Report{
 		Name:          string(rune('a' + r.byte()%3)),
 		StartedUnixMs: int64(r.number()),
@@ -245,8 +245,8 @@
 	return report
 }
 
-// requireBook counts each booked revision's brokers anew.
-func requireBook(t *testing.T, status distribution.Status) {
+// requirePropagation counts each booked revision's brokers anew.
+func requirePropagation(t *testing.T, status distribution.Status) {
 	for i, x := range status.InForce {
 		have, connected := 0, 0
 		for _, broker := range status.Brokers {
--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -34,33 +34,33 @@
 	return id
 }
 
-func next(t testing.TB, h *distribution.Hub, now time.Time, id distribution.SessionID) *configpb.Update {
+func nextUpdate(t testing.TB, h *distribution.Hub, now time.Time, id distribution.SessionID) *configpb.Update {
 	update, wake, err := h.NextUpdate(now, id)
 	require.NoError(t, err)
 	require.True(t, wake.After(now))
 	return update
 }
 
-func TestASessionGetsTheNewestRevisionOnlyAndThenHeartbeats(t *testing.T) {
+func TestHubSendsNewestRevisionThenHeartbeats(t *testing.T) {
 	h := distribution.NewHub()
 	id := openSession(t, h, epoch, "b", 0)
-	require.Zero(t, next(t, h, epoch, id).GetNewest())
+	require.Zero(t, nextUpdate(t, h, epoch, id).GetNewest())
 	for number := uint64(1); number <= 3; number++ {
 		require.NoError(t, h.SetNewest(epoch, revisionOf(number)))
 	}
 	h.SetConfirmed(epoch)
-	update := next(t, h, epoch.Add(70*time.Millisecond), id)
+	update := nextUpdate(t, h, epoch.Add(70*time.Millisecond), id)
 	require.EqualValues(t, 3, update.GetRevision().GetNumber())
 	require.EqualValues(t, 70, update.GetConfirmedMs())
 	require.EqualValues(t, 1, update.GetReport())
-	require.Nil(t, next(t, h, epoch.Add(time.Second), id))
-	update = next(t, h, epoch.Add(1070*time.Millisecond), id)
+	require.Nil(t, nextUpdate(t, h, epoch.Add(time.Second), id))
+	update = nextUpdate(t, h, epoch.Add(1070*time.Millisecond), id)
 	require.EqualValues(t, 3, update.GetNewest())
 	require.Nil(t, update.GetRevision())
 	require.EqualValues(t, 1070, update.GetReportMs())
 }
 
-func TestARevisionThatIsNotReportedIsSentAgainMoreAndMoreSeldom(t *testing.T) {
+func TestHubResendsUnacknowledgedRevisionWithBackoff(t *testing.T) {
 	h := distribution.NewHub()
 	require.NoError(t, h.SetNewest(epoch, revisionOf(1)))
 	id := openSession(t, h, epoch, "b", 0)
@@ -76,20 +76,20 @@
 	}
 	require.Equal(t, []time.Duration{0, 3 * time.Second, 9 * time.Second, 21 * time.Second, 45 * time.Second}, sent)
 	require.Equal(t, []string{"b"}, h.Lagging(epoch.Add(time.Minute)))
-	refusing := reportOf("b", 100, 0)
-	refusing.Refusal = &configpb.Refusal{Number: 1, Key: "settings.port"}
-	require.NoError(t, h.ReportReceived(epoch.Add(time.Minute), id, refusing))
+	rejecting := reportOf("b", 100, 0)
+	rejecting.Refusal = &configpb.Refusal{Number: 1, Key: "settings.port"}
+	require.NoError(t, h.ReportReceived(epoch.Add(time.Minute), id, rejecting))
 	require.Empty(t, h.Lagging(epoch.Add(time.Minute)), "it has refused the revision")
 	for at := time.Minute; at < 90*time.Second; at += 100 * time.Millisecond {
-		require.Nil(t, next(t, h, epoch.Add(at), id).GetRevision())
+		require.Nil(t, nextUpdate(t, h, epoch.Add(at), id).GetRevision())
 	}
 }
 
-func TestReportsThatCannotBeAreCountedAndDropped(t *testing.T) {
+func TestHubCountsAndDropsInvalidReports(t *testing.T) {
 	h := distribution.NewHub()
 	require.NoError(t, h.SetNewest(epoch, revisionOf(9)))
 	id := openSession(t, h, epoch, "b", 5)
-	spoil := func(change func(*configpb.Report)) *configpb.Report {
+	modified := func(change func(*configpb.Report)) *configpb.Report {
 		report := reportOf("b", 7, 6)
 		change(report)
 		return report
@@ -98,20 +98,20 @@
 		report *configpb.Report
 		count  func(distribution.ReportCounts) uint64
 	}{
-		{nil, malformed},
-		{spoil(func(r *configpb.Report) { r.Name = "" }), malformed},
-		{spoil(func(r *configpb.Report) { r.Name = strings.Repeat("x", 129) }), malformed},
-		{spoil(func(r *configpb.Report) { r.Zone = "\xff" }), malformed},
-		{spoil(func(r *configpb.Report) { r.StartedUnixMs = 0 }), malformed},
-		{spoil(func(r *configpb.Report) { r.Sequence = 0 }), malformed},
-		{spoil(func(r *configpb.Report) { r.Refusal = &configpb.Refusal{Number: 6} }), malformed},
-		{spoil(func(r *configpb.Report) {
+		{nil, malformedReports},
+		{modified(func(r *configpb.Report) { r.Name = "" }), malformedReports},
+		{modified(func(r *configpb.Report) { r.Name = strings.Repeat("x", 129) }), malformedReports},
+		{modified(func(r *configpb.Report) { r.Zone = "\xff" }), malformedReports},
+		{modified(func(r *configpb.Report) { r.StartedUnixMs = 0 }), malformedReports},
+		{modified(func(r *configpb.Report) { r.Sequence = 0 }), malformedReports},
+		{modified(func(r *configpb.Report) { r.Refusal = &configpb.Refusal{Number: 6} }), malformedReports},
+		{modified(func(r *configpb.Report) {
 			r.Refusal = &configpb.Refusal{Number: 7, Key: strings.Repeat("x", 257)}
-		}), malformed},
-		{spoil(func(r *configpb.Report) { r.Name = "other" }), foreign},
-		{spoil(func(r *configpb.Report) { r.StartedUnixMs = 999 }), foreign},
-		{spoil(func(r *configpb.Report) { r.InForce = 4 }), older},
-		{spoil(func(r *configpb.Report) { r.Sequence = 1 }), older},
+		}), malformedReports},
+		{modified(func(r *configpb.Report) { r.Name = "other" }), wrongInstanceReports},
+		{modified(func(r *configpb.Report) { r.StartedUnixMs = 999 }), wrongInstanceReports},
+		{modified(func(r *configpb.Report) { r.InForce = 4 }), outOfOrderReports},
+		{modified(func(r *configpb.Report) { r.Sequence = 1 }), outOfOrderReports},
 	} {
 		before := x.count(h.Counts())
 		require.NoError(t, h.ReportReceived(epoch, id, x.report))
@@ -121,11 +121,11 @@
 	require.EqualValues(t, 1, h.Counts().Accepted)
 }
 
-func malformed(c distribution.ReportCounts) uint64 { return c.Malformed }
-func foreign(c distribution.ReportCounts) uint64   { return c.WrongInstance }
-func older(c distribution.ReportCounts) uint64     { return c.OutOfOrder }
+func malformedReports(c distribution.ReportCounts) uint64     { return c.Malformed }
+func wrongInstanceReports(c distribution.ReportCounts) uint64 { return c.WrongInstance }
+func outOfOrderReports(c distribution.ReportCounts) uint64    { return c.OutOfOrder }
 
-func TestARestartedBrokerTakesThePlaceOfItsFormerSession(t *testing.T) {
+func TestHubSupersedesSessionOfRestartedBroker(t *testing.T) {
 	h := distribution.NewHub()
 	old := openSession(t, h, epoch, "b", 3)
 	restarted, err := h.OpenSession(epoch)
@@ -143,7 +143,7 @@
 	require.EqualValues(t, 2000, h.Status(epoch).Brokers[0].GetReport().GetStartedUnixMs())
 }
 
-func TestASilentSessionEnds(t *testing.T) {
+func TestHubSessionTimesOutWithoutReports(t *testing.T) {
 	h := distribution.NewHub()
 	id, err := h.OpenSession(epoch)
 	require.NoError(t, err)
@@ -157,7 +157,7 @@
 	require.ErrorIs(t, h.CheckSession(epoch, id), distribution.ErrNoSession)
 }
 
-func TestTheBookTellsWhenARevisionWasInForceEverywhere(t *testing.T) {
+func TestHubTracksWhenRevisionIsInForceEverywhere(t *testing.T) {
 	h := distribution.NewHub()
 	a, b := openSession(t, h, epoch, "a", 0), openSession(t, h, epoch, "b", 0)
 	for number := uint64(1); number <= 70; number++ {
@@ -180,7 +180,7 @@
 	require.Equal(t, epoch.Add(11*time.Second).UnixMilli(), status.InForce[0].GetEverywhereUnixMs(), "b is cut off")
 }
 
-func TestABrokerThatIsCutOffIsRememberedForAWhile(t *testing.T) {
+func TestHubRetainsDisconnectedBroker(t *testing.T) {
 	h := distribution.NewHub()
 	id := openSession(t, h, epoch, "b", 1)
 	h.CloseSession(epoch.Add(time.Second), id)
@@ -191,7 +191,7 @@
 	require.Empty(t, h.Status(epoch.Add(2*time.Second+distribution.DisconnectedRetention)).Brokers)
 }
 
-func TestSessionsAndBrokersAreBounded(t *testing.T) {
+func TestHubBoundsSessionsAndBrokers(t *testing.T) {
 	h := distribution.NewHub()
 	for i := range distribution.MaxBrokers + 50 {
 		id := openSession(t, h, epoch.Add(time.Duration(i)), fmt.Sprint("b", i), 0)
@@ -210,7 +210,7 @@
 	require.ErrorIs(t, err, distribution.ErrTooManySessions)
 }
 
-func TestOnlyWholeAndNewerRevisionsAreDistributed(t *testing.T) {
+func TestHubRejectsCorruptStaleAndConflictingRevisions(t *testing.T) {
 	h := distribution.NewHub()
 	require.NoError(t, h.SetNewest(epoch, revisionOf(2)))
 	require.NoError(t, h.SetNewest(epoch, revisionOf(2)))
--- a/internal/controlplane/distribution/simulation_stream_test.go
+++ b/internal/controlplane/distribution/simulation_stream_test.go
@@ -18,14 +18,14 @@
 	id      distribution.StreamID
 	session distribution.SessionID // 0: not accepted yet
 
-	brokerGone bool // the broker has given it up
-	hubGone    bool // the hub has ended it, or its process has ended
-	silenced   bool // the hub's process holds it open and sends nothing: a fault
-	cutSince   time.Duration
+	brokerClosed     bool // the broker has given it up
+	hubClosed        bool // the hub has ended it, or its process has ended
+	stalled          bool // the hub's process holds it open and sends nothing: a fault
+	unreachableSince time.Duration
 
-	down, up pipe // to the broker, to the hub
-	pumpAt   time.Duration
-	waiting  *configpb.Report // the driver's latest that is not sent
+	down, up      pipe // to the broker, to the hub
+	pumpAt        time.Duration
+	pendingReport *configpb.Report // the driver's latest that is not sent
 }
 
 // pipe is one direction of a stream: in order, and held up while the way is cut or the receiver is paused.
@@ -45,21 +45,21 @@
 // connect takes three round trips. Without an answer TCP tries again every second; a machine without the process
 // refuses.
 func (st *simStream) connect() {
-	st.sim.after(6*st.sim.latency(st.broker.zone, st.hub.zone), st.arrive)
+	st.sim.after(6*st.sim.latency(st.broker.zone, st.hub.zone), st.attemptConnect)
 }
 
-func (st *simStream) arrive() {
-	if st.brokerGone {
+func (st *simStream) attemptConnect() {
+	if st.brokerClosed {
 		return
 	}
 	s := st.sim
-	lost := st.hub.lost || !s.open(st.broker, st.hub, toHub) || !s.open(st.broker, st.hub, toBroker)
+	lost := st.hub.machineLost || !s.reachable(st.broker, st.hub, toHub) || !s.reachable(st.broker, st.hub, toBroker)
 	switch {
 	case lost:
-		s.after(connectRetry, st.arrive)
+		s.after(connectRetryDelay, st.attemptConnect)
 	case !st.hub.up:
-		st.hub.calls = append(st.hub.calls, s.now)
-		st.endToBroker()
+		st.hub.connectedAt = append(st.hub.connectedAt, s.now)
+		st.notifyBroker()
 	default:
 		st.hub.accept(st)
 		st.flushReport()
@@ -71,20 +71,20 @@
 	p.queue = append(p.queue, deliver)
 	if !p.running {
 		p.running = true
-		st.carry(p, way, st.sim.latency(st.broker.zone, st.hub.zone))
+		st.deliverNext(p, way, st.sim.latency(st.broker.zone, st.hub.zone))
 	}
 }
 
-// carry delivers the first message of a pipe, then the others.
-func (st *simStream) carry(p *pipe, way direction, wait time.Duration) {
+// deliverNext delivers the first message of a pipe, then the others.
+func (st *simStream) deliverNext(p *pipe, way direction, wait time.Duration) {
 	st.sim.after(wait, func() {
-		gone := way == toBroker && st.brokerGone || way == toHub && st.hubGone
+		closed := way == toBroker && st.brokerClosed || way == toHub && st.hubClosed
 		switch {
-		case gone:
+		case closed:
 			p.queue, p.running = nil, false
 			return
-		case !st.sim.open(st.broker, st.hub, way), way == toBroker && st.broker.paused:
-			st.carry(p, way, retransmit)
+		case !st.sim.reachable(st.broker, st.hub, way), way == toBroker && st.broker.paused:
+			st.deliverNext(p, way, retransmitDelay)
 			return
 		}
 		deliver := p.queue[0]
@@ -94,22 +94,22 @@
 			p.running = false
 			return
 		}
-		st.carry(p, way, 50*time.Microsecond)
+		st.deliverNext(p, way, 50*time.Microsecond)
 	})
 }
 
 // pump sends what the hub has for the stream, and plans when to ask again.
 func (st *simStream) pump() {
 	s := st.sim
-	if st.hubGone || st.session == 0 || !st.hub.up {
+	if st.hubClosed || st.session == 0 || !st.hub.up {
 		return
 	}
 	if st.unreachable() {
 		st.close()
 		return
 	}
-	if st.silenced || len(st.down.queue) >= streamWindow {
-		st.plan(s.now + retransmit)
+	if st.stalled || len(st.down.queue) >= streamWindow {
+		st.schedulePump(s.now + retransmitDelay)
 		return
 	}
 	update, wake, err := st.hub.hub.NextUpdate(s.time(), st.session)
@@ -120,27 +120,27 @@
 	if update != nil {
 		st.sendUpdate(update)
 	}
-	if s.plant == plantFlapping && !s.quorum(st.hub) && s.chance(0.3) {
+	if s.plant == plantFlapping && !s.hasQuorum(st.hub) && s.chance(0.3) {
 		st.close()
 		return
 	}
-	st.plan(max(wake.Sub(epoch), s.now+time.Millisecond))
+	st.schedulePump(max(wake.Sub(epoch), s.now+time.Millisecond))
 }
 
 // unreachable tells whether the hub's keepalive has found the broker unreachable for too long.
 func (st *simStream) unreachable() bool {
 	s := st.sim
-	if s.open(st.broker, st.hub, toHub) && s.open(st.broker, st.hub, toBroker) && !st.brokerGone && !st.broker.paused {
-		st.cutSince = 0
+	if s.reachable(st.broker, st.hub, toHub) && s.reachable(st.broker, st.hub, toBroker) && !st.brokerClosed && !st.broker.paused {
+		st.unreachableSince = 0
 		return false
 	}
-	if st.cutSince == 0 {
-		st.cutSince = s.now
+	if st.unreachableSince == 0 {
+		st.unreachableSince = s.now
 	}
-	return s.now-st.cutSince > keepaliveGivesUp
+	return s.now-st.unreachableSince > keepaliveTimeout
 }
 
-func (st *simStream) plan(at time.Duration) {
+func (st *simStream) schedulePump(at time.Duration) {
 	if st.pumpAt > st.sim.now && st.pumpAt <= at {
 		return
 	}
@@ -156,10 +156,10 @@
 // sendUpdate sends an update, and now and then a spoilt, doubled or old one beside it.
 func (st *simStream) sendUpdate(update *configpb.Update) {
 	s := st.sim
-	if s.plant == plantDeafBroker && st.broker.index%10 == 0 {
+	if s.plant == plantWithheldRevisions && st.broker.index%10 == 0 {
 		update.Revision = nil
 	}
-	if s.noise > 0 && s.chance(s.noise) {
+	if s.noiseRatio > 0 && s.chance(s.noiseRatio) {
 		st.sendNoise(update)
 		return
 	}
@@ -171,7 +171,7 @@
 	st.send(&st.down, toBroker, func() {
 		b.whenAwake(func() {
 			b.follower.UpdateReceived(st.sim.time(), st.id, update)
-			b.drive()
+			b.step()
 		})
 	})
 }
@@ -183,59 +183,59 @@
 		st.deliver(nil)
 		return
 	}
-	spoilt := proto.CloneOf(update)
-	spoilt.Revision = proto.CloneOf(s.log[s.rng.IntN(len(s.log))])
-	spoilt.Newest, spoilt.NewestChecksum = spoilt.Revision.Number, spoilt.Revision.Checksum
+	noise := proto.CloneOf(update)
+	noise.Revision = proto.CloneOf(s.log[s.rng.IntN(len(s.log))])
+	noise.Newest, noise.NewestChecksum = noise.Revision.Number, noise.Revision.Checksum
 	switch s.rng.IntN(6) {
 	case 0: // an old revision, or a double
 		st.deliver(update)
 	case 1:
 		st.deliver(update)
-		spoilt.Revision.Document = append(spoilt.Revision.Document, ' ')
+		noise.Revision.Document = append(noise.Revision.Document, ' ')
 	case 2:
-		spoilt.Revision.Document = spoilt.Revision.Document[:len(spoilt.Revision.Document)/2]
+		noise.Revision.Document = noise.Revision.Document[:len(noise.Revision.Document)/2]
 	case 3:
-		spoilt.Revision.Document = make([]byte, distribution.MaxDocument+1)
-		spoilt.Revision.Checksum = configpb.Checksum(spoilt.Revision.Document)
-		spoilt.NewestChecksum = spoilt.Revision.Checksum
-		spoilt.Newest += 1000
-		spoilt.Revision.Number = spoilt.Newest
+		noise.Revision.Document = make([]byte, distribution.MaxDocument+1)
+		noise.Revision.Checksum = configpb.Checksum(noise.Revision.Document)
+		noise.NewestChecksum = noise.Revision.Checksum
+		noise.Newest += 1000
+		noise.Revision.Number = noise.Newest
 	case 4: // a revision that claims a number to come, and is torn
-		spoilt.Newest++
-		spoilt.Revision.Number = spoilt.Newest
-		spoilt.Revision.Checksum++
-		spoilt.NewestChecksum++
+		noise.Newest++
+		noise.Revision.Number = noise.Newest
+		noise.Revision.Checksum++
+		noise.NewestChecksum++
 	case 5:
-		spoilt = nil
+		noise = nil
 	}
-	st.deliver(spoilt)
+	st.deliver(noise)
 	if s.chance(0.5) {
 		st.deliver(update)
 	}
 }
 
-// report sends a report once the call is accepted, in place of one that still waits.
-func (st *simStream) report(report *configpb.Report) {
-	st.waiting = report
+// queueReport sends a report once the call is accepted, in place of one that still waits.
+func (st *simStream) queueReport(report *configpb.Report) {
+	st.pendingReport = report
 	if st.session != 0 {
 		st.flushReport()
 	}
 }
 
 func (st *simStream) flushReport() {
-	if st.waiting == nil || st.brokerGone || st.session == 0 {
+	if st.pendingReport == nil || st.brokerClosed || st.session == 0 {
 		return
 	}
-	report := st.waiting
-	st.waiting = nil
-	if st.sim.plant == plantUnbooked && st.broker.index%10 == 0 {
+	report := st.pendingReport
+	st.pendingReport = nil
+	if st.sim.plant == plantMissingReports && st.broker.index%10 == 0 {
 		report.InForce, report.Refusal = 0, nil
 	}
-	st.send(&st.up, toHub, func() { st.takeReport(report) })
+	st.send(&st.up, toHub, func() { st.reportArrived(report) })
 }
 
-func (st *simStream) takeReport(report *configpb.Report) {
-	if st.hubGone || !st.hub.up {
+func (st *simStream) reportArrived(report *configpb.Report) {
+	if st.hubClosed || !st.hub.up {
 		return
 	}
 	if err := st.hub.hub.ReportReceived(st.sim.time(), st.session, report); err != nil {
@@ -260,30 +260,30 @@
 }
 
 // hubEnded notes that the hub's end is gone, and lets the broker hear of it or not.
-func (st *simStream) hubEnded(told bool) {
-	st.hubGone = true
-	if told {
-		st.endToBroker()
+func (st *simStream) hubEnded(notify bool) {
+	st.hubClosed = true
+	if notify {
+		st.notifyBroker()
 	}
 }
 
-// endToBroker has the broker hear that its stream has ended.
-func (st *simStream) endToBroker() {
+// notifyBroker has the broker hear that its stream has ended.
+func (st *simStream) notifyBroker() {
 	b := st.broker
 	st.send(&st.down, toBroker, func() {
 		b.whenAwake(func() {
 			b.follower.StreamEnded(st.sim.time(), st.id)
-			b.drive()
+			b.step()
 		})
 	})
 }
 
 // brokerEnded notes that the broker's end is gone, and lets the hub hear of it or not.
-func (st *simStream) brokerEnded(told bool) {
-	st.brokerGone = true
-	if told && st.session != 0 {
+func (st *simStream) brokerEnded(notify bool) {
+	st.brokerClosed = true
+	if notify && st.session != 0 {
 		st.send(&st.up, toHub, func() {
-			if st.hub.up && !st.hubGone {
+			if st.hub.up && !st.hubClosed {
 				st.close()
 			}
 		})
--- a/internal/controlplane/distribution/simulation_test.go
+++ b/internal/controlplane/distribution/simulation_test.go
@@ -22,12 +22,12 @@
 	zones   = 10
 	hubs    = 4
 
-	streamWindow     = 4 // updates that a hub may have on its way on one stream
-	retransmit       = 200 * time.Millisecond
-	connectRetry     = time.Second      // between two tries of TCP to connect
-	keepaliveGivesUp = 15 * time.Second // a hub ends a stream whose peer it cannot reach for so long
-	confirmEvery     = 250 * time.Millisecond
-	changesEvery     = 3200 * time.Millisecond // 2,700 a day are one in 32 s; ten times as many are one in 3.2 s
+	streamWindow      = 4 // updates that a hub may have on its way on one stream
+	retransmitDelay   = 200 * time.Millisecond
+	connectRetryDelay = time.Second      // between two tries of TCP to connect
+	keepaliveTimeout  = 15 * time.Second // a hub ends a stream whose peer it cannot reach for so long
+	confirmInterval   = 250 * time.Millisecond
+	publishInterval   = 3200 * time.Millisecond // 2,700 a day are one in 32 s; ten times as many are one in 3.2 s
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
@@ -38,68 +38,68 @@
 // zoneOfHub: the voters are hubs 0 to 2, one in each region; the spare stands in the first region.
 var zoneOfHub = [hubs]int{0, 3, 6, 1}
 
-type eventAt struct {
+type scheduledEvent struct {
 	at    time.Duration
 	order int
 	run   func()
 }
 
-type eventQueue []eventAt
+type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(v any)   { *q = append(*q, v.(eventAt)) }
+func (q *eventQueue) Push(v any)   { *q = append(*q, v.(scheduledEvent)) }
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
-	old[len(old)-1] = eventAt{}
+	old[len(old)-1] = scheduledEvent{}
 	*q = old[:len(old)-1]
 	return last
 }
 
-// plant is a fault of the system under test, for the checkers to find.
-type plant string
+// plantedFault is a fault of the system under test, for the checkers to find.
+type plantedFault string
 
 const (
-	plantNone         plant = ""
-	plantGoBack       plant = "a broker applies an earlier revision once more"
-	plantTwice        plant = "a broker applies a revision twice"
-	plantHalf         plant = "a broker applies half a document"
-	plantDeafBroker   plant = "hubs never send revisions to some brokers"
-	plantReplay       plant = "a hub that was cut off passes every missed revision on"
-	plantStorm        plant = "followers believe that they are alone"
-	plantFlapping     plant = "hubs without a quorum end their streams every few seconds"
-	plantBoastfulHub  plant = "hubs say that a quorum has just confirmed them"
-	plantUnbooked     plant = "some brokers never report what is in force"
-	plantSlowBackHome plant = "a hub that was cut off takes the newest revision 12 s late"
+	plantNone              plantedFault = ""
+	plantRegression        plantedFault = "a broker applies an earlier revision once more"
+	plantDuplicate         plantedFault = "a broker applies a revision twice"
+	plantTruncation        plantedFault = "a broker applies half a document"
+	plantWithheldRevisions plantedFault = "hubs never send revisions to some brokers"
+	plantReplay            plantedFault = "a hub that was cut off passes every missed revision on"
+	plantConnectStorm      plantedFault = "followers believe that they are alone"
+	plantFlapping          plantedFault = "hubs without a quorum end their streams every few seconds"
+	plantFalseConfirmation plantedFault = "hubs say that a quorum has just confirmed them"
+	plantMissingReports    plantedFault = "some brokers never report what is in force"
+	plantSlowCatchUp       plantedFault = "a hub that was cut off takes the newest revision 12 s late"
 )
 
 type simOptions struct {
-	seed    uint64
-	brokers int
-	callers int // as the followers are told
-	noise   float64
-	plant   plant
+	seed       uint64
+	brokers    int
+	fleetSize  int // as the followers are told
+	noiseRatio float64
+	plant      plantedFault
 }
 
 type simulation struct {
 	simOptions
-	rng    *rand.Rand
-	now    time.Duration
-	queue  eventQueue
-	order  int
-	steps  int
-	trace  uint64
-	hubs   [hubs]*simHub
-	fleet  []*simBroker
-	log    []*configpb.Revision // revision n is log[n-1]
-	at     []time.Duration      // when each was published
-	cut    [regions]bool        // from the other regions
-	halves map[[2]int]direction // one-sided cuts of a broker and a hub
-	check  *checkers
+	rng         *rand.Rand
+	now         time.Duration
+	queue       eventQueue
+	lastOrder   int
+	events      int
+	trace       uint64
+	hubs        [hubs]*simHub
+	fleet       []*simBroker
+	log         []*configpb.Revision // revision n is log[n-1]
+	publishedAt []time.Duration      // when each was published
+	partitioned [regions]bool        // from the other regions
+	blocked     map[[2]int]direction // one-sided cuts of a broker and a hub
+	checks      *checkers
 }
 
 type direction int
@@ -110,15 +110,15 @@
 )
 
 func newSimulation(opt simOptions) *simulation {
-	if opt.callers == 0 {
-		opt.callers = opt.brokers
+	if opt.fleetSize == 0 {
+		opt.fleetSize = opt.brokers
 	}
 	s := &simulation{
 		simOptions: opt,
 		rng:        rand.New(rand.NewPCG(opt.seed, 0x3c6ef372fe94f82b)),
-		halves:     map[[2]int]direction{},
+		blocked:    map[[2]int]direction{},
 	}
-	s.check = newCheckers(s)
+	s.checks = newCheckers(s)
 	for i := range s.hubs {
 		s.hubs[i] = &simHub{sim: s, index: i, zone: zoneOfHub[i]}
 		s.hubs[i].start()
@@ -128,7 +128,7 @@
 		s.fleet = append(s.fleet, b)
 		b.start()
 	}
-	s.check.faultsChanged()
+	s.checks.faultsChanged()
 	s.confirm()
 	return s
 }
@@ -136,22 +136,22 @@
 func (s *simulation) time() time.Time { return epoch.Add(s.now) }
 
 func (s *simulation) after(wait time.Duration, run func()) {
-	s.order++
-	heap.Push(&s.queue, eventAt{s.now + max(wait, 0), s.order, run})
+	s.lastOrder++
+	heap.Push(&s.queue, scheduledEvent{s.now + max(wait, 0), s.lastOrder, run})
 }
 
-func (s *simulation) runTo(end time.Duration) {
+func (s *simulation) runUntil(end time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= end {
-		e := heap.Pop(&s.queue).(eventAt)
+		e := heap.Pop(&s.queue).(scheduledEvent)
 		s.now = e.at
-		s.steps++
+		s.events++
 		e.run()
 	}
 	s.now = end
 }
 
-// note mixes what happened into the trace, by which two runs are compared.
-func (s *simulation) note(what string, numbers ...any) {
+// record mixes what happened into the trace, by which two runs are compared.
+func (s *simulation) record(what string, numbers ...any) {
 	h := fnv.New64a()
 	fmt.Fprint(h, s.trace, s.now, what, numbers)
 	s.trace = h.Sum64()
@@ -159,36 +159,36 @@
 
 func (s *simulation) chance(p float64) bool { return s.rng.Float64() < p }
 
-func (s *simulation) between(from, to time.Duration) time.Duration {
+func (s *simulation) uniform(from, to time.Duration) time.Duration {
 	return from + time.Duration(s.rng.Int64N(int64(to-from)))
 }
 
-// joined tells whether two zones' regions have a path.
-func (s *simulation) joined(a, b int) bool {
+// connected tells whether two zones' regions have a path.
+func (s *simulation) connected(a, b int) bool {
 	ra, rb := regionOfZone(a), regionOfZone(b)
-	return ra == rb || !s.cut[ra] && !s.cut[rb]
+	return ra == rb || !s.partitioned[ra] && !s.partitioned[rb]
 }
 
-// open tells whether a message gets from a broker to a hub, or back.
-func (s *simulation) open(b *simBroker, h *simHub, way direction) bool {
-	return s.joined(b.zone, h.zone) && s.halves[[2]int{b.index, h.index}] != way
+// reachable tells whether a message gets from a broker to a hub, or back.
+func (s *simulation) reachable(b *simBroker, h *simHub, way direction) bool {
+	return s.connected(b.zone, h.zone) && s.blocked[[2]int{b.index, h.index}] != way
 }
 
 func (s *simulation) latency(a, b int) time.Duration {
 	if regionOfZone(a) == regionOfZone(b) {
-		return s.between(500*time.Microsecond, 3*time.Millisecond)
+		return s.uniform(500*time.Microsecond, 3*time.Millisecond)
 	}
-	return s.between(20*time.Millisecond, 60*time.Millisecond)
+	return s.uniform(20*time.Millisecond, 60*time.Millisecond)
 }
 
-// quorum tells whether a hub reaches two of the three voters.
-func (s *simulation) quorum(h *simHub) bool {
+// hasQuorum tells whether a hub reaches two of the three voters.
+func (s *simulation) hasQuorum(h *simHub) bool {
 	if !h.up {
 		return false
 	}
 	reached := 0
 	for _, voter := range s.hubs[:3] {
-		if voter.up && s.joined(h.zone, voter.zone) {
+		if voter.up && s.connected(h.zone, voter.zone) {
 			reached++
 		}
 	}
@@ -199,7 +199,7 @@
 func (s *simulation) publish() {
 	ok := false
 	for _, h := range s.hubs {
-		ok = ok || s.quorum(h)
+		ok = ok || s.hasQuorum(h)
 	}
 	if !ok {
 		return
@@ -212,21 +212,21 @@
 		Document:        document,
 		PublishedUnixMs: s.time().UnixMilli(),
 	})
-	s.at = append(s.at, s.now)
-	s.check.published(number)
+	s.publishedAt = append(s.publishedAt, s.now)
+	s.checks.revisionPublished(number)
 	for _, h := range s.hubs {
-		if s.quorum(h) {
+		if s.hasQuorum(h) {
 			s.after(s.latency(h.zone, zoneOfHub[0]), h.catchUp)
 		}
 	}
 }
 
-// publishEvery publishes at fixed intervals until a time.
-func (s *simulation) publishEvery(every, end time.Duration) {
+// publishPeriodically publishes at fixed intervals until a time.
+func (s *simulation) publishPeriodically(every, end time.Duration) {
 	s.after(every, func() {
 		if s.now < end {
 			s.publish()
-			s.publishEvery(every, end)
+			s.publishPeriodically(every, end)
 		}
 	})
 }
@@ -234,41 +234,41 @@
 // confirm has hubs with a quorum read the log's newest revision, as a leader confirms a read.
 func (s *simulation) confirm() {
 	for _, h := range s.hubs {
-		if s.quorum(h) {
+		if s.hasQuorum(h) {
 			h.catchUp()
 			h.hub.SetConfirmed(s.time())
-		} else if h.up && s.plant == plantBoastfulHub {
+		} else if h.up && s.plant == plantFalseConfirmation {
 			h.hub.SetConfirmed(s.time())
 		}
 	}
-	s.after(confirmEvery, s.confirm)
+	s.after(confirmInterval, s.confirm)
 }
 
 // simHub is a control machine.
 type simHub struct {
-	sim     *simulation
-	index   int
-	zone    int
-	hub     *distribution.Hub
-	up      bool
-	lost    bool // the machine is: nobody answers
-	streams []*simStream
-	calls   []time.Duration // when brokers called
-	newest  uint64
-	behind  time.Duration // since when it has missed many revisions, and could have them; 0: it has not
+	sim          *simulation
+	index        int
+	zone         int
+	hub          *distribution.Hub
+	up           bool
+	machineLost  bool // the machine is: nobody answers
+	streams      []*simStream
+	connectedAt  []time.Duration // when brokers called
+	newest       uint64
+	laggingSince time.Duration // since when it has missed many revisions, and could have them; 0: it has not
 }
 
 func (h *simHub) start() {
-	h.up, h.lost = true, false
+	h.up, h.machineLost = true, false
 	h.hub = distribution.NewHub()
 	h.streams, h.newest = nil, 0
-	h.sim.note("hub starts", h.index)
+	h.sim.record("hub starts", h.index)
 }
 
 // stop ends the process. Peers hear of it unless the whole machine is lost.
 func (h *simHub) stop(machineLost bool) {
-	h.up, h.lost = false, machineLost
-	h.sim.note("hub stops", h.index)
+	h.up, h.machineLost = false, machineLost
+	h.sim.record("hub stops", h.index)
 	for _, st := range h.streams {
 		st.hubEnded(!machineLost)
 	}
@@ -277,13 +277,13 @@
 
 // catchUp takes the log's newest revision, which the state machine has applied.
 func (h *simHub) catchUp() {
-	if !h.up || !h.sim.quorum(h) || len(h.sim.log) == 0 {
+	if !h.up || !h.sim.hasQuorum(h) || len(h.sim.log) == 0 {
 		return
 	}
 	if h.sim.plant == plantReplay && h.replay() {
 		return
 	}
-	if h.sim.plant == plantSlowBackHome && h.slow() {
+	if h.sim.plant == plantSlowCatchUp && h.delayCatchUp() {
 		return
 	}
 	newest := h.sim.log[len(h.sim.log)-1]
@@ -317,24 +317,24 @@
 	return true
 }
 
-// slow is the planted fault of plantSlowBackHome, and tells whether the hub is late now.
-func (h *simHub) slow() bool {
+// delayCatchUp is the planted fault of plantSlowBackHome, and tells whether the hub is late now.
+func (h *simHub) delayCatchUp() bool {
 	if uint64(len(h.sim.log)) < h.newest+10 {
-		h.behind = 0
+		h.laggingSince = 0
 		return false
 	}
-	if h.behind == 0 {
-		h.behind = h.sim.now
+	if h.laggingSince == 0 {
+		h.laggingSince = h.sim.now
 	}
-	return h.sim.now-h.behind < 12*time.Second
+	return h.sim.now-h.laggingSince < 12*time.Second
 }
 
 // accept takes a call of a broker.
 func (h *simHub) accept(st *simStream) {
-	h.calls = append(h.calls, h.sim.now)
+	h.connectedAt = append(h.connectedAt, h.sim.now)
 	id, err := h.hub.OpenSession(h.sim.time())
 	if err != nil {
-		st.endToBroker()
+		st.notifyBroker()
 		return
 	}
 	st.session = id
@@ -344,24 +344,24 @@
 
 // simBroker is a broker.
 type simBroker struct {
-	sim      *simulation
-	index    int
-	zone     int
-	follower *distribution.Follower
-	instance int
-	up       bool
-	paused   bool
-	stream   *simStream
-	tickAt   time.Duration // of the event that is planned; 0: none
-	held     []func()      // what happened while it was paused
-	opened   int
+	sim           *simulation
+	index         int
+	zone          int
+	follower      *distribution.Follower
+	instance      int
+	up            bool
+	paused        bool
+	stream        *simStream
+	tickAt        time.Duration // of the event that is planned; 0: none
+	deferred      []func()      // what happened while it was paused
+	streamsOpened int
 }
 
 func (b *simBroker) name() string { return fmt.Sprintf("broker-%04d", b.index) }
 
 func (b *simBroker) start() {
 	b.instance++
-	b.up, b.paused, b.held, b.stream, b.tickAt = true, false, nil, nil, 0
+	b.up, b.paused, b.deferred, b.stream, b.tickAt = true, false, nil, nil, 0
 	var control []distribution.Machine
 	for _, h := range b.sim.hubs {
 		control = append(control, distribution.Machine{
@@ -370,8 +370,8 @@
 			Region:  fmt.Sprint("r", regionOfZone(h.zone)),
 		})
 	}
-	callers := b.sim.callers
-	if b.sim.plant == plantStorm {
+	callers := b.sim.fleetSize
+	if b.sim.plant == plantConnectStorm {
 		callers = 1
 	}
 	follower, err := distribution.NewFollower(b.sim.time(), distribution.FollowerOptions{
@@ -387,8 +387,8 @@
 		panic(err)
 	}
 	b.follower = follower
-	b.sim.check.started(b)
-	b.drive()
+	b.sim.checks.brokerStarted(b)
+	b.step()
 }
 
 // stop ends the process, and hubs hear of it unless the whole machine is lost.
@@ -414,13 +414,13 @@
 			return
 		}
 		b.paused = false
-		held := b.held
-		b.held = nil
-		b.sim.check.faultsChanged()
+		held := b.deferred
+		b.deferred = nil
+		b.sim.checks.faultsChanged()
 		for _, run := range held {
 			run()
 		}
-		b.drive()
+		b.step()
 	})
 }
 
@@ -433,26 +433,26 @@
 		}
 	}
 	if b.paused {
-		b.held = append(b.held, do)
+		b.deferred = append(b.deferred, do)
 		return
 	}
 	do()
 }
 
-// drive is the driver's loop: it does what the follower has ready, and plans the next look at the time.
-func (b *simBroker) drive() {
+// step is the driver's loop: it does what the follower has ready, and plans the next look at the time.
+func (b *simBroker) step() {
 	ready := b.follower.Ready(b.sim.time())
 	if ready.Close != 0 && b.stream != nil && b.stream.id == ready.Close {
 		b.stream.brokerEnded(true)
 		b.stream = nil
 	}
 	if ready.Open != nil {
-		b.opened++
+		b.streamsOpened++
 		b.stream = newStream(b, *ready.Open)
 		b.stream.connect()
 	}
 	if ready.Report != nil && b.stream != nil {
-		b.stream.report(ready.Report)
+		b.stream.queueReport(ready.Report)
 	}
 	if ready.Apply != nil {
 		b.apply(ready.Apply)
@@ -472,56 +472,56 @@
 			if !b.sim.time().Before(b.follower.NextTick()) {
 				b.follower.Tick(b.sim.time())
 			}
-			b.drive()
+			b.step()
 		})
 	})
 }
 
 func (b *simBroker) apply(revision *configpb.Revision) {
-	b.sim.after(b.sim.between(time.Millisecond, 50*time.Millisecond), func() {
+	b.sim.after(b.sim.uniform(time.Millisecond, 50*time.Millisecond), func() {
 		b.whenAwake(func() {
 			number := revision.GetNumber()
-			if refuses(b.index, number) {
-				b.sim.check.refused(b, number)
+			if rejects(b.index, number) {
+				b.sim.checks.revisionRejected(b, number)
 				b.follower.RevisionRejected(b.sim.time(), number, "settings.port", "needs a restart")
-				b.drive()
+				b.step()
 				return
 			}
-			b.sim.note("applied", b.index, number)
-			b.sim.check.applied(b, revision)
-			b.plantedApply(revision)
+			b.sim.record("applied", b.index, number)
+			b.sim.checks.revisionApplied(b, revision)
+			b.playPlantedFault(revision)
 			b.follower.RevisionApplied(b.sim.time(), number)
-			b.drive()
+			b.step()
 		})
 	})
 }
 
-// refuses tells whether a broker refuses a revision.
-func refuses(broker int, number uint64) bool { return number%9 == 4 && broker%4 == 1 }
+// rejects tells whether a broker refuses a revision.
+func rejects(broker int, number uint64) bool { return number%9 == 4 && broker%4 == 1 }
 
-// plantedApply plays the planted faults of a broker's driver.
-func (b *simBroker) plantedApply(revision *configpb.Revision) {
+// playPlantedFault plays the planted faults of a broker's driver.
+func (b *simBroker) playPlantedFault(revision *configpb.Revision) {
 	number := revision.GetNumber()
 	if number%7 != 0 || b.index%5 != 0 {
 		return
 	}
 	switch b.sim.plant {
-	case plantGoBack:
-		b.sim.check.applied(b, b.sim.log[number-2])
-	case plantTwice:
-		b.sim.check.applied(b, revision)
-	case plantHalf:
+	case plantRegression:
+		b.sim.checks.revisionApplied(b, b.sim.log[number-2])
+	case plantDuplicate:
+		b.sim.checks.revisionApplied(b, revision)
+	case plantTruncation:
 		half := proto.CloneOf(revision)
 		half.Document = half.Document[:len(half.Document)/2]
 		half.Number++
-		b.sim.check.applied(b, half)
+		b.sim.checks.revisionApplied(b, half)
 	}
 }
 
 func runSimulation(t testing.TB, opt simOptions, play func(*simulation)) *simulation {
 	s := newSimulation(opt)
 	play(s)
-	s.check.finish()
-	require.NotZero(t, s.steps)
+	s.checks.finish()
+	require.NotZero(t, s.events)
 	return s
 }
