--- a/internal/controlplane/distribution/checkers_test.go
+++ b/internal/controlplane/distribution/checkers_test.go
@@ -10,50 +10,50 @@
 )
 
 const (
-	propagationDeadline = 8 * time.Second
-	// maxStormRatio is the largest share of the fleet that may call one hub within a second: the waits of internal/backoff
-	// spread a fleet that has one hub left over 2 s, and half as many again come by chance.
+	propagationDeadline = 8 * time.Second // stated apart from the package's own, so that a change there fails the tests
+	// maxStormRatio is the largest part of the fleet that may connect to one hub within a second: package backoff spreads
+	// a fleet that has one hub left over 2 s, with 50 % above the mean as chance.
 	maxStormRatio = 0.75
-	// maxStreamsPerHour bounds the streams of a broker that has a hub in reach which no quorum confirms: 12 times it
-	// looks for another one, at three hubs and back.
+	// maxStreamsPerHour bounds the streams of a broker that reaches unconfirmed hubs only: it fails over 12 times, to
+	// three other hubs and back.
 	maxStreamsPerHour = 60
 )
 
-// finding is what a checker found wrong.
+// finding is a violation that a checker found.
 type finding struct {
 	checker string
 	detail  string
 }
 
-// expectedRevision is a revision that a broker ought to get.
+// expectedRevision is a revision that a broker has to put in force.
 type expectedRevision struct {
 	number uint64
 	since  time.Duration
-	heal   bool // since the broker had a hub in reach again, and not since the publication
+	heal   bool // since counts from when the broker reached a hub again, not from the publication
 }
 
-// brokerHistory is what the checkers know of one broker.
+// brokerHistory is the checkers' record of one broker.
 type brokerHistory struct {
 	instance       int
-	inForce        uint64 // the highest of this instance
-	connectable    bool   // it runs, and some hub that a quorum confirms is in reach
+	inForce        uint64 // highest number of this instance
+	connectable    bool   // it runs, and reaches a hub that has a quorum
 	reachableSince [hubs]time.Duration
 	reachableHubs  [hubs]bool
 	expected       []expectedRevision
-	disconnectedAt time.Duration // when it was last not good
-	catchUpTo      uint64        // newest at the heal; 0: none is awaited
-	replayed       int           // revisions below healedTo that were applied since the heal
+	disconnectedAt time.Duration // when it was last not connectable
+	catchUpTo      uint64        // newest revision when it became connectable; 0: it has caught up
+	replayed       int           // revisions below catchUpTo that were applied since
 }
 
-// checkers watch a simulation from outside.
+// checkers observe a simulation from outside and collect findings.
 type checkers struct {
 	sim              *simulation
 	brokers          []*brokerHistory
 	findings         []finding
-	propagationTimes []time.Duration // publication to in force
-	recoveryTimes    []time.Duration // heal to in force
-	recoveries       int             // heals that were looked at
-	maxInFlight      int             // revisions that a stream may have held when a cut or a pause began
+	propagationTimes []time.Duration // from publication to in force
+	recoveryTimes    []time.Duration // from connectable again to in force
+	recoveries       int             // revisions applied while a broker caught up
+	maxInFlight      int             // revisions that may be buffered on a stream when a fault begins
 }
 
 func newCheckers(s *simulation) *checkers {
@@ -79,18 +79,19 @@
 	w.catchUpTo = 0
 }
 
-// revisionApplied checks that numbers rise, that documents are whole, and that nothing is replayed after a heal.
+// revisionApplied checks that numbers increase, that documents are intact, and that a broker skips to the newest
+// revision when it catches up.
 func (c *checkers) revisionApplied(b *simBroker, revision *configpb.Revision) {
 	w, number := c.brokers[b.index], revision.GetNumber()
 	switch {
 	case number < w.inForce:
-		c.addFinding("back", "%s applies %d after %d", b.name(), number, w.inForce)
+		c.addFinding("regression", "%s applies %d after %d", b.name(), number, w.inForce)
 	case number == w.inForce:
-		c.addFinding("twice", "%s applies %d twice", b.name(), number)
+		c.addFinding("duplicate", "%s applies %d twice", b.name(), number)
 	}
 	if number == 0 || number > uint64(len(c.sim.log)) ||
 		string(revision.GetDocument()) != string(c.sim.log[number-1].GetDocument()) {
-		c.addFinding("half", "%s applies %d with another document than was published", b.name(), number)
+		c.addFinding("corrupt", "%s applies %d with another document than was published", b.name(), number)
 	}
 	if w.catchUpTo != 0 {
 		c.recoveries++
@@ -98,7 +99,7 @@
 			w.replayed++
 		}
 		if w.replayed > c.maxInFlight {
-			c.addFinding("replay", "%s applies %d after a heal, when %d was the newest", b.name(), number, w.catchUpTo)
+			c.addFinding("replay", "%s applies %d while it catches up to %d", b.name(), number, w.catchUpTo)
 		}
 		if number >= w.catchUpTo {
 			w.catchUpTo = 0
@@ -113,7 +114,7 @@
 	})
 }
 
-// revisionRejected ends the waits for a revision: it cannot be in force at this broker.
+// revisionRejected removes a revision from the expected ones: this broker rejects it.
 func (c *checkers) revisionRejected(b *simBroker, number uint64) {
 	w := c.brokers[b.index]
 	w.expected = slices.DeleteFunc(w.expected, func(x expectedRevision) bool { return x.number <= number })
@@ -127,7 +128,7 @@
 	if x.heal {
 		c.recoveryTimes = append(c.recoveryTimes, took)
 		if took > propagationDeadline {
-			c.addFinding("heal", "%s has %d in force %v after a heal", b.name(), x.number, took)
+			c.addFinding("recovery", "%s has %d in force %v after it reached a hub again", b.name(), x.number, took)
 		}
 		return
 	}
@@ -142,7 +143,7 @@
 	}
 }
 
-// faultsChanged looks which brokers have a hub in reach that a quorum confirms.
+// faultsChanged determines anew which brokers reach a hub that has a quorum.
 func (c *checkers) faultsChanged() {
 	var quorum [hubs]bool
 	for i, h := range c.sim.hubs {
@@ -176,7 +177,7 @@
 			w.catchUpTo, w.replayed = newest, 0
 		}
 	case good:
-		// Whichever hub was in reach all the time counts; where none was, the time begins anew.
+		// The latency counts from when the broker last had no reachable hub.
 		for i := range w.expected {
 			w.expected[i].since = max(w.expected[i].since, since)
 		}
@@ -187,7 +188,8 @@
 	w.connectable = good
 }
 
-// dropExpected ends the waits of a broker that has no hub in reach any more: only those that are late count.
+// dropExpected removes the expected revisions of a broker that reaches no hub any more. Only those past the deadline
+// are recorded.
 func (c *checkers) dropExpected(b *simBroker, w *brokerHistory) {
 	for _, x := range w.expected {
 		if c.sim.now-x.since > propagationDeadline {
@@ -197,8 +199,8 @@
 	w.expected = nil
 }
 
-// checkStaleness checks that no broker understates how far it may be behind: whatever was published before its last
-// confirmation is known to it.
+// checkStaleness checks that no broker understates its staleness: it knows every revision that was published before
+// its last confirmation.
 func (c *checkers) checkStaleness() {
 	s := c.sim
 	for _, b := range s.fleet {
@@ -206,15 +208,15 @@
 		if !b.up || !status.StalenessKnown || status.Newest >= uint64(len(s.log)) {
 			continue
 		}
-		missed := s.publishedAt[status.Newest] // the first revision that it has not heard of
+		missed := s.publishedAt[status.Newest] // publication of the first revision that it does not know
 		if confirmed := s.now - status.Staleness; confirmed > missed+time.Millisecond {
-			c.addFinding("honest", "%s knows %d and says that it is %v behind at most; it is %v behind",
+			c.addFinding("staleness", "%s knows %d and reports a staleness of %v; it is %v",
 				b.name(), status.Newest, status.Staleness, s.now-missed)
 		}
 	}
 }
 
-// checkStorms checks how many brokers called a hub within any second.
+// checkStorms checks how many brokers connected to a hub within any second, and returns the largest number.
 func (c *checkers) checkStorms() (worst int) {
 	for _, h := range c.sim.hubs {
 		first := 0
@@ -226,12 +228,12 @@
 		}
 	}
 	if bound := maxStormRatio*float64(len(c.sim.fleet)) + 10; float64(worst) > bound {
-		c.addFinding("storm", "%d of %d brokers called one hub within a second", worst, len(c.sim.fleet))
+		c.addFinding("storm", "%d of %d brokers connected to one hub within a second", worst, len(c.sim.fleet))
 	}
 	return worst
 }
 
-// checkStreamsOpened checks that no broker of a region opened more streams than allowed.
+// checkStreamsOpened checks that no broker of a region opened more streams than the limit.
 func (c *checkers) checkStreamsOpened(region, limit int) {
 	for _, b := range c.sim.fleet {
 		if regionOfZone(b.zone) == region && b.streamsOpened > limit {
@@ -240,8 +242,8 @@
 	}
 }
 
-// checkFollowing counts which brokers of a region follow no hub at this moment. A few may: each looks for another hub, for
-// some seconds, every few minutes.
+// checkFollowing counts the brokers of a region that follow no hub at this moment. A few may: each fails over every few
+// minutes, which takes some seconds.
 func (c *checkers) checkFollowing(region int, without map[*simBroker]int) {
 	all, idle := 0, 0
 	for _, b := range c.sim.fleet {
@@ -255,11 +257,11 @@
 		}
 	}
 	if idle > all/20+2 {
-		c.addFinding("flapping", "%d of %d brokers follow no hub though one is in reach", idle, all)
+		c.addFinding("flapping", "%d of %d brokers follow no hub though they reach one", idle, all)
 	}
 }
 
-// checkStatus checks, after a quiet while, that the hubs' books say what is so.
+// checkStatus checks, after a time without faults, that the hubs' status matches the brokers.
 func (c *checkers) checkStatus() {
 	s := c.sim
 	connected := map[string]*configpb.Report{}
@@ -271,26 +273,26 @@
 			}
 		}
 		if lagging := h.hub.Lagging(s.time()); len(lagging) > 0 {
-			c.addFinding("books", "hub %d: these lag: %v", h.index, lagging)
+			c.addFinding("status", "hub %d: lagging: %v", h.index, lagging)
 		}
 	}
 	for i, b := range s.fleet {
 		report := connected[b.name()]
 		if report == nil {
-			c.addFinding("books", "%s is connected to no hub", b.name())
+			c.addFinding("status", "%s is connected to no hub", b.name())
 			continue
 		}
 		if report.GetInForce() != c.brokers[i].inForce {
-			c.addFinding("books", "%s has %d in force, and %d by the books", b.name(), c.brokers[i].inForce, report.GetInForce())
+			c.addFinding("status", "%s has %d in force, and %d by the hub's status", b.name(), c.brokers[i].inForce, report.GetInForce())
 		}
-		refusal := report.GetRefusal()
-		if n := refusal.GetNumber(); n != 0 && (!rejects(i, n) || refusal.GetKey() != "settings.port") {
-			c.addFinding("books", "%s did not refuse %d", b.name(), n)
+		rejection := report.GetRefusal()
+		if n := rejection.GetNumber(); n != 0 && (!rejects(i, n) || rejection.GetKey() != "settings.port") {
+			c.addFinding("status", "%s did not reject %d", b.name(), n)
 		}
 	}
 }
 
-// finish counts what is still waited for.
+// finish checks the latencies, with the revisions that are still expected.
 func (c *checkers) finish() {
 	for i, b := range c.sim.fleet {
 		c.dropExpected(b, c.brokers[i])
@@ -301,7 +303,7 @@
 	c.checkStaleness()
 }
 
-// findingCounts returns which checkers found something.
+// findingCounts returns the number of findings by checker.
 func (c *checkers) findingCounts() map[string]int {
 	counts := map[string]int{}
 	for _, f := range c.findings {
@@ -318,7 +320,7 @@
 	return sorted[min(int(p*float64(len(sorted))), len(sorted)-1)]
 }
 
-// updateCounts sums what the followers that are up have dropped.
+// updateCounts returns the sums of the followers' counters.
 func (c *checkers) updateCounts() (sum distribution.UpdateCounts) {
 	for _, b := range c.sim.fleet {
 		counts := b.follower.Status(c.sim.time()).Counts
--- a/internal/controlplane/distribution/faults_test.go
+++ b/internal/controlplane/distribution/faults_test.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// injectFaults has a fault happen every few seconds until a time.
+// injectFaults injects a random fault every 2 to 20 s until end.
 func (s *simulation) injectFaults(end time.Duration) {
 	s.after(s.uniform(2*time.Second, 20*time.Second), func() {
 		if s.now >= end {
@@ -17,7 +17,7 @@
 	})
 }
 
-// injectFault plays one fault. Each heals by itself.
+// injectFault injects one random fault, which heals after 1 to 30 s.
 func (s *simulation) injectFault() {
 	duration := s.uniform(time.Second, 30*time.Second)
 	kind := s.rng.IntN(10)
@@ -48,7 +48,7 @@
 	}
 }
 
-// heal ends a fault after a while.
+// heal ends a fault after a delay.
 func (s *simulation) heal(wait time.Duration, run func()) {
 	s.after(wait, func() {
 		run()
@@ -122,7 +122,7 @@
 	}
 }
 
-// blockOneWay cuts one way between some brokers and a hub.
+// blockOneWay blocks one direction between some brokers and a hub.
 func (s *simulation) blockOneWay(duration time.Duration) {
 	hub := s.rng.IntN(hubs)
 	way := toHub
--- a/internal/controlplane/distribution/follower.go
+++ b/internal/controlplane/distribution/follower.go
@@ -24,7 +24,8 @@
 var (
 	ErrNoMachines      = errors.New("no control machine is configured")
 	ErrTooManyMachines = fmt.Errorf("more than %d control machines are configured", MaxMachines)
-	ErrInvalidName     = fmt.Errorf("the broker's name or zone is missing, longer than %d bytes or not UTF-8", maxNameLength)
+	ErrInvalidName     = fmt.Errorf("the broker's name is missing, or its name or zone is not UTF-8 of at most %d bytes",
+		maxNameLength)
 )
 
 // StreamID identifies one stream of a follower, from 1. A follower never reuses one.
--- a/internal/controlplane/distribution/follower_test.go
+++ b/internal/controlplane/distribution/follower_test.go
@@ -11,7 +11,7 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// newFollower returns a follower of so many machines with a stream that is just opened, and the time.
+// newFollower returns a follower of a number of machines, its first stream, and the time when it was opened.
 func newFollower(t testing.TB, machines int) (*distribution.Follower, distribution.StreamID, time.Time) {
 	control := make([]distribution.Machine, machines)
 	for i := range control {
@@ -26,7 +26,7 @@
 	return f, stream, now
 }
 
-// openStream has the follower open its next stream, which is due.
+// openStream opens the follower's next stream, which is due.
 func openStream(t testing.TB, f *distribution.Follower, now time.Time) distribution.StreamID {
 	f.Tick(now)
 	ready := f.Ready(now)
@@ -57,7 +57,7 @@
 		if number == 1 {
 			require.EqualValues(t, 1, f.Ready(now).Apply.GetNumber())
 		}
-		require.Nil(t, f.Ready(now).Apply, "one is under application")
+		require.Nil(t, f.Ready(now).Apply, "one is being applied")
 	}
 	f.RevisionApplied(now, 1)
 	ready := f.Ready(now)
@@ -70,7 +70,7 @@
 	require.EqualValues(t, 4, report.GetRefusal().GetNumber())
 	require.Len(t, report.GetRefusal().GetReason(), 1024)
 	f.UpdateReceived(now, stream, updateOf(4))
-	require.Nil(t, f.Ready(now).Apply, "it was refused")
+	require.Nil(t, f.Ready(now).Apply, "it was rejected")
 	f.UpdateReceived(now, stream, updateOf(5))
 	require.EqualValues(t, 5, f.Ready(now).Apply.GetNumber())
 	f.RevisionApplied(now, 5)
@@ -93,15 +93,15 @@
 		update *configpb.Update
 		count  func(distribution.UpdateCounts) uint64
 	}{
-		"nil":     {nil, func(c distribution.UpdateCounts) uint64 { return c.Malformed }},
-		"older":   {updateOf(4), func(c distribution.UpdateCounts) uint64 { return c.Stale }},
-		"doubled": {updateOf(5), func(c distribution.UpdateCounts) uint64 { return c.Duplicate }},
-		"behind":  {heartbeat(4, 0), func(c distribution.UpdateCounts) uint64 { return c.Lagging }},
+		"nil":       {nil, func(c distribution.UpdateCounts) uint64 { return c.Malformed }},
+		"stale":     {updateOf(4), func(c distribution.UpdateCounts) uint64 { return c.Stale }},
+		"duplicate": {updateOf(5), func(c distribution.UpdateCounts) uint64 { return c.Duplicate }},
+		"lagging":   {heartbeat(4, 0), func(c distribution.UpdateCounts) uint64 { return c.Lagging }},
 		"conflict": {modified(5, func(u *configpb.Update) { setDocument(u, "{}") }),
 			func(c distribution.UpdateCounts) uint64 { return c.Conflicts }},
 		"conflict of a heartbeat": {&configpb.Update{Newest: 5, NewestChecksum: 1, Report: 1},
 			func(c distribution.UpdateCounts) uint64 { return c.Conflicts }},
-		"torn": {modified(6, func(u *configpb.Update) { u.Revision.Document = u.Revision.Document[1:] }),
+		"corrupt": {modified(6, func(u *configpb.Update) { u.Revision.Document = u.Revision.Document[1:] }),
 			func(c distribution.UpdateCounts) uint64 { return c.Corrupt }},
 		"oversized": {modified(6, func(u *configpb.Update) { setDocument(u, strings.Repeat("x", distribution.MaxDocument+1)) }),
 			func(c distribution.UpdateCounts) uint64 { return c.Oversized }},
@@ -141,7 +141,7 @@
 	require.NotEqual(t, first, f.Ready(now).Open.Address)
 }
 
-// Seed 1 of the simulation: an update that a cut or a pause held up was taken for a new one.
+// Seed 1 of the simulation found this: an update that a partition or a pause had delayed counted as new.
 func TestStalenessIncludesDelayOfUpdate(t *testing.T) {
 	f, stream, opened := newFollower(t, 2)
 	_, known := f.Staleness(opened)
@@ -155,7 +155,7 @@
 	require.Equal(t, 5*time.Second+50*time.Millisecond, staleness)
 }
 
-// Seed 9 of the simulation: one old update ended a stream to a healthy control machine.
+// Seed 9 of the simulation found this: one lagging update ended a stream to a healthy control machine.
 func TestFollowerKeepsStreamAfterOneLaggingUpdate(t *testing.T) {
 	f, stream, now := newFollower(t, 2)
 	f.UpdateReceived(now, stream, updateOf(5))
@@ -212,7 +212,7 @@
 		require.Contains(t, []string{"24", "42"}, order[:2])
 		first[order]++
 	}
-	require.Len(t, first, 4, "machines at the same distance are chosen by chance")
+	require.Len(t, first, 4, "machines at the same distance are in random order")
 	f, err := distribution.NewFollower(epoch, distribution.FollowerOptions{
 		Name: "b", Zone: "a3", Region: "a",
 		Machines: []distribution.Machine{{Address: "2", Region: "a"}, {Address: "4", Zone: "a3", Region: "a"}},
@@ -229,7 +229,7 @@
 	f.Tick(now)
 	require.Zero(t, f.Ready(now).Close)
 	f.Tick(now.Add(distribution.Heartbeat))
-	require.Equal(t, stream, f.Ready(now.Add(distribution.Heartbeat)).Close, "but once only")
+	require.Equal(t, stream, f.Ready(now.Add(distribution.Heartbeat)).Close, "only once")
 }
 
 func TestNewFollowerChecksOptions(t *testing.T) {
--- a/internal/controlplane/distribution/fuzz_test.go
+++ b/internal/controlplane/distribution/fuzz_test.go
@@ -11,7 +11,10 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// fuzzInput hands out a fuzz input piece by piece; zeros once it is over.
+// maxFuzzEvents bounds the events of one input.
+const maxFuzzEvents = 300
+
+// fuzzInput reads a fuzz input piece by piece, and zeros after its end.
 type fuzzInput struct{ data []byte }
 
 func (r *fuzzInput) byte() byte {
@@ -34,7 +37,7 @@
 	return binary.LittleEndian.Uint64(word[:])
 }
 
-// fuzzedUpdate returns an update that is often well-formed and often almost so.
+// fuzzedUpdate returns an update that is often valid and often almost valid.
 func fuzzedUpdate(r *fuzzInput, sequence uint64) *configpb.Update {
 	kind := r.byte()
 	if kind == 255 {
@@ -65,7 +68,7 @@
 	return update
 }
 
-// followerOracle is the oracle: it keeps every revision that was ever acceptable in a list and looks through all of it.
+// followerOracle is a plain model of a Follower's revisions: it keeps every acceptable one in a list.
 type followerOracle struct {
 	accepted []*configpb.Revision
 	applied  []uint64
@@ -99,7 +102,7 @@
 	o.accepted = append(o.accepted, revision)
 }
 
-// startNext returns the number that is to be applied next; 0: none.
+// startNext returns the number of the next revision to apply; 0: none.
 func (o *followerOracle) startNext() uint64 {
 	if o.applying || len(o.accepted) == 0 {
 		return 0
@@ -122,64 +125,96 @@
 	f.Add([]byte{0, 255, 0, 3, 3, 0, 1, 0, 1, 1, 9, 1, 3, 4, 5, 6})
 	f.Add([]byte{0, 2, 5, 0, 0, 0, 6, 0, 6, 5, 0, 0, 1, 3, 0, 2, 4, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, oracle := &fuzzInput{data}, &followerOracle{}
 		follower, stream, now := newFollower(t, 3)
-		sequence, applying := uint64(1), uint64(0)
-		for steps := 0; len(r.data) > 0 && steps < 300; steps++ {
-			switch r.byte() % 8 {
-			case 0, 1, 2:
-				update := fuzzedUpdate(r, sequence)
-				follower.UpdateReceived(now, stream, update)
-				oracle.receive(update, sequence, stream != 0)
-			case 3:
-				update := fuzzedUpdate(r, sequence)
-				follower.UpdateReceived(now, stream+1, update) // of another stream
-			case 4:
-				now = now.Add(time.Duration(r.byte()) * 20 * time.Millisecond)
-				follower.Tick(now)
-			case 5:
-				if applying != 0 {
-					follower.RevisionApplied(now, applying)
-					oracle.inForce, oracle.applying, applying = applying, false, 0
-				}
-			case 6:
-				if applying != 0 {
-					follower.RevisionRejected(now, applying, "key", string(r.byte()))
-					oracle.rejected, oracle.applying, applying = applying, false, 0
-				}
-			case 7:
-				follower.StreamEnded(now, stream)
-			}
-			ready := follower.Ready(now)
-			if ready.Open != nil {
-				sequence = 0
-			}
-			if ready.Report != nil {
-				sequence++
-				require.Equal(t, sequence, ready.Report.GetSequence())
-				require.Equal(t, oracle.inForce, ready.Report.GetInForce())
-			}
-			stream = ready.Stream
-			want := oracle.startNext()
-			require.Equal(t, want, ready.Apply.GetNumber())
-			if want != 0 {
-				applying = want
-			}
-			status := follower.Status(now)
-			require.Equal(t, oracle.inForce, status.InForce)
-			if oracle.rejected > oracle.inForce {
-				require.Equal(t, oracle.rejected, status.Rejection.GetNumber())
-			} else {
-				require.Nil(t, status.Rejection)
-			}
-			require.GreaterOrEqual(t, status.Staleness, time.Duration(0))
-			require.Less(t, follower.NextTick().Sub(now), 11*time.Second)
+		z := &followerFuzz{
+			input:    &fuzzInput{data},
+			oracle:   &followerOracle{},
+			follower: follower,
+			stream:   stream,
+			now:      now,
+			sequence: 1,
+		}
+		for events := 0; len(z.input.data) > 0 && events < maxFuzzEvents; events++ {
+			z.playEvent()
+			z.requireReady(t)
+			z.requireStatus(t)
 		}
 	})
 }
 
-// FuzzHubReport feeds a hub reports of a few brokers over a few sessions, and compares its book with an oracle that
-// counts over all brokers anew.
+// followerFuzz is one run of FuzzFollowerReceive.
+type followerFuzz struct {
+	input    *fuzzInput
+	oracle   *followerOracle
+	follower *distribution.Follower
+	stream   distribution.StreamID // 0: none
+	now      time.Time
+	sequence uint64 // of the last report on the stream
+	applying uint64 // number of the revision that is being applied; 0: none
+}
+
+// playEvent passes the next event of the input to the follower and to the oracle.
+func (z *followerFuzz) playEvent() {
+	switch z.input.byte() % 8 {
+	case 0, 1, 2:
+		update := fuzzedUpdate(z.input, z.sequence)
+		z.follower.UpdateReceived(z.now, z.stream, update)
+		z.oracle.receive(update, z.sequence, z.stream != 0)
+	case 3:
+		update := fuzzedUpdate(z.input, z.sequence)
+		z.follower.UpdateReceived(z.now, z.stream+1, update) // of another stream
+	case 4:
+		z.now = z.now.Add(time.Duration(z.input.byte()) * 20 * time.Millisecond)
+		z.follower.Tick(z.now)
+	case 5:
+		if z.applying != 0 {
+			z.follower.RevisionApplied(z.now, z.applying)
+			z.oracle.inForce, z.oracle.applying, z.applying = z.applying, false, 0
+		}
+	case 6:
+		if z.applying != 0 {
+			z.follower.RevisionRejected(z.now, z.applying, "key", string(z.input.byte()))
+			z.oracle.rejected, z.oracle.applying, z.applying = z.applying, false, 0
+		}
+	case 7:
+		z.follower.StreamEnded(z.now, z.stream)
+	}
+}
+
+// requireReady compares the work for the driver with the oracle, and takes it up.
+func (z *followerFuzz) requireReady(t *testing.T) {
+	ready := z.follower.Ready(z.now)
+	if ready.Open != nil {
+		z.sequence = 0
+	}
+	if ready.Report != nil {
+		z.sequence++
+		require.Equal(t, z.sequence, ready.Report.GetSequence())
+		require.Equal(t, z.oracle.inForce, ready.Report.GetInForce())
+	}
+	z.stream = ready.Stream
+	want := z.oracle.startNext()
+	require.Equal(t, want, ready.Apply.GetNumber())
+	if want != 0 {
+		z.applying = want
+	}
+}
+
+// requireStatus compares the follower's status with the oracle, and checks the bounds of its times.
+func (z *followerFuzz) requireStatus(t *testing.T) {
+	status := z.follower.Status(z.now)
+	require.Equal(t, z.oracle.inForce, status.InForce)
+	if z.oracle.rejected > z.oracle.inForce {
+		require.Equal(t, z.oracle.rejected, status.Rejection.GetNumber())
+	} else {
+		require.Nil(t, status.Rejection)
+	}
+	require.GreaterOrEqual(t, status.Staleness, time.Duration(0))
+	require.Less(t, z.follower.NextTick().Sub(z.now), 11*time.Second)
+}
+
+// FuzzHubReport feeds a hub reports of a few brokers over a few sessions, and compares the propagation of its revisions
+// with counts over all brokers.
 func FuzzHubReport(f *testing.F) {
 	f.Add([]byte{0, 1, 0, 0, 1, 1, 1, 1, 0, 1, 1, 1, 2, 1, 2, 0})
 	f.Add([]byte{0, 0, 1, 0, 1, 1, 1, 1, 1, 1, 1, 2, 1, 2, 2, 0, 3, 0, 4, 9})
@@ -187,7 +222,7 @@
 		r, h, now := &fuzzInput{data}, distribution.NewHub(), epoch
 		newest := uint64(0)
 		var sessions []distribution.SessionID
-		for steps := 0; len(r.data) > 0 && steps < 300; steps++ {
+		for events := 0; len(r.data) > 0 && events < maxFuzzEvents; events++ {
 			switch r.byte() % 5 {
 			case 0:
 				if id, err := h.OpenSession(now); err == nil {
@@ -245,7 +280,7 @@
 	return report
 }
 
-// requirePropagation counts each booked revision's brokers anew.
+// requirePropagation compares each tracked revision's counts with the brokers' reports.
 func requirePropagation(t *testing.T, status distribution.Status) {
 	for i, x := range status.InForce {
 		have, connected := 0, 0
--- a/internal/controlplane/distribution/hub_session.go
+++ b/internal/controlplane/distribution/hub_session.go
@@ -127,8 +127,8 @@
 	}
 }
 
-// revisionDue reports whether the newest revision is to be sent on a session: the broker has neither acknowledged nor
-// rejected it, and it was not sent yet or its resend is due.
+// revisionDue reports whether the newest revision is to be sent on a session: it is not sent yet or its resend is due,
+// and the broker has neither acknowledged nor rejected it.
 func (h *Hub) revisionDue(now time.Time, s *session) bool {
 	newest := h.newest.GetNumber()
 	if newest <= highestTried(s.broker.lastReport) {
--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -26,7 +26,7 @@
 	return &configpb.Report{Name: name, StartedUnixMs: 1000, Zone: "a", InForce: inForce, Sequence: sequence}
 }
 
-// openSession opens a session with a first report.
+// openSession opens a session and sends its first report.
 func openSession(t testing.TB, h *distribution.Hub, now time.Time, name string, inForce uint64) distribution.SessionID {
 	id, err := h.OpenSession(now)
 	require.NoError(t, err)
@@ -79,7 +79,7 @@
 	rejecting := reportOf("b", 100, 0)
 	rejecting.Refusal = &configpb.Refusal{Number: 1, Key: "settings.port"}
 	require.NoError(t, h.ReportReceived(epoch.Add(time.Minute), id, rejecting))
-	require.Empty(t, h.Lagging(epoch.Add(time.Minute)), "it has refused the revision")
+	require.Empty(t, h.Lagging(epoch.Add(time.Minute)), "it has rejected the revision")
 	for at := time.Minute; at < 90*time.Second; at += 100 * time.Millisecond {
 		require.Nil(t, nextUpdate(t, h, epoch.Add(at), id).GetRevision())
 	}
@@ -177,7 +177,7 @@
 	require.Equal(t, epoch.Add(10*time.Second).UnixMilli(), status.InForce[1].GetEverywhereUnixMs())
 	h.CloseSession(epoch.Add(11*time.Second), b)
 	status = h.Status(epoch.Add(11 * time.Second))
-	require.Equal(t, epoch.Add(11*time.Second).UnixMilli(), status.InForce[0].GetEverywhereUnixMs(), "b is cut off")
+	require.Equal(t, epoch.Add(11*time.Second).UnixMilli(), status.InForce[0].GetEverywhereUnixMs(), "b is disconnected")
 }
 
 func TestHubRetainsDisconnectedBroker(t *testing.T) {
@@ -200,7 +200,7 @@
 	status := h.Status(epoch.Add(time.Second))
 	require.Len(t, status.Brokers, distribution.MaxBrokers)
 	for _, broker := range status.Brokers {
-		require.NotEqual(t, "b0", broker.GetReport().GetName(), "the first that was cut off is forgotten first")
+		require.NotEqual(t, "b0", broker.GetReport().GetName(), "the one that disconnected first is forgotten first")
 	}
 	for range distribution.MaxSessions {
 		_, err := h.OpenSession(epoch)
--- a/internal/controlplane/distribution/network_test.go
+++ b/internal/controlplane/distribution/network_test.go
@@ -13,12 +13,12 @@
 	simBrokers = flag.Int("brokers", 60, "brokers of the simulations")
 	simSeeds   = flag.Int("seeds", 2, "seeds of the simulations")
 	simStorm   = flag.Int("storm", 150, "brokers that start and reconnect together")
-	simCut     = flag.Duration("cut", 3*time.Minute, "how long a region is cut off")
-	simFaults  = flag.Duration("faults", 3*time.Minute, "how long random faults are played")
+	simCut     = flag.Duration("cut", 3*time.Minute, "how long a region is partitioned")
+	simFaults  = flag.Duration("faults", 3*time.Minute, "how long random faults are injected")
 	simFirst   = flag.Uint64("first-seed", 1, "first seed of the simulations")
 )
 
-// requireClean tells what the checkers found, and how to play it again.
+// requireClean fails the test if the checkers have findings, and logs the flags that reproduce them.
 func requireClean(t *testing.T, s *simulation) {
 	t.Helper()
 	for i, f := range s.checks.findings {
@@ -65,8 +65,8 @@
 	})
 }
 
-// playPartition cuts the first region, which has the spare, from the others: for an hour by the flag. Its brokers follow
-// a hub of their region all the time, which has the newest revision at once after the heal.
+// playPartition partitions the first region, which has the spare, from the others for the time of the flag -cut. Its
+// brokers follow a hub of their region meanwhile, which catches up at once after the partition.
 func playPartition(s *simulation) {
 	start := 2 * time.Minute
 	end := start + *simCut
@@ -87,10 +87,10 @@
 		status := b.follower.Status(s.time())
 		partitioned := regionOfZone(b.zone) == 0
 		if partitioned && (!status.StalenessKnown || status.Staleness < end-start-10*time.Second) {
-			s.checks.addFinding("honest", "%s is cut off and says that it is %v behind", b.name(), status.Staleness)
+			s.checks.addFinding("staleness", "%s is partitioned and reports a staleness of %v", b.name(), status.Staleness)
 		}
 		if idleLooks[b] == looks {
-			s.checks.addFinding("flapping", "%s follows no hub for 20 s though one is in reach", b.name())
+			s.checks.addFinding("flapping", "%s follows no hub for 20 s though it reaches one", b.name())
 		}
 	}
 	s.runUntil(end + 2*time.Minute)
@@ -102,12 +102,12 @@
 		s.checks.checkStorms()
 		requireClean(t, s)
 		require.NotZero(t, s.checks.recoveries)
-		t.Logf("%d revisions, %d steps, in force after %v at p99; after the heal %v at p99, %v at most", len(s.log),
+		t.Logf("%d revisions, %d steps, in force after %v at p99; after the partition %v at p99, %v at most", len(s.log),
 			s.events, percentile(s.checks.propagationTimes, 0.99), percentile(s.checks.recoveryTimes, 0.99), percentile(s.checks.recoveryTimes, 1))
 	})
 }
 
-// playConnectStorm starts all brokers at one moment, kills one hub, then all but one, and brings them back.
+// playConnectStorm starts all brokers at once, stops all hubs but one, one after the other, and restarts them.
 func playConnectStorm(s *simulation) {
 	s.publish()
 	for i := range hubs - 1 {
@@ -123,7 +123,7 @@
 			s := runSimulation(t, simOptions{seed: *simFirst, brokers: brokers}, playConnectStorm)
 			most := s.checks.checkStorms()
 			requireClean(t, s)
-			t.Logf("%d calls at one hub within a second at most", most)
+			t.Logf("%d connections to one hub within a second at most", most)
 		})
 	}
 }
@@ -136,7 +136,7 @@
 	require.NotEqual(t, run(7), run(8))
 }
 
-// Each checker finds the fault that is planted for it, and nothing where none is.
+// Each checker finds the fault that is planted for it, and none has findings without a planted fault.
 func TestCheckersFindPlantedFaults(t *testing.T) {
 	for _, x := range []struct {
 		plant   plantedFault
@@ -144,19 +144,19 @@
 		brokers int
 		play    func(*simulation)
 	}{
-		{plantNone, "faults without a plant", 20, playRandomFaults},
-		{plantNone, "cut without a plant", 10, playPartition},
-		{plantNone, "storm without a plant", 150, playConnectStorm},
-		{plantRegression, "back", 20, playRandomFaults},
-		{plantDuplicate, "twice", 20, playRandomFaults},
-		{plantTruncation, "half", 20, playRandomFaults},
+		{plantNone, "faults without a planted one", 20, playRandomFaults},
+		{plantNone, "partition without a planted fault", 10, playPartition},
+		{plantNone, "storm without a planted fault", 150, playConnectStorm},
+		{plantRegression, "regression", 20, playRandomFaults},
+		{plantDuplicate, "duplicate", 20, playRandomFaults},
+		{plantTruncation, "corrupt", 20, playRandomFaults},
 		{plantWithheldRevisions, "late", 20, playRandomFaults},
 		{plantReplay, "replay", 10, playPartition},
 		{plantFlapping, "flapping", 10, playPartition},
-		{plantFalseConfirmation, "honest", 10, playPartition},
-		{plantSlowCatchUp, "heal", 10, playPartition},
+		{plantFalseConfirmation, "staleness", 10, playPartition},
+		{plantSlowCatchUp, "recovery", 10, playPartition},
 		{plantConnectStorm, "storm", 150, playConnectStorm},
-		{plantMissingReports, "books", 20, playRandomFaults},
+		{plantMissingReports, "status", 20, playRandomFaults},
 	} {
 		t.Run(x.checker, func(t *testing.T) {
 			s := runSimulation(t, simOptions{seed: 1, brokers: x.brokers, plant: x.plant}, x.play)
--- a/internal/controlplane/distribution/simulation_stream_test.go
+++ b/internal/controlplane/distribution/simulation_stream_test.go
@@ -10,25 +10,25 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// simStream is one Follow call.
+// simStream is one Follow call between a broker and a hub.
 type simStream struct {
 	sim     *simulation
 	broker  *simBroker
 	hub     *simHub
 	id      distribution.StreamID
-	session distribution.SessionID // 0: not accepted yet
+	session distribution.SessionID // 0: the hub has not accepted the call yet
 
-	brokerClosed     bool // the broker has given it up
-	hubClosed        bool // the hub has ended it, or its process has ended
-	stalled          bool // the hub's process holds it open and sends nothing: a fault
+	brokerClosed     bool // by the broker, or by the end of its process
+	hubClosed        bool // by the hub, or by the end of its process
+	stalled          bool // a fault: the hub keeps it open and sends nothing
 	unreachableSince time.Duration
 
-	down, up      pipe // to the broker, to the hub
+	down, up      pipe // down to the broker, up to the hub
 	pumpAt        time.Duration
-	pendingReport *configpb.Report // the driver's latest that is not sent
+	pendingReport *configpb.Report // the latest report that is not sent yet; nil: none
 }
 
-// pipe is one direction of a stream: in order, and held up while the way is cut or the receiver is paused.
+// pipe is one direction of a stream. It delivers in order, and waits while it is blocked or the receiver is paused.
 type pipe struct {
 	queue   []func()
 	running bool
@@ -42,8 +42,8 @@
 	return &simStream{sim: b.sim, broker: b, hub: b.sim.hubs[hub], id: open.Stream}
 }
 
-// connect takes three round trips. Without an answer TCP tries again every second; a machine without the process
-// refuses.
+// connect opens the stream within three round trips. Without an answer TCP retries every connectRetryDelay; a machine
+// without the process refuses the connection.
 func (st *simStream) connect() {
 	st.sim.after(6*st.sim.latency(st.broker.zone, st.hub.zone), st.attemptConnect)
 }
@@ -66,7 +66,7 @@
 	}
 }
 
-// send puts a message on its way.
+// send queues a message on a pipe.
 func (st *simStream) send(p *pipe, way direction, deliver func()) {
 	p.queue = append(p.queue, deliver)
 	if !p.running {
@@ -75,7 +75,7 @@
 	}
 }
 
-// deliverNext delivers the first message of a pipe, then the others.
+// deliverNext delivers the first message of a pipe after a delay, then the others.
 func (st *simStream) deliverNext(p *pipe, way direction, wait time.Duration) {
 	st.sim.after(wait, func() {
 		closed := way == toBroker && st.brokerClosed || way == toHub && st.hubClosed
@@ -98,7 +98,7 @@
 	})
 }
 
-// pump sends what the hub has for the stream, and plans when to ask again.
+// pump sends the hub's next update, and schedules the next call of NextUpdate.
 func (st *simStream) pump() {
 	s := st.sim
 	if st.hubClosed || st.session == 0 || !st.hub.up {
@@ -127,7 +127,7 @@
 	st.schedulePump(max(wake.Sub(epoch), s.now+time.Millisecond))
 }
 
-// unreachable tells whether the hub's keepalive has found the broker unreachable for too long.
+// unreachable reports whether the broker has been unreachable for longer than the hub's keepalive timeout.
 func (st *simStream) unreachable() bool {
 	s := st.sim
 	if s.reachable(st.broker, st.hub, toHub) && s.reachable(st.broker, st.hub, toBroker) && !st.brokerClosed && !st.broker.paused {
@@ -153,7 +153,7 @@
 	})
 }
 
-// sendUpdate sends an update, and now and then a spoilt, doubled or old one beside it.
+// sendUpdate sends an update, at the noise ratio with a corrupt, duplicate or stale one beside it or in its place.
 func (st *simStream) sendUpdate(update *configpb.Update) {
 	s := st.sim
 	if s.plant == plantWithheldRevisions && st.broker.index%10 == 0 {
@@ -176,7 +176,7 @@
 	})
 }
 
-// sendNoise sends what must not harm.
+// sendNoise sends an update that the follower has to drop, and at times the valid one.
 func (st *simStream) sendNoise(update *configpb.Update) {
 	s := st.sim
 	if len(s.log) == 0 {
@@ -187,7 +187,7 @@
 	noise.Revision = proto.CloneOf(s.log[s.rng.IntN(len(s.log))])
 	noise.Newest, noise.NewestChecksum = noise.Revision.Number, noise.Revision.Checksum
 	switch s.rng.IntN(6) {
-	case 0: // an old revision, or a double
+	case 0: // a stale or a duplicate revision
 		st.deliver(update)
 	case 1:
 		st.deliver(update)
@@ -200,7 +200,7 @@
 		noise.NewestChecksum = noise.Revision.Checksum
 		noise.Newest += 1000
 		noise.Revision.Number = noise.Newest
-	case 4: // a revision that claims a number to come, and is torn
+	case 4: // a corrupt revision with a number that is not published yet
 		noise.Newest++
 		noise.Revision.Number = noise.Newest
 		noise.Revision.Checksum++
@@ -214,7 +214,7 @@
 	}
 }
 
-// queueReport sends a report once the call is accepted, in place of one that still waits.
+// queueReport sends a report once the call is accepted, replacing one that is not sent yet.
 func (st *simStream) queueReport(report *configpb.Report) {
 	st.pendingReport = report
 	if st.session != 0 {
@@ -245,7 +245,7 @@
 	st.pump()
 }
 
-// close ends the stream by the hub.
+// close closes the stream at the hub.
 func (st *simStream) close() {
 	st.hub.hub.CloseSession(st.sim.time(), st.session)
 	for i, other := range st.hub.streams {
@@ -259,7 +259,7 @@
 	st.hubEnded(true)
 }
 
-// hubEnded notes that the hub's end is gone, and lets the broker hear of it or not.
+// hubEnded records that the hub's end is closed, and notifies the broker if notify is set.
 func (st *simStream) hubEnded(notify bool) {
 	st.hubClosed = true
 	if notify {
@@ -267,7 +267,7 @@
 	}
 }
 
-// notifyBroker has the broker hear that its stream has ended.
+// notifyBroker sends the end of the stream to the broker.
 func (st *simStream) notifyBroker() {
 	b := st.broker
 	st.send(&st.down, toBroker, func() {
@@ -278,7 +278,7 @@
 	})
 }
 
-// brokerEnded notes that the broker's end is gone, and lets the hub hear of it or not.
+// brokerEnded records that the broker's end is closed, and notifies the hub if notify is set.
 func (st *simStream) brokerEnded(notify bool) {
 	st.brokerClosed = true
 	if notify && st.session != 0 {
--- a/internal/controlplane/distribution/simulation_test.go
+++ b/internal/controlplane/distribution/simulation_test.go
@@ -15,27 +15,27 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// The simulation plays brokers and four control machines in virtual time, with streams like TCP's between them: in
-// order, held up by a cut until it heals or an end gives up, and blocked when nobody reads.
+// The simulation runs brokers and four control machines in virtual time. Its streams behave like TCP connections: in
+// order, delayed by a network partition until it heals or one end closes, and blocked while the receiver does not read.
 const (
 	regions = 3
 	zones   = 10
 	hubs    = 4
 
-	streamWindow      = 4 // updates that a hub may have on its way on one stream
+	streamWindow      = 4 // updates in flight on one stream
 	retransmitDelay   = 200 * time.Millisecond
-	connectRetryDelay = time.Second      // between two tries of TCP to connect
-	keepaliveTimeout  = 15 * time.Second // a hub ends a stream whose peer it cannot reach for so long
+	connectRetryDelay = time.Second      // between two connection attempts of TCP
+	keepaliveTimeout  = 15 * time.Second // a hub closes a stream whose peer is unreachable for longer
 	confirmInterval   = 250 * time.Millisecond
-	publishInterval   = 3200 * time.Millisecond // 2,700 a day are one in 32 s; ten times as many are one in 3.2 s
+	publishInterval   = 3200 * time.Millisecond // ten times 2,700 a day
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// regionOfZone: three zones in the first region and the second, four in the third.
+// regionOfZone returns a zone's region: the first and the second have three zones, the third has four.
 func regionOfZone(zone int) int { return min(zone/3, regions-1) }
 
-// zoneOfHub: the voters are hubs 0 to 2, one in each region; the spare stands in the first region.
+// zoneOfHub is each hub's zone. Hubs 0 to 2 are the voters, one in each region; hub 3 is the spare, in the first one.
 var zoneOfHub = [hubs]int{0, 3, 6, 1}
 
 type scheduledEvent struct {
@@ -60,27 +60,27 @@
 	return last
 }
 
-// plantedFault is a fault of the system under test, for the checkers to find.
+// plantedFault is a fault of the system under test that a checker has to find.
 type plantedFault string
 
 const (
 	plantNone              plantedFault = ""
-	plantRegression        plantedFault = "a broker applies an earlier revision once more"
+	plantRegression        plantedFault = "a broker applies an earlier revision again"
 	plantDuplicate         plantedFault = "a broker applies a revision twice"
-	plantTruncation        plantedFault = "a broker applies half a document"
+	plantTruncation        plantedFault = "a broker applies a truncated document"
 	plantWithheldRevisions plantedFault = "hubs never send revisions to some brokers"
-	plantReplay            plantedFault = "a hub that was cut off passes every missed revision on"
-	plantConnectStorm      plantedFault = "followers believe that they are alone"
-	plantFlapping          plantedFault = "hubs without a quorum end their streams every few seconds"
-	plantFalseConfirmation plantedFault = "hubs say that a quorum has just confirmed them"
-	plantMissingReports    plantedFault = "some brokers never report what is in force"
-	plantSlowCatchUp       plantedFault = "a hub that was cut off takes the newest revision 12 s late"
+	plantReplay            plantedFault = "a hub sends every revision that it missed during a partition"
+	plantConnectStorm      plantedFault = "followers assume a fleet of one"
+	plantFlapping          plantedFault = "hubs without a quorum close their streams every few seconds"
+	plantFalseConfirmation plantedFault = "hubs without a quorum claim a confirmation"
+	plantMissingReports    plantedFault = "some brokers never report the revision in force"
+	plantSlowCatchUp       plantedFault = "a hub applies the newest revision 12 s late after a partition"
 )
 
 type simOptions struct {
 	seed       uint64
 	brokers    int
-	fleetSize  int // as the followers are told
+	fleetSize  int // as configured at the followers; 0: brokers
 	noiseRatio float64
 	plant      plantedFault
 }
@@ -95,10 +95,10 @@
 	trace       uint64
 	hubs        [hubs]*simHub
 	fleet       []*simBroker
-	log         []*configpb.Revision // revision n is log[n-1]
-	publishedAt []time.Duration      // when each was published
-	partitioned [regions]bool        // from the other regions
-	blocked     map[[2]int]direction // one-sided cuts of a broker and a hub
+	log         []*configpb.Revision // revision n is at index n-1
+	publishedAt []time.Duration      // by index of log
+	partitioned [regions]bool        // regions partitioned from the others
+	blocked     map[[2]int]direction // directions blocked, by broker and hub
 	checks      *checkers
 }
 
@@ -150,7 +150,7 @@
 	s.now = end
 }
 
-// record mixes what happened into the trace, by which two runs are compared.
+// record adds an event to the trace, a hash by which two runs are compared.
 func (s *simulation) record(what string, numbers ...any) {
 	h := fnv.New64a()
 	fmt.Fprint(h, s.trace, s.now, what, numbers)
@@ -163,13 +163,13 @@
 	return from + time.Duration(s.rng.Int64N(int64(to-from)))
 }
 
-// connected tells whether two zones' regions have a path.
+// connected reports whether two zones are in one region, or in regions that no partition separates.
 func (s *simulation) connected(a, b int) bool {
 	ra, rb := regionOfZone(a), regionOfZone(b)
 	return ra == rb || !s.partitioned[ra] && !s.partitioned[rb]
 }
 
-// reachable tells whether a message gets from a broker to a hub, or back.
+// reachable reports whether messages pass between a broker and a hub in a direction.
 func (s *simulation) reachable(b *simBroker, h *simHub, way direction) bool {
 	return s.connected(b.zone, h.zone) && s.blocked[[2]int{b.index, h.index}] != way
 }
@@ -181,7 +181,7 @@
 	return s.uniform(20*time.Millisecond, 60*time.Millisecond)
 }
 
-// hasQuorum tells whether a hub reaches two of the three voters.
+// hasQuorum reports whether a hub reaches two of the three voters.
 func (s *simulation) hasQuorum(h *simHub) bool {
 	if !h.up {
 		return false
@@ -195,7 +195,7 @@
 	return reached >= 2
 }
 
-// publish commits a revision, if there is a quorum.
+// publish commits a revision if some hub has a quorum.
 func (s *simulation) publish() {
 	ok := false
 	for _, h := range s.hubs {
@@ -231,7 +231,7 @@
 	})
 }
 
-// confirm has hubs with a quorum read the log's newest revision, as a leader confirms a read.
+// confirm has hubs with a quorum catch up and records their confirmation, like a linearizable read.
 func (s *simulation) confirm() {
 	for _, h := range s.hubs {
 		if s.hasQuorum(h) {
@@ -244,18 +244,18 @@
 	s.after(confirmInterval, s.confirm)
 }
 
-// simHub is a control machine.
+// simHub is a control machine: a Hub and its driver.
 type simHub struct {
 	sim          *simulation
 	index        int
 	zone         int
 	hub          *distribution.Hub
 	up           bool
-	machineLost  bool // the machine is: nobody answers
+	machineLost  bool // with the machine, so that connections get no answer
 	streams      []*simStream
-	connectedAt  []time.Duration // when brokers called
+	connectedAt  []time.Duration // of the brokers' connections
 	newest       uint64
-	laggingSince time.Duration // since when it has missed many revisions, and could have them; 0: it has not
+	laggingSince time.Duration // since when it delays catching up, by plantSlowCatchUp; 0: it does not
 }
 
 func (h *simHub) start() {
@@ -265,7 +265,7 @@
 	h.sim.record("hub starts", h.index)
 }
 
-// stop ends the process. Peers hear of it unless the whole machine is lost.
+// stop ends the process. Its streams end, unless the machine is lost.
 func (h *simHub) stop(machineLost bool) {
 	h.up, h.machineLost = false, machineLost
 	h.sim.record("hub stops", h.index)
@@ -275,7 +275,7 @@
 	h.streams = nil
 }
 
-// catchUp takes the log's newest revision, which the state machine has applied.
+// catchUp sets the hub's newest revision to the log's, if it has a quorum.
 func (h *simHub) catchUp() {
 	if !h.up || !h.sim.hasQuorum(h) || len(h.sim.log) == 0 {
 		return
@@ -300,7 +300,7 @@
 	}
 }
 
-// replay is the planted fault of plantReplay: where many revisions were missed, each is passed on.
+// replay is plantReplay: it sets each of the missed revisions in turn. It reports whether there are ten or more.
 func (h *simHub) replay() bool {
 	have, newest := h.newest, uint64(len(h.sim.log))
 	if have == 0 || newest < have+10 {
@@ -317,7 +317,7 @@
 	return true
 }
 
-// delayCatchUp is the planted fault of plantSlowBackHome, and tells whether the hub is late now.
+// delayCatchUp is plantSlowCatchUp: it reports whether the hub delays catching up now.
 func (h *simHub) delayCatchUp() bool {
 	if uint64(len(h.sim.log)) < h.newest+10 {
 		h.laggingSince = 0
@@ -329,7 +329,7 @@
 	return h.sim.now-h.laggingSince < 12*time.Second
 }
 
-// accept takes a call of a broker.
+// accept opens a session for a broker's stream.
 func (h *simHub) accept(st *simStream) {
 	h.connectedAt = append(h.connectedAt, h.sim.now)
 	id, err := h.hub.OpenSession(h.sim.time())
@@ -342,7 +342,7 @@
 	st.pump()
 }
 
-// simBroker is a broker.
+// simBroker is a broker: a Follower and its driver.
 type simBroker struct {
 	sim           *simulation
 	index         int
@@ -352,8 +352,8 @@
 	up            bool
 	paused        bool
 	stream        *simStream
-	tickAt        time.Duration // of the event that is planned; 0: none
-	deferred      []func()      // what happened while it was paused
+	tickAt        time.Duration // of the scheduled tick; 0: none
+	deferred      []func()      // events during a pause
 	streamsOpened int
 }
 
@@ -391,7 +391,7 @@
 	b.step()
 }
 
-// stop ends the process, and hubs hear of it unless the whole machine is lost.
+// stop ends the process. Its stream ends, unless the machine is lost.
 func (b *simBroker) stop(machineLost bool) {
 	if !b.up {
 		return
@@ -414,17 +414,17 @@
 			return
 		}
 		b.paused = false
-		held := b.deferred
+		deferred := b.deferred
 		b.deferred = nil
 		b.sim.checks.faultsChanged()
-		for _, run := range held {
+		for _, run := range deferred {
 			run()
 		}
 		b.step()
 	})
 }
 
-// whenAwake runs something in the process that is up now, unless it ends before.
+// whenAwake runs an event in the present process: after a pause if it is paused, never once it has ended.
 func (b *simBroker) whenAwake(run func()) {
 	instance := b.instance
 	do := func() {
@@ -439,7 +439,7 @@
 	do()
 }
 
-// step is the driver's loop: it does what the follower has ready, and plans the next look at the time.
+// step is one turn of the driver's loop: it does what the follower has ready, and schedules the next tick.
 func (b *simBroker) step() {
 	ready := b.follower.Ready(b.sim.time())
 	if ready.Close != 0 && b.stream != nil && b.stream.id == ready.Close {
@@ -496,10 +496,10 @@
 	})
 }
 
-// rejects tells whether a broker refuses a revision.
+// rejects reports whether a broker rejects a revision.
 func rejects(broker int, number uint64) bool { return number%9 == 4 && broker%4 == 1 }
 
-// playPlantedFault plays the planted faults of a broker's driver.
+// playPlantedFault applies revisions wrongly, by the planted faults of a broker's driver.
 func (b *simBroker) playPlantedFault(revision *configpb.Revision) {
 	number := revision.GetNumber()
 	if number%7 != 0 || b.index%5 != 0 {
@@ -511,10 +511,10 @@
 	case plantDuplicate:
 		b.sim.checks.revisionApplied(b, revision)
 	case plantTruncation:
-		half := proto.CloneOf(revision)
-		half.Document = half.Document[:len(half.Document)/2]
-		half.Number++
-		b.sim.checks.revisionApplied(b, half)
+		truncated := proto.CloneOf(revision)
+		truncated.Document = truncated.Document[:len(truncated.Document)/2]
+		truncated.Number++
+		b.sim.checks.revisionApplied(b, truncated)
 	}
 }
 
