--- a/internal/controlplane/configfollower/configclient.go
+++ b/internal/controlplane/configfollower/client.go
@@ -74,16 +74,16 @@
 
 // Run follows control machines until ctx ends, and returns once every goroutine of it has ended. It is called once.
 func (c *Client) Run(ctx context.Context) {
-	var goroutines sync.WaitGroup
-	defer goroutines.Wait()
+	var running sync.WaitGroup
+	defer running.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 
 	revisions := make(chan *configpb.Revision, 1) // the follower hands out the next one after the answer to this one
-	goroutines.Go(func() { c.apply(ctx, revisions) })
-	var present *stream
-	defer func() { present.close() }()
-	news := newStatusLogger(c.options.Log, time.Now())
+	running.Go(func() { c.applyRevisions(ctx, revisions) })
+	var current *stream
+	defer func() { current.close() }()
+	statusLog := newStatusLogger(c.options.Log, time.Now())
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -91,38 +91,38 @@
 		case <-ctx.Done():
 			return
 		case e := <-c.events:
-			c.handle(e)
+			c.handleEvent(e)
 		case <-timer.C:
-			c.handle(func(now time.Time, f *distribution.Follower) { f.Tick(now) })
+			c.handleEvent(func(now time.Time, f *distribution.Follower) { f.Tick(now) })
 		}
-		ready, status, wake := c.ready()
+		ready, status, wake := c.poll()
 		if ready.Close != 0 {
-			present.close()
+			current.close()
 		}
 		if ready.Open != nil {
-			present.close() // it has ended by itself
+			current.close() // it has ended by itself
 			opened := newStream(ctx, *ready.Open)
-			present = opened
-			goroutines.Go(func() { c.follow(ctx, opened) })
+			current = opened
+			running.Go(func() { c.runStream(ctx, opened) })
 		}
 		if ready.Report != nil {
-			present.sendReport(ready.Report)
+			current.sendReport(ready.Report)
 		}
 		if ready.Apply != nil {
 			revisions <- ready.Apply
 		}
-		news.logStatus(time.Now(), status)
+		statusLog.logStatus(time.Now(), status)
 		timer.Reset(time.Until(wake))
 	}
 }
 
-func (c *Client) handle(e event) {
+func (c *Client) handleEvent(e event) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	e(time.Now(), c.follower)
 }
 
-func (c *Client) ready() (distribution.Ready, distribution.FollowerStatus, time.Time) {
+func (c *Client) poll() (distribution.Ready, distribution.FollowerStatus, time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -137,17 +137,17 @@
 	}
 }
 
-// apply has revisions applied one at a time until ctx ends.
-func (c *Client) apply(ctx context.Context, revisions <-chan *configpb.Revision) {
+// applyRevisions has revisions applied one at a time until ctx ends.
+func (c *Client) applyRevisions(ctx context.Context, revisions <-chan *configpb.Revision) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case revision := <-revisions:
-			refusal := c.options.Apply(revision)
+			rejection := c.options.Apply(revision)
 			c.post(ctx, func(now time.Time, f *distribution.Follower) {
-				if refusal != nil {
-					f.RevisionRejected(now, revision.GetNumber(), refusal.GetKey(), refusal.GetReason())
+				if rejection != nil {
+					f.RevisionRejected(now, revision.GetNumber(), rejection.GetKey(), rejection.GetReason())
 				} else {
 					f.RevisionApplied(now, revision.GetNumber())
 				}
--- a/internal/controlplane/configfollower/configclient_test.go
+++ b/internal/controlplane/configfollower/client_test.go
@@ -19,23 +19,23 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// server is a control machine on loopback that serves Follow only.
-type server struct {
+// controlMachine is a control machine on loopback that serves Follow only.
+type controlMachine struct {
 	configpb.UnimplementedControlServer
 	hub     *confighub.Hub
 	grpc    *grpc.Server
 	address string
 }
 
-func (s *server) Follow(stream grpc.BidiStreamingServer[configpb.Report, configpb.Update]) error {
+func (s *controlMachine) Follow(stream grpc.BidiStreamingServer[configpb.Report, configpb.Update]) error {
 	return s.hub.Follow(stream)
 }
 
-// startServer serves at an address until the test ends or stop is called.
-func startServer(t testing.TB, address string) *server {
+// startControlMachine serves at an address until the test ends or stop is called.
+func startControlMachine(t testing.TB, address string) *controlMachine {
 	listener, err := net.Listen("tcp", address)
 	require.NoError(t, err)
-	s := &server{
+	s := &controlMachine{
 		hub:     confighub.New(slog.New(slog.DiscardHandler)),
 		grpc:    grpc.NewServer(confighub.ServerOptions()...),
 		address: listener.Addr().String(),
@@ -68,25 +68,25 @@
 // broker is a hollow broker: a client that notes what it applies.
 type broker struct {
 	*configfollower.Client
-	mu      sync.Mutex
-	applied []uint64
-	refuse  map[uint64]*configpb.Refusal
-	hold    hold
+	mu         sync.Mutex
+	applied    []uint64
+	rejections map[uint64]*configpb.Refusal
+	applyLock  hold
 }
 
 func (b *broker) apply(revision *configpb.Revision) *configpb.Refusal {
-	b.hold.Lock()
-	defer b.hold.Unlock()
+	b.applyLock.Lock()
+	defer b.applyLock.Unlock()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if refusal := b.refuse[revision.GetNumber()]; refusal != nil {
+	if refusal := b.rejections[revision.GetNumber()]; refusal != nil {
 		return refusal
 	}
 	b.applied = append(b.applied, revision.GetNumber())
 	return nil
 }
 
-func (b *broker) numbers() []uint64 {
+func (b *broker) appliedNumbers() []uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]uint64(nil), b.applied...)
@@ -94,7 +94,7 @@
 
 // startBroker runs the broker b1 until the test ends.
 func startBroker(t testing.TB, refuse map[uint64]*configpb.Refusal, addresses ...string) *broker {
-	b := &broker{refuse: refuse}
+	b := &broker{rejections: refuse}
 	var machines []distribution.Machine
 	for _, address := range addresses {
 		machines = append(machines, distribution.Machine{Address: address})
@@ -123,10 +123,10 @@
 	return b
 }
 
-func TestABrokerFollowsAndReports(t *testing.T) {
+func TestClientAppliesAndRejectsRevisionsAndReportsThem(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("", func(t *testing.T) {
-		s := startServer(t, "127.0.0.1:0")
+		s := startControlMachine(t, "127.0.0.1:0")
 		require.NoError(t, s.hub.SetNewest(revisionOf(1, "one"), time.Now()))
 		refusal := &configpb.Refusal{Key: "settings.port", Reason: "needs a restart"}
 		b := startBroker(t, map[uint64]*configpb.Refusal{2: refusal}, s.address)
@@ -140,21 +140,21 @@
 		require.NoError(t, s.hub.SetNewest(revisionOf(3, "three"), time.Now()))
 		require.Eventually(t, func() bool { return s.hub.Status().InForce[0].GetEverywhereUnixMs() != 0 },
 			5*time.Second, 5*time.Millisecond)
-		require.Equal(t, []uint64{1, 3}, b.numbers())
+		require.Equal(t, []uint64{1, 3}, b.appliedNumbers())
 		require.Nil(t, b.Status().Rejection)
-		behind, known := b.Status().Staleness, b.Status().StalenessKnown
+		staleness, known := b.Status().Staleness, b.Status().StalenessKnown
 		require.True(t, known)
-		require.Less(t, behind, 5*time.Second)
+		require.Less(t, staleness, 5*time.Second)
 	})
 }
 
-func TestABrokerMovesToAnotherControlMachine(t *testing.T) {
+func TestClientFailsOverToAnotherControlMachine(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("", func(t *testing.T) {
-		var servers []*server
+		var servers []*controlMachine
 		var addresses []string
 		for range 2 {
-			s := startServer(t, "127.0.0.1:0")
+			s := startControlMachine(t, "127.0.0.1:0")
 			require.NoError(t, s.hub.SetNewest(revisionOf(1, "one"), time.Now()))
 			servers, addresses = append(servers, s), append(addresses, s.address)
 		}
@@ -168,11 +168,11 @@
 			require.NoError(t, s.hub.SetNewest(revisionOf(2, "two"), time.Now()))
 		}
 		require.Eventually(t, func() bool { return b.Status().InForce == 2 }, 8*time.Second, 5*time.Millisecond)
-		require.Equal(t, []uint64{1, 2}, b.numbers())
+		require.Equal(t, []uint64{1, 2}, b.appliedNumbers())
 	})
 }
 
-func TestABrokerWithoutControlServesByItsFile(t *testing.T) {
+func TestClientConnectsOnceAControlMachineStarts(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("", func(t *testing.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -184,19 +184,19 @@
 		require.False(t, b.Status().StalenessKnown)
 		require.Zero(t, b.Status().InForce)
 
-		s := startServer(t, address)
+		s := startControlMachine(t, address)
 		require.NoError(t, s.hub.SetNewest(revisionOf(7, "seven"), time.Now()))
 		require.Eventually(t, func() bool { return b.Status().InForce == 7 }, 8*time.Second, 5*time.Millisecond,
 			fmt.Sprint(b.Status()))
 	})
 }
 
-func TestASlowApplicationHoldsUpNoStreamAndSkipsWhatCameInBetween(t *testing.T) {
+func TestClientReceivesWhileApplyBlocksAndSkipsToNewest(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("", func(t *testing.T) {
-		s := startServer(t, "127.0.0.1:0")
+		s := startControlMachine(t, "127.0.0.1:0")
 		b := startBroker(t, nil, s.address)
-		b.hold.Lock()
+		b.applyLock.Lock()
 		for number := uint64(1); number <= 5; number++ {
 			require.NoError(t, s.hub.SetNewest(revisionOf(number, fmt.Sprint(number)), time.Now()))
 			require.Eventually(t, func() bool { return b.Status().Newest == number }, 5*time.Second, 5*time.Millisecond)
@@ -204,16 +204,16 @@
 		updates := b.Status().Counts.Updates
 		require.Eventually(t, func() bool { return b.Status().Counts.Updates > updates }, 5*time.Second, 5*time.Millisecond)
 		require.Zero(t, b.Status().InForce)
-		b.hold.Unlock()
+		b.applyLock.Unlock()
 		require.Eventually(t, func() bool { return b.Status().InForce == 5 }, 5*time.Second, 5*time.Millisecond)
-		require.Equal(t, []uint64{1, 5}, b.numbers())
+		require.Equal(t, []uint64{1, 5}, b.appliedNumbers())
 	})
 }
 
-func TestANewInstanceEndsTheFormerOnesStream(t *testing.T) {
+func TestRestartedClientSupersedesFormerStream(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("", func(t *testing.T) {
-		s := startServer(t, "127.0.0.1:0")
+		s := startControlMachine(t, "127.0.0.1:0")
 		require.NoError(t, s.hub.SetNewest(revisionOf(1, "one"), time.Now()))
 		old := startBroker(t, nil, s.address)
 		require.Eventually(t, func() bool { return old.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
--- a/internal/controlplane/configfollower/cost_test.go
+++ b/internal/controlplane/configfollower/cost_test.go
@@ -29,19 +29,19 @@
 )
 
 var (
-	costBrokers = flag.Int("cost", 0, "brokers of the measurement of cost; 0: it is not run")
-	costFor     = flag.Duration("cost-for", 30*time.Second, "how long cost is measured")
+	costBrokers  = flag.Int("cost", 0, "brokers of the measurement of cost; 0: it is not run")
+	costDuration = flag.Duration("cost-for", 30*time.Second, "how long cost is measured")
 )
 
 const (
-	costHubs     = 4
-	costDocument = 16 << 10
-	costEvery    = 3200 * time.Millisecond // ten times 2,700 changes a day
-	costSide     = "CONFIG_COST_HUBS"      // set in the process of the hubs
+	costHubs            = 4
+	costDocument        = 16 << 10
+	costPublishInterval = 3200 * time.Millisecond // ten times 2,700 changes a day
+	costHubsVariable    = "CONFIG_COST_HUBS"      // set in the process of the hubs
 )
 
-// hubCost is what the process of the hubs tells at its end.
-type hubCost struct {
+// hubUsage is what the process of the hubs tells at its end.
+type hubUsage struct {
 	ProcessorSeconds float64 `json:"processor_seconds"`
 	BytesIn          int64   `json:"bytes_in"`
 	BytesOut         int64   `json:"bytes_out"`
@@ -49,39 +49,39 @@
 	EverywhereMS     []int64 `json:"everywhere_ms"` // by hub and revision: publication to in force at all its brokers
 }
 
-// countedListener counts the bytes of its connections.
-type countedListener struct {
+// countingListener counts the bytes of its connections.
+type countingListener struct {
 	net.Listener
 	in, out *atomic.Int64
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	in, out *atomic.Int64
 }
 
-func (l countedListener) Accept() (net.Conn, error) {
+func (l countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{conn, l.in, l.out}, nil
+	return countingConn{conn, l.in, l.out}, nil
 }
 
-func (c countedConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.in.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(b []byte) (int, error) {
+func (c countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.out.Add(int64(n))
 	return n, err
 }
 
-// processorSeconds is what this process has used, in user and in system mode.
-func processorSeconds() float64 {
+// cpuSeconds is what this process has used, in user and in system mode.
+func cpuSeconds() float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		panic(err)
@@ -89,9 +89,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()).Seconds()
 }
 
-// TestCostHubs is the process of the hubs: it tells its addresses, and measures from one line of its input to the next.
-func TestCostHubs(t *testing.T) {
-	if os.Getenv(costSide) == "" {
+// TestPropagationCostHubProcess is the process of the hubs: it tells its addresses, and measures from one line of its input to the next.
+func TestPropagationCostHubProcess(t *testing.T) {
+	if os.Getenv(costHubsVariable) == "" {
 		t.Skip("only as a part of TestCost")
 	}
 	var in, out atomic.Int64
@@ -99,9 +99,9 @@
 	for range costHubs {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(t, err)
-		s := &server{hub: confighub.New(slog.New(slog.DiscardHandler)), grpc: grpc.NewServer(confighub.ServerOptions()...)}
+		s := &controlMachine{hub: confighub.New(slog.New(slog.DiscardHandler)), grpc: grpc.NewServer(confighub.ServerOptions()...)}
 		configpb.RegisterControlServer(s.grpc, s)
-		go func() { _ = s.grpc.Serve(countedListener{listener, &in, &out}) }()
+		go func() { _ = s.grpc.Serve(countingListener{listener, &in, &out}) }()
 		servers = append(servers, s.hub)
 		fmt.Println("address", listener.Addr())
 	}
@@ -113,8 +113,8 @@
 		}
 		close(commands)
 	}()
-	var cost hubCost
-	confirm, publish := time.NewTicker(250*time.Millisecond), time.NewTicker(costEvery)
+	var cost hubUsage
+	confirm, publish := time.NewTicker(250*time.Millisecond), time.NewTicker(costPublishInterval)
 	measured, number := false, uint64(0)
 	var seconds float64
 	var bytesIn, bytesOut int64
@@ -135,10 +135,10 @@
 			}
 		case _, more := <-commands:
 			if more {
-				measured, seconds, bytesIn, bytesOut = true, processorSeconds(), in.Load(), out.Load()
+				measured, seconds, bytesIn, bytesOut = true, cpuSeconds(), in.Load(), out.Load()
 				continue
 			}
-			cost.ProcessorSeconds = processorSeconds() - seconds
+			cost.ProcessorSeconds = cpuSeconds() - seconds
 			cost.BytesIn, cost.BytesOut = in.Load()-bytesIn, out.Load()-bytesOut
 			for _, hub := range servers {
 				for _, x := range hub.Status().InForce {
@@ -155,14 +155,14 @@
 	}
 }
 
-// TestCost measures what many hollow brokers and four hubs cost, in two processes on loopback.
-func TestCost(t *testing.T) {
+// TestPropagationCost measures what many hollow brokers and four hubs cost, in two processes on loopback.
+func TestPropagationCost(t *testing.T) {
 	n := *costBrokers
 	if n == 0 {
 		t.Skip("run it by -cost BROKERS")
 	}
 	hubs := exec.Command(os.Args[0], "-test.run", "^TestCostHubs$", "-test.v")
-	hubs.Env = append(os.Environ(), costSide+"=1")
+	hubs.Env = append(os.Environ(), costHubsVariable+"=1")
 	input, err := hubs.StdinPipe()
 	require.NoError(t, err)
 	output, err := hubs.StdoutPipe()
@@ -210,24 +210,24 @@
 	require.Eventually(t, func() bool { return inForce() == n }, 20*time.Second, 200*time.Millisecond)
 
 	fmt.Fprintln(input, "measure")
-	seconds, appliedBefore := processorSeconds(), applied.Load()
-	time.Sleep(*costFor)
-	seconds, appliedBefore = processorSeconds()-seconds, applied.Load()-appliedBefore
+	seconds, appliedBefore := cpuSeconds(), applied.Load()
+	time.Sleep(*costDuration)
+	seconds, appliedBefore = cpuSeconds()-seconds, applied.Load()-appliedBefore
 	heap := heapInUse() - heapBefore
 	require.NoError(t, input.Close())
-	var cost hubCost
+	var cost hubUsage
 	for lines.Scan() {
 		if text, ok := strings.CutPrefix(lines.Text(), "cost "); ok {
 			require.NoError(t, json.Unmarshal([]byte(text), &cost))
 		}
 	}
 	require.NotZero(t, cost.Revisions)
-	perBroker := func(x float64) float64 { return x / float64(n) / costFor.Seconds() }
+	perBroker := func(x float64) float64 { return x / float64(n) / costDuration.Seconds() }
 	result, err := json.Marshal(map[string]any{
-		"brokers": n, "hubs": costHubs, "seconds": costFor.Seconds(), "document_bytes": costDocument,
-		"change_every_s": costEvery.Seconds(), "revisions": cost.Revisions, "applied": appliedBefore,
+		"brokers": n, "hubs": costHubs, "seconds": costDuration.Seconds(), "document_bytes": costDocument,
+		"change_every_s": costPublishInterval.Seconds(), "revisions": cost.Revisions, "applied": appliedBefore,
 		"broker_core_percent":       100 * perBroker(seconds),
-		"hub_core_percent_each":     100 * cost.ProcessorSeconds / costHubs / costFor.Seconds(),
+		"hub_core_percent_each":     100 * cost.ProcessorSeconds / costHubs / costDuration.Seconds(),
 		"broker_bytes_in_a_second":  perBroker(float64(cost.BytesOut)),
 		"broker_bytes_out_a_second": perBroker(float64(cost.BytesIn)),
 		"broker_heap_bytes":         float64(heap) / float64(n),
--- a/internal/controlplane/configfollower/reporter.go
+++ b/internal/controlplane/configfollower/statuslog.go
@@ -59,12 +59,12 @@
 		r.log.Error("revision content conflicts with the one in hand",
 			"control", status.Control, "updates", is.Conflicts-was.Conflicts)
 	}
-	bad := func(c distribution.UpdateCounts) uint64 { return c.Malformed + c.Oversized + c.Corrupt }
-	if bad(is) > bad(was) {
+	invalid := func(c distribution.UpdateCounts) uint64 { return c.Malformed + c.Oversized + c.Corrupt }
+	if invalid(is) > invalid(was) {
 		r.log.Warn("updates dropped", "malformed", is.Malformed-was.Malformed,
 			"oversized", is.Oversized-was.Oversized, "torn", is.Corrupt-was.Corrupt, "control", status.Control)
 	}
-	if is.Conflicts > was.Conflicts || bad(is) > bad(was) {
+	if is.Conflicts > was.Conflicts || invalid(is) > invalid(was) {
 		r.loggedCounts, r.dropLoggedAt = is, now
 	}
 }
--- a/internal/controlplane/configfollower/stream.go
+++ b/internal/controlplane/configfollower/stream.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	window   = 64 << 10 // bytes unread on the stream; so set, gRPC does not widen it
-	ioBuffer = 4 << 10  // bytes of the connection's buffers, each way
+	flowControlWindow = 64 << 10 // bytes unread on the stream; so set, gRPC does not widen it
+	connectionBuffer  = 4 << 10  // bytes of the connection's buffers, each way
 )
 
 // stream is one Follow call on a connection of its own. The follower gives it up when it is silent for too long, so no
@@ -48,8 +48,8 @@
 	s.reports <- report
 }
 
-// follow runs a stream until it ends, and tells the follower so unless ctx has ended.
-func (c *Client) follow(ctx context.Context, s *stream) {
+// runStream runs a stream until it ends, and tells the follower so unless ctx has ended.
+func (c *Client) runStream(ctx context.Context, s *stream) {
 	defer s.cancel()
 	err := c.receive(s)
 	if s.ctx.Err() == nil {
@@ -69,13 +69,13 @@
 	if err != nil {
 		return err
 	}
-	sent := make(chan struct{})
+	senderDone := make(chan struct{})
 	defer func() {
 		s.cancel()
-		<-sent
+		<-senderDone
 	}()
 	go func() {
-		defer close(sent)
+		defer close(senderDone)
 		send(s, call)
 	}()
 	for {
@@ -110,8 +110,8 @@
 			Backoff:           backoff.Config{BaseDelay: time.Minute, Multiplier: 1, MaxDelay: time.Minute},
 			MinConnectTimeout: distribution.ConnectTimeout,
 		}),
-		grpc.WithInitialWindowSize(window), grpc.WithInitialConnWindowSize(window),
-		grpc.WithReadBufferSize(ioBuffer), grpc.WithWriteBufferSize(ioBuffer),
+		grpc.WithInitialWindowSize(flowControlWindow), grpc.WithInitialConnWindowSize(flowControlWindow),
+		grpc.WithReadBufferSize(connectionBuffer), grpc.WithWriteBufferSize(connectionBuffer),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(distribution.MaxMessage)),
 	)
 }
--- a/internal/controlplane/confighub/confighub.go
+++ b/internal/controlplane/confighub/confighub.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	keepaliveTime    = 10 * time.Second // without a byte from the peer, then it is asked
-	keepaliveTimeout = 5 * time.Second  // to answer
-	checkEvery       = 5 * time.Second  // a session whose sending is blocked is checked
-	window           = 64 << 10         // bytes unread on a stream and on a connection; so set, gRPC does not widen it
-	ioBuffer         = 4 << 10          // bytes of a connection's buffers, each way
+	keepaliveTime     = 10 * time.Second // without a byte from the peer, then it is asked
+	keepaliveTimeout  = 5 * time.Second  // to answer
+	checkInterval     = 5 * time.Second  // a session whose sending is blocked is checked
+	flowControlWindow = 64 << 10         // bytes unread on a stream and on a connection; so set, gRPC does not widen it
+	connectionBuffer  = 4 << 10          // bytes of a connection's buffers, each way
 )
 
 // ServerOptions are the options of a gRPC server that serves Follow. Messages up to distribution.MaxMessage are taken.
 func ServerOptions() []grpc.ServerOption {
 	return []grpc.ServerOption{
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
-		grpc.InitialWindowSize(window),
-		grpc.InitialConnWindowSize(window),
+		grpc.InitialWindowSize(flowControlWindow),
+		grpc.InitialConnWindowSize(flowControlWindow),
 		grpc.MaxRecvMsgSize(distribution.MaxMessage),
-		grpc.ReadBufferSize(ioBuffer),
-		grpc.WriteBufferSize(ioBuffer),
+		grpc.ReadBufferSize(connectionBuffer),
+		grpc.WriteBufferSize(connectionBuffer),
 		grpc.ConnectionTimeout(keepaliveTimeout),
 	}
 }
@@ -43,7 +43,7 @@
 
 	mu      sync.Mutex
 	hub     *distribution.Hub
-	streams map[distribution.SessionID]chan struct{} // of capacity 1: wakes the sender
+	wakeups map[distribution.SessionID]chan struct{} // of capacity 1: wakes the sender
 }
 
 // New returns a hub without revisions.
@@ -51,25 +51,25 @@
 	return &Hub{
 		log:     log,
 		hub:     distribution.NewHub(),
-		streams: map[distribution.SessionID]chan struct{}{},
+		wakeups: map[distribution.SessionID]chan struct{}{},
 	}
 }
 
 // SetNewest tells the newest revision of the log that this machine has applied, and when a quorum last confirmed that
 // it is the newest. The revision must not be changed afterwards. A nil revision tells the time alone. Errors: those of
 // distribution.Hub.Newest; then the time is not taken either.
-func (h *Hub) SetNewest(revision *configpb.Revision, confirmed time.Time) error {
+func (h *Hub) SetNewest(revision *configpb.Revision, confirmedAt time.Time) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if revision != nil {
 		if err := h.hub.SetNewest(time.Now(), revision); err != nil {
 			return err
 		}
-		for _, wake := range h.streams {
-			signal(wake)
+		for _, wake := range h.wakeups {
+			notify(wake)
 		}
 	}
-	h.hub.SetConfirmed(confirmed)
+	h.hub.SetConfirmed(confirmedAt)
 	return nil
 }
 
@@ -97,23 +97,23 @@
 // Follow serves one broker until its stream ends. Errors: RESOURCE_EXHAUSTED with too many sessions; UNAVAILABLE where
 // the session is silent or another one has taken its place.
 func (h *Hub) Follow(stream grpc.BidiStreamingServer[configpb.Report, configpb.Update]) error {
-	id, wake, err := h.open()
+	id, wake, err := h.openSession()
 	if err != nil {
-		return statusOf(err)
+		return grpcError(err)
 	}
-	defer h.close(id)
+	defer h.closeSession(id)
 	ended := make(chan error, 2) // one of each goroutine; both end with the stream, when this call returns
 	go func() { ended <- h.receive(stream, id, wake) }()
 	go func() { ended <- h.send(stream, id, wake) }()
-	check := time.NewTicker(checkEvery)
+	check := time.NewTicker(checkInterval)
 	defer check.Stop()
 	for {
 		select {
 		case err := <-ended:
-			return statusOf(err)
+			return grpcError(err)
 		case <-check.C:
-			if err := h.check(id); err != nil {
-				return statusOf(err)
+			if err := h.checkSession(id); err != nil {
+				return grpcError(err)
 			}
 		}
 	}
@@ -128,10 +128,10 @@
 		if err != nil {
 			return err
 		}
-		if err := h.report(id, report); err != nil {
+		if err := h.reportReceived(id, report); err != nil {
 			return err
 		}
-		signal(wake)
+		notify(wake)
 	}
 }
 
@@ -148,7 +148,7 @@
 		case <-wake:
 		case <-timer.C:
 		}
-		update, at, err := h.next(id)
+		update, wakeAt, err := h.nextUpdate(id)
 		if err != nil {
 			return err
 		}
@@ -157,11 +157,11 @@
 				return err
 			}
 		}
-		timer.Reset(time.Until(at))
+		timer.Reset(time.Until(wakeAt))
 	}
 }
 
-func (h *Hub) open() (distribution.SessionID, chan struct{}, error) {
+func (h *Hub) openSession() (distribution.SessionID, chan struct{}, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	id, err := h.hub.OpenSession(time.Now())
@@ -170,44 +170,44 @@
 		return 0, nil, err
 	}
 	wake := make(chan struct{}, 1)
-	h.streams[id] = wake
+	h.wakeups[id] = wake
 	return id, wake, nil
 }
 
-func (h *Hub) close(id distribution.SessionID) {
+func (h *Hub) closeSession(id distribution.SessionID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.hub.CloseSession(time.Now(), id)
-	delete(h.streams, id)
+	delete(h.wakeups, id)
 }
 
-func (h *Hub) check(id distribution.SessionID) error {
+func (h *Hub) checkSession(id distribution.SessionID) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.hub.CheckSession(time.Now(), id)
 }
 
-func (h *Hub) report(id distribution.SessionID, report *configpb.Report) error {
+func (h *Hub) reportReceived(id distribution.SessionID, report *configpb.Report) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.hub.ReportReceived(time.Now(), id, report)
 }
 
-func (h *Hub) next(id distribution.SessionID) (*configpb.Update, time.Time, error) {
+func (h *Hub) nextUpdate(id distribution.SessionID) (*configpb.Update, time.Time, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.hub.NextUpdate(time.Now(), id)
 }
 
-func signal(wake chan struct{}) {
+func notify(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
 	default: // it is awake already
 	}
 }
 
-// statusOf returns what a broker is told.
-func statusOf(err error) error {
+// grpcError returns what a broker is told.
+func grpcError(err error) error {
 	switch {
 	case errors.Is(err, distribution.ErrTooManySessions), errors.Is(err, distribution.ErrTooManyBrokers):
 		return status.Error(codes.ResourceExhausted, err.Error())
--- a/internal/controlplane/configstatus/configstatus.go
+++ b/internal/controlplane/configstatus/configstatus.go
@@ -64,8 +64,8 @@
 // Revision tells when a revision was in force at all brokers that could be reached.
 type Revision struct {
 	Number       uint64    `json:"number"`
-	Published    time.Time `json:"published"`
-	Everywhere   time.Time `json:"everywhere,omitzero"` // zero: not yet
+	PublishedAt  time.Time `json:"published"`
+	EverywhereAt time.Time `json:"everywhere,omitzero"` // zero: not yet
 	EverywhereMs int64     `json:"everywhere_ms"`       // after publication; -1: not yet
 	Brokers      uint32    `json:"brokers"`             // connected ones that have it
 	Lagging      uint32    `json:"lagging"`             // connected ones that have lacked it for too long
@@ -74,23 +74,23 @@
 // Merge merges the answers. Of a broker that several machines know, the latest word counts.
 func Merge(answers []Answer) View {
 	view := View{ConfirmedMs: -1}
-	statuses := answered(answers)
-	if best := freshest(statuses); best != nil {
+	statuses := answeredStatuses(answers)
+	if best := mostRecentlyConfirmed(statuses); best != nil {
 		view.Leader = best.GetLeader()
-		view.ConfirmedMs = confirmed(best)
+		view.ConfirmedMs = confirmationAge(best)
 	}
 	for _, s := range statuses {
 		view.Newest = max(view.Newest, s.GetNewest())
 	}
-	view.Machines = machines(answers)
-	view.Revisions = revisions(statuses)
-	for _, b := range brokers(statuses) {
-		view.add(b)
+	view.Machines = mergeMachines(answers)
+	view.Revisions = mergeRevisions(statuses)
+	for _, b := range mergeBrokers(statuses) {
+		view.addBroker(b)
 	}
 	return view
 }
 
-func answered(answers []Answer) (statuses []*configpb.StatusResponse) {
+func answeredStatuses(answers []Answer) (statuses []*configpb.StatusResponse) {
 	for _, a := range answers {
 		if a.Status != nil {
 			statuses = append(statuses, a.Status)
@@ -99,8 +99,8 @@
 	return statuses
 }
 
-// freshest is the status that a quorum confirmed last: it knows best who leads.
-func freshest(statuses []*configpb.StatusResponse) (best *configpb.StatusResponse) {
+// mostRecentlyConfirmed is the status that a quorum confirmed last: it knows best who leads.
+func mostRecentlyConfirmed(statuses []*configpb.StatusResponse) (best *configpb.StatusResponse) {
 	for _, s := range statuses {
 		if best == nil || s.GetConfirmedMs() < best.GetConfirmedMs() {
 			best = s
@@ -109,43 +109,43 @@
 	return best
 }
 
-func confirmed(s *configpb.StatusResponse) int64 {
+func confirmationAge(s *configpb.StatusResponse) int64 {
 	if s.GetConfirmedMs() == distribution.NeverConfirmed {
 		return -1
 	}
 	return int64(s.GetConfirmedMs())
 }
 
-// known is a broker as the machine with the latest word on it knows it.
-type known struct {
+// reportedBroker is a broker as the machine with the latest word on it knows it.
+type reportedBroker struct {
 	*configpb.Broker
-	control string
+	machine string
 }
 
-// brokers returns every broker once, in the order of their names.
-func brokers(statuses []*configpb.StatusResponse) []known {
-	byName := map[string]known{}
+// mergeBrokers returns every broker once, in the order of their names.
+func mergeBrokers(statuses []*configpb.StatusResponse) []reportedBroker {
+	byName := map[string]reportedBroker{}
 	for _, s := range statuses {
 		for _, b := range s.GetBrokers() {
 			name := b.GetReport().GetName()
-			if before, ok := byName[name]; !ok || later(b, before.Broker) {
-				byName[name] = known{b, s.GetName()}
+			if before, ok := byName[name]; !ok || moreRecent(b, before.Broker) {
+				byName[name] = reportedBroker{b, s.GetName()}
 			}
 		}
 	}
-	list := make([]known, 0, len(byName))
+	list := make([]reportedBroker, 0, len(byName))
 	for _, b := range byName {
 		list = append(list, b)
 	}
-	slices.SortFunc(list, func(a, b known) int {
+	slices.SortFunc(list, func(a, b reportedBroker) int {
 		return cmp.Compare(a.GetReport().GetName(), b.GetReport().GetName())
 	})
 	return list
 }
 
-// later tells whether a is the later word on a broker than b: of a later start of it, else of a stream that is open,
+// moreRecent tells whether a is the later word on a broker than b: of a later start of it, else of a stream that is open,
 // else of the one that was heard last.
-func later(a, b *configpb.Broker) bool {
+func moreRecent(a, b *configpb.Broker) bool {
 	if a, b := a.GetReport().GetStartedUnixMs(), b.GetReport().GetStartedUnixMs(); a != b {
 		return a > b
 	}
@@ -155,11 +155,11 @@
 	return a.GetSilentMs() < b.GetSilentMs()
 }
 
-// add books one broker.
-func (v *View) add(b known) {
+// addBroker books one broker.
+func (v *View) addBroker(b reportedBroker) {
 	report := b.GetReport()
 	row := Broker{Name: report.GetName(), Zone: report.GetZone(), InForce: report.GetInForce(), SilentMs: b.GetSilentMs(),
-		Control: b.control}
+		Control: b.machine}
 	switch {
 	case !b.GetConnected():
 		v.Disconnected = append(v.Disconnected, row)
@@ -169,17 +169,17 @@
 	default:
 		v.Connected++
 	}
-	refusal := report.GetRefusal()
-	if refusal == nil || refusal.GetNumber() <= report.GetInForce() {
+	rejection := report.GetRefusal()
+	if rejection == nil || rejection.GetNumber() <= report.GetInForce() {
 		return
 	}
 	for i := range v.Rejections {
 		r := &v.Rejections[i]
-		if r.Number == refusal.GetNumber() && r.Key == refusal.GetKey() && r.Reason == refusal.GetReason() {
+		if r.Number == rejection.GetNumber() && r.Key == rejection.GetKey() && r.Reason == rejection.GetReason() {
 			r.Brokers = append(r.Brokers, row.Name)
 			return
 		}
 	}
-	v.Rejections = append(v.Rejections, Rejection{Number: refusal.GetNumber(), Key: refusal.GetKey(),
-		Reason: refusal.GetReason(), Brokers: []string{row.Name}})
+	v.Rejections = append(v.Rejections, Rejection{Number: rejection.GetNumber(), Key: rejection.GetKey(),
+		Reason: rejection.GetReason(), Brokers: []string{row.Name}})
 }
--- a/internal/controlplane/configstatus/configstatus_test.go
+++ b/internal/controlplane/configstatus/configstatus_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	publishedMs = 1_700_000_000_000
-	tookMs      = 1_500
+	publishedMs   = 1_700_000_000_000
+	propagationMs = 1_500
 )
 
 func broker(name string, inForce uint64, connected bool, silentMs uint32) *configpb.Broker {
@@ -36,20 +36,20 @@
 
 // answers are of a and b; c is cut off and d was not asked.
 func answers() []configstatus.Answer {
-	refuses := broker("n3", 6, true, 300)
-	refuses.Report.Refusal = &configpb.Refusal{Number: 7, Key: "settings.classes", Reason: "needs a restart"}
+	rejecting := broker("n3", 6, true, 300)
+	rejecting.Report.Refusal = &configpb.Refusal{Number: 7, Key: "settings.classes", Reason: "needs a restart"}
 	return []configstatus.Answer{
 		{Address: "127.0.0.1:1", Status: &configpb.StatusResponse{
 			Name: "a", Leader: "a", Newest: 7, ConfirmedMs: 40, Members: members(),
 			Brokers: []*configpb.Broker{broker("n1", 7, true, 100), broker("n2", 6, false, 9_000)},
 			InForce: []*configpb.InForce{
-				{Number: 7, PublishedUnixMs: publishedMs, EverywhereUnixMs: publishedMs + tookMs, Brokers: 1},
+				{Number: 7, PublishedUnixMs: publishedMs, EverywhereUnixMs: publishedMs + propagationMs, Brokers: 1},
 				{Number: 6, PublishedUnixMs: publishedMs - 100, EverywhereUnixMs: publishedMs - 50, Brokers: 1},
 			},
 		}},
 		{Address: "127.0.0.2:1", Status: &configpb.StatusResponse{
 			Name: "b", Leader: "", Newest: 6, ConfirmedMs: distribution.NeverConfirmed, Members: members(),
-			Brokers: []*configpb.Broker{broker("n2", 6, true, 50), refuses, broker("n4", 5, false, 70_000)},
+			Brokers: []*configpb.Broker{broker("n2", 6, true, 50), rejecting, broker("n4", 5, false, 70_000)},
 			InForce: []*configpb.InForce{
 				{Number: 6, PublishedUnixMs: publishedMs - 100, EverywhereUnixMs: publishedMs - 20, Brokers: 2},
 			},
@@ -59,7 +59,7 @@
 	}
 }
 
-func TestMergeTakesTheLatestWordOnEachBroker(t *testing.T) {
+func TestMergeUsesMostRecentReportOfEachBroker(t *testing.T) {
 	v := configstatus.Merge(answers())
 	require.Equal(t, "a", v.Leader)
 	require.Equal(t, uint64(7), v.Newest)
@@ -75,7 +75,7 @@
 	}, v.Rejections)
 }
 
-func TestMergeIsInForceEverywhereOnlyWhereAllMachinesWithBrokersSaySo(t *testing.T) {
+func TestMergeInForceEverywhereNeedsAllMachinesWithBrokers(t *testing.T) {
 	v := configstatus.Merge(answers())
 	require.Len(t, v.Revisions, 2)
 	require.Equal(t, uint64(7), v.Revisions[0].Number)
@@ -86,10 +86,10 @@
 	withoutBrokers := answers()
 	withoutBrokers[1].Status.Brokers = nil
 	v = configstatus.Merge(withoutBrokers)
-	require.Equal(t, int64(tookMs), v.Revisions[0].EverywhereMs)
+	require.Equal(t, int64(propagationMs), v.Revisions[0].EverywhereMs)
 }
 
-func TestMergeNamesMachinesThatDoNotAnswer(t *testing.T) {
+func TestMergeListsMachinesWithoutAnswer(t *testing.T) {
 	v := configstatus.Merge(answers())
 	require.Equal(t, []configstatus.Machine{
 		{Name: "a", Address: "127.0.0.1:1", Role: "voter", Answered: true, ReachableBy: 1, Newest: 7, ConfirmedMs: 40,
@@ -102,17 +102,17 @@
 	}, v.Machines)
 }
 
-func TestMergeOfNoAnswer(t *testing.T) {
+func TestMergeWithoutAnyAnswer(t *testing.T) {
 	v := configstatus.Merge([]configstatus.Answer{{Address: "127.0.0.1:1", Err: errors.New("timeout")}})
 	require.Empty(t, v.Leader)
 	require.Equal(t, int64(-1), v.ConfirmedMs)
 	require.Len(t, v.Machines, 1)
 }
 
-func TestWriteTellsAllThatMatters(t *testing.T) {
-	var text strings.Builder
+func TestWriteRendersTable(t *testing.T) {
+	var table strings.Builder
 	now := time.UnixMilli(publishedMs).Add(time.Minute)
-	require.NoError(t, configstatus.Merge(answers()).Write(&text, now, 10))
+	require.NoError(t, configstatus.Merge(answers()).Write(&table, now, 10))
 	require.Equal(t, `newest revision 7, leader a, confirmed by a quorum 0.0 s ago
 
 MACHINE  ADDRESS      ROLE   NEWEST  CONFIRMED  BROKERS  REACHED BY  STATE
@@ -130,5 +130,5 @@
 behind: n2 (6 in force), n3 (6 in force)
 cut off: n4 (5 in force)
 revision 7 refused by 1 brokers, settings.classes: needs a restart (n3)
-`, text.String())
+`, table.String())
 }
--- a/internal/controlplane/configstatus/machines.go
+++ b/internal/controlplane/configstatus/machines.go
@@ -7,10 +7,10 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// machines returns the members that any answer names, by name, and then the addresses that did not answer and that no
+// mergeMachines returns the members that any answer names, by name, and then the addresses that did not answer and that no
 // member has. Of what the answers say of one member, the word of the freshest one counts.
-func machines(answers []Answer) []Machine {
-	statuses := answered(answers)
+func mergeMachines(answers []Answer) []Machine {
+	statuses := answeredStatuses(answers)
 	slices.SortStableFunc(statuses, func(a, b *configpb.StatusResponse) int {
 		return cmp.Compare(a.GetConfirmedMs(), b.GetConfirmedMs())
 	})
@@ -45,7 +45,7 @@
 			list = append(list, Machine{Name: a.Status.GetName(), Address: a.Address, ConfirmedMs: -1})
 			row = &list[len(list)-1]
 		}
-		row.take(a)
+		row.addAnswer(a)
 	}
 	return list
 }
@@ -57,8 +57,8 @@
 	return "spare"
 }
 
-// take books a machine's own answer.
-func (m *Machine) take(a Answer) {
+// addAnswer books a machine's own answer.
+func (m *Machine) addAnswer(a Answer) {
 	if a.Status == nil {
 		if !m.Answered && a.Err != nil {
 			m.Error = a.Err.Error()
@@ -66,11 +66,11 @@
 		return
 	}
 	m.Answered, m.Error = true, ""
-	m.Newest, m.ConfirmedMs = a.Status.GetNewest(), confirmed(a.Status)
-	m.Brokers = connected(a.Status)
+	m.Newest, m.ConfirmedMs = a.Status.GetNewest(), confirmationAge(a.Status)
+	m.Brokers = countConnected(a.Status)
 }
 
-func connected(s *configpb.StatusResponse) (count int) {
+func countConnected(s *configpb.StatusResponse) (count int) {
 	for _, b := range s.GetBrokers() {
 		if b.GetConnected() {
 			count++
--- a/internal/controlplane/configstatus/revisions.go
+++ b/internal/controlplane/configstatus/revisions.go
@@ -8,15 +8,15 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// revisions merges when each revision was in force everywhere: once all machines that have brokers say so, at the
+// mergeRevisions merges when each revision was in force everywhere: once all machines that have brokers say so, at the
 // latest time that any of them says.
-func revisions(statuses []*configpb.StatusResponse) []Revision {
+func mergeRevisions(statuses []*configpb.StatusResponse) []Revision {
 	byNumber := map[uint64]*Revision{}
 	for _, s := range statuses {
 		for _, x := range s.GetInForce() {
 			r := byNumber[x.GetNumber()]
 			if r == nil {
-				r = &Revision{Number: x.GetNumber(), Published: time.UnixMilli(x.GetPublishedUnixMs())}
+				r = &Revision{Number: x.GetNumber(), PublishedAt: time.UnixMilli(x.GetPublishedUnixMs())}
 				byNumber[x.GetNumber()] = r
 			}
 			r.Brokers += x.GetBrokers()
@@ -26,9 +26,9 @@
 	list := make([]Revision, 0, len(byNumber))
 	for _, r := range byNumber {
 		r.EverywhereMs = -1
-		if at, ok := everywhere(statuses, r.Number); ok {
-			r.Everywhere = at
-			r.EverywhereMs = max(at.Sub(r.Published).Milliseconds(), 0) // clocks differ
+		if at, ok := inForceEverywhereAt(statuses, r.Number); ok {
+			r.EverywhereAt = at
+			r.EverywhereMs = max(at.Sub(r.PublishedAt).Milliseconds(), 0) // clocks differ
 		}
 		list = append(list, *r)
 	}
@@ -36,9 +36,9 @@
 	return list
 }
 
-// everywhere returns when the last machine saw a revision in force at all its brokers. A machine without brokers has
+// inForceEverywhereAt returns when the last machine saw a revision in force at all its brokers. A machine without brokers has
 // no say; one that has brokers and lacks the revision says no.
-func everywhere(statuses []*configpb.StatusResponse, number uint64) (at time.Time, ok bool) {
+func inForceEverywhereAt(statuses []*configpb.StatusResponse, number uint64) (at time.Time, ok bool) {
 	for _, s := range statuses {
 		i := slices.IndexFunc(s.GetInForce(), func(x *configpb.InForce) bool { return x.GetNumber() == number })
 		var unixMs int64
@@ -46,7 +46,7 @@
 			unixMs = s.GetInForce()[i].GetEverywhereUnixMs()
 		}
 		if unixMs == 0 {
-			if connected(s) > 0 && !forgotten(s, number) {
+			if countConnected(s) > 0 && !droppedByTracking(s, number) {
 				return time.Time{}, false
 			}
 			continue
@@ -59,8 +59,8 @@
 	return at, ok
 }
 
-// forgotten tells whether a machine no longer books a revision: it has later ones only.
-func forgotten(s *configpb.StatusResponse, number uint64) bool {
-	booked := s.GetInForce()
-	return len(booked) > 0 && number < booked[len(booked)-1].GetNumber()
+// droppedByTracking tells whether a machine no longer books a revision: it has later ones only.
+func droppedByTracking(s *configpb.StatusResponse, number uint64) bool {
+	tracked := s.GetInForce()
+	return len(tracked) > 0 && number < tracked[len(tracked)-1].GetNumber()
 }
--- a/internal/controlplane/configstatus/table.go
+++ b/internal/controlplane/configstatus/table.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// maxNames is how many names a line of the table lists; the JSON form has all.
-const maxNames = 10
+// maxListedNames is how many names a line of the table lists; the JSON form has all.
+const maxListedNames = 10
 
 // Write writes the view as text, with at most so many revisions. Ages are as of now.
-func (v View) Write(out io.Writer, now time.Time, revisionsMost int) error {
+func (v View) Write(out io.Writer, now time.Time, maxRevisions int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	leader := v.Leader
 	if leader == "" {
 		leader = "none known"
 	}
-	fmt.Fprintf(w, "newest revision %d, leader %s, confirmed by a quorum %s\n\n", v.Newest, leader, ago(v.ConfirmedMs))
+	fmt.Fprintf(w, "newest revision %d, leader %s, confirmed by a quorum %s\n\n", v.Newest, leader, formatAge(v.ConfirmedMs))
 	v.writeMachines(w)
-	v.writeRevisions(w, now, revisionsMost)
+	v.writeRevisions(w, now, maxRevisions)
 	v.writeBrokers(w)
 	return w.Flush()
 }
@@ -28,16 +28,16 @@
 func (v View) writeMachines(w io.Writer) {
 	fmt.Fprintln(w, "MACHINE\tADDRESS\tROLE\tNEWEST\tCONFIRMED\tBROKERS\tREACHED BY\tSTATE")
 	for _, m := range v.Machines {
-		name, role, state := or(m.Name, "?"), or(m.Role, "?"), "answers"
+		name, role, state := orDefault(m.Name, "?"), orDefault(m.Role, "?"), "answers"
 		if !m.Answered {
-			state = "no answer: " + or(m.Error, "not asked")
+			state = "no answer: " + orDefault(m.Error, "not asked")
 			fmt.Fprintf(w, "%s\t%s\t%s\t-\t-\t-\t%d\t%s\n", name, m.Address, role, m.ReachableBy, state)
 			continue
 		}
 		if m.Newest < v.Newest {
 			state = fmt.Sprintf("%d behind", v.Newest-m.Newest)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%s\n", name, m.Address, role, m.Newest, ago(m.ConfirmedMs), m.Brokers,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%s\n", name, m.Address, role, m.Newest, formatAge(m.ConfirmedMs), m.Brokers,
 			m.ReachableBy, state)
 	}
 }
@@ -52,7 +52,7 @@
 		if r.EverywhereMs >= 0 {
 			everywhere = fmt.Sprintf("after %.1f s", float64(r.EverywhereMs)/1e3)
 		}
-		age := now.Sub(r.Published).Round(time.Second)
+		age := now.Sub(r.PublishedAt).Round(time.Second)
 		fmt.Fprintf(w, "%d\t%v ago\t%s\t%d\t%d\n", r.Number, age, everywhere, r.Brokers, r.Lagging)
 	}
 }
@@ -60,40 +60,40 @@
 func (v View) writeBrokers(w io.Writer) {
 	fmt.Fprintf(w, "\nbrokers: %d connected, %d behind, %d cut off\n", v.Connected, len(v.Lagging), len(v.Disconnected))
 	if len(v.Lagging) > 0 {
-		fmt.Fprintln(w, "behind:", names(v.Lagging))
+		fmt.Fprintln(w, "behind:", formatBrokers(v.Lagging))
 	}
 	if len(v.Disconnected) > 0 {
-		fmt.Fprintln(w, "cut off:", names(v.Disconnected))
+		fmt.Fprintln(w, "cut off:", formatBrokers(v.Disconnected))
 	}
 	for _, r := range v.Rejections {
 		fmt.Fprintf(w, "revision %d refused by %d brokers, %s: %s (%s)\n", r.Number, len(r.Brokers), r.Key, r.Reason,
-			shortened(r.Brokers))
+			joinNames(r.Brokers))
 	}
 }
 
-func names(brokers []Broker) string {
+func formatBrokers(brokers []Broker) string {
 	list := make([]string, len(brokers))
 	for i, b := range brokers {
 		list[i] = fmt.Sprintf("%s (%d in force)", b.Name, b.InForce)
 	}
-	return shortened(list)
+	return joinNames(list)
 }
 
-func shortened(list []string) string {
-	if len(list) <= maxNames {
+func joinNames(list []string) string {
+	if len(list) <= maxListedNames {
 		return strings.Join(list, ", ")
 	}
-	return fmt.Sprintf("%s and %d more", strings.Join(list[:maxNames], ", "), len(list)-maxNames)
+	return fmt.Sprintf("%s and %d more", strings.Join(list[:maxListedNames], ", "), len(list)-maxListedNames)
 }
 
-func ago(milliseconds int64) string {
+func formatAge(milliseconds int64) string {
 	if milliseconds < 0 {
 		return "never"
 	}
 	return fmt.Sprintf("%.1f s ago", float64(milliseconds)/1e3)
 }
 
-func or(s, otherwise string) string {
+func orDefault(s, otherwise string) string {
 	if s == "" {
 		return otherwise
 	}
--- a/internal/controlplane/operatorclient/controlclient.go
+++ b/internal/controlplane/operatorclient/operatorclient.go
@@ -25,8 +25,8 @@
 	connectTimeout = time.Second     // three round trips between regions, many times over
 	callTimeout    = 5 * time.Second // of one publication to one machine, before the next machine is tried
 
-	waitFirst = 100 * time.Millisecond // between two rounds over all machines
-	maxWait   = time.Second
+	minRetryBackoff = 100 * time.Millisecond // between two rounds over all machines
+	maxRetryBackoff = time.Second
 )
 
 // RejectedError tells that a publication was refused, by the key at fault. It is in no revision.
@@ -71,30 +71,30 @@
 	if len(addresses) == 0 {
 		return 0, &UnavailableError{errNoAddress}
 	}
-	var last error
-	taken := false // perhaps, by an earlier try
-	for wait := waitFirst; ; wait = min(2*wait, maxWait) {
+	var lastErr error
+	mayBeCommitted := false // perhaps, by an earlier try
+	for backoff := minRetryBackoff; ; backoff = min(2*backoff, maxRetryBackoff) {
 		for _, address := range addresses {
 			if ctx.Err() != nil {
-				return 0, givenUp(taken, last)
+				return 0, unresolved(mayBeCommitted, lastErr)
 			}
-			number, err := publishAt(ctx, address, request)
-			var refused *RejectedError
-			if err == nil || errors.As(err, &refused) {
+			number, err := publishTo(ctx, address, request)
+			var rejected *RejectedError
+			if err == nil || errors.As(err, &rejected) {
 				return number, err
 			}
 			var unknown *UnknownError
-			taken = taken || errors.As(err, &unknown)
-			last = fmt.Errorf("%s: %w", address, err)
+			mayBeCommitted = mayBeCommitted || errors.As(err, &unknown)
+			lastErr = fmt.Errorf("%s: %w", address, err)
 		}
 		select {
-		case <-time.After(wait):
+		case <-time.After(backoff):
 		case <-ctx.Done():
 		}
 	}
 }
 
-func givenUp(taken bool, last error) error {
+func unresolved(taken bool, last error) error {
 	if last == nil {
 		last = context.DeadlineExceeded
 	}
@@ -104,8 +104,8 @@
 	return &UnavailableError{last}
 }
 
-// publishAt asks one machine.
-func publishAt(ctx context.Context, address string, request *configpb.PublishRequest) (uint64, error) {
+// publishTo asks one machine.
+func publishTo(ctx context.Context, address string, request *configpb.PublishRequest) (uint64, error) {
 	conn, err := connect(ctx, address)
 	if err != nil {
 		return 0, err
@@ -115,13 +115,13 @@
 	defer cancel()
 	response, err := configpb.NewControlClient(conn).Publish(ctx, request)
 	if err != nil {
-		return 0, classify(err)
+		return 0, publishError(err)
 	}
 	return response.GetNumber(), nil
 }
 
-// classify tells refusals and what was surely not taken from what may be in the log.
-func classify(err error) error {
+// publishError tells refusals and what was surely not taken from what may be in the log.
+func publishError(err error) error {
 	s := status.Convert(err)
 	for _, detail := range s.Details() {
 		switch d := detail.(type) {
@@ -160,18 +160,18 @@
 // Get returns a revision from the first machine that has it; number 0: the newest one that the first machine which
 // answers has.
 func Get(ctx context.Context, addresses []string, number uint64) (*configpb.Revision, error) {
-	last := errNoAddress
+	lastErr := errNoAddress
 	for _, address := range addresses {
-		revision, err := getAt(ctx, address, number)
+		revision, err := getFrom(ctx, address, number)
 		if err == nil {
 			return revision, nil
 		}
-		last = fmt.Errorf("%s: %w", address, err)
+		lastErr = fmt.Errorf("%s: %w", address, err)
 	}
-	return nil, last
+	return nil, lastErr
 }
 
-func getAt(ctx context.Context, address string, number uint64) (*configpb.Revision, error) {
+func getFrom(ctx context.Context, address string, number uint64) (*configpb.Revision, error) {
 	conn, err := connect(ctx, address)
 	if err != nil {
 		return nil, err
--- a/internal/controlplane/operatorclient/controlclient_test.go
+++ b/internal/controlplane/operatorclient/operatorclient_test.go
@@ -35,13 +35,13 @@
 	return nil, status.Error(codes.DeadlineExceeded, "committed or not")
 }
 
-func notTaken() (*configpb.PublishResponse, error) {
+func notAppended() (*configpb.PublishResponse, error) {
 	s, err := status.New(codes.Unavailable, "no leader").WithDetails(
 		&errdetails.ErrorInfo{Reason: configpb.NotAppended, Domain: configpb.ErrorDomain})
 	return nil, errors.Join(err, s.Err())
 }
 
-func refused() (*configpb.PublishResponse, error) {
+func rejected() (*configpb.PublishResponse, error) {
 	s, err := status.New(codes.InvalidArgument, "no").WithDetails(&configpb.Refusal{Key: "settings.x", Reason: "is odd"})
 	return nil, errors.Join(err, s.Err())
 }
@@ -65,8 +65,8 @@
 
 const long = 10 * time.Second
 
-func TestPublishTriesUnderTheSameRequestUntilItKnows(t *testing.T) {
-	first, firstAddress := start(t, notTaken, unknown)
+func TestPublishRetriesWithSameRequestUntilOutcomeIsKnown(t *testing.T) {
+	first, firstAddress := start(t, notAppended, unknown)
 	second, secondAddress := start(t, unknown, committed)
 	number, err := publish(t, long, "127.0.0.1:1", firstAddress, secondAddress)
 	require.NoError(t, err)
@@ -75,26 +75,26 @@
 	require.Equal(t, []uint64{5, 5}, second.requests)
 }
 
-func TestPublishTellsARefusalAtOnce(t *testing.T) {
-	m, address := start(t, refused)
+func TestPublishReturnsRejectionWithoutRetry(t *testing.T) {
+	m, address := start(t, rejected)
 	_, err := publish(t, long, address)
-	var refusal *operatorclient.RejectedError
-	require.ErrorAs(t, err, &refusal)
-	require.Equal(t, operatorclient.RejectedError{Key: "settings.x", Reason: "is odd"}, *refusal)
+	var rejection *operatorclient.RejectedError
+	require.ErrorAs(t, err, &rejection)
+	require.Equal(t, operatorclient.RejectedError{Key: "settings.x", Reason: "is odd"}, *rejection)
 	require.Len(t, m.requests, 1)
 }
 
-func TestPublishTellsWhatWasSurelyNotTakenFromTheUnknown(t *testing.T) {
+func TestPublishDistinguishesUnavailableFromUnknown(t *testing.T) {
 	const short = 500 * time.Millisecond
-	_, never := start(t, notTaken)
+	_, never := start(t, notAppended)
 	_, err := publish(t, short, never, "127.0.0.1:1")
 	var unavailable *operatorclient.UnavailableError
 	require.ErrorAs(t, err, &unavailable)
 
-	_, once := start(t, unknown, notTaken)
+	_, once := start(t, unknown, notAppended)
 	_, err = publish(t, short, once)
-	var lost *operatorclient.UnknownError
-	require.ErrorAs(t, err, &lost, "one unknown outcome is not undone by a later one that is known")
+	var unknownOutcome *operatorclient.UnknownError
+	require.ErrorAs(t, err, &unknownOutcome, "one unknown outcome is not undone by a later one that is known")
 
 	_, err = publish(t, short)
 	require.ErrorAs(t, err, &unavailable, "no address")
