--- a/internal/controlplane/configfollower/statuslog.go
+++ b/internal/controlplane/configfollower/statuslog.go
@@ -8,84 +8,109 @@
 )
 
 const (
-	startupGrace       = 5 * time.Second  // after which a broker without control says that it serves by its file
-	stalenessThreshold = 15 * time.Second // after which a broker says that it may be behind
-	staleLogInterval   = 5 * time.Minute  // after which it says so again
-	dropLogInterval    = 10 * time.Second // at most, what was dropped is logged
+	// startupGrace is how long a broker may be without a confirmation after its start before this is logged.
+	startupGrace = 5 * time.Second
+	// stalenessThreshold is the staleness above which the configuration is logged as stale.
+	stalenessThreshold = 15 * time.Second
+	// staleLogInterval is the interval at which a configuration that stays stale or unconfirmed is logged again.
+	staleLogInterval = 5 * time.Minute
+	// dropLogInterval is the shortest interval between two log lines on dropped updates.
+	dropLogInterval = 10 * time.Second
 )
 
-// statusLogger logs what has changed from one status of the follower to the next.
+// statusLogger logs the changes from one status of the follower to the next.
 type statusLogger struct {
 	log           *slog.Logger
 	startedAt     time.Time
 	previous      distribution.FollowerStatus
-	loggedCounts  distribution.UpdateCounts // of the last line on what was dropped
-	dropLoggedAt  time.Time                 // of that line
-	staleLoggedAt time.Time                 // of the last line that says that it may be behind; zero: it is confirmed
+	loggedCounts  distribution.UpdateCounts // at dropLoggedAt
+	dropLoggedAt  time.Time                 // last log line on dropped updates; zero: none
+	staleLoggedAt time.Time                 // last log line on a stale configuration; zero: none since it was confirmed
 }
 
 func newStatusLogger(log *slog.Logger, now time.Time) *statusLogger {
 	return &statusLogger{log: log, startedAt: now}
 }
 
-// logStatus logs the difference to the status before.
-func (r *statusLogger) logStatus(now time.Time, status distribution.FollowerStatus) {
-	before := r.previous
-	r.previous = status
-	switch connected, was := !status.LastUpdateAt.IsZero(), !before.LastUpdateAt.IsZero(); {
-	case connected && (!was || status.Control != before.Control):
-		r.log.Info("connected to a control machine", "control", status.Control, "newest", status.Newest)
-	case was && !connected:
-		r.log.Info("disconnected from a control machine", "control", before.Control, "in_force", status.InForce)
+// logStatus logs the changes since the previous status.
+func (l *statusLogger) logStatus(now time.Time, status distribution.FollowerStatus) {
+	l.logConnection(status)
+	l.logRevision(status)
+	l.logDropped(now, status)
+	l.logStale(now, status)
+	l.previous = status
+}
+
+// logConnection logs that a control machine is followed, or that none is any more.
+func (l *statusLogger) logConnection(status distribution.FollowerStatus) {
+	connected := !status.LastUpdateAt.IsZero()
+	wasConnected := !l.previous.LastUpdateAt.IsZero()
+	switch {
+	case connected && (!wasConnected || status.Control != l.previous.Control):
+		l.log.Info("connected to a control machine", "control", status.Control, "newest", status.Newest)
+	case wasConnected && !connected:
+		l.log.Info("disconnected from a control machine", "control", l.previous.Control, "in_force", status.InForce)
 	}
-	if status.InForce != before.InForce {
-		r.log.Info("revision in force", "number", status.InForce, "before", before.InForce)
+}
+
+// logRevision logs a revision that is in force or rejected now.
+func (l *statusLogger) logRevision(status distribution.FollowerStatus) {
+	if status.InForce != l.previous.InForce {
+		l.log.Info("revision in force", "number", status.InForce, "before", l.previous.InForce)
 	}
-	if refusal := status.Rejection; refusal != nil && refusal.GetNumber() != before.Rejection.GetNumber() {
-		r.log.Error("revision rejected", "number", refusal.GetNumber(), "key", refusal.GetKey(),
-			"reason", refusal.GetReason(), "in_force", status.InForce)
+	rejection := status.Rejection
+	if rejection != nil && rejection.GetNumber() != l.previous.Rejection.GetNumber() {
+		l.log.Error("revision rejected", "number", rejection.GetNumber(), "key", rejection.GetKey(),
+			"reason", rejection.GetReason(), "in_force", status.InForce)
 	}
-	r.logDropped(now, status)
-	r.logStale(now, status)
 }
 
-// logDropped logs what was dropped, at most every dropsEvery.
-func (r *statusLogger) logDropped(now time.Time, status distribution.FollowerStatus) {
-	if now.Sub(r.dropLoggedAt) < dropLogInterval {
+// logDropped logs the updates dropped since the last log line, at most once in dropLogInterval.
+func (l *statusLogger) logDropped(now time.Time, status distribution.FollowerStatus) {
+	if now.Sub(l.dropLoggedAt) < dropLogInterval {
 		return
 	}
-	is, was := status.Counts, r.loggedCounts
-	if is.Conflicts > was.Conflicts {
-		r.log.Error("revision content conflicts with the one in hand",
-			"control", status.Control, "updates", is.Conflicts-was.Conflicts)
+	counts := status.Counts
+	conflicts := counts.Conflicts - l.loggedCounts.Conflicts
+	malformed := counts.Malformed - l.loggedCounts.Malformed
+	oversized := counts.Oversized - l.loggedCounts.Oversized
+	corrupt := counts.Corrupt - l.loggedCounts.Corrupt
+	invalid := malformed + oversized + corrupt
+	if conflicts > 0 {
+		l.log.Error("revision content conflicts with the one in hand", "control", status.Control, "updates", conflicts)
 	}
-	invalid := func(c distribution.UpdateCounts) uint64 { return c.Malformed + c.Oversized + c.Corrupt }
-	if invalid(is) > invalid(was) {
-		r.log.Warn("updates dropped", "malformed", is.Malformed-was.Malformed,
-			"oversized", is.Oversized-was.Oversized, "torn", is.Corrupt-was.Corrupt, "control", status.Control)
+	if invalid > 0 {
+		l.log.Warn("updates dropped", "malformed", malformed, "oversized", oversized, "torn", corrupt,
+			"control", status.Control)
 	}
-	if is.Conflicts > was.Conflicts || invalid(is) > invalid(was) {
-		r.loggedCounts, r.dropLoggedAt = is, now
+	if conflicts > 0 || invalid > 0 {
+		l.loggedCounts = counts
+		l.dropLoggedAt = now
 	}
 }
 
-// logStale logs that the broker may be behind, again every againAfter, and that it is confirmed again.
-func (r *statusLogger) logStale(now time.Time, status distribution.FollowerStatus) {
+// logStale logs that the configuration is stale or unconfirmed, again every staleLogInterval, and that it is confirmed
+// again.
+func (l *statusLogger) logStale(now time.Time, status distribution.FollowerStatus) {
 	stale := status.Staleness > stalenessThreshold
 	if !status.StalenessKnown {
-		stale = now.Sub(r.startedAt) > startupGrace
+		stale = now.Sub(l.startedAt) > startupGrace
 	}
-	switch {
-	case !stale && !r.staleLoggedAt.IsZero():
-		r.staleLoggedAt = time.Time{}
-		r.log.Info("configuration confirmed again", "in_force", status.InForce, "newest", status.Newest)
-	case !stale || now.Sub(r.staleLoggedAt) < staleLogInterval:
-	case !status.StalenessKnown:
-		r.staleLoggedAt = now
-		r.log.Warn("configuration unconfirmed, serving by the file of the start")
-	default:
-		r.staleLoggedAt = now
-		r.log.Warn("configuration may be stale", "behind", status.Staleness.Round(time.Second),
-			"in_force", status.InForce, "control", status.Control)
+	if !stale {
+		if !l.staleLoggedAt.IsZero() {
+			l.staleLoggedAt = time.Time{}
+			l.log.Info("configuration confirmed again", "in_force", status.InForce, "newest", status.Newest)
+		}
+		return
+	}
+	if now.Sub(l.staleLoggedAt) < staleLogInterval {
+		return
+	}
+	l.staleLoggedAt = now
+	if !status.StalenessKnown {
+		l.log.Warn("configuration unconfirmed, serving by the file of the start")
+		return
 	}
+	l.log.Warn("configuration may be stale", "behind", status.Staleness.Round(time.Second),
+		"in_force", status.InForce, "control", status.Control)
 }
--- a/internal/controlplane/configfollower/stream.go
+++ b/internal/controlplane/configfollower/stream.go
@@ -13,17 +13,22 @@
 )
 
 const (
-	flowControlWindow = 64 << 10 // bytes unread on the stream; so set, gRPC does not widen it
-	connectionBuffer  = 4 << 10  // bytes of the connection's buffers, each way
+	// flowControlWindow is the HTTP/2 window of the stream and of its connection, in bytes: one document. gRPC does not
+	// enlarge a window that is set.
+	flowControlWindow = 64 << 10
+	// connectionBuffer is the size of the connection's read buffer and of its write buffer, in bytes.
+	connectionBuffer = 4 << 10
+	// noReconnect is a backoff of gRPC that no connection lives to see: the follower opens a new one before.
+	noReconnect = time.Minute
 )
 
-// stream is one Follow call on a connection of its own. The follower gives it up when it is silent for too long, so no
-// keepalive is needed.
+// stream is one Follow call on a connection of its own. It needs no keepalive: the follower closes it when its updates
+// time out.
 type stream struct {
 	distribution.StreamTarget
 	ctx     context.Context
 	cancel  context.CancelFunc
-	reports chan *configpb.Report // of capacity 1: the latest
+	reports chan *configpb.Report // of capacity 1: the latest report that is not sent yet
 }
 
 func newStream(ctx context.Context, target distribution.StreamTarget) *stream {
@@ -32,14 +37,14 @@
 	return s
 }
 
-// close ends a stream. It may be nil, or closed already.
+// close closes a stream. It has no effect on one that is nil or closed.
 func (s *stream) close() {
 	if s != nil {
 		s.cancel()
 	}
 }
 
-// sendReport has a report sent, in place of one that still waits. One goroutine calls it.
+// sendReport queues a report, replacing one that is not sent yet. It must not be called concurrently.
 func (s *stream) sendReport(report *configpb.Report) {
 	select {
 	case <-s.reports:
@@ -48,7 +53,7 @@
 	s.reports <- report
 }
 
-// runStream runs a stream until it ends, and tells the follower so unless ctx has ended.
+// runStream runs a stream until it ends, and posts its end unless ctx has ended.
 func (c *Client) runStream(ctx context.Context, s *stream) {
 	defer s.cancel()
 	err := c.receive(s)
@@ -58,7 +63,7 @@
 	c.post(ctx, func(now time.Time, f *distribution.Follower) { f.StreamEnded(now, s.Stream) })
 }
 
-// receive connects, has reports sent and takes updates.
+// receive connects, starts the sender of reports, and posts updates until the stream ends.
 func (c *Client) receive(s *stream) error {
 	conn, err := dial(s.Address)
 	if err != nil {
@@ -95,23 +100,26 @@
 			return
 		case report := <-s.reports:
 			if call.Send(report) != nil {
-				return // Recv returns why
+				return // Recv returns the error
 			}
 		}
 	}
 }
 
+// dial returns a connection that neither retries calls nor reconnects: the follower decides when to connect.
 func dial(address string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		// When to connect again is the follower's to decide.
-		grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(),
+		grpc.WithDisableRetry(),
+		grpc.WithDisableServiceConfig(),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: time.Minute, Multiplier: 1, MaxDelay: time.Minute},
+			Backoff:           backoff.Config{BaseDelay: noReconnect, Multiplier: 1, MaxDelay: noReconnect},
 			MinConnectTimeout: distribution.ConnectTimeout,
 		}),
-		grpc.WithInitialWindowSize(flowControlWindow), grpc.WithInitialConnWindowSize(flowControlWindow),
-		grpc.WithReadBufferSize(connectionBuffer), grpc.WithWriteBufferSize(connectionBuffer),
+		grpc.WithInitialWindowSize(flowControlWindow),
+		grpc.WithInitialConnWindowSize(flowControlWindow),
+		grpc.WithReadBufferSize(connectionBuffer),
+		grpc.WithWriteBufferSize(connectionBuffer),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(distribution.MaxMessage)),
 	)
 }
--- a/internal/controlplane/confighub/confighub.go
+++ b/internal/controlplane/confighub/confighub.go
@@ -2,29 +2,32 @@
 package confighub
 
 import (
-	"errors"
 	"log/slog"
 	"sync"
 	"time"
 
 	"google.golang.org/grpc"
-	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/keepalive"
-	"google.golang.org/grpc/status"
 
 	"mothrouter/internal/controlplane/configpb"
 	"mothrouter/internal/controlplane/distribution"
 )
 
 const (
-	keepaliveTime     = 10 * time.Second // without a byte from the peer, then it is asked
-	keepaliveTimeout  = 5 * time.Second  // to answer
-	checkInterval     = 5 * time.Second  // a session whose sending is blocked is checked
-	flowControlWindow = 64 << 10         // bytes unread on a stream and on a connection; so set, gRPC does not widen it
-	connectionBuffer  = 4 << 10          // bytes of a connection's buffers, each way
+	// keepaliveTime is how long a connection is idle before the server pings the peer.
+	keepaliveTime = 10 * time.Second
+	// keepaliveTimeout is how long the peer may take to answer a ping, or to complete the handshake of a connection.
+	keepaliveTimeout = 5 * time.Second
+	// flowControlWindow is the HTTP/2 window of a stream and of a connection, in bytes: one document. gRPC does not
+	// enlarge a window that is set.
+	flowControlWindow = 64 << 10
+	// connectionBuffer is the size of a connection's read buffer and of its write buffer, in bytes: small, as there are up
+	// to distribution.MaxSessions connections.
+	connectionBuffer = 4 << 10
 )
 
-// ServerOptions are the options of a gRPC server that serves Follow. Messages up to distribution.MaxMessage are taken.
+// ServerOptions returns the options of a gRPC server that serves Follow. It accepts messages up to
+// distribution.MaxMessage.
 func ServerOptions() []grpc.ServerOption {
 	return []grpc.ServerOption{
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: keepaliveTime, Timeout: keepaliveTimeout}),
@@ -37,13 +40,13 @@
 	}
 }
 
-// Hub serves brokers. Make it with New. Its methods may be called by several goroutines at once.
+// Hub serves brokers. Make it with New. It is safe for concurrent use.
 type Hub struct {
 	log *slog.Logger
 
-	mu      sync.Mutex
+	mu      sync.Mutex // guards all below
 	hub     *distribution.Hub
-	wakeups map[distribution.SessionID]chan struct{} // of capacity 1: wakes the sender
+	wakeups map[distribution.SessionID]chan struct{} // of capacity 1: wakes the session's sender
 }
 
 // New returns a hub without revisions.
@@ -55,9 +58,9 @@
 	}
 }
 
-// SetNewest tells the newest revision of the log that this machine has applied, and when a quorum last confirmed that
-// it is the newest. The revision must not be changed afterwards. A nil revision tells the time alone. Errors: those of
-// distribution.Hub.Newest; then the time is not taken either.
+// SetNewest sets the newest revision of the log that this control machine has applied, and when a quorum last confirmed
+// that it is the newest. The revision must not be modified afterwards; nil sets the time only. Errors: those of
+// distribution.Hub.SetNewest; then the time is not set either.
 func (h *Hub) SetNewest(revision *configpb.Revision, confirmedAt time.Time) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -73,94 +76,28 @@
 	return nil
 }
 
-// Status returns what the hub knows of the brokers and of the latest revisions.
+// Status returns a snapshot of the brokers and of the tracked revisions.
 func (h *Hub) Status() distribution.Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.hub.Status(time.Now())
 }
 
-// Counts returns the reports so far.
+// Counts returns the counters of status reports.
 func (h *Hub) Counts() distribution.ReportCounts {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.hub.Counts()
 }
 
-// Lagging returns the names of the connected brokers that lack a revision for too long.
+// Lagging returns the names of the lagging brokers, as distribution.Hub.Lagging does.
 func (h *Hub) Lagging() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.hub.Lagging(time.Now())
 }
 
-// Follow serves one broker until its stream ends. Errors: RESOURCE_EXHAUSTED with too many sessions; UNAVAILABLE where
-// the session is silent or another one has taken its place.
-func (h *Hub) Follow(stream grpc.BidiStreamingServer[configpb.Report, configpb.Update]) error {
-	id, wake, err := h.openSession()
-	if err != nil {
-		return grpcError(err)
-	}
-	defer h.closeSession(id)
-	ended := make(chan error, 2) // one of each goroutine; both end with the stream, when this call returns
-	go func() { ended <- h.receive(stream, id, wake) }()
-	go func() { ended <- h.send(stream, id, wake) }()
-	check := time.NewTicker(checkInterval)
-	defer check.Stop()
-	for {
-		select {
-		case err := <-ended:
-			return grpcError(err)
-		case <-check.C:
-			if err := h.checkSession(id); err != nil {
-				return grpcError(err)
-			}
-		}
-	}
-}
-
-// receive takes reports until the stream ends.
-func (h *Hub) receive(
-	stream grpc.BidiStreamingServer[configpb.Report, configpb.Update], id distribution.SessionID, wake chan struct{},
-) error {
-	for {
-		report, err := stream.Recv()
-		if err != nil {
-			return err
-		}
-		if err := h.reportReceived(id, report); err != nil {
-			return err
-		}
-		notify(wake)
-	}
-}
-
-// send sends updates until the stream ends.
-func (h *Hub) send(
-	stream grpc.BidiStreamingServer[configpb.Report, configpb.Update], id distribution.SessionID, wake chan struct{},
-) error {
-	timer := time.NewTimer(0)
-	defer timer.Stop()
-	for {
-		select {
-		case <-stream.Context().Done():
-			return stream.Context().Err()
-		case <-wake:
-		case <-timer.C:
-		}
-		update, wakeAt, err := h.nextUpdate(id)
-		if err != nil {
-			return err
-		}
-		if update != nil {
-			if err := stream.Send(update); err != nil {
-				return err
-			}
-		}
-		timer.Reset(time.Until(wakeAt))
-	}
-}
-
+// openSession opens a session, and returns the channel that wakes its sender.
 func (h *Hub) openSession() (distribution.SessionID, chan struct{}, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -199,22 +136,10 @@
 	return h.hub.NextUpdate(time.Now(), id)
 }
 
+// notify wakes a sender. It does not block if the sender has a wakeup pending.
 func notify(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
-	default: // it is awake already
-	}
-}
-
-// grpcError returns what a broker is told.
-func grpcError(err error) error {
-	switch {
-	case errors.Is(err, distribution.ErrTooManySessions), errors.Is(err, distribution.ErrTooManyBrokers):
-		return status.Error(codes.ResourceExhausted, err.Error())
-	case errors.Is(err, distribution.ErrSessionTimeout),
-		errors.Is(err, distribution.ErrSuperseded),
-		errors.Is(err, distribution.ErrNoSession):
-		return status.Error(codes.Unavailable, err.Error())
+	default:
 	}
-	return err
 }
