--- a/internal/controlplane/configfollower/client_test.go
+++ b/internal/controlplane/configfollower/client_test.go
@@ -31,7 +31,7 @@
 	return s.hub.Follow(stream)
 }
 
-// startControlMachine serves at an address until the test ends or stop is called.
+// startControlMachine serves at an address until the test ends or grpc is stopped.
 func startControlMachine(t testing.TB, address string) *controlMachine {
 	listener, err := net.Listen("tcp", address)
 	require.NoError(t, err)
@@ -62,25 +62,24 @@
 	}
 }
 
-// hold has Apply wait while it is held.
-type hold struct{ sync.Mutex }
-
-// broker is a hollow broker: a client that notes what it applies.
+// broker is a client that records the revisions which it applies.
 type broker struct {
 	*configfollower.Client
-	mu         sync.Mutex
-	applied    []uint64
-	rejections map[uint64]*configpb.Refusal
-	applyLock  hold
+	applyLock  sync.Mutex                   // a test holds it to block apply
+	rejections map[uint64]*configpb.Refusal // by revision; the others are applied
+
+	mu      sync.Mutex // guards applied
+	applied []uint64   // numbers, in order
 }
 
+// apply is the client's Options.Apply.
 func (b *broker) apply(revision *configpb.Revision) *configpb.Refusal {
 	b.applyLock.Lock()
 	defer b.applyLock.Unlock()
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if refusal := b.rejections[revision.GetNumber()]; refusal != nil {
-		return refusal
+	if rejection := b.rejections[revision.GetNumber()]; rejection != nil {
+		return rejection
 	}
 	b.applied = append(b.applied, revision.GetNumber())
 	return nil
@@ -93,8 +92,8 @@
 }
 
 // startBroker runs the broker b1 until the test ends.
-func startBroker(t testing.TB, refuse map[uint64]*configpb.Refusal, addresses ...string) *broker {
-	b := &broker{rejections: refuse}
+func startBroker(t testing.TB, rejections map[uint64]*configpb.Refusal, addresses ...string) *broker {
+	b := &broker{rejections: rejections}
 	var machines []distribution.Machine
 	for _, address := range addresses {
 		machines = append(machines, distribution.Machine{Address: address})
@@ -128,8 +127,8 @@
 	t.Run("", func(t *testing.T) {
 		s := startControlMachine(t, "127.0.0.1:0")
 		require.NoError(t, s.hub.SetNewest(revisionOf(1, "one"), time.Now()))
-		refusal := &configpb.Refusal{Key: "settings.port", Reason: "needs a restart"}
-		b := startBroker(t, map[uint64]*configpb.Refusal{2: refusal}, s.address)
+		rejection := &configpb.Refusal{Key: "settings.port", Reason: "needs a restart"}
+		b := startBroker(t, map[uint64]*configpb.Refusal{2: rejection}, s.address)
 		require.Eventually(t, func() bool { return b.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
 		require.NoError(t, s.hub.SetNewest(revisionOf(2, "two"), time.Now()))
 		require.Eventually(t, func() bool { return b.Status().Rejection.GetNumber() == 2 }, 5*time.Second, 5*time.Millisecond)
@@ -217,7 +216,7 @@
 		require.NoError(t, s.hub.SetNewest(revisionOf(1, "one"), time.Now()))
 		old := startBroker(t, nil, s.address)
 		require.Eventually(t, func() bool { return old.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
-		time.Sleep(2 * time.Millisecond) // instances are told apart by the millisecond of their start
+		time.Sleep(2 * time.Millisecond) // instances differ by the millisecond of their start
 		restarted := startBroker(t, nil, s.address)
 		require.Eventually(t, func() bool { return restarted.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
 		require.Eventually(t, func() bool { return old.Status().Counts.StreamsEnded > 0 }, 8*time.Second, 5*time.Millisecond)
