--- a/internal/controlplane/configstatus/configstatus.go
+++ b/internal/controlplane/configstatus/configstatus.go
@@ -1,5 +1,7 @@
-// Package configstatus merges what several control machines tell of the log and of their brokers into one view for
-// operators, and writes it as a table. It does no I/O and takes the time as an argument.
+// Package configstatus merges the status of several control machines into one view of the replicated log and of the
+// brokers, and renders it as a table for operators. It does no I/O and takes the time as an argument.
+//
+// JSON keys and the table keep the operators' words: behind for lagging, cut off for disconnected, refused for rejected.
 package configstatus
 
 import (
@@ -11,67 +13,67 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// Answer is what one control machine said, or why it said nothing.
+// Answer is the outcome of a status request to one control machine.
 type Answer struct {
-	Address string
-	Status  *configpb.StatusResponse // nil: it did not answer
-	Err     error                    // why not
+	Address string                   // host:port
+	Status  *configpb.StatusResponse // nil: the request failed
+	Err     error                    // of a failed request
 }
 
-// View is the merged status.
+// View is the merged status of all control machines that answered.
 type View struct {
-	Leader       string      `json:"leader"` // "": no machine that answered knows one
-	Newest       uint64      `json:"newest"`
-	ConfirmedMs  int64       `json:"confirmed_ms"` // since a quorum last confirmed newest; -1: never
+	Leader       string      `json:"leader"`       // name; "": unknown to the machines that answered
+	Newest       uint64      `json:"newest"`       // highest number at any machine; 0: none
+	ConfirmedMs  int64       `json:"confirmed_ms"` // milliseconds since a quorum last confirmed the leader's newest revision; -1: never
 	Machines     []Machine   `json:"machines"`
-	Connected    int         `json:"connected"` // brokers
-	Lagging      []Broker    `json:"behind"`    // connected, and newest is not in force there
-	Disconnected []Broker    `json:"cut_off"`   // that follow none of the machines that answered
+	Connected    int         `json:"connected"` // number of brokers
+	Lagging      []Broker    `json:"behind"`    // connected, without Newest in force
+	Disconnected []Broker    `json:"cut_off"`   // connected to none of the machines that answered
 	Rejections   []Rejection `json:"refusals"`
 	Revisions    []Revision  `json:"revisions"` // newest first
 }
 
-// Machine is one control machine: a member of the log, or an address that was asked and did not answer.
+// Machine is one control machine: a member of the replicated log, or an address that did not answer.
 type Machine struct {
-	Name        string `json:"name"` // "": of an address that no member has
+	Name        string `json:"name"` // "": no member has this address
 	Address     string `json:"address"`
-	Role        string `json:"role"` // voter or spare
+	Role        string `json:"role"` // "voter", "spare"; "": unknown
 	Answered    bool   `json:"answered"`
 	Error       string `json:"error,omitempty"`
-	ReachableBy int    `json:"reachable_by"` // of the others that answered
-	Newest      uint64 `json:"newest"`       // of its answer
-	ConfirmedMs int64  `json:"confirmed_ms"` // of its answer; -1: never
-	Brokers     int    `json:"brokers"`      // that follow it
+	ReachableBy int    `json:"reachable_by"` // number of other machines that answered and reach it
+	Newest      uint64 `json:"newest"`       // of its answer; 0: none, or no answer
+	ConfirmedMs int64  `json:"confirmed_ms"` // of its answer, in milliseconds; -1: never, or no answer
+	Brokers     int    `json:"brokers"`      // number of brokers connected to it
 }
 
-// Broker is the last report of one broker.
+// Broker is the most recent status report of one broker.
 type Broker struct {
 	Name     string `json:"name"`
 	Zone     string `json:"zone"`
-	InForce  uint64 `json:"in_force"` // 0: the file of its start
-	SilentMs uint32 `json:"silent_ms"`
-	Control  string `json:"control"` // name of the machine that heard it last
+	InForce  uint64 `json:"in_force"`  // number; 0: the configuration file of its start
+	SilentMs uint32 `json:"silent_ms"` // milliseconds since the report; if disconnected, since the end of the session
+	Control  string `json:"control"`   // name of the machine that received the report
 }
 
-// Rejection is a revision that brokers refused, by the key at fault.
+// Rejection is a revision that brokers rejected for one key and reason.
 type Rejection struct {
 	Number  uint64   `json:"number"`
-	Key     string   `json:"key"`
+	Key     string   `json:"key"` // of the document
 	Reason  string   `json:"reason"`
-	Brokers []string `json:"brokers"`
+	Brokers []string `json:"brokers"` // names
 }
 
-// Revision tells when a revision was in force at all brokers that could be reached.
+// Revision is the propagation of one revision to the connected brokers.
 type Revision struct {
 	Number       uint64    `json:"number"`
 	PublishedAt  time.Time `json:"published"`
-	EverywhereAt time.Time `json:"everywhere,omitzero"` // zero: not yet
-	EverywhereMs int64     `json:"everywhere_ms"`       // after publication; -1: not yet
-	Brokers      uint32    `json:"brokers"`             // connected ones that have it
-	Lagging      uint32    `json:"lagging"`             // connected ones that have lacked it for too long
+	EverywhereAt time.Time `json:"everywhere,omitzero"` // when it was in force at all connected brokers; zero: not yet
+	EverywhereMs int64     `json:"everywhere_ms"`       // milliseconds from publication to EverywhereAt; -1: not yet
+	Brokers      uint32    `json:"brokers"`             // number of connected brokers that have it in force
+	Lagging      uint32    `json:"lagging"`             // number of connected brokers past distribution.PropagationDeadline
 }
 
-// Merge merges the answers. Of a broker that several machines know, the latest word counts.
+// Merge merges the answers. For a broker that several machines have a report of, the most recent one is used.
 func Merge(answers []Answer) View {
 	view := View{ConfirmedMs: -1}
 	statuses := answeredStatuses(answers)
@@ -90,6 +92,7 @@
 	return view
 }
 
+// answeredStatuses returns the statuses of the machines that answered.
 func answeredStatuses(answers []Answer) (statuses []*configpb.StatusResponse) {
 	for _, a := range answers {
 		if a.Status != nil {
@@ -99,7 +102,8 @@
 	return statuses
 }
 
-// mostRecentlyConfirmed is the status that a quorum confirmed last: it knows best who leads.
+// mostRecentlyConfirmed returns the status with the lowest confirmation age, whose leader is the most likely one; nil:
+// there is no status.
 func mostRecentlyConfirmed(statuses []*configpb.StatusResponse) (best *configpb.StatusResponse) {
 	for _, s := range statuses {
 		if best == nil || s.GetConfirmedMs() < best.GetConfirmedMs() {
@@ -109,6 +113,7 @@
 	return best
 }
 
+// confirmationAge returns the milliseconds since a quorum confirmed a machine's newest revision; -1: none has.
 func confirmationAge(s *configpb.StatusResponse) int64 {
 	if s.GetConfirmedMs() == distribution.NeverConfirmed {
 		return -1
@@ -116,13 +121,13 @@
 	return int64(s.GetConfirmedMs())
 }
 
-// reportedBroker is a broker as the machine with the latest word on it knows it.
+// reportedBroker is a broker with the name of the machine that reported it.
 type reportedBroker struct {
 	*configpb.Broker
 	machine string
 }
 
-// mergeBrokers returns every broker once, in the order of their names.
+// mergeBrokers returns the most recent report of each broker, sorted by name.
 func mergeBrokers(statuses []*configpb.StatusResponse) []reportedBroker {
 	byName := map[string]reportedBroker{}
 	for _, s := range statuses {
@@ -143,8 +148,8 @@
 	return list
 }
 
-// moreRecent tells whether a is the later word on a broker than b: of a later start of it, else of a stream that is open,
-// else of the one that was heard last.
+// moreRecent reports whether a is more recent than b, for one broker: a later start of the broker comes first, then an
+// open session, then the shorter silence.
 func moreRecent(a, b *configpb.Broker) bool {
 	if a, b := a.GetReport().GetStartedUnixMs(), b.GetReport().GetStartedUnixMs(); a != b {
 		return a > b
@@ -155,11 +160,16 @@
 	return a.GetSilentMs() < b.GetSilentMs()
 }
 
-// addBroker books one broker.
+// addBroker adds one broker to the lists and counts.
 func (v *View) addBroker(b reportedBroker) {
 	report := b.GetReport()
-	row := Broker{Name: report.GetName(), Zone: report.GetZone(), InForce: report.GetInForce(), SilentMs: b.GetSilentMs(),
-		Control: b.machine}
+	row := Broker{
+		Name:     report.GetName(),
+		Zone:     report.GetZone(),
+		InForce:  report.GetInForce(),
+		SilentMs: b.GetSilentMs(),
+		Control:  b.machine,
+	}
 	switch {
 	case !b.GetConnected():
 		v.Disconnected = append(v.Disconnected, row)
@@ -170,16 +180,24 @@
 		v.Connected++
 	}
 	rejection := report.GetRefusal()
-	if rejection == nil || rejection.GetNumber() <= report.GetInForce() {
-		return
+	if rejection != nil && rejection.GetNumber() > report.GetInForce() {
+		v.addRejection(rejection, row.Name)
 	}
+}
+
+// addRejection adds a broker to the rejection with the same revision, key and reason, or a new one.
+func (v *View) addRejection(rejection *configpb.Refusal, broker string) {
 	for i := range v.Rejections {
 		r := &v.Rejections[i]
 		if r.Number == rejection.GetNumber() && r.Key == rejection.GetKey() && r.Reason == rejection.GetReason() {
-			r.Brokers = append(r.Brokers, row.Name)
+			r.Brokers = append(r.Brokers, broker)
 			return
 		}
 	}
-	v.Rejections = append(v.Rejections, Rejection{Number: rejection.GetNumber(), Key: rejection.GetKey(),
-		Reason: rejection.GetReason(), Brokers: []string{row.Name}})
+	v.Rejections = append(v.Rejections, Rejection{
+		Number:  rejection.GetNumber(),
+		Key:     rejection.GetKey(),
+		Reason:  rejection.GetReason(),
+		Brokers: []string{broker},
+	})
 }
--- a/internal/controlplane/configstatus/configstatus_test.go
+++ b/internal/controlplane/configstatus/configstatus_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// answers are of a and b; c is cut off and d was not asked.
+// answers returns the answers of a and b; c does not answer and d was not asked.
 func answers() []configstatus.Answer {
 	rejecting := broker("n3", 6, true, 300)
 	rejecting.Report.Refusal = &configpb.Refusal{Number: 7, Key: "settings.classes", Reason: "needs a restart"}
--- a/internal/controlplane/configstatus/machines.go
+++ b/internal/controlplane/configstatus/machines.go
@@ -7,8 +7,8 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// mergeMachines returns the members that any answer names, by name, and then the addresses that did not answer and that no
-// member has. Of what the answers say of one member, the word of the freshest one counts.
+// mergeMachines returns the members of all answers, sorted by name, and then the addresses that did not answer and that
+// no member has. If the answers differ on a member, the one with the lowest confirmation age is used.
 func mergeMachines(answers []Answer) []Machine {
 	statuses := answeredStatuses(answers)
 	slices.SortStableFunc(statuses, func(a, b *configpb.StatusResponse) int {
@@ -50,6 +50,7 @@
 	return list
 }
 
+// role returns a member's role in the replicated log.
 func role(m *configpb.Member) string {
 	if m.GetVoter() {
 		return "voter"
@@ -57,7 +58,7 @@
 	return "spare"
 }
 
-// addAnswer books a machine's own answer.
+// addAnswer adds a machine's own answer.
 func (m *Machine) addAnswer(a Answer) {
 	if a.Status == nil {
 		if !m.Answered && a.Err != nil {
@@ -70,6 +71,7 @@
 	m.Brokers = countConnected(a.Status)
 }
 
+// countConnected returns the number of brokers connected to a machine.
 func countConnected(s *configpb.StatusResponse) (count int) {
 	for _, b := range s.GetBrokers() {
 		if b.GetConnected() {
--- a/internal/controlplane/configstatus/revisions.go
+++ b/internal/controlplane/configstatus/revisions.go
@@ -8,8 +8,7 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// mergeRevisions merges when each revision was in force everywhere: once all machines that have brokers say so, at the
-// latest time that any of them says.
+// mergeRevisions returns the propagation of each tracked revision over all machines, newest first.
 func mergeRevisions(statuses []*configpb.StatusResponse) []Revision {
 	byNumber := map[uint64]*Revision{}
 	for _, s := range statuses {
@@ -28,7 +27,7 @@
 		r.EverywhereMs = -1
 		if at, ok := inForceEverywhereAt(statuses, r.Number); ok {
 			r.EverywhereAt = at
-			r.EverywhereMs = max(at.Sub(r.PublishedAt).Milliseconds(), 0) // clocks differ
+			r.EverywhereMs = max(at.Sub(r.PublishedAt).Milliseconds(), 0) // the machines' clocks differ
 		}
 		list = append(list, *r)
 	}
@@ -36,8 +35,8 @@
 	return list
 }
 
-// inForceEverywhereAt returns when the last machine saw a revision in force at all its brokers. A machine without brokers has
-// no say; one that has brokers and lacks the revision says no.
+// inForceEverywhereAt returns when a revision was in force at all brokers of the last machine, and false if it is not
+// yet. A machine without brokers is ignored; one that has brokers and not the revision counts as not yet.
 func inForceEverywhereAt(statuses []*configpb.StatusResponse, number uint64) (at time.Time, ok bool) {
 	for _, s := range statuses {
 		i := slices.IndexFunc(s.GetInForce(), func(x *configpb.InForce) bool { return x.GetNumber() == number })
@@ -59,7 +58,7 @@
 	return at, ok
 }
 
-// droppedByTracking tells whether a machine no longer books a revision: it has later ones only.
+// droppedByTracking reports whether a machine no longer tracks a revision, but only later ones.
 func droppedByTracking(s *configpb.StatusResponse, number uint64) bool {
 	tracked := s.GetInForce()
 	return len(tracked) > 0 && number < tracked[len(tracked)-1].GetNumber()
--- a/internal/controlplane/configstatus/table.go
+++ b/internal/controlplane/configstatus/table.go
@@ -8,17 +8,15 @@
 	"time"
 )
 
-// maxListedNames is how many names a line of the table lists; the JSON form has all.
+// maxListedNames is the largest number of names in a line of the table; the JSON form has all.
 const maxListedNames = 10
 
-// Write writes the view as text, with at most so many revisions. Ages are as of now.
+// Write writes the view as a table, with the newest maxRevisions revisions at most. Ages are relative to now. Errors:
+// those of out.
 func (v View) Write(out io.Writer, now time.Time, maxRevisions int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	leader := v.Leader
-	if leader == "" {
-		leader = "none known"
-	}
-	fmt.Fprintf(w, "newest revision %d, leader %s, confirmed by a quorum %s\n\n", v.Newest, leader, formatAge(v.ConfirmedMs))
+	fmt.Fprintf(w, "newest revision %d, leader %s, confirmed by a quorum %s\n\n",
+		v.Newest, orDefault(v.Leader, "none known"), formatAge(v.ConfirmedMs))
 	v.writeMachines(w)
 	v.writeRevisions(w, now, maxRevisions)
 	v.writeBrokers(w)
@@ -28,17 +26,19 @@
 func (v View) writeMachines(w io.Writer) {
 	fmt.Fprintln(w, "MACHINE\tADDRESS\tROLE\tNEWEST\tCONFIRMED\tBROKERS\tREACHED BY\tSTATE")
 	for _, m := range v.Machines {
-		name, role, state := orDefault(m.Name, "?"), orDefault(m.Role, "?"), "answers"
+		name := orDefault(m.Name, "?")
+		role := orDefault(m.Role, "?")
 		if !m.Answered {
-			state = "no answer: " + orDefault(m.Error, "not asked")
+			state := "no answer: " + orDefault(m.Error, "not asked")
 			fmt.Fprintf(w, "%s\t%s\t%s\t-\t-\t-\t%d\t%s\n", name, m.Address, role, m.ReachableBy, state)
 			continue
 		}
+		state := "answers"
 		if m.Newest < v.Newest {
 			state = fmt.Sprintf("%d behind", v.Newest-m.Newest)
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%s\n", name, m.Address, role, m.Newest, formatAge(m.ConfirmedMs), m.Brokers,
-			m.ReachableBy, state)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%d\t%s\n",
+			name, m.Address, role, m.Newest, formatAge(m.ConfirmedMs), m.Brokers, m.ReachableBy, state)
 	}
 }
 
@@ -71,6 +71,7 @@
 	}
 }
 
+// formatBrokers returns the brokers' names and revisions, as joinNames does.
 func formatBrokers(brokers []Broker) string {
 	list := make([]string, len(brokers))
 	for i, b := range brokers {
@@ -79,6 +80,7 @@
 	return joinNames(list)
 }
 
+// joinNames returns the first maxListedNames names and the number of the others.
 func joinNames(list []string) string {
 	if len(list) <= maxListedNames {
 		return strings.Join(list, ", ")
@@ -86,6 +88,7 @@
 	return fmt.Sprintf("%s and %d more", strings.Join(list[:maxListedNames], ", "), len(list)-maxListedNames)
 }
 
+// formatAge returns an age in seconds; "never" for a negative one.
 func formatAge(milliseconds int64) string {
 	if milliseconds < 0 {
 		return "never"
@@ -93,6 +96,7 @@
 	return fmt.Sprintf("%.1f s ago", float64(milliseconds)/1e3)
 }
 
+// orDefault returns s, or a default if s is empty.
 func orDefault(s, otherwise string) string {
 	if s == "" {
 		return otherwise
