--- /dev/null
+++ b/internal/controlplane/configfollower/statuslog.go
@@ -0,0 +1,116 @@
+package configfollower
+
+import (
+	"log/slog"
+	"time"
+
+	"mothrouter/internal/controlplane/distribution"
+)
+
+const (
+	// startupGrace is how long a broker may be without a confirmation after its start before this is logged.
+	startupGrace = 5 * time.Second
+	// stalenessThreshold is the staleness above which the configuration is logged as stale.
+	stalenessThreshold = 15 * time.Second
+	// staleLogInterval is the interval at which a configuration that stays stale or unconfirmed is logged again.
+	staleLogInterval = 5 * time.Minute
+	// dropLogInterval is the shortest interval between two log lines on dropped updates.
+	dropLogInterval = 10 * time.Second
+)
+
+// statusLogger logs the changes from one status of the follower to the next.
+type statusLogger struct {
+	log           *slog.Logger
+	startedAt     time.Time
+	previous      distribution.FollowerStatus
+	loggedCounts  distribution.UpdateCounts // at dropLoggedAt
+	dropLoggedAt  time.Time                 // last log line on dropped updates; zero: none
+	staleLoggedAt time.Time                 // last log line on a stale configuration; zero: none since it was confirmed
+}
+
+func newStatusLogger(log *slog.Logger, now time.Time) *statusLogger {
+	return &statusLogger{log: log, startedAt: now}
+}
+
+// logStatus logs the changes since the previous status.
+func (l *statusLogger) logStatus(now time.Time, status distribution.FollowerStatus) {
+	l.logConnection(status)
+	l.logRevision(status)
+	l.logDropped(now, status)
+	l.logStale(now, status)
+	l.previous = status
+}
+
+// logConnection logs that a control machine is followed, or that none is any more.
+func (l *statusLogger) logConnection(status distribution.FollowerStatus) {
+	connected := !status.LastUpdateAt.IsZero()
+	wasConnected := !l.previous.LastUpdateAt.IsZero()
+	switch {
+	case connected && (!wasConnected || status.Control != l.previous.Control):
+		l.log.Info("connected to a control machine", "control", status.Control, "newest", status.Newest)
+	case wasConnected && !connected:
+		l.log.Info("disconnected from a control machine", "control", l.previous.Control, "in_force", status.InForce)
+	}
+}
+
+// logRevision logs a revision that is in force or rejected now.
+func (l *statusLogger) logRevision(status distribution.FollowerStatus) {
+	if status.InForce != l.previous.InForce {
+		l.log.Info("revision in force", "number", status.InForce, "before", l.previous.InForce)
+	}
+	rejection := status.Rejection
+	if rejection != nil && rejection.GetNumber() != l.previous.Rejection.GetNumber() {
+		l.log.Error("revision rejected", "number", rejection.GetNumber(), "key", rejection.GetKey(),
+			"reason", rejection.GetReason(), "in_force", status.InForce)
+	}
+}
+
+// logDropped logs the updates dropped since the last log line, at most once in dropLogInterval.
+func (l *statusLogger) logDropped(now time.Time, status distribution.FollowerStatus) {
+	if now.Sub(l.dropLoggedAt) < dropLogInterval {
+		return
+	}
+	counts := status.Counts
+	conflicts := counts.Conflicts - l.loggedCounts.Conflicts
+	malformed := counts.Malformed - l.loggedCounts.Malformed
+	oversized := counts.Oversized - l.loggedCounts.Oversized
+	corrupt := counts.Corrupt - l.loggedCounts.Corrupt
+	invalid := malformed + oversized + corrupt
+	if conflicts > 0 {
+		l.log.Error("revision content conflicts with the one in hand", "control", status.Control, "updates", conflicts)
+	}
+	if invalid > 0 {
+		l.log.Warn("updates dropped", "malformed", malformed, "oversized", oversized, "torn", corrupt,
+			"control", status.Control)
+	}
+	if conflicts > 0 || invalid > 0 {
+		l.loggedCounts = counts
+		l.dropLoggedAt = now
+	}
+}
+
+// logStale logs that the configuration is stale or unconfirmed, again every staleLogInterval, and that it is confirmed
+// again.
+func (l *statusLogger) logStale(now time.Time, status distribution.FollowerStatus) {
+	stale := status.Staleness > stalenessThreshold
+	if !status.StalenessKnown {
+		stale = now.Sub(l.startedAt) > startupGrace
+	}
+	if !stale {
+		if !l.staleLoggedAt.IsZero() {
+			l.staleLoggedAt = time.Time{}
+			l.log.Info("configuration confirmed again", "in_force", status.InForce, "newest", status.Newest)
+		}
+		return
+	}
+	if now.Sub(l.staleLoggedAt) < staleLogInterval {
+		return
+	}
+	l.staleLoggedAt = now
+	if !status.StalenessKnown {
+		l.log.Warn("configuration unconfirmed, serving by the file of the start")
+		return
+	}
+	l.log.Warn("configuration may be stale", "behind", status.Staleness.Round(time.Second),
+		"in_force", status.InForce, "control", status.Control)
+}
--- a/internal/controlplane/configfollower/stream.go
+++ b/internal/controlplane/configfollower/stream.go
@@ -13,33 +13,38 @@
 )
 
 const (
-	window   = 64 << 10 // bytes unread on the stream; so set, gRPC does not widen it
-	ioBuffer = 4 << 10  // bytes of the connection's buffers, each way
+	// flowControlWindow is the HTTP/2 window of the stream and of its connection, in bytes: one document. gRPC does not
+	// enlarge a window that is set.
+	flowControlWindow = 64 << 10
+	// connectionBuffer is the size of the connection's read buffer and of its write buffer, in bytes.
+	connectionBuffer = 4 << 10
+	// noReconnect is a backoff of gRPC that no connection lives to see: the follower opens a new one before.
+	noReconnect = time.Minute
 )
 
-// stream is one Follow call on a connection of its own. The follower gives it up when it is silent for too long, so no
-// keepalive is needed.
+// stream is one Follow call on a connection of its own. It needs no keepalive: the follower closes it when its updates
+// time out.
 type stream struct {
-	distribution.Open
+	distribution.StreamTarget
 	ctx     context.Context
 	cancel  context.CancelFunc
-	reports chan *configpb.Report // of capacity 1: the latest
+	reports chan *configpb.Report // of capacity 1: the latest report that is not sent yet
 }
 
-func newStream(ctx context.Context, open distribution.Open) *stream {
-	s := &stream{Open: open, reports: make(chan *configpb.Report, 1)}
+func newStream(ctx context.Context, target distribution.StreamTarget) *stream {
+	s := &stream{StreamTarget: target, reports: make(chan *configpb.Report, 1)}
 	s.ctx, s.cancel = context.WithCancel(ctx)
 	return s
 }
 
-// close ends a stream. It may be nil, or closed already.
+// close closes a stream. It has no effect on one that is nil or closed.
 func (s *stream) close() {
 	if s != nil {
 		s.cancel()
 	}
 }
 
-// sendReport has a report sent, in place of one that still waits. One goroutine calls it.
+// sendReport queues a report, replacing one that is not sent yet. It must not be called concurrently.
 func (s *stream) sendReport(report *configpb.Report) {
 	select {
 	case <-s.reports:
@@ -48,17 +53,17 @@
 	s.reports <- report
 }
 
-// follow runs a stream until it ends, and tells the follower so unless ctx has ended.
-func (c *Client) follow(ctx context.Context, s *stream) {
+// runStream runs a stream until it ends, and posts its end unless ctx has ended.
+func (c *Client) runStream(ctx context.Context, s *stream) {
 	defer s.cancel()
 	err := c.receive(s)
 	if s.ctx.Err() == nil {
-		c.opt.Log.Debug("the stream of the configuration has ended", "control", s.Address, "error", err)
+		c.options.Log.Debug("the stream of the configuration has ended", "control", s.Address, "error", err)
 	}
-	c.logStatus(ctx, func(now time.Time, f *distribution.Follower) { f.Ended(now, s.Stream) })
+	c.post(ctx, func(now time.Time, f *distribution.Follower) { f.StreamEnded(now, s.Stream) })
 }
 
-// receive connects, has reports sent and takes updates.
+// receive connects, starts the sender of reports, and posts updates until the stream ends.
 func (c *Client) receive(s *stream) error {
 	conn, err := dial(s.Address)
 	if err != nil {
@@ -69,13 +74,13 @@
 	if err != nil {
 		return err
 	}
-	sent := make(chan struct{})
+	senderDone := make(chan struct{})
 	defer func() {
 		s.cancel()
-		<-sent
+		<-senderDone
 	}()
 	go func() {
-		defer close(sent)
+		defer close(senderDone)
 		send(s, call)
 	}()
 	for {
@@ -83,7 +88,7 @@
 		if err != nil {
 			return err
 		}
-		c.logStatus(s.ctx, func(now time.Time, f *distribution.Follower) { f.Receive(now, s.Stream, update) })
+		c.post(s.ctx, func(now time.Time, f *distribution.Follower) { f.UpdateReceived(now, s.Stream, update) })
 	}
 }
 
@@ -95,23 +100,26 @@
 			return
 		case report := <-s.reports:
 			if call.Send(report) != nil {
-				return // Recv returns why
+				return // Recv returns the error
 			}
 		}
 	}
 }
 
+// dial returns a connection that neither retries calls nor reconnects: the follower decides when to connect.
 func dial(address string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		// When to connect again is the follower's to decide.
-		grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(),
+		grpc.WithDisableRetry(),
+		grpc.WithDisableServiceConfig(),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: time.Minute, Multiplier: 1, MaxDelay: time.Minute},
-			MinConnectTimeout: distribution.ConnectLimit,
+			Backoff:           backoff.Config{BaseDelay: noReconnect, Multiplier: 1, MaxDelay: noReconnect},
+			MinConnectTimeout: distribution.ConnectTimeout,
 		}),
-		grpc.WithInitialWindowSize(window), grpc.WithInitialConnWindowSize(window),
-		grpc.WithReadBufferSize(ioBuffer), grpc.WithWriteBufferSize(ioBuffer),
+		grpc.WithInitialWindowSize(flowControlWindow),
+		grpc.WithInitialConnWindowSize(flowControlWindow),
+		grpc.WithReadBufferSize(connectionBuffer),
+		grpc.WithWriteBufferSize(connectionBuffer),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(distribution.MaxMessage)),
 	)
 }
--- a/internal/controlplane/configstatus/machines.go
+++ b/internal/controlplane/configstatus/machines.go
@@ -7,10 +7,10 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// machines returns the members that any answer names, by name, and then the addresses that did not answer and that no
-// member has. Of what the answers say of one member, the word of the freshest one counts.
-func machines(answers []Answer) []Machine {
-	statuses := answered(answers)
+// mergeMachines returns the members of all answers, sorted by name, and then the addresses that did not answer and that
+// no member has. If the answers differ on a member, the one with the lowest confirmation age is used.
+func mergeMachines(answers []Answer) []Machine {
+	statuses := answeredStatuses(answers)
 	slices.SortStableFunc(statuses, func(a, b *configpb.StatusResponse) int {
 		return cmp.Compare(a.GetConfirmedMs(), b.GetConfirmedMs())
 	})
@@ -45,11 +45,12 @@
 			list = append(list, Machine{Name: a.Status.GetName(), Address: a.Address, ConfirmedMs: -1})
 			row = &list[len(list)-1]
 		}
-		row.take(a)
+		row.addAnswer(a)
 	}
 	return list
 }
 
+// role returns a member's role in the replicated log.
 func role(m *configpb.Member) string {
 	if m.GetVoter() {
 		return "voter"
@@ -57,8 +58,8 @@
 	return "spare"
 }
 
-// take books a machine's own answer.
-func (m *Machine) take(a Answer) {
+// addAnswer adds a machine's own answer.
+func (m *Machine) addAnswer(a Answer) {
 	if a.Status == nil {
 		if !m.Answered && a.Err != nil {
 			m.Error = a.Err.Error()
@@ -66,11 +67,12 @@
 		return
 	}
 	m.Answered, m.Error = true, ""
-	m.Newest, m.ConfirmedMs = a.Status.GetNewest(), confirmed(a.Status)
-	m.Brokers = connected(a.Status)
+	m.Newest, m.ConfirmedMs = a.Status.GetNewest(), confirmationAge(a.Status)
+	m.Brokers = countConnected(a.Status)
 }
 
-func connected(s *configpb.StatusResponse) (count int) {
+// countConnected returns the number of brokers connected to a machine.
+func countConnected(s *configpb.StatusResponse) (count int) {
 	for _, b := range s.GetBrokers() {
 		if b.GetConnected() {
 			count++
--- a/internal/controlplane/distribution/fuzz_test.go
+++ b/internal/controlplane/distribution/fuzz_test.go
@@ -11,10 +11,13 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// bytesReader hands out a fuzz input piece by piece; zeros once it is over.
-type bytesReader struct{ data []byte }
+// maxFuzzEvents bounds the events of one input.
+const maxFuzzEvents = 300
 
-func (r *bytesReader) byte() byte {
+// fuzzInput reads a fuzz input piece by piece, and zeros after its end.
+type fuzzInput struct{ data []byte }
+
+func (r *fuzzInput) byte() byte {
 	if len(r.data) == 0 {
 		return 0
 	}
@@ -23,19 +26,19 @@
 	return b
 }
 
-func (r *bytesReader) number() uint64 {
+func (r *fuzzInput) number() uint64 {
 	if b := r.byte(); b < 250 {
 		return uint64(b % 8)
 	}
-	var wide [8]byte
-	for i := range wide {
-		wide[i] = r.byte()
+	var word [8]byte
+	for i := range word {
+		word[i] = r.byte()
 	}
-	return binary.LittleEndian.Uint64(wide[:])
+	return binary.LittleEndian.Uint64(word[:])
 }
 
-// fuzzedUpdate returns an update that is often well-formed and often almost so.
-func fuzzedUpdate(r *bytesReader, sequence uint64) *configpb.Update {
+// fuzzedUpdate returns an update that is often valid and often almost valid.
+func fuzzedUpdate(r *fuzzInput, sequence uint64) *configpb.Update {
 	kind := r.byte()
 	if kind == 255 {
 		return nil
@@ -65,16 +68,16 @@
 	return update
 }
 
-// slowFollower is the oracle: it keeps every revision that was ever acceptable in a list and looks through all of it.
-type slowFollower struct {
+// followerOracle is a plain model of a Follower's revisions: it keeps every acceptable one in a list.
+type followerOracle struct {
 	accepted []*configpb.Revision
-	handed   []uint64
-	busy     bool
+	applied  []uint64
+	applying bool
 	inForce  uint64
-	refused  uint64
+	rejected uint64
 }
 
-func (o *slowFollower) receive(update *configpb.Update, sequence uint64, present bool) {
+func (o *followerOracle) receive(update *configpb.Update, sequence uint64, present bool) {
 	if !present || update == nil || update.Revision == nil {
 		return
 	}
@@ -99,19 +102,19 @@
 	o.accepted = append(o.accepted, revision)
 }
 
-// handOut returns the number that is to be applied next; 0: none.
-func (o *slowFollower) handOut() uint64 {
-	if o.busy || len(o.accepted) == 0 {
+// startNext returns the number of the next revision to apply; 0: none.
+func (o *followerOracle) startNext() uint64 {
+	if o.applying || len(o.accepted) == 0 {
 		return 0
 	}
 	newest := o.accepted[len(o.accepted)-1].Number
-	for _, old := range o.handed {
+	for _, old := range o.applied {
 		if old == newest {
 			return 0
 		}
 	}
-	o.handed = append(o.handed, newest)
-	o.busy = true
+	o.applied = append(o.applied, newest)
+	o.applying = true
 	return newest
 }
 
@@ -122,75 +125,107 @@
 	f.Add([]byte{0, 255, 0, 3, 3, 0, 1, 0, 1, 1, 9, 1, 3, 4, 5, 6})
 	f.Add([]byte{0, 2, 5, 0, 0, 0, 6, 0, 6, 5, 0, 0, 1, 3, 0, 2, 4, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, oracle := &bytesReader{data}, &slowFollower{}
 		follower, stream, now := newFollower(t, 3)
-		sequence, applying := uint64(1), uint64(0)
-		for steps := 0; len(r.data) > 0 && steps < 300; steps++ {
-			switch r.byte() % 8 {
-			case 0, 1, 2:
-				update := fuzzedUpdate(r, sequence)
-				follower.Receive(now, stream, update)
-				oracle.receive(update, sequence, stream != 0)
-			case 3:
-				update := fuzzedUpdate(r, sequence)
-				follower.Receive(now, stream+1, update) // of another stream
-			case 4:
-				now = now.Add(time.Duration(r.byte()) * 20 * time.Millisecond)
-				follower.Tick(now)
-			case 5:
-				if applying != 0 {
-					follower.Applied(now, applying)
-					oracle.inForce, oracle.busy, applying = applying, false, 0
-				}
-			case 6:
-				if applying != 0 {
-					follower.RevisionRejected(now, applying, "key", string(r.byte()))
-					oracle.refused, oracle.busy, applying = applying, false, 0
-				}
-			case 7:
-				follower.Ended(now, stream)
-			}
-			ready := follower.Ready(now)
-			if ready.Open != nil {
-				sequence = 0
-			}
-			if ready.Report != nil {
-				sequence++
-				require.Equal(t, sequence, ready.Report.GetSequence())
-				require.Equal(t, oracle.inForce, ready.Report.GetInForce())
-			}
-			stream = ready.Stream
-			want := oracle.handOut()
-			require.Equal(t, want, ready.Apply.GetNumber())
-			if want != 0 {
-				applying = want
-			}
-			status := follower.Status(now)
-			require.Equal(t, oracle.inForce, status.InForce)
-			if oracle.refused > oracle.inForce {
-				require.Equal(t, oracle.refused, status.Rejection.GetNumber())
-			} else {
-				require.Nil(t, status.Rejection)
-			}
-			require.GreaterOrEqual(t, status.Staleness, time.Duration(0))
-			require.Less(t, follower.Wake().Sub(now), 11*time.Second)
+		z := &followerFuzz{
+			input:    &fuzzInput{data},
+			oracle:   &followerOracle{},
+			follower: follower,
+			stream:   stream,
+			now:      now,
+			sequence: 1,
+		}
+		for events := 0; len(z.input.data) > 0 && events < maxFuzzEvents; events++ {
+			z.playEvent()
+			z.requireReady(t)
+			z.requireStatus(t)
 		}
 	})
 }
 
-// FuzzHubReport feeds a hub reports of a few brokers over a few sessions, and compares its book with an oracle that
-// counts over all brokers anew.
+// followerFuzz is one run of FuzzFollowerReceive.
+type followerFuzz struct {
+	input    *fuzzInput
+	oracle   *followerOracle
+	follower *distribution.Follower
+	stream   distribution.StreamID // 0: none
+	now      time.Time
+	sequence uint64 // of the last report on the stream
+	applying uint64 // number of the revision that is being applied; 0: none
+}
+
+// playEvent passes the next event of the input to the follower and to the oracle.
+func (z *followerFuzz) playEvent() {
+	switch z.input.byte() % 8 {
+	case 0, 1, 2:
+		update := fuzzedUpdate(z.input, z.sequence)
+		z.follower.UpdateReceived(z.now, z.stream, update)
+		z.oracle.receive(update, z.sequence, z.stream != 0)
+	case 3:
+		update := fuzzedUpdate(z.input, z.sequence)
+		z.follower.UpdateReceived(z.now, z.stream+1, update) // of another stream
+	case 4:
+		z.now = z.now.Add(time.Duration(z.input.byte()) * 20 * time.Millisecond)
+		z.follower.Tick(z.now)
+	case 5:
+		if z.applying != 0 {
+			z.follower.RevisionApplied(z.now, z.applying)
+			z.oracle.inForce, z.oracle.applying, z.applying = z.applying, false, 0
+		}
+	case 6:
+		if z.applying != 0 {
+			z.follower.RevisionRejected(z.now, z.applying, "key", string(z.input.byte()))
+			z.oracle.rejected, z.oracle.applying, z.applying = z.applying, false, 0
+		}
+	case 7:
+		z.follower.StreamEnded(z.now, z.stream)
+	}
+}
+
+// requireReady compares the work for the driver with the oracle, and takes it up.
+func (z *followerFuzz) requireReady(t *testing.T) {
+	ready := z.follower.Ready(z.now)
+	if ready.Open != nil {
+		z.sequence = 0
+	}
+	if ready.Report != nil {
+		z.sequence++
+		require.Equal(t, z.sequence, ready.Report.GetSequence())
+		require.Equal(t, z.oracle.inForce, ready.Report.GetInForce())
+	}
+	z.stream = ready.Stream
+	want := z.oracle.startNext()
+	require.Equal(t, want, ready.Apply.GetNumber())
+	if want != 0 {
+		z.applying = want
+	}
+}
+
+// requireStatus compares the follower's status with the oracle, and checks the bounds of its times.
+func (z *followerFuzz) requireStatus(t *testing.T) {
+	status := z.follower.Status(z.now)
+	require.Equal(t, z.oracle.inForce, status.InForce)
+	if z.oracle.rejected > z.oracle.inForce {
+		require.Equal(t, z.oracle.rejected, status.Rejection.GetNumber())
+	} else {
+		require.Nil(t, status.Rejection)
+	}
+	require.GreaterOrEqual(t, status.Staleness, time.Duration(0))
+	require.Less(t, z.follower.NextTick().Sub(z.now), 11*time.Second)
+}
+
+// FuzzHubReport feeds a hub reports of a few brokers over a few sessions, and compares the propagation of its revisions
+// with counts over all brokers.
 func FuzzHubReport(f *testing.F) {
 	f.Add([]byte{0, 1, 0, 0, 1, 1, 1, 1, 0, 1, 1, 1, 2, 1, 2, 0})
 	f.Add([]byte{0, 0, 1, 0, 1, 1, 1, 1, 1, 1, 1, 2, 1, 2, 2, 0, 3, 0, 4, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, h, now := &bytesReader{data}, distribution.NewHub(), epoch
+		r, h, now := &fuzzInput{data}, distribution.NewHub(), epoch
 		newest := uint64(0)
 		var sessions []distribution.SessionID
-		for steps := 0; len(r.data) > 0 && steps < 300; steps++ {
+		for events := 0; len(r.data) > 0 && events < maxFuzzEvents; events++ {
 			switch r.byte() % 5 {
 			case 0:
-				if id, err := h.Open(now); err == nil {
+				if id, err := h.OpenSession(now); err == nil {
 					sessions = append(sessions, id)
 				}
 			case 1:
@@ -200,7 +235,7 @@
 					before := h.Counts()
 					err := h.ReportReceived(now, id, report)
 					after := h.Counts()
-					dropped := after.Malformed + after.Foreign + after.Older - before.Malformed - before.Foreign - before.Older
+					dropped := after.Malformed + after.WrongInstance + after.OutOfOrder - before.Malformed - before.WrongInstance - before.OutOfOrder
 					if err == nil {
 						require.EqualValues(t, 1, after.Accepted-before.Accepted+dropped)
 					}
@@ -208,26 +243,26 @@
 				}
 			case 2:
 				newest += uint64(r.byte()%3) + 1
-				require.NoError(t, h.Newest(now, revisionOf(newest)))
+				require.NoError(t, h.SetNewest(now, revisionOf(newest)))
 			case 3:
 				if len(sessions) > 0 {
-					h.Close(now, sessions[int(r.byte())%len(sessions)])
+					h.CloseSession(now, sessions[int(r.byte())%len(sessions)])
 				}
 			case 4:
 				now = now.Add(time.Duration(r.byte()) * 100 * time.Millisecond)
 				for _, id := range sessions {
-					update, _, err := h.Next(now, id)
+					update, _, err := h.NextUpdate(now, id)
 					if err == nil && update.GetRevision() != nil {
 						require.Equal(t, newest, update.GetRevision().GetNumber())
 					}
 				}
 			}
-			requireBook(t, h.Status(now))
+			requirePropagation(t, h.Status(now))
 		}
 	})
 }
 
-func fuzzedReport(r *bytesReader) *configpb.Report {
+func fuzzedReport(r *fuzzInput) *configpb.Report {
 	report := &configpb.Report{
 		Name:          string(rune('a' + r.byte()%3)),
 		StartedUnixMs: int64(r.number()),
@@ -245,8 +280,8 @@
 	return report
 }
 
-// requireBook counts each booked revision's brokers anew.
-func requireBook(t *testing.T, status distribution.Status) {
+// requirePropagation compares each tracked revision's counts with the brokers' reports.
+func requirePropagation(t *testing.T, status distribution.Status) {
 	for i, x := range status.InForce {
 		have, connected := 0, 0
 		for _, broker := range status.Brokers {
--- a/internal/controlplane/distribution/simulation_test.go
+++ b/internal/controlplane/distribution/simulation_test.go
@@ -15,91 +15,91 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// The simulation plays brokers and four control machines in virtual time, with streams like TCP's between them: in
-// order, held up by a cut until it heals or an end gives up, and blocked when nobody reads.
+// The simulation runs brokers and four control machines in virtual time. Its streams behave like TCP connections: in
+// order, delayed by a network partition until it heals or one end closes, and blocked while the receiver does not read.
 const (
 	regions = 3
 	zones   = 10
 	hubs    = 4
 
-	streamWindow     = 4 // updates that a hub may have on its way on one stream
-	retransmit       = 200 * time.Millisecond
-	connectRetry     = time.Second      // between two tries of TCP to connect
-	keepaliveGivesUp = 15 * time.Second // a hub ends a stream whose peer it cannot reach for so long
-	confirmEvery     = 250 * time.Millisecond
-	changesEvery     = 3200 * time.Millisecond // 2,700 a day are one in 32 s; ten times as many are one in 3.2 s
+	streamWindow      = 4 // updates in flight on one stream
+	retransmitDelay   = 200 * time.Millisecond
+	connectRetryDelay = time.Second      // between two connection attempts of TCP
+	keepaliveTimeout  = 15 * time.Second // a hub closes a stream whose peer is unreachable for longer
+	confirmInterval   = 250 * time.Millisecond
+	publishInterval   = 3200 * time.Millisecond // ten times 2,700 a day
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// regionOfZone: three zones in the first region and the second, four in the third.
+// regionOfZone returns a zone's region: the first and the second have three zones, the third has four.
 func regionOfZone(zone int) int { return min(zone/3, regions-1) }
 
-// zoneOfHub: the voters are hubs 0 to 2, one in each region; the spare stands in the first region.
+// zoneOfHub is each hub's zone. Hubs 0 to 2 are the voters, one in each region; hub 3 is the spare, in the first one.
 var zoneOfHub = [hubs]int{0, 3, 6, 1}
 
-type eventAt struct {
+type scheduledEvent struct {
 	at    time.Duration
 	order int
 	run   func()
 }
 
-type eventQueue []eventAt
+type eventQueue []scheduledEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(v any)   { *q = append(*q, v.(eventAt)) }
+func (q *eventQueue) Push(v any)   { *q = append(*q, v.(scheduledEvent)) }
 func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
-	old[len(old)-1] = eventAt{}
+	old[len(old)-1] = scheduledEvent{}
 	*q = old[:len(old)-1]
 	return last
 }
 
-// plant is a fault of the system under test, for the checkers to find.
-type plant string
+// plantedFault is a fault of the system under test that a checker has to find.
+type plantedFault string
 
 const (
-	plantNone         plant = ""
-	plantGoBack       plant = "a broker applies an earlier revision once more"
-	plantTwice        plant = "a broker applies a revision twice"
-	plantHalf         plant = "a broker applies half a document"
-	plantDeafBroker   plant = "hubs never send revisions to some brokers"
-	plantReplay       plant = "a hub that was cut off passes every missed revision on"
-	plantStorm        plant = "followers believe that they are alone"
-	plantFlapping     plant = "hubs without a quorum end their streams every few seconds"
-	plantBoastfulHub  plant = "hubs say that a quorum has just confirmed them"
-	plantUnbooked     plant = "some brokers never report what is in force"
-	plantSlowBackHome plant = "a hub that was cut off takes the newest revision 12 s late"
+	plantNone              plantedFault = ""
+	plantRegression        plantedFault = "a broker applies an earlier revision again"
+	plantDuplicate         plantedFault = "a broker applies a revision twice"
+	plantTruncation        plantedFault = "a broker applies a truncated document"
+	plantWithheldRevisions plantedFault = "hubs never send revisions to some brokers"
+	plantReplay            plantedFault = "a hub sends every revision that it missed during a partition"
+	plantConnectStorm      plantedFault = "followers assume a fleet of one"
+	plantFlapping          plantedFault = "hubs without a quorum close their streams every few seconds"
+	plantFalseConfirmation plantedFault = "hubs without a quorum claim a confirmation"
+	plantMissingReports    plantedFault = "some brokers never report the revision in force"
+	plantSlowCatchUp       plantedFault = "a hub applies the newest revision 12 s late after a partition"
 )
 
 type simOptions struct {
-	seed    uint64
-	brokers int
-	callers int // as the followers are told
-	noise   float64
-	plant   plant
+	seed       uint64
+	brokers    int
+	fleetSize  int // as configured at the followers; 0: brokers
+	noiseRatio float64
+	plant      plantedFault
 }
 
 type simulation struct {
 	simOptions
-	rng    *rand.Rand
-	now    time.Duration
-	queue  eventQueue
-	order  int
-	steps  int
-	trace  uint64
-	hubs   [hubs]*simHub
-	fleet  []*simBroker
-	log    []*configpb.Revision // revision n is log[n-1]
-	at     []time.Duration      // when each was published
-	cut    [regions]bool        // from the other regions
-	halves map[[2]int]direction // one-sided cuts of a broker and a hub
-	check  *checkers
+	rng         *rand.Rand
+	now         time.Duration
+	queue       eventQueue
+	lastOrder   int
+	events      int
+	trace       uint64
+	hubs        [hubs]*simHub
+	fleet       []*simBroker
+	log         []*configpb.Revision // revision n is at index n-1
+	publishedAt []time.Duration      // by index of log
+	partitioned [regions]bool        // regions partitioned from the others
+	blocked     map[[2]int]direction // directions blocked, by broker and hub
+	checks      *checkers
 }
 
 type direction int
@@ -110,15 +110,15 @@
 )
 
 func newSimulation(opt simOptions) *simulation {
-	if opt.callers == 0 {
-		opt.callers = opt.brokers
+	if opt.fleetSize == 0 {
+		opt.fleetSize = opt.brokers
 	}
 	s := &simulation{
 		simOptions: opt,
 		rng:        rand.New(rand.NewPCG(opt.seed, 0x3c6ef372fe94f82b)),
-		halves:     map[[2]int]direction{},
+		blocked:    map[[2]int]direction{},
 	}
-	s.check = newCheckers(s)
+	s.checks = newCheckers(s)
 	for i := range s.hubs {
 		s.hubs[i] = &simHub{sim: s, index: i, zone: zoneOfHub[i]}
 		s.hubs[i].start()
@@ -128,7 +128,7 @@
 		s.fleet = append(s.fleet, b)
 		b.start()
 	}
-	s.check.faultsChanged()
+	s.checks.faultsChanged()
 	s.confirm()
 	return s
 }
@@ -136,22 +136,22 @@
 func (s *simulation) time() time.Time { return epoch.Add(s.now) }
 
 func (s *simulation) after(wait time.Duration, run func()) {
-	s.order++
-	heap.Push(&s.queue, eventAt{s.now + max(wait, 0), s.order, run})
+	s.lastOrder++
+	heap.Push(&s.queue, scheduledEvent{s.now + max(wait, 0), s.lastOrder, run})
 }
 
-func (s *simulation) runTo(end time.Duration) {
+func (s *simulation) runUntil(end time.Duration) {
 	for len(s.queue) > 0 && s.queue[0].at <= end {
-		e := heap.Pop(&s.queue).(eventAt)
+		e := heap.Pop(&s.queue).(scheduledEvent)
 		s.now = e.at
-		s.steps++
+		s.events++
 		e.run()
 	}
 	s.now = end
 }
 
-// note mixes what happened into the trace, by which two runs are compared.
-func (s *simulation) note(what string, numbers ...any) {
+// record adds an event to the trace, a hash by which two runs are compared.
+func (s *simulation) record(what string, numbers ...any) {
 	h := fnv.New64a()
 	fmt.Fprint(h, s.trace, s.now, what, numbers)
 	s.trace = h.Sum64()
@@ -159,47 +159,47 @@
 
 func (s *simulation) chance(p float64) bool { return s.rng.Float64() < p }
 
-func (s *simulation) between(from, to time.Duration) time.Duration {
+func (s *simulation) uniform(from, to time.Duration) time.Duration {
 	return from + time.Duration(s.rng.Int64N(int64(to-from)))
 }
 
-// joined tells whether two zones' regions have a path.
-func (s *simulation) joined(a, b int) bool {
+// connected reports whether two zones are in one region, or in regions that no partition separates.
+func (s *simulation) connected(a, b int) bool {
 	ra, rb := regionOfZone(a), regionOfZone(b)
-	return ra == rb || !s.cut[ra] && !s.cut[rb]
+	return ra == rb || !s.partitioned[ra] && !s.partitioned[rb]
 }
 
-// open tells whether a message gets from a broker to a hub, or back.
-func (s *simulation) open(b *simBroker, h *simHub, way direction) bool {
-	return s.joined(b.zone, h.zone) && s.halves[[2]int{b.index, h.index}] != way
+// reachable reports whether messages pass between a broker and a hub in a direction.
+func (s *simulation) reachable(b *simBroker, h *simHub, way direction) bool {
+	return s.connected(b.zone, h.zone) && s.blocked[[2]int{b.index, h.index}] != way
 }
 
 func (s *simulation) latency(a, b int) time.Duration {
 	if regionOfZone(a) == regionOfZone(b) {
-		return s.between(500*time.Microsecond, 3*time.Millisecond)
+		return s.uniform(500*time.Microsecond, 3*time.Millisecond)
 	}
-	return s.between(20*time.Millisecond, 60*time.Millisecond)
+	return s.uniform(20*time.Millisecond, 60*time.Millisecond)
 }
 
-// quorum tells whether a hub reaches two of the three voters.
-func (s *simulation) quorum(h *simHub) bool {
+// hasQuorum reports whether a hub reaches two of the three voters.
+func (s *simulation) hasQuorum(h *simHub) bool {
 	if !h.up {
 		return false
 	}
 	reached := 0
 	for _, voter := range s.hubs[:3] {
-		if voter.up && s.joined(h.zone, voter.zone) {
+		if voter.up && s.connected(h.zone, voter.zone) {
 			reached++
 		}
 	}
 	return reached >= 2
 }
 
-// publish commits a revision, if there is a quorum.
+// publish commits a revision if some hub has a quorum.
 func (s *simulation) publish() {
 	ok := false
 	for _, h := range s.hubs {
-		ok = ok || s.quorum(h)
+		ok = ok || s.hasQuorum(h)
 	}
 	if !ok {
 		return
@@ -212,83 +212,83 @@
 		Document:        document,
 		PublishedUnixMs: s.time().UnixMilli(),
 	})
-	s.at = append(s.at, s.now)
-	s.check.published(number)
+	s.publishedAt = append(s.publishedAt, s.now)
+	s.checks.revisionPublished(number)
 	for _, h := range s.hubs {
-		if s.quorum(h) {
+		if s.hasQuorum(h) {
 			s.after(s.latency(h.zone, zoneOfHub[0]), h.catchUp)
 		}
 	}
 }
 
-// publishEvery publishes at fixed intervals until a time.
-func (s *simulation) publishEvery(every, end time.Duration) {
+// publishPeriodically publishes at fixed intervals until a time.
+func (s *simulation) publishPeriodically(every, end time.Duration) {
 	s.after(every, func() {
 		if s.now < end {
 			s.publish()
-			s.publishEvery(every, end)
+			s.publishPeriodically(every, end)
 		}
 	})
 }
 
-// confirm has hubs with a quorum read the log's newest revision, as a leader confirms a read.
+// confirm has hubs with a quorum catch up and records their confirmation, like a linearizable read.
 func (s *simulation) confirm() {
 	for _, h := range s.hubs {
-		if s.quorum(h) {
+		if s.hasQuorum(h) {
 			h.catchUp()
-			h.hub.Confirmed(s.time())
-		} else if h.up && s.plant == plantBoastfulHub {
-			h.hub.Confirmed(s.time())
+			h.hub.SetConfirmed(s.time())
+		} else if h.up && s.plant == plantFalseConfirmation {
+			h.hub.SetConfirmed(s.time())
 		}
 	}
-	s.after(confirmEvery, s.confirm)
+	s.after(confirmInterval, s.confirm)
 }
 
-// simHub is a control machine.
+// simHub is a control machine: a Hub and its driver.
 type simHub struct {
-	sim     *simulation
-	index   int
-	zone    int
-	hub     *distribution.Hub
-	up      bool
-	lost    bool // the machine is: nobody answers
-	streams []*simStream
-	calls   []time.Duration // when brokers called
-	newest  uint64
-	behind  time.Duration // since when it has missed many revisions, and could have them; 0: it has not
+	sim          *simulation
+	index        int
+	zone         int
+	hub          *distribution.Hub
+	up           bool
+	machineLost  bool // with the machine, so that connections get no answer
+	streams      []*simStream
+	connectedAt  []time.Duration // of the brokers' connections
+	newest       uint64
+	laggingSince time.Duration // since when it delays catching up, by plantSlowCatchUp; 0: it does not
 }
 
 func (h *simHub) start() {
-	h.up, h.lost = true, false
+	h.up, h.machineLost = true, false
 	h.hub = distribution.NewHub()
 	h.streams, h.newest = nil, 0
-	h.sim.note("hub starts", h.index)
+	h.sim.record("hub starts", h.index)
 }
 
-// stop ends the process. Peers hear of it unless the whole machine is lost.
+// stop ends the process. Its streams end, unless the machine is lost.
 func (h *simHub) stop(machineLost bool) {
-	h.up, h.lost = false, machineLost
-	h.sim.note("hub stops", h.index)
+	h.up, h.machineLost = false, machineLost
+	h.sim.record("hub stops", h.index)
 	for _, st := range h.streams {
 		st.hubEnded(!machineLost)
 	}
 	h.streams = nil
 }
 
-// catchUp takes the log's newest revision, which the state machine has applied.
+// catchUp sets the hub's newest revision to the log's, if it has a quorum.
 func (h *simHub) catchUp() {
-	if !h.up || !h.sim.quorum(h) || len(h.sim.log) == 0 {
+	if !h.up || !h.sim.hasQuorum(h) || len(h.sim.log) == 0 {
 		return
 	}
 	if h.sim.plant == plantReplay && h.replay() {
 		return
 	}
-	if h.sim.plant == plantSlowBackHome && h.slow() {
+	if h.sim.plant == plantSlowCatchUp && h.delayCatchUp() {
 		return
 	}
 	newest := h.sim.log[len(h.sim.log)-1]
 	h.newest = newest.GetNumber()
-	if err := h.hub.Newest(h.sim.time(), newest); err != nil {
+	if err := h.hub.SetNewest(h.sim.time(), newest); err != nil {
 		panic(err)
 	}
 	h.pumpAll()
@@ -300,7 +300,7 @@
 	}
 }
 
-// replay is the planted fault of plantReplay: where many revisions were missed, each is passed on.
+// replay is plantReplay: it sets each of the missed revisions in turn. It reports whether there are ten or more.
 func (h *simHub) replay() bool {
 	have, newest := h.newest, uint64(len(h.sim.log))
 	if have == 0 || newest < have+10 {
@@ -308,7 +308,7 @@
 	}
 	for i, revision := range h.sim.log[have:newest] {
 		h.sim.after(time.Duration(i)*10*time.Millisecond, func() {
-			if h.hub.Newest(h.sim.time(), revision) == nil {
+			if h.hub.SetNewest(h.sim.time(), revision) == nil {
 				h.newest = revision.GetNumber()
 				h.pumpAll()
 			}
@@ -317,24 +317,24 @@
 	return true
 }
 
-// slow is the planted fault of plantSlowBackHome, and tells whether the hub is late now.
-func (h *simHub) slow() bool {
+// delayCatchUp is plantSlowCatchUp: it reports whether the hub delays catching up now.
+func (h *simHub) delayCatchUp() bool {
 	if uint64(len(h.sim.log)) < h.newest+10 {
-		h.behind = 0
+		h.laggingSince = 0
 		return false
 	}
-	if h.behind == 0 {
-		h.behind = h.sim.now
+	if h.laggingSince == 0 {
+		h.laggingSince = h.sim.now
 	}
-	return h.sim.now-h.behind < 12*time.Second
+	return h.sim.now-h.laggingSince < 12*time.Second
 }
 
-// accept takes a call of a broker.
+// accept opens a session for a broker's stream.
 func (h *simHub) accept(st *simStream) {
-	h.calls = append(h.calls, h.sim.now)
-	id, err := h.hub.Open(h.sim.time())
+	h.connectedAt = append(h.connectedAt, h.sim.now)
+	id, err := h.hub.OpenSession(h.sim.time())
 	if err != nil {
-		st.endToBroker()
+		st.notifyBroker()
 		return
 	}
 	st.session = id
@@ -342,26 +342,26 @@
 	st.pump()
 }
 
-// simBroker is a broker.
+// simBroker is a broker: a Follower and its driver.
 type simBroker struct {
-	sim      *simulation
-	index    int
-	zone     int
-	follower *distribution.Follower
-	instance int
-	up       bool
-	paused   bool
-	stream   *simStream
-	tickAt   time.Duration // of the event that is planned; 0: none
-	held     []func()      // what happened while it was paused
-	opened   int
+	sim           *simulation
+	index         int
+	zone          int
+	follower      *distribution.Follower
+	instance      int
+	up            bool
+	paused        bool
+	stream        *simStream
+	tickAt        time.Duration // of the scheduled tick; 0: none
+	deferred      []func()      // events during a pause
+	streamsOpened int
 }
 
 func (b *simBroker) name() string { return fmt.Sprintf("broker-%04d", b.index) }
 
 func (b *simBroker) start() {
 	b.instance++
-	b.up, b.paused, b.held, b.stream, b.tickAt = true, false, nil, nil, 0
+	b.up, b.paused, b.deferred, b.stream, b.tickAt = true, false, nil, nil, 0
 	var control []distribution.Machine
 	for _, h := range b.sim.hubs {
 		control = append(control, distribution.Machine{
@@ -370,28 +370,28 @@
 			Region:  fmt.Sprint("r", regionOfZone(h.zone)),
 		})
 	}
-	callers := b.sim.callers
-	if b.sim.plant == plantStorm {
+	callers := b.sim.fleetSize
+	if b.sim.plant == plantConnectStorm {
 		callers = 1
 	}
 	follower, err := distribution.NewFollower(b.sim.time(), distribution.FollowerOptions{
-		Name:    b.name(),
-		Started: b.sim.time(),
-		Zone:    fmt.Sprint("z", b.zone),
-		Region:  fmt.Sprint("r", regionOfZone(b.zone)),
-		Control: control,
-		Callers: callers,
-		Seed:    b.sim.seed<<32 + uint64(b.index)<<12 + uint64(b.instance),
+		Name:      b.name(),
+		StartedAt: b.sim.time(),
+		Zone:      fmt.Sprint("z", b.zone),
+		Region:    fmt.Sprint("r", regionOfZone(b.zone)),
+		Machines:  control,
+		FleetSize: callers,
+		Seed:      b.sim.seed<<32 + uint64(b.index)<<12 + uint64(b.instance),
 	})
 	if err != nil {
 		panic(err)
 	}
 	b.follower = follower
-	b.sim.check.started(b)
-	b.drive()
+	b.sim.checks.brokerStarted(b)
+	b.step()
 }
 
-// stop ends the process, and hubs hear of it unless the whole machine is lost.
+// stop ends the process. Its stream ends, unless the machine is lost.
 func (b *simBroker) stop(machineLost bool) {
 	if !b.up {
 		return
@@ -414,17 +414,17 @@
 			return
 		}
 		b.paused = false
-		held := b.held
-		b.held = nil
-		b.sim.check.faultsChanged()
-		for _, run := range held {
+		deferred := b.deferred
+		b.deferred = nil
+		b.sim.checks.faultsChanged()
+		for _, run := range deferred {
 			run()
 		}
-		b.drive()
+		b.step()
 	})
 }
 
-// whenAwake runs something in the process that is up now, unless it ends before.
+// whenAwake runs an event in the present process: after a pause if it is paused, never once it has ended.
 func (b *simBroker) whenAwake(run func()) {
 	instance := b.instance
 	do := func() {
@@ -433,31 +433,31 @@
 		}
 	}
 	if b.paused {
-		b.held = append(b.held, do)
+		b.deferred = append(b.deferred, do)
 		return
 	}
 	do()
 }
 
-// drive is the driver's loop: it does what the follower has ready, and plans the next look at the time.
-func (b *simBroker) drive() {
+// step is one turn of the driver's loop: it does what the follower has ready, and schedules the next tick.
+func (b *simBroker) step() {
 	ready := b.follower.Ready(b.sim.time())
 	if ready.Close != 0 && b.stream != nil && b.stream.id == ready.Close {
 		b.stream.brokerEnded(true)
 		b.stream = nil
 	}
 	if ready.Open != nil {
-		b.opened++
+		b.streamsOpened++
 		b.stream = newStream(b, *ready.Open)
 		b.stream.connect()
 	}
 	if ready.Report != nil && b.stream != nil {
-		b.stream.report(ready.Report)
+		b.stream.queueReport(ready.Report)
 	}
 	if ready.Apply != nil {
 		b.apply(ready.Apply)
 	}
-	wake := b.follower.Wake().Sub(epoch)
+	wake := b.follower.NextTick().Sub(epoch)
 	if b.tickAt > b.sim.now && b.tickAt <= wake {
 		return
 	}
@@ -469,59 +469,59 @@
 		}
 		b.tickAt = 0
 		b.whenAwake(func() {
-			if !b.sim.time().Before(b.follower.Wake()) {
+			if !b.sim.time().Before(b.follower.NextTick()) {
 				b.follower.Tick(b.sim.time())
 			}
-			b.drive()
+			b.step()
 		})
 	})
 }
 
 func (b *simBroker) apply(revision *configpb.Revision) {
-	b.sim.after(b.sim.between(time.Millisecond, 50*time.Millisecond), func() {
+	b.sim.after(b.sim.uniform(time.Millisecond, 50*time.Millisecond), func() {
 		b.whenAwake(func() {
 			number := revision.GetNumber()
-			if refuses(b.index, number) {
-				b.sim.check.refused(b, number)
+			if rejects(b.index, number) {
+				b.sim.checks.revisionRejected(b, number)
 				b.follower.RevisionRejected(b.sim.time(), number, "settings.port", "needs a restart")
-				b.drive()
+				b.step()
 				return
 			}
-			b.sim.note("applied", b.index, number)
-			b.sim.check.applied(b, revision)
-			b.plantedApply(revision)
-			b.follower.Applied(b.sim.time(), number)
-			b.drive()
+			b.sim.record("applied", b.index, number)
+			b.sim.checks.revisionApplied(b, revision)
+			b.playPlantedFault(revision)
+			b.follower.RevisionApplied(b.sim.time(), number)
+			b.step()
 		})
 	})
 }
 
-// refuses tells whether a broker refuses a revision.
-func refuses(broker int, number uint64) bool { return number%9 == 4 && broker%4 == 1 }
+// rejects reports whether a broker rejects a revision.
+func rejects(broker int, number uint64) bool { return number%9 == 4 && broker%4 == 1 }
 
-// plantedApply plays the planted faults of a broker's driver.
-func (b *simBroker) plantedApply(revision *configpb.Revision) {
+// playPlantedFault applies revisions wrongly, by the planted faults of a broker's driver.
+func (b *simBroker) playPlantedFault(revision *configpb.Revision) {
 	number := revision.GetNumber()
 	if number%7 != 0 || b.index%5 != 0 {
 		return
 	}
 	switch b.sim.plant {
-	case plantGoBack:
-		b.sim.check.applied(b, b.sim.log[number-2])
-	case plantTwice:
-		b.sim.check.applied(b, revision)
-	case plantHalf:
-		half := proto.CloneOf(revision)
-		half.Document = half.Document[:len(half.Document)/2]
-		half.Number++
-		b.sim.check.applied(b, half)
+	case plantRegression:
+		b.sim.checks.revisionApplied(b, b.sim.log[number-2])
+	case plantDuplicate:
+		b.sim.checks.revisionApplied(b, revision)
+	case plantTruncation:
+		truncated := proto.CloneOf(revision)
+		truncated.Document = truncated.Document[:len(truncated.Document)/2]
+		truncated.Number++
+		b.sim.checks.revisionApplied(b, truncated)
 	}
 }
 
 func runSimulation(t testing.TB, opt simOptions, play func(*simulation)) *simulation {
 	s := newSimulation(opt)
 	play(s)
-	s.check.finish()
-	require.NotZero(t, s.steps)
+	s.checks.finish()
+	require.NotZero(t, s.events)
 	return s
 }
