--- a/internal/cluster/membership/fleetsize.go
+++ b/internal/cluster/membership/fleetsize.go
@@ -15,13 +15,13 @@
 // that it lost must know that they are the minority. A broker that has been in a minority for that long is fenced: it uses
 // no part at all. A fleet that truly lost most of its brokers is fenced as well, until they are back or forgotten.
 func (v *View) FleetSize() FleetSize {
-	if v.brokersChanged {
-		v.brokers, v.brokersChanged = v.groupBrokers(), false
+	if v.brokersStale {
+		v.brokers, v.brokersStale = v.groupBrokers(), false
 	}
 	c := FleetSize{Alive: v.brokers.alive, Known: v.brokers.alive + len(v.brokers.lostAt)}
-	if 2*c.Alive > c.Known && !v.isolated() {
+	if 2*c.Alive > c.Known && !v.isIsolated() {
 		v.minoritySince = -1
-		c.Sharing = c.Alive + v.brokers.lostWithin(2*fenceDelay, v.now)
+		c.Sharing = c.Alive + v.brokers.countLostWithin(2*fenceDelay, v.now)
 		return c
 	}
 	if v.minoritySince < 0 {
@@ -31,22 +31,22 @@
 	return c
 }
 
-// brokers are the instances of a roster by their brokers' names. They are counted anew only where the roster or a state
+// brokerCounts are the instances of a roster by their brokers' names. They are counted anew only where the roster or a state
 // has changed, since drivers ask at each look at the clock.
-type brokers struct {
+type brokerCounts struct {
 	alive  int
 	lostAt []time.Duration // of each that is lost: since when its latest instance is
 }
 
-func (v *View) groupBrokers() (b brokers) {
+func (v *View) groupBrokers() (b brokerCounts) {
 	alive := map[string]bool{}
 	lostAt := map[string]time.Duration{}
 	for _, m := range v.roster {
 		switch {
-		case m == v.self || v.alive(m):
+		case m == v.self || v.isAlive(m):
 			alive[m.Name] = true
 		case m.state.status() == Lost:
-			lostAt[m.Name] = max(lostAt[m.Name], m.since)
+			lostAt[m.Name] = max(lostAt[m.Name], m.stateSince)
 		}
 	}
 	b.alive = len(alive)
@@ -58,8 +58,8 @@
 	return b
 }
 
-// lostWithin counts the brokers that were lost less than so long ago.
-func (b *brokers) lostWithin(d, now time.Duration) (n int) {
+// countLostWithin counts the brokers that were lost less than so long ago.
+func (b *brokerCounts) countLostWithin(d, now time.Duration) (n int) {
 	for _, at := range b.lostAt {
 		if now-at < d {
 			n++
--- a/internal/cluster/membership/count_test.go
+++ b/internal/cluster/membership/fleetsize_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// viewOf is a view that knows so many brokers.
-func viewOf(n int) *View {
+// newViewOfBrokers is a view that knows so many brokers.
+func newViewOfBrokers(n int) *View {
 	v := New(Options{Self: Instance{Name: "self", Start: 1, Addr: netip.MustParseAddrPort("127.0.0.1:1")}, Seed: 1})
 	for i := range n - 1 {
 		v.add(Instance{Name: fmt.Sprint("n", i), Start: 1, Addr: v.self.Addr}, 0)
@@ -19,8 +19,8 @@
 	return v
 }
 
-// recount counts alive, known and lately lost brokers from the roster, name by name.
-func recount(v *View) (alive, known, lately int) {
+// countByName counts alive, known and lately lost brokers from the roster, name by name.
+func countByName(v *View) (alive, known, lately int) {
 	best, latest := map[string]Status{}, map[string]time.Duration{}
 	for _, m := range v.roster {
 		s := m.state.status()
@@ -33,7 +33,7 @@
 		if old, ok := best[m.Name]; !ok || s < old {
 			best[m.Name] = s
 		}
-		latest[m.Name] = max(latest[m.Name], m.since)
+		latest[m.Name] = max(latest[m.Name], m.stateSince)
 	}
 	for name, s := range best {
 		if s == Alive {
@@ -46,10 +46,10 @@
 }
 
 // Whatever happens to the roster, the count that is kept is that of the roster as it is.
-func TestTheKeptCountIsThatOfTheRoster(t *testing.T) {
+func TestFleetSizeFollowsRosterChanges(t *testing.T) {
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		v := viewOf(20)
+		v := newViewOfBrokers(20)
 		for step := range 2000 {
 			v.now += time.Duration(rng.Int64N(int64(time.Second)))
 			m := v.roster[rng.IntN(len(v.roster))]
@@ -60,40 +60,40 @@
 				}
 			case 1:
 				if m != v.self && len(v.roster) > 10 {
-					v.drop(m)
+					v.remove(m)
 				}
 			case 2:
-				v.set(m, m.state.in(Lost))
+				v.applyState(m, m.state.withStatus(Lost))
 			case 3:
-				v.set(m, m.state.revived())
+				v.applyState(m, m.state.refuted())
 			case 4:
-				v.forget()
+				v.reapTombstones()
 			}
-			alive, known, lately := recount(v)
+			alive, known, lately := countByName(v)
 			c := v.FleetSize()
 			require.Equal(t, [2]int{alive, known}, [2]int{c.Alive, c.Known}, "seed %d, step %d", seed, step)
 			require.Contains(t, []int{alive + lately, known}, c.Sharing)
-			require.Equal(t, lately, v.brokers.lostWithin(2*fenceDelay, v.now))
+			require.Equal(t, lately, v.brokers.countLostWithin(2*fenceDelay, v.now))
 		}
 	}
 }
 
-func BenchmarkCount(b *testing.B) {
-	v := viewOf(MaxMembers)
+func BenchmarkFleetSize(b *testing.B) {
+	v := newViewOfBrokers(MaxMembers)
 	for b.Loop() {
 		v.FleetSize()
 	}
 }
 
 func BenchmarkAssignObservers(b *testing.B) {
-	v := viewOf(MaxMembers)
+	v := newViewOfBrokers(MaxMembers)
 	for b.Loop() {
 		v.assignObservers()
 	}
 }
 
 func BenchmarkTick(b *testing.B) {
-	v := viewOf(MaxMembers)
+	v := newViewOfBrokers(MaxMembers)
 	for b.Loop() {
 		v.Tick(v.now + TickInterval)
 	}
--- a/internal/cluster/membership/instance.go
+++ b/internal/cluster/membership/instance.go
@@ -30,7 +30,7 @@
 // ID is the instance's number.
 func (i Instance) ID() uint64 { return plane.ID(i.Name, i.Start) }
 
-func instance(e *planepb.Entry) Instance { return Instance{e.Name, e.Start, plane.Addr(e)} }
+func instanceFromEntry(e *planepb.Entry) Instance { return Instance{e.Name, e.Start, plane.Addr(e)} }
 
 // Member is an instance as others see it.
 type Member struct {
@@ -43,18 +43,18 @@
 	Instance
 	id          uint64
 	state       state
-	since       time.Duration // of the state
+	stateSince  time.Duration // of the state
 	lastContact time.Duration // when a datagram of it was received, or a helper heard of it; 0: never
 
 	seq       uint64 // the highest accepted
 	seqWindow uint64 // bit i: seq - i was accepted
 
-	observed       bool
-	suspected      bool          // observed because it did not answer a ping, whoever else observes it
-	unanswered     time.Duration // when a ping was sent that it never answered, the first since it was heard; 0: none
-	silentSince    time.Duration // as its observer: when it was last known to live, from this process's own wakefulness on
-	indirectPingAt time.Duration
-	confirmations  map[uint64]time.Duration // helpers that found it silent, and when
+	observed           bool
+	adopted            bool          // observed because it did not answer a ping, whoever else observes it
+	unackedSince       time.Duration // when a ping was sent that it never answered, the first since it was heard; 0: none
+	silentSince        time.Duration // as its observer: when it was last known to live, from this process's own wakefulness on
+	indirectPingSentAt time.Duration
+	confirmations      map[uint64]time.Duration // helpers that found it silent, and when
 
 	gossipPending bool // its entry has to be gossiped
 }
@@ -64,21 +64,21 @@
 
 const statusBits = 2
 
-func (s state) status() Status { return Status(s & (1<<statusBits - 1)) }
-func (s state) epoch() uint8   { return uint8(s) >> statusBits }
+func (s state) status() Status     { return Status(s & (1<<statusBits - 1)) }
+func (s state) incarnation() uint8 { return uint8(s) >> statusBits }
 
-// in is the state of the same epoch with a status.
-func (s state) in(status Status) state { return s>>statusBits<<statusBits | state(status) }
+// withStatus is the state of the same epoch with a status.
+func (s state) withStatus(status Status) state { return s>>statusBits<<statusBits | state(status) }
 
-// revived is the state of the next epoch, alive.
-func (s state) revived() state { return state((s.epoch()+1)<<statusBits) | state(Alive) }
+// refuted is the state of the next epoch, alive.
+func (s state) refuted() state { return state((s.incarnation()+1)<<statusBits) | state(Alive) }
 
 // supersedes tells that s is later than o. Epochs go round; they are never far apart.
 func (s state) supersedes(o state) bool {
 	if o.status() == Left || s.status() == Left {
 		return s.status() == Left && o.status() != Left
 	}
-	if d := (s.epoch() - o.epoch()) & (1<<(8-statusBits) - 1); d != 0 {
+	if d := (s.incarnation() - o.incarnation()) & (1<<(8-statusBits) - 1); d != 0 {
 		return d < 1<<(7-statusBits)
 	}
 	return s.status() > o.status()
--- a/internal/cluster/membership/limits_test.go
+++ b/internal/cluster/membership/limits_test.go
@@ -17,14 +17,14 @@
 
 // The states of a full roster go into one datagram, also where numbers have grown as long as they get. A roster that
 // grew further could tell no states any more.
-func TestTheVectorOfAFullRosterFitsADatagram(t *testing.T) {
-	v := viewOf(1)
+func TestStateVectorOfFullRosterFitsDatagram(t *testing.T) {
+	v := newViewOfBrokers(1)
 	for i := 0; len(v.roster) < maxRoster; i++ {
 		v.add(Instance{Name: fmt.Sprint("b", i), Start: 1, Addr: v.self.Addr}, 0)
 	}
 	v.seq = math.MaxUint64 - 1
-	require.True(t, v.send(v.self.Addr, &planepb.Datagram{Vector: v.vector()}, nil))
-	size := plane.WireSize(v.flush()[0].Data) - plane.Overhead
+	require.True(t, v.send(v.self.Addr, &planepb.Datagram{Vector: v.stateVector()}, nil))
+	size := plane.WireSize(v.takeOutbox()[0].Data) - plane.Overhead
 	require.LessOrEqual(t, size, plane.MaxSize)
 	require.LessOrEqual(t, size-maxRoster, vectorHeader, "the arithmetic beside rosterMost")
 }
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -19,48 +19,48 @@
 
 // View is one broker's membership. Make it with New. It is not safe for concurrent use.
 type View struct {
-	opt  Options
-	self *member
-	rng  *rand.Rand
-	now  time.Duration
-	out  []Send
-	seq  uint64
+	options Options
+	self    *member
+	rng     *rand.Rand
+	now     time.Duration
+	outbox  []Send
+	seq     uint64
 
-	byID         map[uint64]*member
-	roster       []*member // in the order of their numbers, self included
-	ring         [rings][]*member
-	sums         sums // hashes of the roster that do not depend on any order
-	living       int  // instances that live
-	ringsChanged bool // who observes whom has to be found anew
+	byID       map[uint64]*member
+	roster     []*member // in the order of their numbers, self included
+	rings      [ringCount][]*member
+	digest     rosterDigest // hashes of the roster that do not depend on any order
+	aliveCount int          // instances that live
+	ringsStale bool         // who observes whom has to be found anew
 
-	brokers        brokers // of the roster
-	brokersChanged bool    // they have to be counted anew
+	brokers      brokerCounts // of the roster
+	brokersStale bool         // they have to be counted anew
 
 	observers []*member // of self
 	observed  []*member // whom self observes
 
-	pings            map[uint32]ping
-	lastPing         uint32
-	heartbeatAt      time.Duration
-	joinAt           time.Duration
-	syncAt           time.Duration
-	pushAt           time.Duration
-	lostPingAt       time.Duration
-	introduceAt      time.Duration
-	minoritySince    time.Duration // since when fewer than half are seen; -1: they are not
-	lastSlice        uint32        // the latest that was asked for
-	differedAt       time.Duration // when a roster other than this one was last heard of
-	pingBudget       tokenBucket
-	gossipBudget     tokenBucket
-	lastTick         time.Duration // the latest Tick
-	began            bool          // Tick has been called
-	pushPending      bool          // the vector has changed
-	left             bool
-	DroppedDatagrams int // that were replayed, old or of an unknown sender
+	outstandingPings     map[uint32]outstandingPing
+	lastPingNumber       uint32
+	nextHeartbeatAt      time.Duration
+	nextJoinAt           time.Duration
+	nextSyncAt           time.Duration
+	nextPushAt           time.Duration
+	nextUnobservedPingAt time.Duration
+	nextIntroductionAt   time.Duration
+	minoritySince        time.Duration // since when fewer than half are seen; -1: they are not
+	lastSyncSlice        uint32        // the latest that was asked for
+	rosterDivergedAt     time.Duration // when a roster other than this one was last heard of
+	probeBudget          tokenBucket
+	gossipBudget         tokenBucket
+	lastTickAt           time.Duration // the latest Tick
+	ticked               bool          // Tick has been called
+	pushPending          bool          // the vector has changed
+	leaving              bool
+	DroppedDatagrams     int // that were replayed, old or of an unknown sender
 }
 
-// sums are hashes of all instances, and of all instances with their states.
-type sums struct{ roster, states uint32 }
+// rosterDigest are hashes of all instances, and of all instances with their states.
+type rosterDigest struct{ roster, states uint32 }
 
 // Options describe a broker and how it joins.
 type Options struct {
@@ -80,20 +80,20 @@
 
 // New returns the view of a broker that knows no other yet.
 func New(opt Options) *View {
-	v := &View{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0x510e527fade682d1)), byID: map[uint64]*member{},
-		pings: map[uint32]ping{}, minoritySince: -1, differedAt: -divergenceWindow,
-		pingBudget:   tokenBucket{rate: pingBytesPerSecond, burst: pingBurstBytes, tokens: pingBurstBytes},
-		gossipBudget: tokenBucket{rate: gossipBytesPerSecond, burst: gossipBurstBytes, tokens: gossipBurstBytes}}
+	v := &View{options: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0x510e527fade682d1)), byID: map[uint64]*member{},
+		outstandingPings: map[uint32]outstandingPing{}, minoritySince: -1, rosterDivergedAt: -divergenceWindow,
+		probeBudget:  tokenBucket{rate: probeRate, burst: probeBurst, available: probeBurst},
+		gossipBudget: tokenBucket{rate: gossipRate, burst: gossipBurst, available: gossipBurst}}
 	v.self = v.add(opt.Self, 0)
 	return v
 }
 
 func (v *View) advance(now time.Duration) { v.now = max(v.now, now) }
 
-// flush hands out what is to be sent.
-func (v *View) flush() []Send {
-	out := v.out
-	v.out = nil
+// takeOutbox hands out what is to be sent.
+func (v *View) takeOutbox() []Send {
+	out := v.outbox
+	v.outbox = nil
 	return out
 }
 
@@ -102,7 +102,7 @@
 	var all []Member
 	for _, m := range v.roster {
 		s := m.state.status()
-		if m == v.self && !v.left {
+		if m == v.self && !v.leaving {
 			s = Alive
 		}
 		all = append(all, Member{m.Instance, s})
@@ -111,4 +111,4 @@
 }
 
 // Fingerprint is equal where two brokers see the same instances in the same states.
-func (v *View) Fingerprint() uint64 { return uint64(v.sums.roster)<<32 | uint64(v.sums.states) }
+func (v *View) Fingerprint() uint64 { return uint64(v.digest.roster)<<32 | uint64(v.digest.states) }
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -17,18 +17,18 @@
 	long    = flag.Duration("long", 30*time.Second, "virtual time of cases in which nothing may happen")
 )
 
-const bytesMost = 4000 // a second and a member, with IP and UDP
+const maxBytesPerSecond = 4000 // a second and a member, with IP and UDP
 
-// cases runs a case on each seed, on a fleet that has found together.
-func cases(t *testing.T, f func(t *testing.T, w *network)) {
+// forEachSeed runs a case on each seed, on a fleet that has found together.
+func forEachSeed(t *testing.T, f func(t *testing.T, w *network)) {
 	t.Parallel()
 	for seed := range *seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			w := newNetwork(t, *members, uint64(seed))
-			w.settle(2 * time.Minute) // all start at once, and know three seeds
+			w.runUntilAgreed(2 * time.Minute) // all start at once, and know three seeds
 			t.Logf("found together within %v", w.now)
 			w.run(w.now + time.Second)
-			w.none(nil)
+			w.requireNoLoss(nil)
 			f(t, w)
 		})
 	}
@@ -36,8 +36,8 @@
 
 func name(x *node) string { return fmt.Sprint("n", x.i) }
 
-func TestTheDeadAreKnownWithin5Seconds(t *testing.T) {
-	cases(t, func(t *testing.T, w *network) {
+func TestFailureIsDetectedWithin5Seconds(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, w *network) {
 		var took []time.Duration
 		except := map[string]bool{}
 		for i := range 5 {
@@ -58,85 +58,85 @@
 		slices.Sort(took)
 		t.Logf("known after %v (median), %v (99 %%), %v (all)", took[len(took)/2], took[len(took)*99/100], took[len(took)-1])
 		require.Less(t, took[len(took)*99/100], 5*time.Second)
-		w.none(except)
+		w.requireNoLoss(except)
 	})
 }
 
-func TestLossDoublingAndReorderingRemoveNobody(t *testing.T) {
-	cases(t, func(t *testing.T, w *network) {
-		w.lose, w.double, w.delay = 0.2, 0.2, 80*time.Millisecond
-		most := w.rate(func() { w.run(w.now + *long) })
-		w.none(nil)
-		require.Less(t, most, float64(bytesMost))
+func TestLossDuplicationAndReorderingCauseNoFalsePositive(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, w *network) {
+		w.lossRatio, w.duplicateRatio, w.maxDelay = 0.2, 0.2, 80*time.Millisecond
+		most := w.maxSendRate(func() { w.run(w.now + *long) })
+		w.requireNoLoss(nil)
+		require.Less(t, most, float64(maxBytesPerSecond))
 		t.Logf("%.0f bytes a second at most", most)
 	})
 }
 
-func TestPausesOfUpTo4SecondsRemoveNobody(t *testing.T) {
-	cases(t, func(t *testing.T, w *network) {
-		most := w.rate(func() {
+func TestPausesUpTo4SecondsCauseNoFalsePositive(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, w *network) {
+		most := w.maxSendRate(func() {
 			for end := w.now + *long; w.now < end; {
 				for range max(len(w.nodes)/10, 1) {
-					if x := w.nodes[w.rng.IntN(len(w.nodes))]; w.now >= x.awake {
-						x.awake = w.now + time.Duration(w.rng.Int64N(int64(4*time.Second)))
+					if x := w.nodes[w.rng.IntN(len(w.nodes))]; w.now >= x.pausedUntil {
+						x.pausedUntil = w.now + time.Duration(w.rng.Int64N(int64(4*time.Second)))
 					}
 				}
 				w.run(w.now + 4*time.Second)
 			}
 		})
-		w.none(nil)
-		require.Less(t, most, float64(bytesMost))
+		w.requireNoLoss(nil)
+		require.Less(t, most, float64(maxBytesPerSecond))
 		t.Logf("%.0f bytes a second at most", most)
 	})
 }
 
-func TestALongerPauseRemovesOnceAndWakingBringsBack(t *testing.T) {
-	cases(t, func(t *testing.T, w *network) {
+func TestLongPauseIsLostOnceAndRefutedOnResume(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, w *network) {
 		x := w.nodes[w.rng.IntN(len(w.nodes))]
-		x.awake = w.now + 15*time.Second
-		w.run(x.awake)
+		x.pausedUntil = w.now + 15*time.Second
+		w.run(x.pausedUntil)
 		for _, o := range w.nodes {
 			if o != x {
-				require.Equal(t, []string{name(x)}, o.removed)
+				require.Equal(t, []string{name(x)}, o.lostNames)
 			}
 		}
 		woke := w.now
 		w.run(w.now + 3*time.Second)
-		require.True(t, w.agree(nil), w.views())
+		require.True(t, w.viewsAgree(nil), w.describeViews())
 		for _, o := range w.nodes {
 			if o != x {
-				require.Equal(t, []string{name(x)}, o.removed)
-				require.Less(t, o.backAt[name(x)]-woke, 3*time.Second)
+				require.Equal(t, []string{name(x)}, o.lostNames)
+				require.Less(t, o.aliveAt[name(x)]-woke, 3*time.Second)
 			}
 		}
-		require.Empty(t, x.removed, "one that wakes removes nobody")
+		require.Empty(t, x.lostNames, "one that wakes removes nobody")
 	})
 }
 
-func TestACutOfOnePairRemovesNobody(t *testing.T) {
+func TestPartitionOfOnePairCausesNoFalsePositive(t *testing.T) {
 	for _, both := range []bool{true, false} {
 		t.Run(fmt.Sprint("both directions: ", both), func(t *testing.T) {
-			cases(t, func(_ *testing.T, w *network) {
+			forEachSeed(t, func(_ *testing.T, w *network) {
 				a := w.nodes[w.rng.IntN(len(w.nodes))]
 				for range 6 { // with one after the other
 					b := w.nodes[w.rng.IntN(len(w.nodes))]
-					w.cut = func(from, to *node) bool {
+					w.partitioned = func(from, to *node) bool {
 						return from == a && to == b || both && from == b && to == a
 					}
 					w.run(w.now + 7*time.Second)
 				}
-				w.none(nil)
+				w.requireNoLoss(nil)
 			})
 		})
 	}
 }
 
-func TestOneWhoIsDeafOrMuteHasOneVerdict(t *testing.T) {
+func TestOneWayPartitionYieldsOneVerdict(t *testing.T) {
 	for _, deaf := range []bool{true, false} {
 		t.Run(map[bool]string{true: "deaf", false: "mute"}[deaf], func(t *testing.T) {
-			cases(t, func(t *testing.T, w *network) {
+			forEachSeed(t, func(t *testing.T, w *network) {
 				a := w.nodes[w.rng.IntN(len(w.nodes))]
-				w.cut = func(from, to *node) bool { return deaf && to == a || !deaf && from == a }
+				w.partitioned = func(from, to *node) bool { return deaf && to == a || !deaf && from == a }
 				w.run(w.now + 40*time.Second)
 				want := 0
 				if !deaf {
@@ -144,30 +144,30 @@
 				}
 				for _, o := range w.nodes {
 					if o != a {
-						require.Len(t, o.removed, want, "the same everywhere, and once")
+						require.Len(t, o.lostNames, want, "the same everywhere, and once")
 					}
 				}
-				require.Empty(t, a.removed)
+				require.Empty(t, a.lostNames)
 				if deaf {
 					require.True(t, a.FleetSize().Fenced, "it knows that it is cut off")
 				}
-				w.cut = func(_, _ *node) bool { return false }
+				w.partitioned = func(_, _ *node) bool { return false }
 				w.run(w.now + 5*time.Second)
-				require.True(t, w.agree(nil), w.views())
+				require.True(t, w.viewsAgree(nil), w.describeViews())
 			})
 		})
 	}
 }
 
 // Cut off looks like dead. Each side knows what it lost, but the smaller one takes no part of what the other shares.
-func TestAZoneThatIsCutOffAndComesBack(t *testing.T) {
-	cases(t, func(t *testing.T, w *network) {
+func TestZonePartitionFencesMinorityAndHeals(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, w *network) {
 		few := func(x *node) bool { return x.i%3 == 0 }
 		many := func(x *node) bool { return x.i%3 != 0 }
-		w.cut = func(from, to *node) bool { return few(from) != few(to) }
-		most := w.rate(func() {
+		w.partitioned = func(from, to *node) bool { return few(from) != few(to) }
+		most := w.maxSendRate(func() {
 			w.run(w.now + 15*time.Second)
-			require.True(t, w.agree(few) && w.agree(many), w.views())
+			require.True(t, w.viewsAgree(few) && w.viewsAgree(many), w.describeViews())
 			for at := w.now + 45*time.Second; w.now < at; {
 				w.run(w.now + time.Second)
 				parts := 0.0
@@ -179,45 +179,45 @@
 				require.LessOrEqual(t, parts, 1.0001, "together no more than the whole")
 			}
 		})
-		w.cut = func(_, _ *node) bool { return false }
+		w.partitioned = func(_, _ *node) bool { return false }
 		healed := w.now
-		most = max(most, w.rate(func() { w.run(w.now + 5*time.Second) }))
-		require.True(t, w.agree(nil), "5 s after %v: %s", healed, w.views())
-		require.Less(t, most, float64(bytesMost))
+		most = max(most, w.maxSendRate(func() { w.run(w.now + 5*time.Second) }))
+		require.True(t, w.viewsAgree(nil), "5 s after %v: %s", healed, w.describeViews())
+		require.Less(t, most, float64(maxBytesPerSecond))
 		t.Logf("%.0f bytes a second at most", most)
 	})
 }
 
-func TestSevenInTenKilledAtOnce(t *testing.T) {
-	cases(t, func(t *testing.T, w *network) {
+func TestSeventyPercentFailingAtOnceAreDetected(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, w *network) {
 		for _, x := range w.nodes {
 			x.dead = w.rng.Float64() < 0.7
 		}
 		at := w.now
-		most := w.rate(func() {
-			for !w.agree(nil) && w.now < at+15*time.Second {
+		most := w.maxSendRate(func() {
+			for !w.viewsAgree(nil) && w.now < at+15*time.Second {
 				w.run(w.now + 100*time.Millisecond)
 			}
 		})
 		t.Logf("right after %v, %.0f bytes a second at most", w.now-at, most)
-		require.LessOrEqual(t, w.now-at, 10*time.Second, w.views())
-		require.Less(t, most, float64(bytesMost))
+		require.LessOrEqual(t, w.now-at, 10*time.Second, w.describeViews())
+		require.Less(t, most, float64(maxBytesPerSecond))
 		for _, x := range w.nodes { // they come back under their names
 			if x.dead {
 				w.start(x.i)
 			}
 		}
-		w.settle(20 * time.Second)
+		w.runUntilAgreed(20 * time.Second)
 	})
 }
 
-func TestAllRestartedATenthAtATime(t *testing.T) {
-	cases(t, func(t *testing.T, w *network) {
-		most := w.rate(func() {
+func TestRollingRestartConverges(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, w *network) {
+		most := w.maxSendRate(func() {
 			for tenth := range 10 {
 				for i := tenth; i < len(w.nodes); i += 10 {
 					x := w.nodes[i]
-					w.carry(x, x.Leave(w.now))
+					w.transmit(x, x.Leave(w.now))
 					x.dead = true
 					w.start(x.i)
 				}
@@ -225,15 +225,15 @@
 			}
 		})
 		at := w.now
-		w.settle(10 * time.Second)
+		w.runUntilAgreed(10 * time.Second)
 		t.Logf("right after %v, %.0f bytes a second at most", w.now-at, most)
-		require.Less(t, most, float64(bytesMost))
+		require.Less(t, most, float64(maxBytesPerSecond))
 	})
 }
 
 // The two processes of a replacement are one broker, also while both live.
-func TestTwoProcessesAreOneBroker(t *testing.T) {
-	cases(t, func(t *testing.T, w *network) {
+func TestInstancesOfOneNameCountAsOneBroker(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, w *network) {
 		old := w.nodes[len(w.nodes)-1]
 		old.addr = netip.MustParseAddrPort("127.9.9.9:1") // it goes on beside the new one, at another address
 		w.byAddr[old.addr] = old
@@ -248,40 +248,40 @@
 }
 
 // Words of the dead that the network held back were never seen before, and are as good as any. They revive nobody.
-func TestALateWordOfTheDeadRevivesNobody(t *testing.T) {
-	cases(t, func(t *testing.T, w *network) {
+func TestDelayedDatagramDoesNotRefuteLoss(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, w *network) {
 		x := w.nodes[len(w.nodes)/2]
-		w.hold = func(from, _ *node) bool { return from == x }
+		w.delayed = func(from, _ *node) bool { return from == x }
 		w.run(w.now + time.Second)
 		x.dead = true
 		w.run(w.now + 8*time.Second)
-		require.NotEmpty(t, w.held)
-		for _, late := range w.held {
+		require.NotEmpty(t, w.delayedEvents)
+		for _, late := range w.delayedEvents {
 			require.Contains(t, late.to.lostAt, name(x))
-			w.carry(late.to, late.to.Receive(w.now, late.from, late.data))
+			w.transmit(late.to, late.to.Receive(w.now, late.from, late.data))
 		}
 		w.run(w.now + 3*time.Second)
 		for _, o := range w.nodes {
 			if o != x {
-				require.Less(t, o.backAt[name(x)], o.lostAt[name(x)], "lost after it was last alive")
+				require.Less(t, o.aliveAt[name(x)], o.lostAt[name(x)], "lost after it was last alive")
 			}
 		}
 	})
 }
 
 // A number is taken once: what a path doubles, or somebody repeats, is no sign of life.
-func TestADatagramIsTakenOnce(t *testing.T) {
-	cases(t, func(t *testing.T, w *network) {
+func TestReplayedDatagramIsDropped(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, w *network) {
 		x := w.nodes[1]
-		w.hold = func(from, _ *node) bool { return from == x }
+		w.delayed = func(from, _ *node) bool { return from == x }
 		w.run(w.now + time.Second)
-		w.hold = func(_, _ *node) bool { return false }
-		first := w.held[0]
+		w.delayed = func(_, _ *node) bool { return false }
+		first := w.delayedEvents[0]
 		drops := first.to.DroppedDatagrams
-		w.carry(first.to, first.to.Receive(w.now, first.from, first.data))
+		w.transmit(first.to, first.to.Receive(w.now, first.from, first.data))
 		require.Equal(t, drops, first.to.DroppedDatagrams)
 		for range 3 {
-			w.carry(first.to, first.to.Receive(w.now, first.from, first.data))
+			w.transmit(first.to, first.to.Receive(w.now, first.from, first.data))
 		}
 		require.Equal(t, drops+3, first.to.DroppedDatagrams)
 	})
@@ -289,12 +289,12 @@
 
 // Regions may lose each other for an hour. In all that time the brokers together use no more than the whole of what is
 // shared, and afterwards they are one fleet again. The fleet is small and has one seed: the case is an hour long.
-func TestARegionCutOffForAnHour(t *testing.T) {
+func TestHourLongPartitionNeverOversharesBudget(t *testing.T) {
 	t.Parallel()
 	w := newNetwork(t, 5, 1)
-	w.settle(time.Minute)
+	w.runUntilAgreed(time.Minute)
 	region := func(x *node) bool { return x.i >= 3 }
-	w.cut = func(from, to *node) bool { return region(from) != region(to) }
+	w.partitioned = func(from, to *node) bool { return region(from) != region(to) }
 	for end := w.now + time.Hour; w.now < end; {
 		w.run(w.now + 30*time.Second)
 		parts := 0.0
@@ -310,37 +310,37 @@
 	for _, x := range w.nodes {
 		require.Equal(t, region(x), x.FleetSize().Fenced)
 	}
-	w.cut = func(_, _ *node) bool { return false }
+	w.partitioned = func(_, _ *node) bool { return false }
 	w.run(w.now + 5*time.Second)
-	require.True(t, w.agree(nil), w.views())
+	require.True(t, w.viewsAgree(nil), w.describeViews())
 }
 
 // What is cut off finds back without the seeds, which may be gone for good.
-func TestACutHealsWithoutTheSeeds(t *testing.T) {
-	cases(t, func(t *testing.T, w *network) {
+func TestPartitionHealsWithoutSeeds(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, w *network) {
 		for _, x := range w.nodes[:3] {
 			x.dead = true
 		}
 		w.run(w.now + 8*time.Second)
 		few := func(x *node) bool { return x.i%3 == 0 }
-		w.cut = func(from, to *node) bool { return few(from) != few(to) }
+		w.partitioned = func(from, to *node) bool { return few(from) != few(to) }
 		w.run(w.now + 20*time.Second)
-		w.cut = func(_, _ *node) bool { return false }
+		w.partitioned = func(_, _ *node) bool { return false }
 		w.run(w.now + 5*time.Second)
-		require.True(t, w.agree(nil), w.views())
+		require.True(t, w.viewsAgree(nil), w.describeViews())
 	})
 }
 
-func TestEqualSeedsGiveEqualRuns(t *testing.T) {
+func TestSimulationIsDeterministic(t *testing.T) {
 	t.Parallel()
 	run := func() (sums []uint64) {
 		w := newNetwork(t, 20, 3)
-		w.lose = 0.1
+		w.lossRatio = 0.1
 		w.run(10 * time.Second)
 		w.nodes[4].dead = true
 		w.run(20 * time.Second)
 		for _, x := range w.nodes {
-			sums = append(sums, x.Fingerprint(), uint64(x.sent))
+			sums = append(sums, x.Fingerprint(), uint64(x.sentBytes))
 		}
 		return sums
 	}
--- a/internal/cluster/membership/net_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -24,25 +24,25 @@
 	byAddr map[netip.AddrPort]*node
 	events events
 
-	lose, double float64       // shares of all datagrams
-	delay        time.Duration // at most; datagrams overtake each other
-	cut          func(from, to *node) bool
-	hold         func(from, to *node) bool // what is held comes when the test says, or never
-	held         []event
+	lossRatio, duplicateRatio float64       // shares of all datagrams
+	maxDelay                  time.Duration // at most; datagrams overtake each other
+	partitioned               func(from, to *node) bool
+	delayed                   func(from, to *node) bool // what is held comes when the test says, or never
+	delayedEvents             []event
 }
 
 type node struct {
 	*membership.View
-	i       int
-	zone    int
-	addr    netip.AddrPort
-	dead    bool
-	awake   time.Duration            // paused until then
-	queue   []event                  // what came meanwhile
-	sent    int                      // bytes
-	removed []string                 // names of those it took for lost, in order
-	lostAt  map[string]time.Duration // when
-	backAt  map[string]time.Duration
+	i           int
+	zone        int
+	addr        netip.AddrPort
+	dead        bool
+	pausedUntil time.Duration            // paused until then
+	queue       []event                  // what came meanwhile
+	sentBytes   int                      // bytes
+	lostNames   []string                 // names of those it took for lost, in order
+	lostAt      map[string]time.Duration // when
+	aliveAt     map[string]time.Duration
 }
 
 type event struct {
@@ -68,8 +68,8 @@
 const fleet = 7
 
 func newNetwork(t testing.TB, n int, seed uint64) *network {
-	w := &network{t: t, rng: rand.New(rand.NewPCG(seed, 5)), byAddr: map[netip.AddrPort]*node{}, delay: 5 * time.Millisecond,
-		cut: func(_, _ *node) bool { return false }, hold: func(_, _ *node) bool { return false }}
+	w := &network{t: t, rng: rand.New(rand.NewPCG(seed, 5)), byAddr: map[netip.AddrPort]*node{}, maxDelay: 5 * time.Millisecond,
+		partitioned: func(_, _ *node) bool { return false }, delayed: func(_, _ *node) bool { return false }}
 	for i := range n {
 		w.start(i)
 	}
@@ -82,17 +82,17 @@
 
 // start starts the broker of a number, or another process of it.
 func (w *network) start(i int) {
-	x := &node{i: i, zone: i % 2, addr: addrOf(i), lostAt: map[string]time.Duration{}, backAt: map[string]time.Duration{}}
+	x := &node{i: i, zone: i % 2, addr: addrOf(i), lostAt: map[string]time.Duration{}, aliveAt: map[string]time.Duration{}}
 	x.View = membership.New(membership.Options{
 		Self:  membership.Instance{Name: fmt.Sprint("n", i), Start: uint64(w.now) + 1, Addr: x.addr},
 		Fleet: fleet, Seeds: []netip.AddrPort{addrOf(0), addrOf(1), addrOf(2)}, Seed: w.rng.Uint64(),
 		Changed: func(m membership.Member) {
 			switch m.Status {
 			case membership.Lost:
-				x.removed = append(x.removed, m.Name)
+				x.lostNames = append(x.lostNames, m.Name)
 				x.lostAt[m.Name] = w.now
 			case membership.Alive:
-				x.backAt[m.Name] = w.now
+				x.aliveAt[m.Name] = w.now
 			}
 		},
 	})
@@ -120,9 +120,9 @@
 		if x.dead {
 			continue
 		}
-		if w.now < x.awake {
+		if w.now < x.pausedUntil {
 			if e.data == nil {
-				e.at = x.awake
+				e.at = x.pausedUntil
 				w.push(e)
 			} else if len(x.queue) < 300 { // a socket's buffer
 				x.queue = append(x.queue, e)
@@ -132,59 +132,59 @@
 		if queue := x.queue; len(queue) > 0 {
 			x.queue = nil
 			for _, q := range queue { // before the first look at the clock, as a driver may have it
-				w.carry(x, x.Receive(w.now, q.from, q.data))
+				w.transmit(x, x.Receive(w.now, q.from, q.data))
 			}
 		}
 		if e.data == nil {
-			w.carry(x, x.Tick(w.now))
+			w.transmit(x, x.Tick(w.now))
 			w.push(event{at: w.now + membership.TickInterval, to: x})
 			continue
 		}
-		w.carry(x, x.Receive(w.now, e.from, e.data))
+		w.transmit(x, x.Receive(w.now, e.from, e.data))
 	}
 	w.now = to
 }
 
-func (w *network) carry(x *node, out []membership.Send) {
+func (w *network) transmit(x *node, out []membership.Send) {
 	for _, s := range out {
 		size := plane.WireSize(s.Data)
 		if size > plane.MaxSize+plane.Overhead {
 			w.t.Fatalf("a datagram of %d bytes", size)
 		}
-		x.sent += size
+		x.sentBytes += size
 		to := w.byAddr[s.Addr]
-		if to == nil || w.cut(x, to) {
+		if to == nil || w.partitioned(x, to) {
 			continue
 		}
-		if w.hold(x, to) {
-			w.held = append(w.held, event{to: to, from: x.addr, data: s.Data})
+		if w.delayed(x, to) {
+			w.delayedEvents = append(w.delayedEvents, event{to: to, from: x.addr, data: s.Data})
 			continue
 		}
 		copies := 1
-		if w.rng.Float64() < w.lose {
+		if w.rng.Float64() < w.lossRatio {
 			copies = 0
-		} else if w.rng.Float64() < w.double {
+		} else if w.rng.Float64() < w.duplicateRatio {
 			copies = 2
 		}
 		for range copies {
-			w.push(event{at: w.now + time.Duration(w.rng.Int64N(int64(w.delay))) + time.Microsecond, to: to, from: x.addr, data: s.Data})
+			w.push(event{at: w.now + time.Duration(w.rng.Int64N(int64(w.maxDelay))) + time.Microsecond, to: to, from: x.addr, data: s.Data})
 		}
 	}
 }
 
-// settle lets a fleet find together.
-func (w *network) settle(within time.Duration) {
+// runUntilAgreed lets a fleet find together.
+func (w *network) runUntilAgreed(within time.Duration) {
 	end := w.now + within
-	for !w.agree(nil) {
+	for !w.viewsAgree(nil) {
 		if w.now >= end {
-			w.t.Fatalf("no common view after %v: %s", within, w.views())
+			w.t.Fatalf("no common view after %v: %s", within, w.describeViews())
 		}
 		w.run(w.now + 100*time.Millisecond)
 	}
 }
 
-// agree tells that all that live and are in a set (nil: all) see just each other alive, brokers counted by name.
-func (w *network) agree(in func(*node) bool) bool {
+// viewsAgree tells that all that live and are in a set (nil: all) see just each other alive, brokers counted by name.
+func (w *network) viewsAgree(in func(*node) bool) bool {
 	live, n := map[string]bool{}, 0
 	for _, x := range w.nodes {
 		if !x.dead && (in == nil || in(x)) {
@@ -213,7 +213,7 @@
 	return true
 }
 
-func (w *network) views() string {
+func (w *network) describeViews() string {
 	sizes := map[int]int{}
 	for _, x := range w.nodes {
 		if x.dead {
@@ -230,10 +230,10 @@
 	return fmt.Sprint(sizes)
 }
 
-// removals are who was taken for lost by whom, but for those in except.
-func (w *network) removals(except map[string]bool) (all []string) {
+// lossVerdicts are who was taken for lost by whom, but for those in except.
+func (w *network) lossVerdicts(except map[string]bool) (all []string) {
 	for _, x := range w.nodes {
-		for _, name := range x.removed {
+		for _, name := range x.lostNames {
 			if !except[name] {
 				all = append(all, fmt.Sprintf("%s by n%d", name, x.i))
 			}
@@ -242,21 +242,21 @@
 	return all
 }
 
-func (w *network) none(except map[string]bool) {
+func (w *network) requireNoLoss(except map[string]bool) {
 	w.t.Helper()
-	all := w.removals(except)
+	all := w.lossVerdicts(except)
 	require.Empty(w.t, all[:min(len(all), 5)], "%d removals", len(all))
 }
 
-// rate is the mean of bytes a second of the node that sent most, over a time.
-func (w *network) rate(f func()) (most float64) {
+// maxSendRate is the mean of bytes a second of the node that sent most, over a time.
+func (w *network) maxSendRate(f func()) (most float64) {
 	from, sent := w.now, map[*node]int{}
 	for _, x := range w.nodes {
-		sent[x] = x.sent
+		sent[x] = x.sentBytes
 	}
 	f()
 	for _, x := range w.nodes {
-		most = max(most, float64(x.sent-sent[x])/(w.now-from).Seconds())
+		most = max(most, float64(x.sentBytes-sent[x])/(w.now-from).Seconds())
 	}
 	return most
 }
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -16,8 +16,8 @@
 		v.DroppedDatagrams++ // one of its own, or of another that claims to be it
 		return nil
 	case m == nil:
-		v.receiveUnknown(addr, d)
-		return v.flush()
+		v.handleUnknownSender(addr, d)
+		return v.takeOutbox()
 	case !m.acceptSeq(d.Seq):
 		v.DroppedDatagrams++
 		return nil
@@ -28,37 +28,37 @@
 	case Lost:
 		// A word of the dead may be late. Only the answer to a number that was sent after the verdict shows that it lives.
 		if d.Pong == 0 {
-			v.answerPing(m, d)
+			v.acknowledge(m, d)
 			v.ping(m.Addr, m.id, &planepb.Datagram{}, 0, 0)
-			return v.flush()
+			return v.takeOutbox()
 		}
 	default:
 		m.lastContact, m.silentSince = v.now, v.now
 		clear(m.confirmations)
 	}
-	v.answerPing(m, d)
-	v.receivePong(m, d)
+	v.acknowledge(m, d)
+	v.handleAck(m, d)
 	if d.Leave {
-		v.set(m, m.state.in(Left))
+		v.applyState(m, m.state.withStatus(Left))
 	}
-	if !v.alive(m) {
-		return v.flush()
+	if !v.isAlive(m) {
+		return v.takeOutbox()
 	}
-	v.receiveIndirect(m, d)
-	v.learn(m, d)
-	return v.flush()
+	v.handleIndirect(m, d)
+	v.mergeGossip(m, d)
+	return v.takeOutbox()
 }
 
-// receiveUnknown takes a datagram of an instance that is not known. The instance has to answer a ping before it is taken
+// handleUnknownSender takes a datagram of an instance that is not known. The instance has to answer a ping before it is taken
 // in, since a late datagram of one that was forgotten must not bring it back. Its own ping is answered, with the same
 // question.
-func (v *View) receiveUnknown(addr netip.AddrPort, d *planepb.Datagram) {
-	p, ok := v.pings[d.Pong]
-	if !ok || d.Pong == 0 || p.to != 0 && p.to != d.From || d.Self == nil {
+func (v *View) handleUnknownSender(addr netip.AddrPort, d *planepb.Datagram) {
+	p, ok := v.outstandingPings[d.Pong]
+	if !ok || d.Pong == 0 || p.target != 0 && p.target != d.From || d.Self == nil {
 		v.DroppedDatagrams++
-		met := v.now >= v.introduceAt || d.Ping != 0
+		met := v.now >= v.nextIntroductionAt || d.Ping != 0
 		if met {
-			v.introduceAt = v.now + introduceInterval
+			v.nextIntroductionAt = v.now + introductionInterval
 			met = v.ping(addr, 0, &planepb.Datagram{Pong: d.Ping, Self: v.entry(v.self), Who: true}, 0, 0)
 		}
 		if !met && d.Ping != 0 {
@@ -66,27 +66,27 @@
 		}
 		return
 	}
-	delete(v.pings, d.Pong)
-	if len(v.roster) >= maxRoster || v.living >= MaxMembers {
+	delete(v.outstandingPings, d.Pong)
+	if len(v.roster) >= maxRoster || v.aliveCount >= MaxMembers {
 		return
 	}
-	m := v.add(instance(d.Self), 0)
+	m := v.add(instanceFromEntry(d.Self), 0)
 	m.acceptSeq(d.Seq)
 	m.lastContact = v.now
-	v.answerPing(m, d)
-	v.learn(m, d)
+	v.acknowledge(m, d)
+	v.mergeGossip(m, d)
 }
 
 // Leave returns the farewell of this member. It is told to the neighbours and some others, who spread it.
 func (v *View) Leave(now time.Duration) []Send {
 	v.advance(now)
-	v.left = true
-	v.sum(v.self, -1)
-	v.self.state = v.self.state.in(Left)
-	v.sum(v.self, 1)
-	told := append(v.pick(fanout, anyMember), v.observers...)
+	v.leaving = true
+	v.updateDigest(v.self, -1)
+	v.self.state = v.self.state.withStatus(Left)
+	v.updateDigest(v.self, 1)
+	told := append(v.pickRandom(gossipFanout, anyMember), v.observers...)
 	for _, m := range told {
 		v.send(m.Addr, &planepb.Datagram{Leave: true}, nil)
 	}
-	return v.flush()
+	return v.takeOutbox()
 }
--- a/internal/cluster/membership/rings.go
+++ b/internal/cluster/membership/rings.go
@@ -7,8 +7,8 @@
 	"mothrouter/internal/cluster/plane"
 )
 
-// byRing is the order of members on a ring: by a hash of the instance and the ring.
-func byRing(r int) func(a, b *member) int {
+// compareOnRing is the order of members on a ring: by a hash of the instance and the ring.
+func compareOnRing(r int) func(a, b *member) int {
 	return func(a, b *member) int {
 		return cmp.Or(cmp.Compare(plane.Hash(a.id, uint64(r)), plane.Hash(b.id, uint64(r))), cmp.Compare(a.id, b.id))
 	}
@@ -17,32 +17,32 @@
 // assignObservers finds the observers of this member, and those that it observes: on each ring the next and the one
 // before. Members that did not answer a ping are observed as well.
 func (v *View) assignObservers() {
-	v.ringsChanged = false
+	v.ringsStale = false
 	v.observers, v.observed = v.observers[:0], v.observed[:0]
-	for _, ring := range v.ring {
+	for _, ring := range v.rings {
 		at := slices.Index(ring, v.self)
-		v.observers = v.appendNeighbour(v.observers, ring, at, 1)
-		v.observed = v.appendNeighbour(v.observed, ring, at, len(ring)-1)
+		v.observers = v.appendNextAlive(v.observers, ring, at, 1)
+		v.observed = v.appendNextAlive(v.observed, ring, at, len(ring)-1)
 	}
 	for _, m := range v.roster {
-		if m.suspected = m.suspected && v.alive(m); m.suspected && !slices.Contains(v.observed, m) {
+		if m.adopted = m.adopted && v.isAlive(m); m.adopted && !slices.Contains(v.observed, m) {
 			v.observed = append(v.observed, m)
 		}
 		was := m.observed
-		if m.observed = slices.Contains(v.observed, m); m.observed && !was && !m.suspected {
-			if m.silentSince, m.indirectPingAt = v.now, 0; m.unanswered > m.lastContact { // from now on, unless it owed an answer before
-				m.silentSince = m.unanswered
+		if m.observed = slices.Contains(v.observed, m); m.observed && !was && !m.adopted {
+			if m.silentSince, m.indirectPingSentAt = v.now, 0; m.unackedSince > m.lastContact { // from now on, unless it owed an answer before
+				m.silentSince = m.unackedSince
 			}
 			clear(m.confirmations)
 		}
 	}
 }
 
-// appendNeighbour appends the first member alive that comes behind a place of a ring in steps of so many places.
-func (v *View) appendNeighbour(to, ring []*member, at, step int) []*member {
+// appendNextAlive appends the first member alive that comes behind a place of a ring in steps of so many places.
+func (v *View) appendNextAlive(to, ring []*member, at, step int) []*member {
 	for i := (at + step) % len(ring); i != at; i = (i + step) % len(ring) {
 		m := ring[i]
-		if !v.alive(m) {
+		if !v.isAlive(m) {
 			continue
 		}
 		if slices.Contains(to, m) {
--- a/internal/cluster/membership/tick.go
+++ b/internal/cluster/membership/tick.go
@@ -13,69 +13,69 @@
 // Tick looks at the time and returns what to send. It has to be called each 50 ms; what lies between two calls tells
 // this process whether it was stopped itself.
 func (v *View) Tick(now time.Duration) []Send {
-	away := now - v.lastTick
+	away := now - v.lastTickAt
 	v.advance(now)
-	if v.lastTick = now; !v.began {
-		v.began = true
+	if v.lastTickAt = now; !v.ticked {
+		v.ticked = true
 	} else if away > pauseThreshold || away < 0 {
-		v.resumed()
+		v.resetAfterPause()
 	}
-	if v.ringsChanged {
+	if v.ringsStale {
 		v.assignObservers()
 	}
-	if v.pushPending && v.now >= v.pushAt {
+	if v.pushPending && v.now >= v.nextPushAt {
 		v.pushPending = false
-		v.push()
+		v.pushUpdates()
 	}
-	if v.now >= v.heartbeatAt {
-		v.heartbeatAt = v.now + heartbeatInterval
+	if v.now >= v.nextHeartbeatAt {
+		v.nextHeartbeatAt = v.now + heartbeatInterval
 		for _, m := range v.observers {
 			v.send(m.Addr, &planepb.Datagram{}, nil)
 		}
 	}
 	v.checkObserved()
-	v.join()
-	v.sync()
-	v.pingLost()
-	return v.flush()
+	v.contactSeed()
+	v.requestSync()
+	v.pingUnobserved()
+	return v.takeOutbox()
 }
 
-// resumed begins anew after a pause of this process. It cannot tell who was silent meanwhile, and others may have taken
+// resetAfterPause begins anew after a pause of this process. It cannot tell who was silent meanwhile, and others may have taken
 // it for lost, so that it sends heartbeats at once.
-func (v *View) resumed() {
+func (v *View) resetAfterPause() {
 	for _, m := range v.observed {
-		m.silentSince, m.indirectPingAt = v.now, 0
+		m.silentSince, m.indirectPingSentAt = v.now, 0
 		clear(m.confirmations)
 	}
-	clear(v.pings) // what came back meanwhile was not seen either
-	v.heartbeatAt = 0
+	clear(v.outstandingPings) // what came back meanwhile was not seen either
+	v.nextHeartbeatAt = 0
 }
 
-// join asks the seeds for the roster, and later, now and then, one that is not among the living: two fleets may have
+// contactSeed asks the seeds for the roster, and later, now and then, one that is not among the living: two fleets may have
 // begun apart.
-func (v *View) join() {
-	if v.now < v.joinAt {
+func (v *View) contactSeed() {
+	if v.now < v.nextJoinAt {
 		return
 	}
-	if v.joinAt = v.now + seedInterval; v.living < 2 {
-		v.joinAt = v.now + joinInterval
+	if v.nextJoinAt = v.now + seedInterval; v.aliveCount < 2 {
+		v.nextJoinAt = v.now + joinInterval
 	}
-	if n := len(v.opt.Seeds); n > 0 {
-		seed := v.opt.Seeds[v.rng.IntN(n)]
-		if !slices.ContainsFunc(v.roster, func(m *member) bool { return m.Addr == seed && v.alive(m) }) {
+	if n := len(v.options.Seeds); n > 0 {
+		seed := v.options.Seeds[v.rng.IntN(n)]
+		if !slices.ContainsFunc(v.roster, func(m *member) bool { return m.Addr == seed && v.isAlive(m) }) {
 			v.ping(seed, 0, &planepb.Datagram{Self: v.entry(v.self), Who: true}, 0, 0)
 		}
 	}
 }
 
-// pingLost pings one of the lost, since a cut may have healed, and one of whom nothing was heard lately: whoever observes it
+// pingUnobserved pings one of the lost, since a cut may have healed, and one of whom nothing was heard lately: whoever observes it
 // may be gone with it.
-func (v *View) pingLost() {
-	if v.now < v.lostPingAt {
+func (v *View) pingUnobserved() {
+	if v.now < v.nextUnobservedPingAt {
 		return
 	}
-	v.lostPingAt = v.now + lostPingInterval
-	v.forget()
+	v.nextUnobservedPingAt = v.now + unobservedPingInterval
+	v.reapTombstones()
 	v.FleetSize() // so that a minority is noticed whether or not anybody asks
 	var lost, unheard []*member
 	for _, m := range v.roster {
@@ -83,7 +83,7 @@
 		case m == v.self:
 		case m.state.status() == Lost:
 			lost = append(lost, m)
-		case v.alive(m) && !m.observed && v.now-m.lastContact >= aliveWindow:
+		case v.isAlive(m) && !m.observed && v.now-m.lastContact >= aliveWindow:
 			unheard = append(unheard, m)
 		}
 	}
@@ -93,12 +93,12 @@
 			silent++
 		}
 	}
-	v.pingAnyLost(lost, 1)
-	v.pingAnyLost(unheard, 1+min(silent, maxExtraPings)) // the more are silent, the more may have no observer left
+	v.pingRandom(lost, 1)
+	v.pingRandom(unheard, 1+min(silent, maxUnobservedPings)) // the more are silent, the more may have no observer left
 }
 
-// pingAnyLost pings n members drawn from a list, with repetition.
-func (v *View) pingAnyLost(of []*member, n int) {
+// pingRandom pings n members drawn from a list, with repetition.
+func (v *View) pingRandom(of []*member, n int) {
 	if len(of) == 0 {
 		return
 	}
