--- a/internal/cluster/membership/fleetsize.go
+++ b/internal/cluster/membership/fleetsize.go
@@ -2,43 +2,48 @@
 
 import "time"
 
-// FleetSize is the size of a broker's fleet, as it sees it. Brokers are names: the two processes of a replacement are one.
+// FleetSize is the size of a fleet as one broker sees it. It counts brokers by name: the two instances of a rolling
+// replacement are one broker.
 type FleetSize struct {
-	Alive   int // brokers that live, this one included
-	Known   int // brokers that live or are lost, but have not left
-	Sharing int // brokers to divide a common budget by
-	Fenced  bool
+	Alive   int  // brokers with a live instance, this one included
+	Known   int  // brokers that are alive or lost; those that have left do not count
+	Sharing int  // brokers among which a shared budget is divided
+	Fenced  bool // this broker must not use any part of a shared budget
 }
 
-// FleetSize returns the size of the fleet. A broker that is cut off looks like one that is dead, so the lost keep their part
-// of what is shared: only a side that sees more than half of all may divide it by those that it sees, and only once those
-// that it lost must know that they are the minority. A broker that has been in a minority for that long is fenced: it uses
-// no part at all. A fleet that truly lost most of its brokers is fenced as well, until they are back or forgotten.
+// FleetSize returns the size of the fleet. A partitioned broker looks like a dead one, so lost brokers keep their part of a
+// shared budget. Only a majority, a side that sees more than half of all known brokers, divides it among those that it sees,
+// and only after twice fenceDelay, by which the minority has fenced itself. A fleet that really has lost most of its brokers
+// is fenced as well, until they return or their tombstones are reaped.
 func (v *View) FleetSize() FleetSize {
 	if v.brokersStale {
-		v.brokers, v.brokersStale = v.groupBrokers(), false
+		v.brokers = v.countBrokers()
+		v.brokersStale = false
 	}
-	c := FleetSize{Alive: v.brokers.alive, Known: v.brokers.alive + len(v.brokers.lostAt)}
-	if 2*c.Alive > c.Known && !v.isIsolated() {
+	size := FleetSize{Alive: v.brokers.alive, Known: v.brokers.alive + len(v.brokers.lostAt)}
+	isMajority := 2*size.Alive > size.Known
+	if isMajority && !v.isIsolated() {
 		v.minoritySince = -1
-		c.Sharing = c.Alive + v.brokers.countLostWithin(2*fenceDelay, v.now)
-		return c
+		size.Sharing = size.Alive + v.brokers.countLostWithin(2*fenceDelay, v.now)
+		return size
 	}
 	if v.minoritySince < 0 {
 		v.minoritySince = v.now
 	}
-	c.Sharing, c.Fenced = c.Known, v.now-v.minoritySince >= fenceDelay
-	return c
+	size.Sharing = size.Known
+	size.Fenced = v.now-v.minoritySince >= fenceDelay
+	return size
 }
 
-// brokerCounts are the instances of a roster by their brokers' names. They are counted anew only where the roster or a state
-// has changed, since drivers ask at each look at the clock.
+// brokerCounts counts the brokers of a roster. The counts are cached until the roster or a state changes, since drivers call
+// FleetSize at each tick.
 type brokerCounts struct {
 	alive  int
-	lostAt []time.Duration // of each that is lost: since when its latest instance is
+	lostAt []time.Duration // for each lost broker, when its latest instance was declared lost
 }
 
-func (v *View) groupBrokers() (b brokerCounts) {
+// countBrokers counts the brokers of the roster. A broker is alive if one of its instances is.
+func (v *View) countBrokers() brokerCounts {
 	alive := map[string]bool{}
 	lostAt := map[string]time.Duration{}
 	for _, m := range v.roster {
@@ -49,21 +54,22 @@
 			lostAt[m.Name] = max(lostAt[m.Name], m.stateSince)
 		}
 	}
-	b.alive = len(alive)
+	counts := brokerCounts{alive: len(alive)}
 	for name, at := range lostAt {
 		if !alive[name] {
-			b.lostAt = append(b.lostAt, at)
+			counts.lostAt = append(counts.lostAt, at)
 		}
 	}
-	return b
+	return counts
 }
 
-// countLostWithin counts the brokers that were lost less than so long ago.
-func (b *brokerCounts) countLostWithin(d, now time.Duration) (n int) {
+// countLostWithin returns how many brokers have been lost for less than a duration.
+func (b *brokerCounts) countLostWithin(d, now time.Duration) int {
+	count := 0
 	for _, at := range b.lostAt {
 		if now-at < d {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -3,40 +3,55 @@
 import (
 	"time"
 
-	"mothrouter/internal/cluster/plane"
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// pushUpdates tells some others of what is new. A vector says it all to those with the same roster, and only to them.
+// pushUpdates gossips what has changed to random members: to gossipFanout of them the state vector, which is complete for
+// all members with the same roster. While rosters differ a vector is of no use, and one member receives the changed entries
+// alone; what else is missing is requested by those that miss it (requestSync).
 func (v *View) pushUpdates() {
-	differs, told := v.now-v.rosterDivergedAt < divergenceWindow, gossipFanout
-	if differs {
-		// While rosters differ, what another lacks is better sent when it asks: then it is only that.
-		told, v.nextPushAt = 1, v.now+pushInterval
+	diverged := v.now-v.rosterDivergedAt < divergenceWindow
+	fanout := gossipFanout
+	if diverged {
+		fanout = 1
+		v.nextPushAt = v.now + pushInterval
 	}
-	var news []*member
+	updates := v.takePendingUpdates()
+	for _, m := range v.pickRandom(fanout, anyMember) {
+		d := &planepb.Datagram{}
+		if diverged {
+			v.appendEntries(d, updates)
+		} else {
+			d.Vector = v.stateVector()
+		}
+		v.send(m.Addr, d, &v.gossipBudget)
+	}
+}
+
+// takePendingUpdates returns the instances whose entries are due with this push.
+func (v *View) takePendingUpdates() []*member {
+	var updates []*member
 	for _, m := range v.roster {
 		if m.gossipPending {
-			news = append(news, m)
+			updates = append(updates, m)
 			m.gossipPending = false
 		}
 	}
-	for _, m := range v.pickRandom(told, anyMember) {
-		d := &planepb.Datagram{Vector: v.stateVector()}
-		if differs {
-			d.Vector = nil
-			for i := range news {
-				if d.Entries = append(d.Entries, v.entry(news[i])); plane.WireSize(d) > maxEntriesSize {
-					d.Entries = d.Entries[:len(d.Entries)-1]
-					break
-				}
-			}
+	return updates
+}
+
+// appendEntries appends the entries of instances to a datagram, as many as fit.
+func (v *View) appendEntries(d *planepb.Datagram, instances []*member) {
+	for _, m := range instances {
+		if !v.appendEntry(d, m) {
+			return
 		}
-		v.send(m.Addr, d, &v.gossipBudget)
 	}
 }
 
-// mergeGossip takes news of instances and states, and tells the sender where it is behind.
+// mergeGossip merges the entries and the state vector of a member's datagram, and sends that member what it lacks. A vector
+// refers to the sender's roster and is ignored if the digests show that the rosters differ. A sender whose states differ, and
+// who has sent no vector, is sent one.
 func (v *View) mergeGossip(m *member, d *planepb.Datagram) {
 	for _, e := range d.Entries {
 		v.mergeEntry(e)
@@ -48,48 +63,57 @@
 		v.rosterDivergedAt = v.now
 		return
 	}
-	switch {
-	case d.States == v.digest.states:
-	case len(d.Vector) == len(v.roster):
-		ahead := false
-		for i, b := range d.Vector {
-			o := v.roster[i]
-			if o == v.self {
-				v.adoptOwnState(state(b))
-				continue
-			}
-			v.applyState(o, state(b))
-			ahead = ahead || o.state != state(b)
-		}
-		if ahead {
-			v.send(m.Addr, &planepb.Datagram{Vector: v.stateVector()}, &v.gossipBudget)
-		}
-	case len(d.Vector) == 0:
+	if d.States == v.digest.states {
+		return
+	}
+	senderIsBehind := len(d.Vector) == 0
+	if len(d.Vector) == len(v.roster) {
+		senderIsBehind = v.mergeVector(d.Vector)
+	}
+	if senderIsBehind {
 		v.send(m.Addr, &planepb.Datagram{Vector: v.stateVector()}, &v.gossipBudget)
 	}
 }
 
-// stateVector is the state of each instance of the roster.
+// mergeVector merges a state vector of the same roster. It reports whether self holds a later state of any instance.
+func (v *View) mergeVector(vector []byte) bool {
+	senderIsBehind := false
+	for i, b := range vector {
+		m := v.roster[i]
+		if m == v.self {
+			v.adoptOwnState(state(b))
+			continue
+		}
+		v.applyState(m, state(b))
+		senderIsBehind = senderIsBehind || m.state != state(b)
+	}
+	return senderIsBehind
+}
+
+// stateVector returns the states of the roster, a byte an instance.
 func (v *View) stateVector() []byte {
-	b := make([]byte, len(v.roster))
+	vector := make([]byte, len(v.roster))
 	for i, m := range v.roster {
-		b[i] = byte(m.state)
+		vector[i] = byte(m.state)
 	}
-	return b
+	return vector
 }
 
-// adoptOwnState answers a verdict on this member itself: it lives, and says so, unless it ends.
+// adoptOwnState adopts a later state that others hold of self, so that the digests agree, until one of them refutes it.
+// Members reports self as Alive all the same.
 func (v *View) adoptOwnState(s state) {
 	if s.supersedes(v.self.state) && s.status() != Left && !v.leaving {
 		v.updateDigest(v.self, -1)
-		v.self.state, v.self.stateSince = s, v.now // what others hold of it, until one has had its answer to a ping
+		v.self.state = s
+		v.self.stateSince = v.now
 		v.updateDigest(v.self, 1)
 	}
 }
 
-// mergeEntry takes an instance at second hand.
+// mergeEntry merges an entry. An unknown instance is added, within the bounds of the roster.
 func (v *View) mergeEntry(e *planepb.Entry) {
-	i, s := instanceFromEntry(e), state(e.State)
+	i := instanceFromEntry(e)
+	s := state(e.State)
 	m := v.byID[i.ID()]
 	switch {
 	case m == v.self:
@@ -99,6 +123,9 @@
 	case len(v.roster) >= maxRoster || s.status() == Alive && v.aliveCount >= MaxMembers:
 	default:
 		m = v.add(i, s)
-		m.stateSince -= time.Duration(min(e.Age, uint32(tombstoneRetention/time.Second))) * time.Second
+		m.stateSince -= time.Duration(min(e.Age, maxEntryAge)) * time.Second
 	}
 }
+
+// maxEntryAge bounds the age that an entry may claim, in seconds: no tombstone is older.
+const maxEntryAge = uint32(tombstoneRetention / time.Second)
--- a/internal/cluster/membership/instance.go
+++ b/internal/cluster/membership/instance.go
@@ -8,92 +8,106 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// Status is what a member is taken for.
+// Status is the status of a member in a view.
 type Status uint8
 
-// What members are taken for.
+// Statuses, ordered so that the greater one wins within an incarnation.
 const (
 	Alive Status = iota
-	Lost         // silent to all that were asked: dead, or cut off
-	Left         // has left by itself
+	Lost         // declared failed by an observer: dead, or partitioned from it
+	Left         // announced its own shutdown
 )
 
+// String returns the status as it is logged.
 func (s Status) String() string { return [...]string{"alive", "lost", "left", "unknown"}[min(s, 3)] }
 
 // Instance is one process of a broker.
 type Instance struct {
-	Name  string
-	Start uint64 // in Unix nanoseconds
+	Name  string // of the broker, the same for all of its processes
+	Start uint64 // start of the process, in Unix nanoseconds
 	Addr  netip.AddrPort
 }
 
-// ID is the instance's number.
+// ID returns the instance's identifier, a hash of its name and start.
 func (i Instance) ID() uint64 { return plane.ID(i.Name, i.Start) }
 
+// instanceFromEntry returns the instance that an entry describes.
 func instanceFromEntry(e *planepb.Entry) Instance { return Instance{e.Name, e.Start, plane.Addr(e)} }
 
-// Member is an instance as others see it.
+// Member is an instance with its status in a view.
 type Member struct {
 	Instance
 	Status Status
 }
 
-// member is an instance with what this view knows of it.
+// member is an instance with all that a view holds of it.
 type member struct {
 	Instance
 	id          uint64
 	state       state
-	stateSince  time.Duration // of the state
-	lastContact time.Duration // when a datagram of it was received, or a helper heard of it; 0: never
+	stateSince  time.Duration // when state was set
+	lastContact time.Duration // when a datagram from it, or an indirect ack about it, last arrived; 0: never
 
-	seq       uint64 // the highest accepted
-	seqWindow uint64 // bit i: seq - i was accepted
+	seq       uint64 // highest sequence number accepted
+	seqWindow uint64 // anti-replay window: bit i is set if seq - i was accepted
 
 	observed           bool
-	adopted            bool          // observed because it did not answer a ping, whoever else observes it
-	unackedSince       time.Duration // when a ping was sent that it never answered, the first since it was heard; 0: none
-	silentSince        time.Duration // as its observer: when it was last known to live, from this process's own wakefulness on
-	indirectPingSentAt time.Duration
-	confirmations      map[uint64]time.Duration // helpers that found it silent, and when
+	adopted            bool          // observed because it did not ack a ping, although no ring assigns it to this view
+	unackedSince       time.Duration // when the first ping since its last contact was sent that expired; 0: none expired
+	silentSince        time.Duration // the start of the suspicion timer: its last contact, or when the timer was last restarted
+	indirectPingSentAt time.Duration // when helpers were last sent an indirect ping request; 0: not during this suspicion
 
-	gossipPending bool // its entry has to be gossiped
+	// confirmations holds, by the helper's ID, when a helper's negative ack arrived during the present suspicion.
+	confirmations map[uint64]time.Duration
+
+	gossipPending bool // its entry has to be sent with the next push
 }
 
-// state is an epoch, which each revival raises, with a status. The later epoch wins, in it the worse status.
+// state is an incarnation, in the upper bits, with a status. The later incarnation wins, and within it the greater status.
 type state uint8
 
-const statusBits = 2
+const (
+	statusBits      = 2
+	incarnationBits = 8 - statusBits
+)
 
 func (s state) status() Status     { return Status(s & (1<<statusBits - 1)) }
 func (s state) incarnation() uint8 { return uint8(s) >> statusBits }
 
-// withStatus is the state of the same epoch with a status.
+// withStatus returns the state of the same incarnation with another status.
 func (s state) withStatus(status Status) state { return s>>statusBits<<statusBits | state(status) }
 
-// refuted is the state of the next epoch, alive.
+// refuted returns the state that refutes s: the next incarnation, alive.
 func (s state) refuted() state { return state((s.incarnation()+1)<<statusBits) | state(Alive) }
 
-// supersedes tells that s is later than o. Epochs go round; they are never far apart.
+// supersedes reports whether s is later than o. Left is final. Incarnations wrap around and are compared as serial numbers
+// (RFC 1982): states in circulation are never half of the range apart.
 func (s state) supersedes(o state) bool {
 	if o.status() == Left || s.status() == Left {
 		return s.status() == Left && o.status() != Left
 	}
-	if d := (s.incarnation() - o.incarnation()) & (1<<(8-statusBits) - 1); d != 0 {
-		return d < 1<<(7-statusBits)
+	if ahead := (s.incarnation() - o.incarnation()) & (1<<incarnationBits - 1); ahead != 0 {
+		return ahead < 1<<(incarnationBits-1)
 	}
 	return s.status() > o.status()
 }
 
-// acceptSeq accepts a sequence number once. Those that are far behind the latest count as accepted before.
+// seqWindowSize is how far behind the highest sequence number a datagram may arrive, in sequence numbers: the bits of
+// seqWindow.
+const seqWindowSize = 64
+
+// acceptSeq reports whether a sequence number is new, and marks it as accepted. A number that lies behind the window counts
+// as replayed.
 func (m *member) acceptSeq(seq uint64) bool {
-	switch {
-	case seq > m.seq:
-		m.seqWindow = m.seqWindow<<min(seq-m.seq, 64) | 1
+	if seq > m.seq {
+		m.seqWindow = m.seqWindow<<min(seq-m.seq, seqWindowSize) | 1
 		m.seq = seq
 		return true
-	case m.seq-seq >= 64 || m.seqWindow>>(m.seq-seq)&1 == 1:
+	}
+	behind := m.seq - seq
+	if behind >= seqWindowSize || m.seqWindow>>behind&1 == 1 {
 		return false
 	}
-	m.seqWindow |= 1 << (m.seq - seq)
+	m.seqWindow |= 1 << behind
 	return true
 }
--- a/internal/cluster/membership/limits.go
+++ b/internal/cluster/membership/limits.go
@@ -4,72 +4,133 @@
 
 // Sizes.
 const (
-	// MaxMembers is how many members there may be. Instances of the past take a place until they are forgotten. All states
-	// go into one datagram, a byte an instance: of plane.MaxSize, 1,200 bytes, 1,156 are left beside the header, enough for
-	// a roster of 1,000. docs/fleet.md (Open) tells what limits a larger one.
+	// MaxMembers is the maximum number of live members. Tombstones take a place in the roster until their retention ends. All
+	// states go into one datagram, a byte an instance: of plane.MaxSize, 1,200 bytes, the header leaves 1,156, enough for a
+	// roster of 1,000. docs/fleet.md (Open) lists what limits a larger fleet.
 	MaxMembers = 500
 
-	maxRoster           = 2 * MaxMembers
-	ringCount           = 6    // of observers; each member has as many, and observes as many
-	indirectPingFanout  = 2    // members that are asked at once to ping a silent one
-	maxConfirmations    = 2    // helpers that have to find it silent too
-	maxAdopted          = 3    // members observed at once because they did not answer a ping
-	maxUnobservedPings  = 3    // lost members pinged beside the one, where as many of those observed are silent
-	gossipFanout        = 5    // members that an update is pushed to at once
-	rosterSlices        = 8    // a roster is asked for in slices, so that asking costs less than what is answered
-	maxEntriesSize      = 1100 // bytes of a datagram of instances, with IP and UDP headers
-	maxOutstandingPings = 256  // numbers that wait for a pong
+	// maxRoster is the maximum number of instances in a roster. Twice MaxMembers lets every broker be replaced at once.
+	maxRoster = 2 * MaxMembers
+
+	// ringCount is the number of rings, and so of observers of a member. More rings raise the traffic without detecting mass
+	// failures sooner (docs/fleet.md).
+	ringCount = 6
+
+	// indirectPingFanout is how many helpers are sent one indirect ping request (SWIM's k).
+	indirectPingFanout = 2
+
+	// maxConfirmations is how many helpers have to confirm a suspicion, where there are as many.
+	maxConfirmations = 2
+
+	// maxAdopted is how many members without a live observer a view adopts beside those that its rings assign to it.
+	maxAdopted = 3
+
+	// maxUnobservedPings is how many additional unobserved members are pinged in one unobservedPingInterval during a mass
+	// failure.
+	maxUnobservedPings = 3
+
+	// gossipFanout is how many members a change is pushed to at once.
+	gossipFanout = 5
+
+	// rosterSlices is how many slices a roster is synchronized in, one a request, so that a request is smaller than its
+	// answer.
+	rosterSlices = 8
+
+	// maxEntriesSize bounds a datagram with entries, in bytes with IP and UDP headers.
+	maxEntriesSize = 1100
+
+	// maxHashesSize bounds the hashes in a sync request, in bytes: maxEntriesSize without the header.
+	maxHashesSize = maxEntriesSize - 100
+
+	// maxOutstandingPings bounds the pings that wait for an ack, and so their memory.
+	maxOutstandingPings = 256
 )
 
 // Failure detection.
 const (
-	heartbeatInterval = 250 * time.Millisecond // to each observer
+	// heartbeatInterval is the interval of heartbeats to each observer.
+	heartbeatInterval = 250 * time.Millisecond
 
-	// lossTimeout is how long a member must have been silent: longer than the longest pause that it may make (4 s) and a
-	// heartbeat, and short enough that all know of a death within 5 s.
+	// lossTimeout is how long a member is silent before it is declared lost. It is longer than the longest pause to be
+	// tolerated (4 s) and a heartbeat, and short enough for the whole fleet to know of a failure within 5 s.
 	lossTimeout = 4450 * time.Millisecond
 
-	// A silent member is pinged indirectly, by helpers, and again. That is twice before the verdict: where most members die
-	// at once, each that is left observes several of the dead, and all requests have to fit into what may be sent.
+	// indirectPingAfter is how long a member is silent before it is suspected and pinged indirectly. With
+	// indirectPingInterval that gives two rounds before the verdict. In a mass failure each survivor observes several failed
+	// members, and the requests for all of them have to fit into probeRate.
 	indirectPingAfter    = 2200 * time.Millisecond
 	indirectPingInterval = 1500 * time.Millisecond
-	indirectPingTimeout  = 300 * time.Millisecond // that a helper waits for an answer
-
-	confirmationLifetime   = 2500 * time.Millisecond // for which a helper's finding counts
-	pauseThreshold         = 500 * time.Millisecond  // between two ticks: this process was stopped, or its clock jumped
-	unobservedPingInterval = 500 * time.Millisecond  // a lost member is pinged: a cut may have healed
-	pingTimeout            = 2 * time.Second         // for which a ping's number is good
-	aliveWindow            = time.Second             // a member heard of within it is proven alive
-	helperWindow           = 3 * time.Second         // and within it may be a helper
+
+	// indirectPingTimeout is how long a helper waits for the ack before it sends a negative ack.
+	indirectPingTimeout = 300 * time.Millisecond
+
+	// confirmationLifetime is how long a helper's negative ack counts. It covers the interval between two rounds.
+	confirmationLifetime = 2500 * time.Millisecond
+
+	// pauseThreshold is the gap between two ticks, ten times TickInterval, from which this process counts as paused, or its
+	// clock as set.
+	pauseThreshold = 500 * time.Millisecond
+
+	// unobservedPingInterval is the interval of pings to lost members, since a partition may have healed, and to members
+	// whose observers may have failed with them.
+	unobservedPingInterval = 500 * time.Millisecond
+
+	// pingTimeout is how long a direct ping waits for its ack.
+	pingTimeout = 2 * time.Second
+
+	// aliveWindow is how recent a contact is that proves a member alive, without a ping: four heartbeats.
+	aliveWindow = time.Second
+
+	// helperWindow is how recent the contact with a member is that may be a helper.
+	helperWindow = 3 * time.Second
 )
 
 // Dissemination.
 const (
-	pushInterval         = 500 * time.Millisecond // updates are pushed, while rosters differ
-	introductionInterval = 200 * time.Millisecond // an unknown instance is asked who it is
-	joinInterval         = 250 * time.Millisecond // a newcomer asks for the roster
-	seedInterval         = 5 * time.Second        // a seed that is no member is asked: two fleets may have begun apart
-	syncInterval         = 300 * time.Millisecond // while rosters differ, another's is asked for what is missing of a slice
-	divergenceWindow     = time.Second            // rosters that differed so lately may still
+	// pushInterval is the minimum interval of pushes while rosters differ.
+	pushInterval = 500 * time.Millisecond
+
+	// introductionInterval is the minimum interval of introduction requests to unknown senders of anything but a ping.
+	introductionInterval = 200 * time.Millisecond
+
+	// joinInterval is the interval at which a view without other live members contacts a seed.
+	joinInterval = 250 * time.Millisecond
+
+	// seedInterval is the interval at which a view with members contacts a seed that is not one of them, so that two fleets
+	// that formed apart merge.
+	seedInterval = 5 * time.Second
+
+	// syncInterval is the mean interval of sync requests while rosters differ.
+	syncInterval = 300 * time.Millisecond
+
+	// divergenceWindow is how long after the last differing digest rosters count as different.
+	divergenceWindow = time.Second
 )
 
 // Retention.
 const (
-	// tombstoneRetention is after how long an instance that is lost is forgotten. It is longer than regions lose each other for
-	// (an hour) with half of that to spare. A side that forgot the other within a cut would take itself for the whole fleet
-	// and use all of what is shared, as the other does. What it costs is bounded: an instance whose broker is back is
-	// forgotten after leftRetention, so that in 90 minutes only brokers that never came back pile up. With 27 machines
-	// failed a day those are 2, with a zone of ten lost 60 of 590 beside; each takes a place in the roster, a byte in the
-	// vector and no more pings, of which there is one a lostPingInterval.
+	// tombstoneRetention is how long a lost instance stays in the roster. It is longer than a partition between regions (an
+	// hour), with half of that in reserve: a side that dropped the other's tombstones during the partition would take itself
+	// for the entire fleet and use all of a shared budget, as the other side does. The cost is bounded. An instance whose
+	// broker is back is retained for supersededRetention only, so that only brokers that never return accumulate: at 27
+	// machine failures a day those are 2 in 90 minutes, and a lost zone of ten adds 60 of 590. Each takes a place in the
+	// roster and a byte in the vector, but no additional pings, of which there is one an unobservedPingInterval.
 	tombstoneRetention = 90 * time.Minute
 
-	supersededRetention = 10 * time.Second // the same where it has left, or another of its name lives
-	gossipStopLead      = 3 * time.Second  // before that, it is gossiped no more
-	fenceDelay          = 20 * time.Second // in a minority, after which a broker uses no part of what is shared
+	// supersededRetention is how long an instance stays in the roster that has left, or that is lost while another instance
+	// of its name is alive.
+	supersededRetention = 10 * time.Second
+
+	// gossipStopLead is how long before the end of its retention a tombstone is no longer gossiped, so that it does not
+	// return from a member that reaps it later.
+	gossipStopLead = 3 * time.Second
+
+	// fenceDelay is how long a broker is in a minority before it is fenced, that is, before its part of a shared budget is 0.
+	fenceDelay = 20 * time.Second
 )
 
-// Token buckets, in bytes on the wire: what is sent beside heartbeats and pongs, to find out who lives and to gossip it.
-// With the heartbeats, that is under 4 KB/s over any 10 s.
+// Token buckets for all datagrams but heartbeats and acks, in bytes a second and bytes, with IP and UDP headers. With the
+// heartbeats the sum stays below 4 KB/s over any 10 s.
 const (
 	probeRate   = 800
 	probeBurst  = 2000
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -1,12 +1,20 @@
-// Package membership keeps one broker's view of which brokers of its fleet live, in the manner of SWIM with Lifeguard's
-// refinements and Rapid's rings of observers. It does no I/O and keeps no clock: a driver hands in the time and the
-// datagrams received, and sends those that it returns. docs/fleet.md weighs the options and tells how the parts work
-// together.
+// Package membership maintains one broker's view of the members of its fleet: SWIM's failure detector and gossip with the
+// observers of Rapid's rings and several refinements of Lifeguard. It does no I/O and reads no clock: a driver passes in the
+// time and the datagrams received, and sends the datagrams returned. docs/fleet.md compares the alternatives and describes
+// the protocol.
 //
-// Members are instances: a broker's name with the start of its process. Each sends heartbeats to a few observers, its successors
-// on several rings of all members. An observer that has heard nothing of a member for some time has others ping it, and
-// takes it for lost only once they confirm that it is silent for them too. States are gossiped as one vector of the whole
-// fleet, a byte a member, and the later one always wins.
+// A member is an instance: a broker's name with the start time of its process. Each member sends heartbeats to its observers,
+// which are its successors on several rings of all members. An observer that has received nothing from a member for
+// indirectPingAfter pings it and sends indirect ping requests to helpers. It declares the member lost, SWIM's "confirmed
+// dead", after lossTimeout, provided that enough helpers have confirmed the suspicion by a negative ack, as in Lifeguard.
+//
+// Each member has a state: an incarnation and a status. States are gossiped as one vector of a byte a member, and the later
+// state wins. Two things differ from SWIM. A suspicion is local to the observer and is never gossiped. And a refutation, the
+// next incarnation, is issued not by the lost member itself but by whichever member receives its ack of a ping.
+//
+// In place of Lifeguard's local health multiplier, a view that notices a gap between two ticks restarts its timers, since it
+// cannot have received what was sent meanwhile (resetAfterPause), and a view that hears no member declares none lost
+// (requiredConfirmations).
 package membership
 
 import (
@@ -17,98 +25,118 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// View is one broker's membership. Make it with New. It is not safe for concurrent use.
+// randomStream is the second word of the seed of a view's random numbers: a fixed value separates them from the other
+// generators of the process that have the same seed.
+const randomStream = 0x510e527fade682d1
+
+// View is one broker's membership. Make it with New. It is not safe for concurrent use. Instants are durations on the
+// driver's clock.
 type View struct {
 	options Options
 	self    *member
 	rng     *rand.Rand
 	now     time.Duration
-	outbox  []Send
-	seq     uint64
+	outbox  []Send // datagrams that the present call returns
+	seq     uint64 // sequence number of the latest datagram
 
 	byID       map[uint64]*member
-	roster     []*member // in the order of their numbers, self included
-	rings      [ringCount][]*member
-	digest     rosterDigest // hashes of the roster that do not depend on any order
-	aliveCount int          // instances that live
-	ringsStale bool         // who observes whom has to be found anew
+	roster     []*member            // all instances known, self and tombstones included, ordered by ID
+	rings      [ringCount][]*member // the roster in the order of each ring
+	digest     rosterDigest
+	aliveCount int  // instances with status Alive
+	ringsStale bool // observers and observed have to be assigned again
+
+	brokers      brokerCounts
+	brokersStale bool // brokers has to be counted again
 
-	brokers      brokerCounts // of the roster
-	brokersStale bool         // they have to be counted anew
+	observers []*member // members that receive self's heartbeats
+	observed  []*member // members whose heartbeats self expects, adopted ones included
 
-	observers []*member // of self
-	observed  []*member // whom self observes
+	outstandingPings map[uint32]outstandingPing // by ping number
+	lastPingNumber   uint32                     // of pings and of indirect ping requests
 
-	outstandingPings     map[uint32]outstandingPing
-	lastPingNumber       uint32
 	nextHeartbeatAt      time.Duration
 	nextJoinAt           time.Duration
 	nextSyncAt           time.Duration
 	nextPushAt           time.Duration
 	nextUnobservedPingAt time.Duration
 	nextIntroductionAt   time.Duration
-	minoritySince        time.Duration // since when fewer than half are seen; -1: they are not
-	lastSyncSlice        uint32        // the latest that was asked for
-	rosterDivergedAt     time.Duration // when a roster other than this one was last heard of
-	probeBudget          tokenBucket
-	gossipBudget         tokenBucket
-	lastTickAt           time.Duration // the latest Tick
-	ticked               bool          // Tick has been called
-	pushPending          bool          // the vector has changed
-	leaving              bool
-	DroppedDatagrams     int // that were replayed, old or of an unknown sender
+
+	minoritySince    time.Duration // when self's side ceased to be a majority; -1: it is one
+	lastSyncSlice    uint32        // slice of the roster that was last requested
+	rosterDivergedAt time.Duration // when a digest of a different roster was last received
+	probeBudget      tokenBucket   // for pings and what belongs to them
+	gossipBudget     tokenBucket   // for states and entries
+	lastTickAt       time.Duration
+	ticked           bool // Tick has been called
+	pushPending      bool // a state has changed since the last push
+	leaving          bool // Leave has been called
+
+	// DroppedDatagrams counts the datagrams that were replayed, too old, from an unknown sender or in self's own name.
+	DroppedDatagrams int
 }
 
-// rosterDigest are hashes of all instances, and of all instances with their states.
+// rosterDigest holds order-independent hashes of the roster: of all instances, and of all instances with their states.
+// Each datagram carries the sender's.
 type rosterDigest struct{ roster, states uint32 }
 
-// Options describe a broker and how it joins.
+// Options configure a View.
 type Options struct {
 	Self  Instance
-	Fleet uint64
-	Seeds []netip.AddrPort // to join by
-	Seed  uint64           // for random numbers
-	// Changed is called for each change of a member's status, and for new members; nil: it is not.
+	Fleet uint64           // fingerprint of the fleet, see plane.FleetFingerprint
+	Seeds []netip.AddrPort // addresses that a view contacts to join the fleet
+	Seed  uint64           // of random numbers
+	// Changed is called for each new member and each change of a member's status, from within Tick and Receive. It may be
+	// nil.
 	Changed func(Member)
 }
 
-// Send is a datagram to be sent.
+// Send is a datagram for the driver to send.
 type Send struct {
 	Addr netip.AddrPort
 	Data *planepb.Datagram
 }
 
-// New returns the view of a broker that knows no other yet.
-func New(opt Options) *View {
-	v := &View{options: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0x510e527fade682d1)), byID: map[uint64]*member{},
-		outstandingPings: map[uint32]outstandingPing{}, minoritySince: -1, rosterDivergedAt: -divergenceWindow,
-		probeBudget:  tokenBucket{rate: probeRate, burst: probeBurst, available: probeBurst},
-		gossipBudget: tokenBucket{rate: gossipRate, burst: gossipBurst, available: gossipBurst}}
-	v.self = v.add(opt.Self, 0)
+// New returns the view of a broker that knows no other member yet.
+func New(options Options) *View {
+	v := &View{
+		options:          options,
+		rng:              rand.New(rand.NewPCG(options.Seed, randomStream)),
+		byID:             map[uint64]*member{},
+		outstandingPings: map[uint32]outstandingPing{},
+		minoritySince:    -1,
+		rosterDivergedAt: -divergenceWindow,
+		probeBudget:      newTokenBucket(probeRate, probeBurst),
+		gossipBudget:     newTokenBucket(gossipRate, gossipBurst),
+	}
+	v.self = v.add(options.Self, 0)
 	return v
 }
 
+// advance sets the time, which never runs backwards.
 func (v *View) advance(now time.Duration) { v.now = max(v.now, now) }
 
-// takeOutbox hands out what is to be sent.
+// takeOutbox returns the datagrams to send and empties the outbox.
 func (v *View) takeOutbox() []Send {
 	out := v.outbox
 	v.outbox = nil
 	return out
 }
 
-// Members are all instances known, but for those that were forgotten, in the order of their numbers.
+// Members returns all instances of the roster, lost and left ones included until their retention ends, ordered by ID. A view
+// reports itself as Alive until Leave, whatever the others hold.
 func (v *View) Members() []Member {
 	var all []Member
 	for _, m := range v.roster {
-		s := m.state.status()
+		status := m.state.status()
 		if m == v.self && !v.leaving {
-			s = Alive
+			status = Alive
 		}
-		all = append(all, Member{m.Instance, s})
+		all = append(all, Member{m.Instance, status})
 	}
 	return all
 }
 
-// Fingerprint is equal where two brokers see the same instances in the same states.
+// Fingerprint returns a hash of the roster and its states. Two views with the same instances in the same states return the
+// same.
 func (v *View) Fingerprint() uint64 { return uint64(v.digest.roster)<<32 | uint64(v.digest.states) }
--- a/internal/cluster/membership/ping.go
+++ b/internal/cluster/membership/ping.go
@@ -7,56 +7,76 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
+// outstandingPing is a ping without an ack so far.
 type outstandingPing struct {
-	target        uint64
+	target        uint64 // ID of the pinged member; 0: not known yet, a seed or an unknown sender
 	sentAt        time.Duration
 	expiresAt     time.Duration
-	requester     uint64 // a member that wants to know; 0: this one
-	requestNumber uint32
+	requester     uint64 // ID of the member on whose behalf it was sent; 0: self
+	requestNumber uint32 // number of the requester's indirect ping request
 }
 
-// ping sends a ping, and remembers for whom. It tells whether it was sent.
-func (v *View) ping(to netip.AddrPort, id uint64, d *planepb.Datagram, requester uint64, requestNumber uint32) bool {
+// nextPingNumber returns a number for a ping or an indirect ping request. 0 stands for none on the wire and is skipped.
+func (v *View) nextPingNumber() uint32 {
+	v.lastPingNumber = max(v.lastPingNumber+1, 1)
+	return v.lastPingNumber
+}
+
+// ping sends a datagram as a ping and records it as outstanding. It reports whether the ping was sent: not if
+// maxOutstandingPings are outstanding or the probe budget is spent.
+func (v *View) ping(to netip.AddrPort, target uint64, d *planepb.Datagram, requester uint64, requestNumber uint32) bool {
 	if len(v.outstandingPings) >= maxOutstandingPings {
 		return false
 	}
-	v.lastPingNumber = max(v.lastPingNumber+1, 1)
-	wait := pingTimeout
+	timeout := pingTimeout
 	if requester != 0 {
-		wait = indirectPingTimeout
+		timeout = indirectPingTimeout
 	}
-	d.Ping = v.lastPingNumber
+	d.Ping = v.nextPingNumber()
 	if !v.send(to, d, &v.probeBudget) {
 		return false
 	}
-	v.outstandingPings[v.lastPingNumber] = outstandingPing{id, v.now, v.now + wait, requester, requestNumber}
+	v.outstandingPings[d.Ping] = outstandingPing{
+		target:        target,
+		sentAt:        v.now,
+		expiresAt:     v.now + timeout,
+		requester:     requester,
+		requestNumber: requestNumber,
+	}
 	return true
 }
 
-// acknowledge answers a ping, and introduces this member where that is asked.
+// acknowledge acks a ping, and introduces self if the sender requests it.
 func (v *View) acknowledge(m *member, d *planepb.Datagram) {
-	if d.Ping == 0 && !d.Who {
-		return
-	}
-	if d.Who {
+	switch {
+	case d.Who:
 		v.send(m.Addr, &planepb.Datagram{Pong: d.Ping, Self: v.entry(v.self)}, &v.probeBudget)
-		return
+	case d.Ping != 0:
+		v.send(m.Addr, &planepb.Datagram{Pong: d.Ping}, nil)
 	}
-	v.send(m.Addr, &planepb.Datagram{Pong: d.Ping}, nil)
 }
 
-// handleAck takes an answer to a ping, sent by this member for itself or for one that asked for an indirect ping.
+// handleAck handles the ack of a ping. The ack of a lost member refutes the verdict: unlike a delayed datagram it proves
+// that the member was alive within pingTimeout. If the ping was sent on behalf of another member, that one is sent an
+// indirect ack.
 func (v *View) handleAck(m *member, d *planepb.Datagram) {
-	p, ok := v.outstandingPings[d.Pong]
-	if d.Pong == 0 || !ok || p.target != m.id {
+	p, outstanding := v.outstandingPings[d.Pong]
+	if d.Pong == 0 || !outstanding || p.target != m.id {
 		return
 	}
 	delete(v.outstandingPings, d.Pong)
 	if m.state.status() == Lost {
 		v.applyState(m, m.state.refuted())
 	}
-	m.lastContact, m.silentSince = v.now, v.now
-	if asker := v.byID[p.requester]; asker != nil {
-		v.send(asker.Addr, &planepb.Datagram{About: m.id, Tell: p.requestNumber, Heard: true}, &v.probeBudget)
+	v.recordContact(m)
+	if requester := v.byID[p.requester]; requester != nil {
+		ack := &planepb.Datagram{About: m.id, Tell: p.requestNumber, Heard: true}
+		v.send(requester.Addr, ack, &v.probeBudget)
 	}
 }
+
+// recordContact records a proof that a member lives now, which restarts its suspicion timer.
+func (v *View) recordContact(m *member) {
+	m.lastContact = v.now
+	m.silentSince = v.now
+}
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -7,13 +7,13 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// Receive takes a datagram that plane.Parse has read, and returns what to send. It came from an address.
+// Receive handles a datagram that plane.Parse has accepted, from an address, and returns the datagrams to send.
 func (v *View) Receive(now time.Duration, addr netip.AddrPort, d *planepb.Datagram) []Send {
 	v.advance(now)
 	m := v.byID[d.From]
 	switch {
-	case m == v.self:
-		v.DroppedDatagrams++ // one of its own, or of another that claims to be it
+	case m == v.self: // self's own datagram, or one of a peer that claims its ID
+		v.DroppedDatagrams++
 		return nil
 	case m == nil:
 		v.handleUnknownSender(addr, d)
@@ -22,18 +22,24 @@
 		v.DroppedDatagrams++
 		return nil
 	}
+	v.handleMember(m, d)
+	return v.takeOutbox()
+}
+
+// handleMember handles a datagram of a member of the roster. From a lost member only an ack counts, since any other datagram
+// may have been delayed since before the verdict; the member is pinged for one. A member that has left is ignored.
+func (v *View) handleMember(m *member, d *planepb.Datagram) {
 	switch m.state.status() {
 	case Left:
-		return nil
+		return
 	case Lost:
-		// A word of the dead may be late. Only the answer to a number that was sent after the verdict shows that it lives.
 		if d.Pong == 0 {
 			v.acknowledge(m, d)
 			v.ping(m.Addr, m.id, &planepb.Datagram{}, 0, 0)
-			return v.takeOutbox()
+			return
 		}
 	default:
-		m.lastContact, m.silentSince = v.now, v.now
+		v.recordContact(m)
 		clear(m.confirmations)
 	}
 	v.acknowledge(m, d)
@@ -41,29 +47,21 @@
 	if d.Leave {
 		v.applyState(m, m.state.withStatus(Left))
 	}
-	if !v.isAlive(m) {
-		return v.takeOutbox()
+	if v.isAlive(m) {
+		v.handleIndirect(m, d)
+		v.mergeGossip(m, d)
 	}
-	v.handleIndirect(m, d)
-	v.mergeGossip(m, d)
-	return v.takeOutbox()
 }
 
-// handleUnknownSender takes a datagram of an instance that is not known. The instance has to answer a ping before it is taken
-// in, since a late datagram of one that was forgotten must not bring it back. Its own ping is answered, with the same
-// question.
+// handleUnknownSender handles a datagram of an instance that is not in the roster. The instance is added only if the datagram
+// introduces it in an ack, since a delayed datagram of a reaped instance must not bring it back. Anything else is dropped,
+// but answered by an introduction request.
 func (v *View) handleUnknownSender(addr netip.AddrPort, d *planepb.Datagram) {
-	p, ok := v.outstandingPings[d.Pong]
-	if !ok || d.Pong == 0 || p.target != 0 && p.target != d.From || d.Self == nil {
+	p, outstanding := v.outstandingPings[d.Pong]
+	introduces := outstanding && d.Pong != 0 && (p.target == 0 || p.target == d.From) && d.Self != nil
+	if !introduces {
 		v.DroppedDatagrams++
-		met := v.now >= v.nextIntroductionAt || d.Ping != 0
-		if met {
-			v.nextIntroductionAt = v.now + introductionInterval
-			met = v.ping(addr, 0, &planepb.Datagram{Pong: d.Ping, Self: v.entry(v.self), Who: true}, 0, 0)
-		}
-		if !met && d.Ping != 0 {
-			v.send(addr, &planepb.Datagram{Pong: d.Ping}, nil) // it lives, whoever asks
-		}
+		v.requestIntroduction(addr, d)
 		return
 	}
 	delete(v.outstandingPings, d.Pong)
@@ -77,15 +75,31 @@
 	v.mergeGossip(m, d)
 }
 
-// Leave returns the farewell of this member. It is told to the neighbours and some others, who spread it.
+// requestIntroduction pings an unknown sender and requests its introduction, at most once an introductionInterval unless it
+// has sent a ping. The same datagram acks that ping; if it cannot be sent, a plain ack is.
+func (v *View) requestIntroduction(addr netip.AddrPort, d *planepb.Datagram) {
+	isPing := d.Ping != 0
+	requested := false
+	if isPing || v.now >= v.nextIntroductionAt {
+		v.nextIntroductionAt = v.now + introductionInterval
+		request := &planepb.Datagram{Pong: d.Ping, Self: v.entry(v.self), Who: true}
+		requested = v.ping(addr, 0, request, 0, 0)
+	}
+	if isPing && !requested {
+		v.send(addr, &planepb.Datagram{Pong: d.Ping}, nil)
+	}
+}
+
+// Leave marks self as left and returns the announcements of it, to the observers and some random members, which gossip it.
+// A driver may call it again to repeat them.
 func (v *View) Leave(now time.Duration) []Send {
 	v.advance(now)
 	v.leaving = true
 	v.updateDigest(v.self, -1)
 	v.self.state = v.self.state.withStatus(Left)
 	v.updateDigest(v.self, 1)
-	told := append(v.pickRandom(gossipFanout, anyMember), v.observers...)
-	for _, m := range told {
+	recipients := append(v.pickRandom(gossipFanout, anyMember), v.observers...)
+	for _, m := range recipients {
 		v.send(m.Addr, &planepb.Datagram{Leave: true}, nil)
 	}
 	return v.takeOutbox()
--- a/internal/cluster/membership/rings.go
+++ b/internal/cluster/membership/rings.go
@@ -7,48 +7,61 @@
 	"mothrouter/internal/cluster/plane"
 )
 
-// compareOnRing is the order of members on a ring: by a hash of the instance and the ring.
-func compareOnRing(r int) func(a, b *member) int {
+// compareOnRing returns the order of members on a ring: by a hash of the instance's ID and the ring's number.
+func compareOnRing(ring int) func(a, b *member) int {
 	return func(a, b *member) int {
-		return cmp.Or(cmp.Compare(plane.Hash(a.id, uint64(r)), plane.Hash(b.id, uint64(r))), cmp.Compare(a.id, b.id))
+		byHash := cmp.Compare(plane.Hash(a.id, uint64(ring)), plane.Hash(b.id, uint64(ring)))
+		return cmp.Or(byHash, cmp.Compare(a.id, b.id))
 	}
 }
 
-// assignObservers finds the observers of this member, and those that it observes: on each ring the next and the one
-// before. Members that did not answer a ping are observed as well.
+// assignObservers sets observers to self's next live member on each ring, and observed to the previous one on each. Adopted
+// members remain observed while they are alive.
 func (v *View) assignObservers() {
 	v.ringsStale = false
-	v.observers, v.observed = v.observers[:0], v.observed[:0]
+	v.observers = v.observers[:0]
+	v.observed = v.observed[:0]
 	for _, ring := range v.rings {
 		at := slices.Index(ring, v.self)
 		v.observers = v.appendNextAlive(v.observers, ring, at, 1)
 		v.observed = v.appendNextAlive(v.observed, ring, at, len(ring)-1)
 	}
 	for _, m := range v.roster {
-		if m.adopted = m.adopted && v.isAlive(m); m.adopted && !slices.Contains(v.observed, m) {
+		m.adopted = m.adopted && v.isAlive(m)
+		if m.adopted && !slices.Contains(v.observed, m) {
 			v.observed = append(v.observed, m)
 		}
-		was := m.observed
-		if m.observed = slices.Contains(v.observed, m); m.observed && !was && !m.adopted {
-			if m.silentSince, m.indirectPingSentAt = v.now, 0; m.unackedSince > m.lastContact { // from now on, unless it owed an answer before
-				m.silentSince = m.unackedSince
-			}
-			clear(m.confirmations)
+		wasObserved := m.observed
+		m.observed = slices.Contains(v.observed, m)
+		if m.observed && !wasObserved && !m.adopted {
+			v.beginObserving(m)
 		}
 	}
 }
 
-// appendNextAlive appends the first member alive that comes behind a place of a ring in steps of so many places.
-func (v *View) appendNextAlive(to, ring []*member, at, step int) []*member {
-	for i := (at + step) % len(ring); i != at; i = (i + step) % len(ring) {
+// beginObserving starts a member's suspicion timer: now, or when the ping was sent that it has not acked since its last
+// contact.
+func (v *View) beginObserving(m *member) {
+	m.silentSince = v.now
+	if m.unackedSince > m.lastContact {
+		m.silentSince = m.unackedSince
+	}
+	m.indirectPingSentAt = 0
+	clear(m.confirmations)
+}
+
+// appendNextAlive appends the first live member that follows index at on a ring, which it walks by stride, unless the list
+// contains that member. A stride of len(ring)-1 walks backwards.
+func (v *View) appendNextAlive(list, ring []*member, at, stride int) []*member {
+	for i := (at + stride) % len(ring); i != at; i = (i + stride) % len(ring) {
 		m := ring[i]
 		if !v.isAlive(m) {
 			continue
 		}
-		if slices.Contains(to, m) {
-			return to
+		if slices.Contains(list, m) {
+			return list
 		}
-		return append(to, m)
+		return append(list, m)
 	}
-	return to
+	return list
 }
--- a/internal/cluster/membership/roster.go
+++ b/internal/cluster/membership/roster.go
@@ -8,9 +8,16 @@
 	"mothrouter/internal/cluster/plane"
 )
 
-// add takes an instance into the roster.
+// add adds an instance to the roster, which must not contain it.
 func (v *View) add(i Instance, s state) *member {
-	m := &member{Instance: i, id: i.ID(), state: s, stateSince: v.now, confirmations: map[uint64]time.Duration{}, gossipPending: true}
+	m := &member{
+		Instance:      i,
+		id:            i.ID(),
+		state:         s,
+		stateSince:    v.now,
+		confirmations: map[uint64]time.Duration{},
+		gossipPending: true,
+	}
 	v.byID[m.id] = m
 	at, _ := slices.BinarySearchFunc(v.roster, m.id, func(o *member, id uint64) int { return cmp.Compare(o.id, id) })
 	v.roster = slices.Insert(v.roster, at, m)
@@ -23,72 +30,77 @@
 	return m
 }
 
-// remove takes an instance out of the roster.
+// remove removes an instance from the roster.
 func (v *View) remove(m *member) {
 	v.updateDigest(m, -1)
 	delete(v.byID, m.id)
-	is := func(o *member) bool { return o == m }
-	v.roster = slices.DeleteFunc(v.roster, is)
+	isRemoved := func(o *member) bool { return o == m }
+	v.roster = slices.DeleteFunc(v.roster, isRemoved)
 	for r := range v.rings {
-		v.rings[r] = slices.DeleteFunc(v.rings[r], is)
+		v.rings[r] = slices.DeleteFunc(v.rings[r], isRemoved)
 	}
 	v.ringsStale = true
 }
 
-// applyState takes a state that is later than what is known.
+// applyState sets a member's state if it supersedes the present one.
 func (v *View) applyState(m *member, s state) {
 	if !s.supersedes(m.state) {
 		return
 	}
-	was := m.state.status()
+	previous := m.state.status()
 	v.updateDigest(m, -1)
-	m.state, m.stateSince = s, v.now
+	m.state = s
+	m.stateSince = v.now
 	v.updateDigest(m, 1)
 	clear(m.confirmations)
-	m.gossipPending, v.pushPending = true, true
-	if s.status() != was {
+	m.gossipPending = true
+	v.pushPending = true
+	if s.status() != previous {
 		v.statusChanged(m)
 	}
 }
 
-// statusChanged tells of a new status.
+// statusChanged schedules what follows a new status, and calls Options.Changed unless the member is self.
 func (v *View) statusChanged(m *member) {
-	v.ringsStale, v.pushPending = true, true
+	v.ringsStale = true
+	v.pushPending = true
 	if v.options.Changed != nil && v.self != nil && m != v.self {
 		v.options.Changed(Member{m.Instance, m.state.status()})
 	}
 }
 
-// updateDigest takes a member into the sums, or out of them: the same step does both. Whatever changes the roster or a state
-// comes by here.
-func (v *View) updateDigest(m *member, living int) {
+// updateDigest adds a member to the digest and counts it by sign 1, or removes it by -1; XOR does both. Each change of the
+// roster or of a state calls it.
+func (v *View) updateDigest(m *member, sign int) {
 	v.brokersStale = true
-	n := uint32(plane.Hash(m.id))
-	v.digest.roster ^= n
+	v.digest.roster ^= uint32(plane.Hash(m.id))
 	v.digest.states ^= uint32(plane.Hash(m.id, uint64(m.state)))
 	if v.isAlive(m) {
-		v.aliveCount += living
+		v.aliveCount += sign
 	}
 }
 
+// isAlive reports whether a member's status is Alive.
 func (v *View) isAlive(m *member) bool { return m.state.status() == Alive }
 
-// pickRandom returns random members that live, at the most n, of which a condition holds.
-func (v *View) pickRandom(n int, ok func(*member) bool) (picked []*member) {
+// pickRandom returns up to n random live members other than self that satisfy a condition.
+func (v *View) pickRandom(n int, satisfies func(*member) bool) []*member {
+	var picked []*member
 	for _, i := range v.rng.Perm(len(v.roster)) {
 		if len(picked) == n {
 			break
 		}
-		if m := v.roster[i]; m != v.self && v.isAlive(m) && ok(m) {
+		if m := v.roster[i]; m != v.self && v.isAlive(m) && satisfies(m) {
 			picked = append(picked, m)
 		}
 	}
 	return picked
 }
 
+// anyMember is the condition of pickRandom that all members satisfy.
 func anyMember(*member) bool { return true }
 
-// reapTombstones drops instances of the past.
+// reapTombstones removes the instances whose retention has ended.
 func (v *View) reapTombstones() {
 	for _, m := range slices.Clone(v.roster) {
 		if m != v.self && v.now-m.stateSince > v.retention(m) {
@@ -97,15 +109,23 @@
 	}
 }
 
-// retention is for how long an instance is kept in its state.
+// unlimitedRetention is the retention of live members.
+const unlimitedRetention = time.Duration(1<<63 - 1)
+
+// retention returns how long an instance stays in the roster in its present state.
 func (v *View) retention(m *member) time.Duration {
 	switch m.state.status() {
 	case Alive:
-		return 1<<63 - 1
+		return unlimitedRetention
 	case Lost:
-		if !slices.ContainsFunc(v.roster, func(o *member) bool { return o.Name == m.Name && v.isAlive(o) }) {
+		if !v.isReplaced(m) {
 			return tombstoneRetention
 		}
 	}
 	return supersededRetention
 }
+
+// isReplaced reports whether an instance of the same broker is alive.
+func (v *View) isReplaced(m *member) bool {
+	return slices.ContainsFunc(v.roster, func(o *member) bool { return o.Name == m.Name && v.isAlive(o) })
+}
--- a/internal/cluster/membership/send.go
+++ b/internal/cluster/membership/send.go
@@ -8,13 +8,20 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// tokenBucket bounds what is sent a second.
+// tokenBucket limits the bytes sent.
 type tokenBucket struct {
-	rate, burst, available float64
-	refilledAt             time.Duration
+	rate       float64 // bytes a second
+	burst      float64 // bytes
+	available  float64 // bytes
+	refilledAt time.Duration
 }
 
-// spend takes n bytes, all or nothing.
+// newTokenBucket returns a full bucket.
+func newTokenBucket(rate, burst float64) tokenBucket {
+	return tokenBucket{rate: rate, burst: burst, available: burst}
+}
+
+// spend takes n bytes, and reports whether they were available. If not, it takes none.
 func (b *tokenBucket) spend(now time.Duration, n int) bool {
 	b.available = min(b.available+(now-b.refilledAt).Seconds()*b.rate, b.burst)
 	b.refilledAt = now
@@ -25,20 +32,25 @@
 	return true
 }
 
-// send sends a message, unless its budget is used up. A heartbeat or a pong (nil) always goes: there are few.
-func (v *View) send(to netip.AddrPort, d *planepb.Datagram, b *tokenBucket) bool {
-	d.Version, d.Fleet, d.From = plane.Version, v.options.Fleet, v.self.id
-	d.Roster, d.States = v.digest.roster, v.digest.states
+// send fills in the header of a datagram and puts it into the outbox. It reports whether the budget covered it. A nil budget
+// is for heartbeats, acks and leave announcements, which are bounded without one.
+func (v *View) send(to netip.AddrPort, d *planepb.Datagram, budget *tokenBucket) bool {
+	d.Version = plane.Version
+	d.Fleet = v.options.Fleet
+	d.From = v.self.id
+	d.Roster = v.digest.roster
+	d.States = v.digest.states
 	if d.Seq == 0 {
 		d.Seq = v.nextSeq()
 	}
-	if b != nil && !b.spend(v.now, plane.WireSize(d)) {
+	if budget != nil && !budget.spend(v.now, plane.WireSize(d)) {
 		return false
 	}
 	v.outbox = append(v.outbox, Send{to, d})
 	return true
 }
 
+// nextSeq returns the next sequence number.
 func (v *View) nextSeq() uint64 {
 	v.seq++
 	return v.seq
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -7,7 +7,7 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// checkObserved checks the members that this one observes.
+// checkObserved expires outstanding pings and updates the suspicion of each observed member.
 func (v *View) checkObserved() {
 	v.expirePings()
 	if v.ringsStale {
@@ -21,34 +21,49 @@
 	}
 }
 
-// expirePings ends the wait for answers that did not come.
+// expirePings removes the outstanding pings whose timeout has passed without an ack, in the order in which they were sent.
 func (v *View) expirePings() {
-	for _, n := range slices.Sorted(maps.Keys(v.outstandingPings)) {
-		p := v.outstandingPings[n]
+	for _, number := range slices.Sorted(maps.Keys(v.outstandingPings)) {
+		p := v.outstandingPings[number]
 		if v.now < p.expiresAt {
 			continue
 		}
-		delete(v.outstandingPings, n)
-		if m := v.byID[p.target]; m != nil && m.lastContact < p.sentAt && m.unackedSince <= m.lastContact {
-			m.unackedSince = p.sentAt
+		delete(v.outstandingPings, number)
+		if m := v.byID[p.target]; m != nil {
+			v.recordMissedAck(m, p)
 		}
-		if m := v.byID[p.target]; m != nil && p.requester == 0 && !m.observed && m.lastContact < p.sentAt && v.isAlive(m) &&
-			len(v.observed) < ringCount+maxAdopted {
-			// Where many die at once, all that observed one may be among them.
-			m.adopted, m.silentSince, v.ringsStale = true, p.sentAt, true
-			clear(m.confirmations)
-		}
-		if asker := v.byID[p.requester]; asker != nil {
-			v.send(asker.Addr, &planepb.Datagram{About: p.target, Tell: p.requestNumber}, &v.probeBudget)
+		if requester := v.byID[p.requester]; requester != nil {
+			nack := &planepb.Datagram{About: p.target, Tell: p.requestNumber}
+			v.send(requester.Addr, nack, &v.probeBudget)
 		}
 	}
 }
 
-// updateSuspicion takes an observed member for lost where it has been silent for long enough and helpers confirm it; before
-// that it has helpers asked, and clears one that was heard of again.
+// recordMissedAck records that a member has not acked a ping and has not been heard since. A live member that self does not
+// observe is adopted: in a mass failure all of its observers may have failed.
+func (v *View) recordMissedAck(m *member, p outstandingPing) {
+	if m.lastContact >= p.sentAt {
+		return
+	}
+	if m.unackedSince <= m.lastContact {
+		m.unackedSince = p.sentAt
+	}
+	adopts := p.requester == 0 && !m.observed && v.isAlive(m) && len(v.observed) < ringCount+maxAdopted
+	if !adopts {
+		return
+	}
+	m.adopted = true
+	m.silentSince = p.sentAt
+	v.ringsStale = true
+	clear(m.confirmations)
+}
+
+// updateSuspicion advances the suspicion of an observed member. A member that is silent for indirectPingAfter is suspected
+// and pinged indirectly. One that is silent for lossTimeout is declared lost, provided that enough helpers have confirmed it.
+// A contact ends the suspicion, and the adoption of an adopted member.
 func (v *View) updateSuspicion(m *member) {
-	age := v.now - m.silentSince
-	if age < indirectPingAfter {
+	silence := v.now - m.silentSince
+	if silence < indirectPingAfter {
 		v.ringsStale = v.ringsStale || m.adopted
 		m.adopted = false
 		return
@@ -60,80 +75,110 @@
 		}
 	}
 	switch {
-	case age >= lossTimeout && confirmed >= v.requiredConfirmations(m):
+	case silence >= lossTimeout && confirmed >= v.requiredConfirmations(m):
 		v.applyState(m, m.state.withStatus(Lost))
 	case m.indirectPingSentAt == 0 || v.now-m.indirectPingSentAt >= indirectPingInterval:
 		v.requestIndirectPings(m)
 	}
 }
 
-// requestIndirectPings pings a silent member and asks helpers to do the same.
+// requestIndirectPings pings a suspected member and sends helpers an indirect ping request for it.
 func (v *View) requestIndirectPings(m *member) {
 	m.indirectPingSentAt = v.now
 	v.ping(m.Addr, m.id, &planepb.Datagram{}, 0, 0)
 	for _, h := range v.chooseHelpers(m) {
-		v.lastPingNumber = max(v.lastPingNumber+1, 1)
-		v.send(h.Addr, &planepb.Datagram{About: m.id, Ask: v.lastPingNumber}, &v.probeBudget)
+		v.send(h.Addr, &planepb.Datagram{About: m.id, Ask: v.nextPingNumber()}, &v.probeBudget)
 	}
 }
 
-// requiredConfirmations is how many helpers have to find a member silent too: two, or as many as there are. A member that
-// hears no other has no helper and gives no verdict, except where there are only two members.
-func (v *View) requiredConfirmations(about *member) int {
+// requiredConfirmations returns how many helpers have to confirm the suspicion of a member: maxConfirmations, or as many as
+// there are eligible helpers, but at least one. So a view that receives nothing has no helper and gives no verdict, except
+// in a fleet of two, where there is no third member to ask.
+func (v *View) requiredConfirmations(suspect *member) int {
 	if v.aliveCount <= 2 {
 		return 0
 	}
-	able := v.pickRandom(maxConfirmations, func(h *member) bool { return h != about && v.isEligibleHelper(h) })
-	return max(len(able), 1)
+	eligible := v.pickRandom(maxConfirmations, func(h *member) bool { return h != suspect && v.isEligibleHelper(h) })
+	return max(len(eligible), 1)
 }
 
-// chooseHelpers are whom to ask about a member: others that live for sure. About one that does not beat to this member, those
-// to whom it does as well: they may hear it though it hears nothing, and answers no ping.
-func (v *View) chooseHelpers(about *member) (picked []*member) {
-	for _, r := range v.rng.Perm(ringCount) {
-		if !about.adopted {
+// chooseHelpers returns the members that receive an indirect ping request: random eligible ones, and for an adopted suspect
+// its observers before them. An observer may receive the suspect's heartbeats although the suspect itself receives, and acks,
+// nothing.
+func (v *View) chooseHelpers(suspect *member) []*member {
+	ringOrder := v.rng.Perm(ringCount) // drawn for every suspect: adoption must not shift the random numbers that follow
+	var chosen []*member
+	if suspect.adopted {
+		chosen = v.observersOf(suspect, ringOrder)
+	}
+	return append(chosen, v.pickRandom(indirectPingFanout, func(h *member) bool {
+		return h != suspect && v.isEligibleHelper(h) && !slices.Contains(chosen, h)
+	})...)
+}
+
+// observersOf returns up to indirectPingFanout observers of a member other than self, searching the rings in an order.
+func (v *View) observersOf(observed *member, ringOrder []int) []*member {
+	var observers []*member
+	for _, r := range ringOrder {
+		if len(observers) >= indirectPingFanout {
 			break
 		}
-		at, _ := slices.BinarySearchFunc(v.rings[r], about, compareOnRing(r))
-		for i := 1; i < len(v.rings[r]) && len(picked) < indirectPingFanout; i++ {
-			if h := v.rings[r][(at+i)%len(v.rings[r])]; v.isAlive(h) {
-				if h != v.self && h != about && !slices.Contains(picked, h) {
-					picked = append(picked, h)
-				}
-				break
-			}
+		h := v.nextAliveOnRing(r, observed)
+		if h != nil && h != v.self && h != observed && !slices.Contains(observers, h) {
+			observers = append(observers, h)
 		}
 	}
-	return append(picked, v.pickRandom(indirectPingFanout, func(h *member) bool {
-		return h != about && v.isEligibleHelper(h) && !slices.Contains(picked, h)
-	})...)
+	return observers
+}
+
+// nextAliveOnRing returns the first live member after another on a ring; nil: there is none.
+func (v *View) nextAliveOnRing(r int, m *member) *member {
+	ring := v.rings[r]
+	at, _ := slices.BinarySearchFunc(ring, m, compareOnRing(r))
+	for i := 1; i < len(ring); i++ {
+		if next := ring[(at+i)%len(ring)]; v.isAlive(next) {
+			return next
+		}
+	}
+	return nil
 }
 
-// isEligibleHelper tells that a member was heard of so lately that it is proven alive.
+// isEligibleHelper reports whether the last contact with a member is recent enough for it to be a helper.
 func (v *View) isEligibleHelper(h *member) bool {
 	return h.lastContact > 0 && v.now-h.lastContact < helperWindow
 }
 
-// handleIndirect pings a member for another, and takes the findings of helpers.
+// handleIndirect handles an indirect ping request, indirect ack or negative ack from a member. A request is answered at
+// once if it is about self or about a member with a recent contact, else by a ping on behalf of the requester.
 func (v *View) handleIndirect(m *member, d *planepb.Datagram) {
-	about := v.byID[d.About]
+	subject := v.byID[d.About]
+	if subject == nil {
+		return
+	}
+	isRequest, isAnswer := d.Ask != 0, d.Tell != 0
 	switch {
-	case about == nil:
-	case d.Ask != 0 && about == v.self:
+	case isRequest && subject == v.self:
 		v.send(m.Addr, &planepb.Datagram{}, &v.probeBudget)
-	case d.Ask != 0 && v.now-about.lastContact < aliveWindow && about.lastContact > 0:
-		v.send(m.Addr, &planepb.Datagram{About: about.id, Tell: d.Ask, Heard: true}, &v.probeBudget)
-	case d.Ask != 0:
-		v.ping(about.Addr, about.id, &planepb.Datagram{}, m.id, d.Ask)
-	case d.Tell != 0 && d.Heard:
-		about.silentSince, about.lastContact = v.now, v.now
-		clear(about.confirmations)
-	case d.Tell != 0 && about.observed && v.now-about.silentSince >= indirectPingAfter && len(about.confirmations) < maxRoster:
-		about.confirmations[m.id] = v.now
+	case isRequest && subject.lastContact > 0 && v.now-subject.lastContact < aliveWindow:
+		ack := &planepb.Datagram{About: subject.id, Tell: d.Ask, Heard: true}
+		v.send(m.Addr, ack, &v.probeBudget)
+	case isRequest:
+		v.ping(subject.Addr, subject.id, &planepb.Datagram{}, m.id, d.Ask)
+	case isAnswer && d.Heard:
+		v.recordContact(subject)
+		clear(subject.confirmations)
+	case isAnswer && v.isSuspected(subject) && len(subject.confirmations) < maxRoster:
+		subject.confirmations[m.id] = v.now
 	}
 }
 
-// isIsolated tells that all members that this one observes are silent: it is more likely cut off than all of them are dead.
+// isSuspected reports whether self observes a member and has suspected it: only then does a negative ack count.
+func (v *View) isSuspected(m *member) bool {
+	return m.observed && v.now-m.silentSince >= indirectPingAfter
+}
+
+// isIsolated reports whether all members that the rings assign to self are silent for lossTimeout. Self is then more likely
+// partitioned from the fleet than all of them are dead.
 func (v *View) isIsolated() bool {
 	for _, m := range v.observed {
 		if !m.adopted && v.now-m.silentSince < lossTimeout {
--- a/internal/cluster/membership/sync.go
+++ b/internal/cluster/membership/sync.go
@@ -7,70 +7,86 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// requestSync asks another for what this roster lacks, while there are others than it.
+// requestSync requests, while rosters differ, the entries that a slice of this roster lacks: anti-entropy with one random
+// member, one with a recent contact if there is any.
 func (v *View) requestSync() {
 	if v.now < v.nextSyncAt || v.now-v.rosterDivergedAt >= divergenceWindow {
 		return
 	}
 	v.nextSyncAt = v.now + syncInterval/2 + time.Duration(v.rng.Int64N(int64(syncInterval)))
-	known := v.pickRandom(1, func(m *member) bool { return v.now-m.lastContact < aliveWindow && m.lastContact > 0 })
-	if len(known) == 0 {
-		known = v.pickRandom(1, anyMember)
+	hasRecentContact := func(m *member) bool { return m.lastContact > 0 && v.now-m.lastContact < aliveWindow }
+	peers := v.pickRandom(1, hasRecentContact)
+	if len(peers) == 0 {
+		peers = v.pickRandom(1, anyMember)
 	}
-	for _, m := range known {
-		v.send(m.Addr, v.fillSyncRequest(&planepb.Datagram{}), &v.gossipBudget)
+	for _, m := range peers {
+		v.send(m.Addr, v.nextSyncRequest(), &v.gossipBudget)
 	}
 }
 
-// fillSyncRequest asks for what is not so in a slice of this roster; the next time it is the next slice.
-func (v *View) fillSyncRequest(d *planepb.Datagram) *planepb.Datagram {
+// nextSyncRequest returns a request for the next slice of the roster, with the hash of each instance that self has in it.
+func (v *View) nextSyncRequest() *planepb.Datagram {
 	v.lastSyncSlice = (v.lastSyncSlice + 1) % rosterSlices
-	d.Sync, d.Seq, d.Slice = true, v.nextSeq(), v.lastSyncSlice
+	d := &planepb.Datagram{Sync: true, Seq: v.nextSeq(), Slice: v.lastSyncSlice}
 	for _, m := range v.roster {
-		if h := entryHash(m, d.Seq); m.id%rosterSlices == uint64(v.lastSyncSlice) && len(d.Have) < maxEntriesSize-100 {
-			d.Have = append(d.Have, byte(h), byte(h>>8))
+		if sliceOf(m) == d.Slice && len(d.Have) < maxHashesSize {
+			hash := entryHash(m, d.Seq)
+			d.Have = append(d.Have, byte(hash), byte(hash>>8))
 		}
 	}
 	return d
 }
 
-// entryHash is a hash of an instance and its state in two bytes. It is another one in each datagram, so that two of the
-// same are told apart by the next.
+// sliceOf returns the slice of the roster that an instance belongs to.
+func sliceOf(m *member) uint32 { return uint32(m.id % rosterSlices) }
+
+// entryHash returns a 16-bit hash of an instance and its state. It is salted with the sequence number of the request, so that
+// two instances whose hashes collide in one request differ in the next.
 func entryHash(m *member, seq uint64) uint16 { return uint16(plane.Hash(m.id, uint64(m.state), seq)) }
 
-// sendMissingEntries sends instances that another lacks or holds in another state, as many as fit. Which of many it sends is
-// drawn: others send it more.
-func (v *View) sendMissingEntries(m *member, d *planepb.Datagram) {
-	has := make(map[uint16]bool, len(d.Have)/2)
-	for i := 0; i+1 < len(d.Have); i += 2 {
-		has[uint16(d.Have[i])|uint16(d.Have[i+1])<<8] = true
+// sendMissingEntries answers a sync request with the entries of its slice that the requester lacks or holds in another state,
+// as many as fit into a datagram. It begins at a random one, since other members may answer the same request.
+func (v *View) sendMissingEntries(requester *member, request *planepb.Datagram) {
+	held := make(map[uint16]bool, len(request.Have)/2)
+	for i := 0; i+1 < len(request.Have); i += 2 {
+		held[uint16(request.Have[i])|uint16(request.Have[i+1])<<8] = true
 	}
-	page := &planepb.Datagram{}
-	from := v.rng.IntN(len(v.roster))
+	answer := &planepb.Datagram{}
+	first := v.rng.IntN(len(v.roster))
 	for i := range v.roster {
-		o := v.roster[(from+i)%len(v.roster)]
-		if o.id%rosterSlices != uint64(d.Slice) || has[entryHash(o, d.Seq)] || v.isNearlyReaped(o) {
+		m := v.roster[(first+i)%len(v.roster)]
+		if sliceOf(m) != request.Slice || held[entryHash(m, request.Seq)] || v.isNearlyReaped(m) {
 			continue
 		}
-		if page.Entries = append(page.Entries, v.entry(o)); plane.WireSize(page) > maxEntriesSize {
-			page.Entries = page.Entries[:len(page.Entries)-1]
+		if !v.appendEntry(answer, m) {
 			break
 		}
 	}
-	if len(page.Entries) > 0 {
-		v.send(m.Addr, page, &v.gossipBudget)
+	if len(answer.Entries) > 0 {
+		v.send(requester.Addr, answer, &v.gossipBudget)
+	}
+}
+
+// appendEntry appends an instance's entry to a datagram. It reports whether the entry fits within maxEntriesSize, and leaves
+// it out if not.
+func (v *View) appendEntry(d *planepb.Datagram, m *member) bool {
+	d.Entries = append(d.Entries, v.entry(m))
+	if plane.WireSize(d) <= maxEntriesSize {
+		return true
 	}
+	d.Entries = d.Entries[:len(d.Entries)-1]
+	return false
 }
 
-// isNearlyReaped tells that an instance is about to be forgotten and is no longer told of, so that it does not come
-// back from one that forgets it later.
+// isNearlyReaped reports whether an instance is within gossipStopLead of the end of its retention.
 func (v *View) isNearlyReaped(m *member) bool {
 	return !v.isAlive(m) && v.now-m.stateSince > v.retention(m)-gossipStopLead
 }
 
-// entry is an instance as it is told to others.
+// entry returns an instance as it is sent to other members. The age of a tombstone goes with it, so that all members reap it
+// at about the same time.
 func (v *View) entry(m *member) *planepb.Entry {
-	addr, _ := m.Addr.MarshalBinary() // fails for no address
+	addr, _ := m.Addr.MarshalBinary() // never fails
 	e := &planepb.Entry{Name: m.Name, Start: m.Start, Addr: addr, State: uint32(m.state)}
 	if !v.isAlive(m) {
 		e.Age = uint32((v.now - m.stateSince).Seconds())
--- a/internal/cluster/membership/tick.go
+++ b/internal/cluster/membership/tick.go
@@ -7,17 +7,18 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// TickInterval is the time between two calls of Tick.
+// TickInterval is the interval at which a driver calls Tick.
 const TickInterval = 50 * time.Millisecond
 
-// Tick looks at the time and returns what to send. It has to be called each 50 ms; what lies between two calls tells
-// this process whether it was stopped itself.
+// Tick advances the time, runs all timers and returns the datagrams to send. The driver calls it each TickInterval; a gap
+// longer than pauseThreshold between two calls counts as a pause of this process.
 func (v *View) Tick(now time.Duration) []Send {
-	away := now - v.lastTickAt
+	gap := now - v.lastTickAt
 	v.advance(now)
-	if v.lastTickAt = now; !v.ticked {
-		v.ticked = true
-	} else if away > pauseThreshold || away < 0 {
+	v.lastTickAt = now
+	paused := v.ticked && (gap > pauseThreshold || gap < 0)
+	v.ticked = true
+	if paused {
 		v.resetAfterPause()
 	}
 	if v.ringsStale {
@@ -27,12 +28,7 @@
 		v.pushPending = false
 		v.pushUpdates()
 	}
-	if v.now >= v.nextHeartbeatAt {
-		v.nextHeartbeatAt = v.now + heartbeatInterval
-		for _, m := range v.observers {
-			v.send(m.Addr, &planepb.Datagram{}, nil)
-		}
-	}
+	v.sendHeartbeats()
 	v.checkObserved()
 	v.contactSeed()
 	v.requestSync()
@@ -40,43 +36,59 @@
 	return v.takeOutbox()
 }
 
-// resetAfterPause begins anew after a pause of this process. It cannot tell who was silent meanwhile, and others may have taken
-// it for lost, so that it sends heartbeats at once.
+// resetAfterPause restarts all suspicion timers after a pause of this process, which cannot know who was silent meanwhile.
+// Outstanding pings are dropped, since their acks may have been lost. Heartbeats are due at once: others may suspect this
+// member.
 func (v *View) resetAfterPause() {
 	for _, m := range v.observed {
-		m.silentSince, m.indirectPingSentAt = v.now, 0
+		m.silentSince = v.now
+		m.indirectPingSentAt = 0
 		clear(m.confirmations)
 	}
-	clear(v.outstandingPings) // what came back meanwhile was not seen either
+	clear(v.outstandingPings)
 	v.nextHeartbeatAt = 0
 }
 
-// contactSeed asks the seeds for the roster, and later, now and then, one that is not among the living: two fleets may have
-// begun apart.
+// sendHeartbeats sends a heartbeat, a datagram with a header alone, to each observer.
+func (v *View) sendHeartbeats() {
+	if v.now < v.nextHeartbeatAt {
+		return
+	}
+	v.nextHeartbeatAt = v.now + heartbeatInterval
+	for _, m := range v.observers {
+		v.send(m.Addr, &planepb.Datagram{}, nil)
+	}
+}
+
+// contactSeed sends an introduction request to a random seed, unless that is a live member. A view goes on with it after it
+// has joined, at seedInterval, since two fleets may have formed apart.
 func (v *View) contactSeed() {
 	if v.now < v.nextJoinAt {
 		return
 	}
-	if v.nextJoinAt = v.now + seedInterval; v.aliveCount < 2 {
+	v.nextJoinAt = v.now + seedInterval
+	if v.aliveCount < 2 {
 		v.nextJoinAt = v.now + joinInterval
 	}
-	if n := len(v.options.Seeds); n > 0 {
-		seed := v.options.Seeds[v.rng.IntN(n)]
-		if !slices.ContainsFunc(v.roster, func(m *member) bool { return m.Addr == seed && v.isAlive(m) }) {
-			v.ping(seed, 0, &planepb.Datagram{Self: v.entry(v.self), Who: true}, 0, 0)
-		}
+	if len(v.options.Seeds) == 0 {
+		return
+	}
+	seed := v.options.Seeds[v.rng.IntN(len(v.options.Seeds))]
+	isMember := slices.ContainsFunc(v.roster, func(m *member) bool { return m.Addr == seed && v.isAlive(m) })
+	if !isMember {
+		v.ping(seed, 0, &planepb.Datagram{Self: v.entry(v.self), Who: true}, 0, 0)
 	}
 }
 
-// pingUnobserved pings one of the lost, since a cut may have healed, and one of whom nothing was heard lately: whoever observes it
-// may be gone with it.
+// pingUnobserved pings a lost member, since a partition may have healed, and live members without a recent contact that
+// self does not observe, since their observers may have failed with them. It also reaps tombstones.
 func (v *View) pingUnobserved() {
 	if v.now < v.nextUnobservedPingAt {
 		return
 	}
 	v.nextUnobservedPingAt = v.now + unobservedPingInterval
 	v.reapTombstones()
-	v.FleetSize() // so that a minority is noticed whether or not anybody asks
+	v.FleetSize() // so that the fencing timer runs whether or not the driver calls FleetSize
 	var lost, unheard []*member
 	for _, m := range v.roster {
 		switch {
@@ -94,16 +106,16 @@
 		}
 	}
 	v.pingRandom(lost, 1)
-	v.pingRandom(unheard, 1+min(silent, maxUnobservedPings)) // the more are silent, the more may have no observer left
+	v.pingRandom(unheard, 1+min(silent, maxUnobservedPings)) // the more are silent, the more may have no live observer
 }
 
-// pingRandom pings n members drawn from a list, with repetition.
-func (v *View) pingRandom(of []*member, n int) {
-	if len(of) == 0 {
+// pingRandom pings n members drawn from a list with replacement.
+func (v *View) pingRandom(members []*member, n int) {
+	if len(members) == 0 {
 		return
 	}
 	for range n {
-		m := of[v.rng.IntN(len(of))]
+		m := members[v.rng.IntN(len(members))]
 		v.ping(m.Addr, m.id, &planepb.Datagram{}, 0, 0)
 	}
 }
