--- a/internal/cluster/membership/fleetsize_test.go
+++ b/internal/cluster/membership/fleetsize_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newViewOfBrokers is a view that knows so many brokers.
+// newViewOfBrokers returns a view of n brokers, itself included, all alive.
 func newViewOfBrokers(n int) *View {
 	v := New(Options{Self: Instance{Name: "self", Start: 1, Addr: netip.MustParseAddrPort("127.0.0.1:1")}, Seed: 1})
 	for i := range n - 1 {
@@ -19,7 +19,7 @@
 	return v
 }
 
-// countByName counts alive, known and lately lost brokers from the roster, name by name.
+// countByName counts the brokers of a roster that are alive, known and lost within twice fenceDelay, without any cache.
 func countByName(v *View) (alive, known, lately int) {
 	best, latest := map[string]Status{}, map[string]time.Duration{}
 	for _, m := range v.roster {
@@ -45,7 +45,7 @@
 	return alive, len(best), lately
 }
 
-// Whatever happens to the roster, the count that is kept is that of the roster as it is.
+// TestFleetSizeFollowsRosterChanges checks the cached counts against a recount after each of many random changes.
 func TestFleetSizeFollowsRosterChanges(t *testing.T) {
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 1))
--- a/internal/cluster/membership/fuzz_test.go
+++ b/internal/cluster/membership/fuzz_test.go
@@ -13,8 +13,8 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// A peer may say anything that can be read. Whatever it is: no panic, memory and traffic stay bounded, the member never
-// takes itself for lost, and nobody whom it does not observe in silence is lost by a single word but that of a state.
+// FuzzReceive feeds a view any datagrams that plane.Parse would accept. Whatever they are, nothing panics, the roster and
+// the traffic stay bounded, and the view never reports itself as lost.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
 	f.Add(make([]byte, 400))
@@ -29,7 +29,7 @@
 				bytes += plane.WireSize(s.Data)
 			}
 		}
-		took := 0
+		received := 0
 		for ; len(script) >= 8; script = script[8:] {
 			op := script[:8]
 			now += time.Duration(op[0]) * time.Millisecond
@@ -53,7 +53,7 @@
 				d.Vector, d.Roster = op[2:min(2+len(v.Members()), 8)], uint32(v.Fingerprint()>>32)
 			}
 			spend(v.Receive(now, peer.Addr, d))
-			took++
+			received++
 		}
 		members := v.Members()
 		require.LessOrEqual(t, len(members), 11)
@@ -65,6 +65,6 @@
 		c := v.FleetSize()
 		require.LessOrEqual(t, c.Alive, c.Known)
 		require.GreaterOrEqual(t, c.Sharing, c.Alive)
-		require.Less(t, float64(bytes), 4000*now.Seconds()+10_000+100*float64(took)) // beside a pong for each that came
+		require.Less(t, float64(bytes), 4000*now.Seconds()+10_000+100*float64(received)) // with an ack for each datagram
 	})
 }
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -16,7 +16,7 @@
 		fanout = 1
 		v.nextPushAt = v.now + pushInterval
 	}
-	updates := v.takePendingUpdates()
+	updates := v.collectPendingUpdates()
 	for _, m := range v.pickRandom(fanout, anyMember) {
 		d := &planepb.Datagram{}
 		if diverged {
@@ -28,8 +28,8 @@
 	}
 }
 
-// takePendingUpdates returns the instances whose entries are due with this push.
-func (v *View) takePendingUpdates() []*member {
+// collectPendingUpdates returns the instances whose entries are due with this push.
+func (v *View) collectPendingUpdates() []*member {
 	var updates []*member
 	for _, m := range v.roster {
 		if m.gossipPending {
--- a/internal/cluster/membership/instance.go
+++ b/internal/cluster/membership/instance.go
@@ -55,9 +55,9 @@
 	adopted            bool          // observed because it did not ack a ping, although no ring assigns it to this view
 	unackedSince       time.Duration // when the first ping since its last contact was sent that expired; 0: none expired
 	silentSince        time.Duration // the start of the suspicion timer: its last contact, or when the timer was last restarted
-	indirectPingSentAt time.Duration // when helpers were last sent an indirect ping request; 0: not during this suspicion
+	indirectPingSentAt time.Duration // when the latest indirect ping requests were sent; 0: none during this suspicion
 
-	// confirmations holds, by the helper's ID, when a helper's negative ack arrived during the present suspicion.
+	// confirmations holds, by the relay's ID, when a relay's negative ack arrived during the present suspicion.
 	confirmations map[uint64]time.Duration
 
 	gossipPending bool // its entry has to be sent with the next push
--- a/internal/cluster/membership/limits.go
+++ b/internal/cluster/membership/limits.go
@@ -16,10 +16,10 @@
 	// failures sooner (docs/fleet.md).
 	ringCount = 6
 
-	// indirectPingFanout is how many helpers are sent one indirect ping request (SWIM's k).
+	// indirectPingFanout is the number of relays that receive each indirect ping request (SWIM's k).
 	indirectPingFanout = 2
 
-	// maxConfirmations is how many helpers have to confirm a suspicion, where there are as many.
+	// maxConfirmations is the number of relays that have to confirm a suspicion, if that number is eligible.
 	maxConfirmations = 2
 
 	// maxAdopted is how many members without a live observer a view adopts beside those that its rings assign to it.
@@ -52,19 +52,19 @@
 	heartbeatInterval = 250 * time.Millisecond
 
 	// lossTimeout is how long a member is silent before it is declared lost. It is longer than the longest pause to be
-	// tolerated (4 s) and a heartbeat, and short enough for the whole fleet to know of a failure within 5 s.
+	// tolerated (4 s) and a heartbeat, and short enough for all members to know of a failure within 5 s.
 	lossTimeout = 4450 * time.Millisecond
 
 	// indirectPingAfter is how long a member is silent before it is suspected and pinged indirectly. With
 	// indirectPingInterval that gives two rounds before the verdict. In a mass failure each survivor observes several failed
-	// members, and the requests for all of them have to fit into probeRate.
+	// members, and the requests for all of them have to fit into pingRate.
 	indirectPingAfter    = 2200 * time.Millisecond
 	indirectPingInterval = 1500 * time.Millisecond
 
-	// indirectPingTimeout is how long a helper waits for the ack before it sends a negative ack.
+	// indirectPingTimeout is how long a relay waits for the ack before it sends a negative ack.
 	indirectPingTimeout = 300 * time.Millisecond
 
-	// confirmationLifetime is how long a helper's negative ack counts. It covers the interval between two rounds.
+	// confirmationLifetime is how long a relay's negative ack counts. It covers the interval between two rounds.
 	confirmationLifetime = 2500 * time.Millisecond
 
 	// pauseThreshold is the gap between two ticks, ten times TickInterval, from which this process counts as paused, or its
@@ -81,8 +81,8 @@
 	// aliveWindow is how recent a contact is that proves a member alive, without a ping: four heartbeats.
 	aliveWindow = time.Second
 
-	// helperWindow is how recent the contact with a member is that may be a helper.
-	helperWindow = 3 * time.Second
+	// relayWindow is how recent the contact with a member is that may be a relay.
+	relayWindow = 3 * time.Second
 )
 
 // Dissemination.
@@ -132,8 +132,8 @@
 // Token buckets for all datagrams but heartbeats and acks, in bytes a second and bytes, with IP and UDP headers. With the
 // heartbeats the sum stays below 4 KB/s over any 10 s.
 const (
-	probeRate   = 800
-	probeBurst  = 2000
+	pingRate    = 800
+	pingBurst   = 2000
 	gossipRate  = 1700
 	gossipBurst = 2000
 )
--- a/internal/cluster/membership/limits_test.go
+++ b/internal/cluster/membership/limits_test.go
@@ -11,12 +11,12 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// vectorHeader is the longest header of a datagram with a vector: 2 bytes of version, 9 + 9 of fleet and sender, 11 of
-// seq, 5 + 5 of hashes, and 3 of the vector's own tag and length.
-const vectorHeader = 44
+// maxVectorHeader is the longest header of a datagram with a state vector, in bytes: 2 of the version, 9 + 9 of fleet and
+// sender, 11 of the sequence number, 5 + 5 of the digest, and 3 of the vector's tag and length.
+const maxVectorHeader = 44
 
-// The states of a full roster go into one datagram, also where numbers have grown as long as they get. A roster that
-// grew further could tell no states any more.
+// TestStateVectorOfFullRosterFitsDatagram checks the largest vector with the longest sequence number. States of a larger
+// roster could not be gossiped at all.
 func TestStateVectorOfFullRosterFitsDatagram(t *testing.T) {
 	v := newViewOfBrokers(1)
 	for i := 0; len(v.roster) < maxRoster; i++ {
@@ -24,7 +24,7 @@
 	}
 	v.seq = math.MaxUint64 - 1
 	require.True(t, v.send(v.self.Addr, &planepb.Datagram{Vector: v.stateVector()}, nil))
-	size := plane.WireSize(v.takeOutbox()[0].Data) - plane.Overhead
+	size := plane.WireSize(v.drainOutbox()[0].Data) - plane.Overhead
 	require.LessOrEqual(t, size, plane.MaxSize)
-	require.LessOrEqual(t, size-maxRoster, vectorHeader, "the arithmetic beside rosterMost")
+	require.LessOrEqual(t, size-maxRoster, maxVectorHeader, "the arithmetic beside MaxMembers")
 }
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -5,8 +5,9 @@
 //
 // A member is an instance: a broker's name with the start time of its process. Each member sends heartbeats to its observers,
 // which are its successors on several rings of all members. An observer that has received nothing from a member for
-// indirectPingAfter pings it and sends indirect ping requests to helpers. It declares the member lost, SWIM's "confirmed
-// dead", after lossTimeout, provided that enough helpers have confirmed the suspicion by a negative ack, as in Lifeguard.
+// indirectPingAfter pings it and sends indirect ping requests to relays, members that ping it on the observer's behalf. It
+// declares the member lost, SWIM's "confirmed dead", after lossTimeout if enough relays have confirmed the suspicion by a
+// negative ack, as in Lifeguard.
 //
 // Each member has a state: an incarnation and a status. States are gossiped as one vector of a byte a member, and the later
 // state wins. Two things differ from SWIM. A suspicion is local to the observer and is never gossiped. And a refutation, the
@@ -65,7 +66,7 @@
 	minoritySince    time.Duration // when self's side ceased to be a majority; -1: it is one
 	lastSyncSlice    uint32        // slice of the roster that was last requested
 	rosterDivergedAt time.Duration // when a digest of a different roster was last received
-	probeBudget      tokenBucket   // for pings and what belongs to them
+	pingBudget       tokenBucket   // for pings and what belongs to them
 	gossipBudget     tokenBucket   // for states and entries
 	lastTickAt       time.Duration
 	ticked           bool // Tick has been called
@@ -106,7 +107,7 @@
 		outstandingPings: map[uint32]outstandingPing{},
 		minoritySince:    -1,
 		rosterDivergedAt: -divergenceWindow,
-		probeBudget:      newTokenBucket(probeRate, probeBurst),
+		pingBudget:       newTokenBucket(pingRate, pingBurst),
 		gossipBudget:     newTokenBucket(gossipRate, gossipBurst),
 	}
 	v.self = v.add(options.Self, 0)
@@ -116,8 +117,8 @@
 // advance sets the time, which never runs backwards.
 func (v *View) advance(now time.Duration) { v.now = max(v.now, now) }
 
-// takeOutbox returns the datagrams to send and empties the outbox.
-func (v *View) takeOutbox() []Send {
+// drainOutbox returns the datagrams to send and empties the outbox.
+func (v *View) drainOutbox() []Send {
 	out := v.outbox
 	v.outbox = nil
 	return out
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -14,19 +14,20 @@
 var (
 	members = flag.Int("members", 40, "brokers of the simulated fleet; docs/fleet.md has figures for 300")
 	seeds   = flag.Int("seeds", 1, "seeds of each case")
-	long    = flag.Duration("long", 30*time.Second, "virtual time of cases in which nothing may happen")
+	long    = flag.Duration("long", 30*time.Second, "virtual time of the cases without any expected verdict")
 )
 
-const maxBytesPerSecond = 4000 // a second and a member, with IP and UDP
+// maxBytesPerSecond is the traffic that a member may send, with IP and UDP headers.
+const maxBytesPerSecond = 4000
 
-// forEachSeed runs a case on each seed, on a fleet that has found together.
+// forEachSeed runs a case on each seed, on a fleet whose views agree.
 func forEachSeed(t *testing.T, f func(t *testing.T, w *network)) {
 	t.Parallel()
 	for seed := range *seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			w := newNetwork(t, *members, uint64(seed))
-			w.runUntilAgreed(2 * time.Minute) // all start at once, and know three seeds
-			t.Logf("found together within %v", w.now)
+			w.runUntilAgreed(2 * time.Minute) // all brokers start at once and have three seeds
+			t.Logf("views agree after %v", w.now)
 			w.run(w.now + time.Second)
 			w.requireNoLoss(nil)
 			f(t, w)
@@ -38,7 +39,7 @@
 
 func TestFailureIsDetectedWithin5Seconds(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, w *network) {
-		var took []time.Duration
+		var latencies []time.Duration
 		except := map[string]bool{}
 		for i := range 5 {
 			x := w.nodes[w.rng.IntN(len(w.nodes))]
@@ -51,13 +52,13 @@
 			for _, o := range w.nodes {
 				if !o.dead {
 					require.Contains(t, o.lostAt, name(x))
-					took = append(took, o.lostAt[name(x)]-at)
+					latencies = append(latencies, o.lostAt[name(x)]-at)
 				}
 			}
 		}
-		slices.Sort(took)
-		t.Logf("known after %v (median), %v (99 %%), %v (all)", took[len(took)/2], took[len(took)*99/100], took[len(took)-1])
-		require.Less(t, took[len(took)*99/100], 5*time.Second)
+		slices.Sort(latencies)
+		t.Logf("known after %v (median), %v (99 %%), %v (all)", latencies[len(latencies)/2], latencies[len(latencies)*99/100], latencies[len(latencies)-1])
+		require.Less(t, latencies[len(latencies)*99/100], 5*time.Second)
 		w.requireNoLoss(except)
 	})
 }
@@ -65,16 +66,16 @@
 func TestLossDuplicationAndReorderingCauseNoFalsePositive(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, w *network) {
 		w.lossRatio, w.duplicateRatio, w.maxDelay = 0.2, 0.2, 80*time.Millisecond
-		most := w.maxSendRate(func() { w.run(w.now + *long) })
+		maxRate := w.maxSendRate(func() { w.run(w.now + *long) })
 		w.requireNoLoss(nil)
-		require.Less(t, most, float64(maxBytesPerSecond))
-		t.Logf("%.0f bytes a second at most", most)
+		require.Less(t, maxRate, float64(maxBytesPerSecond))
+		t.Logf("%.0f bytes a second at most", maxRate)
 	})
 }
 
 func TestPausesUpTo4SecondsCauseNoFalsePositive(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, w *network) {
-		most := w.maxSendRate(func() {
+		maxRate := w.maxSendRate(func() {
 			for end := w.now + *long; w.now < end; {
 				for range max(len(w.nodes)/10, 1) {
 					if x := w.nodes[w.rng.IntN(len(w.nodes))]; w.now >= x.pausedUntil {
@@ -85,8 +86,8 @@
 			}
 		})
 		w.requireNoLoss(nil)
-		require.Less(t, most, float64(maxBytesPerSecond))
-		t.Logf("%.0f bytes a second at most", most)
+		require.Less(t, maxRate, float64(maxBytesPerSecond))
+		t.Logf("%.0f bytes a second at most", maxRate)
 	})
 }
 
@@ -109,7 +110,7 @@
 				require.Less(t, o.aliveAt[name(x)]-woke, 3*time.Second)
 			}
 		}
-		require.Empty(t, x.lostNames, "one that wakes removes nobody")
+		require.Empty(t, x.lostNames, "a member that resumes declares none lost")
 	})
 }
 
@@ -118,7 +119,7 @@
 		t.Run(fmt.Sprint("both directions: ", both), func(t *testing.T) {
 			forEachSeed(t, func(_ *testing.T, w *network) {
 				a := w.nodes[w.rng.IntN(len(w.nodes))]
-				for range 6 { // with one after the other
+				for range 6 { // one pair after the other
 					b := w.nodes[w.rng.IntN(len(w.nodes))]
 					w.partitioned = func(from, to *node) bool {
 						return from == a && to == b || both && from == b && to == a
@@ -144,12 +145,12 @@
 				}
 				for _, o := range w.nodes {
 					if o != a {
-						require.Len(t, o.lostNames, want, "the same everywhere, and once")
+						require.Len(t, o.lostNames, want, "the same verdict everywhere, and once")
 					}
 				}
 				require.Empty(t, a.lostNames)
 				if deaf {
-					require.True(t, a.FleetSize().Fenced, "it knows that it is cut off")
+					require.True(t, a.FleetSize().Fenced, "a member that receives nothing fences itself")
 				}
 				w.partitioned = func(_, _ *node) bool { return false }
 				w.run(w.now + 5*time.Second)
@@ -159,15 +160,16 @@
 	}
 }
 
-// Cut off looks like dead. Each side knows what it lost, but the smaller one takes no part of what the other shares.
+// TestZonePartitionFencesMinorityAndHeals checks that both sides declare each other lost, that their parts of a shared
+// budget never sum to more than the budget, and that the views agree after the partition has healed.
 func TestZonePartitionFencesMinorityAndHeals(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, w *network) {
-		few := func(x *node) bool { return x.i%3 == 0 }
-		many := func(x *node) bool { return x.i%3 != 0 }
-		w.partitioned = func(from, to *node) bool { return few(from) != few(to) }
-		most := w.maxSendRate(func() {
+		minority := func(x *node) bool { return x.i%3 == 0 }
+		majority := func(x *node) bool { return x.i%3 != 0 }
+		w.partitioned = func(from, to *node) bool { return minority(from) != minority(to) }
+		maxRate := w.maxSendRate(func() {
 			w.run(w.now + 15*time.Second)
-			require.True(t, w.viewsAgree(few) && w.viewsAgree(many), w.describeViews())
+			require.True(t, w.viewsAgree(minority) && w.viewsAgree(majority), w.describeViews())
 			for at := w.now + 45*time.Second; w.now < at; {
 				w.run(w.now + time.Second)
 				parts := 0.0
@@ -176,15 +178,15 @@
 						parts += 1 / float64(c.Sharing)
 					}
 				}
-				require.LessOrEqual(t, parts, 1.0001, "together no more than the whole")
+				require.LessOrEqual(t, parts, 1.0001, "sum of the parts of the budget")
 			}
 		})
 		w.partitioned = func(_, _ *node) bool { return false }
 		healed := w.now
-		most = max(most, w.maxSendRate(func() { w.run(w.now + 5*time.Second) }))
+		maxRate = max(maxRate, w.maxSendRate(func() { w.run(w.now + 5*time.Second) }))
 		require.True(t, w.viewsAgree(nil), "5 s after %v: %s", healed, w.describeViews())
-		require.Less(t, most, float64(maxBytesPerSecond))
-		t.Logf("%.0f bytes a second at most", most)
+		require.Less(t, maxRate, float64(maxBytesPerSecond))
+		t.Logf("%.0f bytes a second at most", maxRate)
 	})
 }
 
@@ -194,15 +196,15 @@
 			x.dead = w.rng.Float64() < 0.7
 		}
 		at := w.now
-		most := w.maxSendRate(func() {
+		maxRate := w.maxSendRate(func() {
 			for !w.viewsAgree(nil) && w.now < at+15*time.Second {
 				w.run(w.now + 100*time.Millisecond)
 			}
 		})
-		t.Logf("right after %v, %.0f bytes a second at most", w.now-at, most)
+		t.Logf("views agree after %v, %.0f bytes a second at most", w.now-at, maxRate)
 		require.LessOrEqual(t, w.now-at, 10*time.Second, w.describeViews())
-		require.Less(t, most, float64(maxBytesPerSecond))
-		for _, x := range w.nodes { // they come back under their names
+		require.Less(t, maxRate, float64(maxBytesPerSecond))
+		for _, x := range w.nodes { // they restart under their names
 			if x.dead {
 				w.start(x.i)
 			}
@@ -213,7 +215,7 @@
 
 func TestRollingRestartConverges(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, w *network) {
-		most := w.maxSendRate(func() {
+		maxRate := w.maxSendRate(func() {
 			for tenth := range 10 {
 				for i := tenth; i < len(w.nodes); i += 10 {
 					x := w.nodes[i]
@@ -226,16 +228,16 @@
 		})
 		at := w.now
 		w.runUntilAgreed(10 * time.Second)
-		t.Logf("right after %v, %.0f bytes a second at most", w.now-at, most)
-		require.Less(t, most, float64(maxBytesPerSecond))
+		t.Logf("views agree after %v, %.0f bytes a second at most", w.now-at, maxRate)
+		require.Less(t, maxRate, float64(maxBytesPerSecond))
 	})
 }
 
-// The two processes of a replacement are one broker, also while both live.
+// TestInstancesOfOneNameCountAsOneBroker checks the fleet size while both instances of a rolling replacement live, and after.
 func TestInstancesOfOneNameCountAsOneBroker(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, w *network) {
 		old := w.nodes[len(w.nodes)-1]
-		old.addr = netip.MustParseAddrPort("127.9.9.9:1") // it goes on beside the new one, at another address
+		old.addr = netip.MustParseAddrPort("127.9.9.9:1") // it runs beside the new one, at another address
 		w.byAddr[old.addr] = old
 		w.start(old.i)
 		w.run(w.now + 5*time.Second)
@@ -247,7 +249,8 @@
 	})
 }
 
-// Words of the dead that the network held back were never seen before, and are as good as any. They revive nobody.
+// TestDelayedDatagramDoesNotRefuteLoss checks that datagrams of a failed member that arrive after the verdict, with sequence
+// numbers never seen before, do not make it alive.
 func TestDelayedDatagramDoesNotRefuteLoss(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, w *network) {
 		x := w.nodes[len(w.nodes)/2]
@@ -269,7 +272,7 @@
 	})
 }
 
-// A number is taken once: what a path doubles, or somebody repeats, is no sign of life.
+// TestReplayedDatagramIsDropped checks that a sequence number is accepted once: a duplicate is no proof of life.
 func TestReplayedDatagramIsDropped(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, w *network) {
 		x := w.nodes[1]
@@ -287,8 +290,8 @@
 	})
 }
 
-// Regions may lose each other for an hour. In all that time the brokers together use no more than the whole of what is
-// shared, and afterwards they are one fleet again. The fleet is small and has one seed: the case is an hour long.
+// TestHourLongPartitionNeverOversharesBudget checks the sum of the parts of a shared budget during an hour's partition, and
+// that the views agree afterwards. The fleet is small and has one seed, since the case is an hour of virtual time.
 func TestHourLongPartitionNeverOversharesBudget(t *testing.T) {
 	t.Parallel()
 	w := newNetwork(t, 5, 1)
@@ -300,7 +303,7 @@
 		parts := 0.0
 		for _, x := range w.nodes {
 			c := x.FleetSize()
-			require.Equal(t, 5, c.Known, "n%d has forgotten others after %v", x.i, w.now)
+			require.Equal(t, 5, c.Known, "n%d has reaped tombstones after %v", x.i, w.now)
 			if !c.Fenced {
 				parts += 1 / float64(c.Sharing)
 			}
@@ -315,15 +318,15 @@
 	require.True(t, w.viewsAgree(nil), w.describeViews())
 }
 
-// What is cut off finds back without the seeds, which may be gone for good.
+// TestPartitionHealsWithoutSeeds checks that views agree after a partition although all seeds have failed.
 func TestPartitionHealsWithoutSeeds(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, w *network) {
 		for _, x := range w.nodes[:3] {
 			x.dead = true
 		}
 		w.run(w.now + 8*time.Second)
-		few := func(x *node) bool { return x.i%3 == 0 }
-		w.partitioned = func(from, to *node) bool { return few(from) != few(to) }
+		minority := func(x *node) bool { return x.i%3 == 0 }
+		w.partitioned = func(from, to *node) bool { return minority(from) != minority(to) }
 		w.run(w.now + 20*time.Second)
 		w.partitioned = func(_, _ *node) bool { return false }
 		w.run(w.now + 5*time.Second)
--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -15,7 +15,7 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// network plays a fleet on virtual time: one process, one seed, the same run each time.
+// network simulates a fleet on virtual time, deterministically from one seed.
 type network struct {
 	t      testing.TB
 	rng    *rand.Rand
@@ -24,10 +24,10 @@
 	byAddr map[netip.AddrPort]*node
 	events events
 
-	lossRatio, duplicateRatio float64       // shares of all datagrams
-	maxDelay                  time.Duration // at most; datagrams overtake each other
+	lossRatio, duplicateRatio float64       // fractions of all datagrams
+	maxDelay                  time.Duration // datagrams are delayed by up to this and so reordered
 	partitioned               func(from, to *node) bool
-	delayed                   func(from, to *node) bool // what is held comes when the test says, or never
+	delayed                   func(from, to *node) bool // these go to delayedEvents instead, for the test to deliver
 	delayedEvents             []event
 }
 
@@ -37,12 +37,12 @@
 	zone        int
 	addr        netip.AddrPort
 	dead        bool
-	pausedUntil time.Duration            // paused until then
-	queue       []event                  // what came meanwhile
-	sentBytes   int                      // bytes
-	lostNames   []string                 // names of those it took for lost, in order
-	lostAt      map[string]time.Duration // when
-	aliveAt     map[string]time.Duration
+	pausedUntil time.Duration
+	queue       []event // datagrams received during the pause
+	sentBytes   int
+	lostNames   []string                 // names of the members it reported lost, in order
+	lostAt      map[string]time.Duration // when it last reported each lost
+	aliveAt     map[string]time.Duration // when it last reported each alive again
 }
 
 type event struct {
@@ -80,7 +80,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(i / 250), byte(i % 250), 1}), 7946)
 }
 
-// start starts the broker of a number, or another process of it.
+// start starts the broker of a number, or another instance of it.
 func (w *network) start(i int) {
 	x := &node{i: i, zone: i % 2, addr: addrOf(i), lostAt: map[string]time.Duration{}, aliveAt: map[string]time.Duration{}}
 	x.View = membership.New(membership.Options{
@@ -111,7 +111,7 @@
 
 func (w *network) push(e event) { heap.Push(&w.events, e) }
 
-// run plays to a time.
+// run runs the simulation until a time.
 func (w *network) run(to time.Duration) {
 	for len(w.events) > 0 && w.events[0].at <= to {
 		e := heap.Pop(&w.events).(event)
@@ -124,14 +124,14 @@
 			if e.data == nil {
 				e.at = x.pausedUntil
 				w.push(e)
-			} else if len(x.queue) < 300 { // a socket's buffer
+			} else if len(x.queue) < 300 { // as a socket's buffer would
 				x.queue = append(x.queue, e)
 			}
 			continue
 		}
 		if queue := x.queue; len(queue) > 0 {
 			x.queue = nil
-			for _, q := range queue { // before the first look at the clock, as a driver may have it
+			for _, q := range queue { // before the first tick, as in the driver
 				w.transmit(x, x.Receive(w.now, q.from, q.data))
 			}
 		}
@@ -172,18 +172,18 @@
 	}
 }
 
-// runUntilAgreed lets a fleet find together.
+// runUntilAgreed runs the simulation until all views agree, and fails the test if they do not within a duration.
 func (w *network) runUntilAgreed(within time.Duration) {
 	end := w.now + within
 	for !w.viewsAgree(nil) {
 		if w.now >= end {
-			w.t.Fatalf("no common view after %v: %s", within, w.describeViews())
+			w.t.Fatalf("views differ after %v: %s", within, w.describeViews())
 		}
 		w.run(w.now + 100*time.Millisecond)
 	}
 }
 
-// viewsAgree tells that all that live and are in a set (nil: all) see just each other alive, brokers counted by name.
+// viewsAgree reports whether the live nodes of a set (nil: all) see exactly each other alive, counted by name.
 func (w *network) viewsAgree(in func(*node) bool) bool {
 	live, n := map[string]bool{}, 0
 	for _, x := range w.nodes {
@@ -230,7 +230,7 @@
 	return fmt.Sprint(sizes)
 }
 
-// lossVerdicts are who was taken for lost by whom, but for those in except.
+// lossVerdicts returns which members were declared lost by which nodes, except for the names in except.
 func (w *network) lossVerdicts(except map[string]bool) (all []string) {
 	for _, x := range w.nodes {
 		for _, name := range x.lostNames {
@@ -248,7 +248,7 @@
 	require.Empty(w.t, all[:min(len(all), 5)], "%d removals", len(all))
 }
 
-// maxSendRate is the mean of bytes a second of the node that sent most, over a time.
+// maxSendRate returns the mean bytes a second, while f runs, of the node that sent the most.
 func (w *network) maxSendRate(f func()) (most float64) {
 	from, sent := w.now, map[*node]int{}
 	for _, x := range w.nodes {
--- a/internal/cluster/membership/ping.go
+++ b/internal/cluster/membership/ping.go
@@ -23,7 +23,7 @@
 }
 
 // ping sends a datagram as a ping and records it as outstanding. It reports whether the ping was sent: not if
-// maxOutstandingPings are outstanding or the probe budget is spent.
+// maxOutstandingPings are outstanding or the ping budget is spent.
 func (v *View) ping(to netip.AddrPort, target uint64, d *planepb.Datagram, requester uint64, requestNumber uint32) bool {
 	if len(v.outstandingPings) >= maxOutstandingPings {
 		return false
@@ -33,7 +33,7 @@
 		timeout = indirectPingTimeout
 	}
 	d.Ping = v.nextPingNumber()
-	if !v.send(to, d, &v.probeBudget) {
+	if !v.send(to, d, &v.pingBudget) {
 		return false
 	}
 	v.outstandingPings[d.Ping] = outstandingPing{
@@ -50,15 +50,15 @@
 func (v *View) acknowledge(m *member, d *planepb.Datagram) {
 	switch {
 	case d.Who:
-		v.send(m.Addr, &planepb.Datagram{Pong: d.Ping, Self: v.entry(v.self)}, &v.probeBudget)
+		v.send(m.Addr, &planepb.Datagram{Pong: d.Ping, Self: v.entry(v.self)}, &v.pingBudget)
 	case d.Ping != 0:
 		v.send(m.Addr, &planepb.Datagram{Pong: d.Ping}, nil)
 	}
 }
 
 // handleAck handles the ack of a ping. The ack of a lost member refutes the verdict: unlike a delayed datagram it proves
-// that the member was alive within pingTimeout. If the ping was sent on behalf of another member, that one is sent an
-// indirect ack.
+// that the member was alive within pingTimeout. If the ping was sent on behalf of another member,
+// that member receives an indirect ack.
 func (v *View) handleAck(m *member, d *planepb.Datagram) {
 	p, outstanding := v.outstandingPings[d.Pong]
 	if d.Pong == 0 || !outstanding || p.target != m.id {
@@ -71,7 +71,7 @@
 	v.recordContact(m)
 	if requester := v.byID[p.requester]; requester != nil {
 		ack := &planepb.Datagram{About: m.id, Tell: p.requestNumber, Heard: true}
-		v.send(requester.Addr, ack, &v.probeBudget)
+		v.send(requester.Addr, ack, &v.pingBudget)
 	}
 }
 
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -17,13 +17,13 @@
 		return nil
 	case m == nil:
 		v.handleUnknownSender(addr, d)
-		return v.takeOutbox()
+		return v.drainOutbox()
 	case !m.acceptSeq(d.Seq):
 		v.DroppedDatagrams++
 		return nil
 	}
 	v.handleMember(m, d)
-	return v.takeOutbox()
+	return v.drainOutbox()
 }
 
 // handleMember handles a datagram of a member of the roster. From a lost member only an ack counts, since any other datagram
@@ -102,5 +102,5 @@
 	for _, m := range recipients {
 		v.send(m.Addr, &planepb.Datagram{Leave: true}, nil)
 	}
-	return v.takeOutbox()
+	return v.drainOutbox()
 }
--- a/internal/cluster/membership/rings.go
+++ b/internal/cluster/membership/rings.go
@@ -34,14 +34,14 @@
 		wasObserved := m.observed
 		m.observed = slices.Contains(v.observed, m)
 		if m.observed && !wasObserved && !m.adopted {
-			v.beginObserving(m)
+			v.startObserving(m)
 		}
 	}
 }
 
-// beginObserving starts a member's suspicion timer: now, or when the ping was sent that it has not acked since its last
+// startObserving starts a member's suspicion timer: now, or when the ping was sent that it has not acked since its last
 // contact.
-func (v *View) beginObserving(m *member) {
+func (v *View) startObserving(m *member) {
 	m.silentSince = v.now
 	if m.unackedSince > m.lastContact {
 		m.silentSince = m.unackedSince
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -34,13 +34,13 @@
 		}
 		if requester := v.byID[p.requester]; requester != nil {
 			nack := &planepb.Datagram{About: p.target, Tell: p.requestNumber}
-			v.send(requester.Addr, nack, &v.probeBudget)
+			v.send(requester.Addr, nack, &v.pingBudget)
 		}
 	}
 }
 
-// recordMissedAck records that a member has not acked a ping and has not been heard since. A live member that self does not
-// observe is adopted: in a mass failure all of its observers may have failed.
+// recordMissedAck records that a member has not acked a ping, unless it has been in contact since. A live member that self
+// does not observe is adopted: in a mass failure all of its observers may have failed.
 func (v *View) recordMissedAck(m *member, p outstandingPing) {
 	if m.lastContact >= p.sentAt {
 		return
@@ -59,7 +59,7 @@
 }
 
 // updateSuspicion advances the suspicion of an observed member. A member that is silent for indirectPingAfter is suspected
-// and pinged indirectly. One that is silent for lossTimeout is declared lost, provided that enough helpers have confirmed it.
+// and pinged indirectly. One that is silent for lossTimeout is declared lost once enough relays have confirmed it.
 // A contact ends the suspicion, and the adoption of an adopted member.
 func (v *View) updateSuspicion(m *member) {
 	silence := v.now - m.silentSince
@@ -82,37 +82,37 @@
 	}
 }
 
-// requestIndirectPings pings a suspected member and sends helpers an indirect ping request for it.
+// requestIndirectPings pings a suspected member and sends indirect ping requests for it to relays.
 func (v *View) requestIndirectPings(m *member) {
 	m.indirectPingSentAt = v.now
 	v.ping(m.Addr, m.id, &planepb.Datagram{}, 0, 0)
-	for _, h := range v.chooseHelpers(m) {
-		v.send(h.Addr, &planepb.Datagram{About: m.id, Ask: v.nextPingNumber()}, &v.probeBudget)
+	for _, relay := range v.chooseRelays(m) {
+		v.send(relay.Addr, &planepb.Datagram{About: m.id, Ask: v.nextPingNumber()}, &v.pingBudget)
 	}
 }
 
-// requiredConfirmations returns how many helpers have to confirm the suspicion of a member: maxConfirmations, or as many as
-// there are eligible helpers, but at least one. So a view that receives nothing has no helper and gives no verdict, except
-// in a fleet of two, where there is no third member to ask.
+// requiredConfirmations returns the number of relays that have to confirm the suspicion of a member: maxConfirmations or the
+// number of eligible relays, whichever is less, but at least one. So a view that receives nothing has no relay and
+// gives no verdict, except in a fleet of two, where there is no third member to ask.
 func (v *View) requiredConfirmations(suspect *member) int {
 	if v.aliveCount <= 2 {
 		return 0
 	}
-	eligible := v.pickRandom(maxConfirmations, func(h *member) bool { return h != suspect && v.isEligibleHelper(h) })
+	eligible := v.pickRandom(maxConfirmations, func(relay *member) bool { return relay != suspect && v.isEligibleRelay(relay) })
 	return max(len(eligible), 1)
 }
 
-// chooseHelpers returns the members that receive an indirect ping request: random eligible ones, and for an adopted suspect
+// chooseRelays returns the members that receive an indirect ping request: random eligible ones, and for an adopted suspect
 // its observers before them. An observer may receive the suspect's heartbeats although the suspect itself receives, and acks,
 // nothing.
-func (v *View) chooseHelpers(suspect *member) []*member {
+func (v *View) chooseRelays(suspect *member) []*member {
 	ringOrder := v.rng.Perm(ringCount) // drawn for every suspect: adoption must not shift the random numbers that follow
 	var chosen []*member
 	if suspect.adopted {
 		chosen = v.observersOf(suspect, ringOrder)
 	}
-	return append(chosen, v.pickRandom(indirectPingFanout, func(h *member) bool {
-		return h != suspect && v.isEligibleHelper(h) && !slices.Contains(chosen, h)
+	return append(chosen, v.pickRandom(indirectPingFanout, func(relay *member) bool {
+		return relay != suspect && v.isEligibleRelay(relay) && !slices.Contains(chosen, relay)
 	})...)
 }
 
@@ -123,9 +123,9 @@
 		if len(observers) >= indirectPingFanout {
 			break
 		}
-		h := v.nextAliveOnRing(r, observed)
-		if h != nil && h != v.self && h != observed && !slices.Contains(observers, h) {
-			observers = append(observers, h)
+		relay := v.nextAliveOnRing(r, observed)
+		if relay != nil && relay != v.self && relay != observed && !slices.Contains(observers, relay) {
+			observers = append(observers, relay)
 		}
 	}
 	return observers
@@ -143,9 +143,9 @@
 	return nil
 }
 
-// isEligibleHelper reports whether the last contact with a member is recent enough for it to be a helper.
-func (v *View) isEligibleHelper(h *member) bool {
-	return h.lastContact > 0 && v.now-h.lastContact < helperWindow
+// isEligibleRelay reports whether the last contact with a member is recent enough for it to be a relay.
+func (v *View) isEligibleRelay(m *member) bool {
+	return m.lastContact > 0 && v.now-m.lastContact < relayWindow
 }
 
 // handleIndirect handles an indirect ping request, indirect ack or negative ack from a member. A request is answered at
@@ -158,10 +158,10 @@
 	isRequest, isAnswer := d.Ask != 0, d.Tell != 0
 	switch {
 	case isRequest && subject == v.self:
-		v.send(m.Addr, &planepb.Datagram{}, &v.probeBudget)
+		v.send(m.Addr, &planepb.Datagram{}, &v.pingBudget)
 	case isRequest && subject.lastContact > 0 && v.now-subject.lastContact < aliveWindow:
 		ack := &planepb.Datagram{About: subject.id, Tell: d.Ask, Heard: true}
-		v.send(m.Addr, ack, &v.probeBudget)
+		v.send(m.Addr, ack, &v.pingBudget)
 	case isRequest:
 		v.ping(subject.Addr, subject.id, &planepb.Datagram{}, m.id, d.Ask)
 	case isAnswer && d.Heard:
--- a/internal/cluster/membership/tick.go
+++ b/internal/cluster/membership/tick.go
@@ -33,7 +33,7 @@
 	v.contactSeed()
 	v.requestSync()
 	v.pingUnobserved()
-	return v.takeOutbox()
+	return v.drainOutbox()
 }
 
 // resetAfterPause restarts all suspicion timers after a pause of this process, which cannot know who was silent meanwhile.
