--- a/internal/cluster/fleet/fleet.go
+++ b/internal/cluster/fleet/fleet.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	maxInbox    = 512                    // datagrams read and not yet looked at; more are dropped and counted
-	sendLimit   = 5 * time.Millisecond   // a send that the system cannot take at once is dropped: it may be lost anyway
-	logInterval = 10 * time.Second       // between two lines of dropped datagrams
-	farewell    = 100 * time.Millisecond // between the two farewells: one may be lost
+	inboxCapacity    = 512                    // datagrams read and not yet looked at; more are dropped and counted
+	sendTimeout      = 5 * time.Millisecond   // a send that the system cannot take at once is dropped: it may be lost anyway
+	dropLogInterval  = 10 * time.Second       // between two lines of dropped datagrams
+	leaveRepeatDelay = 100 * time.Millisecond // between the two farewells: one may be lost
 )
 
 // Options are what a deployment fixes.
@@ -42,24 +42,24 @@
 
 // Plane is this process's end of the plane. Make it with Listen, then Run it.
 type Plane struct {
-	opt       Options
-	conn      *net.UDPConn
-	fleet     uint64
-	view      *membership.View
-	began     time.Time // the clock of the view, which runs on when the system's is set
-	inbox     chan datagram
-	fleetSize atomic.Pointer[membership.FleetSize]
+	options     Options
+	conn        *net.UDPConn
+	fingerprint uint64
+	view        *membership.View
+	startedAt   time.Time // the clock of the view, which runs on when the system's is set
+	inbox       chan datagram
+	fleetSize   atomic.Pointer[membership.FleetSize]
 
-	crowded  atomic.Int64 // datagrams dropped because the loop was behind
-	drops    map[string]int
-	notified time.Time // when drops were last reported
-	out      []byte
+	inboxOverflows atomic.Int64 // datagrams dropped because the loop was behind
+	drops          map[string]int
+	dropsLoggedAt  time.Time // when drops were last reported
+	sendBuffer     []byte
 }
 
 type datagram struct {
 	from netip.AddrPort
 	data *planepb.Datagram
-	why  error // it cannot be used
+	err  error // it cannot be used
 }
 
 // Listen opens the socket.
@@ -71,12 +71,12 @@
 	if !opt.Advertise.IsValid() {
 		opt.Advertise = conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	}
-	p := &Plane{opt: opt, conn: conn, fleet: plane.FleetFingerprint(opt.Fleet), began: time.Now(),
-		inbox: make(chan datagram, maxInbox), drops: map[string]int{}, notified: time.Now()}
+	p := &Plane{options: opt, conn: conn, fingerprint: plane.FleetFingerprint(opt.Fleet), startedAt: time.Now(),
+		inbox: make(chan datagram, inboxCapacity), drops: map[string]int{}, dropsLoggedAt: time.Now()}
 	seeds := slices.DeleteFunc(slices.Clone(opt.Seeds), func(a netip.AddrPort) bool { return a == opt.Advertise })
 	p.view = membership.New(membership.Options{
-		Self:  membership.Instance{Name: opt.Name, Start: uint64(p.began.UnixNano()), Addr: opt.Advertise},
-		Fleet: p.fleet, Seeds: seeds, Seed: opt.Seed ^ uint64(p.began.UnixNano()),
+		Self:  membership.Instance{Name: opt.Name, Start: uint64(p.startedAt.UnixNano()), Addr: opt.Advertise},
+		Fleet: p.fingerprint, Seeds: seeds, Seed: opt.Seed ^ uint64(p.startedAt.UnixNano()),
 		Changed: func(m membership.Member) {
 			opt.Log.Info("fleet member changed", "member", m.Name, "start", m.Start, "addr", m.Addr, "is", m.Status)
 		},
@@ -101,42 +101,42 @@
 	for {
 		select {
 		case <-ctx.Done():
-			p.send(p.view.Leave(time.Since(p.began)))
-			time.Sleep(farewell)
-			p.send(p.view.Leave(time.Since(p.began)))
+			p.send(p.view.Leave(time.Since(p.startedAt)))
+			time.Sleep(leaveRepeatDelay)
+			p.send(p.view.Leave(time.Since(p.startedAt)))
 			_ = p.conn.Close() // the process ends
 			<-read
 			return
 		case d := <-p.inbox:
-			if d.why != nil {
-				p.drops[d.why.Error()]++
+			if d.err != nil {
+				p.drops[d.err.Error()]++
 				break
 			}
-			p.send(p.view.Receive(time.Since(p.began), d.from, d.data))
+			p.send(p.view.Receive(time.Since(p.startedAt), d.from, d.data))
 		case <-tick.C:
 			tick.Reset(membership.TickInterval)
-			p.send(p.view.Tick(time.Since(p.began)))
-			p.look()
+			p.send(p.view.Tick(time.Since(p.startedAt)))
+			p.publishFleetSize()
 		}
 	}
 }
 
-// look takes up what has changed.
-func (p *Plane) look() {
+// publishFleetSize takes up what has changed.
+func (p *Plane) publishFleetSize() {
 	c := p.view.FleetSize()
 	if old := p.fleetSize.Swap(&c); *old != c {
-		p.opt.Log.Info("fleet size changed", "alive", c.Alive, "known", c.Known, "sharing", c.Sharing, "fenced", c.Fenced)
-		if p.opt.Changed != nil {
-			p.opt.Changed(c)
+		p.options.Log.Info("fleet size changed", "alive", c.Alive, "known", c.Known, "sharing", c.Sharing, "fenced", c.Fenced)
+		if p.options.Changed != nil {
+			p.options.Changed(c)
 		}
 	}
-	if now := time.Now(); now.Sub(p.notified) >= logInterval {
-		p.notified = now
-		if n := p.crowded.Swap(0); n > 0 {
+	if now := time.Now(); now.Sub(p.dropsLoggedAt) >= dropLogInterval {
+		p.dropsLoggedAt = now
+		if n := p.inboxOverflows.Swap(0); n > 0 {
 			p.drops["crowded out"] += int(n)
 		}
 		for _, why := range slices.Sorted(maps.Keys(p.drops)) {
-			p.opt.Log.Warn("fleet datagrams dropped", "why", why, "count", p.drops[why])
+			p.options.Log.Warn("fleet datagrams dropped", "why", why, "count", p.drops[why])
 		}
 		clear(p.drops)
 	}
@@ -144,7 +144,7 @@
 
 // read reads datagrams until the socket is closed. What cannot be used costs no more than its reading.
 func (p *Plane) read() {
-	buf := make([]byte, plane.MaxSize+1)
+	buf := make([]byte, plane.MaxDatagramSize+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
@@ -154,11 +154,11 @@
 			continue // such as a port that nobody listens on, told of an earlier send
 		}
 		d := datagram{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port())}
-		d.data, d.why = plane.Parse(buf[:n], p.fleet)
+		d.data, d.err = plane.Parse(buf[:n], p.fingerprint)
 		select {
 		case p.inbox <- d:
 		default:
-			p.crowded.Add(1)
+			p.inboxOverflows.Add(1)
 		}
 	}
 }
@@ -167,14 +167,14 @@
 	if len(out) == 0 {
 		return
 	}
-	_ = p.conn.SetWriteDeadline(time.Now().Add(sendLimit)) // a closed socket fails at the write below
+	_ = p.conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // a closed socket fails at the write below
 	for _, s := range out {
-		b, err := plane.Append(p.out[:0], s.Data)
+		b, err := plane.Append(p.sendBuffer[:0], s.Data)
 		if err != nil {
 			p.drops["sent: "+err.Error()]++
 			continue
 		}
-		p.out = b
+		p.sendBuffer = b
 		if _, err := p.conn.WriteToUDPAddrPort(b, s.Addr); err != nil {
 			p.drops["not sent"]++
 		}
--- a/internal/cluster/fleet/fleet_test.go
+++ b/internal/cluster/fleet/fleet_test.go
@@ -20,25 +20,25 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// lines keeps a log.
-type lines struct {
+// logBuffer keeps a log.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *lines) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *lines) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-func start(t *testing.T, log io.Writer, name string, seeds ...netip.AddrPort) (p *fleet.Plane, addr netip.AddrPort, end func()) {
+func startPlane(t *testing.T, log io.Writer, name string, seeds ...netip.AddrPort) (p *fleet.Plane, addr netip.AddrPort, end func()) {
 	addr = netip.MustParseAddrPort("127.79.0." + name + ":7946")
 	p, err := fleet.Listen(fleet.Options{Listen: addr, Fleet: "f", Name: name, Seeds: append(seeds, addr),
 		Log: slog.New(slog.NewTextHandler(log, nil))})
@@ -52,12 +52,12 @@
 	return p, addr, func() { cancel(); <-done }
 }
 
-func TestPlanesFindEachOtherAndSayFarewell(t *testing.T) {
+func TestPlanesJoinAndLeave(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	a, seed, endA := start(t, io.Discard, "1")
+	a, seed, endA := startPlane(t, io.Discard, "1")
 	defer endA()
-	b, _, endB := start(t, io.Discard, "2", seed)
-	c, _, endC := start(t, io.Discard, "3", seed)
+	b, _, endB := startPlane(t, io.Discard, "2", seed)
+	c, _, endC := startPlane(t, io.Discard, "3", seed)
 	defer endC()
 	for _, p := range []*fleet.Plane{a, b, c} {
 		require.Eventually(t, func() bool { return p.FleetSize().Alive == 3 }, 10*time.Second, 20*time.Millisecond)
@@ -69,9 +69,9 @@
 }
 
 // What is foreign, torn, oversized or of another version costs its reading, and changes nothing.
-func TestNoiseIsDroppedAndCounted(t *testing.T) {
-	log := &lines{}
-	p, addr, end := start(t, log, "9")
+func TestInvalidDatagramsAreDroppedAndCounted(t *testing.T) {
+	log := &logBuffer{}
+	p, addr, end := startPlane(t, log, "9")
 	defer end()
 	conn, err := net.Dial("udp", addr.String())
 	require.NoError(t, err)
--- a/internal/cluster/membership/fuzz_test.go
+++ b/internal/cluster/membership/fuzz_test.go
@@ -25,7 +25,7 @@
 		now, bytes, seq := time.Duration(0), 0, uint64(0)
 		spend := func(out []membership.Send) {
 			for _, s := range out {
-				require.LessOrEqual(t, plane.WireSize(s.Data), plane.MaxSize+plane.Overhead)
+				require.LessOrEqual(t, plane.WireSize(s.Data), plane.MaxDatagramSize+plane.Overhead)
 				bytes += plane.WireSize(s.Data)
 			}
 		}
--- a/internal/cluster/membership/instance.go
+++ b/internal/cluster/membership/instance.go
@@ -29,10 +29,12 @@
 }
 
 // ID returns the instance's identifier, a hash of its name and start.
-func (i Instance) ID() uint64 { return plane.ID(i.Name, i.Start) }
+func (i Instance) ID() uint64 { return plane.InstanceID(i.Name, i.Start) }
 
 // instanceFromEntry returns the instance that an entry describes.
-func instanceFromEntry(e *planepb.Entry) Instance { return Instance{e.Name, e.Start, plane.Addr(e)} }
+func instanceFromEntry(e *planepb.Entry) Instance {
+	return Instance{e.Name, e.Start, plane.EntryAddr(e)}
+}
 
 // Member is an instance with its status in a view.
 type Member struct {
--- a/internal/cluster/membership/limits_test.go
+++ b/internal/cluster/membership/limits_test.go
@@ -25,6 +25,6 @@
 	v.seq = math.MaxUint64 - 1
 	require.True(t, v.send(v.self.Addr, &planepb.Datagram{Vector: v.stateVector()}, nil))
 	size := plane.WireSize(v.drainOutbox()[0].Data) - plane.Overhead
-	require.LessOrEqual(t, size, plane.MaxSize)
+	require.LessOrEqual(t, size, plane.MaxDatagramSize)
 	require.LessOrEqual(t, size-maxRoster, maxVectorHeader, "the arithmetic beside MaxMembers")
 }
--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -148,7 +148,7 @@
 func (w *network) transmit(x *node, out []membership.Send) {
 	for _, s := range out {
 		size := plane.WireSize(s.Data)
-		if size > plane.MaxSize+plane.Overhead {
+		if size > plane.MaxDatagramSize+plane.Overhead {
 			w.t.Fatalf("a datagram of %d bytes", size)
 		}
 		x.sentBytes += size
--- a/internal/cluster/plane/plane.go
+++ b/internal/cluster/plane/plane.go
@@ -19,8 +19,8 @@
 const (
 	// Version is of this form of the plane.
 	Version = 1
-	// MaxSize is the largest datagram: it goes through any path without being cut.
-	MaxSize = 1200
+	// MaxDatagramSize is the largest datagram: it goes through any path without being cut.
+	MaxDatagramSize = 1200
 	// Overhead is what IP and UDP add to a datagram.
 	Overhead = 28
 	// MaxNameLength is the longest name of a broker.
@@ -29,18 +29,18 @@
 
 // Why a datagram is dropped.
 var (
-	ErrOversized = errors.New("oversized")
-	ErrTorn      = errors.New("torn")
-	ErrVersion   = errors.New("of another version")
-	ErrForeign   = errors.New("of another fleet")
-	ErrContent   = errors.New("with content that cannot be used")
+	ErrOversized          = errors.New("oversized")
+	ErrMalformed          = errors.New("torn")
+	ErrUnsupportedVersion = errors.New("of another version")
+	ErrOtherFleet         = errors.New("of another fleet")
+	ErrInvalidContent     = errors.New("with content that cannot be used")
 )
 
 // FleetFingerprint is the fingerprint of a fleet's name.
 func FleetFingerprint(name string) uint64 { return xxhash.Sum64String(name) }
 
-// ID is the number of an instance: a broker's name with the start of its process.
-func ID(name string, start uint64) uint64 {
+// InstanceID is the number of an instance: a broker's name with the start of its process.
+func InstanceID(name string, start uint64) uint64 {
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(name), start))
 }
 
@@ -59,7 +59,7 @@
 
 // Append appends a message. It fails where that is longer than a datagram may be.
 func Append(b []byte, m *planepb.Datagram) ([]byte, error) {
-	if proto.Size(m) > MaxSize {
+	if proto.Size(m) > MaxDatagramSize {
 		return b, ErrOversized
 	}
 	return proto.MarshalOptions{}.MarshalAppend(b, m)
@@ -67,39 +67,39 @@
 
 // Parse reads a datagram of a fleet and checks all that can be checked without knowing the members.
 func Parse(b []byte, fleet uint64) (*planepb.Datagram, error) {
-	if len(b) > MaxSize {
+	if len(b) > MaxDatagramSize {
 		return nil, ErrOversized
 	}
 	m := &planepb.Datagram{}
 	if proto.Unmarshal(b, m) != nil {
-		return nil, ErrTorn
+		return nil, ErrMalformed
 	}
 	switch {
 	case m.Version != Version:
-		return nil, ErrVersion
+		return nil, ErrUnsupportedVersion
 	case m.Fleet != fleet:
-		return nil, ErrForeign
+		return nil, ErrOtherFleet
 	case m.From == 0 || m.Seq == 0 || len(m.Have)%2 != 0:
-		return nil, ErrContent
-	case m.Self != nil && (!valid(m.Self) || ID(m.Self.Name, m.Self.Start) != m.From):
-		return nil, ErrContent
+		return nil, ErrInvalidContent
+	case m.Self != nil && (!isValidEntry(m.Self) || InstanceID(m.Self.Name, m.Self.Start) != m.From):
+		return nil, ErrInvalidContent
 	}
 	for _, e := range m.Entries {
-		if !valid(e) {
-			return nil, ErrContent
+		if !isValidEntry(e) {
+			return nil, ErrInvalidContent
 		}
 	}
 	return m, nil
 }
 
-func valid(e *planepb.Entry) bool {
-	addr := Addr(e)
+func isValidEntry(e *planepb.Entry) bool {
+	addr := EntryAddr(e)
 	return addr.Port() != 0 && !addr.Addr().IsUnspecified() && !addr.Addr().IsMulticast() &&
 		e.Name != "" && len(e.Name) <= MaxNameLength && e.Start != 0 && e.Start <= math.MaxInt64 && e.State <= math.MaxUint8
 }
 
-// Addr is an entry's address; the zero one where it has none that can be read.
-func Addr(e *planepb.Entry) (addr netip.AddrPort) {
+// EntryAddr is an entry's address; the zero one where it has none that can be read.
+func EntryAddr(e *planepb.Entry) (addr netip.AddrPort) {
 	if addr.UnmarshalBinary(e.Addr) != nil {
 		return netip.AddrPort{}
 	}
--- a/internal/cluster/plane/plane_test.go
+++ b/internal/cluster/plane/plane_test.go
@@ -18,62 +18,62 @@
 	return &planepb.Entry{Name: name, Start: 5, Addr: b, State: 3}
 }
 
-func good() *planepb.Datagram {
-	return &planepb.Datagram{Version: plane.Version, Fleet: fleet, From: plane.ID("n1", 5), Seq: 1,
+func validDatagram() *planepb.Datagram {
+	return &planepb.Datagram{Version: plane.Version, Fleet: fleet, From: plane.InstanceID("n1", 5), Seq: 1,
 		Self: entry("n1", "127.0.0.1:7946"), Entries: []*planepb.Entry{entry("n2", "[::1]:7946")}, Have: []byte{1, 2}}
 }
 
-func TestADatagramComesBackAsItWas(t *testing.T) {
-	b, err := plane.Append(nil, good())
+func TestAppendAndParseRoundTrip(t *testing.T) {
+	b, err := plane.Append(nil, validDatagram())
 	require.NoError(t, err)
-	require.Equal(t, len(b)+plane.Overhead, plane.WireSize(good()))
+	require.Equal(t, len(b)+plane.Overhead, plane.WireSize(validDatagram()))
 	d, err := plane.Parse(b, fleet)
 	require.NoError(t, err)
-	require.True(t, proto.Equal(good(), d))
-	require.Equal(t, netip.MustParseAddrPort("[::1]:7946"), plane.Addr(d.Entries[0]))
+	require.True(t, proto.Equal(validDatagram(), d))
+	require.Equal(t, netip.MustParseAddrPort("[::1]:7946"), plane.EntryAddr(d.Entries[0]))
 }
 
 // Each is counted by what is wrong with it.
-func TestWhatCannotBeUsedIsAnError(t *testing.T) {
+func TestParseRejectsInvalidDatagrams(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*planepb.Datagram)
 		want   error
 	}{
-		"another version":      {func(d *planepb.Datagram) { d.Version++ }, plane.ErrVersion},
-		"another fleet":        {func(d *planepb.Datagram) { d.Fleet++ }, plane.ErrForeign},
-		"no sender":            {func(d *planepb.Datagram) { d.From = 0 }, plane.ErrContent},
-		"no number":            {func(d *planepb.Datagram) { d.Seq = 0 }, plane.ErrContent},
-		"another's self":       {func(d *planepb.Datagram) { d.From++ }, plane.ErrContent},
-		"half a hash":          {func(d *planepb.Datagram) { d.Have = d.Have[:1] }, plane.ErrContent},
-		"no name":              {func(d *planepb.Datagram) { d.Entries[0].Name = "" }, plane.ErrContent},
-		"a name without end":   {func(d *planepb.Datagram) { d.Entries[0].Name = string(make([]byte, 65)) }, plane.ErrContent},
-		"no address":           {func(d *planepb.Datagram) { d.Entries[0].Addr = nil }, plane.ErrContent},
-		"an address of no one": {func(d *planepb.Datagram) { d.Entries[0] = entry("n2", "0.0.0.0:1") }, plane.ErrContent},
-		"a state of no kind":   {func(d *planepb.Datagram) { d.Entries[0].State = 256 }, plane.ErrContent},
-		"no start":             {func(d *planepb.Datagram) { d.Entries[0].Start = 0 }, plane.ErrContent},
+		"another version":      {func(d *planepb.Datagram) { d.Version++ }, plane.ErrUnsupportedVersion},
+		"another fleet":        {func(d *planepb.Datagram) { d.Fleet++ }, plane.ErrOtherFleet},
+		"no sender":            {func(d *planepb.Datagram) { d.From = 0 }, plane.ErrInvalidContent},
+		"no number":            {func(d *planepb.Datagram) { d.Seq = 0 }, plane.ErrInvalidContent},
+		"another's self":       {func(d *planepb.Datagram) { d.From++ }, plane.ErrInvalidContent},
+		"half a hash":          {func(d *planepb.Datagram) { d.Have = d.Have[:1] }, plane.ErrInvalidContent},
+		"no name":              {func(d *planepb.Datagram) { d.Entries[0].Name = "" }, plane.ErrInvalidContent},
+		"a name without end":   {func(d *planepb.Datagram) { d.Entries[0].Name = string(make([]byte, 65)) }, plane.ErrInvalidContent},
+		"no address":           {func(d *planepb.Datagram) { d.Entries[0].Addr = nil }, plane.ErrInvalidContent},
+		"an address of no one": {func(d *planepb.Datagram) { d.Entries[0] = entry("n2", "0.0.0.0:1") }, plane.ErrInvalidContent},
+		"a state of no kind":   {func(d *planepb.Datagram) { d.Entries[0].State = 256 }, plane.ErrInvalidContent},
+		"no start":             {func(d *planepb.Datagram) { d.Entries[0].Start = 0 }, plane.ErrInvalidContent},
 	} {
-		d := good()
+		d := validDatagram()
 		c.change(d)
 		b, err := proto.Marshal(d)
 		require.NoError(t, err)
 		_, err = plane.Parse(b, fleet)
 		require.ErrorIs(t, err, c.want, name)
 	}
-	b, err := plane.Append(nil, good())
+	b, err := plane.Append(nil, validDatagram())
 	require.NoError(t, err)
 	_, err = plane.Parse(b[:len(b)-1], fleet)
-	require.ErrorIs(t, err, plane.ErrTorn)
-	_, err = plane.Parse(make([]byte, plane.MaxSize+1), fleet)
+	require.ErrorIs(t, err, plane.ErrMalformed)
+	_, err = plane.Parse(make([]byte, plane.MaxDatagramSize+1), fleet)
 	require.ErrorIs(t, err, plane.ErrOversized)
-	large := good()
-	large.Vector = make([]byte, plane.MaxSize)
+	large := validDatagram()
+	large.Vector = make([]byte, plane.MaxDatagramSize)
 	_, err = plane.Append(nil, large)
 	require.ErrorIs(t, err, plane.ErrOversized)
 }
 
 // Whatever comes, reading it does no harm, and what is taken can be sent on as it came.
 func FuzzParse(f *testing.F) {
-	b, _ := plane.Append(nil, good())
+	b, _ := plane.Append(nil, validDatagram())
 	f.Add(b)
 	f.Add([]byte{})
 	f.Add([]byte{0x08, 0x01})
--- a/internal/cluster/plane/recording_test.go
+++ b/internal/cluster/plane/recording_test.go
@@ -28,9 +28,9 @@
 		"ack":                    {Pong: 17},
 		"introduction-request":   {Ping: 2, Self: entry("n1", "127.0.0.1:7946"), Who: true},
 		"introduction":           {Pong: 2, Self: entry("n1", "127.0.0.1:7946")},
-		"indirect-ping":          {About: plane.ID("n2", 5), Ask: 300},
-		"indirect-ack":           {About: plane.ID("n2", 5), Tell: 300, Heard: true},
-		"indirect-nack":          {About: plane.ID("n2", 5), Tell: 300},
+		"indirect-ping":          {About: plane.InstanceID("n2", 5), Ask: 300},
+		"indirect-ack":           {About: plane.InstanceID("n2", 5), Tell: 300, Heard: true},
+		"indirect-nack":          {About: plane.InstanceID("n2", 5), Tell: 300},
 		"state-vector":           {Vector: []byte{0, 1, 2, 4, 5, 255}},
 		"entries":                {Entries: []*planepb.Entry{entry("n2", "[::1]:7946"), lost}},
 		"anti-entropy-request":   {Sync: true, Have: []byte{1, 2, 254, 255}, Slice: 7},
@@ -41,7 +41,7 @@
 
 // recordedHeader sets what all datagrams of the recording have.
 func recordedHeader(d *planepb.Datagram) *planepb.Datagram {
-	d.Version, d.Fleet, d.From, d.Seq = plane.Version, fleet, plane.ID("n1", 5), 1<<40+3
+	d.Version, d.Fleet, d.From, d.Seq = plane.Version, fleet, plane.InstanceID("n1", 5), 1<<40+3
 	d.Roster, d.States = 0xdeadbeef, 0x01020304
 	return d
 }
