--- a/internal/cluster/fleet/fleet.go
+++ b/internal/cluster/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet drives the plane between broker processes: one socket, one loop on one goroutine that owns the
-// membership, and bounded mailboxes on both sides, so that neither the plane nor the broker's loops ever wait for the
-// other.
+// Package fleet drives the gossip plane of a broker process: one UDP socket, and one goroutine that owns the
+// membership.View and runs its timers. Mailboxes on both sides are bounded, so that neither the plane nor the broker's core
+// ever waits for the other.
 package fleet
 
 import (
@@ -21,79 +21,107 @@
 )
 
 const (
-	inboxCapacity    = 512                    // datagrams read and not yet looked at; more are dropped and counted
-	sendTimeout      = 5 * time.Millisecond   // a send that the system cannot take at once is dropped: it may be lost anyway
-	dropLogInterval  = 10 * time.Second       // between two lines of dropped datagrams
-	leaveRepeatDelay = 100 * time.Millisecond // between the two farewells: one may be lost
+	// inboxCapacity is the maximum number of parsed datagrams that wait for the loop; more are dropped and counted. The
+	// heartbeats that a member receives, 24 a second, fill it in 20 s.
+	inboxCapacity = 512
+
+	// sendTimeout bounds the sends of one step. A datagram that the system does not accept by then is dropped: the plane
+	// tolerates loss.
+	sendTimeout = 5 * time.Millisecond
+
+	// dropLogInterval is the interval at which dropped datagrams are logged.
+	dropLogInterval = 10 * time.Second
+
+	// leaveRepeatDelay is the delay after which the leave announcement is repeated, since the first may be lost.
+	leaveRepeatDelay = 100 * time.Millisecond
 )
 
-// Options are what a deployment fixes.
+// Options configure a Plane.
 type Options struct {
 	Listen    netip.AddrPort
-	Advertise netip.AddrPort // where others reach this process; the zero one: Listen
-	Fleet     string         // name of the fleet
-	Name      string         // of the broker
+	Advertise netip.AddrPort // address at which others reach this process; zero: Listen
+	Fleet     string         // name of the fleet, the same at all of its brokers
+	Name      string         // of the broker, the same after a restart
 	Seeds     []netip.AddrPort
-	Seed      uint64
+	Seed      uint64 // of random numbers
 	Log       *slog.Logger
-	// Changed is told, by the loop, of each change of the fleet's count. It must not block.
+	// Changed is called by the loop with the fleet's size each time that it has changed. It must not block. It may be nil.
 	Changed func(membership.FleetSize)
 }
 
-// Plane is this process's end of the plane. Make it with Listen, then Run it.
+// Plane is this process's endpoint of the gossip plane. Make it with Listen, then call Run.
 type Plane struct {
 	options     Options
 	conn        *net.UDPConn
-	fingerprint uint64
+	fingerprint uint64 // of the fleet
 	view        *membership.View
-	startedAt   time.Time // the clock of the view, which runs on when the system's is set
+	startedAt   time.Time // origin of the view's clock, which is monotonic
 	inbox       chan datagram
 	fleetSize   atomic.Pointer[membership.FleetSize]
 
-	inboxOverflows atomic.Int64 // datagrams dropped because the loop was behind
-	drops          map[string]int
-	dropsLoggedAt  time.Time // when drops were last reported
+	inboxOverflows atomic.Int64   // datagrams dropped since the last drop log because the inbox was full
+	drops          map[string]int // other datagrams dropped since then, by reason
+	dropsLoggedAt  time.Time
 	sendBuffer     []byte
 }
 
+// datagram is a datagram received: its sender's address, and its content or the error of plane.Parse.
 type datagram struct {
 	from netip.AddrPort
 	data *planepb.Datagram
-	err  error // it cannot be used
+	err  error
 }
 
-// Listen opens the socket.
-func Listen(opt Options) (*Plane, error) {
-	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(opt.Listen))
+// Listen opens the socket. Its error names the key fleet.listen.
+func Listen(options Options) (*Plane, error) {
+	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(options.Listen))
 	if err != nil {
 		return nil, fmt.Errorf("fleet.listen: %w", err)
 	}
-	if !opt.Advertise.IsValid() {
-		opt.Advertise = conn.LocalAddr().(*net.UDPAddr).AddrPort()
+	if !options.Advertise.IsValid() {
+		options.Advertise = conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	}
-	p := &Plane{options: opt, conn: conn, fingerprint: plane.FleetFingerprint(opt.Fleet), startedAt: time.Now(),
-		inbox: make(chan datagram, inboxCapacity), drops: map[string]int{}, dropsLoggedAt: time.Now()}
-	seeds := slices.DeleteFunc(slices.Clone(opt.Seeds), func(a netip.AddrPort) bool { return a == opt.Advertise })
-	p.view = membership.New(membership.Options{
-		Self:  membership.Instance{Name: opt.Name, Start: uint64(p.startedAt.UnixNano()), Addr: opt.Advertise},
-		Fleet: p.fingerprint, Seeds: seeds, Seed: opt.Seed ^ uint64(p.startedAt.UnixNano()),
-		Changed: func(m membership.Member) {
-			opt.Log.Info("fleet member changed", "member", m.Name, "start", m.Start, "addr", m.Addr, "is", m.Status)
-		},
-	})
-	first := p.view.FleetSize()
-	p.fleetSize.Store(&first)
+	p := &Plane{
+		options:       options,
+		conn:          conn,
+		fingerprint:   plane.FleetFingerprint(options.Fleet),
+		startedAt:     time.Now(),
+		inbox:         make(chan datagram, inboxCapacity),
+		drops:         map[string]int{},
+		dropsLoggedAt: time.Now(),
+	}
+	p.view = p.newView()
+	size := p.view.FleetSize()
+	p.fleetSize.Store(&size)
 	return p, nil
 }
 
-// FleetSize tells how the fleet stood when the loop last looked. Any goroutine may ask.
+// newView returns the membership of this process, an instance that starts now.
+func (p *Plane) newView() *membership.View {
+	start := uint64(p.startedAt.UnixNano())
+	isSelf := func(a netip.AddrPort) bool { return a == p.options.Advertise }
+	return membership.New(membership.Options{
+		Self:    membership.Instance{Name: p.options.Name, Start: start, Addr: p.options.Advertise},
+		Fleet:   p.fingerprint,
+		Seeds:   slices.DeleteFunc(slices.Clone(p.options.Seeds), isSelf),
+		Seed:    p.options.Seed ^ start,
+		Changed: p.logMember,
+	})
+}
+
+// logMember logs a member's new status.
+func (p *Plane) logMember(m membership.Member) {
+	p.options.Log.Info("fleet member changed", "member", m.Name, "start", m.Start, "addr", m.Addr, "is", m.Status)
+}
+
+// FleetSize returns the size of the fleet as of the last tick. It may be called by any goroutine.
 func (p *Plane) FleetSize() membership.FleetSize { return *p.fleetSize.Load() }
 
-// Run is the loop. It returns when ctx ends, after a farewell.
+// Run runs the loop until ctx ends, then announces that this process leaves, closes the socket and returns.
 func (p *Plane) Run(ctx context.Context) {
-	read := make(chan struct{})
+	readerDone := make(chan struct{})
 	go func() {
-		defer close(read)
+		defer close(readerDone)
 		p.read()
 	}()
 	tick := time.NewTimer(0)
@@ -101,57 +129,76 @@
 	for {
 		select {
 		case <-ctx.Done():
-			p.send(p.view.Leave(time.Since(p.startedAt)))
-			time.Sleep(leaveRepeatDelay)
-			p.send(p.view.Leave(time.Since(p.startedAt)))
-			_ = p.conn.Close() // the process ends
-			<-read
+			p.leave()
+			_ = p.conn.Close() // nothing is sent after the leave announcement
+			<-readerDone
 			return
 		case d := <-p.inbox:
-			if d.err != nil {
-				p.drops[d.err.Error()]++
-				break
-			}
-			p.send(p.view.Receive(time.Since(p.startedAt), d.from, d.data))
+			p.receive(d)
 		case <-tick.C:
 			tick.Reset(membership.TickInterval)
 			p.send(p.view.Tick(time.Since(p.startedAt)))
 			p.publishFleetSize()
+			p.logDrops()
 		}
 	}
 }
 
-// publishFleetSize takes up what has changed.
+// leave sends the leave announcement twice, leaveRepeatDelay apart.
+func (p *Plane) leave() {
+	p.send(p.view.Leave(time.Since(p.startedAt)))
+	time.Sleep(leaveRepeatDelay)
+	p.send(p.view.Leave(time.Since(p.startedAt)))
+}
+
+// receive passes a datagram to the view, or counts it if it is invalid.
+func (p *Plane) receive(d datagram) {
+	if d.err != nil {
+		p.drops[d.err.Error()]++
+		return
+	}
+	p.send(p.view.Receive(time.Since(p.startedAt), d.from, d.data))
+}
+
+// publishFleetSize stores the fleet's size for FleetSize and, if it has changed, logs it and calls Options.Changed.
 func (p *Plane) publishFleetSize() {
-	c := p.view.FleetSize()
-	if old := p.fleetSize.Swap(&c); *old != c {
-		p.options.Log.Info("fleet size changed", "alive", c.Alive, "known", c.Known, "sharing", c.Sharing, "fenced", c.Fenced)
-		if p.options.Changed != nil {
-			p.options.Changed(c)
-		}
+	size := p.view.FleetSize()
+	if previous := p.fleetSize.Swap(&size); *previous == size {
+		return
 	}
-	if now := time.Now(); now.Sub(p.dropsLoggedAt) >= dropLogInterval {
-		p.dropsLoggedAt = now
-		if n := p.inboxOverflows.Swap(0); n > 0 {
-			p.drops["crowded out"] += int(n)
-		}
-		for _, why := range slices.Sorted(maps.Keys(p.drops)) {
-			p.options.Log.Warn("fleet datagrams dropped", "why", why, "count", p.drops[why])
-		}
-		clear(p.drops)
+	p.options.Log.Info("fleet size changed",
+		"alive", size.Alive, "known", size.Known, "sharing", size.Sharing, "fenced", size.Fenced)
+	if p.options.Changed != nil {
+		p.options.Changed(size)
+	}
+}
+
+// logDrops logs, each dropLogInterval, the datagrams dropped since the last time, a line for each reason.
+func (p *Plane) logDrops() {
+	now := time.Now()
+	if now.Sub(p.dropsLoggedAt) < dropLogInterval {
+		return
+	}
+	p.dropsLoggedAt = now
+	if n := p.inboxOverflows.Swap(0); n > 0 {
+		p.drops["crowded out"] += int(n)
+	}
+	for _, reason := range slices.Sorted(maps.Keys(p.drops)) {
+		p.options.Log.Warn("fleet datagrams dropped", "why", reason, "count", p.drops[reason])
 	}
+	clear(p.drops)
 }
 
-// read reads datagrams until the socket is closed. What cannot be used costs no more than its reading.
+// read parses datagrams into the inbox until the socket is closed. It never waits for the loop.
 func (p *Plane) read() {
-	buf := make([]byte, plane.MaxDatagramSize+1)
+	buf := make([]byte, plane.MaxDatagramSize+1) // one byte more, so that Parse sees an oversized datagram as such
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // such as a port that nobody listens on, told of an earlier send
+			continue // such as ECONNREFUSED, the ICMP answer to an earlier send
 		}
 		d := datagram{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port())}
 		d.data, d.err = plane.Parse(buf[:n], p.fingerprint)
@@ -163,11 +210,12 @@
 	}
 }
 
+// send sends datagrams, and counts those that cannot be sent.
 func (p *Plane) send(out []membership.Send) {
 	if len(out) == 0 {
 		return
 	}
-	_ = p.conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // a closed socket fails at the write below
+	_ = p.conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // on a closed socket the writes below fail, too
 	for _, s := range out {
 		b, err := plane.Append(p.sendBuffer[:0], s.Data)
 		if err != nil {
--- a/internal/cluster/fleet/fleet_test.go
+++ b/internal/cluster/fleet/fleet_test.go
@@ -20,7 +20,7 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// logBuffer keeps a log.
+// logBuffer collects a log.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
@@ -68,7 +68,7 @@
 	}, 3*time.Second, 20*time.Millisecond)
 }
 
-// What is foreign, torn, oversized or of another version costs its reading, and changes nothing.
+// TestInvalidDatagramsAreDroppedAndCounted sends datagrams of another fleet, truncated, oversized and empty ones, and a flood.
 func TestInvalidDatagramsAreDroppedAndCounted(t *testing.T) {
 	log := &logBuffer{}
 	p, addr, end := startPlane(t, log, "9")
--- a/internal/cluster/plane/plane.go
+++ b/internal/cluster/plane/plane.go
@@ -1,5 +1,5 @@
-// Package plane is the codec of what the brokers of a fleet tell each other: one protobuf message a datagram, with a
-// version and a fingerprint of the fleet. It does no I/O. What cannot be used is an error by which it is counted.
+// Package plane is the codec of the gossip plane between the brokers of a fleet: one protobuf message a datagram, with the
+// version of the protocol and a fingerprint of the fleet. It does no I/O.
 package plane
 
 import (
@@ -17,34 +17,37 @@
 //go:generate protoc -I planepb --go_out=planepb --go_opt=paths=source_relative plane.proto
 
 const (
-	// Version is of this form of the plane.
+	// Version is the version of the protocol. Datagrams of any other are rejected.
 	Version = 1
-	// MaxDatagramSize is the largest datagram: it goes through any path without being cut.
+	// MaxDatagramSize is the maximum size of a datagram, in bytes without IP and UDP headers. It is below the 1,280 bytes that
+	// each IPv6 path carries, so that no datagram is fragmented.
 	MaxDatagramSize = 1200
-	// Overhead is what IP and UDP add to a datagram.
+	// Overhead is what the IPv4 (20) and UDP (8) headers add to a datagram, in bytes.
 	Overhead = 28
-	// MaxNameLength is the longest name of a broker.
+	// MaxNameLength is the maximum length of a broker's name, in bytes.
 	MaxNameLength = 64
 )
 
-// Why a datagram is dropped.
+// Errors of Parse and Append. They carry no detail: a flood of invalid datagrams must not cost any formatting, and the
+// driver counts them by their text, which is the reason that it logs.
 var (
 	ErrOversized          = errors.New("oversized")
-	ErrMalformed          = errors.New("torn")
+	ErrMalformed          = errors.New("torn") // not a protobuf message
 	ErrUnsupportedVersion = errors.New("of another version")
 	ErrOtherFleet         = errors.New("of another fleet")
 	ErrInvalidContent     = errors.New("with content that cannot be used")
 )
 
-// FleetFingerprint is the fingerprint of a fleet's name.
+// FleetFingerprint returns the fingerprint of a fleet's name.
 func FleetFingerprint(name string) uint64 { return xxhash.Sum64String(name) }
 
-// InstanceID is the number of an instance: a broker's name with the start of its process.
+// InstanceID returns the identifier of an instance: a hash of a broker's name and the start of its process, in Unix
+// nanoseconds.
 func InstanceID(name string, start uint64) uint64 {
 	return xxhash.Sum64(binary.LittleEndian.AppendUint64([]byte(name), start))
 }
 
-// Hash spreads numbers: equal ones give an equal hash.
+// Hash returns a hash of numbers that is the same on all brokers.
 func Hash(numbers ...uint64) uint64 {
 	var buf [32]byte
 	b := buf[:0]
@@ -54,10 +57,11 @@
 	return xxhash.Sum64(b)
 }
 
-// WireSize is how long a message is on the wire, with what IP and UDP add.
+// WireSize returns the size of a message in bytes with IP and UDP headers.
 func WireSize(m *planepb.Datagram) int { return proto.Size(m) + Overhead }
 
-// Append appends a message. It fails where that is longer than a datagram may be.
+// Append appends an encoded message to b. It returns ErrOversized, and b as it was, if the message is longer than
+// MaxDatagramSize.
 func Append(b []byte, m *planepb.Datagram) ([]byte, error) {
 	if proto.Size(m) > MaxDatagramSize {
 		return b, ErrOversized
@@ -65,7 +69,7 @@
 	return proto.MarshalOptions{}.MarshalAppend(b, m)
 }
 
-// Parse reads a datagram of a fleet and checks all that can be checked without knowing the members.
+// Parse decodes a datagram of a fleet and validates all that does not depend on the members. Its error is one of the above.
 func Parse(b []byte, fleet uint64) (*planepb.Datagram, error) {
 	if len(b) > MaxDatagramSize {
 		return nil, ErrOversized
@@ -79,27 +83,44 @@
 		return nil, ErrUnsupportedVersion
 	case m.Fleet != fleet:
 		return nil, ErrOtherFleet
-	case m.From == 0 || m.Seq == 0 || len(m.Have)%2 != 0:
-		return nil, ErrInvalidContent
-	case m.Self != nil && (!isValidEntry(m.Self) || InstanceID(m.Self.Name, m.Self.Start) != m.From):
+	case !isValidContent(m):
 		return nil, ErrInvalidContent
 	}
+	return m, nil
+}
+
+// isValidContent reports whether a message has a sender, a sequence number, complete 16-bit hashes, valid entries and, if it
+// introduces its sender, an entry of that sender.
+func isValidContent(m *planepb.Datagram) bool {
+	if m.From == 0 || m.Seq == 0 || len(m.Have)%2 != 0 {
+		return false
+	}
+	if m.Self != nil && (!isValidEntry(m.Self) || InstanceID(m.Self.Name, m.Self.Start) != m.From) {
+		return false
+	}
 	for _, e := range m.Entries {
 		if !isValidEntry(e) {
-			return nil, ErrInvalidContent
+			return false
 		}
 	}
-	return m, nil
+	return true
 }
 
+// isValidEntry reports whether an entry has a reachable unicast address, a name, a start time and a state of one byte.
 func isValidEntry(e *planepb.Entry) bool {
 	addr := EntryAddr(e)
-	return addr.Port() != 0 && !addr.Addr().IsUnspecified() && !addr.Addr().IsMulticast() &&
-		e.Name != "" && len(e.Name) <= MaxNameLength && e.Start != 0 && e.Start <= math.MaxInt64 && e.State <= math.MaxUint8
+	if addr.Port() == 0 || addr.Addr().IsUnspecified() || addr.Addr().IsMulticast() {
+		return false
+	}
+	if e.Name == "" || len(e.Name) > MaxNameLength {
+		return false
+	}
+	return e.Start != 0 && e.Start <= math.MaxInt64 && e.State <= math.MaxUint8
 }
 
-// EntryAddr is an entry's address; the zero one where it has none that can be read.
-func EntryAddr(e *planepb.Entry) (addr netip.AddrPort) {
+// EntryAddr returns an entry's address, with an IPv4-mapped one as IPv4, or the zero AddrPort if it cannot be decoded.
+func EntryAddr(e *planepb.Entry) netip.AddrPort {
+	var addr netip.AddrPort
 	if addr.UnmarshalBinary(e.Addr) != nil {
 		return netip.AddrPort{}
 	}
