--- a/internal/state/checkpoint/checkpoint.go
+++ b/internal/state/checkpoint/checkpoint.go
@@ -29,7 +29,7 @@
 	QuarantineName = "learned.moth.bad" // the latest file that could not be used
 	lockName       = "lock"
 
-	jitter = 0.25 // of the interval, either way: brokers that started together do not save together
+	intervalJitter = 0.25 // of the interval, either way: brokers that started together do not save together
 )
 
 // Files is what the saver does with files. Tests put faults in its place.
@@ -77,17 +77,17 @@
 
 // Saver saves the server-health state of one broker. Make it with Open.
 type Saver struct {
-	opt Options
-	rng *rand.Rand
-	now func() float64
+	options Options
+	rng     *rand.Rand
+	now     func() float64
 
-	mu        sync.Mutex // guards collector; held for the few steps of a batch, never across I/O
-	collector *recovery.Collector
-	restored  *snapshot.Snapshot // what the process before has left; nil: nothing usable
+	collectorMu sync.Mutex // guards collector; held for the few steps of a batch, never across I/O
+	collector   *recovery.Collector
+	restored    *snapshot.Snapshot // what the process before has left; nil: nothing usable
 
-	saving     sync.Mutex // guards what follows, and the folder
-	lock       *os.File
-	lastLogged string // the failure that was logged last; it is logged once
+	folderMu          sync.Mutex // guards what follows, and the folder
+	lockFile          *os.File
+	lastLoggedFailure string // the failure that was logged last; it is logged once
 }
 
 // Open locks the folder and reads the state in it. It never fails: without a usable folder or file the start is blank, and
@@ -96,10 +96,10 @@
 	if opt.Files == nil {
 		opt.Files = Disk{}
 	}
-	k := &Saver{opt: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0x510e527fade682d1)), collector: recovery.NewCollector(),
+	k := &Saver{options: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0x510e527fade682d1)), collector: recovery.NewCollector(),
 		now: func() float64 { return float64(time.Now().UnixNano()) / 1e9 }}
-	k.saving.Lock()
-	defer k.saving.Unlock()
+	k.folderMu.Lock()
+	defer k.folderMu.Unlock()
 	mine := k.tryLock()
 	if mine {
 		k.removeTemporaryFiles()
@@ -134,10 +134,10 @@
 // removeTemporaryFiles removes what writers that were killed have left half written: else they would fill the folder in
 // time.
 func (k *Saver) removeTemporaryFiles() {
-	left, _ := filepath.Glob(filepath.Join(k.opt.Folder, "."+FileName+"*"))
+	left, _ := filepath.Glob(filepath.Join(k.options.Folder, "."+FileName+"*"))
 	for _, path := range left {
 		if err := os.Remove(path); err != nil {
-			k.opt.Log.Warn("stale temporary file not removed", "path", path, "error", err)
+			k.options.Log.Warn("stale temporary file not removed", "path", path, "error", err)
 		}
 	}
 }
@@ -145,15 +145,15 @@
 // tryLock tells whether this process is the folder's writer, and tries to become it. A process that takes over from another
 // reads at once and writes once the other has ended. The caller holds saving.
 func (k *Saver) tryLock() bool {
-	path := filepath.Join(k.opt.Folder, lockName)
-	if k.lock != nil {
-		held, err1 := k.lock.Stat()
+	path := filepath.Join(k.options.Folder, lockName)
+	if k.lockFile != nil {
+		held, err1 := k.lockFile.Stat()
 		there, err2 := os.Stat(path)
 		if err1 == nil && err2 == nil && os.SameFile(held, there) {
 			return true
 		}
-		_ = k.lock.Close() // the folder is gone, or another: what was locked guards nothing
-		k.lock = nil
+		_ = k.lockFile.Close() // the folder is gone, or another: what was locked guards nothing
+		k.lockFile = nil
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -165,40 +165,40 @@
 		k.logOnce("state folder locked by another process", err)
 		return false
 	}
-	k.lock = f
+	k.lockFile = f
 	return true
 }
 
 // logOnce logs a failure once, until another follows or it is over. The caller holds saving.
 func (k *Saver) logOnce(what string, err error) {
-	if k.lastLogged != what {
-		k.lastLogged = what
-		k.opt.Log.Warn(what, "error", err, "folder", k.opt.Folder)
+	if k.lastLoggedFailure != what {
+		k.lastLoggedFailure = what
+		k.options.Log.Warn(what, "error", err, "folder", k.options.Folder)
 	}
 }
 
 // Save writes the present state. It logs a failure before it returns it; errNotLocked: another process owns the folder.
 func (k *Saver) Save() error {
-	k.mu.Lock()
+	k.collectorMu.Lock()
 	s := k.collector.Snapshot(k.now())
-	k.mu.Unlock()
-	k.saving.Lock()
-	defer k.saving.Unlock()
+	k.collectorMu.Unlock()
+	k.folderMu.Lock()
+	defer k.folderMu.Unlock()
 	if !k.tryLock() {
 		return errNotLocked
 	}
-	s.Instance, s.SettingsFingerprint = k.opt.Instance, k.opt.Settings
+	s.Instance, s.SettingsFingerprint = k.options.Instance, k.options.Settings
 	b, err := snapshot.Encode(s)
 	if err == nil {
-		err = k.opt.Files.Replace(filepath.Join(k.opt.Folder, FileName), b)
+		err = k.options.Files.Replace(filepath.Join(k.options.Folder, FileName), b)
 	}
 	if err != nil {
 		k.logOnce("state not saved", err)
 		return err
 	}
-	if k.lastLogged != "" {
-		k.lastLogged = ""
-		k.opt.Log.Info("state saved again")
+	if k.lastLoggedFailure != "" {
+		k.lastLoggedFailure = ""
+		k.options.Log.Info("state saved again")
 	}
 	return nil
 }
@@ -206,17 +206,17 @@
 // Run saves at intervals until ctx ends, and once more then.
 func (k *Saver) Run(ctx context.Context) {
 	for {
-		span := float64(k.opt.Interval) * (1 - jitter + 2*jitter*k.rng.Float64())
+		span := float64(k.options.Interval) * (1 - intervalJitter + 2*intervalJitter*k.rng.Float64())
 		t := time.NewTimer(time.Duration(span))
 		select {
 		case <-ctx.Done():
 			t.Stop()
 			_ = k.Save() // it has logged why it failed
-			k.saving.Lock()
-			defer k.saving.Unlock()
-			if k.lock != nil {
-				_ = k.lock.Close() // nothing was written to it
-				k.lock = nil
+			k.folderMu.Lock()
+			defer k.folderMu.Unlock()
+			if k.lockFile != nil {
+				_ = k.lockFile.Close() // nothing was written to it
+				k.lockFile = nil
 			}
 			return
 		case <-t.C:
@@ -231,20 +231,20 @@
 }
 
 type watchedDecider struct {
-	saver        *Saver
-	inner        decision.Decider
-	restoredOnce bool
+	saver    *Saver
+	inner    decision.Decider
+	restored bool
 }
 
 // Handle implements decision.Decider.
 func (w *watchedDecider) Handle(now float64, events []decision.Event) []decision.Action {
-	return w.inner.Handle(now, w.saver.collect(now, events, &w.restoredOnce))
+	return w.inner.Handle(now, w.saver.collect(now, events, &w.restored))
 }
 
 // collect collects from the events, and adds the restored state behind the first endpoint update.
 func (k *Saver) collect(now float64, events []decision.Event, restoredOnce *bool) []decision.Event {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	k.collectorMu.Lock()
+	defer k.collectorMu.Unlock()
 	for _, e := range events {
 		switch e := e.(type) {
 		case decision.EndpointUpdate:
--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -24,19 +24,19 @@
 
 // TestMain is also the process that is killed: one that does nothing but save, as fast as it can.
 func TestMain(m *testing.M) {
-	if folder := os.Getenv("KEEPER_SAVES_IN"); folder != "" {
+	if folder := os.Getenv("CHECKPOINT_TEST_FOLDER"); folder != "" {
 		k := Open(Options{Folder: folder, Interval: time.Hour, Instance: "n1", Settings: 7, Log: slog.New(slog.DiscardHandler)})
 		for n := 0; ; n++ {
-			teach(k, 1+n%200)
+			recordOutcomes(k, 1+n%200)
 			_ = k.Save() // it is killed at any moment; what it leaves behind is checked
 		}
 	}
 	os.Exit(m.Run())
 }
 
-// teach has a saver learn of so many servers.
-func teach(k *Saver, servers int) {
-	w := k.Watch(deaf{})
+// recordOutcomes has a saver learn of so many servers.
+func recordOutcomes(k *Saver, servers int) {
+	w := k.Watch(idleDecider{})
 	now := float64(time.Now().UnixNano()) / 1e9
 	l := decision.EndpointUpdate{Mode: decision.FullUpdate}
 	events := []decision.Event{nil}
@@ -49,51 +49,51 @@
 	w.Handle(now, events)
 }
 
-type deaf struct{}
+type idleDecider struct{}
 
-func (deaf) Handle(float64, []decision.Event) []decision.Action { return nil }
+func (idleDecider) Handle(float64, []decision.Event) []decision.Action { return nil }
 
-type text struct {
+type logBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (t *text) Write(p []byte) (int, error) {
+func (t *logBuffer) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.b.Write(p)
 }
 
-func (t *text) count(s string) int {
+func (t *logBuffer) count(s string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return strings.Count(t.b.String(), s)
 }
 
-func open(folder string, files Files) (*Saver, *text) {
-	var out text
+func openSaver(folder string, files Files) (*Saver, *logBuffer) {
+	var out logBuffer
 	return Open(Options{Folder: folder, Interval: 20 * time.Millisecond, Instance: "n1", Settings: 7, Files: files,
 		Log: slog.New(slog.NewTextHandler(&out, nil))}), &out
 }
 
-func TestWhatWasSavedIsTakenUp(t *testing.T) {
+func TestOpenRestoresSavedState(t *testing.T) {
 	folder := t.TempDir()
-	k, out := open(folder, nil)
+	k, out := openSaver(folder, nil)
 	require.Equal(t, 1, out.count("starting blank"))
-	teach(k, 20)
+	recordOutcomes(k, 20)
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
 	all.Go(func() { k.Run(ctx) })
 	require.Eventually(t, func() bool { _, err := os.Stat(filepath.Join(folder, FileName)); return err == nil }, time.Second, time.Millisecond)
-	teach(k, 40)
+	recordOutcomes(k, 40)
 	cancel() // a clean end saves once more, also while a save is under way
 	all.Wait()
-	k, out = open(folder, nil)
+	k, out = openSaver(folder, nil)
 	require.NotNil(t, k.restored)
 	require.Len(t, k.restored.Servers, 40)
 	require.Equal(t, 1, out.count("saved state restored"))
 	var heard int
-	w := k.Watch(listener(func(events []decision.Event) {
+	w := k.Watch(deciderFunc(func(events []decision.Event) {
 		for _, e := range events {
 			if h, ok := e.(decision.PeerObservation); ok && h.LoadReport.Utilization == 0.5 {
 				heard++
@@ -107,22 +107,22 @@
 	require.Equal(t, 1, heard, "once, and of the same process only")
 }
 
-type listener func([]decision.Event)
+type deciderFunc func([]decision.Event)
 
-func (l listener) Handle(_ float64, events []decision.Event) []decision.Action {
+func (l deciderFunc) Handle(_ float64, events []decision.Event) []decision.Action {
 	l(events)
 	return nil
 }
 
 // Kill -9 while it saves, a thousand times: no start reads a torn file, and none finds nothing once one was there.
-func TestAThousandKillsWhileSaving(t *testing.T) {
+func TestKillsWhileSavingLeaveAValidFile(t *testing.T) {
 	folder := t.TempDir()
 	rng := rand.New(rand.NewPCG(1, 2))
 	deadline := time.Now().Add(40 * time.Second)
 	kills, whole := 0, 0
 	for ; kills < 1000 && time.Now().Before(deadline); kills++ {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), "KEEPER_SAVES_IN="+folder, "GOMAXPROCS=1")
+		cmd.Env = append(os.Environ(), "CHECKPOINT_TEST_FOLDER="+folder, "GOMAXPROCS=1")
 		require.NoError(t, cmd.Start())
 		time.Sleep(time.Duration(4+rng.IntN(16)) * time.Millisecond)
 		require.NoError(t, cmd.Process.Kill())
@@ -139,61 +139,61 @@
 	}
 	t.Logf("%d kills, a whole file after %d of them", kills, whole)
 	require.Greater(t, whole, kills/2)
-	k, _ := open(folder, nil)
+	k, _ := openSaver(folder, nil)
 	require.NotNil(t, k.restored)
 	left, err := os.ReadDir(folder)
 	require.NoError(t, err)
 	require.Len(t, left, 2, "the file and the lock: what was half written is swept up")
 }
 
-// cut is a file layer that loses power: a replacement reaches the disk in steps, and stops after some.
-type cut struct {
+// powerLossFiles is a file layer that loses power: a replacement reaches the disk in steps, and stops after some.
+type powerLossFiles struct {
 	Disk
-	steps int  // what still reaches the disk: bytes of the new file, then the rename
-	whole bool // all bytes did
-	torn  bool // the layer renames before the bytes are there, as one without a sync may
+	stepsLeft int  // what still reaches the disk: bytes of the new file, then the rename
+	complete  bool // all bytes did
+	reorders  bool // the layer renames before the bytes are there, as one without a sync may
 }
 
-var errPower = errors.New("the power is gone")
+var errPowerLoss = errors.New("the power is gone")
 
-func (c *cut) Replace(path string, b []byte) error {
-	n := min(c.steps, len(b))
-	c.whole = n == len(b)
+func (c *powerLossFiles) Replace(path string, b []byte) error {
+	n := min(c.stepsLeft, len(b))
+	c.complete = n == len(b)
 	temp := path + ".tmp"
-	if c.torn {
+	if c.reorders {
 		temp = path
 	}
 	if err := os.WriteFile(temp, b[:n], 0o600); err != nil {
 		return err
 	}
-	if c.steps <= len(b) {
-		return errPower
+	if c.stepsLeft <= len(b) {
+		return errPowerLoss
 	}
 	return os.Rename(temp, path)
 }
 
 // Every boundary of a write is cut. With a layer that keeps the order of things the old file is still there; with one
 // that does not, the torn file is found out, set aside, and the start is blank.
-func TestAWriteCutAtEveryBoundary(t *testing.T) {
+func TestPowerLossAtEachStepOfASave(t *testing.T) {
 	for _, torn := range []bool{false, true} {
 		for steps := 0; ; steps++ {
 			folder := t.TempDir()
-			k, _ := open(folder, nil)
-			teach(k, 1)
+			k, _ := openSaver(folder, nil)
+			recordOutcomes(k, 1)
 			require.NoError(t, k.Save())
 			old, err := os.ReadFile(filepath.Join(folder, FileName))
 			require.NoError(t, err)
-			k.lock.Close()
-			layer := &cut{steps: steps, torn: torn}
-			k, _ = open(folder, layer)
-			teach(k, 2)
+			k.lockFile.Close()
+			layer := &powerLossFiles{stepsLeft: steps, reorders: torn}
+			k, _ = openSaver(folder, layer)
+			recordOutcomes(k, 2)
 			err = k.Save()
-			k.lock.Close()
+			k.lockFile.Close()
 			if err == nil {
 				break
 			}
-			k, out := open(folder, nil)
-			if torn && layer.whole {
+			k, out := openSaver(folder, nil)
+			if torn && layer.complete {
 				require.Len(t, k.restored.Servers, 2)
 			} else if torn {
 				require.Nil(t, k.restored, "cut at %d", steps)
@@ -204,13 +204,13 @@
 				require.NotNil(t, k.restored, "cut at %d", steps)
 				require.Len(t, k.restored.Servers, 1)
 			}
-			k.lock.Close()
+			k.lockFile.Close()
 			require.Less(t, steps, 3*len(old))
 		}
 	}
 }
 
-func TestFilesThatCannotBeUsedAreSetAside(t *testing.T) {
+func TestOpenQuarantinesUnusableFiles(t *testing.T) {
 	good, err := snapshot.Encode(&snapshot.Snapshot{WrittenAt: float64(time.Now().Unix()), Instance: "n1", SettingsFingerprint: 7})
 	require.NoError(t, err)
 	other, err := snapshot.Encode(&snapshot.Snapshot{WrittenAt: float64(time.Now().Unix()), Instance: "n1", SettingsFingerprint: 8})
@@ -223,23 +223,23 @@
 	} {
 		folder := t.TempDir()
 		require.NoError(t, os.WriteFile(filepath.Join(folder, FileName), b, 0o600))
-		k, out := open(folder, nil)
+		k, out := openSaver(folder, nil)
 		require.Nil(t, k.restored)
 		require.Equal(t, 1, out.count(why), why)
 		require.FileExists(t, filepath.Join(folder, QuarantineName))
-		teach(k, 3)
+		recordOutcomes(k, 3)
 		require.NoError(t, k.Save())
 	}
 }
 
-// full is a file layer on which nothing can be written for a while.
-type full struct {
+// failingFiles is a file layer on which nothing can be written for a while.
+type failingFiles struct {
 	Disk
 	mu  sync.Mutex
 	err error
 }
 
-func (f *full) Replace(path string, b []byte) error {
+func (f *failingFiles) Replace(path string, b []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.err != nil {
@@ -248,11 +248,11 @@
 	return f.Disk.Replace(path, b)
 }
 
-func TestAFullOrReadOnlyFolderIsToldOnce(t *testing.T) {
+func TestSaveLogsAFailureOnce(t *testing.T) {
 	for _, err := range []error{syscall.ENOSPC, syscall.EROFS} {
-		layer := &full{err: err}
-		k, out := open(t.TempDir(), layer)
-		teach(k, 3)
+		layer := &failingFiles{err: err}
+		k, out := openSaver(t.TempDir(), layer)
+		recordOutcomes(k, 3)
 		for range 20 {
 			require.ErrorIs(t, k.Save(), err)
 		}
@@ -264,15 +264,15 @@
 	}
 }
 
-func TestTwoProcessesInOneFolder(t *testing.T) {
+func TestFolderHasOneWriter(t *testing.T) {
 	folder := t.TempDir()
-	first, _ := open(folder, nil)
-	teach(first, 3)
+	first, _ := openSaver(folder, nil)
+	recordOutcomes(first, 3)
 	require.NoError(t, first.Save())
-	second, out := open(folder, nil) // takes over while the first still runs: it reads, and does not write
+	second, out := openSaver(folder, nil) // takes over while the first still runs: it reads, and does not write
 	require.NotNil(t, second.restored)
 	require.Equal(t, 1, out.count("locked by another process"))
-	teach(second, 9)
+	recordOutcomes(second, 9)
 	for range 5 {
 		require.Error(t, second.Save())
 	}
@@ -282,14 +282,14 @@
 	first.Run(ctx) // its clean end
 	require.NoError(t, second.Save())
 	require.Equal(t, 1, out.count("state saved again"))
-	third, _ := open(folder, nil)
+	third, _ := openSaver(folder, nil)
 	require.Len(t, third.restored.Servers, 9)
 }
 
-func TestAFolderThatDisappearsAndComesBack(t *testing.T) {
+func TestSaveSurvivesFolderReplacement(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "state")
-	k, out := open(folder, nil) // not there yet
-	teach(k, 3)
+	k, out := openSaver(folder, nil) // not there yet
+	recordOutcomes(k, 3)
 	require.Error(t, k.Save())
 	require.NoError(t, os.Mkdir(folder, 0o700))
 	require.NoError(t, k.Save())
@@ -299,43 +299,43 @@
 	}
 	require.Equal(t, 2, out.count("state folder unusable"), "once for each time")
 	require.NoError(t, os.Mkdir(folder, 0o700))
-	other, _ := open(folder, nil)
-	require.NotNil(t, other.lock)
+	other, _ := openSaver(folder, nil)
+	require.NotNil(t, other.lockFile)
 	require.Error(t, k.Save(), "the new folder has a writer: the old lock guards nothing")
-	other.lock.Close()
+	other.lockFile.Close()
 	require.NoError(t, k.Save())
 }
 
 // A disk that hangs holds up the save, not the loop.
-type stuck struct {
+type hangingFiles struct {
 	Disk
 	entered, free chan struct{}
 }
 
-func (s *stuck) Replace(string, []byte) error {
+func (s *hangingFiles) Replace(string, []byte) error {
 	close(s.entered)
 	<-s.free
 	return nil
 }
 
-func TestADiskThatHangsDoesNotStallTheLoop(t *testing.T) {
-	layer := &stuck{entered: make(chan struct{}), free: make(chan struct{})}
-	k, _ := open(t.TempDir(), layer)
-	teach(k, 200)
+func TestHangingDiskDoesNotBlockDecider(t *testing.T) {
+	layer := &hangingFiles{entered: make(chan struct{}), free: make(chan struct{})}
+	k, _ := openSaver(t.TempDir(), layer)
+	recordOutcomes(k, 200)
 	go func() { _ = k.Save() }() // the disk hangs, so it has no result
 	<-layer.entered
 	began := time.Now()
 	for range 100 {
-		teach(k, 200)
+		recordOutcomes(k, 200)
 	}
 	require.Less(t, time.Since(began), 2*time.Second)
 	close(layer.free)
 }
 
-func BenchmarkLearn(b *testing.B) {
-	k, _ := open(b.TempDir(), nil)
-	teach(k, 200)
-	w := k.Watch(deaf{})
+func BenchmarkCollectOutcome(b *testing.B) {
+	k, _ := openSaver(b.TempDir(), nil)
+	recordOutcomes(k, 200)
+	w := k.Watch(idleDecider{})
 	events := []decision.Event{decision.AttemptFinished{Server: "s-00000001", Latency: 0.01, LoadReport: decision.LoadReport{Utilization: 0.5}}}
 	b.ReportAllocs()
 	for i := range b.N {
@@ -344,8 +344,8 @@
 }
 
 func BenchmarkSave200(b *testing.B) {
-	k, _ := open(b.TempDir(), nil)
-	teach(k, 200)
+	k, _ := openSaver(b.TempDir(), nil)
+	recordOutcomes(k, 200)
 	b.ReportAllocs()
 	for range b.N {
 		if err := k.Save(); err != nil {
--- a/internal/state/recovery/collector.go
+++ b/internal/state/recovery/collector.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	minFailureWeight = 0.25 // of one outcome in a server's failure ratio, as in the decision module
-	fleetWeight      = 0.05 // of one latency in the fleet's service time
-	rateWindow       = 5.0  // time constant, in seconds, of the answer rate
-	peakLifetime     = 60.0 // time constant, in seconds, with which its peak is forgotten
-	silenceFactor    = 6    // usual latencies without an answer make a silence
-	minSilence       = 0.02 // seconds: shorter ones are chance
-	minLatency       = 1e-6 // seconds, added where a logarithm is taken
+	minFailureWeight   = 0.25 // of one outcome in a server's failure ratio, as in the decision module
+	fleetLatencyWeight = 0.05 // of one latency in the fleet's service time
+	rateTimeConstant   = 5.0  // time constant, in seconds, of the answer rate
+	peakTimeConstant   = 60.0 // time constant, in seconds, with which its peak is forgotten
+	silenceFactor      = 6    // usual latencies without an answer make a silence
+	minSilence         = 0.02 // seconds: shorter ones are chance
+	minLatency         = 1e-6 // seconds, added where a logarithm is taken
 )
 
 // Collector watches outcomes, and holds what is worth restoring. It is bounded by the endpoint list: servers that are off
@@ -29,9 +29,9 @@
 	answeredAt     map[string]float64 // latest answer of a server
 	serviceTime    float64            // mean latency of the fleet; 0: not known
 	meanLogLatency float64            // a few slow servers do not move it much
-	answers        float64            // decayed over rateWindow
+	decayedAnswers float64            // decayed over rateWindow
 	peakRate       float64            // answers a second of one server
-	at             float64
+	advancedAt     float64
 }
 
 // NewCollector returns a collector that has seen nothing.
@@ -85,7 +85,7 @@
 		recordLatency(s, latency, now)
 		c.recordFleetLatency(latency)
 		c.advance(now)
-		c.answers++
+		c.decayedAnswers++
 		recordFailure(s, 0, now)
 	case decision.TimedOut, decision.Cancelled:
 		// A server that hangs ends no attempt: what was given up tells of it, if it has answered nothing since.
@@ -118,17 +118,17 @@
 	if c.serviceTime == 0 {
 		c.serviceTime, c.meanLogLatency = latency, logLatency
 	}
-	c.meanLogLatency += fleetWeight * (logLatency - c.meanLogLatency)
-	c.serviceTime += fleetWeight * (latency - c.serviceTime)
+	c.meanLogLatency += fleetLatencyWeight * (logLatency - c.meanLogLatency)
+	c.serviceTime += fleetLatencyWeight * (latency - c.serviceTime)
 }
 
 // advance brings the answer rate and its peak to a time.
 func (c *Collector) advance(now float64) {
-	elapsed := math.Max(now-c.at, 0)
-	c.at = now
-	c.answers *= math.Exp(-elapsed / rateWindow)
-	rate := c.answers / rateWindow / float64(max(len(c.servers), 1))
-	c.peakRate = math.Max(c.peakRate*math.Exp(-elapsed/peakLifetime), rate)
+	elapsed := math.Max(now-c.advancedAt, 0)
+	c.advancedAt = now
+	c.decayedAnswers *= math.Exp(-elapsed / rateTimeConstant)
+	rate := c.decayedAnswers / rateTimeConstant / float64(max(len(c.servers), 1))
+	c.peakRate = math.Max(c.peakRate*math.Exp(-elapsed/peakTimeConstant), rate)
 }
 
 // Snapshot is what is worth restoring now, in the order of ids.
--- a/internal/state/recovery/recovery.go
+++ b/internal/state/recovery/recovery.go
@@ -17,7 +17,7 @@
 
 	clockSlack         = 0.5  // seconds by which a clock may seem to run ahead
 	faultHalfLife      = 20.0 // seconds in which it halves that a server is slow or fails
-	slowFactor         = 1.5  // times the fleet's service time from which a server counts as slow
+	slowServerFactor   = 1.5  // times the fleet's service time from which a server counts as slow
 	minFailureRatio    = 0.1  // from which a server counts as failing
 	loadReportLifetime = 10.0 // seconds for which a load report holds: the fitness table is as old at worst
 	peakHalfLife       = 30.0 // seconds in which the rate of warm servers halves
@@ -84,7 +84,7 @@
 		o.FailureRatio, o.Weight, ok = v.FailureRatio, weight, true
 	}
 	weight = decay(age(v.ServiceTimeAt), faultHalfLife)
-	if v.ServiceTimeAt > 0 && s.ServiceTime > 0 && v.ServiceTime > slowFactor*s.ServiceTime && weight >= minWeight {
+	if v.ServiceTimeAt > 0 && s.ServiceTime > 0 && v.ServiceTime > slowServerFactor*s.ServiceTime && weight >= minWeight {
 		o.ServiceTime, ok = s.ServiceTime+(v.ServiceTime-s.ServiceTime)*weight, true
 	}
 	if a := age(v.LoadReportedAt); v.LoadReportedAt > 0 && a >= 0 && a <= loadReportLifetime {
--- a/internal/state/recovery/recovery_test.go
+++ b/internal/state/recovery/recovery_test.go
@@ -11,8 +11,8 @@
 	"mothrouter/internal/state/snapshot"
 )
 
-// taught is a snapshot written at 1000 by one that saw a quick, a slow and a failing server, and one that is cold.
-func taught() *snapshot.Snapshot {
+// newSnapshot is a snapshot written at 1000 by one that saw a quick, a slow and a failing server, and one that is cold.
+func newSnapshot() *snapshot.Snapshot {
 	l := recovery.NewCollector()
 	l.UpdateEndpoints(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{
 		{ID: "quick"}, {ID: "slow"}, {ID: "fails"}, {ID: "cold", Started: 995}, {ID: "left"}}})
@@ -28,9 +28,9 @@
 	return l.Snapshot(1000)
 }
 
-var list = []decision.Server{{ID: "quick"}, {ID: "slow"}, {ID: "fails"}, {ID: "cold", Started: 995}}
+var endpoints = []decision.Server{{ID: "quick"}, {ID: "slow"}, {ID: "fails"}, {ID: "cold", Started: 995}}
 
-func restored(s *snapshot.Snapshot, list []decision.Server, now float64) (m map[string]decision.PeerObservation, fleet *decision.RestoredState) {
+func restore(s *snapshot.Snapshot, list []decision.Server, now float64) (m map[string]decision.PeerObservation, fleet *decision.RestoredState) {
 	m = map[string]decision.PeerObservation{}
 	for _, e := range recovery.Restore(s, list, now) {
 		switch e := e.(type) {
@@ -43,10 +43,10 @@
 	return m, fleet
 }
 
-func TestWhatIsFreshIsWorthMuch(t *testing.T) {
-	s := taught()
+func TestRestoreOfRecentSnapshot(t *testing.T) {
+	s := newSnapshot()
 	require.Len(t, s.Servers, 5, "nothing of a server that no list named")
-	m, fleet := restored(s, list, 1001)
+	m, fleet := restore(s, endpoints, 1001)
 	require.NotNil(t, fleet)
 	require.InDelta(t, s.PeakThroughput, fleet.PeakThroughput, 0.05*s.PeakThroughput)
 	require.Zero(t, m["quick"].ServiceTime, "that it was quick is not told")
@@ -58,21 +58,21 @@
 }
 
 // A belief that a server is well fades faster than one that it is ill.
-func TestWellFadesFasterThanIll(t *testing.T) {
-	s := taught()
-	m, fleet := restored(s, list, 1020)
+func TestRestoreDecaysHealthFasterThanFaults(t *testing.T) {
+	s := newSnapshot()
+	m, fleet := restore(s, endpoints, 1020)
 	require.NotContains(t, m, "quick", "its report is worth no word any more")
 	require.Greater(t, m["slow"].ServiceTime, s.ServiceTime)
 	require.InDelta(t, 0.5, m["fails"].Weight, 0.02)
 	require.Less(t, fleet.PeakThroughput, 0.7*s.PeakThroughput)
-	m, fleet = restored(s, list, 1200)
+	m, fleet = restore(s, endpoints, 1200)
 	require.Empty(t, m)
 	require.Nil(t, fleet)
 }
 
 // Nothing holds of a server that has started since, has gone cold, drains, or came back as another process.
-func TestNothingHoldsOfAnotherProcess(t *testing.T) {
-	s := taught()
+func TestStateOfAnotherProcessIsDiscarded(t *testing.T) {
+	s := newSnapshot()
 	for what, e := range map[string]decision.Server{
 		"restarted":               {ID: "slow", Started: 1000.5},
 		"back under its old name": {ID: "cold", Started: 1001},
@@ -80,7 +80,7 @@
 		"drains":                  {ID: "slow", State: decision.Draining},
 		"gone":                    {ID: "slow", State: decision.Removed},
 	} {
-		m, _ := restored(s, []decision.Server{e}, 1001)
+		m, _ := restore(s, []decision.Server{e}, 1001)
 		require.Empty(t, m, what)
 	}
 	l := recovery.NewCollector() // nor while it learns
@@ -92,7 +92,7 @@
 }
 
 // A server that hangs is remembered by what was given up there; a slow one that answers meanwhile is not ill for it.
-func TestAHangIsRemembered(t *testing.T) {
+func TestCollectorRecordsHangingServerAsFailing(t *testing.T) {
 	l := recovery.NewCollector()
 	l.UpdateEndpoints(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{{ID: "well"}, {ID: "hangs"}, {ID: "slow"}}})
 	for i := range 30 {
@@ -103,20 +103,20 @@
 		l.RecordOutcome(now, "hangs", decision.TimedOut, 0.4, decision.NoLoadReport)
 		l.RecordOutcome(now, "well", decision.Cancelled, 0.005, decision.NoLoadReport) // no longer needed
 	}
-	m, _ := restored(l.Snapshot(103), []decision.Server{{ID: "well"}, {ID: "hangs"}, {ID: "slow"}}, 103.5)
+	m, _ := restore(l.Snapshot(103), []decision.Server{{ID: "well"}, {ID: "hangs"}, {ID: "slow"}}, 103.5)
 	require.Greater(t, m["hangs"].Weight*m["hangs"].FailureRatio, 0.9)
 	require.Zero(t, m["slow"].Weight)
 	require.Zero(t, m["well"].Weight)
 }
 
-func TestClocksThatLie(t *testing.T) {
-	s := taught()
+func TestSnapshotTimesAheadOfClock(t *testing.T) {
+	s := newSnapshot()
 	require.ErrorIs(t, recovery.CheckAge(s, 990), recovery.ErrFuture)
-	require.Empty(t, recovery.Restore(s, list, 990))
+	require.Empty(t, recovery.Restore(s, endpoints, 990))
 	require.ErrorIs(t, recovery.CheckAge(s, 1000+recovery.MaxAge+1), recovery.ErrStale)
 	require.NoError(t, recovery.CheckAge(s, 999.8), "within what clocks differ")
 	s.Servers[0].FailureRatioAt, s.Servers[0].ServiceTimeAt, s.Servers[0].LoadReportedAt = 5000, 5000, 5000 // times from the future
-	for _, e := range recovery.Restore(s, list, 1100) {
+	for _, e := range recovery.Restore(s, endpoints, 1100) {
 		if h, ok := e.(decision.PeerObservation); ok && h.Server == s.Servers[0].ID {
 			require.Equal(t, decision.NoLoadReport, h.LoadReport)
 			require.Less(t, h.Weight, 0.1)
@@ -150,8 +150,8 @@
 				}
 			}
 		}
-		young, _ := restored(s, list, s.WrittenAt+1)
-		old, _ := restored(s, list, s.WrittenAt+30)
+		young, _ := restore(s, list, s.WrittenAt+1)
+		old, _ := restore(s, list, s.WrittenAt+30)
 		for id, o := range old {
 			if y, ok := young[id]; ok && o.Weight > y.Weight {
 				t.Fatalf("%s is worth more when older: %+v, %+v", id, y, o)
@@ -161,7 +161,7 @@
 }
 
 // A server that was remembered as well or ill: the first news of its own outweighs either.
-func TestFirstNewsOutweighsMemory(t *testing.T) {
+func TestOwnObservationsOutweighRestoredState(t *testing.T) {
 	for _, remembered := range []float64{0.01, 0.3} {
 		set := decision.Settings{Classes: []decision.Class{{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}}, Brokers: 1, ReplicaSets: 1,
 			ReplicationFactor: 1, MaxPartsPerCall: 1, MaxAttempts: 3, Tick: 0.005, CancelAllowed: true}
@@ -203,7 +203,7 @@
 
 // In the middle of a fault of the whole fleet all servers look ill. A broker that remembers so still serves: what all
 // share tells nothing between two holders, and the first answers outweigh it.
-func TestAFleetWideFaultIsNotRememberedForLong(t *testing.T) {
+func TestRestoredFleetWideFaultDoesNotStopSending(t *testing.T) {
 	set := decision.Settings{Classes: []decision.Class{{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}}, Brokers: 1, ReplicaSets: 1,
 		ReplicationFactor: 1, MaxPartsPerCall: 1, MaxAttempts: 3, Tick: 0.005, CancelAllowed: true}
 	l := recovery.NewCollector()
--- a/internal/state/snapshot/snapshot.go
+++ b/internal/state/snapshot/snapshot.go
@@ -33,13 +33,13 @@
 
 // What can be wrong with a file.
 var (
-	ErrTooLarge  = errors.New("too large")
-	ErrNoHeader  = errors.New("no snapshot")
-	ErrVersion   = errors.New("of another version")
-	ErrTruncated = errors.New("truncated")
-	ErrChecksum  = errors.New("the checksum does not fit")
-	ErrContent   = errors.New("the content cannot be used")
-	ErrForeign   = errors.New("of another broker or fleet")
+	ErrTooLarge           = errors.New("too large")
+	ErrNoHeader           = errors.New("no snapshot")
+	ErrUnsupportedVersion = errors.New("of another version")
+	ErrTruncated          = errors.New("truncated")
+	ErrChecksum           = errors.New("the checksum does not fit")
+	ErrInvalidContent     = errors.New("the content cannot be used")
+	ErrOtherOwner         = errors.New("of another broker or fleet")
 )
 
 // Server is the state of one server.
@@ -64,11 +64,11 @@
 	Servers             []Server
 }
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // Fingerprint tells settings, and so deployments, apart.
 func Fingerprint(settings []byte) uint64 {
-	return uint64(crc32.Checksum(settings, table))<<32 | uint64(crc32.ChecksumIEEE(settings))
+	return uint64(crc32.Checksum(settings, castagnoli))<<32 | uint64(crc32.ChecksumIEEE(settings))
 }
 
 // Encode makes the file's bytes. It returns ErrTooLarge or ErrContent.
@@ -88,7 +88,7 @@
 	}
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrContent, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidContent, err)
 	}
 	if headerSize+len(body) > MaxSize {
 		return nil, ErrTooLarge
@@ -96,12 +96,14 @@
 	b := append(make([]byte, 0, headerSize+len(body)), magic...)
 	b = binary.BigEndian.AppendUint16(b, version)
 	b = binary.BigEndian.AppendUint32(b, uint32(len(body)))
-	b = binary.BigEndian.AppendUint32(b, sum(b, body))
+	b = binary.BigEndian.AppendUint32(b, checksum(b, body))
 	return append(b, body...), nil
 }
 
-// sum is the checksum of what precedes it in the header, and of the body.
-func sum(head, body []byte) uint32 { return crc32.Update(crc32.Checksum(head, table), table, body) }
+// checksum is the checksum of what precedes it in the header, and of the body.
+func checksum(head, body []byte) uint32 {
+	return crc32.Update(crc32.Checksum(head, castagnoli), castagnoli, body)
+}
 
 // Decode reads a file's bytes. What it returns has been checked throughout; its errors wrap those above.
 func Decode(b []byte) (*Snapshot, error) {
@@ -116,22 +118,22 @@
 	}
 	at := len(magic)
 	if v := binary.BigEndian.Uint16(b[at:]); v != version {
-		return nil, fmt.Errorf("%w: %d, not %d", ErrVersion, v, version)
+		return nil, fmt.Errorf("%w: %d, not %d", ErrUnsupportedVersion, v, version)
 	}
 	if n := binary.BigEndian.Uint32(b[at+2:]); int(n) != len(b)-headerSize {
 		return nil, fmt.Errorf("%w: %d bytes of %d", ErrTruncated, len(b)-headerSize, n)
 	}
 	body := b[headerSize:]
-	if binary.BigEndian.Uint32(b[at+6:]) != sum(b[:at+6], body) {
+	if binary.BigEndian.Uint32(b[at+6:]) != checksum(b[:at+6], body) {
 		return nil, ErrChecksum
 	}
 	var m snapshotpb.Snapshot
 	if err := proto.Unmarshal(body, &m); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrContent, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidContent, err)
 	}
 	s := &Snapshot{WrittenAt: m.Written, Instance: m.Instance, SettingsFingerprint: m.Settings, ServiceTime: m.Pace, PeakThroughput: m.Peak}
-	if len(m.Servers) > MaxServers || !sane(m.Written, m.Pace, m.Peak) {
-		return nil, ErrContent
+	if len(m.Servers) > MaxServers || !areNonNegative(m.Written, m.Pace, m.Peak) {
+		return nil, ErrInvalidContent
 	}
 	seen := make(map[string]bool, len(m.Servers))
 	for _, p := range m.Servers {
@@ -139,12 +141,12 @@
 		if r := p.Report; r != nil {
 			v.LoadReportedAt = r.At
 			v.LoadReport = decision.LoadReport{InFlight: r.InFlight, QueueLength: r.Queue, Utilization: r.Busy, Latency: r.Latency, Rate: r.Rate, ErrorRate: r.ErrorRate}
-			if !sane(r.At) || math.IsNaN(r.InFlight+r.Queue+r.Busy+r.Latency+r.Rate+r.ErrorRate) {
-				return nil, fmt.Errorf("%w: the report of server %q", ErrContent, v.ID)
+			if !areNonNegative(r.At) || math.IsNaN(r.InFlight+r.Queue+r.Busy+r.Latency+r.Rate+r.ErrorRate) {
+				return nil, fmt.Errorf("%w: the report of server %q", ErrInvalidContent, v.ID)
 			}
 		}
-		if v.ID == "" || len(v.ID) > maxIDLength || seen[v.ID] || !sane(v.Started, v.ServiceTime, v.ServiceTimeAt, v.FailureRatio, v.FailureRatioAt) || v.FailureRatio > 1 {
-			return nil, fmt.Errorf("%w: server %q", ErrContent, v.ID)
+		if v.ID == "" || len(v.ID) > maxIDLength || seen[v.ID] || !areNonNegative(v.Started, v.ServiceTime, v.ServiceTimeAt, v.FailureRatio, v.FailureRatioAt) || v.FailureRatio > 1 {
+			return nil, fmt.Errorf("%w: server %q", ErrInvalidContent, v.ID)
 		}
 		seen[v.ID] = true
 		s.Servers = append(s.Servers, v)
@@ -152,8 +154,8 @@
 	return s, nil
 }
 
-// sane tells that figures are finite and not negative.
-func sane(v ...float64) bool {
+// areNonNegative tells that figures are finite and not negative.
+func areNonNegative(v ...float64) bool {
 	for _, x := range v {
 		if !(x >= 0) || math.IsInf(x, 0) {
 			return false
@@ -165,7 +167,7 @@
 // CheckOwner tells whether a snapshot is this broker's, of this fleet.
 func (s *Snapshot) CheckOwner(instance string, settings uint64) error {
 	if s.Instance != instance || s.SettingsFingerprint != settings {
-		return fmt.Errorf("%w: of %q", ErrForeign, s.Instance)
+		return fmt.Errorf("%w: of %q", ErrOtherOwner, s.Instance)
 	}
 	return nil
 }
--- a/internal/state/snapshot/snapshot_test.go
+++ b/internal/state/snapshot/snapshot_test.go
@@ -14,7 +14,7 @@
 	"mothrouter/internal/state/snapshot"
 )
 
-func example(servers int) *snapshot.Snapshot {
+func newSnapshot(servers int) *snapshot.Snapshot {
 	s := &snapshot.Snapshot{WrittenAt: 1000, Instance: "n3", SettingsFingerprint: 42, ServiceTime: 0.02, PeakThroughput: 31}
 	for i := range servers {
 		v := snapshot.Server{ID: fmt.Sprintf("s-%08x", i), Started: float64(i % 3), ServiceTime: 0.01, ServiceTimeAt: 990, FailureRatio: 0.2,
@@ -27,9 +27,9 @@
 	return s
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestEncodeAndDecodeRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := example(rapid.IntRange(0, 50).Draw(t, "servers"))
+		s := newSnapshot(rapid.IntRange(0, 50).Draw(t, "servers"))
 		s.WrittenAt = rapid.Float64Range(0, 1e10).Draw(t, "written")
 		s.Instance = rapid.StringN(0, 20, -1).Draw(t, "instance")
 		s.SettingsFingerprint = rapid.Uint64().Draw(t, "settings")
@@ -43,15 +43,15 @@
 		}
 		require.Equal(t, s, got)
 	})
-	b, err := snapshot.Encode(example(200))
+	b, err := snapshot.Encode(newSnapshot(200))
 	require.NoError(t, err)
 	require.Less(t, len(b), 24<<10)
 	t.Logf("a file of 200 servers has %d bytes", len(b))
 }
 
 // A file cut at any byte, or with any bit flipped, is refused.
-func TestDamagedFilesAreRefused(t *testing.T) {
-	b, err := snapshot.Encode(example(12))
+func TestDecodeRejectsDamagedFiles(t *testing.T) {
+	b, err := snapshot.Encode(newSnapshot(12))
 	require.NoError(t, err)
 	for n := range b {
 		_, err := snapshot.Decode(b[:n])
@@ -75,12 +75,12 @@
 		other := append([]byte{}, b...)
 		binary.BigEndian.PutUint16(other[8:], v)
 		_, err = snapshot.Decode(other)
-		require.ErrorIs(t, err, snapshot.ErrVersion)
+		require.ErrorIs(t, err, snapshot.ErrUnsupportedVersion)
 	}
 }
 
 // What the checksum vouches for may still be nonsense.
-func TestContentIsChecked(t *testing.T) {
+func TestDecodeRejectsInvalidContent(t *testing.T) {
 	for what, change := range map[string]func(*snapshot.Snapshot){
 		"a time before time":  func(s *snapshot.Snapshot) { s.WrittenAt = -1 },
 		"no number":           func(s *snapshot.Snapshot) { s.ServiceTime = math.NaN() },
@@ -90,27 +90,27 @@
 		"more than all fail":  func(s *snapshot.Snapshot) { s.Servers[0].FailureRatio = 1.5 },
 		"no report":           func(s *snapshot.Snapshot) { s.Servers[0].LoadReport.Utilization = math.NaN() },
 	} {
-		s := example(3)
+		s := newSnapshot(3)
 		change(s)
 		b, err := snapshot.Encode(s)
 		require.NoError(t, err)
 		_, err = snapshot.Decode(b)
-		require.ErrorIs(t, err, snapshot.ErrContent, what)
+		require.ErrorIs(t, err, snapshot.ErrInvalidContent, what)
 	}
 	_, err := snapshot.Encode(&snapshot.Snapshot{Servers: make([]snapshot.Server, snapshot.MaxServers+1)})
 	require.ErrorIs(t, err, snapshot.ErrTooLarge)
 }
 
-func TestAnotherFleetsFileIsForeign(t *testing.T) {
-	s := example(1)
+func TestCheckOwner(t *testing.T) {
+	s := newSnapshot(1)
 	require.NoError(t, s.CheckOwner("n3", 42))
-	require.ErrorIs(t, s.CheckOwner("n4", 42), snapshot.ErrForeign)
-	require.ErrorIs(t, s.CheckOwner("n3", 43), snapshot.ErrForeign)
+	require.ErrorIs(t, s.CheckOwner("n4", 42), snapshot.ErrOtherOwner)
+	require.ErrorIs(t, s.CheckOwner("n3", 43), snapshot.ErrOtherOwner)
 	require.NotEqual(t, snapshot.Fingerprint([]byte("a")), snapshot.Fingerprint([]byte("b")))
 }
 
 func FuzzDecode(f *testing.F) {
-	b, _ := snapshot.Encode(example(3))
+	b, _ := snapshot.Encode(newSnapshot(3))
 	f.Add(b)
 	f.Fuzz(func(t *testing.T, b []byte) {
 		s, err := snapshot.Decode(b)
@@ -119,7 +119,7 @@
 }
 
 func BenchmarkEncode200(b *testing.B) {
-	s := example(200)
+	s := newSnapshot(200)
 	b.ReportAllocs()
 	for range b.N {
 		if _, err := snapshot.Encode(s); err != nil {
@@ -129,7 +129,7 @@
 }
 
 // A file that was written before the names in the code changed is read as it was meant.
-func TestDecodeReadsAFileOfTheFirstVersion(t *testing.T) {
+func TestDecodeReadsFileOfFirstVersion(t *testing.T) {
 	b, err := os.ReadFile("testdata/as-found.moth")
 	require.NoError(t, err)
 	s, err := snapshot.Decode(b)
