--- a/internal/cluster/membership/send.go
+++ b/internal/cluster/membership/send.go
@@ -8,38 +8,50 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// tokenBucket bounds what is sent a second.
+// tokenBucket limits the bytes sent.
 type tokenBucket struct {
-	rate, burst, tokens float64
-	at                  time.Duration
+	rate       float64 // bytes a second
+	burst      float64 // bytes
+	available  float64 // bytes
+	refilledAt time.Duration
 }
 
-// spend takes n bytes, all or nothing.
+// newTokenBucket returns a full bucket.
+func newTokenBucket(rate, burst float64) tokenBucket {
+	return tokenBucket{rate: rate, burst: burst, available: burst}
+}
+
+// spend takes n bytes, and reports whether they were available. If not, it takes none.
 func (b *tokenBucket) spend(now time.Duration, n int) bool {
-	b.tokens = min(b.tokens+(now-b.at).Seconds()*b.rate, b.burst)
-	b.at = now
-	if b.tokens < float64(n) {
+	b.available = min(b.available+(now-b.refilledAt).Seconds()*b.rate, b.burst)
+	b.refilledAt = now
+	if b.available < float64(n) {
 		return false
 	}
-	b.tokens -= float64(n)
+	b.available -= float64(n)
 	return true
 }
 
-// send sends a message, unless its budget is used up. A heartbeat or a pong (nil) always goes: there are few.
-func (v *View) send(to netip.AddrPort, d *planepb.Datagram, b *tokenBucket) bool {
-	d.Version, d.Fleet, d.From = plane.Version, v.opt.Fleet, v.self.id
-	d.Roster, d.States = v.sums.roster, v.sums.states
+// send fills in the header of a datagram and puts it into the outbox. It reports whether the budget covered it. A nil budget
+// is for heartbeats, acks and leave announcements, which are bounded without one.
+func (v *View) send(to netip.AddrPort, d *planepb.Datagram, budget *tokenBucket) bool {
+	d.Version = plane.Version
+	d.Fleet = v.options.Fleet
+	d.From = v.self.id
+	d.Roster = v.digest.roster
+	d.States = v.digest.states
 	if d.Seq == 0 {
-		d.Seq = v.next()
+		d.Seq = v.nextSeq()
 	}
-	if b != nil && !b.spend(v.now, plane.WireSize(d)) {
+	if budget != nil && !budget.spend(v.now, plane.WireSize(d)) {
 		return false
 	}
-	v.out = append(v.out, Send{to, d})
+	v.outbox = append(v.outbox, Send{to, d})
 	return true
 }
 
-func (v *View) next() uint64 {
+// nextSeq returns the next sequence number.
+func (v *View) nextSeq() uint64 {
 	v.seq++
 	return v.seq
 }
--- a/internal/cluster/membership/tick.go
+++ b/internal/cluster/membership/tick.go
@@ -7,83 +7,95 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// TickInterval is the time between two calls of Tick.
+// TickInterval is the interval at which a driver calls Tick.
 const TickInterval = 50 * time.Millisecond
 
-// Tick looks at the time and returns what to send. It has to be called each 50 ms; what lies between two calls tells
-// this process whether it was stopped itself.
+// Tick advances the time, runs all timers and returns the datagrams to send. The driver calls it each TickInterval; a gap
+// longer than pauseThreshold between two calls counts as a pause of this process.
 func (v *View) Tick(now time.Duration) []Send {
-	away := now - v.lastTick
+	gap := now - v.lastTickAt
 	v.advance(now)
-	if v.lastTick = now; !v.began {
-		v.began = true
-	} else if away > pauseThreshold || away < 0 {
-		v.resumed()
+	v.lastTickAt = now
+	paused := v.ticked && (gap > pauseThreshold || gap < 0)
+	v.ticked = true
+	if paused {
+		v.resetAfterPause()
 	}
-	if v.ringsChanged {
+	if v.ringsStale {
 		v.assignObservers()
 	}
-	if v.pushPending && v.now >= v.pushAt {
+	if v.pushPending && v.now >= v.nextPushAt {
 		v.pushPending = false
-		v.push()
-	}
-	if v.now >= v.heartbeatAt {
-		v.heartbeatAt = v.now + heartbeatInterval
-		for _, m := range v.observers {
-			v.send(m.Addr, &planepb.Datagram{}, nil)
-		}
+		v.pushUpdates()
 	}
+	v.sendHeartbeats()
 	v.checkObserved()
-	v.join()
-	v.sync()
-	v.pingLost()
-	return v.flush()
+	v.contactSeed()
+	v.requestSync()
+	v.pingUnobserved()
+	return v.drainOutbox()
 }
 
-// resumed begins anew after a pause of this process. It cannot tell who was silent meanwhile, and others may have taken
-// it for lost, so that it sends heartbeats at once.
-func (v *View) resumed() {
+// resetAfterPause restarts all suspicion timers after a pause of this process, which cannot know who was silent meanwhile.
+// Outstanding pings are dropped, since their acks may have been lost. Heartbeats are due at once: others may suspect this
+// member.
+func (v *View) resetAfterPause() {
 	for _, m := range v.observed {
-		m.silentSince, m.indirectPingAt = v.now, 0
+		m.silentSince = v.now
+		m.indirectPingSentAt = 0
 		clear(m.confirmations)
 	}
-	clear(v.pings) // what came back meanwhile was not seen either
-	v.heartbeatAt = 0
+	clear(v.outstandingPings)
+	v.nextHeartbeatAt = 0
 }
 
-// join asks the seeds for the roster, and later, now and then, one that is not among the living: two fleets may have
-// begun apart.
-func (v *View) join() {
-	if v.now < v.joinAt {
+// sendHeartbeats sends a heartbeat, a datagram with a header alone, to each observer.
+func (v *View) sendHeartbeats() {
+	if v.now < v.nextHeartbeatAt {
 		return
 	}
-	if v.joinAt = v.now + seedInterval; v.living < 2 {
-		v.joinAt = v.now + joinInterval
+	v.nextHeartbeatAt = v.now + heartbeatInterval
+	for _, m := range v.observers {
+		v.send(m.Addr, &planepb.Datagram{}, nil)
 	}
-	if n := len(v.opt.Seeds); n > 0 {
-		seed := v.opt.Seeds[v.rng.IntN(n)]
-		if !slices.ContainsFunc(v.roster, func(m *member) bool { return m.Addr == seed && v.alive(m) }) {
-			v.ping(seed, 0, &planepb.Datagram{Self: v.entry(v.self), Who: true}, 0, 0)
-		}
+}
+
+// contactSeed sends an introduction request to a random seed, unless that is a live member. A view goes on with it after it
+// has joined, at seedInterval, since two fleets may have formed apart.
+func (v *View) contactSeed() {
+	if v.now < v.nextJoinAt {
+		return
+	}
+	v.nextJoinAt = v.now + seedInterval
+	if v.aliveCount < 2 {
+		v.nextJoinAt = v.now + joinInterval
+	}
+	if len(v.options.Seeds) == 0 {
+		return
+	}
+	seed := v.options.Seeds[v.rng.IntN(len(v.options.Seeds))]
+	isMember := slices.ContainsFunc(v.roster, func(m *member) bool { return m.Addr == seed && v.isAlive(m) })
+	if !isMember {
+		v.ping(seed, 0, &planepb.Datagram{Self: v.entry(v.self), Who: true}, 0, 0)
 	}
 }
 
-// pingLost pings one of the lost, since a cut may have healed, and one of whom nothing was heard lately: whoever observes it
-// may be gone with it.
-func (v *View) pingLost() {
-	if v.now < v.lostPingAt {
+// pingUnobserved pings a lost member, since a partition may have healed, and live members without a recent contact that
+// self does not observe, since their observers may have failed with them. It also reaps tombstones.
+func (v *View) pingUnobserved() {
+	if v.now < v.nextUnobservedPingAt {
 		return
 	}
-	v.lostPingAt = v.now + lostPingInterval
-	v.forget()
-	v.FleetSize() // so that a minority is noticed whether or not anybody asks
+	v.nextUnobservedPingAt = v.now + unobservedPingInterval
+	v.reapTombstones()
+	v.FleetSize() // so that the fencing timer runs whether or not the driver calls FleetSize
 	var lost, unheard []*member
 	for _, m := range v.roster {
 		switch {
 		case m == v.self:
 		case m.state.status() == Lost:
 			lost = append(lost, m)
-		case v.alive(m) && !m.observed && v.now-m.lastContact >= aliveWindow:
+		case v.isAlive(m) && !m.observed && v.now-m.lastContact >= aliveWindow:
 			unheard = append(unheard, m)
 		}
 	}
@@ -93,17 +105,17 @@
 			silent++
 		}
 	}
-	v.pingAnyLost(lost, 1)
-	v.pingAnyLost(unheard, 1+min(silent, maxExtraPings)) // the more are silent, the more may have no observer left
+	v.pingRandom(lost, 1)
+	v.pingRandom(unheard, 1+min(silent, maxUnobservedPings)) // the more are silent, the more may have no live observer
 }
 
-// pingAnyLost pings n members drawn from a list, with repetition.
-func (v *View) pingAnyLost(of []*member, n int) {
-	if len(of) == 0 {
+// pingRandom pings n members drawn from a list with replacement.
+func (v *View) pingRandom(members []*member, n int) {
+	if len(members) == 0 {
 		return
 	}
 	for range n {
-		m := of[v.rng.IntN(len(of))]
+		m := members[v.rng.IntN(len(members))]
 		v.ping(m.Addr, m.id, &planepb.Datagram{}, 0, 0)
 	}
 }
