--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -96,6 +96,7 @@
 		require.Contains(t, validConfig, c.old)
 		_, err := loadConfig(t, strings.Replace(validConfig, c.old, c.new, 1), nil)
 		require.ErrorContains(t, err, c.want)
+		require.ErrorAs(t, err, new(*config.KeyError))
 	}
 	_, err := config.Load(func(string) string { return "" })
 	require.EqualError(t, err, "PROXY_CONFIG: missing, want the path of a JSON file")
--- a/internal/config/controlmachine_test.go
+++ b/internal/config/controlmachine_test.go
@@ -70,6 +70,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := loadEditedControl(t, c.old, c.new)
 			require.ErrorContains(t, err, c.key+":")
+			require.ErrorAs(t, err, new(*config.KeyError))
 		})
 	}
 }
--- a/internal/config/cores_test.go
+++ b/internal/config/cores_test.go
@@ -29,6 +29,7 @@
 	} {
 		_, err := loadText(text)
 		require.ErrorContains(t, err, want, text)
+		require.ErrorAs(t, err, new(*config.KeyError))
 	}
 	_, err = config.LoadCores("nowhere.toml", c)
 	require.ErrorContains(t, err, "cores:")
--- a/internal/config/flight_test.go
+++ b/internal/config/flight_test.go
@@ -25,5 +25,6 @@
 		path := tempFile(t, text)
 		_, err := config.LoadFlight(path, loadValid(t))
 		require.ErrorContains(t, err, want)
+		require.ErrorAs(t, err, new(*config.KeyError))
 	}
 }
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -44,6 +44,7 @@
 			require.NoError(t, err)
 		} else {
 			require.ErrorContains(t, err, want)
+			require.ErrorAs(t, err, new(*config.KeyError))
 		}
 	}
 	_, err := config.LoadFollower(filepath.Join(t.TempDir(), "none"), loadValid(t))
