--- a/cmd/mothrouter/api_test.go
+++ b/cmd/mothrouter/api_test.go
@@ -12,15 +12,15 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// api holds the two descriptions under docs, against which the recorded exchanges are checked.
-type api struct {
+// apiDescription holds the two descriptions under docs, against which the recorded exchanges are checked.
+type apiDescription struct {
 	open, async map[string]any
 	mu          sync.Mutex // guards schemas
 	schemas     *jsonschema.Compiler
 }
 
-func loadAPI(t *testing.T) *api {
-	a := &api{schemas: jsonschema.NewCompiler()}
+func readAPIDescription(t *testing.T) *apiDescription {
+	a := &apiDescription{schemas: jsonschema.NewCompiler()}
 	a.schemas.DefaultDraft(jsonschema.Draft2020)
 	for file, doc := range map[string]*map[string]any{"openapi.yaml": &a.open, "asyncapi.yaml": &a.async} {
 		text, err := os.ReadFile("../../docs/" + file)
@@ -31,8 +31,8 @@
 	return a
 }
 
-// valid checks a JSON text against a schema, such as "openapi.yaml#/components/schemas/Query".
-func (a *api) valid(t *testing.T, schema, text string) {
+// validate checks a JSON text against a schema, such as "openapi.yaml#/components/schemas/Query".
+func (a *apiDescription) validate(t *testing.T, schema, text string) {
 	a.mu.Lock()
 	s, err := a.schemas.Compile("mem:///" + schema)
 	a.mu.Unlock()
@@ -42,8 +42,8 @@
 	require.NoError(t, s.Validate(v), text)
 }
 
-// at follows keys into a description, through references.
-func (a *api) at(t *testing.T, keys ...string) any {
+// lookup follows keys into a description, through references.
+func (a *apiDescription) lookup(t *testing.T, keys ...string) any {
 	var node any = a.open
 	for _, key := range keys {
 		m, ok := node.(map[string]any)
@@ -51,7 +51,7 @@
 		node, ok = m[key]
 		require.True(t, ok, "the description lacks %v", keys)
 		if m, ok := node.(map[string]any); ok && m["$ref"] != nil {
-			node = a.at(t, strings.Split(strings.TrimPrefix(m["$ref"].(string), "#/"), "/")...)
+			node = a.lookup(t, strings.Split(strings.TrimPrefix(m["$ref"].(string), "#/"), "/")...)
 		}
 	}
 	return node
@@ -59,8 +59,8 @@
 
 // checker looks at each message of an exchange: what the program does must be described, with bodies to the
 // letter, and a query that is served must be what the description asks for.
-func (a *api) checker(t *testing.T) func(peer string, sent bool, message string) {
-	asked := map[string]string{}
+func (a *apiDescription) checker(t *testing.T) func(peer string, sent bool, message string) {
+	requests := map[string]string{}
 	return func(peer string, sent bool, message string) {
 		head, body, _ := strings.Cut(message, "\n\n")
 		start := strings.Fields(head)
@@ -68,7 +68,7 @@
 		case isServer(peer):
 		case strings.HasPrefix(peer, "discovery") && sent:
 			if line := strings.TrimSpace(strings.TrimPrefix(message, "~line")); strings.HasPrefix(line, "{") {
-				a.valid(t, "asyncapi.yaml#/components/schemas/Change", line)
+				a.validate(t, "asyncapi.yaml#/components/schemas/Change", line)
 			}
 		case strings.HasPrefix(peer, "discovery"):
 			u, err := url.Parse(start[1])
@@ -77,12 +77,12 @@
 			require.Equal(t, "1", u.Query().Get("follow"))
 			require.Regexp(t, "^[0-9]+$", u.Query().Get("since"))
 		case sent && strings.HasPrefix(message, "~raw "):
-			asked[peer] += "\n\n" + strings.TrimPrefix(message, "~raw ")
+			requests[peer] += "\n\n" + strings.TrimPrefix(message, "~raw ")
 		case start[1] == "100": // an interim answer
 		case sent:
-			asked[peer] = message
+			requests[peer] = message
 		default:
-			question, text, _ := strings.Cut(asked[peer], "\n\n")
+			question, text, _ := strings.Cut(requests[peer], "\n\n")
 			q := strings.Fields(question)
 			path, method := "/{class}", strings.ToLower(q[0])
 			if q[1] == "/up" {
@@ -91,14 +91,14 @@
 			if start[1] == "405" || method == "what" { // of a method that is not described
 				method = map[string]string{"/up": "get", "/{class}": "post"}[path]
 			}
-			response := a.at(t, "paths", path, method, "responses", start[1]).(map[string]any)
+			response := a.lookup(t, "paths", path, method, "responses", start[1]).(map[string]any)
 			require.Equal(t, response["content"] != nil, body != "", message)
 			if body != "" {
 				schema := map[bool]string{true: "Answer", false: "Problem"}[start[1] == "200"]
-				a.valid(t, "openapi.yaml#/components/schemas/"+schema, body)
+				a.validate(t, "openapi.yaml#/components/schemas/"+schema, body)
 			}
 			if start[1] == "200" && path == "/{class}" && !strings.Contains(question, "chunked") {
-				a.valid(t, "openapi.yaml#/components/schemas/Query", text)
+				a.validate(t, "openapi.yaml#/components/schemas/Query", text)
 			}
 			for _, name := range []string{"Retry-After", "Allow"} {
 				if strings.Contains(head, "\n"+name+": ") {
--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -23,44 +23,44 @@
 // assemble puts the process together. Beside the loops run the parts; a part that rests on another is added, and so
 // started, after it.
 func (p *process) assemble() error {
-	p.metrics = metrics.New(p.cfg.Classes, func() metrics.Gauges { return metrics.Gauges(p.core.Gauges()) })
+	p.metrics = metrics.New(p.startConfig.Classes, func() metrics.Gauges { return metrics.Gauges(p.core.Gauges()) })
 	link := p.link()
 	if err := p.addState(); err != nil {
 		return err
 	}
-	p.shareWaits()
+	p.addBackoff()
 	if err := p.addFleet(); err != nil {
 		return err
 	}
 	p.makeCore(link)
 	p.watcher = &discovery.Watcher{
-		Addr: p.cfg.Discovery, NameTable: p.cfg.NameTable, Since: p.cfg.Version, Update: p.core.Update, Log: p.log,
+		Addr: p.startConfig.Discovery, NameTable: p.startConfig.NameTable, Since: p.startConfig.Version, Update: p.core.Update, Log: p.log,
 		Backoff: p.backoff,
 	}
-	p.followed = &followed{address: p.cfg.Discovery, move: p.watcher.ChangeAddress, log: p.log}
+	p.discoverySwitch = &discoverySwitch{address: p.startConfig.Discovery, changeAddress: p.watcher.ChangeAddress, log: p.log}
 	return p.addConfiguration()
 }
 
 // link is the way to the record servers.
 func (p *process) link() broker.Link {
 	frames := upstream.New(p.ctx, upstream.Options{
-		MaxStreams: p.cfg.MaxStreams, MaxConns: p.cfg.MaxServerConns, IdleTimeout: p.cfg.ConnIdleTimeout, ConnectTimeout: p.cfg.ConnectTimeout,
+		MaxStreams: p.startConfig.MaxStreams, MaxConns: p.startConfig.MaxServerConns, IdleTimeout: p.startConfig.ConnIdleTimeout, ConnectTimeout: p.startConfig.ConnectTimeout,
 		OnSent: p.metrics.RecordSent,
 	})
-	if p.flight != nil {
-		return mixed(p.ctx, p.cfg, p.flight, frames)
+	if p.flightConfig != nil {
+		return newMixedLink(p.ctx, p.startConfig, p.flightConfig, frames)
 	}
 	return frames
 }
 
-// mixed is the link to servers of both protocols.
-func mixed(ctx context.Context, cfg *config.Config, partners *config.Flight, frames broker.Link) broker.Link {
-	speaks := map[string]bool{}
-	for _, id := range partners.Servers {
-		speaks[id] = true
+// newMixedLink is the link to servers of both protocols.
+func newMixedLink(ctx context.Context, cfg *config.Config, flightConfig *config.Flight, frames broker.Link) broker.Link {
+	speaksFlight := map[string]bool{}
+	for _, id := range flightConfig.Servers {
+		speaksFlight[id] = true
 	}
-	return &flight.Mixed{Frames: frames, Speaks: speaks, Flight: flight.NewLink(ctx, flight.LinkOptions{
-		MaxStreams: cfg.MaxStreams, MaxConns: partners.ServerConns, IdleTimeout: cfg.ConnIdleTimeout, ConnectTimeout: cfg.ConnectTimeout,
+	return &flight.Mixed{Frames: frames, Speaks: speaksFlight, Flight: flight.NewLink(ctx, flight.LinkOptions{
+		MaxStreams: cfg.MaxStreams, MaxConns: flightConfig.ServerConns, IdleTimeout: cfg.ConnIdleTimeout, ConnectTimeout: cfg.ConnectTimeout,
 	})}
 }
 
@@ -73,21 +73,21 @@
 	if err != nil {
 		return err
 	}
-	keep := checkpoint.Open(checkpoint.Options{Folder: state.Folder, Interval: state.Interval, Instance: p.cfg.Name,
-		Settings: p.cfg.Fingerprint(), Seed: p.cfg.Seed, Log: p.log})
-	p.parts.Add(assembly.Part{Name: "state", Run: keep.Run,
-		Wrap: func(_ int, inner decision.Decider) decision.Decider { return keep.Watch(inner) }})
+	saver := checkpoint.Open(checkpoint.Options{Folder: state.Folder, Interval: state.Interval, Instance: p.startConfig.Name,
+		Settings: p.startConfig.Fingerprint(), Seed: p.startConfig.Seed, Log: p.log})
+	p.components.Add(assembly.Part{Name: "state", Run: saver.Run,
+		Wrap: func(_ int, inner decision.Decider) decision.Decider { return saver.Watch(inner) }})
 	return nil
 }
 
-// shareWaits spreads calls of all brokers to what they share.
-func (p *process) shareWaits() {
-	callers, told := backoff.ClampCallers(p.cfg.Settings.Brokers)
-	if !told {
+// addBackoff spreads calls of all brokers to what they share.
+func (p *process) addBackoff() {
+	callers, inRange := backoff.ClampCallers(p.startConfig.Settings.Brokers)
+	if !inRange {
 		p.log.Warn("settings.peersTotal out of range",
-			"is", p.cfg.Settings.Brokers, "taken for", callers)
+			"is", p.startConfig.Settings.Brokers, "taken for", callers)
 	}
-	p.fleetSize, p.backoff = callers, backoff.New(callers, p.cfg.Seed)
+	p.fleetSize, p.backoff = callers, backoff.New(callers, p.startConfig.Seed)
 }
 
 // addFleet has brokers know of each other.
@@ -95,53 +95,53 @@
 	if p.files.fleet == "" {
 		return nil
 	}
-	peers, err := config.LoadFleet(p.files.fleet, p.cfg)
+	fleetConfig, err := config.LoadFleet(p.files.fleet, p.startConfig)
 	if err != nil {
 		return err
 	}
-	others, err := join(peers, p.cfg, p.log, func(n int) {
+	plane, err := joinFleet(fleetConfig, p.startConfig, p.log, func(n int) {
 		p.backoff.Resize(n)
 		p.core.Notify(decision.FleetResized{Brokers: n})
-		if p.revisions != nil {
-			p.revisions.Resize(n)
+		if p.configFollower != nil {
+			p.configFollower.Resize(n)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	p.parts.Add(assembly.Part{Name: "fleet", Run: others.Run})
+	p.components.Add(assembly.Part{Name: "fleet", Run: plane.Run})
 	return nil
 }
 
-// join opens this process's end of the fleet's plane. Each change of the fleet is told as the number of brokers that
+// joinFleet opens this process's end of the fleet's plane. Each change of the fleet is told as the number of brokers that
 // share what a cold server bears and what discovery serves; one that is fenced has no part of it.
-func join(peers *config.Fleet, cfg *config.Config, log *slog.Logger, changed func(n int)) (*fleet.Plane, error) {
+func joinFleet(fleetConfig *config.Fleet, cfg *config.Config, log *slog.Logger, onResize func(n int)) (*fleet.Plane, error) {
 	return fleet.Listen(fleet.Options{
-		Listen: peers.Listen, Advertise: peers.Advertise, Fleet: peers.Fleet, Name: peers.Name, Seeds: peers.Seeds,
+		Listen: fleetConfig.Listen, Advertise: fleetConfig.Advertise, Fleet: fleetConfig.Fleet, Name: fleetConfig.Name, Seeds: fleetConfig.Seeds,
 		Seed: cfg.Seed, Log: log, Changed: func(c membership.FleetSize) {
 			n := max(c.Sharing, cfg.Settings.Brokers)
 			if c.Fenced {
 				n = backoff.MaxCallers
 			}
-			changed(n)
+			onResize(n)
 		},
 	})
 }
 
 // makeCore makes one loop, or several. With one loop its panic ends the process.
 func (p *process) makeCore(link broker.Link) {
-	decider := p.parts.Decider(func(_ int, set decision.Settings, seed uint64) decision.Decider {
+	decider := p.components.Decider(func(_ int, set decision.Settings, seed uint64) decision.Decider {
 		return decision.New(set, seed)
 	})
 	if p.files.cores == "" {
-		p.core = broker.New(broker.Options{Settings: p.cfg.Settings, ConcurrencyLimit: p.cfg.ConcurrencyLimit, Log: p.log},
-			decider(0, p.cfg.Settings, p.cfg.Seed), link)
+		p.core = broker.New(broker.Options{Settings: p.startConfig.Settings, ConcurrencyLimit: p.startConfig.ConcurrencyLimit, Log: p.log},
+			decider(0, p.startConfig.Settings, p.startConfig.Seed), link)
 		return
 	}
 	group := cores.New(cores.Options{
-		Workers: p.workers, Settings: p.cfg.Settings, ConcurrencyLimit: p.cfg.ConcurrencyLimit, Seed: p.cfg.Seed, Log: p.log,
+		Workers: p.workers, Settings: p.startConfig.Settings, ConcurrencyLimit: p.startConfig.ConcurrencyLimit, Seed: p.startConfig.Seed, Log: p.log,
 		Decider: decider,
 	}, link)
-	p.core, p.died = group, group.Failed()
+	p.core, p.workerFailed = group, group.Failed()
 	p.log.Info("several cores", "workers", p.workers, "processors", runtime.NumCPU())
 }
--- a/cmd/mothrouter/config_command.go
+++ b/cmd/mothrouter/config_command.go
@@ -111,16 +111,16 @@
 // queryAll asks all control machines at once.
 func queryAll(ctx context.Context, addresses []string, timeout time.Duration) []configstatus.Answer {
 	answers := make([]configstatus.Answer, len(addresses))
-	var asked sync.WaitGroup
+	var calls sync.WaitGroup
 	for i, address := range addresses {
-		asked.Go(func() {
+		calls.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
 			status, err := operatorclient.Status(ctx, address)
 			answers[i] = configstatus.Answer{Address: address, Status: status, Err: err}
 		})
 	}
-	asked.Wait()
+	calls.Wait()
 	return answers
 }
 
--- a/cmd/mothrouter/configuration_test.go
+++ b/cmd/mothrouter/configuration_test.go
@@ -72,7 +72,7 @@
 }
 
 // documentOf is the document of the file that the broker was started with, changed by pairs of old and new text.
-func (o *operated) documentOf(changes ...string) string {
+func (o *servingBroker) documentOf(changes ...string) string {
 	text, err := os.ReadFile(o.config)
 	require.NoError(o.t, err)
 	var file struct {
@@ -89,14 +89,14 @@
 	return string(document)
 }
 
-// logs waits until the program has logged a line with all of the words.
-func (o *operated) logs(words ...string) {
+// waitForLog waits until the program has logged a line with all of the words.
+func (o *servingBroker) waitForLog(words ...string) {
 	o.t.Helper()
-	require.Eventually(o.t, func() bool { return o.logged(words...) }, 10*time.Second, 20*time.Millisecond,
+	require.Eventually(o.t, func() bool { return o.hasLogged(words...) }, 10*time.Second, 20*time.Millisecond,
 		"no line has all of %q in\n%s", words, &o.log)
 }
 
-func (o *operated) logged(words ...string) bool {
+func (o *servingBroker) hasLogged(words ...string) bool {
 	for line := range strings.Lines(o.log.String()) {
 		all := true
 		for _, word := range words {
@@ -109,9 +109,9 @@
 	return false
 }
 
-// load has clients ask until stop is called, which returns the answers of those that were not served. Served is how
+// startClients has clients ask until stop is called, which returns the answers of those that were not served. Served is how
 // many were so far.
-func (o *operated) load(clients int) (served *atomic.Int64, stop func() (others []string)) {
+func (o *servingBroker) startClients(clients int) (served *atomic.Int64, stop func() (others []string)) {
 	var asking sync.WaitGroup
 	var mu sync.Mutex
 	var ended atomic.Bool
@@ -121,7 +121,7 @@
 		asking.Go(func() {
 			c := o.dial()
 			for n := 0; !ended.Load(); n++ {
-				answer := c.asks(query(fmt.Sprintf("l%d-%d", i, n)))
+				answer := c.roundTrip(queryRequest(fmt.Sprintf("l%d-%d", i, n)))
 				if strings.Contains(answer, " 200 ") {
 					served.Add(1)
 					continue
@@ -141,7 +141,7 @@
 
 // Revisions come into force while clients ask, with one loop and with several: no request is lost. One that needs a
 // restart is refused by its key, and the one before it stays in force, as does the file where no control machine is.
-func TestRevisionsComeIntoForceUnderLoad(t *testing.T) {
+func TestRevisionsApplyWithoutLosingRequests(t *testing.T) {
 	for _, cores := range []bool{false, true} {
 		t.Run(fmt.Sprint("several cores ", cores), func(t *testing.T) {
 			t.Parallel()
@@ -151,46 +151,46 @@
 				flags = append(flags, "-cores", "../../deploy/cores.toml")
 			}
 			o := operateWith(t, flags)
-			o.logs("connected to a control machine")
-			served, stop := o.load(4)
+			o.waitForLog("connected to a control machine")
+			served, stop := o.startClients(4)
 			for i := range 20 {
 				number := m.publish(t, o.documentOf(`"openCap":400`, fmt.Sprintf(`"openCap":%d`, 300+i),
 					`"deadlineS":4,"objectiveS":1`, fmt.Sprintf(`"deadlineS":%g,"objectiveS":0.9`, 3+0.1*float64(i))))
-				o.logs("revision in force", fmt.Sprintf(" number=%d ", number))
+				o.waitForLog("revision in force", fmt.Sprintf(" number=%d ", number))
 				before := served.Load()
-				require.Eventually(t, func() bool { return served.Load() >= before+10 }, patience, time.Millisecond)
+				require.Eventually(t, func() bool { return served.Load() >= before+10 }, waitTimeout, time.Millisecond)
 			}
 			refused := m.publish(t, o.documentOf(
 				`"semantics":"single_shot"`, `"semantics":"free"`, `"openCap":400`, `"openCap":1`))
-			o.logs("revision rejected", fmt.Sprintf(" number=%d ", refused), "settings.classes[1].semantics",
+			o.waitForLog("revision rejected", fmt.Sprintf(" number=%d ", refused), "settings.classes[1].semantics",
 				"in_force=20")
 			require.Empty(t, stop())
 			require.GreaterOrEqual(t, served.Load(), int64(200))
-			require.Contains(t, o.dial().asks(query("held-by-the-refused-cap")), " 200 ")
+			require.Contains(t, o.dial().roundTrip(queryRequest("held-by-the-refused-cap")), " 200 ")
 
 			number := m.publish(t, o.documentOf(`"openCap":400`, `"openCap":1`)) // not even one query of a part
-			o.logs("revision in force", fmt.Sprintf(" number=%d ", number))
-			require.Contains(t, o.dial().asks(query("no-room")), " 503 ")
+			o.waitForLog("revision in force", fmt.Sprintf(" number=%d ", number))
+			require.Contains(t, o.dial().roundTrip(queryRequest("no-room")), " 503 ")
 
 			m.stop()
-			o.logs("disconnected from a control machine")
-			require.Contains(t, o.dial().asks(query("no-room-still")), " 503 ")
+			o.waitForLog("disconnected from a control machine")
+			require.Contains(t, o.dial().roundTrip(queryRequest("no-room-still")), " 503 ")
 			require.NoError(t, o.cmd.Process.Signal(syscall.SIGTERM))
 			require.NoError(t, o.cmd.Wait())
 
 			again := operateWith(t, flags) // nobody answers at the control machine's address
-			require.Contains(t, again.dial().asks(query("by-the-file")), " 200 ")
-			again.logs("serving by the file of the start")
+			require.Contains(t, again.dial().roundTrip(queryRequest("by-the-file")), " 200 ")
+			again.waitForLog("serving by the file of the start")
 		})
 	}
 }
 
 // The address of discovery that was told last wins, whether by a revision or by the file on SIGHUP.
-func TestTheLastAddressOfDiscoveryWins(t *testing.T) {
+func TestDiscoveryFollowsLatestAddress(t *testing.T) {
 	t.Parallel()
 	m := newControlMachine(t)
 	o := operateWith(t, m.flags(t))
-	o.logs("connected to a control machine")
+	o.waitForLog("connected to a control machine")
 	first := o.listener("discovery").Addr().String()
 	var places []net.Listener
 	for range 2 {
@@ -200,7 +200,7 @@
 		places = append(places, l)
 	}
 	called := func(l net.Listener) {
-		require.NoError(t, l.(*net.TCPListener).SetDeadline(time.Now().Add(patience)))
+		require.NoError(t, l.(*net.TCPListener).SetDeadline(time.Now().Add(waitTimeout)))
 		c, err := l.Accept()
 		require.NoError(t, err)
 		c.Close()
@@ -209,25 +209,25 @@
 	second, third := places[0].Addr().String(), places[1].Addr().String()
 	m.publish(t, strings.Replace(start, first, second, 1))
 	called(places[0])
-	o.logs("discovery address changed", first, second, "revision")
+	o.waitForLog("discovery address changed", first, second, "revision")
 
 	text, err := os.ReadFile(o.config)
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(o.config, []byte(strings.Replace(string(text), first, third, 1)), 0o600))
 	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP))
 	called(places[1])
-	o.logs("discovery address changed", second, third, "file")
+	o.waitForLog("discovery address changed", second, third, "file")
 	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP)) // unchanged: it says nothing of discovery
 	m.publish(t, strings.Replace(start, first, second, 1)+" ")
-	o.logs("discovery address changed", third, second, "revision")
+	o.waitForLog("discovery address changed", third, second, "revision")
 	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool {
 		return strings.Count(o.log.String(), "configuration reloaded") == 3
-	}, patience, 20*time.Millisecond)
+	}, waitTimeout, 20*time.Millisecond)
 	require.Equal(t, 3, strings.Count(o.log.String(), "discovery address changed"), "%s", &o.log)
 }
 
-func TestABadConfigurationFileIsRefusedByKey(t *testing.T) {
+func TestConfigurationFileRejectedByKey(t *testing.T) {
 	t.Parallel()
 	for text, want := range map[string]string{
 		"": "configuration.control: names 0",
@@ -238,7 +238,7 @@
 		p := newPlayer(t)
 		p.config = filepath.Join(t.TempDir(), "config.json")
 		config := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":%s}`,
-			fmt.Sprintf(profile, 15., 400))
+			fmt.Sprintf(settingsFormat, 15., 400))
 		require.NoError(t, os.WriteFile(p.config, []byte(config), 0o600))
 		path := filepath.Join(t.TempDir(), "configuration.toml")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
--- a/cmd/mothrouter/control.go
+++ b/cmd/mothrouter/control.go
@@ -39,18 +39,18 @@
 }
 
 func runControl(ctx context.Context, file *config.ControlMachine, create bool) error {
-	brokers, err := listenTCP("control.listen", file.Listen)
+	brokerListener, err := listenTCP("control.listen", file.Listen)
 	if err != nil {
 		return err
 	}
-	peers, err := listenTCP("control.listen_peers", file.ListenPeers)
+	peerListener, err := listenTCP("control.listen_peers", file.ListenPeers)
 	if err != nil {
-		brokers.Close()
+		brokerListener.Close()
 		return err
 	}
 	options := controlserver.Options{
 		Fleet: file.Fleet, Name: file.Name, Folder: file.Folder, Create: create, PromoteAfter: file.PromoteAfter,
-		Listener: brokers, PeerListener: peers, Validate: validateDocument,
+		Listener: brokerListener, PeerListener: peerListener, Validate: validateDocument,
 		Log: slog.New(slog.NewTextHandler(os.Stderr, nil)).With("control", file.Name),
 	}
 	for _, m := range file.Members {
@@ -73,17 +73,17 @@
 func validateDocument(document, newest []byte) *configpb.Refusal {
 	next, err := config.ParseDocument(document)
 	if err != nil {
-		return rejection(0, err)
+		return newRejection(0, err)
 	}
 	if newest == nil {
 		return nil
 	}
-	before, err := config.ParseDocument(newest)
+	previous, err := config.ParseDocument(newest)
 	if err != nil { // taken by another release of this program: brokers compare with what they serve by
 		return nil
 	}
-	if err := next.Changes(before); err != nil {
-		return rejection(0, err)
+	if err := next.Changes(previous); err != nil {
+		return newRejection(0, err)
 	}
 	return nil
 }
--- a/cmd/mothrouter/exchange_test.go
+++ b/cmd/mothrouter/exchange_test.go
@@ -29,8 +29,8 @@
 // tells how they are written.
 
 const (
-	patience = 5 * time.Second        // for what must come
-	quietFor = 200 * time.Millisecond // for what must not
+	waitTimeout   = 5 * time.Second        // for what must come
+	quietInterval = 200 * time.Millisecond // for what must not
 )
 
 var (
@@ -52,56 +52,56 @@
 	os.Exit(code)
 }
 
-// player plays one exchange.
-type player struct {
-	t      *testing.T
-	bytes  bool // send byte by byte
-	peers  map[string]net.Listener
-	conns  map[string]net.Conn
-	ins    map[string]*bufio.Reader
-	listen string
-	cmd    *exec.Cmd
-	config string // path of its file
-	log    log
-	seen   func(peer string, sent bool, message string) // told of each message
-	flags  []string
+// exchangePlayer plays one exchange.
+type exchangePlayer struct {
+	t          *testing.T
+	byteByByte bool // send byte by byte
+	listeners  map[string]net.Listener
+	conns      map[string]net.Conn
+	readers    map[string]*bufio.Reader
+	listen     string
+	cmd        *exec.Cmd
+	config     string // path of its file
+	log        logBuffer
+	onMessage  func(peer string, sent bool, message string) // told of each message
+	flags      []string
 }
 
-// log is what the program writes.
-type log struct {
+// logBuffer is what the program writes.
+type logBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *log) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *log) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
 }
 
-func newPlayer(t *testing.T) *player {
-	return &player{
-		t: t, peers: map[string]net.Listener{}, conns: map[string]net.Conn{}, ins: map[string]*bufio.Reader{},
-		seen: func(string, bool, string) {},
+func newPlayer(t *testing.T) *exchangePlayer {
+	return &exchangePlayer{
+		t: t, listeners: map[string]net.Listener{}, conns: map[string]net.Conn{}, readers: map[string]*bufio.Reader{},
+		onMessage: func(string, bool, string) {},
 	}
 }
 
-func (p *player) listener(name string) net.Listener {
-	if p.peers[name] == nil {
+func (p *exchangePlayer) listener(name string) net.Listener {
+	if p.listeners[name] == nil {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		require.NoError(p.t, err)
-		p.peers[name] = l
+		p.listeners[name] = l
 	}
-	return p.peers[name]
+	return p.listeners[name]
 }
 
-const profile = `{"caps":{"cancel":true,"connIdleS":%g,"connectTimeoutS":0.25,"maxRetryAfterS":0.5,"openCap":%d,
+const settingsFormat = `{"caps":{"cancel":true,"connIdleS":%g,"connectTimeoutS":0.25,"maxRetryAfterS":0.5,"openCap":%d,
 "probes":false,"retryAfter":true,"secondCopies":false,"sendCap":4,"streamsPerConn":100},
 "classes":[{"name":"usage-lookup","deadlineS":4,"objectiveS":1,"lateWorth":0,"semantics":"free","worth":1},
 {"name":"charge-post","deadlineS":5,"objectiveS":1,"lateWorth":0,"semantics":"single_shot","worth":2},
@@ -115,9 +115,9 @@
 
 var addresses atomic.Int32
 
-// unused is where a program may listen. Each has a loopback address of its own: on a shared one, the port found
+// unusedAddress is where a program may listen. Each has a loopback address of its own: on a shared one, the port found
 // to be free could be taken by a connection before the program listens.
-func unused(t *testing.T) string {
+func unusedAddress(t *testing.T) string {
 	n := addresses.Add(1)
 	l, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", 1+n/250, 1+n%250))
 	require.NoError(t, err)
@@ -126,18 +126,18 @@
 }
 
 // start runs the program with the servers that it knows.
-func (p *player) start(known []string, openCap, sockets int, idle float64, flags ...string) {
+func (p *exchangePlayer) start(known []string, openCap, sockets int, idle float64, flags ...string) {
 	var servers []string
 	for _, name := range known {
-		servers = append(servers, p.entry(name, "active"))
+		servers = append(servers, p.endpointEntry(name, "active"))
 	}
 	if p.listen == "" { // a restart keeps its address
-		p.listen = unused(p.t)
+		p.listen = unusedAddress(p.t)
 	}
 	p.config = filepath.Join(p.t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1","limits":{"memory_mb":192,"sockets":%d},
 		"known":{"version":41,"full":true,"servers":[%s]},"settings":%s}`, p.listen, p.listener("discovery").Addr(),
-		sockets, strings.Join(servers, ","), fmt.Sprintf(profile, idle, openCap))
+		sockets, strings.Join(servers, ","), fmt.Sprintf(settingsFormat, idle, openCap))
 	require.NoError(p.t, os.WriteFile(p.config, []byte(text), 0o600))
 	p.cmd = exec.Command(program, flags...)
 	p.cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.config)
@@ -153,7 +153,7 @@
 		for _, c := range p.conns {
 			c.Close()
 		}
-		for _, l := range p.peers {
+		for _, l := range p.listeners {
 			l.Close()
 		}
 	})
@@ -170,17 +170,17 @@
 		fmt.Fprint(c, "GET /up HTTP/1.1\r\nHost: n1\r\n\r\n")
 		line, _ := textproto.NewReader(bufio.NewReader(c)).ReadLine()
 		return line == up
-	}, patience, 10*time.Millisecond)
+	}, waitTimeout, 10*time.Millisecond)
 }
 
-// entry is a server on discovery's list.
-func (p *player) entry(name, state string) string {
+// endpointEntry is a server on discovery's list.
+func (p *exchangePlayer) endpointEntry(name, state string) string {
 	return fmt.Sprintf(`{"id":%q,"addr":%q,"zone":"bern-1","kind":"std-2c","cell":0,"state":%q,"weight":1,`+
 		`"started_ms":0}`, name, p.listener(name).Addr(), state)
 }
 
 // conn is a peer's connection: clients dial, the others wait to be dialled. "s0.2" is s0's second.
-func (p *player) conn(name string) net.Conn {
+func (p *exchangePlayer) conn(name string) net.Conn {
 	if c := p.conns[name]; c != nil {
 		return c
 	}
@@ -188,20 +188,20 @@
 	var err error
 	if host, _, _ := strings.Cut(name, "."); isServer(host) || strings.HasPrefix(host, "discovery") {
 		l := p.listener(host).(*net.TCPListener)
-		require.NoError(p.t, l.SetDeadline(time.Now().Add(patience)))
+		require.NoError(p.t, l.SetDeadline(time.Now().Add(waitTimeout)))
 		c, err = l.Accept()
 	} else {
 		c, err = net.Dial("tcp", p.listen)
 	}
 	require.NoError(p.t, err, name)
-	p.conns[name], p.ins[name] = c, bufio.NewReader(c)
+	p.conns[name], p.readers[name] = c, bufio.NewReader(c)
 	return c
 }
 
 func isServer(name string) bool { return regexp.MustCompile(`^s\d`).MatchString(name) }
 
-// wire is a message as it goes over the socket.
-func wire(peer, message string) []byte {
+// encodeMessage is a message as it goes over the socket.
+func encodeMessage(peer, message string) []byte {
 	if isServer(peer) {
 		letter, rest, _ := strings.Cut(message, " ")
 		b := binary.BigEndian.AppendUint32(nil, uint32(1+len(rest)))
@@ -223,9 +223,9 @@
 	return []byte(head + "\r\n\r\n" + body)
 }
 
-// message reads the next message that the program sends to a peer.
-func (p *player) message(peer string) (string, error) {
-	in := p.ins[peer]
+// readMessage reads the next message that the program sends to a peer.
+func (p *exchangePlayer) readMessage(peer string) (string, error) {
+	in := p.readers[peer]
 	if isServer(peer) {
 		var n uint32
 		if err := binary.Read(in, binary.BigEndian, &n); err != nil {
@@ -260,12 +260,12 @@
 }
 
 // play carries out one step.
-func (p *player) play(step, message string) {
+func (p *exchangePlayer) play(step, message string) {
 	words := strings.Fields(step)
 	peer, verb := words[0], strings.Join(words[1:], " ")
 	message = regexp.MustCompile(`\{\{(\w+) (\w+)\}\}`).ReplaceAllStringFunc(message, func(m string) string {
 		w := strings.Fields(strings.Trim(m, "{}"))
-		return p.entry(w[0], w[1])
+		return p.endpointEntry(w[0], w[1])
 	})
 	switch {
 	case peer == "known":
@@ -304,17 +304,17 @@
 		require.NoError(p.t, os.WriteFile(p.config, now, 0o600))
 		require.NoError(p.t, p.cmd.Process.Signal(syscall.SIGHUP))
 		if words[1] == "nonsense" {
-			require.Eventually(p.t, func() bool { return strings.Contains(p.log.String(), "PROXY_CONFIG: ") }, patience, 5*time.Millisecond)
+			require.Eventually(p.t, func() bool { return strings.Contains(p.log.String(), "PROXY_CONFIG: ") }, waitTimeout, 5*time.Millisecond)
 			require.NoError(p.t, os.WriteFile(p.config, text, 0o600))
 		}
 	case step == "program ends":
 		require.NoError(p.t, p.cmd.Wait())
 	case verb == "sends":
-		p.seen(peer, true, message)
-		b := wire(peer, message)
+		p.onMessage(peer, true, message)
+		b := encodeMessage(peer, message)
 		for len(b) > 0 {
 			n := len(b)
-			if p.bytes {
+			if p.byteByByte {
 				n = 1
 			}
 			_, err := p.conn(peer).Write(b[:n])
@@ -322,27 +322,27 @@
 			b = b[n:]
 		}
 	case verb == "gets":
-		require.NoError(p.t, p.conn(peer).SetReadDeadline(time.Now().Add(patience)))
-		got, err := p.message(peer)
+		require.NoError(p.t, p.conn(peer).SetReadDeadline(time.Now().Add(waitTimeout)))
+		got, err := p.readMessage(peer)
 		require.NoError(p.t, err, "%s gets %s", peer, message)
 		want := strings.ReplaceAll(regexp.QuoteMeta(message), "~", `[0-9a-zA-Z.: \-]+`)
 		require.Regexp(p.t, "^"+want+"$", got)
-		p.seen(peer, false, got)
+		p.onMessage(peer, false, got)
 	case verb == "gets nothing":
-		require.NoError(p.t, p.conn(peer).SetReadDeadline(time.Now().Add(quietFor)))
-		got, err := p.ins[peer].ReadByte()
+		require.NoError(p.t, p.conn(peer).SetReadDeadline(time.Now().Add(quietInterval)))
+		got, err := p.readers[peer].ReadByte()
 		require.ErrorIs(p.t, err, os.ErrDeadlineExceeded, "%s got %q", peer, got)
 	case verb == "gets no more": // for a while, or for good, since the program ends the connection
-		require.NoError(p.t, p.conn(peer).SetReadDeadline(time.Now().Add(quietFor)))
-		got, err := p.ins[peer].ReadByte()
+		require.NoError(p.t, p.conn(peer).SetReadDeadline(time.Now().Add(quietInterval)))
+		got, err := p.readers[peer].ReadByte()
 		require.Error(p.t, err, "%s got %q", peer, got)
 	case verb == "is not called":
-		require.NoError(p.t, p.listener(peer).(*net.TCPListener).SetDeadline(time.Now().Add(quietFor)))
-		_, err := p.peers[peer].Accept()
+		require.NoError(p.t, p.listener(peer).(*net.TCPListener).SetDeadline(time.Now().Add(quietInterval)))
+		_, err := p.listeners[peer].Accept()
 		require.ErrorIs(p.t, err, os.ErrDeadlineExceeded)
 	case verb == "sees the end":
-		require.NoError(p.t, p.conn(peer).SetReadDeadline(time.Now().Add(patience)))
-		_, err := p.ins[peer].ReadByte()
+		require.NoError(p.t, p.conn(peer).SetReadDeadline(time.Now().Add(waitTimeout)))
+		_, err := p.readers[peer].ReadByte()
 		require.Error(p.t, err)
 		require.False(p.t, errors.Is(err, os.ErrDeadlineExceeded), "the connection goes on")
 		delete(p.conns, peer)
@@ -385,16 +385,16 @@
 
 // Each exchange is played against one loop and against several: what a front refuses and what a client is told must
 // not depend on the worker.
-func TestExchanges(t *testing.T) {
+func TestRecordedExchanges(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	require.NoError(t, err)
 	require.NotEmpty(t, files)
-	api := loadAPI(t)
+	api := readAPIDescription(t)
 	play := func(name, file string, bytewise bool, flags ...string) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := newPlayer(t)
-			p.bytes, p.seen, p.flags = bytewise, api.checker(t), flags
+			p.byteByByte, p.onMessage, p.flags = bytewise, api.checker(t), flags
 			steps, messages := steps(t, file)
 			for i, step := range steps {
 				p.play(step, messages[i])
--- a/cmd/mothrouter/flight_test.go
+++ b/cmd/mothrouter/flight_test.go
@@ -30,19 +30,19 @@
 	"mothrouter/internal/transport/httpwire"
 )
 
-// recordServer is a stand-in record server that speaks Flight. Its answer to a part is up to the test.
-type recordServer struct {
+// flightRecordServer is a stand-in record server that speaks Flight. Its answer to a part is up to the test.
+type flightRecordServer struct {
 	flight.BaseFlightServer
-	answer func(t mothflight.PartTicket, s flight.FlightService_DoGetServer) error
-	mu     sync.Mutex
-	conns  []net.Conn
-	got    []string // ids of the parts that came
+	answer   func(t mothflight.PartTicket, s flight.FlightService_DoGetServer) error
+	mu       sync.Mutex
+	conns    []net.Conn
+	received []string // ids of the parts that came
 }
 
 // Accept and Close make it a listener that can break off its connections.
 type trackedListener struct {
 	net.Listener
-	s *recordServer
+	s *flightRecordServer
 }
 
 func (l trackedListener) Accept() (net.Conn, error) {
@@ -55,8 +55,8 @@
 	return c, err
 }
 
-// breakOff ends all connections without a word.
-func (s *recordServer) breakOff() {
+// closeConnections ends all connections without a word.
+func (s *flightRecordServer) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.conns {
@@ -64,25 +64,25 @@
 	}
 }
 
-func (s *recordServer) parts() []string {
+func (s *flightRecordServer) parts() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]string(nil), s.got...)
+	return append([]string(nil), s.received...)
 }
 
-func (s *recordServer) DoGet(ticket *flight.Ticket, stream flight.FlightService_DoGetServer) error {
+func (s *flightRecordServer) DoGet(ticket *flight.Ticket, stream flight.FlightService_DoGetServer) error {
 	var t mothflight.PartTicket
 	if err := json.Unmarshal(ticket.Ticket, &t); err != nil {
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
 	s.mu.Lock()
-	s.got = append(s.got, t.ID)
+	s.received = append(s.received, t.ID)
 	s.mu.Unlock()
 	return s.answer(t, stream)
 }
 
-// rows sends a part's value in pieces, as batches.
-func rows(stream flight.FlightService_DoGetServer, pieces ...string) error {
+// sendValue sends a part's value in pieces, as batches.
+func sendValue(stream flight.FlightService_DoGetServer, pieces ...string) error {
 	schema := arrow.NewSchema([]arrow.Field{{Name: "value", Type: arrow.BinaryTypes.String}}, nil)
 	w := flight.NewRecordWriter(stream, ipc.WithSchema(schema))
 	for _, piece := range pieces {
@@ -96,8 +96,8 @@
 	return w.Close()
 }
 
-func (p *player) flightServer(name string, answer func(mothflight.PartTicket, flight.FlightService_DoGetServer) error) *recordServer {
-	s := &recordServer{answer: answer}
+func (p *exchangePlayer) flightServer(name string, answer func(mothflight.PartTicket, flight.FlightService_DoGetServer) error) *flightRecordServer {
+	s := &flightRecordServer{answer: answer}
 	g := grpc.NewServer()
 	flight.RegisterFlightServiceServer(g, s)
 	go g.Serve(trackedListener{p.listener(name), s})
@@ -106,8 +106,8 @@
 }
 
 // startFlight runs the program with Flight on and returns a client of it.
-func (p *player) startFlight(speaks string, known ...string) flight.Client {
-	addr := unused(p.t)
+func (p *exchangePlayer) startFlight(speaks string, known ...string) flight.Client {
+	addr := unusedAddress(p.t)
 	file := filepath.Join(p.t.TempDir(), "flight.toml")
 	text := fmt.Sprintf("listen = %q\nservers = [%s]\n", addr, speaks)
 	require.NoError(p.t, os.WriteFile(file, []byte(text), 0o600))
@@ -119,7 +119,7 @@
 	return flight.NewClientFromConn(conn, nil)
 }
 
-func ticket(id, class string, parts int) []byte {
+func queryTicket(id, class string, parts int) []byte {
 	t := mothflight.Ticket{ID: id, Class: class, Body: httpwire.Body{Query: "x"}}
 	for i := range parts {
 		t.Targets = append(t.Targets, httpwire.Target{Partition: i, Weight: 1 / float64(parts)})
@@ -137,14 +137,14 @@
 	schema  *arrow.Schema
 }
 
-// get fetches a query to the end of its stream.
-func get(ctx context.Context, c flight.Client, ticket []byte) (a flightAnswer, err error) {
+// fetchAnswer fetches a query to the end of its stream.
+func fetchAnswer(ctx context.Context, c flight.Client, ticket []byte) (a flightAnswer, err error) {
 	stream, err := c.DoGet(ctx, &flight.Ticket{Ticket: ticket}, grpc.WaitForReady(true))
 	if err != nil {
 		return a, err
 	}
 	var last []byte
-	r, err := flight.NewRecordReader(tapped{stream, &last})
+	r, err := flight.NewRecordReader(metadataStream{stream, &last})
 	if err != nil {
 		return a, err
 	}
@@ -166,13 +166,13 @@
 	return a, err
 }
 
-// tapped keeps the metadata of the last message, which carries no rows.
-type tapped struct {
+// metadataStream keeps the metadata of the last message, which carries no rows.
+type metadataStream struct {
 	flight.FlightService_DoGetClient
 	last *[]byte
 }
 
-func (s tapped) Recv() (*flight.FlightData, error) {
+func (s metadataStream) Recv() (*flight.FlightData, error) {
 	m, err := s.FlightService_DoGetClient.Recv()
 	if err == nil {
 		*s.last = m.AppMetadata
@@ -183,14 +183,14 @@
 	return m, err
 }
 
-func soon(t *testing.T) context.Context {
+func shortContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// isRefusal tells whether an error tells the client that trying again is harmless.
-func isRefusal(err error) bool {
+// isRejection tells whether an error tells the client that trying again is harmless.
+func isRejection(err error) bool {
 	for _, d := range status.Convert(err).Details() {
 		if _, ok := d.(*errdetails.RetryInfo); ok {
 			return status.Code(err) == codes.Unavailable
@@ -199,29 +199,29 @@
 	return false
 }
 
-func value(t mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
-	return rows(s, "v", fmt.Sprint(t.Partition))
+func answerPart(t mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
+	return sendValue(s, "v", fmt.Sprint(t.Partition))
 }
 
-func TestFlightServes(t *testing.T) {
+func TestFlightServesQueries(t *testing.T) {
 	p := newPlayer(t)
-	s0 := p.flightServer("s0", value)
+	s0 := p.flightServer("s0", answerPart)
 	c := p.startFlight(`"s0"`, "s0")
-	a, err := get(soon(t), c, ticket("q1", "tariff-report", 5))
+	a, err := fetchAnswer(shortContext(t), c, queryTicket("q1", "tariff-report", 5))
 	require.NoError(t, err)
 	require.Equal(t, map[int32]string{0: "v0", 1: "v1", 2: "v2", 3: "v3", 4: "v4"}, a.values)
 	require.Equal(t, &mothflight.Closing{ID: "q1", Class: "tariff-report", Complete: true, Parts: 5}, a.closing)
 	md := a.schema.Metadata()
 	require.Equal(t, map[string]string{"mothrouter.id": "q1", "mothrouter.class": "tariff-report"}, md.ToMap())
 	require.Len(t, s0.parts(), 5)
-	info, err := c.GetFlightInfo(soon(t), &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: ticket("q2", "charge-post", 1)})
+	info, err := c.GetFlightInfo(shortContext(t), &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: queryTicket("q2", "charge-post", 1)})
 	require.NoError(t, err)
-	a, err = get(soon(t), c, info.Endpoint[0].Ticket.Ticket)
+	a, err = fetchAnswer(shortContext(t), c, info.Endpoint[0].Ticket.Ticket)
 	require.NoError(t, err)
 	require.True(t, a.closing.Complete)
 }
 
-func TestFlightStatuses(t *testing.T) {
+func TestFlightReturnsStatusCodes(t *testing.T) {
 	p := newPlayer(t)
 	begun, hold := make(chan struct{}), make(chan struct{})
 	p.flightServer("s0", func(mothflight.PartTicket, flight.FlightService_DoGetServer) error {
@@ -231,32 +231,32 @@
 	})
 	c := p.startFlight(`"s0"`, "s0")
 	for want, text := range map[codes.Code]string{
-		codes.InvalidArgument: string(ticket("", "charge-post", 1)), codes.NotFound: string(ticket("q", "no-such", 1)),
+		codes.InvalidArgument: string(queryTicket("", "charge-post", 1)), codes.NotFound: string(queryTicket("q", "no-such", 1)),
 	} {
-		_, err := get(soon(t), c, []byte(text))
+		_, err := fetchAnswer(shortContext(t), c, []byte(text))
 		require.Equal(t, want, status.Code(err))
 	}
-	_, err := get(soon(t), c, []byte("{"))
+	_, err := fetchAnswer(shortContext(t), c, []byte("{"))
 	require.Equal(t, codes.InvalidArgument, status.Code(err))
 	first := make(chan error, 1)
-	ctx := soon(t)
+	ctx := shortContext(t)
 	go func() {
-		_, err := get(ctx, c, ticket("q", "charge-post", 1))
+		_, err := fetchAnswer(ctx, c, queryTicket("q", "charge-post", 1))
 		first <- err
 	}()
 	<-begun
-	_, err = get(ctx, c, ticket("q", "charge-post", 0)) // the same id while it is held
+	_, err = fetchAnswer(ctx, c, queryTicket("q", "charge-post", 0)) // the same id while it is held
 	require.Equal(t, codes.InvalidArgument, status.Code(err))
-	_, err = get(ctx, c, ticket("q", "charge-post", 1))
+	_, err = fetchAnswer(ctx, c, queryTicket("q", "charge-post", 1))
 	require.Equal(t, codes.AlreadyExists, status.Code(err))
 	close(hold)
 	require.Equal(t, codes.Aborted, status.Code(<-first)) // it may have run
 }
 
 // A stream that breaks halfway through a tariff-report part leaves it not in, and it is fetched again.
-func TestFlightStreamBreaksHalfway(t *testing.T) {
+func TestFlightRetriesTruncatedStream(t *testing.T) {
 	p := newPlayer(t)
-	var servers [2]*recordServer
+	var servers [2]*flightRecordServer
 	var once sync.Once
 	for i := range servers {
 		servers[i] = p.flightServer(fmt.Sprint("s", i), func(mt mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
@@ -270,17 +270,17 @@
 				if err := w.Write(b.NewRecordBatch()); err == nil {
 					time.Sleep(50 * time.Millisecond) // so that the half has left
 				}
-				servers[i].breakOff()
+				servers[i].closeConnections()
 			})
 			if broke {
 				<-s.Context().Done()
 				return s.Context().Err()
 			}
-			return value(mt, s)
+			return answerPart(mt, s)
 		})
 	}
 	c := p.startFlight(`"s0", "s1"`, "s0", "s1")
-	a, err := get(soon(t), c, ticket("q1", "tariff-report", 1))
+	a, err := fetchAnswer(shortContext(t), c, queryTicket("q1", "tariff-report", 1))
 	require.NoError(t, err)
 	require.Equal(t, map[int32]string{0: "v0"}, a.values)
 	require.True(t, a.closing.Complete)
@@ -288,27 +288,27 @@
 }
 
 // A charge-post stream that ends without a status may have run: never sent again, never refused.
-func TestFlightChargePostWithoutStatus(t *testing.T) {
+func TestFlightNeverRetriesNonIdempotentAfterReset(t *testing.T) {
 	p := newPlayer(t)
-	var servers [2]*recordServer
+	var servers [2]*flightRecordServer
 	for i := range servers {
 		servers[i] = p.flightServer(fmt.Sprint("s", i), func(_ mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
-			servers[i].breakOff()
+			servers[i].closeConnections()
 			<-s.Context().Done()
 			return s.Context().Err()
 		})
 	}
 	c := p.startFlight(`"s0", "s1"`, "s0", "s1")
-	_, err := get(soon(t), c, ticket("q1", "charge-post", 1))
+	_, err := fetchAnswer(shortContext(t), c, queryTicket("q1", "charge-post", 1))
 	require.Equal(t, codes.Aborted, status.Code(err))
-	require.False(t, isRefusal(err))
-	time.Sleep(quietFor)
+	require.False(t, isRejection(err))
+	time.Sleep(quietInterval)
 	require.Len(t, append(servers[0].parts(), servers[1].parts()...), 1)
 }
 
 // Where a server refuses, or cannot be reached, nothing has run: another is tried, and in the end the query
 // is refused.
-func TestFlightRefusals(t *testing.T) {
+func TestFlightRejections(t *testing.T) {
 	p := newPlayer(t)
 	full, err := status.New(codes.Unavailable, "full").WithDetails(&errdetails.RetryInfo{})
 	require.NoError(t, err)
@@ -316,13 +316,13 @@
 	answer := func(mt mothflight.PartTicket, s flight.FlightService_DoGetServer) (err error) {
 		once.Do(func() { err = full.Err() })
 		if err == nil {
-			err = value(mt, s)
+			err = answerPart(mt, s)
 		}
 		return err
 	}
 	s0, s1 := p.flightServer("s0", answer), p.flightServer("s1", answer)
 	c := p.startFlight(`"s0", "s1", "s2"`, "s0", "s1")
-	a, err := get(soon(t), c, ticket("q1", "charge-post", 1))
+	a, err := fetchAnswer(shortContext(t), c, queryTicket("q1", "charge-post", 1))
 	require.NoError(t, err)
 	require.True(t, a.closing.Complete)
 	require.Len(t, append(s0.parts(), s1.parts()...), 2)
@@ -330,12 +330,12 @@
 	p = newPlayer(t)
 	p.play("s2 is down", "")
 	c = p.startFlight(`"s2"`, "s2")
-	_, err = get(soon(t), c, ticket("q1", "charge-post", 1))
-	require.True(t, isRefusal(err), "%v", err)
+	_, err = fetchAnswer(shortContext(t), c, queryTicket("q1", "charge-post", 1))
+	require.True(t, isRejection(err), "%v", err)
 }
 
 // A client that cancels ends its query: the record server is told, and the query's id is free again.
-func TestFlightCancel(t *testing.T) {
+func TestFlightCancelEndsQuery(t *testing.T) {
 	p := newPlayer(t)
 	came, ended := make(chan struct{}), make(chan struct{})
 	var first sync.Once
@@ -350,13 +350,13 @@
 		if held {
 			return s.Context().Err()
 		}
-		return value(part, s)
+		return answerPart(part, s)
 	})
 	c := p.startFlight(`"s0"`, "s0")
-	ctx, cancel := context.WithCancel(soon(t))
+	ctx, cancel := context.WithCancel(shortContext(t))
 	gone := make(chan error, 1)
 	go func() {
-		_, err := get(ctx, c, ticket("q1", "charge-post", 1))
+		_, err := fetchAnswer(ctx, c, queryTicket("q1", "charge-post", 1))
 		gone <- err
 	}()
 	<-came
@@ -368,27 +368,27 @@
 	var a flightAnswer
 	var err error
 	require.Eventually(t, func() bool {
-		a, err = get(soon(t), c, ticket("q1", "charge-post", 1))
-		return !isRefusal(err)
-	}, patience, time.Millisecond)
+		a, err = fetchAnswer(shortContext(t), c, queryTicket("q1", "charge-post", 1))
+		return !isRejection(err)
+	}, waitTimeout, time.Millisecond)
 	require.NoError(t, err)
 	require.True(t, a.closing.Complete)
 	require.Equal(t, []string{"q1.0", "q1.0"}, s0.parts(), "what was refused was sent all the same")
 }
 
-// toldDeadline is a context of a client that tells a server of a deadline and waits on behind it.
-type toldDeadline struct {
+// advertisedDeadline is a context of a client that tells a server of a deadline and waits on behind it.
+type advertisedDeadline struct {
 	context.Context
 	at time.Time
 }
 
-func (c toldDeadline) Deadline() (time.Time, bool) { return c.at, true }
+func (c advertisedDeadline) Deadline() (time.Time, bool) { return c.at, true }
 
 // A query that its client's time ends for while its unsafe part is out has failed, and is never called refused. A
 // busy machine may have a query refused before anything is sent: then nothing of it may come to the record server. That
 // the answer leaves before the time is up is tested on a virtual clock, in internal/transport/flight: on a real one it is as
 // late as the machine is busy.
-func TestFlightDeadline(t *testing.T) {
+func TestFlightDeadlineFailsNonIdempotent(t *testing.T) {
 	const wait = 300 * time.Millisecond
 	p := newPlayer(t)
 	left, ended := make(chan time.Duration, 99), make(chan struct{}, 99)
@@ -400,42 +400,42 @@
 		return s.Context().Err()
 	})
 	c := p.startFlight(`"s0"`, "s0")
-	said := map[string]error{} // by the id of the query's only part
-	for i, end := 0, time.Now().Add(patience); len(s0.parts()) == 0 && time.Now().Before(end); i++ {
+	results := map[string]error{} // by the id of the query's only part
+	for i, end := 0, time.Now().Add(waitTimeout); len(s0.parts()) == 0 && time.Now().Before(end); i++ {
 		id := fmt.Sprint("q", i)
-		_, err := get(toldDeadline{soon(t), time.Now().Add(wait)}, c, ticket(id, "charge-post", 1))
-		said[id+".0"] = err
+		_, err := fetchAnswer(advertisedDeadline{shortContext(t), time.Now().Add(wait)}, c, queryTicket(id, "charge-post", 1))
+		results[id+".0"] = err
 	}
-	time.Sleep(quietFor) // what comes late comes meanwhile
+	time.Sleep(quietInterval) // what comes late comes meanwhile
 	parts := s0.parts()
 	require.NotEmpty(t, parts)
 	seen := map[string]bool{}
 	for _, id := range parts {
 		require.False(t, seen[id], "%s ran twice", id)
 		seen[id] = true
-		require.Contains(t, []codes.Code{codes.Aborted, codes.DeadlineExceeded}, status.Code(said[id]), "%v", said[id])
-		require.False(t, isRefusal(said[id]))
+		require.Contains(t, []codes.Code{codes.Aborted, codes.DeadlineExceeded}, status.Code(results[id]), "%v", results[id])
+		require.False(t, isRejection(results[id]))
 		require.LessOrEqual(t, <-left, wait)
 		<-ended
 	}
 }
 
 // An answer that lacks parts says so; one that is cut has no closing word at all.
-func TestFlightAnswersThatAreNotWhole(t *testing.T) {
+func TestFlightMarksIncompleteAnswers(t *testing.T) {
 	p := newPlayer(t)
 	p.flightServer("s0", func(mt mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
 		if mt.Partition == 4 {
 			<-s.Context().Done()
 			return s.Context().Err()
 		}
-		return rows(s, strings.Repeat("v", 60<<10))
+		return sendValue(s, strings.Repeat("v", 60<<10))
 	})
 	c := p.startFlight(`"s0"`, "s0")
-	a, err := get(soon(t), c, ticket("q1", "tariff-report", 5))
+	a, err := fetchAnswer(shortContext(t), c, queryTicket("q1", "tariff-report", 5))
 	require.NoError(t, err)
 	require.Equal(t, &mothflight.Closing{ID: "q1", Class: "tariff-report", Parts: 4}, a.closing)
 
-	stream, err := c.DoGet(soon(t), &flight.Ticket{Ticket: ticket("q2", "tariff-report", 4)})
+	stream, err := c.DoGet(shortContext(t), &flight.Ticket{Ticket: queryTicket("q2", "tariff-report", 4)})
 	require.NoError(t, err)
 	first, err := stream.Recv() // the schema; the rows need more than the window of a client that reads no more
 	require.NoError(t, err)
--- a/cmd/mothrouter/main.go
+++ b/cmd/mothrouter/main.go
@@ -23,7 +23,7 @@
 		flag.Usage()
 		os.Exit(2)
 	}
-	files := files{
+	files := operatorFiles{
 		flight: *flightFile, cores: *coresFile, state: *stateFile, fleet: *fleetFile, configuration: *configurationFile,
 	}
 	if err := run(os.Getenv, files); err != nil {
@@ -32,5 +32,5 @@
 	}
 }
 
-// files are the operator files; "": what they switch on is off.
-type files struct{ flight, cores, state, fleet, configuration string }
+// operatorFiles are the operator files; "": what they switch on is off.
+type operatorFiles struct{ flight, cores, state, fleet, configuration string }
--- a/cmd/mothrouter/mixed_test.go
+++ b/cmd/mothrouter/mixed_protocols_test.go
@@ -22,42 +22,42 @@
 	"mothrouter/internal/transport/frame"
 )
 
-// ledger is what all stand-in record servers of a run see together. It watches the rules.
-type ledger struct {
+// attemptLedger is what all stand-in record servers of a run see together. It watches the rules.
+type attemptLedger struct {
 	t     *testing.T
 	mu    sync.Mutex
-	parts map[string]*seenPart
+	parts map[string]*partAttempts
 }
 
-type seenPart struct{ tries, out, ran int }
+type partAttempts struct{ started, inFlight, ran int }
 
-// dropGrace is how long a record server may still work on what another one's attempt has replaced: the word that it is
+// cancelGrace is how long a record server may still work on what another one's attempt has replaced: the word that it is
 // given up and the next attempt go by different connections.
-const dropGrace = 50 * time.Millisecond
+const cancelGrace = 50 * time.Millisecond
 
-// serve is one attempt at a record server: some work, and at some parts' first try a full queue.
+// serveAttempt is one attempt at a record server: some work, and at some parts' first try a full queue.
 // It ends once it is given up; end is "" then.
-func (l *ledger) serve(id string, dropped <-chan struct{}) (end string) {
+func (l *attemptLedger) serveAttempt(id string, dropped <-chan struct{}) (end string) {
 	h := fnv.New32()
 	h.Write([]byte(id))
 	l.mu.Lock()
 	p := l.parts[id]
 	if p == nil {
-		p = &seenPart{}
+		p = &partAttempts{}
 		l.parts[id] = p
 	}
-	p.tries++
-	p.out++
-	if p.out > 1 {
-		time.AfterFunc(dropGrace, func() {
+	p.started++
+	p.inFlight++
+	if p.inFlight > 1 {
+		time.AfterFunc(cancelGrace, func() {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			assert.LessOrEqual(l.t, p.out, 1, "%s has two attempts out", id)
+			assert.LessOrEqual(l.t, p.inFlight, 1, "%s has two attempts out", id)
 		})
 	}
-	assert.LessOrEqual(l.t, p.tries, 4, "%s has too many attempts", id)
-	full := p.tries == 1 && h.Sum32()%9 == 0
-	failed := p.tries == 1 && h.Sum32()%9 == 1 && !strings.HasPrefix(id, "charge-post")
+	assert.LessOrEqual(l.t, p.started, 4, "%s has too many attempts", id)
+	full := p.started == 1 && h.Sum32()%9 == 0
+	failed := p.started == 1 && h.Sum32()%9 == 1 && !strings.HasPrefix(id, "charge-post")
 	if !full {
 		p.ran++
 		assert.False(l.t, p.ran > 1 && strings.HasPrefix(id, "charge-post"), "%s ran twice", id)
@@ -71,15 +71,15 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	p.out--
+	p.inFlight--
 	if given {
 		return ""
 	}
 	return map[[2]bool]string{{true, false}: "full", {false, true}: "failed", {false, false}: "done"}[[2]bool{full, failed}]
 }
 
-// frames serves a listener as a record server that speaks frames.
-func (l *ledger) frames(listener net.Listener) {
+// serveFrames serves a listener as a record server that speaks frames.
+func (l *attemptLedger) serveFrames(listener net.Listener) {
 	for {
 		c, err := listener.Accept()
 		if err != nil {
@@ -116,7 +116,7 @@
 						drop := make(chan struct{})
 						drops[name] = drop
 						go func() {
-							end := l.serve(name, drop)
+							end := l.serveAttempt(name, drop)
 							if end == "" {
 								return
 							}
@@ -131,9 +131,9 @@
 	}
 }
 
-// flight answers a part as a record server that speaks Flight.
-func (l *ledger) flight(t mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
-	switch l.serve(t.ID, s.Context().Done()) {
+// serveFlight answers a part as a record server that speaks Flight.
+func (l *attemptLedger) serveFlight(t mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
+	switch l.serveAttempt(t.ID, s.Context().Done()) {
 	case "":
 		return s.Context().Err()
 	case "full":
@@ -145,34 +145,34 @@
 	case "failed":
 		return status.Error(codes.Aborted, "failed")
 	}
-	return rows(s, "v")
+	return sendValue(s, "v")
 }
 
 const (
-	workers    = 8
-	eachAsks   = 20
-	servesMost = time.Second // an answer that takes longer does not count
+	loadClients      = 8
+	queriesPerClient = 20
+	maxServedTime    = time.Second // an answer that takes longer does not count
 )
 
-// run has workers ask queries one after the other, every second one by Flight if mixed, and returns the
+// servedFraction has workers ask queries one after the other, every second one by Flight if mixed, and returns the
 // share of them that was served whole and in time.
-func run(t *testing.T, mixed bool) float64 {
+func servedFraction(t *testing.T, mixed bool) float64 {
 	p := newPlayer(t)
-	l := &ledger{t: t, parts: map[string]*seenPart{}}
+	l := &attemptLedger{t: t, parts: map[string]*partAttempts{}}
 	speaks := ""
 	for i := range 4 {
 		name := fmt.Sprint("s", i)
 		if mixed && i%2 == 1 {
-			p.flightServer(name, l.flight)
+			p.flightServer(name, l.serveFlight)
 			speaks += fmt.Sprintf("%q,", name)
 		} else {
-			go l.frames(p.listener(name))
+			go l.serveFrames(p.listener(name))
 		}
 	}
 	c := p.startFlight(speaks, "s0", "s1", "s2", "s3")
 	var wg sync.WaitGroup
-	served := make([]int, workers)
-	for w := range workers {
+	served := make([]int, loadClients)
+	for w := range loadClients {
 		wg.Go(func() {
 			conn, err := net.Dial("tcp", p.listen)
 			if !assert.NoError(t, err) {
@@ -180,17 +180,17 @@
 			}
 			defer conn.Close()
 			in := bufio.NewReader(conn)
-			for i := range eachAsks {
+			for i := range queriesPerClient {
 				class := []string{"usage-lookup", "charge-post", "tariff-report"}[i%3]
 				id, parts, started := fmt.Sprintf("%s-%d-%d", class, w, i), []int{5, 1, 8}[i%3], time.Now()
 				ok := false
 				if mixed && w%2 == 1 {
-					a, err := get(soon(t), c, ticket(id, class, parts))
+					a, err := fetchAnswer(shortContext(t), c, queryTicket(id, class, parts))
 					ok = err == nil && a.closing.Complete && len(a.values) == parts
 				} else {
-					ok = askHTTP(t, conn, in, id, class, parts)
+					ok = queryHTTP(t, conn, in, id, class, parts)
 				}
-				if ok && time.Since(started) < servesMost {
+				if ok && time.Since(started) < maxServedTime {
 					served[w]++
 				}
 			}
@@ -204,24 +204,24 @@
 	for _, n := range served {
 		sum += n
 	}
-	return float64(sum) / (workers * eachAsks)
+	return float64(sum) / (loadClients * queriesPerClient)
 }
 
-func askHTTP(t *testing.T, conn net.Conn, in *bufio.Reader, id, class string, parts int) bool {
-	body := ticket(id, class, parts) // its targets and query are the platform's body
-	p := &player{t: t, ins: map[string]*bufio.Reader{"a": in}}
-	conn.Write(wire("a", fmt.Sprintf("POST /%s HTTP/1.1\nX-Request-Id: %s\nX-Deadline: 3000m\nContent-Length: auto\n\n%s",
+func queryHTTP(t *testing.T, conn net.Conn, in *bufio.Reader, id, class string, parts int) bool {
+	body := queryTicket(id, class, parts) // its targets and query are the platform's body
+	p := &exchangePlayer{t: t, readers: map[string]*bufio.Reader{"a": in}}
+	conn.Write(encodeMessage("a", fmt.Sprintf("POST /%s HTTP/1.1\nX-Request-Id: %s\nX-Deadline: 3000m\nContent-Length: auto\n\n%s",
 		class, id, body)))
 	conn.SetReadDeadline(time.Now().Add(3 * time.Second))
-	m, err := p.message("a")
+	m, err := p.readMessage("a")
 	assert.NoError(t, err, "%s has no final answer in its time", id)
 	return strings.HasPrefix(m, "HTTP/1.1 200") && strings.Contains(m, `"whole":true`) && strings.Count(m, `"value"`) == parts
 }
 
 // Both protocols together break no rule, and serve as well as HTTP alone.
-func TestMixedProtocolsServeAsHTTPAlone(t *testing.T) {
-	alone := run(t, false)
-	mixed := run(t, true)
+func TestMixedProtocolsServeSameFractionAsHTTP(t *testing.T) {
+	alone := servedFraction(t, false)
+	mixed := servedFraction(t, true)
 	t.Logf("served: HTTP alone %.3f, both protocols %.3f", alone, mixed)
 	require.Greater(t, alone, 0.9)
 	require.InDelta(t, alone, mixed, 0.02)
--- a/cmd/mothrouter/moments_test.go
+++ b/cmd/mothrouter/outage_test.go
@@ -18,7 +18,7 @@
 
 // A request that comes 1.2 s after SIGTERM would wait for 4 s, and its server never answers. SIGKILL comes 3.7 s after
 // SIGTERM, as deadlines over 3 s count as that. By then it has its answer, and the process has ended by itself.
-func TestARequestTakenLateIsAnsweredBeforeTheKill(t *testing.T) {
+func TestShutdownAnswersLateRequestBeforeKill(t *testing.T) {
 	t.Parallel()
 	for _, flags := range [][]string{nil, {"-cores", "../../deploy/cores.toml"}} {
 		t.Run(strings.Join(flags, " "), func(t *testing.T) {
@@ -26,14 +26,14 @@
 			p := newPlayer(t)
 			p.start([]string{"s0"}, 100, 1024, 15, flags...)
 			c := p.conn("a")
-			fmt.Fprint(c, up)
-			require.Contains(t, read(t, p.ins["a"]), "200 OK")
+			fmt.Fprint(c, readinessRequest)
+			require.Contains(t, readResponseHead(t, p.readers["a"]), "200 OK")
 			told := time.Now()
 			require.NoError(t, p.cmd.Process.Signal(syscall.SIGTERM))
 			time.Sleep(1200 * time.Millisecond)
-			fmt.Fprint(c, strings.Replace(query("late"), "2000m", "4000m", 1))
-			p.conn("s0")                                                        // takes the part and is silent
-			require.Contains(t, read(t, p.ins["a"]), "503 Service Unavailable") // a lookup may be asked again
+			fmt.Fprint(c, strings.Replace(queryRequest("late"), "2000m", "4000m", 1))
+			p.conn("s0")                                                                        // takes the part and is silent
+			require.Contains(t, readResponseHead(t, p.readers["a"]), "503 Service Unavailable") // a lookup may be asked again
 			require.Less(t, time.Since(told), 3600*time.Millisecond)
 			c.Close()
 			require.NoError(t, p.cmd.Wait())
@@ -42,8 +42,8 @@
 	}
 }
 
-// read reads an answer and returns its head.
-func read(t *testing.T, in *bufio.Reader) string {
+// readResponseHead reads an answer and returns its head.
+func readResponseHead(t *testing.T, in *bufio.Reader) string {
 	t.Helper()
 	var head strings.Builder
 	length := 0
@@ -62,7 +62,7 @@
 
 // Idle clients take all that they can while discovery is down. When it is back it is called, its news count, and a
 // client that asks then is served by the server that they name.
-func TestIdleClientsWhileDiscoveryIsDown(t *testing.T) {
+func TestDiscoveryReconnectsWhileIdleClientsFillDescriptors(t *testing.T) {
 	t.Parallel()
 	p := newPlayer(t)
 	down := p.listener("discovery")
@@ -73,8 +73,8 @@
 		p.conn(fmt.Sprintf("idle%d", i))
 	}
 	stop := make(chan struct{})
-	var crowd sync.WaitGroup
-	crowd.Go(func() {
+	var dialers sync.WaitGroup
+	dialers.Go(func() {
 		for {
 			select {
 			case <-stop:
@@ -86,32 +86,32 @@
 			}
 		}
 	})
-	defer crowd.Wait()
+	defer dialers.Wait()
 	defer close(stop)
 	time.Sleep(300 * time.Millisecond)
 	back := time.Now()
 	l, err := net.Listen("tcp", addr)
 	require.NoError(t, err)
-	p.peers["discovery"] = l
+	p.listeners["discovery"] = l
 	p.conn("discovery")
 	require.Less(t, time.Since(back), 6*time.Second)
 	p.play("discovery gets", "GET /discovery/hosts?follow=1&since=41 HTTP/1.1\nHost: ~")
 	p.play("discovery sends", "HTTP/1.1 200 OK\nTransfer-Encoding: chunked")
-	p.play("discovery sends", `~line {"version":42,"full":true,"servers":[`+p.entry("s1", "active")+`]}`)
-	go (&ledger{t: t, parts: map[string]*seenPart{}}).frames(p.listener("s1"))
+	p.play("discovery sends", `~line {"version":42,"full":true,"servers":[`+p.endpointEntry("s1", "active")+`]}`)
+	go (&attemptLedger{t: t, parts: map[string]*partAttempts{}}).serveFrames(p.listener("s1"))
 	require.Eventually(t, func() bool {
 		c, err := net.Dial("tcp", p.listen)
 		if err != nil {
 			return false
 		}
 		defer c.Close()
-		return strings.HasPrefix((&client{c, bufio.NewReader(c)}).asks(query(fmt.Sprint("q", time.Now().UnixNano()))), "HTTP/1.1 200 OK")
-	}, patience, 10*time.Millisecond)
+		return strings.HasPrefix((&clientConn{c, bufio.NewReader(c)}).roundTrip(queryRequest(fmt.Sprint("q", time.Now().UnixNano()))), "HTTP/1.1 200 OK")
+	}, waitTimeout, 10*time.Millisecond)
 }
 
 // Processes that are killed and started again, while discovery is down and clients flood them with nonsense, say that
 // they are up: nine in ten within 10 s.
-func TestRestartedProcessesAreReadySoon(t *testing.T) {
+func TestRestartReadyWithinLimit(t *testing.T) {
 	t.Parallel()
 	const processes = 10
 	ready := make(chan time.Duration, processes)
--- a/cmd/mothrouter/process.go
+++ b/cmd/mothrouter/process.go
@@ -43,43 +43,43 @@
 
 // process is a broker's process: what it was told, and its running parts as they are put together.
 type process struct {
-	files   files
-	started time.Time
-	cfg     *config.Config // of the start
-	workers int
-	flight  *config.Flight // nil: Arrow Flight is off
-	log     *slog.Logger
-	hup     chan os.Signal // SIGHUP
-	term    chan os.Signal // SIGTERM and interrupts
-	ctx     context.Context
+	files         operatorFiles
+	started       time.Time
+	startConfig   *config.Config // of the start
+	workers       int
+	flightConfig  *config.Flight // nil: Arrow Flight is off
+	log           *slog.Logger
+	reloadSignals chan os.Signal // SIGHUP
+	stopSignals   chan os.Signal // SIGTERM and interrupts
+	ctx           context.Context
 
-	parts     *assembly.Assembly
-	fleetSize int // brokers that share discovery and control, by the settings
-	backoff   *backoff.Backoff
-	metrics   *metrics.Counters
-	core      core
-	died      <-chan struct{} // closed when a worker has died; nil, which never speaks, with one loop
-	watcher   *discovery.Watcher
-	followed  *followed
-	revisions *configfollower.Client // nil: no control machine changes the configuration
+	components      *assembly.Assembly
+	fleetSize       int // brokers that share discovery and control, by the settings
+	backoff         *backoff.Backoff
+	metrics         *metrics.Counters
+	core            core
+	workerFailed    <-chan struct{} // closed when a worker has died; nil, which never speaks, with one loop
+	watcher         *discovery.Watcher
+	discoverySwitch *discoverySwitch
+	configFollower  *configfollower.Client // nil: no control machine changes the configuration
 
-	listener net.Listener
-	clients  *front.Front
-	flights  *flight.Front // nil: Arrow Flight is off
-	served   chan error    // of each front that has ended
+	listener    net.Listener
+	clientFront *front.Front
+	flightFront *flight.Front // nil: Arrow Flight is off
+	frontEnded  chan error    // of each front that has ended
 }
 
 // run is the process, from its start to its end.
-func run(getenv func(string) string, files files) error {
-	p := &process{files: files, started: time.Now(), parts: &assembly.Assembly{}, served: make(chan error, 3)}
+func run(getenv func(string) string, files operatorFiles) error {
+	p := &process{files: files, started: time.Now(), components: &assembly.Assembly{}, frontEnded: make(chan error, 3)}
 	p.handleSignals()
-	if err := p.load(getenv); err != nil {
+	if err := p.readConfig(getenv); err != nil {
 		return err
 	}
 	var cancel context.CancelFunc
 	p.ctx, cancel = context.WithCancel(context.Background())
 	defer cancel()
-	defer p.parts.End()
+	defer p.components.End()
 	if err := p.assemble(); err != nil {
 		return err
 	}
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	if err := p.end(); err != nil {
+	if err := p.shutDown(); err != nil {
 		return err
 	}
 	cancel()
@@ -100,29 +100,29 @@
 
 // handleSignals comes before all else: a broker must not end because it was told of a new file.
 func (p *process) handleSignals() {
-	p.hup = make(chan os.Signal, 1)
-	signal.Notify(p.hup, syscall.SIGHUP)
-	p.term = make(chan os.Signal, 1)
+	p.reloadSignals = make(chan os.Signal, 1)
+	signal.Notify(p.reloadSignals, syscall.SIGHUP)
+	p.stopSignals = make(chan os.Signal, 1)
 }
 
-// load reads the configuration and the operator files that shape the process, and bounds it by them.
-func (p *process) load(getenv func(string) string) (err error) {
-	if p.cfg, err = config.Load(getenv); err != nil {
+// readConfig reads the configuration and the operator files that shape the process, and bounds it by them.
+func (p *process) readConfig(getenv func(string) string) (err error) {
+	if p.startConfig, err = config.Load(getenv); err != nil {
 		return err
 	}
 	p.workers = 1
 	if p.files.cores != "" {
-		if p.workers, err = config.LoadCores(p.files.cores, p.cfg); err != nil {
+		if p.workers, err = config.LoadCores(p.files.cores, p.startConfig); err != nil {
 			return err
 		}
 	}
 	runtime.GOMAXPROCS(min(p.workers, runtime.NumCPU())) // a broker on the platform has one core
-	debug.SetMemoryLimit(int64(memoryFraction * float64(p.cfg.MemoryMB<<20)))
-	p.log = slog.New(slog.NewTextHandler(os.Stderr, nil)).With("broker", p.cfg.Name)
-	p.parts.Log = p.log
-	signal.Notify(p.term, syscall.SIGTERM, os.Interrupt)
+	debug.SetMemoryLimit(int64(memoryFraction * float64(p.startConfig.MemoryMB<<20)))
+	p.log = slog.New(slog.NewTextHandler(os.Stderr, nil)).With("broker", p.startConfig.Name)
+	p.components.Log = p.log
+	signal.Notify(p.stopSignals, syscall.SIGTERM, os.Interrupt)
 	if p.files.flight != "" {
-		p.flight, err = config.LoadFlight(p.files.flight, p.cfg)
+		p.flightConfig, err = config.LoadFlight(p.files.flight, p.startConfig)
 	}
 	return err
 }
@@ -130,20 +130,20 @@
 // start starts the loops and what runs beside them.
 func (p *process) start() {
 	go p.core.Run(p.ctx)
-	p.core.Update(p.cfg.Known)
-	p.parts.Start()
+	p.core.Update(p.startConfig.Known)
+	p.components.Start()
 	go p.watcher.Run(p.ctx)
-	go reload(p.hup, p.cfg, p.followed, p.log)
+	go reload(p.reloadSignals, p.startConfig, p.discoverySwitch, p.log)
 }
 
 // wait waits until the process has to end. The error ends it at once; why is told after an end in order.
 func (p *process) wait() (why, err error) {
 	select {
-	case err := <-p.served:
+	case err := <-p.frontEnded:
 		return nil, err
-	case <-p.term:
+	case <-p.stopSignals:
 		return nil, nil
-	case <-p.died:
+	case <-p.workerFailed:
 		return errors.New("a worker has died; what the others held was answered"), nil
 	}
 }
--- a/cmd/mothrouter/refusal.go
+++ b/cmd/mothrouter/rejection.go
@@ -7,9 +7,9 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// rejection is why a revision, or a document that has no number yet (0), cannot be taken, by the key that is at fault; nil:
+// newRejection is why a revision, or a document that has no number yet (0), cannot be taken, by the key that is at fault; nil:
 // it can.
-func rejection(number uint64, err error) *configpb.Refusal {
+func newRejection(number uint64, err error) *configpb.Refusal {
 	if err == nil {
 		return nil
 	}
--- a/cmd/mothrouter/serve.go
+++ b/cmd/mothrouter/serve.go
@@ -15,33 +15,33 @@
 
 // serve opens the process to clients and operators.
 func (p *process) serve() (err error) {
-	if p.listener, err = listen(p.cfg); err != nil {
+	if p.listener, err = listen(p.startConfig); err != nil {
 		return err
 	}
-	p.clients = front.New(front.Options{
-		Classes: p.cfg.Classes, Shards: p.cfg.Shards, MaxConns: p.cfg.MaxClientConns, MaxIdleConns: p.cfg.MaxIdleConns,
-		MaxBufferedBytes: p.cfg.MaxBufferedBytes, RetryAfter: p.cfg.RetryAfter(), Metrics: p.metrics,
+	p.clientFront = front.New(front.Options{
+		Classes: p.startConfig.Classes, Shards: p.startConfig.Shards, MaxConns: p.startConfig.MaxClientConns, MaxIdleConns: p.startConfig.MaxIdleConns,
+		MaxBufferedBytes: p.startConfig.MaxBufferedBytes, RetryAfter: p.startConfig.RetryAfter(), Metrics: p.metrics,
 	}, p.core, p.log)
-	go func() { p.served <- p.clients.Serve(p.listener) }()
-	if p.cfg.Control != "" {
-		l, err := net.Listen("tcp", p.cfg.Control)
+	go func() { p.frontEnded <- p.clientFront.Serve(p.listener) }()
+	if p.startConfig.Control != "" {
+		l, err := net.Listen("tcp", p.startConfig.Control)
 		if err != nil {
 			return fmt.Errorf("control: %w", err)
 		}
-		operators := admin.New(operatedProcess{p.clients, p.metrics}, p.log)
-		go func() { p.served <- operators.Serve(l) }()
+		adminServer := admin.New(adminProcess{p.clientFront, p.metrics}, p.log)
+		go func() { p.frontEnded <- adminServer.Serve(l) }()
 	}
-	if p.flight != nil {
-		l, err := net.Listen("tcp", p.flight.Listen)
+	if p.flightConfig != nil {
+		l, err := net.Listen("tcp", p.flightConfig.Listen)
 		if err != nil {
 			return fmt.Errorf("flight.listen: %w", err)
 		}
-		p.flights = flight.NewFront(flight.Options{
-			Classes: p.cfg.Classes, Shards: p.cfg.Shards, MaxConns: p.flight.Connections,
-		}, &drainAwareCore{p.core, p.clients.RejectsRequests, p.cfg.RetryAfter()})
-		go func() { p.served <- p.flights.Serve(l, p.log) }()
+		p.flightFront = flight.NewFront(flight.Options{
+			Classes: p.startConfig.Classes, Shards: p.startConfig.Shards, MaxConns: p.flightConfig.Connections,
+		}, &drainAwareCore{p.core, p.clientFront.RejectsRequests, p.startConfig.RetryAfter()})
+		go func() { p.frontEnded <- p.flightFront.Serve(l, p.log) }()
 	}
-	p.log.Info("serving", "listen", p.cfg.Listen, "servers", len(p.cfg.Known.Servers))
+	p.log.Info("serving", "listen", p.startConfig.Listen, "servers", len(p.startConfig.Known.Servers))
 	return nil
 }
 
@@ -80,13 +80,13 @@
 	d.core.Submit(r, c)
 }
 
-// operatedProcess is the process as operators steer it.
-type operatedProcess struct {
+// adminProcess is the process as operators steer it.
+type adminProcess struct {
 	clients *front.Front
 	metrics *metrics.Counters
 }
 
-func (s operatedProcess) AcceptsClients() bool          { return s.clients.AcceptsClients() }
-func (s operatedProcess) StartDrain()                   { s.clients.Drain() }
-func (s operatedProcess) CancelDrain()                  { s.clients.Rejoin() }
-func (s operatedProcess) AppendMetrics(b []byte) []byte { return s.metrics.Append(b) }
+func (s adminProcess) AcceptsClients() bool          { return s.clients.AcceptsClients() }
+func (s adminProcess) StartDrain()                   { s.clients.Drain() }
+func (s adminProcess) CancelDrain()                  { s.clients.Rejoin() }
+func (s adminProcess) AppendMetrics(b []byte) []byte { return s.metrics.Append(b) }
--- /dev/null
+++ b/cmd/mothrouter/serve_test.go
@@ -0,0 +1,34 @@
+package main
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"mothrouter/internal/broker"
+)
+
+// recordingCore is a core that keeps what it is handed.
+type recordingCore struct {
+	core
+	submitted int
+}
+
+func (t *recordingCore) Submit(*broker.Request, broker.Client) { t.submitted++ }
+
+type resultChannel chan broker.Result
+
+func (a resultChannel) Finish(r broker.Result) { a <- r }
+
+// A drain that refuses requests refuses those of the other front too, at once and with when to come back.
+func TestDrainAwareCoreRejectsWhileDraining(t *testing.T) {
+	inner, refuses := &recordingCore{}, false
+	d := &drainAwareCore{inner, func() bool { return refuses }, 0.5}
+	a := make(resultChannel, 1)
+	d.Submit(&broker.Request{}, a)
+	require.Equal(t, 1, inner.submitted)
+	refuses = true
+	d.Submit(&broker.Request{}, a)
+	require.Equal(t, 1, inner.submitted)
+	require.Equal(t, broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}, <-a)
+}
--- a/cmd/mothrouter/operate_test.go
+++ b/cmd/mothrouter/serving_broker_test.go
@@ -16,20 +16,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// operated is a running program with a control address, on a stand-in directory and one record server that answers.
-type operated struct {
-	*player
+// servingBroker is a running program with a control address, on a stand-in directory and one record server that answers.
+type servingBroker struct {
+	*exchangePlayer
 	control string
 }
 
-func operate(t *testing.T, env []string, files []*os.File, listen string) *operated {
+func operate(t *testing.T, env []string, files []*os.File, listen string) *servingBroker {
 	return operateAll(t, env, files, listen, nil)
 }
 
-func operateWith(t *testing.T, flags []string) *operated { return operateAll(t, nil, nil, "", flags) }
+func operateWith(t *testing.T, flags []string) *servingBroker {
+	return operateAll(t, nil, nil, "", flags)
+}
 
-func operateAll(t *testing.T, env []string, files []*os.File, listen string, flags []string) *operated {
-	o := &operated{player: newPlayer(t), control: unused(t)}
+func operateAll(t *testing.T, env []string, files []*os.File, listen string, flags []string) *servingBroker {
+	o := &servingBroker{exchangePlayer: newPlayer(t), control: unusedAddress(t)}
 	directory, server := o.listener("discovery"), o.listener("s1")
 	t.Cleanup(func() { directory.Close(); server.Close() })
 	go func() { // a directory that has nothing to tell
@@ -41,14 +43,14 @@
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
 		}
 	}()
-	go (&ledger{t: t, parts: map[string]*seenPart{}}).frames(server)
+	go (&attemptLedger{t: t, parts: map[string]*partAttempts{}}).serveFrames(server)
 	if o.listen = listen; listen == "" {
-		o.listen = unused(t)
+		o.listen = unusedAddress(t)
 	}
 	o.config = filepath.Join(t.TempDir(), "config.json")
 	text := fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"control":%q,"seed":"1","limits":{"memory_mb":192,"sockets":256},
 		"known":{"version":41,"full":true,"servers":[%s]},"settings":%s}`, o.listen, directory.Addr(), o.control,
-		o.entry("s1", "active"), fmt.Sprintf(profile, 15., 400))
+		o.endpointEntry("s1", "active"), fmt.Sprintf(settingsFormat, 15., 400))
 	require.NoError(t, os.WriteFile(o.config, []byte(text), 0o600))
 	o.cmd = exec.Command(program, flags...)
 	o.cmd.Env = append(append(os.Environ(), "PROXY_CONFIG="+o.config), env...)
@@ -60,12 +62,12 @@
 		o.cmd.Wait()
 		require.NotContains(t, o.log.String(), "DATA RACE")
 	})
-	require.Eventually(t, func() bool { return strings.HasPrefix(o.say("HEALTH"), "ACK") }, patience, 20*time.Millisecond)
+	require.Eventually(t, func() bool { return strings.HasPrefix(o.callControl("HEALTH"), "ACK") }, waitTimeout, 20*time.Millisecond)
 	return o
 }
 
-// say makes one call at the control address; "" if nobody answers.
-func (o *operated) say(call string) string {
+// callControl makes one call at the control address; "" if nobody answers.
+func (o *servingBroker) callControl(call string) string {
 	c, err := net.Dial("tcp", o.control)
 	if err != nil {
 		return ""
@@ -77,25 +79,25 @@
 	return string(reply)
 }
 
-// client is a connection of a client.
-type client struct {
+// clientConn is a connection of a client.
+type clientConn struct {
 	net.Conn
 	in *bufio.Reader
 }
 
-func (o *operated) dial() *client {
+func (o *servingBroker) dial() *clientConn {
 	c, err := net.Dial("tcp", o.listen)
 	require.NoError(o.t, err)
 	o.t.Cleanup(func() { c.Close() })
-	return &client{c, bufio.NewReader(c)}
+	return &clientConn{c, bufio.NewReader(c)}
 }
 
-// asks sends one request and returns the status line and the head of its answer.
-func (c *client) asks(head string) string {
+// roundTrip sends one request and returns the status line and the head of its answer.
+func (c *clientConn) roundTrip(head string) string {
 	if _, err := fmt.Fprint(c, head); err != nil {
 		return ""
 	}
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(waitTimeout))
 	var answer strings.Builder
 	length := 0
 	for {
@@ -111,9 +113,9 @@
 	}
 }
 
-const up = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+const readinessRequest = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
-func query(id string) string {
+func queryRequest(id string) string {
 	body := `{"targets":[{"partition":1,"share":1}],"query":"x"}`
 	return fmt.Sprintf("POST /usage-lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: usage-lookup\r\nX-Deadline: 2000m\r\nContent-Length: %d\r\n\r\n%s",
 		id, len(body), body)
@@ -121,47 +123,47 @@
 
 // A drain goes in steps: not up at once, then idle connections end, then requests are refused; the figures are true;
 // and all is undone by its end.
-func TestLeaveAndJoin(t *testing.T) {
+func TestDrainStepsAndCancel(t *testing.T) {
 	t.Parallel()
 	o := operate(t, nil, nil, "")
 	idle, busy := o.dial(), o.dial()
-	require.Contains(t, idle.asks(query("a")), " 200 ")
-	require.Contains(t, busy.asks(up), " 200 ")
-	require.Equal(t, "ACK\n", o.say("LEAVE"))
+	require.Contains(t, idle.roundTrip(queryRequest("a")), " 200 ")
+	require.Contains(t, busy.roundTrip(readinessRequest), " 200 ")
+	require.Equal(t, "ACK\n", o.callControl("LEAVE"))
 	left := time.Now()
-	require.Contains(t, o.say("HEALTH"), "NAK")
-	require.NotContains(t, o.dial().asks(up), " 200 ")
-	answer := busy.asks(query("b")) // on a connection from before
+	require.Contains(t, o.callControl("HEALTH"), "NAK")
+	require.NotContains(t, o.dial().roundTrip(readinessRequest), " 200 ")
+	answer := busy.roundTrip(queryRequest("b")) // on a connection from before
 	require.Contains(t, answer, " 200 ")
 	require.Contains(t, answer, "Connection: close")
-	idle.SetReadDeadline(time.Now().Add(patience))
+	idle.SetReadDeadline(time.Now().Add(waitTimeout))
 	_, err := idle.in.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
 	require.InDelta(t, 1.5, time.Since(left).Seconds(), 0.6)
 	time.Sleep(time.Until(left.Add(2100 * time.Millisecond)))
-	answer = o.dial().asks(query("c"))
+	answer = o.dial().roundTrip(queryRequest("c"))
 	require.Contains(t, answer, " 503 ")
 	require.Contains(t, answer, "Retry-After")
 	late := o.dial() // says nothing
 	late.SetReadDeadline(time.Now().Add(time.Second))
 	_, err = late.in.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
-	figures := o.say("DUMP")
+	counters := o.callControl("DUMP")
 	for _, line := range []string{"svc.operations.usage-lookup.fulfilled:2|c", "svc.operations.usage-lookup.throttled:1|c",
 		"svc.open_requests:0|g", "svc.registry_entries:1|g", "svc.out_of_rotation:0|g"} {
-		require.Contains(t, figures, line+"\n")
+		require.Contains(t, counters, line+"\n")
 	}
-	require.True(t, strings.HasSuffix(figures, "\n--\n"))
-	require.Equal(t, "ACK\n", o.say("JOIN"))
-	require.Equal(t, "ACK\n", o.say("HEALTH"))
+	require.True(t, strings.HasSuffix(counters, "\n--\n"))
+	require.Equal(t, "ACK\n", o.callControl("JOIN"))
+	require.Equal(t, "ACK\n", o.callControl("HEALTH"))
 	again := o.dial()
-	require.Contains(t, again.asks(up), " 200 ")
-	require.NotContains(t, again.asks(query("d")), "Connection: close")
+	require.Contains(t, again.roundTrip(readinessRequest), " 200 ")
+	require.NotContains(t, again.roundTrip(queryRequest("d")), "Connection: close")
 }
 
 // Two processes share the listening socket that the platform holds. The old one ends, or is killed, while clients
 // come without a pause: nobody is turned away, and what the old one holds it finishes.
-func TestHandoverOfTheListeningSocket(t *testing.T) {
+func TestListenerHandoverLosesNoRequest(t *testing.T) {
 	for _, killed := range []bool{false, true} {
 		t.Run(fmt.Sprint("killed ", killed), func(t *testing.T) {
 			t.Parallel()
@@ -185,7 +187,7 @@
 			for n := 0; time.Now().Before(stop); n++ { // each on a connection of its own
 				c, err := net.Dial("tcp", l.Addr().String())
 				require.NoError(t, err)
-				if strings.Contains((&client{c, bufio.NewReader(c)}).asks(query(fmt.Sprint("h", n))), " 200 ") {
+				if strings.Contains((&clientConn{c, bufio.NewReader(c)}).roundTrip(queryRequest(fmt.Sprint("h", n))), " 200 ") {
 					served++
 				} else {
 					lost++
@@ -203,13 +205,13 @@
 	}
 }
 
-func TestABadInheritedDescriptorIsNamed(t *testing.T) {
+func TestAcceptFDRejectsBadDescriptor(t *testing.T) {
 	t.Parallel()
 	for fd, want := range map[string]string{"7": "PROXY_ACCEPT_FD: 7 is no listening socket", "two": "PROXY_ACCEPT_FD: \"two\"",
 		"1": "PROXY_ACCEPT_FD: \"1\""} {
 		p := newPlayer(t)
 		p.config = filepath.Join(t.TempDir(), "config.json")
-		text := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":%s}`, fmt.Sprintf(profile, 15., 400))
+		text := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":%s}`, fmt.Sprintf(settingsFormat, 15., 400))
 		require.NoError(t, os.WriteFile(p.config, []byte(text), 0o600))
 		cmd := exec.Command(program)
 		cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.config, "PROXY_ACCEPT_FD="+fd)
--- a/cmd/mothrouter/state_test.go
+++ b/cmd/mothrouter/state_test.go
@@ -20,14 +20,14 @@
 	return path
 }
 
-func state(t *testing.T, args ...string) (string, error) {
+func stateCommand(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	out, err := exec.Command(program, append([]string{"state"}, args...)...).CombinedOutput()
 	return string(out), err
 }
 
 // What a broker has learned is there for the next one, with one loop and with several, and the commands show it.
-func TestLearnedStateLastsOverARestart(t *testing.T) {
+func TestSavedStateRestoredAfterRestart(t *testing.T) {
 	for _, cores := range []bool{false, true} {
 		t.Run(fmt.Sprint("several cores ", cores), func(t *testing.T) {
 			t.Parallel()
@@ -39,20 +39,20 @@
 			first := operateWith(t, flags)
 			require.Contains(t, first.log.String(), "no saved state, starting blank")
 			for n := range 20 {
-				require.Contains(t, first.dial().asks(query(fmt.Sprint("s", n))), " 200 ")
+				require.Contains(t, first.dial().roundTrip(queryRequest(fmt.Sprint("s", n))), " 200 ")
 			}
 			require.NoError(t, first.cmd.Process.Signal(syscall.SIGTERM))
 			require.NoError(t, first.cmd.Wait())
-			out, err := state(t, "verify", folder)
+			out, err := stateCommand(t, "verify", folder)
 			require.NoError(t, err, out)
 			require.Contains(t, out, "1 servers")
-			out, err = state(t, "inspect", folder)
+			out, err = stateCommand(t, "inspect", folder)
 			require.NoError(t, err, out)
 			require.Contains(t, out, "broker n1")
 			require.Contains(t, out, "s1 ")
 			second := operateWith(t, flags)
 			require.Contains(t, second.log.String(), "saved state restored")
-			require.Contains(t, second.dial().asks(query("again")), " 200 ")
+			require.Contains(t, second.dial().roundTrip(queryRequest("again")), " 200 ")
 			require.NoError(t, second.cmd.Process.Kill())
 			second.cmd.Wait()
 
@@ -60,14 +60,14 @@
 			b, err := os.ReadFile(path)
 			require.NoError(t, err)
 			require.NoError(t, os.WriteFile(path, b[:len(b)-1], 0o600))
-			out, err = state(t, "verify", folder)
+			out, err = stateCommand(t, "verify", folder)
 			require.Error(t, err)
 			require.Contains(t, out, "truncated")
 			third := operateWith(t, flags)
 			require.Contains(t, third.log.String(), "truncated")
-			require.Contains(t, third.dial().asks(query("blank")), " 200 ")
+			require.Contains(t, third.dial().roundTrip(queryRequest("blank")), " 200 ")
 			require.Contains(t, first.log.String()+third.log.String(), "starting blank")
-			_, err = state(t, "delete", folder)
+			_, err = stateCommand(t, "delete", folder)
 			require.NoError(t, err)
 			require.NoFileExists(t, filepath.Join(folder, "learned.moth.bad"))
 		})
@@ -75,22 +75,22 @@
 }
 
 // SIGTERM while it saves, at any moment: the file is whole.
-func TestSigtermDuringASave(t *testing.T) {
+func TestStateFileCompleteAfterSIGTERMDuringSave(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	flags := []string{"-state", stateFile(t, folder)}
 	for i := range 3 {
 		o := operateWith(t, flags)
-		require.Contains(t, o.dial().asks(query("q")), " 200 ")
+		require.Contains(t, o.dial().roundTrip(queryRequest("q")), " 200 ")
 		time.Sleep(time.Duration(350+50*i) * time.Millisecond) // the first save is due after 375 to 625 ms
 		require.NoError(t, o.cmd.Process.Signal(syscall.SIGTERM))
 		require.NoError(t, o.cmd.Wait())
-		out, err := state(t, "verify", folder)
+		out, err := stateCommand(t, "verify", folder)
 		require.NoError(t, err, out)
 	}
 }
 
-func TestABadStateFileIsRefusedByKey(t *testing.T) {
+func TestStateFileRejectedByKey(t *testing.T) {
 	t.Parallel()
 	for text, want := range map[string]string{
 		"":                               "state.folder: is missing",
@@ -100,7 +100,7 @@
 	} {
 		p := newPlayer(t)
 		p.config = filepath.Join(t.TempDir(), "config.json")
-		config := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":%s}`, fmt.Sprintf(profile, 15., 400))
+		config := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":%s}`, fmt.Sprintf(settingsFormat, 15., 400))
 		require.NoError(t, os.WriteFile(p.config, []byte(config), 0o600))
 		path := filepath.Join(t.TempDir(), "state.toml")
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
@@ -110,7 +110,7 @@
 		require.Error(t, err)
 		require.Contains(t, string(out), want)
 	}
-	out, err := state(t, "inspect", t.TempDir())
+	out, err := stateCommand(t, "inspect", t.TempDir())
 	require.Error(t, err)
 	require.True(t, strings.HasPrefix(out, "mothrouter: "), out)
 }
--- a/cmd/mothrouter/validate_test.go
+++ b/cmd/mothrouter/validate_test.go
@@ -10,7 +10,7 @@
 const validDocument = `{"discovery":"127.0.0.1:1","settings":{"peersTotal":3,"classes":[{"name":"c","deadlineS":2,` +
 	`"objectiveS":1,"semantics":"free"}],"familyInfo":{"cells":1,"slabs":1},"caps":{"openCap":50}}}`
 
-func TestValidateDocumentNamesTheKeyAtFault(t *testing.T) {
+func TestValidateDocumentReturnsInvalidKey(t *testing.T) {
 	for _, c := range []struct{ name, document, newest, key string }{
 		{"the first", validDocument, "", ""},
 		{"the same", validDocument, validDocument, ""},
