--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -20,8 +20,8 @@
 	"mothrouter/internal/workers/cores"
 )
 
-// assemble puts the process together. Beside the loops run the parts; a part that rests on another is added, and so
-// started, after it.
+// assemble creates the core and the components that run beside it. A component that depends on another is added, and
+// so started, after it.
 func (p *process) assemble() error {
 	p.metrics = metrics.New(p.startConfig.Classes, func() metrics.Gauges { return metrics.Gauges(p.core.Gauges()) })
 	link := p.link()
@@ -34,37 +34,41 @@
 	}
 	p.makeCore(link)
 	p.watcher = &discovery.Watcher{
-		Addr: p.startConfig.Discovery, NameTable: p.startConfig.NameTable, Since: p.startConfig.Version, Update: p.core.Update, Log: p.log,
-		Backoff: p.backoff,
+		Addr: p.startConfig.Discovery, NameTable: p.startConfig.NameTable, Since: p.startConfig.Version,
+		Update: p.core.Update, Log: p.log, Backoff: p.backoff,
+	}
+	p.discoverySwitch = &discoverySwitch{
+		address: p.startConfig.Discovery, changeAddress: p.watcher.ChangeAddress, log: p.log,
 	}
-	p.discoverySwitch = &discoverySwitch{address: p.startConfig.Discovery, changeAddress: p.watcher.ChangeAddress, log: p.log}
 	return p.addConfiguration()
 }
 
-// link is the way to the record servers.
+// link returns the link to the record servers.
 func (p *process) link() broker.Link {
+	cfg := p.startConfig
 	frames := upstream.New(p.ctx, upstream.Options{
-		MaxStreams: p.startConfig.MaxStreams, MaxConns: p.startConfig.MaxServerConns, IdleTimeout: p.startConfig.ConnIdleTimeout, ConnectTimeout: p.startConfig.ConnectTimeout,
-		OnSent: p.metrics.RecordSent,
+		MaxStreams: cfg.MaxStreams, MaxConns: cfg.MaxServerConns, IdleTimeout: cfg.ConnIdleTimeout,
+		ConnectTimeout: cfg.ConnectTimeout, OnSent: p.metrics.RecordSent,
 	})
 	if p.flightConfig != nil {
-		return newMixedLink(p.ctx, p.startConfig, p.flightConfig, frames)
+		return newMixedLink(p.ctx, cfg, p.flightConfig, frames)
 	}
 	return frames
 }
 
-// newMixedLink is the link to servers of both protocols.
+// newMixedLink returns a link to the record servers of both protocols; flightConfig lists those that speak Flight.
 func newMixedLink(ctx context.Context, cfg *config.Config, flightConfig *config.Flight, frames broker.Link) broker.Link {
 	speaksFlight := map[string]bool{}
 	for _, id := range flightConfig.Servers {
 		speaksFlight[id] = true
 	}
 	return &flight.Mixed{Frames: frames, Speaks: speaksFlight, Flight: flight.NewLink(ctx, flight.LinkOptions{
-		MaxStreams: cfg.MaxStreams, MaxConns: flightConfig.ServerConns, IdleTimeout: cfg.ConnIdleTimeout, ConnectTimeout: cfg.ConnectTimeout,
+		MaxStreams: cfg.MaxStreams, MaxConns: flightConfig.ServerConns, IdleTimeout: cfg.ConnIdleTimeout,
+		ConnectTimeout: cfg.ConnectTimeout,
 	})}
 }
 
-// addState has learned state last over restarts.
+// addState restores the snapshot of server health and adds the component that saves it, if there is a file for it.
 func (p *process) addState() error {
 	if p.files.state == "" {
 		return nil
@@ -73,14 +77,16 @@
 	if err != nil {
 		return err
 	}
-	saver := checkpoint.Open(checkpoint.Options{Folder: state.Folder, Interval: state.Interval, Instance: p.startConfig.Name,
-		Settings: p.startConfig.Fingerprint(), Seed: p.startConfig.Seed, Log: p.log})
+	saver := checkpoint.Open(checkpoint.Options{
+		Folder: state.Folder, Interval: state.Interval, Instance: p.startConfig.Name,
+		Settings: p.startConfig.Fingerprint(), Seed: p.startConfig.Seed, Log: p.log,
+	})
 	p.components.Add(assembly.Part{Name: "state", Run: saver.Run,
 		Wrap: func(_ int, inner decision.Decider) decision.Decider { return saver.Watch(inner) }})
 	return nil
 }
 
-// addBackoff spreads calls of all brokers to what they share.
+// addBackoff sets the backoff of calls to services that all brokers share, for the fleet's size by the settings.
 func (p *process) addBackoff() {
 	callers, inRange := backoff.ClampCallers(p.startConfig.Settings.Brokers)
 	if !inRange {
@@ -90,7 +96,7 @@
 	p.fleetSize, p.backoff = callers, backoff.New(callers, p.startConfig.Seed)
 }
 
-// addFleet has brokers know of each other.
+// addFleet adds the membership of the fleet, if there is a file for it.
 func (p *process) addFleet() error {
 	if p.files.fleet == "" {
 		return nil
@@ -113,14 +119,16 @@
 	return nil
 }
 
-// joinFleet opens this process's end of the fleet's plane. Each change of the fleet is told as the number of brokers that
-// share what a cold server bears and what discovery serves; one that is fenced has no part of it.
+// joinFleet opens the process's membership socket. Whenever the fleet's size changes, it calls onResize with the number
+// of brokers that share slow-start budgets and the discovery service: at least the number by the settings. A fenced
+// broker, which a majority may have removed, takes the smallest share (backoff.MaxCallers).
 func joinFleet(fleetConfig *config.Fleet, cfg *config.Config, log *slog.Logger, onResize func(n int)) (*fleet.Plane, error) {
 	return fleet.Listen(fleet.Options{
-		Listen: fleetConfig.Listen, Advertise: fleetConfig.Advertise, Fleet: fleetConfig.Fleet, Name: fleetConfig.Name, Seeds: fleetConfig.Seeds,
-		Seed: cfg.Seed, Log: log, Changed: func(c membership.FleetSize) {
-			n := max(c.Sharing, cfg.Settings.Brokers)
-			if c.Fenced {
+		Listen: fleetConfig.Listen, Advertise: fleetConfig.Advertise, Fleet: fleetConfig.Fleet, Name: fleetConfig.Name,
+		Seeds: fleetConfig.Seeds, Seed: cfg.Seed, Log: log,
+		Changed: func(size membership.FleetSize) {
+			n := max(size.Sharing, cfg.Settings.Brokers)
+			if size.Fenced {
 				n = backoff.MaxCallers
 			}
 			onResize(n)
@@ -128,18 +136,20 @@
 	})
 }
 
-// makeCore makes one loop, or several. With one loop its panic ends the process.
+// makeCore creates the core: one loop, or several with -cores. A panic of a single loop ends the process; one of
+// several loops closes workerFailed.
 func (p *process) makeCore(link broker.Link) {
+	cfg := p.startConfig
 	decider := p.components.Decider(func(_ int, set decision.Settings, seed uint64) decision.Decider {
 		return decision.New(set, seed)
 	})
 	if p.files.cores == "" {
-		p.core = broker.New(broker.Options{Settings: p.startConfig.Settings, ConcurrencyLimit: p.startConfig.ConcurrencyLimit, Log: p.log},
-			decider(0, p.startConfig.Settings, p.startConfig.Seed), link)
+		options := broker.Options{Settings: cfg.Settings, ConcurrencyLimit: cfg.ConcurrencyLimit, Log: p.log}
+		p.core = broker.New(options, decider(0, cfg.Settings, cfg.Seed), link)
 		return
 	}
 	group := cores.New(cores.Options{
-		Workers: p.workers, Settings: p.startConfig.Settings, ConcurrencyLimit: p.startConfig.ConcurrencyLimit, Seed: p.startConfig.Seed, Log: p.log,
+		Workers: p.workers, Settings: cfg.Settings, ConcurrencyLimit: cfg.ConcurrencyLimit, Seed: cfg.Seed, Log: p.log,
 		Decider: decider,
 	}, link)
 	p.core, p.workerFailed = group, group.Failed()
--- a/cmd/mothrouter/commands.go
+++ b/cmd/mothrouter/commands.go
@@ -8,13 +8,13 @@
 	"github.com/spf13/cobra"
 )
 
-// commands are the first arguments that call a command. All else starts a broker, with its own flags.
+// commands holds the first arguments that name a command. Any other arguments start a broker and are its flags.
 var commands = map[string]bool{"state": true, "control": true, "config": true}
 
-// isCommand tells whether the arguments call a command rather than start a broker.
+// isCommand reports whether the process's arguments name a command rather than start a broker.
 func isCommand(args []string) bool { return len(args) > 1 && commands[args[1]] }
 
-// exitError is an error that ends the process with a status other than 1.
+// exitError is an error with an exit status other than 1.
 type exitError struct {
 	error
 	status int
@@ -22,7 +22,7 @@
 
 func (e exitError) Unwrap() error { return e.error }
 
-// runCommand runs the command that the arguments of the process call, and returns the status to end with.
+// runCommand runs the command that the process's arguments name and returns the exit status.
 func runCommand() int {
 	root := stateCommand()
 	root.AddCommand(controlCommand(), configCommand())
@@ -37,11 +37,11 @@
 	return 1
 }
 
-// addressesFlag adds the flag that lists control machines.
+// addressesFlag adds the required flag --control, which lists the addresses of control machines.
 func addressesFlag(c *cobra.Command) *[]string {
 	addresses := c.Flags().StringSlice("control", nil, "`addresses` of control machines: host:port, separated by commas")
 	if err := c.MarkFlagRequired("control"); err != nil {
-		panic(err) // the flag is the one above
+		panic(err) // only possible if the flag above is not defined
 	}
 	return addresses
 }
--- a/cmd/mothrouter/config_command.go
+++ b/cmd/mothrouter/config_command.go
@@ -5,8 +5,10 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"math/rand/v2"
 	"os"
+	"slices"
 	"strconv"
 	"sync"
 	"time"
@@ -18,10 +20,11 @@
 	"mothrouter/internal/controlplane/operatorclient"
 )
 
-// Statuses of `mothrouter config publish` beside 0 (committed) and 1 (refused, or surely not taken).
-const exitUnknown = 3 // nobody knows whether it is committed
+// exitUnknown is the exit status of `mothrouter config publish` when it cannot determine whether the document is
+// committed. The others are 0 (committed) and 1 (rejected, or certainly not committed).
+const exitUnknown = 3
 
-// configCommand is `mothrouter config`: what operators do with the configuration of all brokers.
+// configCommand returns `mothrouter config`, which publishes and shows the configuration of all brokers.
 func configCommand() *cobra.Command {
 	c := &cobra.Command{Use: "config", Short: "Publish the configuration of all brokers, and see where it is in force"}
 	c.AddCommand(publishCommand(), statusCommand(), showCommand())
@@ -65,7 +68,7 @@
 	return c
 }
 
-// requestID reads the id of an earlier try, or draws a new one.
+// requestID parses the hexadecimal request id of an earlier attempt, or draws a new one if s is "". An id is never 0.
 func requestID(s string) (uint64, error) {
 	if s == "" {
 		return max(rand.Uint64(), 1), nil
@@ -87,28 +90,29 @@
 	revisions := c.Flags().Int("revisions", 10, "list so many revisions in the table")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		view := configstatus.Merge(queryAll(c.Context(), *addresses, *timeout))
-		if !*asJSON {
-			if err := view.Write(c.OutOrStdout(), time.Now(), *revisions); err != nil {
-				return err
-			}
-		} else {
-			out := json.NewEncoder(c.OutOrStdout())
-			out.SetIndent("", "  ")
-			if err := out.Encode(view); err != nil {
-				return err
-			}
+		if err := writeView(c.OutOrStdout(), view, *asJSON, *revisions); err != nil {
+			return err
 		}
-		for _, m := range view.Machines {
-			if m.Answered {
-				return nil
-			}
+		answered := func(m configstatus.Machine) bool { return m.Answered }
+		if !slices.ContainsFunc(view.Machines, answered) {
+			return errors.New("no control machine answers")
 		}
-		return errors.New("no control machine answers")
+		return nil
 	}
 	return c
 }
 
-// queryAll asks all control machines at once.
+// writeView writes the merged status as indented JSON, or as a table of at most the given number of revisions.
+func writeView(out io.Writer, view configstatus.View, asJSON bool, revisions int) error {
+	if !asJSON {
+		return view.Write(out, time.Now(), revisions)
+	}
+	encoder := json.NewEncoder(out)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(view)
+}
+
+// queryAll requests the status of all control machines in parallel, each within the timeout.
 func queryAll(ctx context.Context, addresses []string, timeout time.Duration) []configstatus.Answer {
 	answers := make([]configstatus.Answer, len(addresses))
 	var calls sync.WaitGroup
--- a/cmd/mothrouter/configuration.go
+++ b/cmd/mothrouter/configuration.go
@@ -12,7 +12,7 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// addConfiguration has control machines change the configuration in service.
+// addConfiguration adds the client that follows the control machines' revisions, if there is a file for it.
 func (p *process) addConfiguration() error {
 	if p.files.configuration == "" {
 		return nil
@@ -37,15 +37,15 @@
 	return nil
 }
 
-// applier takes revisions of the configuration into force.
+// applier puts revisions of the configuration in force.
 type applier struct {
-	start     *config.Document // of the file of the start
+	start     *config.Document // what the process started with; some keys may not differ from it
 	core      interface{ Configure(broker.Change) error }
 	discovery *discoverySwitch
 	log       *slog.Logger
 }
 
-// apply takes a revision into force whole, and returns nil once it is; else it changes nothing and tells why.
+// apply puts a revision in force completely and returns nil, or changes nothing and returns the rejection.
 func (a *applier) apply(revision *configpb.Revision) *configpb.Refusal {
 	document, err := config.ParseDocument(revision.GetDocument())
 	if err == nil {
@@ -63,29 +63,30 @@
 	return nil
 }
 
-// discoverySwitch is the address at which the server list is followed. The file that is read again on SIGHUP and revisions
-// of the configuration tell it; the last one told wins. A revision tells it each time one comes into force, the file
-// where its address differs from when it was last read: a SIGHUP for another key takes no revision back.
+// discoverySwitch sets the address of the discovery service from which the endpoint list is watched. Two sources set
+// it, and the latest call wins: each revision that is put in force, and the configuration file on SIGHUP, but only if
+// its address differs from the last time that the file was read. So a SIGHUP for another key does not undo a revision.
 type discoverySwitch struct {
-	mu            sync.Mutex
-	address       string
+	mu            sync.Mutex // guards address and orders the calls of changeAddress
+	address       string     // in use
 	changeAddress func(address string)
 	log           *slog.Logger
 }
 
-// switchTo moves the watch of the server list, unless it is there.
-func (f *discoverySwitch) switchTo(address, source string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if address == f.address {
+// switchTo watches the endpoint list at another address. It does nothing if the address is in use already. The source
+// is "revision" or "file", for the log.
+func (s *discoverySwitch) switchTo(address, source string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if address == s.address {
 		return
 	}
-	f.log.Info("discovery address changed", "from", f.address, "to", address, "told by", source)
-	f.address = address
-	f.changeAddress(address)
+	s.log.Info("discovery address changed", "from", s.address, "to", address, "told by", source)
+	s.address = address
+	s.changeAddress(address)
 }
 
-// reload takes up the file again on each SIGHUP. A bad one changes nothing.
+// reload reads the configuration file again at each SIGHUP. An invalid file is logged and changes nothing.
 func reload(signals <-chan os.Signal, cfg *config.Config, discovery *discoverySwitch, log *slog.Logger) {
 	for range signals {
 		next, needRestart, err := cfg.Reload()
--- a/cmd/mothrouter/control.go
+++ b/cmd/mothrouter/control.go
@@ -17,7 +17,7 @@
 	"mothrouter/internal/controlplane/controlserver"
 )
 
-// controlCommand is `mothrouter control`: it runs a control machine in the foreground.
+// controlCommand returns `mothrouter control`, which runs a control machine in the foreground.
 func controlCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "control FILE", Short: "Run a control machine, as FILE tells, such as deploy/control.toml",
@@ -32,12 +32,13 @@
 		}
 		ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 		defer cancel()
-		signal.Ignore(syscall.SIGXFSZ) // a write beyond a limit on files then fails like one on a full disk
+		signal.Ignore(syscall.SIGXFSZ) // a write beyond RLIMIT_FSIZE then returns an error, as one on a full disk does
 		return runControl(ctx, file, *create)
 	}
 	return c
 }
 
+// runControl runs a control machine until ctx ends.
 func runControl(ctx context.Context, file *config.ControlMachine, create bool) error {
 	brokerListener, err := listenTCP("control.listen", file.Listen)
 	if err != nil {
@@ -61,6 +62,7 @@
 	return controlserver.Run(ctx, options)
 }
 
+// listenTCP listens at an address. An error names the settings key that has the address.
 func listenTCP(key string, address netip.AddrPort) (net.Listener, error) {
 	l, err := net.Listen("tcp", address.String())
 	if err != nil {
@@ -69,7 +71,8 @@
 	return l, nil
 }
 
-// validateDocument checks a document and compares it with the newest revision's, nil where there is none.
+// validateDocument checks a configuration document, and that brokers can change to it from the newest revision's
+// without a restart; newest is nil if there is no revision. It returns nil for a valid document.
 func validateDocument(document, newest []byte) *configpb.Refusal {
 	next, err := config.ParseDocument(document)
 	if err != nil {
@@ -79,7 +82,7 @@
 		return nil
 	}
 	previous, err := config.ParseDocument(newest)
-	if err != nil { // taken by another release of this program: brokers compare with what they serve by
+	if err != nil { // committed by another release of this program; brokers compare with what they have in force
 		return nil
 	}
 	if err := next.Changes(previous); err != nil {
--- a/cmd/mothrouter/main.go
+++ b/cmd/mothrouter/main.go
@@ -32,5 +32,5 @@
 	}
 }
 
-// operatorFiles are the operator files; "": what they switch on is off.
+// operatorFiles are the paths of the operator files. A feature whose path is "" is off.
 type operatorFiles struct{ flight, cores, state, fleet, configuration string }
--- a/cmd/mothrouter/process.go
+++ b/cmd/mothrouter/process.go
@@ -24,11 +24,11 @@
 	"mothrouter/internal/transport/front"
 )
 
-const (
-	memoryFraction = 0.7 // of the limit, for the Go heap
-)
+// memoryFraction is the part of the process's memory limit that the Go runtime may use. The rest is for stacks of
+// cgo, socket buffers and the program itself.
+const memoryFraction = 0.7
 
-// core is one loop, or several.
+// core is the broker's core: a single loop (broker.Broker), or several (cores.Group).
 type core interface {
 	front.Core
 	Run(context.Context)
@@ -41,12 +41,12 @@
 	LongestDeadline() time.Duration
 }
 
-// process is a broker's process: what it was told, and its running parts as they are put together.
+// process is a broker's process: its configuration and, once assembled, its running components.
 type process struct {
 	files         operatorFiles
 	started       time.Time
-	startConfig   *config.Config // of the start
-	workers       int
+	startConfig   *config.Config // as read at the start; a reload does not change it
+	workers       int            // loops; 1 without -cores
 	flightConfig  *config.Flight // nil: Arrow Flight is off
 	log           *slog.Logger
 	reloadSignals chan os.Signal // SIGHUP
@@ -58,18 +58,18 @@
 	backoff         *backoff.Backoff
 	metrics         *metrics.Counters
 	core            core
-	workerFailed    <-chan struct{} // closed when a worker has died; nil, which never speaks, with one loop
+	workerFailed    <-chan struct{} // closed when a worker has failed; nil with one loop
 	watcher         *discovery.Watcher
 	discoverySwitch *discoverySwitch
-	configFollower  *configfollower.Client // nil: no control machine changes the configuration
+	configFollower  *configfollower.Client // nil: control machines do not change the configuration
 
 	listener    net.Listener
 	clientFront *front.Front
 	flightFront *flight.Front // nil: Arrow Flight is off
-	frontEnded  chan error    // of each front that has ended
+	frontEnded  chan error    // receives the result of each front that has ended; room for all three
 }
 
-// run is the process, from its start to its end.
+// run runs a broker's process until it is stopped, a front fails or a worker fails.
 func run(getenv func(string) string, files operatorFiles) error {
 	p := &process{files: files, started: time.Now(), components: &assembly.Assembly{}, frontEnded: make(chan error, 3)}
 	p.handleSignals()
@@ -87,7 +87,7 @@
 	if err := p.serve(); err != nil {
 		return err
 	}
-	why, err := p.wait()
+	cause, err := p.wait()
 	if err != nil {
 		return err
 	}
@@ -95,18 +95,19 @@
 		return err
 	}
 	cancel()
-	return why
+	return cause
 }
 
-// handleSignals comes before all else: a broker must not end because it was told of a new file.
+// handleSignals registers SIGHUP first of all: its default action would end a process that is still starting.
 func (p *process) handleSignals() {
 	p.reloadSignals = make(chan os.Signal, 1)
 	signal.Notify(p.reloadSignals, syscall.SIGHUP)
 	p.stopSignals = make(chan os.Signal, 1)
 }
 
-// readConfig reads the configuration and the operator files that shape the process, and bounds it by them.
-func (p *process) readConfig(getenv func(string) string) (err error) {
+// readConfig reads the configuration and the operator files for cores and Flight, and sets the runtime's limits.
+func (p *process) readConfig(getenv func(string) string) error {
+	var err error
 	if p.startConfig, err = config.Load(getenv); err != nil {
 		return err
 	}
@@ -116,7 +117,7 @@
 			return err
 		}
 	}
-	runtime.GOMAXPROCS(min(p.workers, runtime.NumCPU())) // a broker on the platform has one core
+	runtime.GOMAXPROCS(min(p.workers, runtime.NumCPU())) // without -cores, the platform gives a broker one core
 	debug.SetMemoryLimit(int64(memoryFraction * float64(p.startConfig.MemoryMB<<20)))
 	p.log = slog.New(slog.NewTextHandler(os.Stderr, nil)).With("broker", p.startConfig.Name)
 	p.components.Log = p.log
@@ -127,7 +128,7 @@
 	return err
 }
 
-// start starts the loops and what runs beside them.
+// start starts the core, the components, the endpoint watch and the handling of SIGHUP.
 func (p *process) start() {
 	go p.core.Run(p.ctx)
 	p.core.Update(p.startConfig.Known)
@@ -136,8 +137,9 @@
 	go reload(p.reloadSignals, p.startConfig, p.discoverySwitch, p.log)
 }
 
-// wait waits until the process has to end. The error ends it at once; why is told after an end in order.
-func (p *process) wait() (why, err error) {
+// wait waits until the process has to stop. With err it stops at once; otherwise it shuts down gracefully and then
+// returns cause, which is nil after a signal.
+func (p *process) wait() (cause, err error) {
 	select {
 	case err := <-p.frontEnded:
 		return nil, err
--- a/cmd/mothrouter/rejection.go
+++ b/cmd/mothrouter/rejection.go
@@ -7,13 +7,13 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// newRejection is why a revision, or a document that has no number yet (0), cannot be taken, by the key that is at fault; nil:
-// it can.
+// newRejection returns the NACK of a revision for an error, by the key at fault, or nil if err is nil. The number is 0
+// for a document that is not a revision yet.
 func newRejection(number uint64, err error) *configpb.Refusal {
 	if err == nil {
 		return nil
 	}
-	key, reason := "settings", err.Error() // where an error names no key, those of the settings did not take it
+	key, reason := "settings", err.Error() // an error without a key is the core's, about the settings together
 	var fault *config.KeyError
 	if errors.As(err, &fault) {
 		key, reason = fault.Key, fault.Reason
--- a/cmd/mothrouter/serve.go
+++ b/cmd/mothrouter/serve.go
@@ -13,8 +13,24 @@
 	"mothrouter/internal/transport/front"
 )
 
-// serve opens the process to clients and operators.
-func (p *process) serve() (err error) {
+// serve opens the listeners of clients and operators and starts serving them.
+func (p *process) serve() error {
+	if err := p.serveClients(); err != nil {
+		return err
+	}
+	if err := p.serveAdmin(); err != nil {
+		return err
+	}
+	if err := p.serveFlight(); err != nil {
+		return err
+	}
+	p.log.Info("serving", "listen", p.startConfig.Listen, "servers", len(p.startConfig.Known.Servers))
+	return nil
+}
+
+// serveClients serves clients over HTTP/1.1.
+func (p *process) serveClients() error {
+	var err error
 	if p.listener, err = listen(p.startConfig); err != nil {
 		return err
 	}
@@ -23,29 +39,40 @@
 		MaxBufferedBytes: p.startConfig.MaxBufferedBytes, RetryAfter: p.startConfig.RetryAfter(), Metrics: p.metrics,
 	}, p.core, p.log)
 	go func() { p.frontEnded <- p.clientFront.Serve(p.listener) }()
-	if p.startConfig.Control != "" {
-		l, err := net.Listen("tcp", p.startConfig.Control)
-		if err != nil {
-			return fmt.Errorf("control: %w", err)
-		}
-		adminServer := admin.New(adminProcess{p.clientFront, p.metrics}, p.log)
-		go func() { p.frontEnded <- adminServer.Serve(l) }()
+	return nil
+}
+
+// serveAdmin serves the operators' control address, if the configuration has one.
+func (p *process) serveAdmin() error {
+	if p.startConfig.Control == "" {
+		return nil
 	}
-	if p.flightConfig != nil {
-		l, err := net.Listen("tcp", p.flightConfig.Listen)
-		if err != nil {
-			return fmt.Errorf("flight.listen: %w", err)
-		}
-		p.flightFront = flight.NewFront(flight.Options{
-			Classes: p.startConfig.Classes, Shards: p.startConfig.Shards, MaxConns: p.flightConfig.Connections,
-		}, &drainAwareCore{p.core, p.clientFront.RejectsRequests, p.startConfig.RetryAfter()})
-		go func() { p.frontEnded <- p.flightFront.Serve(l, p.log) }()
+	l, err := net.Listen("tcp", p.startConfig.Control)
+	if err != nil {
+		return fmt.Errorf("control: %w", err)
 	}
-	p.log.Info("serving", "listen", p.startConfig.Listen, "servers", len(p.startConfig.Known.Servers))
+	adminServer := admin.New(adminProcess{p.clientFront, p.metrics}, p.log)
+	go func() { p.frontEnded <- adminServer.Serve(l) }()
+	return nil
+}
+
+// serveFlight serves clients over Arrow Flight, if it is on.
+func (p *process) serveFlight() error {
+	if p.flightConfig == nil {
+		return nil
+	}
+	l, err := net.Listen("tcp", p.flightConfig.Listen)
+	if err != nil {
+		return fmt.Errorf("flight.listen: %w", err)
+	}
+	p.flightFront = flight.NewFront(flight.Options{
+		Classes: p.startConfig.Classes, Shards: p.startConfig.Shards, MaxConns: p.flightConfig.Connections,
+	}, &drainAwareCore{p.core, p.clientFront.RejectsRequests, p.startConfig.RetryAfter()})
+	go func() { p.frontEnded <- p.flightFront.Serve(l, p.log) }()
 	return nil
 }
 
-// listen opens the clients' listening socket, or takes the one that the process has inherited.
+// listen opens the clients' listening socket, or uses the inherited one (PROXY_ACCEPT_FD).
 func listen(cfg *config.Config) (net.Listener, error) {
 	if cfg.AcceptFD == 0 {
 		l, err := net.Listen("tcp", cfg.Listen)
@@ -56,7 +83,7 @@
 	}
 	f := os.NewFile(uintptr(cfg.AcceptFD), "PROXY_ACCEPT_FD")
 	l, err := net.FileListener(f)
-	if closeErr := f.Close(); err == nil && closeErr != nil { // the listener has a descriptor of its own
+	if closeErr := f.Close(); err == nil && closeErr != nil { // the listener has a duplicate of the descriptor
 		err = closeErr
 	}
 	if err != nil {
@@ -65,13 +92,15 @@
 	return l, nil
 }
 
-// drainAwareCore is the core as Flight sees it: a drain of operators binds it as it does the platform's front.
+// drainAwareCore is the core that the Flight front submits to: while operators drain the HTTP front, it rejects
+// requests as that front does.
 type drainAwareCore struct {
 	core
-	rejects    func() bool
-	retryAfter float64
+	rejects    func() bool // reports whether the HTTP front rejects requests now
+	retryAfter float64     // of rejections; seconds
 }
 
+// Submit hands a request to the core, or rejects it at once during a drain.
 func (d *drainAwareCore) Submit(r *broker.Request, c broker.Client) {
 	if d.rejects() {
 		c.Finish(broker.Result{Outcome: broker.Rejected, RetryAfter: d.retryAfter})
@@ -80,7 +109,7 @@
 	d.core.Submit(r, c)
 }
 
-// adminProcess is the process as operators steer it.
+// adminProcess is the process as the operators' control address sees it.
 type adminProcess struct {
 	clients *front.Front
 	metrics *metrics.Counters
--- a/cmd/mothrouter/shutdown.go
+++ b/cmd/mothrouter/shutdown.go
@@ -8,24 +8,20 @@
 	"mothrouter/internal/drain"
 )
 
-// shutDown ends the process in order: what was taken is answered, and clients are sent away as planned. The error is that of
-// a front that ended before its time. The plan stands from here on: a revision that comes later moves no moment of it.
+// shutDown shuts the process down gracefully: it answers the accepted requests and closes client connections at the
+// planned times. The plan is made once; a later revision changes none of its times. It returns the error of a front
+// that has failed meanwhile.
 func (p *process) shutDown() error {
 	p.log.Info("shutting down")
 	startedAt, plan := time.Now(), drain.PlanShutdown(p.longestDeadline())
 	p.core.SetShutdownDeadline(startedAt.Add(plan.AnswerBy))
-	if p.startConfig.AcceptFD != 0 { // the socket is not this process's alone: who comes is taken by the next one
+	if p.startConfig.AcceptFD != 0 { // another process shares the inherited socket and accepts new connections
 		if err := p.listener.Close(); err != nil {
 			p.log.Warn("closing the listener failed", "error", err)
 		}
 	}
-	wait := time.NewTimer(plan.AnnounceClose)
-	select {
-	case err := <-p.frontEnded:
-		if wait.Stop(); err != nil {
-			return err
-		}
-	case <-wait.C:
+	if err := p.waitForFrontError(plan.AnnounceClose); err != nil {
+		return err
 	}
 	exitCtx, stop := context.WithDeadline(p.ctx, startedAt.Add(plan.ExitBy))
 	defer stop()
@@ -39,10 +35,22 @@
 	return nil
 }
 
-// longestDeadline is the longest deadline of a class that is in force, or that a query held was taken under.
+// waitForFrontError waits until a front ends and returns its error, or returns nil once the timeout has passed.
+func (p *process) waitForFrontError(timeout time.Duration) error {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	select {
+	case err := <-p.frontEnded:
+		return err
+	case <-timer.C:
+		return nil
+	}
+}
+
+// longestDeadline returns the longest deadline of a class that is in force, or under which a query in flight was accepted.
 func (p *process) longestDeadline() time.Duration {
 	if p.configFollower != nil {
-		if longest := p.core.LongestDeadline(); longest > 0 { // 0: the loop has ended
+		if longest := p.core.LongestDeadline(); longest > 0 { // 0 once the loop has ended
 			return longest
 		}
 	}
--- a/cmd/mothrouter/state.go
+++ b/cmd/mothrouter/state.go
@@ -17,7 +17,7 @@
 	"mothrouter/internal/state/snapshot"
 )
 
-// stateCommand is `mothrouter state`: it inspects, verifies and deletes the saved state.
+// stateCommand returns the root command with `mothrouter state`, which inspects, verifies and deletes the saved state.
 func stateCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use: "mothrouter", SilenceUsage: true, SilenceErrors: true,
@@ -85,6 +85,7 @@
 	}
 }
 
+// readState reads the snapshot in a folder and returns it with the size of its file in bytes.
 func readState(folder string) (*snapshot.Snapshot, int, error) {
 	b, err := checkpoint.Disk{}.Read(filepath.Join(folder, checkpoint.FileName))
 	if err != nil {
