--- a/cmd/mothrouter/api_test.go
+++ b/cmd/mothrouter/api_test.go
@@ -12,7 +12,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// apiDescription holds the two descriptions under docs, against which the recorded exchanges are checked.
+// apiDescription holds docs/openapi.yaml and docs/asyncapi.yaml, against which the recorded exchanges are checked.
 type apiDescription struct {
 	open, async map[string]any
 	mu          sync.Mutex // guards schemas
@@ -42,7 +42,7 @@
 	require.NoError(t, s.Validate(v), text)
 }
 
-// lookup follows keys into a description, through references.
+// lookup returns the node under the keys of the OpenAPI description and follows references.
 func (a *apiDescription) lookup(t *testing.T, keys ...string) any {
 	var node any = a.open
 	for _, key := range keys {
--- /dev/null
+++ b/cmd/mothrouter/attempt_ledger_test.go
@@ -0,0 +1,195 @@
+package main_test
+
+import (
+	"bytes"
+	"hash/fnv"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/apache/arrow-go/v18/arrow/flight"
+	"github.com/stretchr/testify/assert"
+	"google.golang.org/genproto/googleapis/rpc/errdetails"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	mothflight "mothrouter/internal/transport/flight"
+	"mothrouter/internal/transport/frame"
+)
+
+// attemptLedger records the attempts that all record servers of a test receive, and checks the rules that bind the
+// broker: one attempt of a part in flight, at most four attempts, and a charge-post part runs at most once.
+type attemptLedger struct {
+	t     *testing.T
+	mu    sync.Mutex // guards parts
+	parts map[string]*partAttempts
+}
+
+func newAttemptLedger(t *testing.T) *attemptLedger {
+	return &attemptLedger{t: t, parts: map[string]*partAttempts{}}
+}
+
+// partAttempts counts the attempts of one part.
+type partAttempts struct {
+	started  int
+	inFlight int
+	ran      int // those that were not rejected as full
+}
+
+// maxAttempts is sendCap of the settings.
+const maxAttempts = 4
+
+// cancelGrace is how long a record server may still work on an attempt that another server's has replaced: its cancel
+// and the next attempt use different connections.
+const cancelGrace = 50 * time.Millisecond
+
+// The first attempt of one part in nine is rejected as full, and of another one in nine fails, by a hash of the id.
+const (
+	faultModulus  = 9
+	fullRemainder = 0
+	failRemainder = 1
+)
+
+// serveAttempt serves one attempt and returns its end as in a response frame: "done", "full" or "failed". It returns ""
+// once the attempt is canceled.
+func (l *attemptLedger) serveAttempt(id string, canceled <-chan struct{}) (end string) {
+	hash := fnv.New32()
+	hash.Write([]byte(id))
+	part, end := l.begin(id, hash.Sum32())
+	defer l.finish(part)
+	select {
+	case <-time.After(time.Duration(5+hash.Sum32()%10) * time.Millisecond):
+		return end
+	case <-canceled:
+		return ""
+	}
+}
+
+// begin records an attempt, checks the rules and returns how the attempt ends.
+func (l *attemptLedger) begin(id string, hash uint32) (part *partAttempts, end string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	part = l.parts[id]
+	if part == nil {
+		part = &partAttempts{}
+		l.parts[id] = part
+	}
+	part.started++
+	part.inFlight++
+	if part.inFlight > 1 {
+		time.AfterFunc(cancelGrace, func() {
+			l.mu.Lock()
+			defer l.mu.Unlock()
+			assert.LessOrEqual(l.t, part.inFlight, 1, "%s has two attempts in flight", id)
+		})
+	}
+	assert.LessOrEqual(l.t, part.started, maxAttempts, "%s has too many attempts", id)
+	first := part.started == 1
+	nonIdempotent := strings.HasPrefix(id, "charge-post")
+	if first && hash%faultModulus == fullRemainder {
+		return part, "full"
+	}
+	part.ran++
+	assert.False(l.t, part.ran > 1 && nonIdempotent, "%s ran twice", id)
+	if first && hash%faultModulus == failRemainder && !nonIdempotent {
+		return part, "failed"
+	}
+	return part, "done"
+}
+
+func (l *attemptLedger) finish(part *partAttempts) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	part.inFlight--
+}
+
+// serveFrames serves a listener as a record server that speaks frames, until the listener is closed.
+func (l *attemptLedger) serveFrames(listener net.Listener) {
+	for {
+		c, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		s := &frameServerConn{Conn: c, ledger: l, cancels: map[string]chan struct{}{}}
+		go s.serve()
+	}
+}
+
+// frameServerConn is a record server's connection.
+type frameServerConn struct {
+	net.Conn
+	ledger  *attemptLedger
+	writing sync.Mutex               // held while a frame is written
+	cancels map[string]chan struct{} // by part id; closed when the attempt is canceled
+}
+
+// serve reads frames until the connection ends, which cancels what is in flight.
+func (s *frameServerConn) serve() {
+	defer s.Close()
+	defer func() {
+		for _, cancel := range s.cancels {
+			close(cancel)
+		}
+	}()
+	var in frame.Reader
+	for {
+		n, err := s.Read(in.Grow())
+		if err != nil {
+			return
+		}
+		in.Advance(n)
+		for {
+			message, ok, err := in.Next()
+			if err != nil || !ok {
+				break
+			}
+			s.handle(message)
+		}
+	}
+}
+
+// handle starts an attempt ('S') or cancels one ('C').
+func (s *frameServerConn) handle(message frame.Message) {
+	first, _, _ := bytes.Cut(message.Body, []byte{' '})
+	id := string(first)
+	switch message.Type {
+	case 'S':
+		cancel := make(chan struct{})
+		s.cancels[id] = cancel
+		go s.respond(id, cancel)
+	case 'C':
+		if cancel := s.cancels[id]; cancel != nil {
+			close(cancel)
+			delete(s.cancels, id)
+		}
+	}
+}
+
+func (s *frameServerConn) respond(id string, canceled <-chan struct{}) {
+	end := s.ledger.serveAttempt(id, canceled)
+	if end == "" {
+		return
+	}
+	s.writing.Lock()
+	defer s.writing.Unlock()
+	s.Write(frame.Append(nil, 'R', id+" "+end+" 1 inflight=1,util=0.2\nv"))
+}
+
+// serveFlight answers a part as a record server that speaks Flight.
+func (l *attemptLedger) serveFlight(part mothflight.PartTicket, stream flight.FlightService_DoGetServer) error {
+	switch l.serveAttempt(part.ID, stream.Context().Done()) {
+	case "":
+		return stream.Context().Err()
+	case "full":
+		full, err := status.New(codes.Unavailable, "full").WithDetails(&errdetails.RetryInfo{})
+		if err != nil {
+			return err
+		}
+		return full.Err()
+	case "failed":
+		return status.Error(codes.Aborted, "failed")
+	}
+	return sendValue(stream, "v")
+}
--- a/cmd/mothrouter/configuration_test.go
+++ b/cmd/mothrouter/configuration_test.go
@@ -6,7 +6,6 @@
 	"log/slog"
 	"net"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -22,7 +21,7 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// controlMachine serves what the test publishes, on loopback.
+// controlMachine is a control machine on loopback that serves the revisions which the test publishes.
 type controlMachine struct {
 	configpb.UnimplementedControlServer
 	hub     *confighub.Hub
@@ -55,7 +54,7 @@
 	<-m.ended
 }
 
-// publish has a document be the newest revision.
+// publish makes a document the newest revision and returns its number.
 func (m *controlMachine) publish(t *testing.T, document string) uint64 {
 	m.newest = &configpb.Revision{Number: m.newest.GetNumber() + 1, Document: []byte(document),
 		Checksum: configpb.Checksum([]byte(document)), PublishedUnixMs: time.Now().UnixMilli()}
@@ -63,7 +62,7 @@
 	return m.newest.GetNumber()
 }
 
-// flags are those of a broker that follows the machine.
+// flags returns the flags of a broker that follows the machine.
 func (m *controlMachine) flags(t *testing.T) []string {
 	path := filepath.Join(t.TempDir(), "configuration.toml")
 	text := fmt.Sprintf("zone = \"bern-1\"\n[[control]]\naddress = %q\n", m.address)
@@ -71,9 +70,9 @@
 	return []string{"-configuration", path}
 }
 
-// documentOf is the document of the file that the broker was started with, changed by pairs of old and new text.
+// documentOf returns the configuration document that the broker was started with, changed by pairs of old and new text.
 func (o *servingBroker) documentOf(changes ...string) string {
-	text, err := os.ReadFile(o.config)
+	text, err := os.ReadFile(o.configPath)
 	require.NoError(o.t, err)
 	var file struct {
 		Discovery string          `json:"discovery"`
@@ -89,7 +88,7 @@
 	return string(document)
 }
 
-// waitForLog waits until the program has logged a line with all of the words.
+// waitForLog waits until the program has logged a line that contains all of the words.
 func (o *servingBroker) waitForLog(words ...string) {
 	o.t.Helper()
 	require.Eventually(o.t, func() bool { return o.hasLogged(words...) }, 10*time.Second, 20*time.Millisecond,
@@ -109,8 +108,8 @@
 	return false
 }
 
-// startClients has clients ask until stop is called, which returns the answers of those that were not served. Served is how
-// many were so far.
+// startClients runs clients that send one query after the other until stop is called. Served counts the successful
+// answers so far; stop returns all others.
 func (o *servingBroker) startClients(clients int) (served *atomic.Int64, stop func() (others []string)) {
 	var asking sync.WaitGroup
 	var mu sync.Mutex
@@ -139,8 +138,9 @@
 	}
 }
 
-// Revisions come into force while clients ask, with one loop and with several: no request is lost. One that needs a
-// restart is refused by its key, and the one before it stays in force, as does the file where no control machine is.
+// Revisions are put in force under load, with one loop and with several, and no request is lost. One that needs a
+// restart is rejected by its key, and the revision before it stays in force. Without a control machine a broker serves
+// by its file.
 func TestRevisionsApplyWithoutLosingRequests(t *testing.T) {
 	for _, cores := range []bool{false, true} {
 		t.Run(fmt.Sprint("several cores ", cores), func(t *testing.T) {
@@ -148,9 +148,9 @@
 			m := newControlMachine(t)
 			flags := m.flags(t)
 			if cores {
-				flags = append(flags, "-cores", "../../deploy/cores.toml")
+				flags = append(flags, "-cores", coresFile)
 			}
-			o := operateWith(t, flags)
+			o := startServingBroker(t, flags...)
 			o.waitForLog("connected to a control machine")
 			served, stop := o.startClients(4)
 			for i := range 20 {
@@ -168,7 +168,7 @@
 			require.GreaterOrEqual(t, served.Load(), int64(200))
 			require.Contains(t, o.dial().roundTrip(queryRequest("held-by-the-refused-cap")), " 200 ")
 
-			number := m.publish(t, o.documentOf(`"openCap":400`, `"openCap":1`)) // not even one query of a part
+			number := m.publish(t, o.documentOf(`"openCap":400`, `"openCap":1`)) // too low for a query and its part
 			o.waitForLog("revision in force", fmt.Sprintf(" number=%d ", number))
 			require.Contains(t, o.dial().roundTrip(queryRequest("no-room")), " 503 ")
 
@@ -178,18 +178,18 @@
 			require.NoError(t, o.cmd.Process.Signal(syscall.SIGTERM))
 			require.NoError(t, o.cmd.Wait())
 
-			again := operateWith(t, flags) // nobody answers at the control machine's address
+			again := startServingBroker(t, flags...) // the control machine is down
 			require.Contains(t, again.dial().roundTrip(queryRequest("by-the-file")), " 200 ")
 			again.waitForLog("serving by the file of the start")
 		})
 	}
 }
 
-// The address of discovery that was told last wins, whether by a revision or by the file on SIGHUP.
+// The latest address of discovery is used, whether it is set by a revision or by the file on SIGHUP.
 func TestDiscoveryFollowsLatestAddress(t *testing.T) {
 	t.Parallel()
 	m := newControlMachine(t)
-	o := operateWith(t, m.flags(t))
+	o := startServingBroker(t, m.flags(t)...)
 	o.waitForLog("connected to a control machine")
 	first := o.listener("discovery").Addr().String()
 	var places []net.Listener
@@ -211,13 +211,13 @@
 	called(places[0])
 	o.waitForLog("discovery address changed", first, second, "revision")
 
-	text, err := os.ReadFile(o.config)
+	text, err := os.ReadFile(o.configPath)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(o.config, []byte(strings.Replace(string(text), first, third, 1)), 0o600))
+	require.NoError(t, os.WriteFile(o.configPath, []byte(strings.Replace(string(text), first, third, 1)), 0o600))
 	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP))
 	called(places[1])
 	o.waitForLog("discovery address changed", second, third, "file")
-	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP)) // unchanged: it says nothing of discovery
+	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP)) // the file has the same address as before
 	m.publish(t, strings.Replace(start, first, second, 1)+" ")
 	o.waitForLog("discovery address changed", third, second, "revision")
 	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP))
@@ -229,23 +229,10 @@
 
 func TestConfigurationFileRejectedByKey(t *testing.T) {
 	t.Parallel()
-	for text, want := range map[string]string{
+	requireFileRejected(t, "-configuration", map[string]string{
 		"": "configuration.control: names 0",
 		"speed = 1\n[[control]]\naddress = \"127.0.0.1:1\"":    "configuration.speed: is not known",
 		"[[control]]\naddress = \"x\"":                         "configuration.control[0].address: ",
 		"[[control]]\naddress = \"127.0.0.1:1\"\nweight = 2\n": "configuration.control.weight: is not known",
-	} {
-		p := newPlayer(t)
-		p.config = filepath.Join(t.TempDir(), "config.json")
-		config := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":%s}`,
-			fmt.Sprintf(settingsFormat, 15., 400))
-		require.NoError(t, os.WriteFile(p.config, []byte(config), 0o600))
-		path := filepath.Join(t.TempDir(), "configuration.toml")
-		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		cmd := exec.Command(program, "-configuration", path)
-		cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.config)
-		out, err := cmd.CombinedOutput()
-		require.Error(t, err)
-		require.Contains(t, string(out), want)
-	}
+	})
 }
--- a/cmd/mothrouter/flight_test.go
+++ b/cmd/mothrouter/flight_test.go
@@ -2,13 +2,8 @@
 
 import (
 	"context"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
-	"net"
-	"os"
-	"path/filepath"
 	"strings"
 	"sync"
 	"testing"
@@ -21,188 +16,12 @@
 	"github.com/apache/arrow-go/v18/arrow/memory"
 	"github.com/stretchr/testify/require"
 	"google.golang.org/genproto/googleapis/rpc/errdetails"
-	"google.golang.org/grpc"
 	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/status"
 
 	mothflight "mothrouter/internal/transport/flight"
-	"mothrouter/internal/transport/httpwire"
 )
 
-// flightRecordServer is a stand-in record server that speaks Flight. Its answer to a part is up to the test.
-type flightRecordServer struct {
-	flight.BaseFlightServer
-	answer   func(t mothflight.PartTicket, s flight.FlightService_DoGetServer) error
-	mu       sync.Mutex
-	conns    []net.Conn
-	received []string // ids of the parts that came
-}
-
-// Accept and Close make it a listener that can break off its connections.
-type trackedListener struct {
-	net.Listener
-	s *flightRecordServer
-}
-
-func (l trackedListener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
-	if err == nil {
-		l.s.mu.Lock()
-		l.s.conns = append(l.s.conns, c)
-		l.s.mu.Unlock()
-	}
-	return c, err
-}
-
-// closeConnections ends all connections without a word.
-func (s *flightRecordServer) closeConnections() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, c := range s.conns {
-		c.Close()
-	}
-}
-
-func (s *flightRecordServer) parts() []string {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return append([]string(nil), s.received...)
-}
-
-func (s *flightRecordServer) DoGet(ticket *flight.Ticket, stream flight.FlightService_DoGetServer) error {
-	var t mothflight.PartTicket
-	if err := json.Unmarshal(ticket.Ticket, &t); err != nil {
-		return status.Error(codes.InvalidArgument, err.Error())
-	}
-	s.mu.Lock()
-	s.received = append(s.received, t.ID)
-	s.mu.Unlock()
-	return s.answer(t, stream)
-}
-
-// sendValue sends a part's value in pieces, as batches.
-func sendValue(stream flight.FlightService_DoGetServer, pieces ...string) error {
-	schema := arrow.NewSchema([]arrow.Field{{Name: "value", Type: arrow.BinaryTypes.String}}, nil)
-	w := flight.NewRecordWriter(stream, ipc.WithSchema(schema))
-	for _, piece := range pieces {
-		b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
-		b.Field(0).(*array.StringBuilder).Append(piece)
-		rec := b.NewRecordBatch()
-		if err := w.WriteWithAppMetadata(rec, []byte("inflight=2,util=0.3")); err != nil {
-			return err
-		}
-	}
-	return w.Close()
-}
-
-func (p *exchangePlayer) flightServer(name string, answer func(mothflight.PartTicket, flight.FlightService_DoGetServer) error) *flightRecordServer {
-	s := &flightRecordServer{answer: answer}
-	g := grpc.NewServer()
-	flight.RegisterFlightServiceServer(g, s)
-	go g.Serve(trackedListener{p.listener(name), s})
-	p.t.Cleanup(g.Stop)
-	return s
-}
-
-// startFlight runs the program with Flight on and returns a client of it.
-func (p *exchangePlayer) startFlight(speaks string, known ...string) flight.Client {
-	addr := unusedAddress(p.t)
-	file := filepath.Join(p.t.TempDir(), "flight.toml")
-	text := fmt.Sprintf("listen = %q\nservers = [%s]\n", addr, speaks)
-	require.NoError(p.t, os.WriteFile(file, []byte(text), 0o600))
-	p.start(known, 400, 1024, 15, "-flight", file)
-	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithInitialWindowSize(64<<10), grpc.WithInitialConnWindowSize(64<<10)) // both stay so small
-	require.NoError(p.t, err)
-	p.t.Cleanup(func() { conn.Close() })
-	return flight.NewClientFromConn(conn, nil)
-}
-
-func queryTicket(id, class string, parts int) []byte {
-	t := mothflight.Ticket{ID: id, Class: class, Body: httpwire.Body{Query: "x"}}
-	for i := range parts {
-		t.Targets = append(t.Targets, httpwire.Target{Partition: i, Weight: 1 / float64(parts)})
-	}
-	text, err := json.Marshal(t)
-	if err != nil {
-		panic(err)
-	}
-	return text
-}
-
-type flightAnswer struct {
-	values  map[int32]string
-	closing *mothflight.Closing // nil: the answer was cut
-	schema  *arrow.Schema
-}
-
-// fetchAnswer fetches a query to the end of its stream.
-func fetchAnswer(ctx context.Context, c flight.Client, ticket []byte) (a flightAnswer, err error) {
-	stream, err := c.DoGet(ctx, &flight.Ticket{Ticket: ticket}, grpc.WaitForReady(true))
-	if err != nil {
-		return a, err
-	}
-	var last []byte
-	r, err := flight.NewRecordReader(metadataStream{stream, &last})
-	if err != nil {
-		return a, err
-	}
-	defer r.Release()
-	a.values, a.schema = map[int32]string{}, r.Schema()
-	for r.Next() {
-		rec := r.RecordBatch()
-		for i := range int(rec.NumRows()) {
-			a.values[rec.Column(0).(*array.Int32).Value(i)] = rec.Column(1).(*array.String).Value(i)
-		}
-	}
-	if err := r.Err(); err != nil && !errors.Is(err, io.EOF) {
-		return a, err
-	}
-	if len(last) > 0 {
-		a.closing = &mothflight.Closing{}
-		err = json.Unmarshal(last, a.closing)
-	}
-	return a, err
-}
-
-// metadataStream keeps the metadata of the last message, which carries no rows.
-type metadataStream struct {
-	flight.FlightService_DoGetClient
-	last *[]byte
-}
-
-func (s metadataStream) Recv() (*flight.FlightData, error) {
-	m, err := s.FlightService_DoGetClient.Recv()
-	if err == nil {
-		*s.last = m.AppMetadata
-		if len(m.DataHeader) == 0 && len(m.AppMetadata) > 0 {
-			return s.Recv()
-		}
-	}
-	return m, err
-}
-
-func shortContext(t *testing.T) context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-	t.Cleanup(cancel)
-	return ctx
-}
-
-// isRejection tells whether an error tells the client that trying again is harmless.
-func isRejection(err error) bool {
-	for _, d := range status.Convert(err).Details() {
-		if _, ok := d.(*errdetails.RetryInfo); ok {
-			return status.Code(err) == codes.Unavailable
-		}
-	}
-	return false
-}
-
-func answerPart(t mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
-	return sendValue(s, "v", fmt.Sprint(t.Partition))
-}
-
 func TestFlightServesQueries(t *testing.T) {
 	p := newPlayer(t)
 	s0 := p.flightServer("s0", answerPart)
@@ -253,7 +72,7 @@
 	require.Equal(t, codes.Aborted, status.Code(<-first)) // it may have run
 }
 
-// A stream that breaks halfway through a tariff-report part leaves it not in, and it is fetched again.
+// A part whose stream breaks halfway does not count as answered and is retried, as a tariff-report is idempotent.
 func TestFlightRetriesTruncatedStream(t *testing.T) {
 	p := newPlayer(t)
 	var servers [2]*flightRecordServer
@@ -287,7 +106,7 @@
 	require.Equal(t, []string{"q1.0", "q1.0"}, append(servers[0].parts(), servers[1].parts()...))
 }
 
-// A charge-post stream that ends without a status may have run: never sent again, never refused.
+// A charge-post part whose stream ends without a status may have run: it is neither retried nor rejected.
 func TestFlightNeverRetriesNonIdempotentAfterReset(t *testing.T) {
 	p := newPlayer(t)
 	var servers [2]*flightRecordServer
@@ -306,8 +125,8 @@
 	require.Len(t, append(servers[0].parts(), servers[1].parts()...), 1)
 }
 
-// Where a server refuses, or cannot be reached, nothing has run: another is tried, and in the end the query
-// is refused.
+// A part that a server rejects, or whose server cannot be reached, has not run: it is sent to another server, and
+// without one the query is rejected.
 func TestFlightRejections(t *testing.T) {
 	p := newPlayer(t)
 	full, err := status.New(codes.Unavailable, "full").WithDetails(&errdetails.RetryInfo{})
@@ -334,7 +153,7 @@
 	require.True(t, isRejection(err), "%v", err)
 }
 
-// A client that cancels ends its query: the record server is told, and the query's id is free again.
+// A client that cancels ends its query: the record server's context ends, and the query's id can be used again.
 func TestFlightCancelEndsQuery(t *testing.T) {
 	p := newPlayer(t)
 	came, ended := make(chan struct{}), make(chan struct{})
@@ -364,7 +183,7 @@
 	require.Equal(t, codes.Canceled, status.Code(<-gone))
 	<-ended
 
-	// What the record server did not answer may have the next query refused at first, but not for good.
+	// Slow-start admission may reject the next query while the record server has not answered yet, but not for long.
 	var a flightAnswer
 	var err error
 	require.Eventually(t, func() bool {
@@ -373,10 +192,10 @@
 	}, waitTimeout, time.Millisecond)
 	require.NoError(t, err)
 	require.True(t, a.closing.Complete)
-	require.Equal(t, []string{"q1.0", "q1.0"}, s0.parts(), "what was refused was sent all the same")
+	require.Equal(t, []string{"q1.0", "q1.0"}, s0.parts(), "a rejected query was sent all the same")
 }
 
-// advertisedDeadline is a context of a client that tells a server of a deadline and waits on behind it.
+// advertisedDeadline is a client's context that sends a deadline to the server but does not end at it.
 type advertisedDeadline struct {
 	context.Context
 	at time.Time
@@ -384,10 +203,9 @@
 
 func (c advertisedDeadline) Deadline() (time.Time, bool) { return c.at, true }
 
-// A query that its client's time ends for while its unsafe part is out has failed, and is never called refused. A
-// busy machine may have a query refused before anything is sent: then nothing of it may come to the record server. That
-// the answer leaves before the time is up is tested on a virtual clock, in internal/transport/flight: on a real one it is as
-// late as the machine is busy.
+// A query whose deadline passes while its non-idempotent part is in flight fails and is never rejected. On a busy
+// machine a query may be rejected before anything is sent: then none of its parts may reach the record server. That the
+// answer leaves before the deadline is tested on a virtual clock, in internal/transport/flight.
 func TestFlightDeadlineFailsNonIdempotent(t *testing.T) {
 	const wait = 300 * time.Millisecond
 	p := newPlayer(t)
@@ -406,7 +224,7 @@
 		_, err := fetchAnswer(advertisedDeadline{shortContext(t), time.Now().Add(wait)}, c, queryTicket(id, "charge-post", 1))
 		results[id+".0"] = err
 	}
-	time.Sleep(quietInterval) // what comes late comes meanwhile
+	time.Sleep(quietInterval) // for parts that arrive late
 	parts := s0.parts()
 	require.NotEmpty(t, parts)
 	seen := map[string]bool{}
@@ -420,7 +238,7 @@
 	}
 }
 
-// An answer that lacks parts says so; one that is cut has no closing word at all.
+// An answer that lacks parts is marked incomplete; a truncated one has no closing metadata.
 func TestFlightMarksIncompleteAnswers(t *testing.T) {
 	p := newPlayer(t)
 	p.flightServer("s0", func(mt mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
--- a/cmd/mothrouter/mixed_protocols_test.go
+++ b/cmd/mothrouter/mixed_protocols_test.go
@@ -2,9 +2,7 @@
 
 import (
 	"bufio"
-	"bytes"
 	"fmt"
-	"hash/fnv"
 	"net"
 	"strings"
 	"sync"
@@ -14,192 +12,51 @@
 	"github.com/apache/arrow-go/v18/arrow/flight"
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
-	"google.golang.org/genproto/googleapis/rpc/errdetails"
-	"google.golang.org/grpc/codes"
-	"google.golang.org/grpc/status"
-
-	mothflight "mothrouter/internal/transport/flight"
-	"mothrouter/internal/transport/frame"
 )
 
-// attemptLedger is what all stand-in record servers of a run see together. It watches the rules.
-type attemptLedger struct {
-	t     *testing.T
-	mu    sync.Mutex
-	parts map[string]*partAttempts
-}
-
-type partAttempts struct{ started, inFlight, ran int }
-
-// cancelGrace is how long a record server may still work on what another one's attempt has replaced: the word that it is
-// given up and the next attempt go by different connections.
-const cancelGrace = 50 * time.Millisecond
-
-// serveAttempt is one attempt at a record server: some work, and at some parts' first try a full queue.
-// It ends once it is given up; end is "" then.
-func (l *attemptLedger) serveAttempt(id string, dropped <-chan struct{}) (end string) {
-	h := fnv.New32()
-	h.Write([]byte(id))
-	l.mu.Lock()
-	p := l.parts[id]
-	if p == nil {
-		p = &partAttempts{}
-		l.parts[id] = p
-	}
-	p.started++
-	p.inFlight++
-	if p.inFlight > 1 {
-		time.AfterFunc(cancelGrace, func() {
-			l.mu.Lock()
-			defer l.mu.Unlock()
-			assert.LessOrEqual(l.t, p.inFlight, 1, "%s has two attempts out", id)
-		})
-	}
-	assert.LessOrEqual(l.t, p.started, 4, "%s has too many attempts", id)
-	full := p.started == 1 && h.Sum32()%9 == 0
-	failed := p.started == 1 && h.Sum32()%9 == 1 && !strings.HasPrefix(id, "charge-post")
-	if !full {
-		p.ran++
-		assert.False(l.t, p.ran > 1 && strings.HasPrefix(id, "charge-post"), "%s ran twice", id)
-	}
-	l.mu.Unlock()
-	given := false
-	select {
-	case <-time.After(time.Duration(5+h.Sum32()%10) * time.Millisecond):
-	case <-dropped:
-		given = true
-	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	p.inFlight--
-	if given {
-		return ""
-	}
-	return map[[2]bool]string{{true, false}: "full", {false, true}: "failed", {false, false}: "done"}[[2]bool{full, failed}]
-}
-
-// serveFrames serves a listener as a record server that speaks frames.
-func (l *attemptLedger) serveFrames(listener net.Listener) {
-	for {
-		c, err := listener.Accept()
-		if err != nil {
-			return
-		}
-		go func() {
-			defer c.Close()
-			var in frame.Reader
-			var out sync.Mutex
-			drops := map[string]chan struct{}{}
-			defer func() {
-				for _, drop := range drops {
-					close(drop)
-				}
-			}()
-			for {
-				n, err := c.Read(in.Grow())
-				if err != nil {
-					return
-				}
-				in.Advance(n)
-				for {
-					m, ok, err := in.Next()
-					if err != nil || !ok {
-						break
-					}
-					id, _, _ := bytes.Cut(m.Body, []byte{' '})
-					name := string(id)
-					if drop := drops[name]; m.Type == 'C' && drop != nil {
-						close(drop)
-						delete(drops, name)
-					}
-					if m.Type == 'S' {
-						drop := make(chan struct{})
-						drops[name] = drop
-						go func() {
-							end := l.serveAttempt(name, drop)
-							if end == "" {
-								return
-							}
-							out.Lock()
-							defer out.Unlock()
-							c.Write(frame.Append(nil, 'R', name+" "+end+" 1 inflight=1,util=0.2\nv"))
-						}()
-					}
-				}
-			}
-		}()
-	}
-}
-
-// serveFlight answers a part as a record server that speaks Flight.
-func (l *attemptLedger) serveFlight(t mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
-	switch l.serveAttempt(t.ID, s.Context().Done()) {
-	case "":
-		return s.Context().Err()
-	case "full":
-		st, err := status.New(codes.Unavailable, "full").WithDetails(&errdetails.RetryInfo{})
-		if err != nil {
-			return err
-		}
-		return st.Err()
-	case "failed":
-		return status.Error(codes.Aborted, "failed")
-	}
-	return sendValue(s, "v")
-}
-
 const (
 	loadClients      = 8
 	queriesPerClient = 20
-	maxServedTime    = time.Second // an answer that takes longer does not count
+	maxServedTime    = time.Second // a slower answer does not count as served
 )
 
-// servedFraction has workers ask queries one after the other, every second one by Flight if mixed, and returns the
-// share of them that was served whole and in time.
+// loadQueries are the classes that a client queries in turn, with the parts of a query.
+var loadQueries = []struct {
+	class string
+	parts int
+}{{"usage-lookup", 5}, {"charge-post", 1}, {"tariff-report", 8}}
+
+// queryFunc sends a query and reports whether its answer is complete.
+type queryFunc func(id, class string, parts int) bool
+
+// servedFraction runs clients that send one query after the other, and returns the fraction of queries with a complete
+// answer within maxServedTime. With mixed, every second record server and every second client speaks Flight.
 func servedFraction(t *testing.T, mixed bool) float64 {
 	p := newPlayer(t)
-	l := &attemptLedger{t: t, parts: map[string]*partAttempts{}}
-	speaks := ""
+	ledger := newAttemptLedger(t)
+	flightServers := ""
 	for i := range 4 {
 		name := fmt.Sprint("s", i)
 		if mixed && i%2 == 1 {
-			p.flightServer(name, l.serveFlight)
-			speaks += fmt.Sprintf("%q,", name)
+			p.flightServer(name, ledger.serveFlight)
+			flightServers += fmt.Sprintf("%q,", name)
 		} else {
-			go l.serveFrames(p.listener(name))
+			go ledger.serveFrames(p.listener(name))
 		}
 	}
-	c := p.startFlight(speaks, "s0", "s1", "s2", "s3")
-	var wg sync.WaitGroup
+	flightClient := p.startFlight(flightServers, "s0", "s1", "s2", "s3")
+	var clients sync.WaitGroup
 	served := make([]int, loadClients)
-	for w := range loadClients {
-		wg.Go(func() {
-			conn, err := net.Dial("tcp", p.listen)
-			if !assert.NoError(t, err) {
-				return
-			}
-			defer conn.Close()
-			in := bufio.NewReader(conn)
-			for i := range queriesPerClient {
-				class := []string{"usage-lookup", "charge-post", "tariff-report"}[i%3]
-				id, parts, started := fmt.Sprintf("%s-%d-%d", class, w, i), []int{5, 1, 8}[i%3], time.Now()
-				ok := false
-				if mixed && w%2 == 1 {
-					a, err := fetchAnswer(shortContext(t), c, queryTicket(id, class, parts))
-					ok = err == nil && a.closing.Complete && len(a.values) == parts
-				} else {
-					ok = queryHTTP(t, conn, in, id, class, parts)
-				}
-				if ok && time.Since(started) < maxServedTime {
-					served[w]++
-				}
+	for i := range loadClients {
+		clients.Go(func() {
+			if mixed && i%2 == 1 {
+				served[i] = countServed(i, flightQuery(t, flightClient))
+			} else {
+				served[i] = countServedHTTP(t, p.listen, i)
 			}
-			conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-			_, err = in.ReadByte() // no query has a second answer
-			assert.ErrorContains(t, err, "i/o timeout")
 		})
 	}
-	wg.Wait()
+	clients.Wait()
 	sum := 0
 	for _, n := range served {
 		sum += n
@@ -207,18 +64,56 @@
 	return float64(sum) / (loadClients * queriesPerClient)
 }
 
+// countServed sends the queries of a client and returns how many were served.
+func countServed(client int, query queryFunc) (served int) {
+	for i := range queriesPerClient {
+		q := loadQueries[i%len(loadQueries)]
+		started := time.Now()
+		complete := query(fmt.Sprintf("%s-%d-%d", q.class, client, i), q.class, q.parts)
+		if complete && time.Since(started) < maxServedTime {
+			served++
+		}
+	}
+	return served
+}
+
+// countServedHTTP is countServed over one HTTP connection, on which no query may have a second answer.
+func countServedHTTP(t *testing.T, address string, client int) int {
+	conn, err := net.Dial("tcp", address)
+	if !assert.NoError(t, err) {
+		return 0
+	}
+	defer conn.Close()
+	in := bufio.NewReader(conn)
+	served := countServed(client, func(id, class string, parts int) bool {
+		return queryHTTP(t, conn, in, id, class, parts)
+	})
+	conn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+	_, err = in.ReadByte()
+	assert.ErrorContains(t, err, "i/o timeout")
+	return served
+}
+
+// flightQuery returns a queryFunc of a Flight client.
+func flightQuery(t *testing.T, client flight.Client) queryFunc {
+	return func(id, class string, parts int) bool {
+		a, err := fetchAnswer(shortContext(t), client, queryTicket(id, class, parts))
+		return err == nil && a.closing.Complete && len(a.values) == parts
+	}
+}
+
 func queryHTTP(t *testing.T, conn net.Conn, in *bufio.Reader, id, class string, parts int) bool {
-	body := queryTicket(id, class, parts) // its targets and query are the platform's body
-	p := &exchangePlayer{t: t, readers: map[string]*bufio.Reader{"a": in}}
-	conn.Write(encodeMessage("a", fmt.Sprintf("POST /%s HTTP/1.1\nX-Request-Id: %s\nX-Deadline: 3000m\nContent-Length: auto\n\n%s",
-		class, id, body)))
+	body := queryTicket(id, class, parts) // the platform's body has the same targets and query
+	conn.Write(encodeMessage("client", fmt.Sprintf(
+		"POST /%s HTTP/1.1\nX-Request-Id: %s\nX-Deadline: 3000m\nContent-Length: auto\n\n%s", class, id, body)))
 	conn.SetReadDeadline(time.Now().Add(3 * time.Second))
-	m, err := p.readMessage("a")
+	answer, err := readHTTP(in)
 	assert.NoError(t, err, "%s has no final answer in its time", id)
-	return strings.HasPrefix(m, "HTTP/1.1 200") && strings.Contains(m, `"whole":true`) && strings.Count(m, `"value"`) == parts
+	return strings.HasPrefix(answer, "HTTP/1.1 200") && strings.Contains(answer, `"whole":true`) &&
+		strings.Count(answer, `"value"`) == parts
 }
 
-// Both protocols together break no rule, and serve as well as HTTP alone.
+// Both protocols together serve the same fraction of queries as HTTP alone, and break no rule of the ledger.
 func TestMixedProtocolsServeSameFractionAsHTTP(t *testing.T) {
 	alone := servedFraction(t, false)
 	mixed := servedFraction(t, true)
--- a/cmd/mothrouter/serve_test.go
+++ b/cmd/mothrouter/serve_test.go
@@ -8,7 +8,7 @@
 	"mothrouter/internal/broker"
 )
 
-// recordingCore is a core that keeps what it is handed.
+// recordingCore is a core that counts submitted requests.
 type recordingCore struct {
 	core
 	submitted int
@@ -20,7 +20,7 @@
 
 func (a resultChannel) Finish(r broker.Result) { a <- r }
 
-// A drain that refuses requests refuses those of the other front too, at once and with when to come back.
+// While the HTTP front rejects requests, those of the Flight front are rejected too, at once and with Retry-After.
 func TestDrainAwareCoreRejectsWhileDraining(t *testing.T) {
 	inner, refuses := &recordingCore{}, false
 	d := &drainAwareCore{inner, func() bool { return refuses }, 0.5}
--- a/cmd/mothrouter/state_test.go
+++ b/cmd/mothrouter/state_test.go
@@ -13,20 +13,22 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stateFile writes an operator file that keeps state in a folder.
+// stateFile writes an operator file that saves state in a folder and returns its path.
 func stateFile(t *testing.T, folder string) string {
 	path := filepath.Join(t.TempDir(), "state.toml")
 	require.NoError(t, os.WriteFile(path, fmt.Appendf(nil, "folder = %q\ninterval_s = 0.5\n", folder), 0o600))
 	return path
 }
 
+// stateCommand runs `mothrouter state` and returns its output.
 func stateCommand(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	out, err := exec.Command(program, append([]string{"state"}, args...)...).CombinedOutput()
 	return string(out), err
 }
 
-// What a broker has learned is there for the next one, with one loop and with several, and the commands show it.
+// A restarted broker restores the saved state, with one loop and with several, and starts blank on a truncated file. The
+// state commands inspect, verify and delete the file.
 func TestSavedStateRestoredAfterRestart(t *testing.T) {
 	for _, cores := range []bool{false, true} {
 		t.Run(fmt.Sprint("several cores ", cores), func(t *testing.T) {
@@ -34,9 +36,9 @@
 			folder := t.TempDir()
 			flags := []string{"-state", stateFile(t, folder)}
 			if cores {
-				flags = append(flags, "-cores", "../../deploy/cores.toml")
+				flags = append(flags, "-cores", coresFile)
 			}
-			first := operateWith(t, flags)
+			first := startServingBroker(t, flags...)
 			require.Contains(t, first.log.String(), "no saved state, starting blank")
 			for n := range 20 {
 				require.Contains(t, first.dial().roundTrip(queryRequest(fmt.Sprint("s", n))), " 200 ")
@@ -50,7 +52,7 @@
 			require.NoError(t, err, out)
 			require.Contains(t, out, "broker n1")
 			require.Contains(t, out, "s1 ")
-			second := operateWith(t, flags)
+			second := startServingBroker(t, flags...)
 			require.Contains(t, second.log.String(), "saved state restored")
 			require.Contains(t, second.dial().roundTrip(queryRequest("again")), " 200 ")
 			require.NoError(t, second.cmd.Process.Kill())
@@ -63,7 +65,7 @@
 			out, err = stateCommand(t, "verify", folder)
 			require.Error(t, err)
 			require.Contains(t, out, "truncated")
-			third := operateWith(t, flags)
+			third := startServingBroker(t, flags...)
 			require.Contains(t, third.log.String(), "truncated")
 			require.Contains(t, third.dial().roundTrip(queryRequest("blank")), " 200 ")
 			require.Contains(t, first.log.String()+third.log.String(), "starting blank")
@@ -74,13 +76,13 @@
 	}
 }
 
-// SIGTERM while it saves, at any moment: the file is whole.
+// SIGTERM before, during or after a save leaves a complete file.
 func TestStateFileCompleteAfterSIGTERMDuringSave(t *testing.T) {
 	t.Parallel()
 	folder := t.TempDir()
 	flags := []string{"-state", stateFile(t, folder)}
 	for i := range 3 {
-		o := operateWith(t, flags)
+		o := startServingBroker(t, flags...)
 		require.Contains(t, o.dial().roundTrip(queryRequest("q")), " 200 ")
 		time.Sleep(time.Duration(350+50*i) * time.Millisecond) // the first save is due after 375 to 625 ms
 		require.NoError(t, o.cmd.Process.Signal(syscall.SIGTERM))
@@ -92,24 +94,12 @@
 
 func TestStateFileRejectedByKey(t *testing.T) {
 	t.Parallel()
-	for text, want := range map[string]string{
+	requireFileRejected(t, "-state", map[string]string{
 		"":                               "state.folder: is missing",
 		"folder = \"/x\"\ninterval_s=0":  "state.interval_s: 0",
 		"folder = \"/x\"\ninterval_s=-5": "state.interval_s: -5",
 		"folder = \"/x\"\nspeed=1":       "state.speed: is not known",
-	} {
-		p := newPlayer(t)
-		p.config = filepath.Join(t.TempDir(), "config.json")
-		config := fmt.Sprintf(`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":%s}`, fmt.Sprintf(settingsFormat, 15., 400))
-		require.NoError(t, os.WriteFile(p.config, []byte(config), 0o600))
-		path := filepath.Join(t.TempDir(), "state.toml")
-		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		cmd := exec.Command(program, "-state", path)
-		cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.config)
-		out, err := cmd.CombinedOutput()
-		require.Error(t, err)
-		require.Contains(t, string(out), want)
-	}
+	})
 	out, err := stateCommand(t, "inspect", t.TempDir())
 	require.Error(t, err)
 	require.True(t, strings.HasPrefix(out, "mothrouter: "), out)
