--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -81,7 +81,7 @@
 		Folder: state.Folder, Interval: state.Interval, Instance: p.startConfig.Name,
 		Settings: p.startConfig.Fingerprint(), Seed: p.startConfig.Seed, Log: p.log,
 	})
-	p.components.Add(assembly.Part{Name: "state", Run: saver.Run,
+	p.components.Add(assembly.Component{Name: "state", Run: saver.Run,
 		Wrap: func(_ int, inner decision.Decider) decision.Decider { return saver.Watch(inner) }})
 	return nil
 }
@@ -115,7 +115,7 @@
 	if err != nil {
 		return err
 	}
-	p.components.Add(assembly.Part{Name: "fleet", Run: plane.Run})
+	p.components.Add(assembly.Component{Name: "fleet", Run: plane.Run})
 	return nil
 }
 
--- a/cmd/mothrouter/configuration.go
+++ b/cmd/mothrouter/configuration.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return err
 	}
-	p.components.Add(assembly.Part{Name: "configuration", Run: p.configFollower.Run})
+	p.components.Add(assembly.Component{Name: "configuration", Run: p.configFollower.Run})
 	return nil
 }
 
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -1,55 +1,54 @@
-// Package assembly puts a process together from parts: each may wrap the Decider of every worker, runs beside the
-// others, and is ended in its turn. So learned state, several cores and the fleet compose without knowing each other.
+// Package assembly starts and stops the components of a broker's process. Each may wrap the Decider of every worker and
+// run a goroutine of its own. So saved state, several cores and fleet membership compose without knowing each other.
 package assembly
 
 import (
 	"context"
 	"log/slog"
-	"sync"
 	"time"
 
 	"mothrouter/internal/decision"
 )
 
-// Make makes the Decider of one worker.
-type Make func(worker int, set decision.Settings, seed uint64) decision.Decider
+// NewDecider creates the Decider of one worker.
+type NewDecider func(worker int, set decision.Settings, seed uint64) decision.Decider
 
-// Wrap puts something around a worker's Decider.
-type Wrap func(worker int, inner decision.Decider) decision.Decider
+// WrapDecider returns a Decider that wraps a worker's, such as one that observes its events.
+type WrapDecider func(worker int, inner decision.Decider) decision.Decider
 
-// Part is one thing that runs beside the others.
-type Part struct {
-	Name string
-	// Run runs until ctx ends; nil: the part has nothing to run.
+// Component is a part of the process beside the core.
+type Component struct {
+	Name string // for the log
+	// Run runs until ctx ends; nil: the component only wraps Deciders.
 	Run func(ctx context.Context)
-	// Wrap is put around each worker's Decider, outside those of the parts before; nil: none.
-	Wrap Wrap
+	// Wrap wraps each worker's Decider, outside the wrappers of the components that were added before; nil: none.
+	Wrap WrapDecider
 }
 
-// Assembly is a process's parts. The zero value has none. It is put together before it is started, by one goroutine.
+// Assembly is the set of a process's components. The zero value has none. One goroutine adds them all before Start.
 type Assembly struct {
-	Log     *slog.Logger
-	parts   []Part
-	running []running
+	Log        *slog.Logger // of warnings about components that stop slowly
+	components []Component
+	running    []runningComponent
 }
 
-type running struct {
+type runningComponent struct {
 	name string
 	end  context.CancelFunc
 	done chan struct{}
 }
 
-// slow is how long an end may last before a line tells of whom the process waits for.
-const slow = 5 * time.Second
+// slowStopTimeout is how long a component may take to stop before a warning names it.
+const slowStopTimeout = 5 * time.Second
 
-// Add adds a part. Parts are started in the order in which they were added, and ended in the reverse of it.
-func (a *Assembly) Add(p Part) { a.parts = append(a.parts, p) }
+// Add adds a component. Components are started in the order in which they were added and stopped in reverse.
+func (a *Assembly) Add(p Component) { a.components = append(a.components, p) }
 
-// Decider makes deciders that all parts have wrapped.
-func (a *Assembly) Decider(inner Make) Make {
+// Decider returns a function that creates Deciders wrapped by all components.
+func (a *Assembly) Decider(inner NewDecider) NewDecider {
 	return func(worker int, set decision.Settings, seed uint64) decision.Decider {
 		d := inner(worker, set, seed)
-		for _, p := range a.parts {
+		for _, p := range a.components {
 			if p.Wrap != nil {
 				d = p.Wrap(worker, d)
 			}
@@ -58,14 +57,14 @@
 	}
 }
 
-// Start starts all parts.
+// Start starts all components.
 func (a *Assembly) Start() {
-	for _, p := range a.parts {
+	for _, p := range a.components {
 		if p.Run == nil {
 			continue
 		}
 		ctx, end := context.WithCancel(context.Background())
-		r := running{p.Name, end, make(chan struct{})}
+		r := runningComponent{p.Name, end, make(chan struct{})}
 		a.running = append(a.running, r)
 		go func() {
 			defer close(r.done)
@@ -74,22 +73,25 @@
 	}
 }
 
-// End ends the parts, the last one first: each has ended before the one that it may rest on.
+// End stops the components, the last one first, and waits for each, so that a component outlives those that depend on
+// it. Further calls do nothing.
 func (a *Assembly) End() {
 	for i := len(a.running) - 1; i >= 0; i-- {
-		r := a.running[i]
-		r.end()
-		late := time.NewTimer(slow)
-		var once sync.Once
-		for waiting := true; waiting; {
-			select {
-			case <-r.done:
-				waiting = false
-			case <-late.C:
-				once.Do(func() { a.Log.Warn("component slow to stop", "part", r.name) })
-			}
-		}
-		late.Stop()
+		a.running[i].stop(a.Log)
 	}
 	a.running = nil
 }
+
+// stop ends a component and waits until it has stopped.
+func (r runningComponent) stop(log *slog.Logger) {
+	r.end()
+	slow := time.NewTimer(slowStopTimeout)
+	defer slow.Stop()
+	select {
+	case <-r.done:
+		return
+	case <-slow.C:
+		log.Warn("component slow to stop", "part", r.name)
+	}
+	<-r.done
+}
--- a/internal/assembly/assembly_test.go
+++ b/internal/assembly/assembly_test.go
@@ -14,44 +14,44 @@
 	"mothrouter/internal/decision"
 )
 
-// named is a Decider that says who it is in a log line.
-type named struct {
+// namedDecider is a Decider that returns its name as a log line, after the actions of the Decider it wraps.
+type namedDecider struct {
 	name  string
 	inner decision.Decider
 }
 
-func (n named) Handle(now float64, events []decision.Event) (actions []decision.Action) {
+func (n namedDecider) Handle(now float64, events []decision.Event) (actions []decision.Action) {
 	if n.inner != nil {
 		actions = n.inner.Handle(now, events)
 	}
 	return append(actions, decision.Log{Line: n.name})
 }
 
-func TestPartsWrapInOrderAndEndInTheReverse(t *testing.T) {
+func TestComponentsWrapInOrderAndStopInReverse(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	a := &assembly.Assembly{Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 	var mu sync.Mutex
-	var said []string
-	say := func(s string) {
+	var stopped []string
+	recordStop := func(name string) {
 		mu.Lock()
 		defer mu.Unlock()
-		said = append(said, s)
+		stopped = append(stopped, name)
 	}
 	begun := make(chan struct{}, 3)
 	for _, name := range []string{"first", "second", "third"} {
-		p := assembly.Part{Name: name, Run: func(ctx context.Context) {
+		p := assembly.Component{Name: name, Run: func(ctx context.Context) {
 			begun <- struct{}{}
 			<-ctx.Done()
-			say(name)
+			recordStop(name)
 		}}
 		if name != "second" {
-			p.Wrap = func(_ int, inner decision.Decider) decision.Decider { return named{name, inner} }
+			p.Wrap = func(_ int, inner decision.Decider) decision.Decider { return namedDecider{name, inner} }
 		}
 		a.Add(p)
 	}
-	a.Add(assembly.Part{Name: "nothing to run"})
+	a.Add(assembly.Component{Name: "nothing to run"})
 	decider := a.Decider(func(worker int, _ decision.Settings, _ uint64) decision.Decider {
-		return named{[]string{"zero", "one"}[worker], nil}
+		return namedDecider{[]string{"zero", "one"}[worker], nil}
 	})
 	for worker, name := range []string{"zero", "one"} {
 		require.Equal(t, []decision.Action{decision.Log{Line: name}, decision.Log{Line: "first"}, decision.Log{Line: "third"}},
@@ -62,6 +62,6 @@
 		<-begun
 	}
 	a.End()
-	require.Equal(t, []string{"third", "second", "first"}, said)
-	a.End() // once is enough, twice does no harm
+	require.Equal(t, []string{"third", "second", "first"}, stopped)
+	a.End() // has no effect
 }
