--- a/internal/harness/controlplanetest/broker_test.go
+++ b/internal/harness/controlplanetest/broker_test.go
@@ -17,11 +17,11 @@
 )
 
 // startBroker starts a process of a broker that follows all machines.
-func startBroker(t *testing.T, rig *controlplanetest.Rig, name string) {
+func startBroker(t *testing.T, cluster *controlplanetest.Cluster, name string) {
 	folder := t.TempDir()
 	var control strings.Builder
 	fmt.Fprintf(&control, "zone = \"north\"\nregion = \"north\"\n")
-	for _, address := range rig.Addresses() {
+	for _, address := range cluster.Addresses() {
 		fmt.Fprintf(&control, "\n[[control]]\naddress = %q\nzone = \"north\"\nregion = \"north\"\n", address)
 	}
 	settings := strings.TrimSuffix(strings.SplitN(commandDocument, `"settings":`, 2)[1], "}")
@@ -48,38 +48,38 @@
 	})
 }
 
-// status is the merged status of all machines.
-func status(t *testing.T, rig *controlplanetest.Rig) configstatus.View {
+// mergedStatus returns the merged status of all machines.
+func mergedStatus(t *testing.T, cluster *controlplanetest.Cluster) configstatus.View {
 	var answers []configstatus.Answer
-	for _, address := range rig.Addresses() {
+	for _, address := range cluster.Addresses() {
 		got, err := operatorclient.Status(t.Context(), address)
 		answers = append(answers, configstatus.Answer{Address: address, Status: got, Err: err})
 	}
 	return configstatus.Merge(answers)
 }
 
-// Real brokers have each revision in force in time, also while the leader is killed.
-func TestBrokersFollow(t *testing.T) {
+// Broker processes put each revision in force in time, also while the leader is killed.
+func TestBrokersPutRevisionsInForceInTime(t *testing.T) {
 	const brokers = 3
-	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
+	cluster := startCluster(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
 	for i := range brokers {
-		startBroker(t, rig, fmt.Sprint("broker-", i))
+		startBroker(t, cluster, fmt.Sprint("broker-", i))
 	}
-	all := len(controlplanetest.Regions)*followers + brokers
-	require.Eventually(t, func() bool { return status(t, rig).Connected == all }, patience, 50*time.Millisecond)
+	all := len(controlplanetest.Regions)*followersPerRegion + brokers
+	require.Eventually(t, func() bool { return mergedStatus(t, cluster).Connected == all }, waitTimeout, 50*time.Millisecond)
 	for round := range 3 {
-		number, err := rig.Publish(t.Context(), rig.Addresses())
+		number, err := cluster.Publish(t.Context(), cluster.Addresses())
 		require.NoError(t, err)
 		require.Eventually(t, func() bool {
-			view := status(t, rig)
+			view := mergedStatus(t, cluster)
 			return view.Newest == number && view.Connected == all && len(view.Lagging) == 0 && len(view.Rejections) == 0
 		}, inForceWithin, 50*time.Millisecond, "revision %d", number)
 		if round == 0 {
-			leader := waitForLeader(t, rig)
+			leader := waitForLeader(t, cluster)
 			leader.Kill()
-			waitForLeader(t, rig)
+			waitForLeader(t, cluster)
 			require.NoError(t, leader.Start())
 		}
 	}
-	finish(t, rig)
+	checkHistory(t, cluster)
 }
--- a/internal/harness/controlplanetest/cluster_test.go
+++ b/internal/harness/controlplanetest/cluster_test.go
@@ -18,15 +18,15 @@
 )
 
 var (
-	rounds = flag.Int("rounds", 1, "play the faults of each test so often")
-	seed   = flag.Uint64("seed", 1, "of the moments of kills")
+	rounds = flag.Int("rounds", 1, "`number` of rounds of faults in each test")
+	seed   = flag.Uint64("seed", 1, "of the times of kills")
 
 	program    string
-	buildFlags []string // with the race detector on here, the program has it too
+	buildFlags []string // "-race" when the tests run with the race detector
 )
 
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "controlrig")
+	dir, err := os.MkdirTemp("", "controlplanetest")
 	if err != nil {
 		panic(err)
 	}
@@ -41,50 +41,50 @@
 }
 
 const (
-	patience     = 20 * time.Second       // for what must come
-	publishEvery = 150 * time.Millisecond // between two publications
-	followers    = 2                      // of a region
+	waitTimeout        = 20 * time.Second       // for what must happen
+	publishInterval    = 150 * time.Millisecond // between two publications
+	followersPerRegion = 2
 )
 
-// start starts a rig whose machines have a leader.
-func start(t *testing.T, options controlplanetest.Options) *controlplanetest.Rig {
+// startCluster starts a cluster with followers and waits until it has a leader.
+func startCluster(t *testing.T, options controlplanetest.Options) *controlplanetest.Cluster {
 	t.Parallel()
 	options.Program, options.Folder = program, t.TempDir()
-	rig, err := controlplanetest.New(options)
+	cluster, err := controlplanetest.New(options)
 	require.NoError(t, err)
 	t.Cleanup(func() {
-		rig.Close()
-		for _, m := range rig.Machines {
+		cluster.Close()
+		for _, m := range cluster.Machines {
 			require.NotContains(t, m.Log(), "DATA RACE")
 			if t.Failed() {
 				t.Logf("%s:\n%s", m.Name, m.Log())
 			}
 		}
 	})
-	require.NoError(t, rig.Follow(followers))
-	waitForLeader(t, rig)
-	return rig
+	require.NoError(t, cluster.StartFollowers(followersPerRegion))
+	waitForLeader(t, cluster)
+	return cluster
 }
 
-func waitForLeader(t *testing.T, rig *controlplanetest.Rig) *controlplanetest.Machine {
+func waitForLeader(t *testing.T, cluster *controlplanetest.Cluster) *controlplanetest.Machine {
 	var leader *controlplanetest.Machine
 	require.Eventually(t, func() bool {
-		leader = rig.Leader(t.Context())
+		leader = cluster.Leader(t.Context())
 		return leader != nil
-	}, patience, 50*time.Millisecond, "no leader")
+	}, waitTimeout, 50*time.Millisecond, "no leader")
 	return leader
 }
 
-// publishing publishes one document after the other until the function that it returns is called.
-func publishing(t *testing.T, rig *controlplanetest.Rig, addresses []string) (stop func()) {
+// startPublishing publishes one document after the other until stop is called.
+func startPublishing(t *testing.T, cluster *controlplanetest.Cluster, addresses []string) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	running.Go(func() {
 		for ctx.Err() == nil {
-			ctx, cancel := context.WithTimeout(ctx, patience/2)
-			_, _ = rig.Publish(ctx, addresses) // recorded; that it is late or has no answer is for the checkers
+			ctx, cancel := context.WithTimeout(ctx, waitTimeout/2)
+			_, _ = cluster.Publish(ctx, addresses) // recorded in the history, which is checked in the end
 			cancel()
-			time.Sleep(publishEvery)
+			time.Sleep(publishInterval)
 		}
 	})
 	return func() {
@@ -93,9 +93,9 @@
 	}
 }
 
-// acknowledged counts the publications that were acknowledged so far.
-func acknowledged(rig *controlplanetest.Rig) (count int) {
-	for _, p := range rig.History().Publications {
+// acknowledgedCount returns how many publications were acknowledged so far.
+func acknowledgedCount(cluster *controlplanetest.Cluster) (count int) {
+	for _, p := range cluster.History().Publications {
 		if p.Number != 0 {
 			count++
 		}
@@ -103,155 +103,155 @@
 	return count
 }
 
-// waitForMore waits until so many more publications are acknowledged.
-func waitForMore(t *testing.T, rig *controlplanetest.Rig, more int) {
-	want := acknowledged(rig) + more
-	require.Eventually(t, func() bool { return acknowledged(rig) >= want }, patience, 10*time.Millisecond,
+// waitForMore waits until a number of further publications is acknowledged.
+func waitForMore(t *testing.T, cluster *controlplanetest.Cluster, more int) {
+	want := acknowledgedCount(cluster) + more
+	require.Eventually(t, func() bool { return acknowledgedCount(cluster) >= want }, waitTimeout, 10*time.Millisecond,
 		"publications are not acknowledged any more")
 }
 
-// finish publishes once more, waits until that is everywhere, and checks the whole history.
-func finish(t *testing.T, rig *controlplanetest.Rig) {
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+// checkHistory publishes once more, waits until that revision is in force and stored everywhere, and checks the history.
+func checkHistory(t *testing.T, cluster *controlplanetest.Cluster) {
+	ctx, cancel := context.WithTimeout(t.Context(), waitTimeout)
 	defer cancel()
-	newest, err := rig.Publish(ctx, rig.Addresses())
+	newest, err := cluster.Publish(ctx, cluster.Addresses())
 	require.NoError(t, err)
 	require.Eventually(t, func() bool {
-		least, _ := rig.Least()
-		return least >= newest
-	}, patience, 20*time.Millisecond, "the last revision is not in force everywhere")
-	for _, m := range rig.Machines {
+		inForce, _ := cluster.MinInForce()
+		return inForce >= newest
+	}, waitTimeout, 20*time.Millisecond, "the last revision is not in force everywhere")
+	for _, m := range cluster.Machines {
 		require.Eventually(t, func() bool {
 			status, err := operatorclient.Status(ctx, m.Address)
 			return err == nil && status.GetNewest() >= newest
-		}, patience, 20*time.Millisecond, "%s lacks the last revision", m.Name)
+		}, waitTimeout, 20*time.Millisecond, "%s lacks the last revision", m.Name)
 	}
-	require.NoError(t, rig.Read(ctx, newest))
-	history := rig.History()
-	require.Empty(t, texts(history.Check(inForceWithin)))
+	require.NoError(t, cluster.RecordStored(ctx, newest))
+	history := cluster.History()
+	require.Empty(t, messages(history.Check(inForceWithin)))
 	t.Logf("%d publications, %d acknowledged, newest %d, %d applications at %d followers", len(history.Publications),
-		acknowledged(rig), newest, len(history.Applied), len(history.Followers))
+		acknowledgedCount(cluster), newest, len(history.Applied), len(history.Followers))
 }
 
-func TestLeaderIsKilledAndRestarted(t *testing.T) {
-	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
-	stop := publishing(t, rig, rig.Addresses())
+func TestLeaderRestart(t *testing.T) {
+	cluster := startCluster(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
+	stop := startPublishing(t, cluster, cluster.Addresses())
 	for range *rounds {
-		waitForMore(t, rig, 3)
-		leader := waitForLeader(t, rig)
+		waitForMore(t, cluster, 3)
+		leader := waitForLeader(t, cluster)
 		leader.Kill()
-		waitForMore(t, rig, 3)
+		waitForMore(t, cluster, 3)
 		require.NoError(t, leader.Start())
 
-		leader = waitForLeader(t, rig)
-		require.Zero(t, leader.End(), "exit status")
+		leader = waitForLeader(t, cluster)
+		require.Zero(t, leader.Terminate(), "exit status")
 		require.NoError(t, leader.Start())
-		waitForMore(t, rig, 3)
+		waitForMore(t, cluster, 3)
 	}
 	stop()
-	finish(t, rig)
+	checkHistory(t, cluster)
 }
 
-func TestLeaderIsPaused(t *testing.T) {
-	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
-	stop := publishing(t, rig, rig.Addresses())
+func TestLeaderPause(t *testing.T) {
+	cluster := startCluster(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
+	stop := startPublishing(t, cluster, cluster.Addresses())
 	for range *rounds {
-		waitForMore(t, rig, 3)
-		leader := waitForLeader(t, rig)
+		waitForMore(t, cluster, 3)
+		leader := waitForLeader(t, cluster)
 		leader.Pause()
-		waitForMore(t, rig, 3)
+		waitForMore(t, cluster, 3)
 		leader.Continue()
-		waitForMore(t, rig, 3)
+		waitForMore(t, cluster, 3)
 	}
 	stop()
-	finish(t, rig)
+	checkHistory(t, cluster)
 }
 
-// A machine, and now and then the leader, is killed at any moment while revisions are written. Its log is whole each
-// time, and what was acknowledged is in it.
-func TestKillsInMidWrite(t *testing.T) {
-	const kills, leaderEvery, upMost = 8, 4, 400 * time.Millisecond
-	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
+// A machine, at times the leader, is killed at random times while revisions are written. Its log is intact each time and
+// has all revisions that were acknowledged.
+func TestKillDuringWriteLosesNoRevision(t *testing.T) {
+	const kills, leaderEvery, maxUptime = 8, 4, 400 * time.Millisecond
+	cluster := startCluster(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
 	var stops []func()
 	for range 4 { // publications overlap, so that something is always being written
-		stops = append(stops, publishing(t, rig, rig.Addresses()))
+		stops = append(stops, startPublishing(t, cluster, cluster.Addresses()))
 	}
 	rng := rand.New(rand.NewPCG(*seed, 0xa54ff53a5f1d36f1))
 	for i := range kills * *rounds {
-		m := rig.Machine("c")
+		m := cluster.Machine("c")
 		if i%leaderEvery == leaderEvery-1 {
-			m = waitForLeader(t, rig)
+			m = waitForLeader(t, cluster)
 		}
-		waitForMore(t, rig, 1) // so there is a leader, and writes go on
-		time.Sleep(time.Duration(rng.Int64N(int64(upMost))))
+		waitForMore(t, cluster, 1) // so there is a leader, and writes go on
+		time.Sleep(time.Duration(rng.Int64N(int64(maxUptime))))
 		m.Kill()
 		require.NoError(t, m.Start())
 		require.Eventually(t, func() bool {
 			_, err := operatorclient.Status(t.Context(), m.Address)
 			return err == nil
-		}, patience, 20*time.Millisecond, "%s does not come back", m.Name)
+		}, waitTimeout, 20*time.Millisecond, "%s does not come back", m.Name)
 	}
-	waitForMore(t, rig, 3)
+	waitForMore(t, cluster, 3)
 	for _, stop := range stops {
 		stop()
 	}
-	finish(t, rig)
+	checkHistory(t, cluster)
 }
 
-// A region with the leader is cut off from all others. The others go on, and its followers have the newest in time once
-// it is mended.
-func TestCutRegion(t *testing.T) {
-	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
+// The leader's region is cut off from all others. The others go on, and its followers have the newest revision in force
+// in time once the cut ends.
+func TestRegionPartition(t *testing.T) {
+	cluster := startCluster(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
 	for range *rounds {
-		leader := waitForLeader(t, rig)
+		leader := waitForLeader(t, cluster)
 		var outside []string
-		for _, m := range rig.Machines {
+		for _, m := range cluster.Machines {
 			if m.Region != leader.Region {
 				outside = append(outside, m.Address)
 			}
 		}
-		stop := publishing(t, rig, outside)
-		waitForMore(t, rig, 3)
+		stop := startPublishing(t, cluster, outside)
+		waitForMore(t, cluster, 3)
 		from := time.Now()
-		rig.CutRegion(leader.Region, true)
-		waitForMore(t, rig, 10)
+		cluster.SetRegionCut(leader.Region, true)
+		waitForMore(t, cluster, 10)
 
 		ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
-		_, err := rig.Publish(ctx, []string{leader.Address})
+		_, err := cluster.Publish(ctx, []string{leader.Address})
 		cancel()
 		require.Error(t, err, "a machine without a quorum acknowledged a publication")
 
-		rig.CutRegion(leader.Region, false)
-		rig.Excuse(leader.Region, from, time.Now())
-		waitForMore(t, rig, 3)
+		cluster.SetRegionCut(leader.Region, false)
+		cluster.RecordDisconnection(leader.Region, from, time.Now())
+		waitForMore(t, cluster, 3)
 		stop()
 	}
-	finish(t, rig)
+	checkHistory(t, cluster)
 }
 
-// A voter that stays away is replaced by the spare: after that one more voter may be lost.
-func TestSpareTakesThePlaceOfALostVoter(t *testing.T) {
+// A lost voter is replaced by the spare; after that one more voter may be lost.
+func TestSpareReplacesLostVoter(t *testing.T) {
 	const promoteAfter = 5 * time.Second
-	rig := start(t, controlplanetest.Options{PromoteAfter: promoteAfter, Seed: *seed})
-	stop := publishing(t, rig, rig.Addresses())
-	lost := rig.Machine("b")
+	cluster := startCluster(t, controlplanetest.Options{PromoteAfter: promoteAfter, Seed: *seed})
+	stop := startPublishing(t, cluster, cluster.Addresses())
+	lost := cluster.Machine("b")
 	lost.Kill()
-	waitForVoter(t, rig, "d", "d", true)
-	waitForVoter(t, rig, "d", "b", false) // until then a majority of the old voters has to agree as well
-	second := rig.Machine("c")
+	waitForVoter(t, cluster, "d", "d", true)
+	waitForVoter(t, cluster, "d", "b", false) // until then a majority of the old voters has to agree as well
+	second := cluster.Machine("c")
 	second.Kill()
-	waitForMore(t, rig, 3)
+	waitForMore(t, cluster, 3)
 	require.NoError(t, second.Start())
 	require.NoError(t, lost.Start())
-	waitForMore(t, rig, 3)
+	waitForMore(t, cluster, 3)
 	stop()
-	finish(t, rig)
+	checkHistory(t, cluster)
 }
 
-// waitForVoter waits until a machine counts among the voters, or until it does not.
-func waitForVoter(t *testing.T, rig *controlplanetest.Rig, ask, name string, voter bool) {
+// waitForVoter waits until a machine reports that another one is a voter, or that it is not.
+func waitForVoter(t *testing.T, cluster *controlplanetest.Cluster, reporter, name string, voter bool) {
 	require.Eventually(t, func() bool {
-		status, err := operatorclient.Status(t.Context(), rig.Machine(ask).Address)
+		status, err := operatorclient.Status(t.Context(), cluster.Machine(reporter).Address)
 		if err != nil {
 			return false
 		}
@@ -261,37 +261,37 @@
 			}
 		}
 		return false
-	}, patience, 50*time.Millisecond, "%s is voter: not %v", name, voter)
+	}, waitTimeout, 50*time.Millisecond, "%s is voter: not %v", name, voter)
 }
 
-// A machine that has lost its disk comes back with a new log as docs/configuration.md tells: once the spare has
-// replaced it by the word of each other machine, and the leader was restarted. Before that it is stopped.
-func TestLostDiskComesBackAsTheSpare(t *testing.T) {
-	rig := start(t, controlplanetest.Options{PromoteAfter: 5 * time.Second, Seed: *seed})
-	stop := publishing(t, rig, rig.Addresses())
-	waitForMore(t, rig, 3)
-	leader := waitForLeader(t, rig)
-	lost := rig.Machine("b")
+// A machine that has lost its disk may rejoin with a new log, as docs/configuration.md describes, once all other
+// machines report that the spare has replaced it and the leader was restarted. Before that it exits.
+func TestMachineWithLostDiskRejoinsAsSpare(t *testing.T) {
+	cluster := startCluster(t, controlplanetest.Options{PromoteAfter: 5 * time.Second, Seed: *seed})
+	stop := startPublishing(t, cluster, cluster.Addresses())
+	waitForMore(t, cluster, 3)
+	leader := waitForLeader(t, cluster)
+	lost := cluster.Machine("b")
 	if leader == lost {
-		lost = rig.Machine("c")
+		lost = cluster.Machine("c")
 	}
 	lost.Kill()
 	require.NoError(t, os.RemoveAll(lost.Folder))
 	require.NoError(t, os.Mkdir(lost.Folder, 0o700))
-	for _, m := range rig.Machines {
+	for _, m := range cluster.Machines {
 		if m != lost {
-			waitForVoter(t, rig, m.Name, lost.Name, false)
+			waitForVoter(t, cluster, m.Name, lost.Name, false)
 		}
 	}
 	require.NoError(t, lost.Start("--create"))
 	require.Equal(t, 1, waitForEnd(t, lost))
 	require.Contains(t, lost.Log(), "lacks entries that this member has acknowledged")
 
-	require.Zero(t, leader.End())
+	require.Zero(t, leader.Terminate())
 	require.NoError(t, leader.Start())
-	waitForMore(t, rig, 3)
+	waitForMore(t, cluster, 3)
 	require.NoError(t, lost.Start())
-	waitForMore(t, rig, 3)
+	waitForMore(t, cluster, 3)
 	stop()
-	finish(t, rig)
+	checkHistory(t, cluster)
 }
--- a/internal/harness/controlplanetest/disk_test.go
+++ b/internal/harness/controlplanetest/disk_test.go
@@ -12,29 +12,29 @@
 	"mothrouter/internal/harness/controlplanetest"
 )
 
-// waitForEnd returns the exit status of a machine that has to end by itself.
+// waitForEnd returns the exit status of a machine whose process has to exit by itself.
 func waitForEnd(t *testing.T, m *controlplanetest.Machine) int {
 	select {
 	case <-m.Ended():
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatalf("%s does not end", m.Name)
 	}
 	return m.Wait()
 }
 
-// A machine whose disk takes no more stops with a message, and nobody else does. With room again it comes back.
-func TestFullDiskStopsThatMachineAlone(t *testing.T) {
-	const limitKiB = "512"
-	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
-	full := rig.Machine("b")
-	require.Zero(t, full.End())
-	require.NoError(t, full.StartLimited(limitKiB))
-	rig.Pad(20 << 10) // the log of so large documents soon exceeds the limit
-	stop := publishing(t, rig, rig.Addresses())
+// A machine whose disk is full exits with a message, and the others go on. With free space it can be restarted.
+func TestFullDiskStopsOnlyItsMachine(t *testing.T) {
+	const limitBlocks = "512" // of 512 bytes or more: enough for some revisions of 20 KiB
+	cluster := startCluster(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
+	full := cluster.Machine("b")
+	require.Zero(t, full.Terminate())
+	require.NoError(t, full.StartWithFileLimit(limitBlocks))
+	cluster.SetPadding(20 << 10) // the log soon exceeds the limit
+	stop := startPublishing(t, cluster, cluster.Addresses())
 	require.Equal(t, 1, waitForEnd(t, full), "exit status")
 	require.Contains(t, full.Log(), "no room on the disk")
-	waitForMore(t, rig, 3)
-	for _, m := range rig.Machines {
+	waitForMore(t, cluster, 3)
+	for _, m := range cluster.Machines {
 		if m != full {
 			select {
 			case <-m.Ended():
@@ -45,22 +45,22 @@
 	}
 	require.NoError(t, full.Start())
 	stop()
-	finish(t, rig)
+	checkHistory(t, cluster)
 }
 
-// A machine whose log is corrupt, of another machine, or missing does not start, and says why.
-func TestMachineDoesNotStartOnAWrongLog(t *testing.T) {
-	rig := start(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
-	stop := publishing(t, rig, rig.Addresses())
-	waitForMore(t, rig, 3)
-	m := rig.Machine("c")
-	require.Zero(t, m.End())
+// A machine whose log is corrupt, of another machine, or missing does not start, and its message names the file.
+func TestMachineRejectsInvalidLog(t *testing.T) {
+	cluster := startCluster(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
+	stop := startPublishing(t, cluster, cluster.Addresses())
+	waitForMore(t, cluster, 3)
+	m := cluster.Machine("c")
+	require.Zero(t, m.Terminate())
 	path := filepath.Join(m.Folder, controlserver.LogName)
-	whole, err := os.ReadFile(path)
+	intact, err := os.ReadFile(path)
 	require.NoError(t, err)
-	other, err := os.ReadFile(filepath.Join(rig.Machine("b").Folder, controlserver.LogName))
+	other, err := os.ReadFile(filepath.Join(cluster.Machine("b").Folder, controlserver.LogName))
 	require.NoError(t, err)
-	corrupt := append([]byte(nil), whole...)
+	corrupt := append([]byte(nil), intact...)
 	for i := len(corrupt) / 4; i < len(corrupt); i += 100 {
 		corrupt[i] ^= 0x55
 	}
@@ -69,7 +69,7 @@
 		content       []byte
 	}{
 		{"corrupt", "corrupt", corrupt},
-		{"torn", "raftlog: file", whole[:len(whole)/2]},
+		{"torn", "raftlog: file", intact[:len(intact)/2]},
 		{"of another machine", "not the log of this member", other},
 		{"no log at all", "not", []byte("nothing of the kind")},
 	} {
@@ -84,9 +84,9 @@
 	require.Equal(t, 1, waitForEnd(t, m), "missing")
 	require.Contains(t, m.Log(), "there is no log")
 
-	require.NoError(t, os.WriteFile(path, whole, 0o600))
+	require.NoError(t, os.WriteFile(path, intact, 0o600))
 	require.NoError(t, m.Start())
-	waitForMore(t, rig, 3)
+	waitForMore(t, cluster, 3)
 	stop()
-	finish(t, rig)
+	checkHistory(t, cluster)
 }
--- a/internal/harness/controlplanetest/follower.go
+++ b/internal/harness/controlplanetest/follower.go
@@ -4,6 +4,7 @@
 	"context"
 	"fmt"
 	"log/slog"
+	"math"
 	"sync"
 	"time"
 
@@ -12,7 +13,7 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// follower is a broker that only follows the configuration.
+// follower is a client of the control machines as a broker has it, which records each revision that it applies.
 type follower struct {
 	name, region string
 	client       *configfollower.Client
@@ -20,19 +21,19 @@
 	running      sync.WaitGroup
 }
 
-// Follow starts so many followers in each region. They reach the machines through relays of their region.
-func (r *Rig) Follow(aRegion int) error {
+// StartFollowers starts a number of followers in each region. They reach the machines through relays of their region.
+func (c *Cluster) StartFollowers(perRegion int) error {
 	for _, region := range Regions {
 		var control []distribution.Machine
-		for _, m := range r.Machines {
-			address, err := r.Network.Relay(region, m.Name, m.Address)
+		for _, m := range c.Machines {
+			address, err := c.Network.Relay(region, m.Name, m.Address)
 			if err != nil {
 				return err
 			}
 			control = append(control, distribution.Machine{Address: address, Zone: m.Region, Region: m.Region})
 		}
-		for i := range aRegion {
-			if err := r.follow(fmt.Sprintf("%s-%d", region, i), region, control); err != nil {
+		for i := range perRegion {
+			if err := c.startFollower(fmt.Sprintf("%s-%d", region, i), region, control); err != nil {
 				return err
 			}
 		}
@@ -40,16 +41,16 @@
 	return nil
 }
 
-func (r *Rig) follow(name, region string, control []distribution.Machine) error {
+func (c *Cluster) startFollower(name, region string, control []distribution.Machine) error {
 	f := &follower{name: name, region: region}
 	var err error
 	f.client, err = configfollower.New(configfollower.Options{
 		Name: name, Started: time.Now(), Zone: region, Region: region, Control: control, Callers: 600,
-		Seed: r.options.Seed + uint64(len(r.followers)), Log: slog.New(slog.DiscardHandler),
+		Seed: c.options.Seed + uint64(len(c.followers)), Log: slog.New(slog.DiscardHandler),
 		Apply: func(got *configpb.Revision) *configpb.Refusal {
-			r.mu.Lock()
-			defer r.mu.Unlock()
-			r.history.Applied = append(r.history.Applied, Applied{Follower: name, Number: got.GetNumber(),
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			c.history.Applied = append(c.history.Applied, Applied{Follower: name, Number: got.GetNumber(),
 				Checksum: configpb.Checksum(got.GetDocument()), At: time.Now()})
 			return nil
 		},
@@ -60,17 +61,17 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
 	f.running.Go(func() { f.client.Run(ctx) })
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.followers = append(r.followers, f)
-	r.history.Followers = append(r.history.Followers, name)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.followers = append(c.followers, f)
+	c.history.Followers = append(c.history.Followers, name)
 	return nil
 }
 
-// Least returns the lowest number that is in force at any follower, and at which.
-func (r *Rig) Least() (number uint64, follower string) {
-	number = 1<<64 - 1
-	for _, f := range r.followers {
+// MinInForce returns the lowest revision that is in force at any follower, and that follower's name.
+func (c *Cluster) MinInForce() (number uint64, follower string) {
+	number = math.MaxUint64
+	for _, f := range c.followers {
 		if inForce := f.client.Status().InForce; inForce < number {
 			number, follower = inForce, f.name
 		}
@@ -78,11 +79,11 @@
 	return number, follower
 }
 
-func (r *Rig) endFollowers() {
-	for _, f := range r.followers {
+func (c *Cluster) stopFollowers() {
+	for _, f := range c.followers {
 		f.cancel()
 	}
-	for _, f := range r.followers {
+	for _, f := range c.followers {
 		f.running.Wait()
 	}
 }
--- a/internal/harness/controlplanetest/network.go
+++ b/internal/harness/controlplanetest/network.go
@@ -6,19 +6,18 @@
 	"time"
 )
 
-// Fault is what happens to the bytes from one place to another.
+// Fault is what happens to the bytes from one site to another.
 type Fault struct {
-	Cut   bool          // nothing comes through until it is mended, as if packets were lost: connections stay
-	Delay time.Duration // of each read
+	Cut   bool          // bytes are held until the cut ends, as if packets were lost; connections stay open
+	Delay time.Duration // of each chunk that a relay reads
 }
 
-// chunkBytes is what a relay reads at once; chunksHeld such chunks are under way in one direction of a connection.
 const (
-	chunkBytes = 32 << 10
-	maxChunks  = 64
+	chunkBytes = 32 << 10 // what a relay reads at most at once
+	maxChunks  = 64       // in flight in one direction of a connection; then the relay reads no more
 )
 
-// Network stands between places by relays, and has a Fault for each directed pair of them.
+// Network connects sites, such as machines and regions, by relays, with a Fault for each directed pair of sites.
 type Network struct {
 	mu      sync.Mutex // guards what follows
 	faults  map[[2]string]Fault
@@ -37,8 +36,8 @@
 	}
 }
 
-// Set sets what happens to bytes from one place to another.
-func (n *Network) Set(from, to string, fault Fault) {
+// SetFault sets the fault of the bytes from one site to another.
+func (n *Network) SetFault(from, to string, fault Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults[[2]string{from, to}] = fault
@@ -52,8 +51,8 @@
 	return n.faults[[2]string{from, to}], n.changed
 }
 
-// Relay listens on a port of its own for connections from one place and carries them to an address at another. It
-// returns where it listens.
+// Relay starts a relay for connections from one site to an address at another, and returns the address at which it
+// listens.
 func (n *Network) Relay(from, to, address string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,13 +67,13 @@
 			if err != nil {
 				return
 			}
-			n.running.Go(func() { n.carry(conn, from, to, address) })
+			n.running.Go(func() { n.serve(conn, from, to, address) })
 		}
 	})
 	return listener.Addr().String(), nil
 }
 
-// Close ends all relays and connections.
+// Close closes all relays and connections.
 func (n *Network) Close() {
 	n.mu.Lock()
 	close(n.closed)
@@ -88,28 +87,28 @@
 	n.running.Wait()
 }
 
-// carry carries one connection until either side has closed it. The far side is reached only while it is not cut off.
-func (n *Network) carry(near net.Conn, from, to, address string) {
-	defer n.forget(near)
-	if !n.keep(near) || !n.passable(from, to) {
+// serve forwards one connection until either side has closed it. It dials the far side once the direction is not cut.
+func (n *Network) serve(near net.Conn, from, to, address string) {
+	defer n.untrack(near)
+	if !n.track(near) || !n.waitUntilOpen(from, to) {
 		return
 	}
 	far, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return
 	}
-	defer n.forget(far)
-	if !n.keep(far) {
+	defer n.untrack(far)
+	if !n.track(far) {
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { n.pump(far, near, from, to) })
-	both.Go(func() { n.pump(near, far, to, from) })
+	both.Go(func() { n.forward(far, near, from, to) })
+	both.Go(func() { n.forward(near, far, to, from) })
 	both.Wait()
 }
 
-// keep books a connection. It returns false once the network is closed.
-func (n *Network) keep(conn net.Conn) bool {
+// track registers a connection to be closed with the network. It reports false once the network is closed.
+func (n *Network) track(conn net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
@@ -121,15 +120,15 @@
 	}
 }
 
-func (n *Network) forget(conn net.Conn) {
+func (n *Network) untrack(conn net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, conn)
 	conn.Close()
 }
 
-// passable returns once bytes come through, or false once the network is closed.
-func (n *Network) passable(from, to string) bool {
+// waitUntilOpen waits until a direction is not cut. It reports false if the network is closed first.
+func (n *Network) waitUntilOpen(from, to string) bool {
 	for {
 		fault, changed := n.fault(from, to)
 		if !fault.Cut {
@@ -143,43 +142,46 @@
 	}
 }
 
-// chunk is bytes under way.
+// chunk is bytes in flight.
 type chunk struct {
-	data []byte
-	due  time.Time
+	data      []byte
+	deliverAt time.Time
 }
 
-// pump carries one direction until the source ends or the sink fails. That the source has ended comes through like
-// bytes do: not while the direction is cut.
-func (n *Network) pump(sink, source net.Conn, from, to string) {
+// forward forwards one direction until the source ends or the sink fails. The end of the source passes as bytes do: not
+// while the direction is cut.
+func (n *Network) forward(sink, source net.Conn, from, to string) {
 	chunks := make(chan chunk, maxChunks)
 	var reading sync.WaitGroup
-	reading.Go(func() {
-		defer close(chunks)
-		for {
-			buffer := make([]byte, chunkBytes)
-			count, err := source.Read(buffer)
-			fault, _ := n.fault(from, to)
-			if count > 0 {
-				chunks <- chunk{buffer[:count], time.Now().Add(fault.Delay)}
-			}
-			if err != nil {
-				return
-			}
-		}
-	})
-	broken := false
+	reading.Go(func() { n.readChunks(source, from, to, chunks) })
+	failed := false
 	for c := range chunks {
-		time.Sleep(time.Until(c.due))
-		if broken || !n.passable(from, to) {
+		time.Sleep(time.Until(c.deliverAt))
+		if failed || !n.waitUntilOpen(from, to) {
 			continue
 		}
 		if _, err := sink.Write(c.data); err != nil {
-			broken = true
+			failed = true
 			source.Close()
 		}
 	}
 	reading.Wait()
-	n.passable(from, to)
+	n.waitUntilOpen(from, to)
 	sink.Close()
 }
+
+// readChunks sends what it reads, with the time of its delivery, until the source ends. Then it closes chunks.
+func (n *Network) readChunks(source net.Conn, from, to string, chunks chan<- chunk) {
+	defer close(chunks)
+	for {
+		buffer := make([]byte, chunkBytes)
+		length, err := source.Read(buffer)
+		fault, _ := n.fault(from, to)
+		if length > 0 {
+			chunks <- chunk{buffer[:length], time.Now().Add(fault.Delay)}
+		}
+		if err != nil {
+			return
+		}
+	}
+}
--- a/internal/harness/controlplanetest/network_test.go
+++ b/internal/harness/controlplanetest/network_test.go
@@ -11,8 +11,8 @@
 	"mothrouter/internal/harness/controlplanetest"
 )
 
-// echo connects to a server that sends back what it gets, through a relay from "here" to "there".
-func echo(t *testing.T) (*controlplanetest.Network, net.Conn) {
+// dialEchoServer connects to a server that sends back what it gets, through a relay from "here" to "there".
+func dialEchoServer(t *testing.T) (*controlplanetest.Network, net.Conn) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go func() {
@@ -40,7 +40,7 @@
 	return network, conn
 }
 
-func exchange(t *testing.T, conn net.Conn, within time.Duration) error {
+func echoByte(t *testing.T, conn net.Conn, within time.Duration) error {
 	_, err := conn.Write([]byte("x"))
 	require.NoError(t, err)
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(within)))
@@ -48,24 +48,24 @@
 	return err
 }
 
-func TestRelayCutsEachDirectionAndKeepsWhatWasSent(t *testing.T) {
+func TestRelayCutHoldsBytesOfOneDirection(t *testing.T) {
 	for _, pair := range [][2]string{{"here", "there"}, {"there", "here"}} {
-		network, conn := echo(t)
-		require.NoError(t, exchange(t, conn, 2*time.Second))
-		network.Set(pair[0], pair[1], controlplanetest.Fault{Cut: true})
-		require.Error(t, exchange(t, conn, 100*time.Millisecond))
-		network.Set(pair[0], pair[1], controlplanetest.Fault{})
+		network, conn := dialEchoServer(t)
+		require.NoError(t, echoByte(t, conn, 2*time.Second))
+		network.SetFault(pair[0], pair[1], controlplanetest.Fault{Cut: true})
+		require.Error(t, echoByte(t, conn, 100*time.Millisecond))
+		network.SetFault(pair[0], pair[1], controlplanetest.Fault{})
 		require.NoError(t, conn.SetReadDeadline(time.Now().Add(2*time.Second)))
 		_, err := conn.Read(make([]byte, 1))
 		require.NoError(t, err)
 	}
 }
 
-func TestRelayDelaysADirection(t *testing.T) {
-	network, conn := echo(t)
-	require.NoError(t, exchange(t, conn, 2*time.Second))
-	network.Set("there", "here", controlplanetest.Fault{Delay: 200 * time.Millisecond})
+func TestRelayDelaysOneDirection(t *testing.T) {
+	network, conn := dialEchoServer(t)
+	require.NoError(t, echoByte(t, conn, 2*time.Second))
+	network.SetFault("there", "here", controlplanetest.Fault{Delay: 200 * time.Millisecond})
 	began := time.Now()
-	require.NoError(t, exchange(t, conn, 2*time.Second))
+	require.NoError(t, echoByte(t, conn, 2*time.Second))
 	require.GreaterOrEqual(t, time.Since(began), 200*time.Millisecond)
 }
--- a/internal/harness/processtest/fleet_test.go
+++ b/internal/harness/processtest/fleet_test.go
@@ -16,7 +16,7 @@
 var program string
 
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "rig")
+	dir, err := os.MkdirTemp("", "processtest")
 	if err != nil {
 		panic(err)
 	}
@@ -36,12 +36,12 @@
 		"familyInfo":{"cells":1,"slabs":1},"caps":{"openCap":50}}}`, name, listen, control)
 }
 
-const size = 6
+const fleetSize = 6
 
-// fleet starts one and waits until all know all.
-func fleet(t *testing.T, seed uint64) *processtest.Fleet {
+// startFleet starts a fleet and waits until each broker sees all others.
+func startFleet(t *testing.T, seed uint64) *processtest.Fleet {
 	t.Parallel()
-	f, err := processtest.New(processtest.Options{Program: program, Folder: t.TempDir(), Brokers: size, Seed: seed, Config: config})
+	f, err := processtest.New(processtest.Options{Program: program, Folder: t.TempDir(), Brokers: fleetSize, Seed: seed, Config: config})
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		f.Close()
@@ -51,13 +51,27 @@
 			}
 		}
 	})
-	see(t, f, 20*time.Second, func(*processtest.Broker) int { return size })
-	f.Forget()
+	waitForAlive(t, f, 20*time.Second, seenByAll)
+	f.ResetRemoved()
 	return f
 }
 
-// see waits until each broker of whom want is above 0 sees so many alive.
-func see(t *testing.T, f *processtest.Fleet, within time.Duration, want func(*processtest.Broker) int) time.Duration {
+// seenByAll expects each broker to see all others.
+func seenByAll(*processtest.Broker) int { return fleetSize }
+
+// seenWithout expects all brokers but one to see a fleet without that one.
+func seenWithout(index int) func(*processtest.Broker) int {
+	return func(b *processtest.Broker) int {
+		if b.Index == index {
+			return 0
+		}
+		return fleetSize - 1
+	}
+}
+
+// waitForAlive waits until each broker sees the wanted number of brokers alive, and returns how long that took. A broker
+// for which want returns 0 may see any number.
+func waitForAlive(t *testing.T, f *processtest.Fleet, within time.Duration, want func(*processtest.Broker) int) time.Duration {
 	t.Helper()
 	began := time.Now()
 	require.Eventually(t, func() bool {
@@ -71,40 +85,34 @@
 	return time.Since(began)
 }
 
-// nobody checks that none but those named were taken for lost.
-func nobody(t *testing.T, f *processtest.Fleet, except ...string) {
+// requireNoneRemoved checks that brokers have marked none as lost but those named.
+func requireNoneRemoved(t *testing.T, f *processtest.Fleet, except ...string) {
 	t.Helper()
 	for _, b := range f.Brokers {
 		for _, name := range b.Removed() {
-			require.Contains(t, except, name, "%s took it for lost", b.Name)
+			require.Contains(t, except, name, "%s marked it as lost", b.Name)
 		}
 	}
 }
 
-func TestAKilledBrokerIsKnownAndItsRestartToo(t *testing.T) {
-	f := fleet(t, 1)
+func TestKilledBrokerIsRemovedAndRejoins(t *testing.T) {
+	f := startFleet(t, 1)
 	f.Brokers[4].Kill()
-	others := func(b *processtest.Broker) int {
-		if b.Index == 4 {
-			return 0
-		}
-		return size - 1
-	}
-	took := see(t, f, 8*time.Second, others)
+	took := waitForAlive(t, f, 8*time.Second, seenWithout(4))
 	t.Logf("known to all after %v", took)
-	require.Less(t, took, 6*time.Second) // 5 s, and what a busy machine adds
+	require.Less(t, took, 6*time.Second) // 5 s, and 1 s for a busy machine
 	require.NoError(t, f.Brokers[4].Start())
-	see(t, f, 10*time.Second, func(*processtest.Broker) int { return size })
-	nobody(t, f, "n4")
-	f.Brokers[5].End() // one that says so is gone at once
-	took = see(t, f, 8*time.Second, func(b *processtest.Broker) int { return map[bool]int{true: 0, false: size - 1}[b.Index == 5] })
+	waitForAlive(t, f, 10*time.Second, seenByAll)
+	requireNoneRemoved(t, f, "n4")
+	f.Brokers[5].Terminate() // it announces that it leaves
+	took = waitForAlive(t, f, 8*time.Second, seenWithout(5))
 	require.Less(t, took, 2*time.Second)
 }
 
-func TestBadPathsAndPausesRemoveNobody(t *testing.T) {
-	f := fleet(t, 2)
-	f.Everywhere(processtest.Faults{Lose: 0.2, Double: 0.2, Delay: 60 * time.Millisecond})
-	sent := f.Brokers[0].Sent()
+func TestFaultyNetworkAndShortPausesRemoveNoBroker(t *testing.T) {
+	f := startFleet(t, 2)
+	f.SetAllFaults(processtest.Faults{LossRatio: 0.2, DuplicateRatio: 0.2, MaxDelay: 60 * time.Millisecond})
+	sent := f.Brokers[0].SentBytes()
 	began := time.Now()
 	for i := range 3 {
 		b := f.Brokers[i+1]
@@ -113,58 +121,64 @@
 		b.Continue()
 		time.Sleep(time.Second)
 	}
-	nobody(t, f)
-	require.Less(t, float64(f.Brokers[0].Sent()-sent)/time.Since(began).Seconds(), 4000.)
+	requireNoneRemoved(t, f)
+	require.Less(t, float64(f.Brokers[0].SentBytes()-sent)/time.Since(began).Seconds(), 4000.)
 }
 
-func TestALongPauseRemovesOneAndWakingBringsItBack(t *testing.T) {
-	f := fleet(t, 3)
+func TestLongPauseRemovesBrokerUntilItContinues(t *testing.T) {
+	f := startFleet(t, 3)
 	f.Brokers[2].Pause()
-	see(t, f, 8*time.Second, func(b *processtest.Broker) int { return map[bool]int{true: 0, false: size - 1}[b.Index == 2] })
+	waitForAlive(t, f, 8*time.Second, seenWithout(2))
 	time.Sleep(2 * time.Second)
 	f.Brokers[2].Continue()
-	took := see(t, f, 6*time.Second, func(*processtest.Broker) int { return size })
+	took := waitForAlive(t, f, 6*time.Second, seenByAll)
 	require.Less(t, took, 4*time.Second)
-	nobody(t, f, "n2")
-	require.Empty(t, f.Brokers[2].Removed(), "one that wakes removes nobody")
+	requireNoneRemoved(t, f, "n2")
+	require.Empty(t, f.Brokers[2].Removed(), "a broker that continues removes none")
 }
 
-func TestACutPairRemovesNobodyAndACutSideIsFenced(t *testing.T) {
-	f := fleet(t, 4)
-	f.Between(0, 1, processtest.Faults{Cut: true})
-	f.Between(3, 2, processtest.Faults{Cut: true})
-	f.Between(2, 3, processtest.Faults{Cut: true})
+func TestPartitionFencesMinorityAndCutPairRemovesNoBroker(t *testing.T) {
+	const minority = 2 // brokers that are cut off from the others
+	f := startFleet(t, 4)
+	cut := processtest.Faults{Cut: true}
+	f.SetFaults(0, 1, cut)
+	f.SetFaults(3, 2, cut)
+	f.SetFaults(2, 3, cut)
 	time.Sleep(6 * time.Second)
-	nobody(t, f)
-	few := func(i int) bool { return i < 2 } // two of six are cut off from the others
-	f.Everywhere(processtest.Faults{})
-	for i := range size {
-		for j := range size {
-			if few(i) != few(j) {
-				f.Between(i, j, processtest.Faults{Cut: true})
-			}
+	requireNoneRemoved(t, f)
+	f.SetAllFaults(processtest.Faults{})
+	for i := range minority {
+		for j := minority; j < fleetSize; j++ {
+			f.SetFaults(i, j, cut)
+			f.SetFaults(j, i, cut)
 		}
 	}
-	see(t, f, 12*time.Second, func(b *processtest.Broker) int { return map[bool]int{true: 2, false: size - 2}[few(b.Index)] })
+	waitForAlive(t, f, 12*time.Second, func(b *processtest.Broker) int {
+		if b.Index < minority {
+			return minority
+		}
+		return fleetSize - minority
+	})
 	for _, b := range f.Brokers {
-		require.Equal(t, size, b.View().Sharing, "the lost keep their part")
+		require.Equal(t, fleetSize, b.View().Sharing, "lost brokers keep their share")
 	}
 	require.Eventually(t, func() bool { return f.Brokers[0].View().Fenced && f.Brokers[1].View().Fenced }, 30*time.Second, 50*time.Millisecond)
 	require.False(t, f.Brokers[3].View().Fenced)
-	f.Everywhere(processtest.Faults{})
-	took := see(t, f, 8*time.Second, func(*processtest.Broker) int { return size })
+	f.SetAllFaults(processtest.Faults{})
+	took := waitForAlive(t, f, 8*time.Second, seenByAll)
 	require.Less(t, took, 6*time.Second)
 	require.Eventually(t, func() bool { return !f.Brokers[0].View().Fenced }, 2*time.Second, 20*time.Millisecond)
 }
 
-// Most are killed at once and come back under their names: one broker each, whatever is still known of the dead.
-func TestSoManyRestartsAtOnce(t *testing.T) {
-	f := fleet(t, 5)
+// Four of six brokers are killed at once and restarted under their names: each counts as one broker, whatever the
+// others still know of the killed processes.
+func TestMajorityRestartsAtOnce(t *testing.T) {
+	f := startFleet(t, 5)
 	for _, b := range f.Brokers[1:5] {
 		b.Kill()
 	}
 	for _, b := range f.Brokers[1:5] {
 		require.NoError(t, b.Start())
 	}
-	see(t, f, 15*time.Second, func(*processtest.Broker) int { return size })
+	waitForAlive(t, f, 15*time.Second, seenByAll)
 }
