--- a/internal/harness/scale/child.go
+++ b/internal/harness/scale/child.go
@@ -22,16 +22,16 @@
 // A child is this program's second process, so that the far side's processor time and memory are not counted with the
 // near side's. It ends when its standard input does.
 const (
-	childRole     = "SCALE_CHILD"
-	childSize     = "SCALE_CHILD_SIZE"
-	roleServers   = "record-servers"
-	roleDiscovery = "discovery"
-	roleHub       = "configuration-hub"
-	roleFollowers = "configuration-followers"
-	childReady    = "ready"
-	childStart    = 30 * time.Second // it must be ready within
-	childLine     = 1 << 20          // bytes of a line that it says at most
-	connectHead   = 4096             // bytes of a request's head that are read at most
+	childRole         = "SCALE_CHILD"
+	childSize         = "SCALE_CHILD_SIZE"
+	roleServers       = "record-servers"
+	roleDiscovery     = "discovery"
+	roleHub           = "configuration-hub"
+	roleFollowers     = "configuration-followers"
+	childReady        = "ready"
+	childStartTimeout = 30 * time.Second // it must be ready within
+	maxChildLine      = 1 << 20          // bytes of a line that it says at most
+	maxRequestHead    = 4096             // bytes of a request's head that are read at most
 )
 
 // ServeChild is the child's main: it returns false at once in a process that is none.
@@ -60,7 +60,7 @@
 }
 
 func serveRecords(servers int) error {
-	f, err := recordservertest.New(recordservertest.Options{Servers: servers, ReplicationFactor: AssumedReplicationFactor, ServiceTime: childWork, Seed: 1})
+	f, err := recordservertest.New(recordservertest.Options{Servers: servers, ReplicationFactor: AssumedReplicationFactor, ServiceTime: childServiceTime, Seed: 1})
 	if err != nil {
 		return err
 	}
@@ -73,15 +73,15 @@
 	return err
 }
 
-// childWork is what the stand-ins work on a part: little, since many share the machine.
-const childWork = 2 * time.Millisecond
+// childServiceTime is what the stand-ins work on a part: little, since many share the machine.
+const childServiceTime = 2 * time.Millisecond
 
 // child is such a process.
 type child struct {
-	cmd   *exec.Cmd
-	in    io.WriteCloser
-	said  *bufio.Scanner
-	lines []string // that it said before it was ready
+	cmd        *exec.Cmd
+	in         io.WriteCloser
+	out        *bufio.Scanner
+	startLines []string // that it said before it was ready
 }
 
 func startChild(role string, size int) (*child, error) {
@@ -99,15 +99,15 @@
 	if err := c.cmd.Start(); err != nil {
 		return nil, err
 	}
-	timer := time.AfterFunc(childStart, func() { c.in.Close() })
+	timer := time.AfterFunc(childStartTimeout, func() { c.in.Close() })
 	defer timer.Stop()
-	c.said = bufio.NewScanner(out)
-	c.said.Buffer(nil, childLine)
-	for c.said.Scan() {
-		if c.said.Text() == childReady {
+	c.out = bufio.NewScanner(out)
+	c.out.Buffer(nil, maxChildLine)
+	for c.out.Scan() {
+		if c.out.Text() == childReady {
 			return c, nil
 		}
-		c.lines = append(c.lines, c.said.Text())
+		c.startLines = append(c.startLines, c.out.Text())
 	}
 	c.in.Close()
 	return nil, errors.Join(errors.New("scale: a child was not ready"), c.cmd.Wait())
@@ -128,10 +128,10 @@
 	if err := json.NewEncoder(c.in).Encode(command); err != nil {
 		return err
 	}
-	if !c.said.Scan() {
-		return errors.Join(errors.New("scale: a child has ended"), c.said.Err())
+	if !c.out.Scan() {
+		return errors.Join(errors.New("scale: a child has ended"), c.out.Err())
 	}
-	return json.Unmarshal(c.said.Bytes(), answer)
+	return json.Unmarshal(c.out.Bytes(), answer)
 }
 
 // serveCommands is the child's side of ask: it answers each command until the parent closes its standard input.
@@ -154,16 +154,16 @@
 	}
 }
 
-// change asks a stand-in for discovery for its changes.
-func (c *child) change() error {
+// startChanges asks a stand-in for discovery for its changes.
+func (c *child) startChanges() error {
 	_, err := io.WriteString(c.in, "change\n")
 	return err
 }
 
-// entries are the child's record servers as discovery would tell them.
-func (c *child) entries() []broker.Endpoint {
-	list := make([]broker.Endpoint, len(c.lines))
-	for i, addr := range c.lines {
+// endpoints are the child's record servers as discovery would tell them.
+func (c *child) endpoints() []broker.Endpoint {
+	list := make([]broker.Endpoint, len(c.startLines))
+	for i, addr := range c.startLines {
 		list[i] = broker.Endpoint{Addr: addr, Server: decision.Server{ID: serverID(i), Zone: i / replicaSetsPerZone % TargetZones,
 			ReplicaSet: i, Capacity: 1}}
 	}
@@ -172,11 +172,11 @@
 
 // Of the stand-in for discovery.
 const (
-	changeEvery = 100 * time.Millisecond
-	maxChanges  = 20
-	listWithin  = 10 * time.Second // all watchers have the list
-	emptyEvery  = 2 * time.Second  // an empty line, as discovery sends
-	maxWatchers = 4096
+	changeInterval    = 100 * time.Millisecond
+	maxChanges        = 20
+	listTimeout       = 10 * time.Second // all watchers have the list
+	heartbeatInterval = 2 * time.Second  // an empty line, as discovery sends
+	maxWatchers       = 4096
 )
 
 // serveDiscovery tells a list of so many servers to each watch and, once its parent has written a line, changes of one
@@ -189,37 +189,37 @@
 	defer l.Close()
 	fmt.Println(l.Addr())
 	fmt.Println(childReady)
-	d := &directory{whole: encodeList(servers, 1)}
+	d := &fakeDiscovery{fullList: encodeList(servers, 1)}
 	go d.accept(l)
-	go d.keep()
+	go d.sendHeartbeats()
 	in := bufio.NewReader(os.Stdin)
 	if _, err := in.ReadString('\n'); err != nil {
 		return nil // its parent has ended before it asked for changes
 	}
-	go d.change()
+	go d.sendChanges()
 	_, err = io.Copy(io.Discard, in)
 	return err
 }
 
-// directory is the stand-in for discovery.
-type directory struct {
-	whole []byte
-	mu    sync.Mutex
-	conns []net.Conn
+// fakeDiscovery is the stand-in for discovery.
+type fakeDiscovery struct {
+	fullList []byte
+	mu       sync.Mutex
+	conns    []net.Conn
 }
 
-func (d *directory) accept(l net.Listener) {
+func (d *fakeDiscovery) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		go d.greet(c)
+		go d.serveWatch(c)
 	}
 }
 
-func (d *directory) greet(c net.Conn) {
-	in := bufio.NewReaderSize(c, connectHead)
+func (d *fakeDiscovery) serveWatch(c net.Conn) {
+	in := bufio.NewReaderSize(c, maxRequestHead)
 	for {
 		line, err := in.ReadString('\n')
 		if err != nil {
@@ -231,7 +231,7 @@
 		}
 	}
 	if _, err := c.Write(append([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"),
-		chunk(d.whole)...)); err != nil {
+		encodeChunk(d.fullList)...)); err != nil {
 		c.Close()
 		return
 	}
@@ -242,28 +242,28 @@
 	}
 }
 
-func chunk(data []byte) []byte { return fmt.Appendf(nil, "%x\r\n%s\r\n", len(data), data) }
+func encodeChunk(data []byte) []byte { return fmt.Appendf(nil, "%x\r\n%s\r\n", len(data), data) }
 
-// change tells the changes.
-func (d *directory) change() {
+// sendChanges tells the changes.
+func (d *fakeDiscovery) sendChanges() {
 	for range maxChanges {
-		time.Sleep(changeEvery)
-		d.tell(encodeChange(0, time.Now().UnixNano()))
+		time.Sleep(changeInterval)
+		d.broadcast(encodeChange(0, time.Now().UnixNano()))
 	}
 }
 
-// keep keeps the watches alive.
-func (d *directory) keep() {
+// sendHeartbeats keeps the watches alive.
+func (d *fakeDiscovery) sendHeartbeats() {
 	for {
-		time.Sleep(emptyEvery)
-		d.tell([]byte("\n"))
+		time.Sleep(heartbeatInterval)
+		d.broadcast([]byte("\n"))
 	}
 }
 
-func (d *directory) tell(data []byte) {
+func (d *fakeDiscovery) broadcast(data []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.conns {
-		c.Write(chunk(data))
+		c.Write(encodeChunk(data))
 	}
 }
--- a/internal/harness/scale/configuration.go
+++ b/internal/harness/scale/configuration.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	followersWithin = 25 * time.Second // all follow, or have a revision in force
-	quietCounted    = 3 * time.Second  // without changes
-	// changesCounted are published changeApart apart, ten times the target's rate: a day has 86,400 s and 2,700
+	followersTimeout = 25 * time.Second // all follow, or have a revision in force
+	quietDuration    = 3 * time.Second  // without changes
+	// countedChanges are published changeApart apart, ten times the target's rate: a day has 86,400 s and 2,700
 	// changes, which are 32 s apart.
-	changesCounted = 4
-	changeApart    = 3200 * time.Millisecond
-	// smallFaster is by how much less time small fleets are given, for CI.
-	smallFaster = 16
+	countedChanges  = 4
+	publishInterval = 3200 * time.Millisecond
+	// smallSpeedup is by how much less time small fleets are given, for CI.
+	smallSpeedup = 16
 )
 
 // configurationProvenance tells what is what.
@@ -49,17 +49,17 @@
 // regionName is the region of a broker or a control machine: they lie in the target's regions in turn.
 func regionName(i int) string { return fmt.Sprint("region-", i%TargetRegions) }
 
-// distributed is a run of the distribution: hubs and their followers.
-type distributed struct {
-	hubs      []*child
-	followers *child
-	count     float64 // of followers
-	bytes     int     // of a document
-	newest    uint64
+// distributionRun is a run of the distribution: hubs and their followers.
+type distributionRun struct {
+	hubs          []*child
+	followers     *child
+	followerCount float64 // of followers
+	documentBytes int     // of a document
+	newest        uint64
 }
 
 func playConfiguration(at Sizes, seed uint64) ([]Reading, error) {
-	d := &distributed{count: at.Of(axisBrokers), bytes: int(at.Of(axisDocument)) * bytesPerKB}
+	d := &distributionRun{followerCount: at.Of(axisBrokers), documentBytes: int(at.Of(axisDocument)) * bytesPerKB}
 	defer d.stop()
 	if err := d.startChildren(int(at.Of(axisControl))); err != nil {
 		return nil, err
@@ -68,11 +68,11 @@
 	if err != nil {
 		return nil, err
 	}
-	quiet, apart := quietCounted, changeApart
-	if d.count < brokerSizes[0] {
-		quiet, apart = quiet/smallFaster, apart/smallFaster
+	quiet, apart := quietDuration, publishInterval
+	if d.followerCount < brokerSizes[0] {
+		quiet, apart = quiet/smallSpeedup, apart/smallSpeedup
 	}
-	counted, err := d.ordinary(quiet, apart)
+	counted, err := d.measureTraffic(quiet, apart)
 	if err != nil {
 		return nil, err
 	}
@@ -80,11 +80,11 @@
 	if len(d.hubs) < ControlMachines {
 		return readings, nil // none can be lost
 	}
-	lost, err := d.loseHub()
+	lost, err := d.measureHubLoss()
 	return append(readings, lost...), err
 }
 
-func (d *distributed) startChildren(hubs int) error {
+func (d *distributionRun) startChildren(hubs int) error {
 	for range hubs {
 		hub, err := startChild(roleHub, 0)
 		if err != nil {
@@ -92,13 +92,13 @@
 		}
 		d.hubs = append(d.hubs, hub)
 	}
-	followers, err := startChild(roleFollowers, int(d.count))
+	followers, err := startChild(roleFollowers, int(d.followerCount))
 	d.followers = followers
 	return err
 }
 
 // stop ends all children.
-func (d *distributed) stop() {
+func (d *distributionRun) stop() {
 	if d.followers != nil {
 		d.followers.stop()
 	}
@@ -107,8 +107,8 @@
 	}
 }
 
-// askHubs asks all hubs the same, one after the other.
-func (d *distributed) askHubs(command hubCommand) ([]hubAnswer, error) {
+// requestHubs asks all hubs the same, one after the other.
+func (d *distributionRun) requestHubs(command hubCommand) ([]hubAnswer, error) {
 	answers := make([]hubAnswer, len(d.hubs))
 	for i, hub := range d.hubs {
 		if err := hub.request(command, &answers[i]); err != nil {
@@ -118,89 +118,89 @@
 	return answers, nil
 }
 
-func (d *distributed) askFollowers(command followersCommand) (answer followersAnswer, err error) {
+func (d *distributionRun) requestFollowers(command followersCommand) (answer followersAnswer, err error) {
 	err = d.followers.request(command, &answer)
 	return answer, err
 }
 
 // publish has all hubs know the next revision, and returns when the first of them was told, in Unix nanoseconds.
-func (d *distributed) publish() (int64, error) {
+func (d *distributionRun) publish() (int64, error) {
 	d.newest++
-	answers, err := d.askHubs(hubCommand{Publish: d.newest, Bytes: d.bytes})
+	answers, err := d.requestHubs(hubCommand{Publish: d.newest, Bytes: d.documentBytes})
 	if err != nil {
 		return 0, err
 	}
-	return answers[0].At, nil
+	return answers[0].PublishedAt, nil
 }
 
 // startAtOnce starts all followers together and measures until all have a revision in force.
-func (d *distributed) startAtOnce(seed uint64) ([]Reading, error) {
+func (d *distributionRun) startAtOnce(seed uint64) ([]Reading, error) {
 	if _, err := d.publish(); err != nil {
 		return nil, err
 	}
-	empty, err := d.askFollowers(followersCommand{Memory: true})
+	empty, err := d.requestFollowers(followersCommand{Memory: true})
 	if err != nil {
 		return nil, err
 	}
 	machines := make([]distribution.Machine, len(d.hubs))
 	for i, hub := range d.hubs {
-		machines[i] = distribution.Machine{Address: hub.lines[0], Region: regionName(i)}
+		machines[i] = distribution.Machine{Address: hub.startLines[0], Region: regionName(i)}
 	}
-	started, err := d.askFollowers(followersCommand{Start: machines, Bytes: d.bytes, Seed: seed})
+	started, err := d.requestFollowers(followersCommand{Start: machines, Bytes: d.documentBytes, Seed: seed})
 	if err != nil {
 		return nil, err
 	}
-	hubs, err := d.askHubs(hubCommand{Memory: true})
+	hubs, err := d.requestHubs(hubCommand{Memory: true})
 	if err != nil {
 		return nil, err
 	}
-	full, err := d.askFollowers(followersCommand{Memory: true})
+	full, err := d.requestFollowers(followersCommand{Memory: true})
 	if err != nil {
 		return nil, err
 	}
 	return []Reading{
-		{"start at once: all follow", "s", seconds(started.Done - started.At)},
+		{"start at once: all follow", "s", seconds(started.DoneAt - started.StartedAt)},
 		{"start at once: connections of one hub", "connections in its busiest second",
-			maxOf(hubs, func(h hubAnswer) float64 { return float64(h.Peak) })},
-		{"start at once: processor", "µs a broker", micros(started.Processor-empty.Processor) / d.count},
-		{"memory", "bytes a broker", max((full.Memory-empty.Memory)/d.count, 1)},
-		{"memory of the busiest hub", "bytes", maxOf(hubs, func(h hubAnswer) float64 { return h.Memory })},
-		{"streams of the busiest hub", "streams", maxOf(hubs, func(h hubAnswer) float64 { return float64(h.Streams) })},
+			maxOfHubs(hubs, func(h hubAnswer) float64 { return float64(h.MaxAcceptsPerSecond) })},
+		{"start at once: processor", "µs a broker", micros(started.Processor-empty.Processor) / d.followerCount},
+		{"memory", "bytes a broker", max((full.Memory-empty.Memory)/d.followerCount, 1)},
+		{"memory of the busiest hub", "bytes", maxOfHubs(hubs, func(h hubAnswer) float64 { return h.Memory })},
+		{"streams of the busiest hub", "streams", maxOfHubs(hubs, func(h hubAnswer) float64 { return float64(h.Streams) })},
 	}, nil
 }
 
-// mark is what all had used at a time.
-type mark struct {
+// usageSnapshot is what all had used at a time.
+type usageSnapshot struct {
 	at        time.Time
 	hubs      []hubAnswer
 	followers followersAnswer
 }
 
-func (d *distributed) mark() (m mark, err error) {
-	if m.hubs, err = d.askHubs(hubCommand{}); err != nil {
+func (d *distributionRun) takeSnapshot() (m usageSnapshot, err error) {
+	if m.hubs, err = d.requestHubs(hubCommand{}); err != nil {
 		return m, err
 	}
-	m.followers, err = d.askFollowers(followersCommand{})
+	m.followers, err = d.requestFollowers(followersCommand{})
 	m.at = time.Now()
 	return m, err
 }
 
-// ordinary counts a stretch without changes and one with them.
-func (d *distributed) ordinary(quiet, apart time.Duration) ([]Reading, error) {
-	before, err := d.mark()
+// measureTraffic counts a stretch without changes and one with them.
+func (d *distributionRun) measureTraffic(quiet, apart time.Duration) ([]Reading, error) {
+	before, err := d.takeSnapshot()
 	if err != nil {
 		return nil, err
 	}
 	time.Sleep(quiet)
-	between, err := d.mark()
+	between, err := d.takeSnapshot()
 	if err != nil {
 		return nil, err
 	}
-	came, applied, err := d.changes(apart)
+	came, applied, err := d.publishChanges(apart)
 	if err != nil {
 		return nil, err
 	}
-	after, err := d.mark()
+	after, err := d.takeSnapshot()
 	if err != nil {
 		return nil, err
 	}
@@ -209,36 +209,36 @@
 		{"read at all", "s", came[len(came)-1]},
 		{"in force at 99 in 100", "s", applied[len(applied)*99/100]},
 		{"in force at all", "s", applied[len(applied)-1]},
-		{"processor for a change", "µs a broker", d.processorOfChange(before, between, after)},
+		{"processor for a change", "µs a broker", d.processorPerChange(before, between, after)},
 	}
-	readings = append(readings, d.usage("without changes: ", before, between)...)
-	return append(readings, d.usage("", between, after)...), nil
+	readings = append(readings, d.usageReadings("without changes: ", before, between)...)
+	return append(readings, d.usageReadings("", between, after)...), nil
 }
 
-// processorOfChange is what the stretch with changes took beyond the one without, a change and a broker.
-func (d *distributed) processorOfChange(before, between, after mark) float64 {
+// processorPerChange is what the stretch with changes took beyond the one without, a change and a broker.
+func (d *distributionRun) processorPerChange(before, between, after usageSnapshot) float64 {
 	quiet := micros(between.followers.Processor-before.followers.Processor) / between.at.Sub(before.at).Seconds()
 	used := micros(after.followers.Processor - between.followers.Processor)
-	return max(used-quiet*after.at.Sub(between.at).Seconds(), 1) / d.count / changesCounted
+	return max(used-quiet*after.at.Sub(between.at).Seconds(), 1) / d.followerCount / countedChanges
 }
 
-// changes publishes revisions and returns the times, in seconds and ascending, from when the first hub was told of one
+// publishChanges publishes revisions and returns the times, in seconds and ascending, from when the first hub was told of one
 // until a follower had read it, and until it was in force there.
-func (d *distributed) changes(apart time.Duration) (came, applied []float64, err error) {
-	for range changesCounted {
+func (d *distributionRun) publishChanges(apart time.Duration) (came, applied []float64, err error) {
+	for range countedChanges {
 		next := time.Now().Add(apart)
 		told, err := d.publish()
 		if err != nil {
 			return nil, nil, err
 		}
 		time.Sleep(time.Until(next) - apart/10) // the looks at all followers fall into the last tenth
-		in, err := d.askFollowers(followersCommand{InForce: d.newest})
+		in, err := d.requestFollowers(followersCommand{InForce: d.newest})
 		if err != nil {
 			return nil, nil, err
 		}
-		for i := range in.Applied {
-			came = append(came, seconds(in.Came[i]-told))
-			applied = append(applied, seconds(in.Applied[i]-told))
+		for i := range in.AppliedAt {
+			came = append(came, seconds(in.ReceivedAt[i]-told))
+			applied = append(applied, seconds(in.AppliedAt[i]-told))
 		}
 		time.Sleep(time.Until(next))
 	}
@@ -247,8 +247,8 @@
 	return came, applied, nil
 }
 
-// usage is what a stretch took.
-func (d *distributed) usage(label string, from, to mark) []Reading {
+// usageReadings is what a stretch took.
+func (d *distributionRun) usageReadings(label string, from, to usageSnapshot) []Reading {
 	wall := to.at.Sub(from.at).Seconds()
 	var in, out, processor, mostOut, mostIn, mostProcessor float64
 	for i := range to.hubs {
@@ -260,9 +260,9 @@
 	}
 	used := micros(to.followers.Processor-from.followers.Processor) / wall
 	return []Reading{
-		{label + "processor", "µs a broker and second", used / d.count},
-		{label + "bytes in", "bytes a broker and second", out / d.count}, // what the hubs send
-		{label + "bytes out", "bytes a broker and second", in / d.count},
+		{label + "processor", "µs a broker and second", used / d.followerCount},
+		{label + "bytes in", "bytes a broker and second", out / d.followerCount}, // what the hubs send
+		{label + "bytes out", "bytes a broker and second", in / d.followerCount},
 		{label + "processor of a hub", "µs a second", processor / float64(len(to.hubs))},
 		{label + "processor of the busiest hub", "µs a second", mostProcessor},
 		{label + "bytes out of the busiest hub", "bytes a second", mostOut},
@@ -270,34 +270,34 @@
 	}
 }
 
-// lostHub is the one that is lost: the only one of its region, so that its brokers have to go to other regions.
-const lostHub = 1
+// lostHubIndex is the one that is lost: the only one of its region, so that its brokers have to go to other regions.
+const lostHubIndex = 1
 
-// loseHub stops a hub without a word, as a machine without power does: its connections stay as they are, and its
+// measureHubLoss stops a hub without a word, as a machine without power does: its connections stay as they are, and its
 // address takes new ones that are never served.
-func (d *distributed) loseHub() ([]Reading, error) {
-	lost := d.hubs[lostHub]
-	if _, err := d.askHubs(hubCommand{}); err != nil { // the peaks count from here
+func (d *distributionRun) measureHubLoss() ([]Reading, error) {
+	lost := d.hubs[lostHubIndex]
+	if _, err := d.requestHubs(hubCommand{}); err != nil { // the peaks count from here
 		return nil, err
 	}
-	d.hubs = slices.Delete(d.hubs, lostHub, lostHub+1)
+	d.hubs = slices.Delete(d.hubs, lostHubIndex, lostHubIndex+1)
 	defer lost.stop()
 	if err := lost.cmd.Process.Signal(syscall.SIGSTOP); err != nil {
 		return nil, err
 	}
 	defer lost.cmd.Process.Kill()
-	again, err := d.askFollowers(followersCommand{Lost: lost.lines[0]})
+	again, err := d.requestFollowers(followersCommand{Lost: lost.startLines[0]})
 	if err != nil {
 		return nil, err
 	}
-	hubs, err := d.askHubs(hubCommand{})
+	hubs, err := d.requestHubs(hubCommand{})
 	if err != nil {
 		return nil, err
 	}
 	return []Reading{
-		{"hub lost: all follow again", "s", seconds(again.Done - again.At)},
+		{"hub lost: all follow again", "s", seconds(again.DoneAt - again.StartedAt)},
 		{"hub lost: connections of one hub", "connections in its busiest second",
-			maxOf(hubs, func(h hubAnswer) float64 { return float64(h.Peak) })},
+			maxOfHubs(hubs, func(h hubAnswer) float64 { return float64(h.MaxAcceptsPerSecond) })},
 	}, nil
 }
 
@@ -305,7 +305,7 @@
 
 func micros(d time.Duration) float64 { return d.Seconds() * 1e6 }
 
-func maxOf(hubs []hubAnswer, value func(hubAnswer) float64) float64 {
+func maxOfHubs(hubs []hubAnswer, value func(hubAnswer) float64) float64 {
 	most := 0.0
 	for _, hub := range hubs {
 		most = max(most, value(hub))
--- a/internal/harness/scale/configuration_document.go
+++ b/internal/harness/scale/configuration_document.go
@@ -12,14 +12,14 @@
 	bytesPerKB = 1 << 10
 	// classBytes is what a class takes of a document at most: 116 bytes of its own and 3 in each of three arrays.
 	classBytes = 140
-	// documentRest is what a document takes without its classes at most.
-	documentRest = 1200
+	// documentFrameBytes is what a document takes without its classes at most.
+	documentFrameBytes = 1200
 )
 
-// documentOf is a document of so many bytes, 2 KiB at least: the example's settings with as many classes as fill it,
+// newDocument is a document of so many bytes, 2 KiB at least: the example's settings with as many classes as fill it,
 // and spaces for the rest. The aim of each class differs from one number to the next.
-func documentOf(number uint64, size int) []byte {
-	classes := (size - documentRest) / classBytes
+func newDocument(number uint64, size int) []byte {
+	classes := (size - documentFrameBytes) / classBytes
 	var b bytes.Buffer
 	b.WriteString(`{"discovery": "127.0.0.1:8500", "settings": {"callers": {"marksRetry": false},
 "caps": {"cancel": true, "connIdleS": 15.0, "connectTimeoutS": 0.25, "maxRetryAfterS": 0.5, "openCap": 267,
@@ -54,9 +54,9 @@
 	return ","
 }
 
-// revisionOf is the revision of a number, as the log would have it.
-func revisionOf(number uint64, size int) *configpb.Revision {
-	document := documentOf(number, size)
+// newRevision is the revision of a number, as the log would have it.
+func newRevision(number uint64, size int) *configpb.Revision {
+	document := newDocument(number, size)
 	return &configpb.Revision{Number: number, Checksum: configpb.Checksum(document), Document: document,
 		PublishedUnixMs: time.Now().UnixMilli()}
 }
--- a/internal/harness/scale/configuration_followers.go
+++ b/internal/harness/scale/configuration_followers.go
@@ -14,7 +14,7 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-const followersLook = 20 * time.Millisecond // between two looks at all followers, which are not in counted stretches
+const followersPollInterval = 20 * time.Millisecond // between two looks at all followers, which are not in counted stretches
 
 // followersCommand is what the parent asks of the followers. One of its parts is set.
 type followersCommand struct {
@@ -28,12 +28,12 @@
 
 // followersAnswer is what the followers have used since the start of their process.
 type followersAnswer struct {
-	Processor time.Duration
-	At        int64   // Unix nanoseconds, of the command
-	Done      int64   // of when that was so for which it waited
-	Came      []int64 // for InForce: of when the revision was read, of each follower
-	Applied   []int64 // and of when it was in force
-	Memory    float64 // bytes; 0: not asked for
+	Processor  time.Duration
+	StartedAt  int64   // Unix nanoseconds, of the command
+	DoneAt     int64   // of when that was so for which it waited
+	ReceivedAt []int64 // for InForce: of when the revision was read, of each follower
+	AppliedAt  []int64 // and of when it was in force
+	Memory     float64 // bytes; 0: not asked for
 }
 
 // follower is a hollow broker: it reads, checks and compares each document, as a broker does, and has no core to give
@@ -42,10 +42,10 @@
 	*configfollower.Client
 	start *config.Document
 
-	mu      sync.Mutex
-	number  uint64 // in force
-	came    int64  // Unix nanoseconds: before it was checked
-	applied int64  // since, Unix nanoseconds
+	mu         sync.Mutex
+	number     uint64 // in force
+	receivedAt int64  // Unix nanoseconds: before it was checked
+	appliedAt  int64  // since, Unix nanoseconds
 }
 
 func (f *follower) apply(revision *configpb.Revision) *configpb.Refusal {
@@ -59,58 +59,58 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.number, f.came, f.applied = revision.GetNumber(), came, time.Now().UnixNano()
+	f.number, f.receivedAt, f.appliedAt = revision.GetNumber(), came, time.Now().UnixNano()
 	return nil
 }
 
-// since is when a revision or a later one was read and came into force; 0: not yet.
-func (f *follower) since(number uint64) (came, applied int64) {
+// inForceSince is when a revision or a later one was read and came into force; 0: not yet.
+func (f *follower) inForceSince(number uint64) (came, applied int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.number < number {
 		return 0, 0
 	}
-	return f.came, f.applied
+	return f.receivedAt, f.appliedAt
 }
 
-// has tells that a revision or a later one is in force.
-func (f *follower) has(number uint64) bool {
-	_, applied := f.since(number)
+// hasInForce tells that a revision or a later one is in force.
+func (f *follower) hasInForce(number uint64) bool {
+	_, applied := f.inForceSince(number)
 	return applied != 0
 }
 
 // followersChild is all followers of a run.
 type followersChild struct {
 	followers []*follower
-	count     int
+	brokers   int
 }
 
 // serveFollowers is the main of the child that follows.
 func serveFollowers(count int) error {
 	fmt.Println(childReady)
-	return serveCommands((&followersChild{count: count}).do)
+	return serveCommands((&followersChild{brokers: count}).handle)
 }
 
-func (c *followersChild) do(command followersCommand) (answer followersAnswer, err error) {
-	answer.At = time.Now().UnixNano()
+func (c *followersChild) handle(command followersCommand) (answer followersAnswer, err error) {
+	answer.StartedAt = time.Now().UnixNano()
 	switch {
 	case command.Start != nil:
 		if err = c.start(command); err == nil {
-			err = c.until(func(f *follower) bool { return f.has(1) })
+			err = c.waitUntilAll(func(f *follower) bool { return f.hasInForce(1) })
 		}
 	case command.InForce != 0:
-		err = c.until(func(f *follower) bool { return f.has(command.InForce) })
+		err = c.waitUntilAll(func(f *follower) bool { return f.hasInForce(command.InForce) })
 		for _, f := range c.followers {
-			came, applied := f.since(command.InForce)
-			answer.Came, answer.Applied = append(answer.Came, came), append(answer.Applied, applied)
+			came, applied := f.inForceSince(command.InForce)
+			answer.ReceivedAt, answer.AppliedAt = append(answer.ReceivedAt, came), append(answer.AppliedAt, applied)
 		}
 	case command.Lost != "":
-		err = c.until(func(f *follower) bool {
+		err = c.waitUntilAll(func(f *follower) bool {
 			status := f.Status()
 			return status.Control != "" && status.Control != command.Lost && !status.LastReceived.IsZero()
 		})
 	}
-	answer.Done, answer.Processor = time.Now().UnixNano(), processorTime()
+	answer.DoneAt, answer.Processor = time.Now().UnixNano(), processorTime()
 	if command.Memory {
 		answer.Memory = memoryInUse()
 	}
@@ -119,15 +119,15 @@
 
 // start starts all followers at once. They lie in the target's zones and regions.
 func (c *followersChild) start(command followersCommand) error {
-	start, err := config.ParseDocument(documentOf(0, command.Bytes))
+	start, err := config.ParseDocument(newDocument(0, command.Bytes))
 	if err != nil {
 		return err
 	}
-	for i := range c.count {
+	for i := range c.brokers {
 		f := &follower{start: start}
 		f.Client, err = configfollower.New(configfollower.Options{
 			Name: fmt.Sprint("n", i), Started: time.Now(), Region: regionName(i), Zone: fmt.Sprint("zone-", i%TargetZones),
-			Control: command.Start, Callers: c.count, Seed: command.Seed + uint64(i)*7919, Log: nobody, Apply: f.apply,
+			Control: command.Start, Callers: c.brokers, Seed: command.Seed + uint64(i)*7919, Log: discardLog, Apply: f.apply,
 		})
 		if err != nil {
 			return err
@@ -140,9 +140,9 @@
 	return nil
 }
 
-// until waits until something holds of all followers.
-func (c *followersChild) until(holds func(*follower) bool) error {
-	for end := time.Now().Add(followersWithin); time.Now().Before(end); time.Sleep(followersLook) {
+// waitUntilAll waits until something holds of all followers.
+func (c *followersChild) waitUntilAll(holds func(*follower) bool) error {
+	for end := time.Now().Add(followersTimeout); time.Now().Before(end); time.Sleep(followersPollInterval) {
 		if !slices.ContainsFunc(c.followers, func(f *follower) bool { return !holds(f) }) {
 			return nil
 		}
@@ -153,5 +153,5 @@
 			missing++
 		}
 	}
-	return errors.Join(errSlow, fmt.Errorf("%d followers of %d lack it", missing, len(c.followers)))
+	return errors.Join(errTimeout, fmt.Errorf("%d followers of %d lack it", missing, len(c.followers)))
 }
--- a/internal/harness/scale/configuration_hub.go
+++ b/internal/harness/scale/configuration_hub.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	confirmEvery = 100 * time.Millisecond // the leader's word that the newest revision is the newest
-	maxAccepts   = 1 << 14                // connections that are noted
+	confirmInterval    = 100 * time.Millisecond // the leader's word that the newest revision is the newest
+	maxRecordedAccepts = 1 << 14                // connections that are noted
 )
 
 // hubCommand is what the parent asks of a hub.
@@ -27,20 +27,20 @@
 
 // hubAnswer is what a hub has used since its start, but Peak since the answer before.
 type hubAnswer struct {
-	Processor time.Duration
-	In, Out   int64   // bytes on its connections
-	Streams   int     // brokers connected
-	Accepts   int     // connections taken
-	Peak      int     // of the connections, within any one second
-	Memory    float64 // bytes; 0: not asked for
-	At        int64   // Unix nanoseconds: before the revision was told
+	Processor           time.Duration
+	In, Out             int64   // bytes on its connections
+	Streams             int     // brokers connected
+	Accepts             int     // connections taken
+	MaxAcceptsPerSecond int     // of the connections, within any one second
+	Memory              float64 // bytes; 0: not asked for
+	PublishedAt         int64   // Unix nanoseconds: before the revision was told
 }
 
 // hubChild is one control machine without the log.
 type hubChild struct {
 	configpb.UnimplementedControlServer
 	hub     *confighub.Hub
-	network *countedListener
+	network *countingListener
 }
 
 // serveHub is the main of a child that serves Follow.
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	h := &hubChild{hub: confighub.New(nobody), network: &countedListener{Listener: listener}}
+	h := &hubChild{hub: confighub.New(discardLog), network: &countingListener{Listener: listener}}
 	server := grpc.NewServer(confighub.ServerOptions()...)
 	configpb.RegisterControlServer(server, h)
 	go server.Serve(h.network)
@@ -57,7 +57,7 @@
 	go h.confirm()
 	fmt.Println(listener.Addr())
 	fmt.Println(childReady)
-	return serveCommands(h.do)
+	return serveCommands(h.handle)
 }
 
 func (h *hubChild) Follow(stream grpc.BidiStreamingServer[configpb.Report, configpb.Update]) error {
@@ -68,22 +68,22 @@
 func (h *hubChild) confirm() {
 	for {
 		_ = h.hub.SetNewest(nil, time.Now()) // without a revision nothing can be wrong with it
-		time.Sleep(confirmEvery)
+		time.Sleep(confirmInterval)
 	}
 }
 
-func (h *hubChild) do(command hubCommand) (hubAnswer, error) {
-	answer := hubAnswer{At: time.Now().UnixNano()}
+func (h *hubChild) handle(command hubCommand) (hubAnswer, error) {
+	answer := hubAnswer{PublishedAt: time.Now().UnixNano()}
 	if command.Publish != 0 {
-		revision := revisionOf(command.Publish, command.Bytes)
-		answer.At = time.Now().UnixNano()
+		revision := newRevision(command.Publish, command.Bytes)
+		answer.PublishedAt = time.Now().UnixNano()
 		if err := h.hub.SetNewest(revision, time.Now()); err != nil {
 			return hubAnswer{}, err
 		}
 	}
 	answer.Processor = processorTime()
 	answer.In, answer.Out = h.network.in.Load(), h.network.out.Load()
-	answer.Accepts, answer.Peak = h.network.rates()
+	answer.Accepts, answer.MaxAcceptsPerSecond = h.network.acceptCounts()
 	for _, broker := range h.hub.Status().Brokers {
 		if broker.GetConnected() {
 			answer.Streams++
@@ -95,8 +95,8 @@
 	return answer, nil
 }
 
-// countedListener counts the bytes and the connections of a server.
-type countedListener struct {
+// countingListener counts the bytes and the connections of a server.
+type countingListener struct {
 	net.Listener
 	in, out atomic.Int64
 
@@ -105,7 +105,7 @@
 	accepts []time.Time // since the last call of peak
 }
 
-func (l *countedListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -113,14 +113,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.total++
-	if len(l.accepts) < maxAccepts {
+	if len(l.accepts) < maxRecordedAccepts {
 		l.accepts = append(l.accepts, time.Now())
 	}
-	return &countedConn{conn, l}, nil
+	return &countingConn{conn, l}, nil
 }
 
-// rates is how many connections were taken in all, and at most within a second since the last call.
-func (l *countedListener) rates() (total, maxPerSecond int) {
+// acceptCounts is how many connections were taken in all, and at most within a second since the last call.
+func (l *countingListener) acceptCounts() (total, maxPerSecond int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := 0
@@ -134,19 +134,19 @@
 	return l.total, maxPerSecond
 }
 
-// countedConn is a connection of such a server.
-type countedConn struct {
+// countingConn is a connection of such a server.
+type countingConn struct {
 	net.Conn
-	listener *countedListener
+	listener *countingListener
 }
 
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.listener.in.Add(int64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.listener.out.Add(int64(n))
 	return n, err
--- a/internal/harness/scale/configuration_internal_test.go
+++ b/internal/harness/scale/configuration_internal_test.go
@@ -11,52 +11,52 @@
 )
 
 // Documents have the size asked for, are valid, and may follow each other in service.
-func TestDocumentsAreWholeAndOfTheirSize(t *testing.T) {
+func TestNewDocumentIsValidAndHasRequestedSize(t *testing.T) {
 	for _, kb := range []int{2, 4, 16, 32, 64} {
 		size := kb * bytesPerKB
-		first, err := config.ParseDocument(documentOf(0, size))
+		first, err := config.ParseDocument(newDocument(0, size))
 		require.NoError(t, err)
-		require.Len(t, documentOf(1, size), size)
-		second, err := config.ParseDocument(documentOf(1, size))
+		require.Len(t, newDocument(1, size), size)
+		second, err := config.ParseDocument(newDocument(1, size))
 		require.NoError(t, err)
 		require.NoError(t, second.Changes(first))
 		require.NotEqual(t, first.Classes, second.Classes)
 		// The document is one of settings, and not of the spaces at its end.
-		require.Greater(t, float64(len(first.Classes)), 0.75*float64(size-documentRest)/classBytes)
+		require.Greater(t, float64(len(first.Classes)), 0.75*float64(size-documentFrameBytes)/classBytes)
 	}
 }
 
 // A hollow follower refuses what a broker refuses, and keeps what is in force.
-func TestAFollowerChecksEachDocument(t *testing.T) {
+func TestFollowerRejectsInvalidDocuments(t *testing.T) {
 	const size = 4 * bytesPerKB
-	start, err := config.ParseDocument(documentOf(0, size))
+	start, err := config.ParseDocument(newDocument(0, size))
 	require.NoError(t, err)
 	f := &follower{start: start}
-	require.Nil(t, f.apply(revisionOf(1, size)))
-	require.True(t, f.has(1))
-	torn := &configpb.Revision{Number: 2, Document: documentOf(2, size)[:size/2]}
+	require.Nil(t, f.apply(newRevision(1, size)))
+	require.True(t, f.hasInForce(1))
+	torn := &configpb.Revision{Number: 2, Document: newDocument(2, size)[:size/2]}
 	require.NotNil(t, f.apply(torn))
-	otherClasses := &configpb.Revision{Number: 2, Document: documentOf(2, 2*size)}
+	otherClasses := &configpb.Revision{Number: 2, Document: newDocument(2, 2*size)}
 	require.NotNil(t, f.apply(otherClasses))
-	require.False(t, f.has(2))
+	require.False(t, f.hasInForce(2))
 }
 
-func TestThePeakIsThatOfTheBusiestSecond(t *testing.T) {
+func TestAcceptCountsReturnBusiestSecond(t *testing.T) {
 	start := time.Now()
-	l := &countedListener{total: 6}
+	l := &countingListener{total: 6}
 	for _, ms := range []int{0, 400, 999, 1000, 1399, 5000} {
 		l.accepts = append(l.accepts, start.Add(time.Duration(ms)*time.Millisecond))
 	}
-	total, most := l.rates()
+	total, most := l.acceptCounts()
 	require.Equal(t, 6, total)
 	require.Equal(t, 4, most, "those at 400, 999, 1,000 and 1,399 ms")
-	_, most = l.rates()
+	_, most = l.acceptCounts()
 	require.Zero(t, most, "counted anew after each call")
 }
 
 // What a small run reads is possible: all followers are streams, a change's bytes are at least those of the document,
 // and a change is read before it is in force.
-func TestASmallRunOfTheDistribution(t *testing.T) {
+func TestPlayConfigurationReadingsAreConsistent(t *testing.T) {
 	at := smallConfiguration()[0]
 	readings, err := playConfiguration(at, 1)
 	require.NoError(t, err)
@@ -70,7 +70,7 @@
 	require.Less(t, value["in force at all"], TargetInForce)
 	require.LessOrEqual(t, value["read at all"], value["in force at all"])
 	require.LessOrEqual(t, value["in force at 99 in 100"], value["in force at all"])
-	sent := document * smallFaster / changeApart.Seconds()
+	sent := document * smallSpeedup / publishInterval.Seconds()
 	require.Greater(t, value["bytes in"], sent/2)
 	require.Less(t, value["bytes in"], sent*2)
 	require.InDelta(t, brokers*value["bytes in"], value["bytes out of the busiest hub"], 1)
@@ -79,8 +79,8 @@
 }
 
 // The verdict on the distribution is that of its run, at each of its limits.
-func TestTheVerdictOnTheDistribution(t *testing.T) {
-	none, err := page{}.distributed()
+func TestDistributionVerdictAtEachLimit(t *testing.T) {
+	none, err := page{}.distributionVerdict()
 	require.NoError(t, err)
 	require.Equal(t, notRun, none)
 	for _, test := range []struct {
@@ -96,7 +96,7 @@
 		point := Point{Sizes: Sizes{{axisBrokers, TargetBrokers}}}
 		point.add([]Reading{{"in force at all", "s", test.inForce}, {"processor", "µs", test.processor},
 			{"bytes in", "bytes", test.in}, {"bytes out", "bytes", test.out}})
-		verdict, err := page{[]*Record{{Experiment: "configuration", Points: []Point{point}}}}.distributed()
+		verdict, err := page{[]*Record{{Experiment: "configuration", Points: []Point{point}}}}.distributionVerdict()
 		require.NoError(t, err)
 		require.Equal(t, test.verdict, verdict)
 	}
--- a/internal/harness/scale/decision.go
+++ b/internal/harness/scale/decision.go
@@ -22,15 +22,15 @@
 var (
 	serverSizes = []float64{200, 500, 1000, 2300, TargetServers}
 	partSizes   = []float64{36, 100, TargetParts}
-	// crowdedSizes are those of queries of 300 parts, which go to 300 record servers: 200 have no room for one.
-	crowdedSizes = []float64{320, 500, 1000, 2300, TargetServers}
-	brokerSizes  = []float64{40, 100, 300, TargetBrokers, 1200}
+	// largeFanoutServerSizes are those of queries of 300 parts, which go to 300 record servers: 200 have no room for one.
+	largeFanoutServerSizes = []float64{320, 500, 1000, 2300, TargetServers}
+	brokerSizes            = []float64{40, 100, 300, TargetBrokers, 1200}
 )
 
 const (
 	replicaSetsPerZone = 460 // servers a zone: a tenth of the target's
 	warmQueries        = 60  // before anything is counted
-	countedLong        = 300 // queries counted
+	countedQueries     = 300 // queries counted
 )
 
 // targetSettings are the module's settings at the target: each server is a cell, and a shard is held by three.
@@ -43,7 +43,7 @@
 	}
 }
 
-func targetList(servers int) []decision.Server {
+func targetServers(servers int) []decision.Server {
 	list := make([]decision.Server, servers)
 	for i := range list {
 		list[i] = decision.Server{ID: serverID(i), Zone: i / replicaSetsPerZone % TargetZones, ReplicaSet: i, Capacity: 1}
@@ -53,51 +53,51 @@
 
 func serverID(i int) string { return fmt.Sprintf("record-%04d", i) }
 
-// client drives one decision module on virtual time: queries come evenly at the target's rate, parts are answered after
+// moduleClient drives one decision module on virtual time: queries come evenly at the target's rate, parts are answered after
 // a while, and what falls into one batch is handed over together.
-type client struct {
-	module  *decision.Policy
-	rng     *rand.Rand
-	servers int
-	parts   int
-	now     float64
-	nextID  decision.RequestID
-	number  int64
-	due     dueParts
-	sent    map[decision.RequestID]int // attempts of a part so far
+type moduleClient struct {
+	module   *decision.Policy
+	rng      *rand.Rand
+	servers  int
+	parts    int
+	now      float64
+	nextID   decision.RequestID
+	number   int64
+	pending  pendingAnswers
+	attempts map[decision.RequestID]int // attempts of a part so far
 
 	batches, sends, answers int
 }
 
-// duePart is an answer on its way.
-type duePart struct {
-	at    float64
-	ended decision.AttemptFinished
+// pendingAnswer is an answer on its way.
+type pendingAnswer struct {
+	at       float64
+	finished decision.AttemptFinished
 }
 
-type dueParts []duePart
+type pendingAnswers []pendingAnswer
 
-func (d dueParts) Len() int           { return len(d) }
-func (d dueParts) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d dueParts) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *dueParts) Push(v any)        { *d = append(*d, v.(duePart)) }
-func (d *dueParts) Pop() any {
+func (d pendingAnswers) Len() int           { return len(d) }
+func (d pendingAnswers) Less(i, j int) bool { return d[i].at < d[j].at }
+func (d pendingAnswers) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
+func (d *pendingAnswers) Push(v any)        { *d = append(*d, v.(pendingAnswer)) }
+func (d *pendingAnswers) Pop() any {
 	old := *d
 	last := old[len(old)-1]
 	*d = old[:len(old)-1]
 	return last
 }
 
-func newClient(servers, parts int, seed uint64) *client {
-	c := &client{module: decision.New(targetSettings(servers, TargetBrokers), seed),
+func newClient(servers, parts int, seed uint64) *moduleClient {
+	c := &moduleClient{module: decision.New(targetSettings(servers, TargetBrokers), seed),
 		rng: rand.New(rand.NewPCG(seed, 11)), servers: servers, parts: parts, now: 100,
-		sent: map[decision.RequestID]int{}}
-	c.handle([]decision.Event{decision.EndpointUpdate{Mode: decision.FullUpdate, Version: 1, Servers: targetList(servers)}})
+		attempts: map[decision.RequestID]int{}}
+	c.handle([]decision.Event{decision.EndpointUpdate{Mode: decision.FullUpdate, Version: 1, Servers: targetServers(servers)}})
 	return c
 }
 
-// query is a query's events, over shards that lie side by side from a random one on.
-func (c *client) query() []decision.Event {
+// queryEvents is a query's events, over shards that lie side by side from a random one on.
+func (c *moduleClient) queryEvents() []decision.Event {
 	c.number++
 	c.nextID++
 	events := []decision.Event{decision.Query{ID: c.nextID, Number: c.number, Parts: c.parts,
@@ -111,18 +111,18 @@
 	return events
 }
 
-// play runs so many queries and hands over a batch each AssumedBatch.
-func (c *client) play(queries int) {
-	step := 1 / QueriesABroker(TargetBrokers)
+// run runs so many queries and hands over a batch each AssumedBatch.
+func (c *moduleClient) run(queries int) {
+	step := 1 / QueriesPerBroker(TargetBrokers)
 	next := c.now
 	for c.answers = 0; c.answers < queries; {
-		c.now += AssumedBatch
+		c.now += AssumedBatchInterval
 		var events []decision.Event
-		for len(c.due) > 0 && c.due[0].at <= c.now {
-			events = append(events, heap.Pop(&c.due).(duePart).ended)
+		for len(c.pending) > 0 && c.pending[0].at <= c.now {
+			events = append(events, heap.Pop(&c.pending).(pendingAnswer).finished)
 		}
 		for ; next <= c.now; next += step {
-			events = append(events, c.query()...)
+			events = append(events, c.queryEvents()...)
 		}
 		if len(events) > 0 {
 			c.handle(events)
@@ -130,17 +130,17 @@
 	}
 }
 
-func (c *client) handle(events []decision.Event) {
+func (c *moduleClient) handle(events []decision.Event) {
 	c.batches++
 	for _, a := range c.module.Handle(c.now, events) {
 		switch a := a.(type) {
 		case decision.Send:
 			c.sends++
-			latency := AssumedWork * (0.5 + c.rng.Float64())
-			heap.Push(&c.due, duePart{c.now + latency, decision.AttemptFinished{ID: a.ID, Attempt: c.sent[a.ID], Server: a.Server,
+			latency := AssumedServiceTime * (0.5 + c.rng.Float64())
+			heap.Push(&c.pending, pendingAnswer{c.now + latency, decision.AttemptFinished{ID: a.ID, Attempt: c.attempts[a.ID], Server: a.Server,
 				Status: decision.OK, Latency: latency, PartConcluded: true,
 				LoadReport: decision.LoadReport{InFlight: 1, QueueLength: -1, Utilization: 0.3, Latency: -1, Rate: -1, ErrorRate: -1}}})
-			c.sent[a.ID]++
+			c.attempts[a.ID]++
 		case decision.Respond:
 			c.answers++
 		}
@@ -150,7 +150,7 @@
 // serversAndParts are the sizes of record servers and parts a query with their corners.
 func serversAndParts() []Sizes {
 	points := grid(axisServers, serverSizes, axisParts, partSizes[:2])
-	return append(points, grid(axisServers, crowdedSizes, axisParts, partSizes[2:])...)
+	return append(points, grid(axisServers, largeFanoutServerSizes, axisParts, partSizes[2:])...)
 }
 
 func decisionExperiment() Experiment {
@@ -167,14 +167,14 @@
 	servers, parts := int(at.Of(axisServers)), int(at.Of(axisParts))
 	before := memoryInUse()
 	c := newClient(servers, parts, seed)
-	c.play(warmQueries)
-	counted := countedLong
+	c.run(warmQueries)
+	counted := countedQueries
 	if servers <= 200 && parts <= 12 {
 		counted = warmQueries
 	}
 	batches, sends := c.batches, c.sends
-	meter := Start()
-	c.play(counted)
+	meter := StartMeter()
+	c.run(counted)
 	used := meter.Stop()
 	batches, sends = c.batches-batches, c.sends-sends
 	held := memoryInUse() - before
@@ -192,9 +192,9 @@
 }
 
 // emptyBatch is the processor time in µs of a batch without an event: what the module does once a batch.
-func emptyBatch(c *client) float64 {
+func emptyBatch(c *moduleClient) float64 {
 	const rounds = 400
-	meter := Start()
+	meter := StartMeter()
 	for range rounds {
 		c.now += 1e-6
 		c.module.Handle(c.now, nil)
--- a/internal/harness/scale/deterministic_test.go
+++ b/internal/harness/scale/deterministic_test.go
@@ -9,9 +9,9 @@
 	"mothrouter/internal/harness/scale"
 )
 
-// counts are the readings of a run that hang on the seed alone: neither processor time nor memory nor allocations.
-func counts(t *testing.T, name string, seed uint64) map[string][]float64 {
-	e, err := scale.Find(name)
+// deterministicMeasures are the readings of a run that hang on the seed alone: neither processor time nor memory nor allocations.
+func deterministicMeasures(t *testing.T, name string, seed uint64) map[string][]float64 {
+	e, err := scale.FindExperiment(name)
 	require.NoError(t, err)
 	r, err := scale.Run(e, scale.Plan{Points: e.Small[:1], Repetitions: 1, Seed: seed, Commit: "test", Command: "go test"},
 		nil, time.Time{})
@@ -27,14 +27,14 @@
 	return kept
 }
 
-func TestEqualSeedsGiveEqualCounts(t *testing.T) {
+func TestEqualSeedsMeasureTheSame(t *testing.T) {
 	for _, name := range []string{"decision", "membership", "faults", "cut", "restarts", "cold", "quantile"} {
-		require.Equal(t, counts(t, name, 3), counts(t, name, 3), name)
+		require.Equal(t, deterministicMeasures(t, name, 3), deterministicMeasures(t, name, 3), name)
 	}
-	require.NotEqual(t, counts(t, "membership", 3), counts(t, "membership", 4), "the seed is of no use")
+	require.NotEqual(t, deterministicMeasures(t, "membership", 3), deterministicMeasures(t, "membership", 4), "the seed is of no use")
 }
 
-func TestARunGoesOnWhereItStopped(t *testing.T) {
+func TestRunResumesIncompleteRecord(t *testing.T) {
 	played := 0
 	e := scale.Experiment{Name: "test", Provenance: scale.Provenance{Computed: "all"},
 		Play: func(at scale.Sizes, seed uint64) ([]scale.Reading, error) {
@@ -48,7 +48,7 @@
 	require.ErrorIs(t, r.Check(), scale.ErrRecord)
 	path := t.TempDir() + "/state"
 	require.NoError(t, r.SaveState(path))
-	before, err := scale.LoadState(path)
+	before, err := scale.ReadState(path)
 	require.NoError(t, err)
 	r, err = scale.Run(e, plan, before, time.Time{})
 	require.NoError(t, err)
@@ -60,8 +60,8 @@
 	require.ErrorIs(t, err, scale.ErrRecord, "a run goes on at its own commit only")
 }
 
-func TestARecordThatLacksSomethingIsRefused(t *testing.T) {
-	e, err := scale.Find("quantile")
+func TestSaveRejectsIncompleteRecord(t *testing.T) {
+	e, err := scale.FindExperiment("quantile")
 	require.NoError(t, err)
 	plan := scale.Plan{Points: e.Small, Repetitions: 1, Seed: 1, Commit: "c", Command: "c"}
 	r, err := scale.Run(e, plan, nil, time.Time{})
--- a/internal/harness/scale/experiment.go
+++ b/internal/harness/scale/experiment.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// Find is the experiment of a name.
-func Find(name string) (Experiment, error) {
+// FindExperiment is the experiment of a name.
+func FindExperiment(name string) (Experiment, error) {
 	for _, e := range Experiments() {
 		if e.Name == name {
 			return e, nil
--- a/internal/harness/scale/fit.go
+++ b/internal/harness/scale/fit.go
@@ -77,7 +77,7 @@
 // by the inverse square of their size's mean: costs spread in proportion to themselves. A slope that falls is never
 // chosen, nor one whose interval holds nought: such costs are taken for constant.
 func Fit(samples []Sample) (Slope, error) {
-	weights, err := weigh(samples)
+	weights, err := sampleWeights(samples)
 	if err != nil {
 		return Slope{}, err
 	}
@@ -91,8 +91,8 @@
 	return best, nil
 }
 
-// weigh checks the samples and returns their weights.
-func weigh(samples []Sample) ([]float64, error) {
+// sampleWeights checks the samples and returns their weights.
+func sampleWeights(samples []Sample) ([]float64, error) {
 	sum, count := map[float64]float64{}, map[float64]float64{}
 	for _, s := range samples {
 		if !(s.X > 0 && s.Y > 0) || math.IsInf(s.X, 0) || math.IsInf(s.Y, 0) {
@@ -135,9 +135,9 @@
 	variance := residual / (n - float64(free))
 	half := studentHalf(n - float64(free))
 	if form == Constant {
-		slope.RateInterval = around(slope.Base, half*math.Sqrt(variance/total))
+		slope.RateInterval = intervalAround(slope.Base, half*math.Sqrt(variance/total))
 	} else {
-		slope.RateInterval = around(slope.Rate, half*math.Sqrt(variance/spread))
+		slope.RateInterval = intervalAround(slope.Rate, half*math.Sqrt(variance/spread))
 	}
 	slope.AIC = akaike(residual, n, float64(free+1)) // the variance is a parameter too
 	return slope
@@ -162,7 +162,7 @@
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile((1 + Confidence) / 2)
 }
 
-func around(center, half float64) Interval { return Interval{center - half, center + half} }
+func intervalAround(center, half float64) Interval { return Interval{center - half, center + half} }
 
 // Exponent is the power of the size with which the cost grows, by a straight line through logarithms.
 type Exponent struct {
@@ -172,7 +172,7 @@
 
 // FitExponent returns the exponent of the samples.
 func FitExponent(samples []Sample) (Exponent, error) {
-	if _, err := weigh(samples); err != nil {
+	if _, err := sampleWeights(samples); err != nil {
 		return Exponent{}, err
 	}
 	logs, weights := make([]Sample, len(samples)), make([]float64, len(samples))
@@ -191,8 +191,8 @@
 	Miss      float64 // (predicted - measured) / measured
 }
 
-// Holds tells that the prediction misses by no more than MissLimit.
-func (p Prediction) Holds() bool { return math.Abs(p.Miss) <= MissLimit }
+// WithinMissLimit tells that the prediction misses by no more than MissLimit.
+func (p Prediction) WithinMissLimit() bool { return math.Abs(p.Miss) <= MissLimit }
 
 // Predict fits all sizes but the largest and predicts that.
 func Predict(samples []Sample) (Prediction, error) {
@@ -225,7 +225,7 @@
 		return mean, Interval{mean, mean}
 	}
 	n := float64(len(values))
-	return mean, around(mean, studentHalf(n-1)*stat.StdDev(values, nil)/math.Sqrt(n))
+	return mean, intervalAround(mean, studentHalf(n-1)*stat.StdDev(values, nil)/math.Sqrt(n))
 }
 
 func square(x float64) float64 { return x * x }
--- a/internal/harness/scale/fit_test.go
+++ b/internal/harness/scale/fit_test.go
@@ -12,8 +12,8 @@
 
 var sizes = []float64{200, 500, 1000, 2300, 4600}
 
-// samplesOf are five noisy samples of a cost at each size, spread by a share of the cost.
-func samplesOf(cost func(x float64) float64, noise float64) []scale.Sample {
+// noisySamples are five noisy samples of a cost at each size, spread by a share of the cost.
+func noisySamples(cost func(x float64) float64, noise float64) []scale.Sample {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var samples []scale.Sample
 	for _, x := range sizes {
@@ -24,7 +24,7 @@
 	return samples
 }
 
-func TestFitFindsTheFormAndTheRate(t *testing.T) {
+func TestFitFindsFormAndRate(t *testing.T) {
 	for _, c := range []struct {
 		form scale.Form
 		cost func(x float64) float64
@@ -35,7 +35,7 @@
 		{scale.LogLinear, func(x float64) float64 { return 5 + 0.02*x*math.Log2(x) }, 0.02},
 		{scale.Quadratic, func(x float64) float64 { return 100 + 1e-3*x*x }, 1e-3},
 	} {
-		slope, err := scale.Fit(samplesOf(c.cost, 0.01))
+		slope, err := scale.Fit(noisySamples(c.cost, 0.01))
 		require.NoError(t, err)
 		require.Equal(t, c.form, slope.Form, "%v", c.form)
 		require.Less(t, slope.RateInterval.Low, c.rate)
@@ -61,19 +61,19 @@
 }
 
 // Three sizes, once each, say nothing of a slope unless they lie on it.
-func TestFitTakesASlopeThatMayBeNoughtForConstant(t *testing.T) {
+func TestFitIsConstantWhereSlopeMayBeZero(t *testing.T) {
 	slope, err := scale.Fit([]scale.Sample{{X: 40, Y: 4053}, {X: 100, Y: 3765}, {X: 200, Y: 5844}})
 	require.NoError(t, err)
 	require.Equal(t, scale.Constant, slope.Form)
 }
 
-func TestFitTakesAFallingCostForConstant(t *testing.T) {
-	slope, err := scale.Fit(samplesOf(func(x float64) float64 { return 100 - x/100 }, 0.01))
+func TestFitIsConstantForFallingCost(t *testing.T) {
+	slope, err := scale.Fit(noisySamples(func(x float64) float64 { return 100 - x/100 }, 0.01))
 	require.NoError(t, err)
 	require.Equal(t, scale.Constant, slope.Form)
 }
 
-func TestFitRefusesWhatItCannotFit(t *testing.T) {
+func TestFitRejectsInvalidSamples(t *testing.T) {
 	_, err := scale.Fit([]scale.Sample{{X: 1, Y: 1}, {X: 2, Y: 2}, {X: 2, Y: 2.1}})
 	require.ErrorIs(t, err, scale.ErrTooFew)
 	_, err = scale.Fit([]scale.Sample{{X: 1, Y: 1}, {X: 2, Y: math.NaN()}, {X: 3, Y: 2}})
@@ -82,8 +82,8 @@
 	require.ErrorIs(t, err, scale.ErrValue)
 }
 
-func TestExponentOfAPower(t *testing.T) {
-	e, err := scale.FitExponent(samplesOf(func(x float64) float64 { return 3 * math.Pow(x, 1.5) }, 0.02))
+func TestFitExponentOfPowerLaw(t *testing.T) {
+	e, err := scale.FitExponent(noisySamples(func(x float64) float64 { return 3 * math.Pow(x, 1.5) }, 0.02))
 	require.NoError(t, err)
 	require.InDelta(t, 1.5, e.Value, 0.02)
 	require.Less(t, e.Interval.Low, 1.5)
@@ -91,18 +91,18 @@
 }
 
 // A cost that bends beyond the sizes of the fit is what the check is for.
-func TestPredictTellsABendFromAStraightLine(t *testing.T) {
-	straight, err := scale.Predict(samplesOf(func(x float64) float64 { return 40 + 0.3*x }, 0.01))
+func TestPredictMissesBentCost(t *testing.T) {
+	straight, err := scale.Predict(noisySamples(func(x float64) float64 { return 40 + 0.3*x }, 0.01))
 	require.NoError(t, err)
-	require.True(t, straight.Holds(), "%+v", straight)
-	bent, err := scale.Predict(samplesOf(func(x float64) float64 {
+	require.True(t, straight.WithinMissLimit(), "%+v", straight)
+	bent, err := scale.Predict(noisySamples(func(x float64) float64 {
 		if x > 4000 {
 			return 40 + 0.6*x
 		}
 		return 40 + 0.3*x
 	}, 0.01))
 	require.NoError(t, err)
-	require.False(t, bent.Holds(), "%+v", bent)
+	require.False(t, bent.WithinMissLimit(), "%+v", bent)
 	require.InDelta(t, -0.49, bent.Miss, 0.03)
 }
 
--- a/internal/harness/scale/hollow.go
+++ b/internal/harness/scale/hollow.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	hollowAgree   = 60 * time.Second
-	hollowCounted = 8 * time.Second
-	hollowApart   = 5 * time.Millisecond // between the starts of two brokers
+	hollowAgreeTimeout  = 60 * time.Second
+	hollowMeasured      = 8 * time.Second
+	hollowStartInterval = 5 * time.Millisecond // between the starts of two brokers
 )
 
 func hollowExperiment() Experiment {
@@ -62,34 +62,34 @@
 		running.Wait()
 	}()
 	before := memoryInUse()
-	t := &tally{}
+	t := &updateCounter{}
 	var planes []*fleet.Plane
 	for i, addr := range addrs {
 		p, err := fleet.Listen(fleet.Options{Listen: addr, Fleet: "scale", Name: fmt.Sprint("n", i),
-			Seeds: addrs[:min(seedsOfFleet, brokers)], Seed: seed + uint64(i), Log: nobody})
+			Seeds: addrs[:min(seedsOfFleet, brokers)], Seed: seed + uint64(i), Log: discardLog})
 		if err != nil {
 			return nil, err
 		}
 		planes = append(planes, p)
 		running.Go(func() { p.Run(ctx) })
-		w := &discovery.Watcher{Addr: c.lines[0], NameTable: nameTable, Update: t.update, Log: nobody,
+		w := &discovery.Watcher{Addr: c.startLines[0], NameTable: nameTable, Update: t.update, Log: discardLog,
 			Backoff: backoff.New(brokers, seed+uint64(i)*7919)}
 		running.Go(func() { w.Run(ctx) })
-		time.Sleep(hollowApart)
+		time.Sleep(hollowStartInterval)
 	}
 	began := time.Now()
-	if err := allAlive(planes, hollowAgree); err != nil {
+	if err := allAlive(planes, hollowAgreeTimeout); err != nil {
 		return nil, err
 	}
 	agreed := time.Since(began)
-	if err := t.until(brokers, 0, listWithin); err != nil {
+	if err := t.waitForCounts(brokers, 0, listTimeout); err != nil {
 		return nil, err
 	}
-	counted := hollowCounted
+	counted := hollowMeasured
 	if brokers < int(membershipSizes[0]) {
 		counted /= 8
 	}
-	meter := Start()
+	meter := StartMeter()
 	time.Sleep(counted)
 	used := meter.Stop()
 	held := memoryInUse() - before
@@ -117,5 +117,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: a broker sees %d of %d", errSlow, seen, len(planes))
+	return fmt.Errorf("%w: a broker sees %d of %d", errTimeout, seen, len(planes))
 }
--- a/internal/harness/scale/list.go
+++ b/internal/harness/scale/list.go
@@ -18,9 +18,9 @@
 )
 
 var (
-	nameTable = discovery.NameTable{Zones: zones(), Kinds: []string{"record-large"}}
-	errSlow   = errors.New("scale: not all came in time")
-	nobody    = slog.New(slog.NewTextHandler(io.Discard, nil))
+	nameTable  = discovery.NameTable{Zones: zones(), Kinds: []string{"record-large"}}
+	errTimeout = errors.New("scale: not all came in time")
+	discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 )
 
 func zones() (list []string) {
@@ -30,7 +30,7 @@
 	return list
 }
 
-func entryOf(i int) discovery.Entry {
+func serverEntry(i int) discovery.Entry {
 	return discovery.Entry{ID: serverID(i), Addr: fmt.Sprintf("10.%d.%d.%d:9000", i>>16&255, i>>8&255, i&255),
 		Zone: nameTable.Zones[i/replicaSetsPerZone%TargetZones], Kind: nameTable.Kinds[0], ReplicaSet: i, State: "active", Weight: 1,
 		StartedMS: 1_790_000_000_000 + float64(i)}
@@ -40,14 +40,14 @@
 func encodeList(servers int, version int64) []byte {
 	m := discovery.Message{Version: version, Full: true}
 	for i := range servers {
-		m.Servers = append(m.Servers, entryOf(i))
+		m.Servers = append(m.Servers, serverEntry(i))
 	}
 	return encode(m)
 }
 
 // encodeChange is one server's change.
 func encodeChange(server int, version int64) []byte {
-	return encode(discovery.Message{Version: version, Servers: []discovery.Entry{entryOf(server)}})
+	return encode(discovery.Message{Version: version, Servers: []discovery.Entry{serverEntry(server)}})
 }
 
 func encode(m discovery.Message) []byte {
@@ -77,7 +77,7 @@
 	module := decision.New(targetSettings(servers, TargetBrokers), seed)
 	known := broker.NewEndpoints()
 	before := memoryInUse()
-	meter := Start()
+	meter := StartMeter()
 	for range wholes {
 		if err := receiveList(whole, known, module); err != nil {
 			return nil, err
@@ -85,7 +85,7 @@
 	}
 	wholeCost := meter.Stop()
 	held := memoryInUse() - before
-	meter = Start()
+	meter = StartMeter()
 	for i := range changes {
 		if err := receiveList(encodeChange(i%servers, int64(i+2)), known, module); err != nil {
 			return nil, err
@@ -134,37 +134,37 @@
 	}
 }
 
-// tally counts what watchers hear.
-type tally struct {
-	mu      sync.Mutex
-	wholes  int
-	changes int
-	late    []float64 // seconds from telling to hearing
+// updateCounter counts what watchers hear.
+type updateCounter struct {
+	mu        sync.Mutex
+	fullLists int
+	changes   int
+	delays    []float64 // seconds from telling to hearing
 }
 
-func (t *tally) update(l broker.EndpointUpdate) {
+func (t *updateCounter) update(l broker.EndpointUpdate) {
 	now := time.Now()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if l.Mode == decision.FullUpdate {
-		t.wholes++
+		t.fullLists++
 		return
 	}
 	t.changes++
-	t.late = append(t.late, now.Sub(time.Unix(0, l.Version)).Seconds())
+	t.delays = append(t.delays, now.Sub(time.Unix(0, l.Version)).Seconds())
 }
 
-// until waits for the counts to be what they should.
-func (t *tally) until(wholes, changes int, limit time.Duration) error {
+// waitForCounts waits for the counts to be what they should.
+func (t *updateCounter) waitForCounts(wholes, changes int, limit time.Duration) error {
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		t.mu.Lock()
-		done := t.wholes >= wholes && t.changes >= changes
+		done := t.fullLists >= wholes && t.changes >= changes
 		t.mu.Unlock()
 		if done {
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: %d lists of %d, %d changes of %d", errSlow, t.wholes, wholes, t.changes, changes)
+	return fmt.Errorf("%w: %d lists of %d, %d changes of %d", errTimeout, t.fullLists, wholes, t.changes, changes)
 }
 
 func playWatch(at Sizes, seed uint64) ([]Reading, error) {
@@ -176,24 +176,24 @@
 	defer c.stop()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	t := &tally{}
+	t := &updateCounter{}
 	before := memoryInUse()
-	meter := Start()
+	meter := StartMeter()
 	for i := range brokers {
-		w := &discovery.Watcher{Addr: c.lines[0], NameTable: nameTable, Update: t.update, Log: nobody,
+		w := &discovery.Watcher{Addr: c.startLines[0], NameTable: nameTable, Update: t.update, Log: discardLog,
 			Backoff: backoff.New(brokers, seed+uint64(i)*7919)}
 		go w.Run(ctx)
 	}
-	if err := t.until(brokers, 0, listWithin); err != nil {
+	if err := t.waitForCounts(brokers, 0, listTimeout); err != nil {
 		return nil, err
 	}
 	start := meter.Stop()
 	held := memoryInUse() - before
-	meter = Start()
-	if err := c.change(); err != nil {
+	meter = StartMeter()
+	if err := c.startChanges(); err != nil {
 		return nil, err
 	}
-	if err := t.until(brokers, brokers*maxChanges, maxChanges*changeEvery+listWithin); err != nil {
+	if err := t.waitForCounts(brokers, brokers*maxChanges, maxChanges*changeInterval+listTimeout); err != nil {
 		return nil, err
 	}
 	changes := meter.Stop()
@@ -202,16 +202,16 @@
 	if err != nil {
 		return nil, err
 	}
-	slices.Sort(t.late)
+	slices.Sort(t.delays)
 	each := float64(brokers)
 	return []Reading{
 		{"all have the list", "s", start.Wall.Seconds()},
 		{"processor for the list", "µs a broker", start.Processor.Seconds() * 1e6 / each},
 		{"processor for a change", "µs a broker", changes.Processor.Seconds() * 1e6 / each / maxChanges},
 		{"memory", "bytes a broker", max(held/each, 1)},
-		{"a change has come to 99 in 100", "s", t.late[len(t.late)*99/100]},
-		{"a change has come to all", "s", t.late[len(t.late)-1]},
+		{"a change has come to 99 in 100", "s", t.delays[len(t.delays)*99/100]},
+		{"a change has come to all", "s", t.delays[len(t.delays)-1]},
 		{"processor of the stand-in", "µs a broker", far.Seconds() * 1e6 / each},
-		{"lists told", "lists", float64(t.wholes)},
+		{"lists told", "lists", float64(t.fullLists)},
 	}, nil
 }
--- a/internal/harness/scale/network.go
+++ b/internal/harness/scale/network.go
@@ -15,25 +15,25 @@
 
 // Delays of the virtual network, each a datagram's longest; the shortest is half of it.
 const (
-	delayInZone        = 1 * time.Millisecond
-	delayInRegion      = 3 * time.Millisecond
-	delayBetween       = 50 * time.Millisecond
-	fleetName          = 7
-	lookEvery          = 200 * time.Millisecond // between two looks whether all agree
-	seedsOfFleet       = 3
-	maxQueue           = 1 << 22 // datagrams and ticks that wait, in all
-	startWithin        = time.Second
-	brokersPerAddrByte = 250
+	maxDelayInZone         = 1 * time.Millisecond
+	maxDelayInRegion       = 3 * time.Millisecond
+	maxDelayBetweenRegions = 50 * time.Millisecond
+	fleetName              = 7
+	agreementPollInterval  = 200 * time.Millisecond // between two looks whether all agree
+	seedsOfFleet           = 3
+	maxQueue               = 1 << 22 // datagrams and ticks that wait, in all
+	startWithin            = time.Second
+	brokersPerAddrByte     = 250
 )
 
-// network plays the membership of many brokers on virtual time: one process, one seed, the same run each time.
+// virtualNetwork plays the membership of many brokers on virtual time: one process, one seed, the same run each time.
 // Zones are dealt round, and zones to regions.
-type network struct {
+type virtualNetwork struct {
 	rng    *rand.Rand
 	now    time.Duration
 	nodes  []*node
 	byAddr map[netip.AddrPort]*node
-	queue  arrivals
+	queue  eventQueue
 	cut    func(from, to *node) bool
 }
 
@@ -43,37 +43,37 @@
 	number, zone, region int
 	addr                 netip.AddrPort
 	dead                 bool
-	began                time.Duration // its clock starts then, as a process's does
+	startedAt            time.Duration // its clock starts then, as a process's does
 
-	sentBytes, sentCount, heardBytes, heardCount int
+	bytesSent, sentCount, heardBytes, heardCount int
 }
 
-// arrival is a datagram that comes, or a tick.
-type arrival struct {
+// networkEvent is a datagram that comes, or a tick.
+type networkEvent struct {
 	at   time.Duration
 	to   *node
 	from netip.AddrPort
 	data *planepb.Datagram // nil: a tick
 }
 
-type arrivals []arrival
+type eventQueue []networkEvent
 
-func (a arrivals) Len() int           { return len(a) }
-func (a arrivals) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a arrivals) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *arrivals) Push(v any)        { *a = append(*a, v.(arrival)) }
-func (a *arrivals) Pop() any {
+func (a eventQueue) Len() int           { return len(a) }
+func (a eventQueue) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a eventQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *eventQueue) Push(v any)        { *a = append(*a, v.(networkEvent)) }
+func (a *eventQueue) Pop() any {
 	old := *a
 	last := old[len(old)-1]
-	old[len(old)-1] = arrival{}
+	old[len(old)-1] = networkEvent{}
 	*a = old[:len(old)-1]
 	return last
 }
 
 var errQueue = errors.New("scale: the virtual network holds too many datagrams")
 
-func newNetwork(brokers int, seed uint64) *network {
-	w := &network{rng: rand.New(rand.NewPCG(seed, 5)), byAddr: map[netip.AddrPort]*node{},
+func newNetwork(brokers int, seed uint64) *virtualNetwork {
+	w := &virtualNetwork{rng: rand.New(rand.NewPCG(seed, 5)), byAddr: map[netip.AddrPort]*node{},
 		cut: func(_, _ *node) bool { return false }}
 	for i := range brokers {
 		w.start(i)
@@ -87,9 +87,9 @@
 }
 
 // start starts the broker of a number, or another process of it.
-func (w *network) start(i int) {
+func (w *virtualNetwork) start(i int) {
 	x := &node{number: i, zone: i % TargetZones, region: i % TargetZones % TargetRegions, addr: brokerAddr(i),
-		began: w.now}
+		startedAt: w.now}
 	var seeds []netip.AddrPort
 	for s := range seedsOfFleet {
 		seeds = append(seeds, brokerAddr(s))
@@ -105,57 +105,57 @@
 		w.nodes = append(w.nodes, x)
 	}
 	w.byAddr[x.addr] = x
-	heap.Push(&w.queue, arrival{at: w.now + time.Duration(w.rng.Int64N(int64(membership.TickInterval))), to: x})
+	heap.Push(&w.queue, networkEvent{at: w.now + time.Duration(w.rng.Int64N(int64(membership.TickInterval))), to: x})
 }
 
 // run plays to a time.
-func (w *network) run(to time.Duration) error {
+func (w *virtualNetwork) run(to time.Duration) error {
 	for len(w.queue) > 0 && w.queue[0].at <= to {
 		if len(w.queue) > maxQueue {
 			return errQueue
 		}
-		e := heap.Pop(&w.queue).(arrival)
+		e := heap.Pop(&w.queue).(networkEvent)
 		w.now = e.at
 		x := e.to
 		switch {
 		case x.dead:
 		case e.data == nil:
-			w.carry(x, x.Tick(w.now-x.began))
-			heap.Push(&w.queue, arrival{at: w.now + membership.TickInterval, to: x})
+			w.send(x, x.Tick(w.now-x.startedAt))
+			heap.Push(&w.queue, networkEvent{at: w.now + membership.TickInterval, to: x})
 		default:
 			x.heardBytes += plane.WireSize(e.data)
 			x.heardCount++
-			w.carry(x, x.Receive(w.now-x.began, e.from, e.data))
+			w.send(x, x.Receive(w.now-x.startedAt, e.from, e.data))
 		}
 	}
 	w.now = to
 	return nil
 }
 
-func (w *network) carry(from *node, out []membership.Send) {
+func (w *virtualNetwork) send(from *node, out []membership.Send) {
 	for _, s := range out {
-		from.sentBytes += plane.WireSize(s.Data)
+		from.bytesSent += plane.WireSize(s.Data)
 		from.sentCount++
 		to := w.byAddr[s.Addr]
 		if to == nil || to.dead || w.cut(from, to) {
 			continue
 		}
-		heap.Push(&w.queue, arrival{at: w.now + w.delay(from, to), to: to, from: from.addr, data: s.Data})
+		heap.Push(&w.queue, networkEvent{at: w.now + w.delay(from, to), to: to, from: from.addr, data: s.Data})
 	}
 }
 
-func (w *network) delay(from, to *node) time.Duration {
-	longest := delayBetween
+func (w *virtualNetwork) delay(from, to *node) time.Duration {
+	longest := maxDelayBetweenRegions
 	if from.zone == to.zone {
-		longest = delayInZone
+		longest = maxDelayInZone
 	} else if from.region == to.region {
-		longest = delayInRegion
+		longest = maxDelayInRegion
 	}
 	return longest/2 + time.Duration(w.rng.Int64N(int64(longest/2)))
 }
 
 // alive are the nodes that run, of a set; nil: of all.
-func (w *network) alive(in func(*node) bool) (list []*node) {
+func (w *virtualNetwork) alive(in func(*node) bool) (list []*node) {
 	for _, x := range w.nodes {
 		if !x.dead && (in == nil || in(x)) {
 			list = append(list, x)
@@ -164,8 +164,8 @@
 	return list
 }
 
-// agree tells that all of a set see just each other alive.
-func (w *network) agree(in func(*node) bool) bool {
+// allAgree tells that all of a set see just each other alive.
+func (w *virtualNetwork) allAgree(in func(*node) bool) bool {
 	live := w.alive(in)
 	for _, x := range live {
 		if x.FleetSize().Alive != len(live) {
@@ -186,11 +186,11 @@
 	return true
 }
 
-// untilAgreed plays until all agree, and returns how many seconds that took; agreeWithin, if they never did.
-func (w *network) untilAgreed() (float64, error) {
+// runUntilAgreed plays until all agree, and returns how many seconds that took; agreeWithin, if they never did.
+func (w *virtualNetwork) runUntilAgreed() (float64, error) {
 	from := w.now
-	for !w.agree(nil) && w.now-from < agreeWithin {
-		if err := w.run(w.now + lookEvery); err != nil {
+	for !w.allAgree(nil) && w.now-from < agreeTimeout {
+		if err := w.run(w.now + agreementPollInterval); err != nil {
 			return 0, err
 		}
 	}
@@ -199,15 +199,15 @@
 
 // traffic is what nodes sent and heard in a stretch, a second and a node.
 type traffic struct {
-	sentBytes, sentMost, sentDatagrams, receivedBytes, receivedDatagrams float64
+	sentBytes, maxSentBytes, sentDatagrams, receivedBytes, receivedDatagrams float64
 }
 
 // recordTraffic plays a stretch and returns the traffic of those that live throughout.
-func (w *network) recordTraffic(stretch time.Duration) (traffic, error) {
-	type mark struct{ sentBytes, sentCount, heardBytes, heardCount int }
+func (w *virtualNetwork) recordTraffic(stretch time.Duration) (traffic, error) {
+	type mark struct{ bytesSent, sentCount, heardBytes, heardCount int }
 	marks, from := map[*node]mark{}, w.now
 	for _, x := range w.alive(nil) {
-		marks[x] = mark{x.sentBytes, x.sentCount, x.heardBytes, x.heardCount}
+		marks[x] = mark{x.bytesSent, x.sentCount, x.heardBytes, x.heardCount}
 	}
 	if err := w.run(w.now + stretch); err != nil {
 		return traffic{}, err
@@ -219,8 +219,8 @@
 			continue
 		}
 		n++
-		t.sentBytes += float64(x.sentBytes - m.sentBytes)
-		t.sentMost = max(t.sentMost, float64(x.sentBytes-m.sentBytes)/seconds)
+		t.sentBytes += float64(x.bytesSent - m.bytesSent)
+		t.maxSentBytes = max(t.maxSentBytes, float64(x.bytesSent-m.bytesSent)/seconds)
 		t.sentDatagrams += float64(x.sentCount - m.sentCount)
 		t.receivedBytes += float64(x.heardBytes - m.heardBytes)
 		t.receivedDatagrams += float64(x.heardCount - m.heardCount)
@@ -232,7 +232,7 @@
 }
 
 // kill kills those of a set, at most so many.
-func (w *network) kill(in func(*node) bool, most int) (killed []int) {
+func (w *virtualNetwork) kill(in func(*node) bool, most int) (killed []int) {
 	for _, x := range w.alive(in) {
 		if len(killed) < most {
 			x.dead = true
--- a/internal/harness/scale/page.go
+++ b/internal/harness/scale/page.go
@@ -23,10 +23,10 @@
 	exampleOpenCap        = 267     // deploy/example.json: queries and parts held at most
 	exampleSockets        = 1024    // deploy/example.json: descriptors
 	serverFraction        = 3. / 8  // of them for record servers (internal/config)
-	listLine              = 1 << 20 // bytes of a watch's longest line (internal/transport/httpwire)
+	maxListLine           = 1 << 20 // bytes of a watch's longest line (internal/transport/httpwire)
 	assumedValue          = 200     // bytes of a part's answer
 	assumedServerFraction = 0.88    // of the machines are record servers: 4,600 of 4,600 + 590 + 4
-	wordsARestart         = 3       // changes of the list a restart: leaving, left, active
+	changesPerRestart     = 3       // changes of the list a restart: leaving, left, active
 )
 
 // Page renders docs/CAPACITY.md from the records. Every figure that was measured is taken from them; a row whose run is
@@ -34,17 +34,17 @@
 func Page(records []*Record) ([]byte, error) {
 	p := page{records}
 	t, err := template.New("page").Funcs(template.FuncMap{
-		"mean": p.mean, "spread": p.spread, "slope": p.slope, "misses": p.misses, "runs": p.runs, "table": p.table,
-		"num":    num,
+		"mean": p.mean, "spread": p.spread, "slope": p.slope, "misses": p.targetTable, "runs": p.runs, "table": p.table,
+		"num":    formatNumber,
 		"add":    func(a, b float64) float64 { return a + b },
 		"mul":    func(a, b float64) float64 { return a * b },
 		"div":    func(a, b float64) float64 { return a / b },
-		"beyond": p.beyond, "reaches": p.reaches,
+		"beyond": p.valueBeyond, "reaches": p.sizeAtLimit,
 		"callBytes": callBytes, "answerBytes": answerBytes, "openCap": func() float64 { return exampleOpenCap },
-		"connections": func() float64 { return exampleSockets * serverFraction }, "line": func() float64 { return listLine },
+		"connections": func() float64 { return exampleSockets * serverFraction }, "line": func() float64 { return maxListLine },
 		"body": func() float64 { return httpwire.MaxBody }, "most": func() float64 { return membership.MaxMembers },
-		"slice3": func() []float64 { return partSizes }, "late": p.late, "hedged": p.hedged,
-		"distributed": p.distributed, "listChanges": listChanges, "value": func() float64 { return assumedValue },
+		"slice3": func() []float64 { return partSizes }, "late": p.latePartsPerMillion, "hedged": p.lateHedgedPartsPerMillion,
+		"distributed": p.distributionVerdict, "listChanges": listChanges, "value": func() float64 { return assumedValue },
 	}).Parse(pageTemplate)
 	if err != nil {
 		return nil, err
@@ -56,7 +56,7 @@
 
 // listChanges are how often the list changes a day.
 func listChanges() float64 {
-	return (TargetRestarts + TargetFailures) * assumedServerFraction * wordsARestart
+	return (TargetRestarts + TargetFailures) * assumedServerFraction * changesPerRestart
 }
 
 func callBytes() float64 {
@@ -72,12 +72,12 @@
 
 type page struct{ records []*Record }
 
-// firstMark behind an experiment's name asks for its earliest record instead of its latest.
-const firstMark = "@first"
+// earliestSuffix behind an experiment's name asks for its earliest record instead of its latest.
+const earliestSuffix = "@first"
 
 // record is the latest record of an experiment, or the earliest.
 func (p page) record(experiment string) (*Record, error) {
-	name, first := strings.CutSuffix(experiment, firstMark)
+	name, first := strings.CutSuffix(experiment, earliestSuffix)
 	if !first {
 		return Latest(p.records, name)
 	}
@@ -93,17 +93,17 @@
 	return earliest, nil
 }
 
-// late is how many parts in a million may be late, and hedged the same of a first copy that has a hedge behind it.
-func (p page) late(parts, floor float64) (float64, error) {
+// latePartsPerMillion is how many parts in a million may be late, and hedged the same of a first copy that has a hedge behind it.
+func (p page) latePartsPerMillion(parts, floor float64) (float64, error) {
 	return p.mean("quantile", "late parts", fmt.Sprintf("parts=%g floor=%g", parts, floor))
 }
 
-func (p page) hedged(parts, floor float64) (float64, error) {
+func (p page) lateHedgedPartsPerMillion(parts, floor float64) (float64, error) {
 	return p.mean("quantile", "late parts with a hedge", fmt.Sprintf("parts=%g floor=%g", parts, floor))
 }
 
-// parsePlace reads "servers=4600 parts=300".
-func parsePlace(s string) (sizes []Size, err error) {
+// parseSizes reads "servers=4600 parts=300".
+func parseSizes(s string) (sizes []Size, err error) {
 	for _, field := range strings.Fields(s) {
 		name, value, ok := strings.Cut(field, "=")
 		v, err := strconv.ParseFloat(value, 64)
@@ -116,7 +116,7 @@
 }
 
 func (p page) values(experiment, name, where string) ([]float64, error) {
-	at, err := parsePlace(where)
+	at, err := parseSizes(where)
 	if err != nil {
 		return nil, err
 	}
@@ -147,15 +147,15 @@
 	}
 	mean, in := MeanInterval(values)
 	if len(values) == 1 {
-		return num(mean), nil
+		return formatNumber(mean), nil
 	}
-	return fmt.Sprintf("%s ± %s", num(mean), num(in.High-mean)), nil
+	return fmt.Sprintf("%s ± %s", formatNumber(mean), formatNumber(in.High-mean)), nil
 }
 
 const notRun = "not run"
 
-// num writes a number with three digits.
-func num(x float64) string {
+// formatNumber writes a number with three digits.
+func formatNumber(x float64) string {
 	switch {
 	case math.IsNaN(x):
 		return notRun
@@ -181,7 +181,7 @@
 }
 
 func (p page) samples(experiment, name, axis, fixed string) ([]Sample, *Record, error) {
-	at, err := parsePlace(fixed)
+	at, err := parseSizes(fixed)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -219,7 +219,7 @@
 	prediction, err := Predict(samples)
 	if err == nil {
 		check = fmt.Sprintf("%+.0f %%", 100*prediction.Miss)
-		if !prediction.Holds() {
+		if !prediction.WithinMissLimit() {
 			check += ", **measured is used**"
 		}
 	} else if !errors.Is(err, ErrTooFew) {
@@ -228,18 +228,18 @@
 	value, how := p.valueAt(samples, slope, target)
 	const row = "%s | %s | %.2f (%.2f to %.2f) | %s (%s to %s) | %s | %s %s at %s, %s | `%s-%s` |"
 	return fmt.Sprintf(row, label, slope.Form, exponent.Value, exponent.Interval.Low, exponent.Interval.High,
-		rate(slope), small(slope.RateInterval.Low),
-		small(slope.RateInterval.High), check, num(value), unitOf(r, name), num(target), how, r.Experiment, r.Commit), nil
+		slopeRate(slope), formatRate(slope.RateInterval.Low),
+		formatRate(slope.RateInterval.High), check, formatNumber(value), unitOf(r, name), formatNumber(target), how, r.Experiment, r.Commit), nil
 }
 
-func rate(s Slope) string {
+func slopeRate(s Slope) string {
 	if s.Form == Constant {
-		return small(s.Base)
+		return formatRate(s.Base)
 	}
-	return small(s.Rate)
+	return formatRate(s.Rate)
 }
 
-func small(x float64) string { return strconv.FormatFloat(x, 'g', 3, 64) }
+func formatRate(x float64) string { return strconv.FormatFloat(x, 'g', 3, 64) }
 
 func unitOf(r *Record, name string) string {
 	for _, m := range r.Points[0].Measures {
@@ -266,7 +266,7 @@
 	if err != nil {
 		return slope.At(x), "computed, unchecked: too few sizes to know"
 	}
-	if !prediction.Holds() {
+	if !prediction.WithinMissLimit() {
 		return slope.At(x), "computed beyond what was measured, by a slope that missed"
 	}
 	return slope.At(x), "computed"
@@ -280,8 +280,8 @@
 	return samples, slope, err
 }
 
-// beyond is the cost at a size, measured or by the slope.
-func (p page) beyond(experiment, name, axis, fixed string, x float64) (float64, error) {
+// valueBeyond is the cost at a size, measured or by the slope.
+func (p page) valueBeyond(experiment, name, axis, fixed string, x float64) (float64, error) {
 	samples, slope, err := p.fitted(experiment, name, axis, fixed)
 	if err != nil || samples == nil {
 		return math.NaN(), err
@@ -290,8 +290,8 @@
 	return value, nil
 }
 
-// reaches is the least size at which a cost reaches a limit by its slope; +Inf: it does not below ten times a million.
-func (p page) reaches(experiment, name, axis, fixed string, limit float64) (float64, error) {
+// sizeAtLimit is the least size at which a cost reaches a limit by its slope; +Inf: it does not below ten times a million.
+func (p page) sizeAtLimit(experiment, name, axis, fixed string, limit float64) (float64, error) {
 	samples, slope, err := p.fitted(experiment, name, axis, fixed)
 	if err != nil || samples == nil {
 		return math.NaN(), err
@@ -322,14 +322,14 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "| %s | %s |\n|%s\n", axis, strings.Join(names, " | "), strings.Repeat(" --- |", len(names)+1))
 	for _, point := range r.Points {
-		fmt.Fprintf(&b, "| %s |", num(point.Sizes.Of(axis)))
+		fmt.Fprintf(&b, "| %s |", formatNumber(point.Sizes.Of(axis)))
 		for _, name := range names {
 			mean, in := MeanInterval(point.Values(name))
 			if len(point.Values(name)) == 1 {
-				fmt.Fprintf(&b, " %s |", num(mean))
+				fmt.Fprintf(&b, " %s |", formatNumber(mean))
 				continue
 			}
-			fmt.Fprintf(&b, " %s ± %s |", num(mean), num(in.High-mean))
+			fmt.Fprintf(&b, " %s ± %s |", formatNumber(mean), formatNumber(in.High-mean))
 		}
 		b.WriteByte('\n')
 	}
@@ -352,9 +352,9 @@
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-// distributed is the verdict on the distribution of configuration at the target. Its limits are TargetInForce and, of a
+// distributionVerdict is the verdict on the distribution of configuration at the target. Its limits are TargetInForce and, of a
 // follower, BudgetCore and BudgetBytes each way.
-func (p page) distributed() (string, error) {
+func (p page) distributionVerdict() (string, error) {
 	verdict := "carries, without the log"
 	for _, limit := range []struct {
 		name string
--- a/internal/harness/scale/page_test.go
+++ b/internal/harness/scale/page_test.go
@@ -19,8 +19,8 @@
 )
 
 // The page and the runs cannot drift apart: every figure is computed anew.
-func TestPageSaysWhatTheRunsSay(t *testing.T) {
-	records, err := scale.Load(recordsDir)
+func TestPageMatchesRecords(t *testing.T) {
+	records, err := scale.ReadRecords(recordsDir)
 	require.NoError(t, err)
 	require.NotEmpty(t, records)
 	page, err := scale.Page(records)
@@ -38,8 +38,8 @@
 }
 
 // A value that is changed in any one record changes the page: no figure of a run is left out or written by hand.
-func TestEveryRecordIsOnThePage(t *testing.T) {
-	records, err := scale.Load(recordsDir)
+func TestPageDependsOnEveryRecord(t *testing.T) {
+	records, err := scale.ReadRecords(recordsDir)
 	require.NoError(t, err)
 	page, err := scale.Page(records)
 	require.NoError(t, err)
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestAMissingRunIsSaidToBeMissing(t *testing.T) {
+func TestPageMarksMissingRuns(t *testing.T) {
 	page, err := scale.Page(nil)
 	require.NoError(t, err)
 	require.Contains(t, string(page), "| service: processor a query | servers, parts=300 | not run |")
--- a/internal/harness/scale/quantile.go
+++ b/internal/harness/scale/quantile.go
@@ -39,7 +39,7 @@
 	low, high := 0.0, 1.0
 	for range 200 { // halves until the numbers meet
 		mid := (low + high) / 2
-		if enough(parts, need, mid) < TargetQuantile {
+		if inTimeProbability(parts, need, mid) < TargetQuantile {
 			low = mid
 		} else {
 			high = mid
@@ -48,8 +48,8 @@
 	return high
 }
 
-// enough is the chance that so many of a query's parts are in time. It counts the late ones, which are few.
-func enough(parts int, need, inTime float64) float64 {
+// inTimeProbability is the chance that so many of a query's parts are in time. It counts the late ones, which are few.
+func inTimeProbability(parts int, need, inTime float64) float64 {
 	late := distuv.Binomial{N: float64(parts), P: 1 - inTime}
 	return late.CDF(float64(parts) - need)
 }
--- a/internal/harness/scale/quantile_test.go
+++ b/internal/harness/scale/quantile_test.go
@@ -9,12 +9,12 @@
 	"mothrouter/internal/harness/scale"
 )
 
-func TestPartQuantileOfAllPartsIsTheRoot(t *testing.T) {
+func TestPartQuantileOfAllPartsIsRoot(t *testing.T) {
 	require.InDelta(t, math.Pow(0.99, 1.0/300), scale.PartQuantile(300, 1), 1e-9)
 	require.InDelta(t, 0.99, scale.PartQuantile(1, 1), 1e-9)
 }
 
-func TestPartQuantileWithAFloor(t *testing.T) {
+func TestPartQuantileWithMinCompleteness(t *testing.T) {
 	with, without := scale.PartQuantile(300, 0.95), scale.PartQuantile(300, 1)
 	require.Less(t, with, without)
 	require.Greater(t, with, 0.95) // a mean of just the floor would be under it half of the time
--- a/internal/harness/scale/record.go
+++ b/internal/harness/scale/record.go
@@ -186,8 +186,8 @@
 	return path, os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// Load reads the records of a directory, in the order of their file names.
-func Load(dir string) ([]*Record, error) {
+// ReadRecords reads the records of a directory, in the order of their file names.
+func ReadRecords(dir string) ([]*Record, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
 		return nil, err
@@ -233,8 +233,8 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// LoadState reads an incomplete record; nil: there is none.
-func LoadState(path string) (*Record, error) {
+// ReadState reads an incomplete record; nil: there is none.
+func ReadState(path string) (*Record, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
--- a/internal/harness/scale/scale_test.go
+++ b/internal/harness/scale/scale_test.go
@@ -15,12 +15,12 @@
 )
 
 var (
-	play        = flag.String("play", "", "experiment to play at its large sizes; its record is kept at -out")
-	out         = flag.String("out", "../../../docs/capacity", "directory of the records")
-	state       = flag.String("state", "", "file of a run that goes on over several calls")
-	within      = flag.Duration("within", 70*time.Second, "time of one call, after which the run stops between points")
-	repetitions = flag.Int("repetitions", 5, "of each point")
-	seed        = flag.Uint64("seed", 1, "of the first repetition; each later one has the next")
+	experimentName = flag.String("play", "", "experiment to play at its large sizes; its record is kept at -out")
+	out            = flag.String("out", "../../../docs/capacity", "directory of the records")
+	state          = flag.String("state", "", "file of a run that goes on over several calls")
+	callDuration   = flag.Duration("within", 70*time.Second, "time of one call, after which the run stops between points")
+	repetitions    = flag.Int("repetitions", 5, "of each point")
+	seed           = flag.Uint64("seed", 1, "of the first repetition; each later one has the next")
 )
 
 func TestMain(m *testing.M) {
@@ -37,7 +37,7 @@
 
 // Every experiment runs at small sizes, and its record is whole. Of those without a real clock, equal seeds give equal
 // counts (but for processor time and memory).
-func TestSmallSizes(t *testing.T) {
+func TestExperimentsAtSmallSizes(t *testing.T) {
 	for _, e := range scale.Experiments() {
 		t.Run(e.Name, func(t *testing.T) {
 			r, err := scale.Run(e, scale.Plan{Points: e.Small, Repetitions: 1, Seed: 1, Commit: "test", Command: "go test"},
@@ -53,19 +53,19 @@
 
 // TestRecord plays an experiment at its large sizes; it does nothing without -play.
 func TestRecord(t *testing.T) {
-	if *play == "" {
+	if *experimentName == "" {
 		t.Skip("no -play")
 	}
-	e, err := scale.Find(*play)
+	e, err := scale.FindExperiment(*experimentName)
 	require.NoError(t, err)
 	var before *scale.Record
 	if *state != "" {
-		before, err = scale.LoadState(*state)
+		before, err = scale.ReadState(*state)
 		require.NoError(t, err)
 	}
 	r, err := scale.Run(e, scale.Plan{Points: e.Large, Repetitions: *repetitions, Seed: *seed, Commit: commit(t),
-		Command: fmt.Sprintf("go test ./internal/harness/scale -run TestRecord -play %s -repetitions %d -seed %d", *play,
-			*repetitions, *seed)}, before, time.Now().Add(*within))
+		Command: fmt.Sprintf("go test ./internal/harness/scale -run TestRecord -play %s -repetitions %d -seed %d", *experimentName,
+			*repetitions, *seed)}, before, time.Now().Add(*callDuration))
 	require.NoError(t, err)
 	if r.Check() == nil {
 		path, err := r.Save(*out)
--- a/internal/harness/scale/service.go
+++ b/internal/harness/scale/service.go
@@ -13,68 +13,68 @@
 )
 
 const (
-	serviceAtOnce      = 4                // queries out at once
-	serviceCounted     = 24_000           // parts counted at least
-	servicePatient     = 20 * time.Second // a client's wait; nothing is to end by time-out
-	servicePayloadSize = 64               // bytes of a part's text
-	openWithin         = 30 * time.Second
+	serviceConcurrency  = 4                // queries out at once
+	servicePartsCounted = 24_000           // parts counted at least
+	serviceDeadline     = 20 * time.Second // a client's wait; nothing is to end by time-out
+	servicePayloadSize  = 64               // bytes of a part's text
+	openTimeout         = 30 * time.Second
 )
 
-// core is a broker's core and link, without a front, against record servers in a child.
-type core struct {
+// brokerCore is a broker's core and link, without a front, against record servers in a child.
+type brokerCore struct {
 	*broker.Broker
 	child     *child
 	cancel    context.CancelFunc
 	endpoints []broker.Endpoint
 }
 
-func startCore(servers int, reports decision.ReportMode, seed uint64) (*core, error) {
+func startCore(servers int, reports decision.ReportMode, seed uint64) (*brokerCore, error) {
 	c, err := startChild(roleServers, servers)
 	if err != nil {
 		return nil, err
 	}
 	set := targetSettings(servers, TargetBrokers)
 	set.ReportMode = reports
-	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = servicePatient.Seconds(), servicePatient.Seconds()
+	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = serviceDeadline.Seconds(), serviceDeadline.Seconds()
 	ctx, cancel := context.WithCancel(context.Background())
 	link := upstream.New(ctx, upstream.Options{MaxStreams: 100, IdleTimeout: time.Hour, ConnectTimeout: 5 * time.Second})
-	b := broker.New(broker.Options{Settings: set, Log: nobody, HealthCheckTimeout: openWithin}, decision.New(set, seed), link)
+	b := broker.New(broker.Options{Settings: set, Log: discardLog, HealthCheckTimeout: openTimeout}, decision.New(set, seed), link)
 	go b.Run(ctx)
-	return &core{b, c, cancel, c.entries()}, nil
+	return &brokerCore{b, c, cancel, c.endpoints()}, nil
 }
 
-func (c *core) update() {
+func (c *brokerCore) update() {
 	c.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Version: 1, Servers: c.endpoints})
 }
 
-func (c *core) stop() error {
+func (c *brokerCore) stop() error {
 	c.cancel()
 	_, err := c.child.stop()
 	return err
 }
 
-// abandon ends what an error has left; after stop it does nothing.
-func (c *core) abandon() {
+// kill ends what an error has left; after stop it does nothing.
+func (c *brokerCore) kill() {
 	c.cancel()
 	c.child.stop()
 }
 
-// finished is a client's end of a query.
-type finished chan broker.Result
+// resultChannel is a client's end of a query.
+type resultChannel chan broker.Result
 
-func (f finished) Finish(r broker.Result) { f <- r }
+func (f resultChannel) Finish(r broker.Result) { f <- r }
 
-// query plays queries, so many at once, and returns an error if one is not answered whole.
-func (c *core) query(name string, queries, parts int, rng *rand.Rand) error {
+// runQueries plays queries, so many at once, and returns an error if one is not answered whole.
+func (c *brokerCore) runQueries(name string, queries, parts int, rng *rand.Rand) error {
 	text := make([]byte, servicePayloadSize)
 	for i := range text {
 		text[i] = 'x'
 	}
-	done := make(finished, serviceAtOnce)
+	done := make(resultChannel, serviceConcurrency)
 	out := 0
 	for asked, ended := 0, 0; ended < queries; {
-		for ; out < serviceAtOnce && asked < queries; asked++ {
-			r := &broker.Request{ID: fmt.Sprint(name, asked), ReceivedAt: time.Now(), Timeout: servicePatient, Payload: text}
+		for ; out < serviceConcurrency && asked < queries; asked++ {
+			r := &broker.Request{ID: fmt.Sprint(name, asked), ReceivedAt: time.Now(), Timeout: serviceDeadline, Payload: text}
 			first := rng.IntN(len(c.endpoints))
 			for i := range parts {
 				r.Parts = append(r.Parts, broker.Part{Shard: (first + i) % len(c.endpoints), Weight: 1 / float64(parts)})
@@ -108,20 +108,20 @@
 	if err != nil {
 		return nil, err
 	}
-	defer c.abandon()
+	defer c.kill()
 	c.update()
 	rng := rand.New(rand.NewPCG(seed, 17))
 	warm := 3*servers/parts + 10 // parts for each server, so that most connections are open
-	if err := c.query("warm", warm, parts, rng); err != nil {
+	if err := c.runQueries("warm", warm, parts, rng); err != nil {
 		return nil, err
 	}
-	counted := serviceCounted
+	counted := servicePartsCounted
 	if servers < 200 {
 		counted /= 10
 	}
 	queries := max(counted/parts, 20)
-	meter := Start()
-	if err := c.query("q", queries, parts, rng); err != nil {
+	meter := StartMeter()
+	if err := c.runQueries("q", queries, parts, rng); err != nil {
 		return nil, err
 	}
 	used := meter.Stop()
@@ -156,15 +156,15 @@
 	if err != nil {
 		return nil, err
 	}
-	defer c.abandon()
+	defer c.kill()
 	descriptors, err := openDescriptors()
 	if err != nil {
 		return nil, err
 	}
 	before := memoryInUse()
-	meter := Start()
+	meter := StartMeter()
 	c.update()
-	for end := time.Now().Add(openWithin); ; time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(openTimeout); ; time.Sleep(50 * time.Millisecond) {
 		now, err := openDescriptors()
 		if err != nil {
 			return nil, err
@@ -173,7 +173,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			return nil, fmt.Errorf("%w: %d connections of %d", errSlow, now-descriptors, servers)
+			return nil, fmt.Errorf("%w: %d connections of %d", errTimeout, now-descriptors, servers)
 		}
 	}
 	time.Sleep(500 * time.Millisecond) // the answers to the probes
--- a/internal/harness/scale/target.go
+++ b/internal/harness/scale/target.go
@@ -27,18 +27,18 @@
 
 // What is assumed, since nobody has told it.
 const (
-	AssumedBatch             = 0.001 // seconds: what a broker's loop takes together
-	AssumedWork              = 0.010 // seconds: mean work of a part
+	AssumedBatchInterval     = 0.001 // seconds: what a broker's loop takes together
+	AssumedServiceTime       = 0.010 // seconds: mean work of a part
 	AssumedReplicationFactor = 3     // replicas of a shard
-	AssumedBrokerP           = 0.7   // of its cores a broker may use on an ordinary day; the rest is for a zone's loss
+	AssumedUsableCores       = 0.7   // of its cores a broker may use on an ordinary day; the rest is for a zone's loss
 	DayS                     = 86_400.0
 	HourS                    = 3600.0
 )
 
-// QueriesABroker is how many queries a second come to each of so many brokers.
-func QueriesABroker(brokers float64) float64 { return TargetQueries / brokers }
+// QueriesPerBroker is how many queries a second come to each of so many brokers.
+func QueriesPerBroker(brokers float64) float64 { return TargetQueries / brokers }
 
-// PartsAPair is how many parts a second one broker sends to one server.
-func PartsAPair(brokers, servers float64) float64 {
+// PartsPerPair is how many parts a second one broker sends to one server.
+func PartsPerPair(brokers, servers float64) float64 {
 	return TargetQueries * TargetParts / brokers / servers
 }
--- a/internal/harness/scale/usage.go
+++ b/internal/harness/scale/usage.go
@@ -22,20 +22,20 @@
 type Meter struct {
 	processor time.Duration
 	memory    runtime.MemStats
-	began     time.Time
+	startedAt time.Time
 }
 
-// Start starts a meter.
-func Start() *Meter {
+// StartMeter starts a meter.
+func StartMeter() *Meter {
 	m := &Meter{}
 	runtime.ReadMemStats(&m.memory)
-	m.began, m.processor = time.Now(), processorTime()
+	m.startedAt, m.processor = time.Now(), processorTime()
 	return m
 }
 
 // Stop is the usage since the start.
 func (m *Meter) Stop() Usage {
-	l := Usage{Processor: processorTime() - m.processor, Wall: time.Since(m.began)}
+	l := Usage{Processor: processorTime() - m.processor, Wall: time.Since(m.startedAt)}
 	var now runtime.MemStats
 	runtime.ReadMemStats(&now)
 	l.Allocated, l.Objects = now.TotalAlloc-m.memory.TotalAlloc, now.Mallocs-m.memory.Mallocs
