--- a/internal/harness/scale/child.go
+++ b/internal/harness/scale/child.go
@@ -6,21 +6,16 @@
 	"errors"
 	"fmt"
 	"io"
-	"net"
 	"os"
 	"os/exec"
 	"strconv"
-	"strings"
-	"sync"
 	"time"
 
-	"mothrouter/internal/broker"
-	"mothrouter/internal/decision"
 	"mothrouter/internal/harness/recordservertest"
 )
 
-// A child is this program's second process, so that the far side's processor time and memory are not counted with the
-// near side's. It ends when its standard input does.
+// A child is a second process of the test binary that plays the other side of an experiment, so that its processor time
+// and memory are not counted. It ends when its standard input does. The environment names its role and size.
 const (
 	childRole         = "SCALE_CHILD"
 	childSize         = "SCALE_CHILD_SIZE"
@@ -29,13 +24,13 @@
 	roleHub           = "configuration-hub"
 	roleFollowers     = "configuration-followers"
 	childReady        = "ready"
-	childStartTimeout = 30 * time.Second // it must be ready within
-	maxChildLine      = 1 << 20          // bytes of a line that it says at most
-	maxRequestHead    = 4096             // bytes of a request's head that are read at most
+	childStartTimeout = 30 * time.Second
+	maxChildLine      = 1 << 20 // bytes of a line that a child writes
+	maxRequestHead    = 4096    // bytes of a watch's request head
 )
 
-// ServeChild is the child's main: it returns false at once in a process that is none.
-func ServeChild() (bool, error) {
+// ServeChild runs the process as a child until its parent ends it. It reports false at once if the process is no child.
+func ServeChild() (isChild bool, err error) {
 	size, err := strconv.Atoi(os.Getenv(childSize))
 	switch os.Getenv(childRole) {
 	case roleServers:
@@ -59,8 +54,11 @@
 	return false, nil
 }
 
+// serveRecords runs fake record servers and writes their addresses.
 func serveRecords(servers int) error {
-	f, err := recordservertest.New(recordservertest.Options{Servers: servers, ReplicationFactor: AssumedReplicationFactor, ServiceTime: childServiceTime, Seed: 1})
+	f, err := recordservertest.New(recordservertest.Options{
+		Servers: servers, ReplicationFactor: AssumedReplicationFactor, ServiceTime: childServiceTime, Seed: 1,
+	})
 	if err != nil {
 		return err
 	}
@@ -73,17 +71,18 @@
 	return err
 }
 
-// childServiceTime is what the stand-ins work on a part: little, since many share the machine.
+// childServiceTime is the mean time of a part at a fake record server. It is short, since many share the machine.
 const childServiceTime = 2 * time.Millisecond
 
-// child is such a process.
+// child is a child process as its parent sees it.
 type child struct {
 	cmd        *exec.Cmd
 	in         io.WriteCloser
 	out        *bufio.Scanner
-	startLines []string // that it said before it was ready
+	startLines []string // written before it was ready
 }
 
+// startChild starts a child and waits until it is ready.
 func startChild(role string, size int) (*child, error) {
 	c := &child{cmd: exec.Command(os.Args[0])}
 	c.cmd.Env = append(os.Environ(), childRole+"="+role, childSize+"="+strconv.Itoa(size))
@@ -113,7 +112,7 @@
 	return nil, errors.Join(errors.New("scale: a child was not ready"), c.cmd.Wait())
 }
 
-// stop ends the child and returns its processor time. A child that has been stopped stays so.
+// stop ends the child and returns its processor time. It can be called again.
 func (c *child) stop() (time.Duration, error) {
 	c.in.Close()
 	var err error
@@ -123,7 +122,7 @@
 	return c.cmd.ProcessState.UserTime() + c.cmd.ProcessState.SystemTime(), err
 }
 
-// request sends a command as one line of JSON and reads the answer, which is one too.
+// request sends a command as one line of JSON and reads the answer, which is another line.
 func (c *child) request(command, answer any) error {
 	if err := json.NewEncoder(c.in).Encode(command); err != nil {
 		return err
@@ -134,8 +133,8 @@
 	return json.Unmarshal(c.out.Bytes(), answer)
 }
 
-// serveCommands is the child's side of ask: it answers each command until the parent closes its standard input.
-func serveCommands[Command, Answer any](do func(Command) (Answer, error)) error {
+// serveCommands is the child's side of request: it answers each command until the parent closes its standard input.
+func serveCommands[Command, Answer any](handle func(Command) (Answer, error)) error {
 	in, out := json.NewDecoder(os.Stdin), json.NewEncoder(os.Stdout)
 	for {
 		var command Command
@@ -144,7 +143,7 @@
 		} else if err != nil {
 			return err
 		}
-		answer, err := do(command)
+		answer, err := handle(command)
 		if err != nil {
 			return err
 		}
@@ -153,117 +152,3 @@
 		}
 	}
 }
-
-// startChanges asks a stand-in for discovery for its changes.
-func (c *child) startChanges() error {
-	_, err := io.WriteString(c.in, "change\n")
-	return err
-}
-
-// endpoints are the child's record servers as discovery would tell them.
-func (c *child) endpoints() []broker.Endpoint {
-	list := make([]broker.Endpoint, len(c.startLines))
-	for i, addr := range c.startLines {
-		list[i] = broker.Endpoint{Addr: addr, Server: decision.Server{ID: serverID(i), Zone: i / replicaSetsPerZone % TargetZones,
-			ReplicaSet: i, Capacity: 1}}
-	}
-	return list
-}
-
-// Of the stand-in for discovery.
-const (
-	changeInterval    = 100 * time.Millisecond
-	maxChanges        = 20
-	listTimeout       = 10 * time.Second // all watchers have the list
-	heartbeatInterval = 2 * time.Second  // an empty line, as discovery sends
-	maxWatchers       = 4096
-)
-
-// serveDiscovery tells a list of so many servers to each watch and, once its parent has written a line, changes of one
-// server. A change's version is the time in Unix nanoseconds at which it was told.
-func serveDiscovery(servers int) error {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		return err
-	}
-	defer l.Close()
-	fmt.Println(l.Addr())
-	fmt.Println(childReady)
-	d := &fakeDiscovery{fullList: encodeList(servers, 1)}
-	go d.accept(l)
-	go d.sendHeartbeats()
-	in := bufio.NewReader(os.Stdin)
-	if _, err := in.ReadString('\n'); err != nil {
-		return nil // its parent has ended before it asked for changes
-	}
-	go d.sendChanges()
-	_, err = io.Copy(io.Discard, in)
-	return err
-}
-
-// fakeDiscovery is the stand-in for discovery.
-type fakeDiscovery struct {
-	fullList []byte
-	mu       sync.Mutex
-	conns    []net.Conn
-}
-
-func (d *fakeDiscovery) accept(l net.Listener) {
-	for {
-		c, err := l.Accept()
-		if err != nil {
-			return
-		}
-		go d.serveWatch(c)
-	}
-}
-
-func (d *fakeDiscovery) serveWatch(c net.Conn) {
-	in := bufio.NewReaderSize(c, maxRequestHead)
-	for {
-		line, err := in.ReadString('\n')
-		if err != nil {
-			c.Close()
-			return
-		}
-		if strings.TrimSpace(line) == "" {
-			break
-		}
-	}
-	if _, err := c.Write(append([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"),
-		encodeChunk(d.fullList)...)); err != nil {
-		c.Close()
-		return
-	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if len(d.conns) < maxWatchers {
-		d.conns = append(d.conns, c)
-	}
-}
-
-func encodeChunk(data []byte) []byte { return fmt.Appendf(nil, "%x\r\n%s\r\n", len(data), data) }
-
-// sendChanges tells the changes.
-func (d *fakeDiscovery) sendChanges() {
-	for range maxChanges {
-		time.Sleep(changeInterval)
-		d.broadcast(encodeChange(0, time.Now().UnixNano()))
-	}
-}
-
-// sendHeartbeats keeps the watches alive.
-func (d *fakeDiscovery) sendHeartbeats() {
-	for {
-		time.Sleep(heartbeatInterval)
-		d.broadcast([]byte("\n"))
-	}
-}
-
-func (d *fakeDiscovery) broadcast(data []byte) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, c := range d.conns {
-		c.Write(encodeChunk(data))
-	}
-}
--- a/internal/harness/scale/configuration.go
+++ b/internal/harness/scale/configuration.go
@@ -16,25 +16,24 @@
 )
 
 const (
-	followersTimeout = 25 * time.Second // all follow, or have a revision in force
-	quietDuration    = 3 * time.Second  // without changes
-	// countedChanges are published changeApart apart, ten times the target's rate: a day has 86,400 s and 2,700
-	// changes, which are 32 s apart.
-	countedChanges  = 4
+	followersTimeout = 25 * time.Second // for all followers to connect, or to have a revision in force
+	quietDuration    = 3 * time.Second  // measured without changes
+	countedChanges   = 4                // measured with changes
+	// publishInterval is a tenth of the target's mean interval: 2,700 changes in the 86,400 s of a day are 32 s apart.
 	publishInterval = 3200 * time.Millisecond
-	// smallSpeedup is by how much less time small fleets are given, for CI.
-	smallSpeedup = 16
+	smallSpeedup    = 16 // divides quietDuration and publishInterval for the small fleets of CI
 )
 
-// configurationProvenance tells what is what.
+// configurationProvenance is the provenance of the experiment.
 var configurationProvenance = Provenance{
-	Real: "internal/controlplane/confighub and internal/controlplane/configfollower (gRPC) with distribution's Hub and Follower over loopback, each " +
-		"document checked whole by internal/config; bytes are counted on the hubs' connections",
+	Real: "internal/controlplane/confighub and internal/controlplane/configfollower (gRPC) with distribution's Hub and " +
+		"Follower over loopback, each document checked completely by internal/config; bytes are counted on the hubs' " +
+		"connections",
 	Hollow: "followers without a core to configure, all in one process; each hub in a process of its own, fed by the " +
 		"experiment as if by the log: the replicated log is not in this run",
 }
 
-// smallConfiguration is what CI plays.
+// smallConfiguration returns the point that CI measures.
 func smallConfiguration() []Sizes {
 	return axis(axisBrokers, []float64{10}, Size{axisControl, 1}, Size{axisDocument, 4})
 }
@@ -46,16 +45,16 @@
 	}
 }
 
-// regionName is the region of a broker or a control machine: they lie in the target's regions in turn.
+// regionName returns the region of a broker or a control machine by its index: they are dealt to the target's regions.
 func regionName(i int) string { return fmt.Sprint("region-", i%TargetRegions) }
 
-// distributionRun is a run of the distribution: hubs and their followers.
+// distributionRun is a run of the experiment, with a child for each hub and one for all followers.
 type distributionRun struct {
 	hubs          []*child
 	followers     *child
 	followerCount float64 // of followers
 	documentBytes int     // of a document
-	newest        uint64
+	newest        uint64  // number of the newest revision
 }
 
 func playConfiguration(at Sizes, seed uint64) ([]Reading, error) {
@@ -78,12 +77,13 @@
 	}
 	readings = append(readings, counted...)
 	if len(d.hubs) < ControlMachines {
-		return readings, nil // none can be lost
+		return readings, nil // too few to lose one
 	}
 	lost, err := d.measureHubLoss()
 	return append(readings, lost...), err
 }
 
+// startChildren starts the hubs and the process of the followers, which do not run yet.
 func (d *distributionRun) startChildren(hubs int) error {
 	for range hubs {
 		hub, err := startChild(roleHub, 0)
@@ -107,7 +107,7 @@
 	}
 }
 
-// requestHubs asks all hubs the same, one after the other.
+// requestHubs sends the same command to all hubs, one after the other.
 func (d *distributionRun) requestHubs(command hubCommand) ([]hubAnswer, error) {
 	answers := make([]hubAnswer, len(d.hubs))
 	for i, hub := range d.hubs {
@@ -123,7 +123,7 @@
 	return answer, err
 }
 
-// publish has all hubs know the next revision, and returns when the first of them was told, in Unix nanoseconds.
+// publish publishes the next revision at all hubs and returns when the first of them got it, in Unix nanoseconds.
 func (d *distributionRun) publish() (int64, error) {
 	d.newest++
 	answers, err := d.requestHubs(hubCommand{Publish: d.newest, Bytes: d.documentBytes})
@@ -133,7 +133,7 @@
 	return answers[0].PublishedAt, nil
 }
 
-// startAtOnce starts all followers together and measures until all have a revision in force.
+// startAtOnce starts all followers at once and measures until all have a revision in force.
 func (d *distributionRun) startAtOnce(seed uint64) ([]Reading, error) {
 	if _, err := d.publish(); err != nil {
 		return nil, err
@@ -169,7 +169,7 @@
 	}, nil
 }
 
-// usageSnapshot is what all had used at a time.
+// usageSnapshot is what all children have used up to a time.
 type usageSnapshot struct {
 	at        time.Time
 	hubs      []hubAnswer
@@ -185,8 +185,8 @@
 	return m, err
 }
 
-// measureTraffic counts a stretch without changes and one with them.
-func (d *distributionRun) measureTraffic(quiet, apart time.Duration) ([]Reading, error) {
+// measureTraffic measures a period without changes and one with them.
+func (d *distributionRun) measureTraffic(quiet, interval time.Duration) ([]Reading, error) {
 	before, err := d.takeSnapshot()
 	if err != nil {
 		return nil, err
@@ -196,7 +196,7 @@
 	if err != nil {
 		return nil, err
 	}
-	came, applied, err := d.publishChanges(apart)
+	delays, err := d.publishChanges(interval)
 	if err != nil {
 		return nil, err
 	}
@@ -205,58 +205,68 @@
 		return nil, err
 	}
 	readings := []Reading{
-		{"read at 99 in 100", "s", came[len(came)*99/100]},
-		{"read at all", "s", came[len(came)-1]},
-		{"in force at 99 in 100", "s", applied[len(applied)*99/100]},
-		{"in force at all", "s", applied[len(applied)-1]},
+		{"read at 99 in 100", "s", percentile99(delays.received)},
+		{"read at all", "s", slices.Max(delays.received)},
+		{"in force at 99 in 100", "s", percentile99(delays.applied)},
+		{"in force at all", "s", slices.Max(delays.applied)},
 		{"processor for a change", "µs a broker", d.processorPerChange(before, between, after)},
 	}
 	readings = append(readings, d.usageReadings("without changes: ", before, between)...)
 	return append(readings, d.usageReadings("", between, after)...), nil
 }
 
-// processorPerChange is what the stretch with changes took beyond the one without, a change and a broker.
+// processorPerChange returns the followers' processor time with changes beyond that without, in µs per change and
+// broker.
 func (d *distributionRun) processorPerChange(before, between, after usageSnapshot) float64 {
 	quiet := micros(between.followers.Processor-before.followers.Processor) / between.at.Sub(before.at).Seconds()
 	used := micros(after.followers.Processor - between.followers.Processor)
 	return max(used-quiet*after.at.Sub(between.at).Seconds(), 1) / d.followerCount / countedChanges
 }
 
-// publishChanges publishes revisions and returns the times, in seconds and ascending, from when the first hub was told of one
-// until a follower had read it, and until it was in force there.
-func (d *distributionRun) publishChanges(apart time.Duration) (came, applied []float64, err error) {
+// propagationDelays are the times from when the first hub got a revision until a follower had it, in seconds and
+// ascending.
+type propagationDelays struct {
+	received []float64 // read by the follower
+	applied  []float64 // in force at the follower
+}
+
+// publishChanges publishes revisions at an interval and returns their delays at all followers.
+func (d *distributionRun) publishChanges(interval time.Duration) (delays propagationDelays, err error) {
 	for range countedChanges {
-		next := time.Now().Add(apart)
-		told, err := d.publish()
+		next := time.Now().Add(interval)
+		publishedAt, err := d.publish()
 		if err != nil {
-			return nil, nil, err
+			return delays, err
 		}
-		time.Sleep(time.Until(next) - apart/10) // the looks at all followers fall into the last tenth
-		in, err := d.requestFollowers(followersCommand{InForce: d.newest})
+		time.Sleep(time.Until(next) - interval/10) // so that all followers are polled only in the last tenth
+		answer, err := d.requestFollowers(followersCommand{InForce: d.newest})
 		if err != nil {
-			return nil, nil, err
+			return delays, err
 		}
-		for i := range in.AppliedAt {
-			came = append(came, seconds(in.ReceivedAt[i]-told))
-			applied = append(applied, seconds(in.AppliedAt[i]-told))
+		for i := range answer.AppliedAt {
+			delays.received = append(delays.received, seconds(answer.ReceivedAt[i]-publishedAt))
+			delays.applied = append(delays.applied, seconds(answer.AppliedAt[i]-publishedAt))
 		}
 		time.Sleep(time.Until(next))
 	}
-	slices.Sort(came)
-	slices.Sort(applied)
-	return came, applied, nil
+	slices.Sort(delays.received)
+	slices.Sort(delays.applied)
+	return delays, nil
 }
 
-// usageReadings is what a stretch took.
+// percentile99 returns the 99th percentile of ascending values.
+func percentile99(values []float64) float64 { return values[len(values)*99/100] }
+
+// usageReadings returns what the children used between two snapshots. The label is put before each reading's name.
 func (d *distributionRun) usageReadings(label string, from, to usageSnapshot) []Reading {
 	wall := to.at.Sub(from.at).Seconds()
-	var in, out, processor, mostOut, mostIn, mostProcessor float64
+	var in, out, processor, maxOut, maxIn, maxProcessor float64
 	for i := range to.hubs {
 		hubIn := float64(to.hubs[i].In-from.hubs[i].In) / wall
 		hubOut := float64(to.hubs[i].Out-from.hubs[i].Out) / wall
 		hubProcessor := micros(to.hubs[i].Processor-from.hubs[i].Processor) / wall
 		in, out, processor = in+hubIn, out+hubOut, processor+hubProcessor
-		mostIn, mostOut, mostProcessor = max(mostIn, hubIn), max(mostOut, hubOut), max(mostProcessor, hubProcessor)
+		maxIn, maxOut, maxProcessor = max(maxIn, hubIn), max(maxOut, hubOut), max(maxProcessor, hubProcessor)
 	}
 	used := micros(to.followers.Processor-from.followers.Processor) / wall
 	return []Reading{
@@ -264,20 +274,20 @@
 		{label + "bytes in", "bytes a broker and second", out / d.followerCount}, // what the hubs send
 		{label + "bytes out", "bytes a broker and second", in / d.followerCount},
 		{label + "processor of a hub", "µs a second", processor / float64(len(to.hubs))},
-		{label + "processor of the busiest hub", "µs a second", mostProcessor},
-		{label + "bytes out of the busiest hub", "bytes a second", mostOut},
-		{label + "bytes in of the busiest hub", "bytes a second", mostIn},
+		{label + "processor of the busiest hub", "µs a second", maxProcessor},
+		{label + "bytes out of the busiest hub", "bytes a second", maxOut},
+		{label + "bytes in of the busiest hub", "bytes a second", maxIn},
 	}
 }
 
-// lostHubIndex is the one that is lost: the only one of its region, so that its brokers have to go to other regions.
+// lostHubIndex is the hub that is lost: the only one of its region, so that its followers connect to other regions.
 const lostHubIndex = 1
 
-// measureHubLoss stops a hub without a word, as a machine without power does: its connections stay as they are, and its
-// address takes new ones that are never served.
+// measureHubLoss pauses a hub's process, as if its machine hung: its connections stay open, and its address accepts new
+// ones that are never served.
 func (d *distributionRun) measureHubLoss() ([]Reading, error) {
 	lost := d.hubs[lostHubIndex]
-	if _, err := d.requestHubs(hubCommand{}); err != nil { // the peaks count from here
+	if _, err := d.requestHubs(hubCommand{}); err != nil { // resets MaxAcceptsPerSecond
 		return nil, err
 	}
 	d.hubs = slices.Delete(d.hubs, lostHubIndex, lostHubIndex+1)
@@ -286,7 +296,7 @@
 		return nil, err
 	}
 	defer lost.cmd.Process.Kill()
-	again, err := d.requestFollowers(followersCommand{Lost: lost.startLines[0]})
+	reconnected, err := d.requestFollowers(followersCommand{Lost: lost.startLines[0]})
 	if err != nil {
 		return nil, err
 	}
@@ -295,7 +305,7 @@
 		return nil, err
 	}
 	return []Reading{
-		{"hub lost: all follow again", "s", seconds(again.DoneAt - again.StartedAt)},
+		{"hub lost: all follow again", "s", seconds(reconnected.DoneAt - reconnected.StartedAt)},
 		{"hub lost: connections of one hub", "connections in its busiest second",
 			maxOfHubs(hubs, func(h hubAnswer) float64 { return float64(h.MaxAcceptsPerSecond) })},
 	}, nil
@@ -306,9 +316,9 @@
 func micros(d time.Duration) float64 { return d.Seconds() * 1e6 }
 
 func maxOfHubs(hubs []hubAnswer, value func(hubAnswer) float64) float64 {
-	most := 0.0
+	largest := 0.0
 	for _, hub := range hubs {
-		most = max(most, value(hub))
+		largest = max(largest, value(hub))
 	}
-	return most
+	return largest
 }
--- a/internal/harness/scale/configuration_document.go
+++ b/internal/harness/scale/configuration_document.go
@@ -10,24 +10,24 @@
 
 const (
 	bytesPerKB = 1 << 10
-	// classBytes is what a class takes of a document at most: 116 bytes of its own and 3 in each of three arrays.
+	// classBytes is the maximum size of a class: 116 bytes of its own and 3 in each of four arrays.
 	classBytes = 140
-	// documentFrameBytes is what a document takes without its classes at most.
+	// documentFrameBytes is the maximum size of a document without its classes.
 	documentFrameBytes = 1200
 )
 
-// newDocument is a document of so many bytes, 2 KiB at least: the example's settings with as many classes as fill it,
-// and spaces for the rest. The aim of each class differs from one number to the next.
+// newDocument returns a document of a size in bytes, 2 KiB at least: the example's settings with as many classes as fit,
+// padded by spaces. The latency objective of the classes differs between consecutive numbers.
 func newDocument(number uint64, size int) []byte {
 	classes := (size - documentFrameBytes) / classBytes
 	var b bytes.Buffer
 	b.WriteString(`{"discovery": "127.0.0.1:8500", "settings": {"callers": {"marksRetry": false},
 "caps": {"cancel": true, "connIdleS": 15.0, "connectTimeoutS": 0.25, "maxRetryAfterS": 0.5, "openCap": 267,
 "probes": true, "retryAfter": true, "secondCopies": false, "sendCap": 4, "streamsPerConn": 100}, "classes": [`)
-	aim := 1 + float64(number%100)/100
+	latencyObjective := 1 + float64(number%100)/100
 	for i := range classes {
 		fmt.Fprintf(&b, `%s{"name": "class-%04d", "objectiveS": %.2f, "deadlineS": 4.0, "lateWorth": 0.0, `+
-			`"semantics": "free", "worth": 1.0}`, separator(i), i, aim)
+			`"semantics": "free", "worth": 1.0}`, separator(i), i, latencyObjective)
 	}
 	b.WriteString(`], "discovery": "push", "familyInfo": {"bundleMax": 1, "cells": 2, "reach": 2, "slabs": 4`)
 	for _, array := range []struct{ key, value string }{
@@ -54,7 +54,7 @@
 	return ","
 }
 
-// newRevision is the revision of a number, as the log would have it.
+// newRevision returns a revision with a document of a size in bytes, as the replicated log would commit it.
 func newRevision(number uint64, size int) *configpb.Revision {
 	document := newDocument(number, size)
 	return &configpb.Revision{Number: number, Checksum: configpb.Checksum(document), Document: document,
--- a/internal/harness/scale/configuration_followers.go
+++ b/internal/harness/scale/configuration_followers.go
@@ -14,42 +14,43 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-const followersPollInterval = 20 * time.Millisecond // between two looks at all followers, which are not in counted stretches
+const followersPollInterval = 20 * time.Millisecond // of the conditions that a command waits for
 
-// followersCommand is what the parent asks of the followers. One of its parts is set.
+// followersCommand is a command to the followers. At most one of Start, InForce and Lost is set.
 type followersCommand struct {
-	Start   []distribution.Machine // start all at once, then wait as for InForce 1
+	Start   []distribution.Machine // start all at once at these machines, then wait as for InForce 1
 	Bytes   int                    // of the document of the start
-	Seed    uint64
-	InForce uint64 // wait until this revision is in force at all
-	Lost    string // wait until all follow another machine than this
-	Memory  bool   // measure that
+	Seed    uint64                 // of the start
+	InForce uint64                 // wait until this revision is in force at all followers
+	Lost    string                 // wait until all follow another machine than that at this address
+	Memory  bool                   // measure the memory in use
 }
 
-// followersAnswer is what the followers have used since the start of their process.
+// followersAnswer is the answer to a followersCommand.
 type followersAnswer struct {
-	Processor  time.Duration
-	StartedAt  int64   // Unix nanoseconds, of the command
-	DoneAt     int64   // of when that was so for which it waited
-	ReceivedAt []int64 // for InForce: of when the revision was read, of each follower
-	AppliedAt  []int64 // and of when it was in force
-	Memory     float64 // bytes; 0: not asked for
+	Processor  time.Duration // of the process since its start
+	StartedAt  int64         // Unix nanoseconds, of the command
+	DoneAt     int64         // Unix nanoseconds: when the condition was met
+	ReceivedAt []int64       // for InForce, of each follower: when the revision was read
+	AppliedAt  []int64       // for InForce, of each follower: when it was in force
+	Memory     float64       // bytes; 0 without the command's Memory
 }
 
-// follower is a hollow broker: it reads, checks and compares each document, as a broker does, and has no core to give
-// it to.
+// follower is a broker without a core: it reads and checks each document and compares it with the start's, as a broker
+// does, and applies it nowhere.
 type follower struct {
 	*configfollower.Client
 	start *config.Document
 
 	mu         sync.Mutex
-	number     uint64 // in force
+	number     uint64 // of the revision in force
 	receivedAt int64  // Unix nanoseconds: before it was checked
-	appliedAt  int64  // since, Unix nanoseconds
+	appliedAt  int64  // Unix nanoseconds
 }
 
+// apply checks a revision and records it as in force, or returns the rejection.
 func (f *follower) apply(revision *configpb.Revision) *configpb.Refusal {
-	came := time.Now().UnixNano()
+	receivedAt := time.Now().UnixNano()
 	document, err := config.ParseDocument(revision.GetDocument())
 	if err == nil {
 		err = document.Changes(f.start)
@@ -59,12 +60,13 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.number, f.receivedAt, f.appliedAt = revision.GetNumber(), came, time.Now().UnixNano()
+	f.number, f.receivedAt, f.appliedAt = revision.GetNumber(), receivedAt, time.Now().UnixNano()
 	return nil
 }
 
-// inForceSince is when a revision or a later one was read and came into force; 0: not yet.
-func (f *follower) inForceSince(number uint64) (came, applied int64) {
+// inForceSince returns when a revision, or a later one, was read and put in force, in Unix nanoseconds, or 0 if it is
+// not in force.
+func (f *follower) inForceSince(number uint64) (receivedAt, appliedAt int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.number < number {
@@ -73,24 +75,25 @@
 	return f.receivedAt, f.appliedAt
 }
 
-// hasInForce tells that a revision or a later one is in force.
+// hasInForce reports whether a revision, or a later one, is in force.
 func (f *follower) hasInForce(number uint64) bool {
 	_, applied := f.inForceSince(number)
 	return applied != 0
 }
 
-// followersChild is all followers of a run.
+// followersChild is the child that runs all followers.
 type followersChild struct {
 	followers []*follower
 	brokers   int
 }
 
-// serveFollowers is the main of the child that follows.
-func serveFollowers(count int) error {
+// serveFollowers runs the child of the followers.
+func serveFollowers(brokers int) error {
 	fmt.Println(childReady)
-	return serveCommands((&followersChild{brokers: count}).handle)
+	return serveCommands((&followersChild{brokers: brokers}).handle)
 }
 
+// handle carries out a command and waits for its condition.
 func (c *followersChild) handle(command followersCommand) (answer followersAnswer, err error) {
 	answer.StartedAt = time.Now().UnixNano()
 	switch {
@@ -101,8 +104,9 @@
 	case command.InForce != 0:
 		err = c.waitUntilAll(func(f *follower) bool { return f.hasInForce(command.InForce) })
 		for _, f := range c.followers {
-			came, applied := f.inForceSince(command.InForce)
-			answer.ReceivedAt, answer.AppliedAt = append(answer.ReceivedAt, came), append(answer.AppliedAt, applied)
+			receivedAt, appliedAt := f.inForceSince(command.InForce)
+			answer.ReceivedAt = append(answer.ReceivedAt, receivedAt)
+			answer.AppliedAt = append(answer.AppliedAt, appliedAt)
 		}
 	case command.Lost != "":
 		err = c.waitUntilAll(func(f *follower) bool {
@@ -117,7 +121,7 @@
 	return answer, err
 }
 
-// start starts all followers at once. They lie in the target's zones and regions.
+// start starts all followers at once, dealt to the target's zones and regions.
 func (c *followersChild) start(command followersCommand) error {
 	start, err := config.ParseDocument(newDocument(0, command.Bytes))
 	if err != nil {
@@ -127,7 +131,7 @@
 		f := &follower{start: start}
 		f.Client, err = configfollower.New(configfollower.Options{
 			Name: fmt.Sprint("n", i), Started: time.Now(), Region: regionName(i), Zone: fmt.Sprint("zone-", i%TargetZones),
-			Control: command.Start, Callers: c.brokers, Seed: command.Seed + uint64(i)*7919, Log: discardLog, Apply: f.apply,
+			Control: command.Start, Callers: c.brokers, Seed: command.Seed + uint64(i)*watcherSeedStep, Log: discardLog, Apply: f.apply,
 		})
 		if err != nil {
 			return err
@@ -140,18 +144,18 @@
 	return nil
 }
 
-// waitUntilAll waits until something holds of all followers.
-func (c *followersChild) waitUntilAll(holds func(*follower) bool) error {
+// waitUntilAll waits until all followers meet a condition.
+func (c *followersChild) waitUntilAll(condition func(*follower) bool) error {
 	for end := time.Now().Add(followersTimeout); time.Now().Before(end); time.Sleep(followersPollInterval) {
-		if !slices.ContainsFunc(c.followers, func(f *follower) bool { return !holds(f) }) {
+		if !slices.ContainsFunc(c.followers, func(f *follower) bool { return !condition(f) }) {
 			return nil
 		}
 	}
 	missing := 0
 	for _, f := range c.followers {
-		if !holds(f) {
+		if !condition(f) {
 			missing++
 		}
 	}
-	return errors.Join(errTimeout, fmt.Errorf("%d followers of %d lack it", missing, len(c.followers)))
+	return errors.Join(errTimeout, fmt.Errorf("%d followers of %d do not meet the condition", missing, len(c.followers)))
 }
--- a/internal/harness/scale/configuration_hub.go
+++ b/internal/harness/scale/configuration_hub.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	confirmInterval    = 100 * time.Millisecond // the leader's word that the newest revision is the newest
-	maxRecordedAccepts = 1 << 14                // connections that are noted
+	confirmInterval    = 100 * time.Millisecond // of the leader's confirmation that it knows the newest revision
+	maxRecordedAccepts = 1 << 14                // between two answers
 )
 
-// hubCommand is what the parent asks of a hub.
+// hubCommand is a command to a hub.
 type hubCommand struct {
-	Publish uint64 // the number of a revision that the log has committed; 0: none
+	Publish uint64 // number of a revision to publish; 0: none
 	Bytes   int    // of its document
-	Memory  bool   // measure that, which takes a collection of the heap
+	Memory  bool   // measure the memory in use, which collects garbage first
 }
 
-// hubAnswer is what a hub has used since its start, but Peak since the answer before.
+// hubAnswer is what a hub has used since its start; MaxAcceptsPerSecond is since the previous answer.
 type hubAnswer struct {
 	Processor           time.Duration
 	In, Out             int64   // bytes on its connections
 	Streams             int     // brokers connected
-	Accepts             int     // connections taken
-	MaxAcceptsPerSecond int     // of the connections, within any one second
-	Memory              float64 // bytes; 0: not asked for
-	PublishedAt         int64   // Unix nanoseconds: before the revision was told
+	Accepts             int     // connections accepted
+	MaxAcceptsPerSecond int     // connections accepted within any one second
+	Memory              float64 // bytes; 0 without the command's Memory
+	PublishedAt         int64   // Unix nanoseconds: before the revision was handed to the hub
 }
 
-// hubChild is one control machine without the log.
+// hubChild is a control machine without the replicated log.
 type hubChild struct {
 	configpb.UnimplementedControlServer
 	hub     *confighub.Hub
 	network *countingListener
 }
 
-// serveHub is the main of a child that serves Follow.
+// serveHub runs the child of a hub.
 func serveHub() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,14 +64,15 @@
 	return h.hub.Follow(stream)
 }
 
-// confirm does what the log does while it has a leader, until the process ends.
+// confirm confirms the newest revision at each interval, as the log does while it has a leader, until the process ends.
 func (h *hubChild) confirm() {
 	for {
-		_ = h.hub.SetNewest(nil, time.Now()) // without a revision nothing can be wrong with it
+		_ = h.hub.SetNewest(nil, time.Now()) // fails only with a revision
 		time.Sleep(confirmInterval)
 	}
 }
 
+// handle carries out a command.
 func (h *hubChild) handle(command hubCommand) (hubAnswer, error) {
 	answer := hubAnswer{PublishedAt: time.Now().UnixNano()}
 	if command.Publish != 0 {
@@ -95,14 +96,14 @@
 	return answer, nil
 }
 
-// countingListener counts the bytes and the connections of a server.
+// countingListener counts the bytes and connections of a server.
 type countingListener struct {
 	net.Listener
 	in, out atomic.Int64
 
 	mu      sync.Mutex
 	total   int
-	accepts []time.Time // since the last call of peak
+	accepts []time.Time // since the last call of acceptCounts
 }
 
 func (l *countingListener) Accept() (net.Conn, error) {
@@ -119,7 +120,7 @@
 	return &countingConn{conn, l}, nil
 }
 
-// acceptCounts is how many connections were taken in all, and at most within a second since the last call.
+// acceptCounts returns how many connections were accepted in all, and the most within one second since the last call.
 func (l *countingListener) acceptCounts() (total, maxPerSecond int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +135,7 @@
 	return l.total, maxPerSecond
 }
 
-// countingConn is a connection of such a server.
+// countingConn counts the bytes of its listener.
 type countingConn struct {
 	net.Conn
 	listener *countingListener
--- a/internal/harness/scale/configuration_internal_test.go
+++ b/internal/harness/scale/configuration_test.go
@@ -21,12 +21,12 @@
 		require.NoError(t, err)
 		require.NoError(t, second.Changes(first))
 		require.NotEqual(t, first.Classes, second.Classes)
-		// The document is one of settings, and not of the spaces at its end.
+		// The document consists of settings, not of padding.
 		require.Greater(t, float64(len(first.Classes)), 0.75*float64(size-documentFrameBytes)/classBytes)
 	}
 }
 
-// A hollow follower refuses what a broker refuses, and keeps what is in force.
+// A follower rejects what a broker rejects, and keeps the revision in force.
 func TestFollowerRejectsInvalidDocuments(t *testing.T) {
 	const size = 4 * bytesPerKB
 	start, err := config.ParseDocument(newDocument(0, size))
@@ -47,15 +47,15 @@
 	for _, ms := range []int{0, 400, 999, 1000, 1399, 5000} {
 		l.accepts = append(l.accepts, start.Add(time.Duration(ms)*time.Millisecond))
 	}
-	total, most := l.acceptCounts()
+	total, maxPerSecond := l.acceptCounts()
 	require.Equal(t, 6, total)
-	require.Equal(t, 4, most, "those at 400, 999, 1,000 and 1,399 ms")
-	_, most = l.acceptCounts()
-	require.Zero(t, most, "counted anew after each call")
+	require.Equal(t, 4, maxPerSecond, "those at 400, 999, 1,000 and 1,399 ms")
+	_, maxPerSecond = l.acceptCounts()
+	require.Zero(t, maxPerSecond, "each call starts from zero")
 }
 
-// What a small run reads is possible: all followers are streams, a change's bytes are at least those of the document,
-// and a change is read before it is in force.
+// In a small run all followers are connected, the bytes of a change are about those of the document, and a change is
+// read before it is in force.
 func TestPlayConfigurationReadingsAreConsistent(t *testing.T) {
 	at := smallConfiguration()[0]
 	readings, err := playConfiguration(at, 1)
@@ -78,7 +78,7 @@
 	require.Positive(t, value["processor of the busiest hub"])
 }
 
-// The verdict on the distribution is that of its run, at each of its limits.
+// The verdict follows the measured values at each of its limits.
 func TestDistributionVerdictAtEachLimit(t *testing.T) {
 	none, err := page{}.distributionVerdict()
 	require.NoError(t, err)
--- a/internal/harness/scale/decision.go
+++ b/internal/harness/scale/decision.go
@@ -22,27 +22,36 @@
 var (
 	serverSizes = []float64{200, 500, 1000, 2300, TargetServers}
 	partSizes   = []float64{36, 100, TargetParts}
-	// largeFanoutServerSizes are those of queries of 300 parts, which go to 300 record servers: 200 have no room for one.
+	// largeFanoutServerSizes are the sizes for queries of 300 parts, which need 300 record servers at least.
 	largeFanoutServerSizes = []float64{320, 500, 1000, 2300, TargetServers}
 	brokerSizes            = []float64{40, 100, 300, TargetBrokers, 1200}
 )
 
 const (
-	replicaSetsPerZone = 460 // servers a zone: a tenth of the target's
-	warmQueries        = 60  // before anything is counted
-	countedQueries     = 300 // queries counted
+	replicaSetsPerZone = 460 // each of one server: a tenth of the target's
+	warmQueries        = 60  // before the measurement
+	countedQueries     = 300 // measured
 )
 
-// targetSettings are the module's settings at the target: each server is a cell, and a shard is held by three.
+// targetSettings returns the module's settings at the target: each server is a replica set, and three hold a shard.
 func targetSettings(servers, brokers int) decision.Settings {
+	class := decision.Class{
+		LatencyObjective: TargetLatency, Deadline: 4 * TargetLatency, PriorityWeight: 1, CompletenessThreshold: 1,
+		MinCompleteness: 1,
+	}
 	return decision.Settings{
-		Classes: []decision.Class{{LatencyObjective: TargetLatency, Deadline: 4 * TargetLatency, PriorityWeight: 1, CompletenessThreshold: 1, MinCompleteness: 1}},
-		Brokers: brokers, ReplicaSets: servers, ReplicationFactor: AssumedReplicationFactor, MaxPartsPerCall: 1, MaxAttempts: 4, Tick: 0.005,
-		ReportMode: decision.ReportPiggyback, CancelAllowed: true, HealthChecksAllowed: true, RetryAfterSupported: true, MaxRetryAfter: 0.5,
-		SlowStart: slowstart.Settings{InitialFraction: slowStartFraction, Duration: slowStartDuration, OverloadFactor: overloadFactor, OverloadWindow: overloadWindow},
+		Classes: []decision.Class{class}, Brokers: brokers,
+		ReplicaSets: servers, ReplicationFactor: AssumedReplicationFactor, MaxPartsPerCall: 1, MaxAttempts: 4, Tick: 0.005,
+		ReportMode: decision.ReportPiggyback, CancelAllowed: true, HealthChecksAllowed: true, RetryAfterSupported: true,
+		MaxRetryAfter: 0.5,
+		SlowStart: slowstart.Settings{
+			InitialFraction: slowStartFraction, Duration: slowStartDuration,
+			OverloadFactor: overloadFactor, OverloadWindow: overloadWindow,
+		},
 	}
 }
 
+// targetServers returns ready servers, dealt to the target's zones.
 func targetServers(servers int) []decision.Server {
 	list := make([]decision.Server, servers)
 	for i := range list {
@@ -53,28 +62,29 @@
 
 func serverID(i int) string { return fmt.Sprintf("record-%04d", i) }
 
-// moduleClient drives one decision module on virtual time: queries come evenly at the target's rate, parts are answered after
-// a while, and what falls into one batch is handed over together.
+// moduleClient drives one decision module on virtual time: queries arrive at a constant interval, by the target's rate,
+// parts are answered after a random service time, and the events of one batch interval are handled together.
 type moduleClient struct {
 	module   *decision.Policy
 	rng      *rand.Rand
 	servers  int
 	parts    int
-	now      float64
+	now      float64 // seconds
 	nextID   decision.RequestID
-	number   int64
+	number   int64 // of the last query
 	pending  pendingAnswers
-	attempts map[decision.RequestID]int // attempts of a part so far
+	attempts map[decision.RequestID]int // by part, those sent so far
 
-	batches, sends, answers int
+	batches, sends, answers int // so far; answers since the start of run
 }
 
-// pendingAnswer is an answer on its way.
+// pendingAnswer is a part's answer that arrives later.
 type pendingAnswer struct {
 	at       float64
 	finished decision.AttemptFinished
 }
 
+// pendingAnswers is a heap by time.
 type pendingAnswers []pendingAnswer
 
 func (d pendingAnswers) Len() int           { return len(d) }
@@ -96,7 +106,7 @@
 	return c
 }
 
-// queryEvents is a query's events, over shards that lie side by side from a random one on.
+// queryEvents returns the events of a new query over consecutive shards from a random one on.
 func (c *moduleClient) queryEvents() []decision.Event {
 	c.number++
 	c.nextID++
@@ -111,7 +121,7 @@
 	return events
 }
 
-// run runs so many queries and hands over a batch each AssumedBatch.
+// run runs until a number of queries is answered, with a batch at each AssumedBatchInterval.
 func (c *moduleClient) run(queries int) {
 	step := 1 / QueriesPerBroker(TargetBrokers)
 	next := c.now
@@ -130,6 +140,7 @@
 	}
 }
 
+// handle hands a batch to the module and carries out its actions.
 func (c *moduleClient) handle(events []decision.Event) {
 	c.batches++
 	for _, a := range c.module.Handle(c.now, events) {
@@ -137,9 +148,11 @@
 		case decision.Send:
 			c.sends++
 			latency := AssumedServiceTime * (0.5 + c.rng.Float64())
-			heap.Push(&c.pending, pendingAnswer{c.now + latency, decision.AttemptFinished{ID: a.ID, Attempt: c.attempts[a.ID], Server: a.Server,
-				Status: decision.OK, Latency: latency, PartConcluded: true,
-				LoadReport: decision.LoadReport{InFlight: 1, QueueLength: -1, Utilization: 0.3, Latency: -1, Rate: -1, ErrorRate: -1}}})
+			finished := decision.AttemptFinished{
+				ID: a.ID, Attempt: c.attempts[a.ID], Server: a.Server, Status: decision.OK, Latency: latency,
+				PartConcluded: true, LoadReport: piggybackedReport,
+			}
+			heap.Push(&c.pending, pendingAnswer{c.now + latency, finished})
 			c.attempts[a.ID]++
 		case decision.Respond:
 			c.answers++
@@ -147,7 +160,12 @@
 	}
 }
 
-// serversAndParts are the sizes of record servers and parts a query with their corners.
+// piggybackedReport is the load that each answer reports; -1 is not reported.
+var piggybackedReport = decision.LoadReport{
+	InFlight: 1, QueueLength: -1, Utilization: 0.3, Latency: -1, Rate: -1, ErrorRate: -1,
+}
+
+// serversAndParts returns the points over the numbers of record servers and of parts per query.
 func serversAndParts() []Sizes {
 	points := grid(axisServers, serverSizes, axisParts, partSizes[:2])
 	return append(points, grid(axisServers, largeFanoutServerSizes, axisParts, partSizes[2:])...)
@@ -191,7 +209,7 @@
 	}, nil
 }
 
-// emptyBatch is the processor time in µs of a batch without an event: what the module does once a batch.
+// emptyBatch returns the processor time of a batch without events in µs.
 func emptyBatch(c *moduleClient) float64 {
 	const rounds = 400
 	meter := StartMeter()
--- a/internal/harness/scale/experiment.go
+++ b/internal/harness/scale/experiment.go
@@ -5,28 +5,29 @@
 	"time"
 )
 
-// Experiment is one thing that is measured over sizes.
+// Experiment measures a component at several points.
 type Experiment struct {
 	Name       string
 	Provenance Provenance
-	Small      []Sizes // what CI plays
-	Large      []Sizes
-	// Play measures once at a point. Equal seeds give equal work.
+	Small      []Sizes // points that CI measures
+	Large      []Sizes // points of a record in docs/capacity
+	// Play measures once at a point. Equal seeds do equal work.
 	Play func(at Sizes, seed uint64) ([]Reading, error)
 }
 
-// Plan is how a run is played.
+// Plan configures a run.
 type Plan struct {
 	Points      []Sizes
-	Repetitions int
-	Seed        uint64
-	Commit      string
-	Command     string
+	Repetitions int    // of each point
+	Seed        uint64 // of the first repetition; each later one has the next
+	Commit      string // that is measured
+	Command     string // that starts the run
 }
 
-// Run plays an experiment: all points once, then all again, so that a busy spell of the machine meets all of them. It
-// goes on from a record that an earlier call left incomplete, if one is given, and stops between two points once its
-// time is over; the zero time has no end. The record is whole if Check finds nothing.
+// Run runs an experiment: all points once, then all again, so that other load on the machine affects all of them. It
+// resumes the record that an earlier call left incomplete, if before is not nil, and stops between two points after the
+// end; a zero end is none. The returned record is complete if Check returns nil. The error is ErrRecord if before is the
+// record of another run.
 func Run(e Experiment, plan Plan, before *Record, end time.Time) (*Record, error) {
 	r := before
 	if r == nil {
@@ -37,7 +38,7 @@
 		}
 	}
 	if r.Experiment != e.Name || r.Commit != plan.Commit || r.Seed != plan.Seed || len(r.Points) != len(plan.Points) {
-		return nil, fmt.Errorf("%w: the run to go on with is another one's", ErrRecord)
+		return nil, fmt.Errorf("%w: the run to resume is another one", ErrRecord)
 	}
 	for turn := range plan.Repetitions {
 		for i, at := range plan.Points {
@@ -57,7 +58,7 @@
 	return r, r.Check()
 }
 
-// axis is points on one axis, all else as told.
+// axis returns points along one axis, with fixed sizes on others.
 func axis(name string, values []float64, fixed ...Size) []Sizes {
 	var points []Sizes
 	for _, v := range values {
@@ -66,7 +67,7 @@
 	return points
 }
 
-// grid is points on two axes and their corners.
+// grid returns all combinations of values on two axes.
 func grid(one string, ones []float64, two string, twos []float64) []Sizes {
 	var points []Sizes
 	for _, v := range twos {
@@ -75,7 +76,7 @@
 	return points
 }
 
-// Experiments are all that can be played.
+// Experiments returns all experiments.
 func Experiments() []Experiment {
 	return []Experiment{
 		decisionExperiment(), serviceExperiment(), meshExperiment(), listExperiment(), watchExperiment(),
@@ -84,7 +85,7 @@
 	}
 }
 
-// FindExperiment is the experiment of a name.
+// FindExperiment returns an experiment by its name.
 func FindExperiment(name string) (Experiment, error) {
 	for _, e := range Experiments() {
 		if e.Name == name {
--- a/internal/harness/scale/scale_test.go
+++ b/internal/harness/scale/experiments_test.go
@@ -15,9 +15,9 @@
 )
 
 var (
-	experimentName = flag.String("play", "", "experiment to play at its large sizes; its record is kept at -out")
+	experimentName = flag.String("play", "", "experiment to run at its large sizes; its record is saved at -out")
 	out            = flag.String("out", "../../../docs/capacity", "directory of the records")
-	state          = flag.String("state", "", "file of a run that goes on over several calls")
+	state          = flag.String("state", "", "file of a run that is resumed over several calls")
 	callDuration   = flag.Duration("within", 70*time.Second, "time of one call, after which the run stops between points")
 	repetitions    = flag.Int("repetitions", 5, "of each point")
 	seed           = flag.Uint64("seed", 1, "of the first repetition; each later one has the next")
@@ -35,8 +35,7 @@
 	os.Exit(m.Run())
 }
 
-// Every experiment runs at small sizes, and its record is whole. Of those without a real clock, equal seeds give equal
-// counts (but for processor time and memory).
+// Every experiment runs at its small sizes and returns a complete record.
 func TestExperimentsAtSmallSizes(t *testing.T) {
 	for _, e := range scale.Experiments() {
 		t.Run(e.Name, func(t *testing.T) {
@@ -51,7 +50,7 @@
 	}
 }
 
-// TestRecord plays an experiment at its large sizes; it does nothing without -play.
+// TestRecord runs an experiment at its large sizes and saves the record. It is skipped without -play.
 func TestRecord(t *testing.T) {
 	if *experimentName == "" {
 		t.Skip("no -play")
@@ -78,7 +77,7 @@
 	t.Log("not done yet; call again")
 }
 
-// commit names what is measured: the tree has to be clean but for the pages.
+// commit returns the commit that is measured. The code must have no uncommitted changes.
 func commit(t *testing.T) string {
 	text, err := exec.Command("git", "rev-parse", "--short=8", "HEAD").Output()
 	require.NoError(t, err)
--- a/internal/harness/scale/fit.go
+++ b/internal/harness/scale/fit.go
@@ -10,20 +10,20 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Confidence is that of every interval: two-sided, by Student's t.
+// Confidence is the confidence level of every interval: two-sided, by Student's t.
 const Confidence = 0.95
 
-// MissLimit is the share by which a prediction may miss before the page says so and uses what was measured.
+// MissLimit is the relative error of a prediction up to which the page relies on it; beyond, it uses the measured value.
 const MissLimit = 0.2
 
-// aicMargin is by how much a form with a slope has to beat the constant one, in units of AIC. A difference below two
-// is commonly taken for no difference.
+// aicMargin is by how much the AIC of a growing form has to be below that of the constant one. A difference below two is
+// commonly regarded as none.
 const aicMargin = 2
 
 // Form is how a cost grows with a size.
 type Form int
 
-// The forms that are tried.
+// The forms that Fit tries.
 const (
 	Constant Form = iota
 	Linear
@@ -35,7 +35,7 @@
 	return [...]string{"constant", "linear", "n log n", "quadratic"}[f]
 }
 
-// basis is the term that grows.
+// basis returns the growing term at a size.
 func (f Form) basis(x float64) float64 {
 	switch f {
 	case Linear:
@@ -57,14 +57,14 @@
 // Slope is a fitted cost: Base + Rate·basis(x).
 type Slope struct {
 	Form Form
-	Base float64 // at size nought
-	Rate float64 // for one unit of the form's basis; 0 where Form is Constant
-	// RateInterval is that of Rate; where Form is Constant, that of Base.
+	Base float64 // at size zero
+	Rate float64 // per unit of the form's basis; 0 if Form is Constant
+	// RateInterval is the confidence interval of Rate, or of Base if Form is Constant.
 	RateInterval Interval
-	AIC          float64 // Akaike's criterion
+	AIC          float64 // Akaike's information criterion
 }
 
-// At is the cost at a size.
+// At returns the cost at a size.
 func (s Slope) At(x float64) float64 { return s.Base + s.Rate*s.Form.basis(x) }
 
 // Errors of a fit.
@@ -73,9 +73,9 @@
 	ErrValue  = errors.New("scale: a fit needs positive, finite sizes and costs")
 )
 
-// Fit returns the slope whose form explains the samples best by Akaike's criterion. Samples are weighted
-// by the inverse square of their size's mean: costs spread in proportion to themselves. A slope that falls is never
-// chosen, nor one whose interval holds nought: such costs are taken for constant.
+// Fit returns the slope whose form explains the samples best by Akaike's criterion. Samples are weighted by the inverse
+// square of their size's mean, as costs vary in proportion to themselves. A growing form is chosen only if its rate's
+// interval is above zero; otherwise the cost is constant. The error is ErrTooFew or ErrValue.
 func Fit(samples []Sample) (Slope, error) {
 	weights, err := sampleWeights(samples)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return best, nil
 }
 
-// sampleWeights checks the samples and returns their weights.
+// sampleWeights validates the samples and returns their weights.
 func sampleWeights(samples []Sample) ([]float64, error) {
 	sum, count := map[float64]float64{}, map[float64]float64{}
 	for _, s := range samples {
@@ -143,13 +143,13 @@
 	return slope
 }
 
-// correctFrom is how many samples the correction for few of them needs: with five of them, one at each size, it would
-// outweigh any residual and every cost would pass for constant.
+// correctFrom is the number of samples from which the criterion is corrected for small samples. With five, one at each
+// size, the correction would outweigh any residual, and every cost would be constant.
 const correctFrom = 10
 
-// akaike is the criterion of a least-squares fit, corrected for few samples where there are correctFrom.
+// akaike returns the criterion of a least-squares fit, corrected for small samples from correctFrom samples on.
 func akaike(residual, n, parameters float64) float64 {
-	const exact = 1e-18 // of samples without any residual; their logarithm has to stay finite
+	const exact = 1e-18 // least residual, so that its logarithm is finite
 	criterion := n*math.Log(max(residual, exact)/n) + 2*parameters
 	if n >= correctFrom {
 		criterion += 2 * parameters * (parameters + 1) / (n - parameters - 1)
@@ -157,7 +157,7 @@
 	return criterion
 }
 
-// studentHalf is the half width of an interval in standard errors.
+// studentHalf returns the half width of an interval in standard errors, for a number of degrees of freedom.
 func studentHalf(freedom float64) float64 {
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile((1 + Confidence) / 2)
 }
@@ -191,10 +191,10 @@
 	Miss      float64 // (predicted - measured) / measured
 }
 
-// WithinMissLimit tells that the prediction misses by no more than MissLimit.
+// WithinMissLimit reports whether the prediction misses by no more than MissLimit.
 func (p Prediction) WithinMissLimit() bool { return math.Abs(p.Miss) <= MissLimit }
 
-// Predict fits all sizes but the largest and predicts that.
+// Predict fits all sizes but the largest and predicts the cost at that one. The error is that of Fit.
 func Predict(samples []Sample) (Prediction, error) {
 	if len(samples) == 0 {
 		return Prediction{}, ErrTooFew
@@ -218,7 +218,8 @@
 	return p, nil
 }
 
-// MeanInterval is the mean of repeated values with its interval; of a single value, the interval is the value.
+// MeanInterval returns the mean of repeated values with its confidence interval, which is the value itself if there is
+// only one.
 func MeanInterval(values []float64) (mean float64, interval Interval) {
 	mean = stat.Mean(values, nil)
 	if len(values) < 2 {
--- a/internal/harness/scale/fit_test.go
+++ b/internal/harness/scale/fit_test.go
@@ -12,7 +12,7 @@
 
 var sizes = []float64{200, 500, 1000, 2300, 4600}
 
-// noisySamples are five noisy samples of a cost at each size, spread by a share of the cost.
+// noisySamples returns five samples of a cost at each size, with normal noise of a fraction of the cost.
 func noisySamples(cost func(x float64) float64, noise float64) []scale.Sample {
 	rng := rand.New(rand.NewPCG(1, 2))
 	var samples []scale.Sample
@@ -44,7 +44,7 @@
 	}
 }
 
-// Runs that were played once have five samples.
+// Runs with a single repetition have five samples.
 func TestFitOfSingleRepetitions(t *testing.T) {
 	var rising, level []scale.Sample
 	for i, x := range sizes {
@@ -60,7 +60,7 @@
 	require.Equal(t, scale.Constant, slope.Form)
 }
 
-// Three sizes, once each, say nothing of a slope unless they lie on it.
+// Three samples show no slope unless they lie on it.
 func TestFitIsConstantWhereSlopeMayBeZero(t *testing.T) {
 	slope, err := scale.Fit([]scale.Sample{{X: 40, Y: 4053}, {X: 100, Y: 3765}, {X: 200, Y: 5844}})
 	require.NoError(t, err)
@@ -90,7 +90,7 @@
 	require.Greater(t, e.Interval.High, 1.5)
 }
 
-// A cost that bends beyond the sizes of the fit is what the check is for.
+// The prediction misses a cost that grows faster beyond the fitted sizes.
 func TestPredictMissesBentCost(t *testing.T) {
 	straight, err := scale.Predict(noisySamples(func(x float64) float64 { return 40 + 0.3*x }, 0.01))
 	require.NoError(t, err)
--- a/internal/harness/scale/list.go
+++ b/internal/harness/scale/list.go
@@ -19,10 +19,11 @@
 
 var (
 	nameTable  = discovery.NameTable{Zones: zones(), Kinds: []string{"record-large"}}
-	errTimeout = errors.New("scale: not all came in time")
+	errTimeout = errors.New("scale: condition not met in time")
 	discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 )
 
+// zones returns the names of the target's zones.
 func zones() (list []string) {
 	for i := range TargetZones {
 		list = append(list, fmt.Sprintf("region-%d-zone-%d", i%TargetRegions, i))
@@ -30,13 +31,16 @@
 	return list
 }
 
+// serverEntry returns a server's entry on the endpoint list.
 func serverEntry(i int) discovery.Entry {
-	return discovery.Entry{ID: serverID(i), Addr: fmt.Sprintf("10.%d.%d.%d:9000", i>>16&255, i>>8&255, i&255),
-		Zone: nameTable.Zones[i/replicaSetsPerZone%TargetZones], Kind: nameTable.Kinds[0], ReplicaSet: i, State: "active", Weight: 1,
-		StartedMS: 1_790_000_000_000 + float64(i)}
+	return discovery.Entry{
+		ID: serverID(i), Addr: fmt.Sprintf("10.%d.%d.%d:9000", i>>16&255, i>>8&255, i&255),
+		Zone: nameTable.Zones[i/replicaSetsPerZone%TargetZones], Kind: nameTable.Kinds[0], ReplicaSet: i, State: "active",
+		Weight: 1, StartedMS: 1_790_000_000_000 + float64(i),
+	}
 }
 
-// encodeList is a whole list as discovery tells it.
+// encodeList returns a full endpoint list as discovery sends it.
 func encodeList(servers int, version int64) []byte {
 	m := discovery.Message{Version: version, Full: true}
 	for i := range servers {
@@ -45,7 +49,7 @@
 	return encode(m)
 }
 
-// encodeChange is one server's change.
+// encodeChange returns a change of one server as discovery sends it.
 func encodeChange(server int, version int64) []byte {
 	return encode(discovery.Message{Version: version, Servers: []discovery.Entry{serverEntry(server)}})
 }
@@ -53,7 +57,7 @@
 func encode(m discovery.Message) []byte {
 	text, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // of plain fields: it cannot fail
+		panic(err) // the fields are plain values
 	}
 	return append(text, '\n')
 }
@@ -69,21 +73,21 @@
 	}
 }
 
-// playList takes in a whole list and then changes of one server, as a broker does.
+// playList applies full lists and then changes of one server, as a broker does.
 func playList(at Sizes, seed uint64) ([]Reading, error) {
-	const wholes, changes = 6, 60
+	const fullLists, changes = 6, 60
 	servers := int(at.Of(axisServers))
-	whole := encodeList(servers, 1)
+	list := encodeList(servers, 1)
 	module := decision.New(targetSettings(servers, TargetBrokers), seed)
 	known := broker.NewEndpoints()
 	before := memoryInUse()
 	meter := StartMeter()
-	for range wholes {
-		if err := receiveList(whole, known, module); err != nil {
+	for range fullLists {
+		if err := receiveList(list, known, module); err != nil {
 			return nil, err
 		}
 	}
-	wholeCost := meter.Stop()
+	listCost := meter.Stop()
 	held := memoryInUse() - before
 	meter = StartMeter()
 	for i := range changes {
@@ -97,16 +101,16 @@
 		return nil, fmt.Errorf("scale: %d servers are known of %d", entries, servers)
 	}
 	return []Reading{
-		{"size of the list", "bytes", float64(len(whole))},
+		{"size of the list", "bytes", float64(len(list))},
 		{"size of a change", "bytes", float64(len(encodeChange(0, 1)))},
-		{"processor for the list", "µs", wholeCost.Processor.Seconds() * 1e6 / wholes},
+		{"processor for the list", "µs", listCost.Processor.Seconds() * 1e6 / fullLists},
 		{"processor for a change", "µs", changeCost.Processor.Seconds() * 1e6 / changes},
-		{"allocated for the list", "bytes", float64(wholeCost.Allocated) / wholes},
+		{"allocated for the list", "bytes", float64(listCost.Allocated) / fullLists},
 		{"memory", "bytes", max(held, 1)},
 	}, nil
 }
 
-// receiveList is what a broker does with one object of the list.
+// receiveList applies one message of the watch as a broker does.
 func receiveList(data []byte, known *broker.Endpoints, module *decision.Policy) error {
 	var m discovery.Message
 	if err := json.Unmarshal(data, &m); err != nil {
@@ -121,27 +125,39 @@
 	return nil
 }
 
-const watchServers = 500 // on the list of the many watchers: they share one machine's cores
+// watchServers is the size of the list in experiments with many watchers, which share one machine's cores.
+const watchServers = 500
 
 func watchExperiment() Experiment {
 	return Experiment{
 		Name: "watch",
 		Provenance: Provenance{Real: "internal/endpoints/discovery (Watcher), listwatch and backoff over loopback",
-			Hollow: "brokers without clients; a stand-in for discovery in a process of its own, 500 servers on its list"},
+			Hollow: "brokers without clients; a fake discovery service in a process of its own, 500 servers on its list"},
 		Small: axis(axisBrokers, []float64{10}),
 		Large: axis(axisBrokers, brokerSizes),
 		Play:  playWatch,
 	}
 }
 
-// updateCounter counts what watchers hear.
+// watcherSeedStep is the difference between the seeds of two brokers' backoffs, a prime.
+const watcherSeedStep = 7919
+
+// newWatcher returns the endpoint watch of one of a number of brokers.
+func newWatcher(addr string, update func(broker.EndpointUpdate), brokers int, seed uint64) *discovery.Watcher {
+	return &discovery.Watcher{
+		Addr: addr, NameTable: nameTable, Update: update, Log: discardLog, Backoff: backoff.New(brokers, seed),
+	}
+}
+
+// updateCounter counts the updates that all watchers receive.
 type updateCounter struct {
 	mu        sync.Mutex
 	fullLists int
 	changes   int
-	delays    []float64 // seconds from telling to hearing
+	delays    []float64 // seconds from when a change was sent until it was received
 }
 
+// update counts an update. The version of a change is when it was sent, in Unix nanoseconds.
 func (t *updateCounter) update(l broker.EndpointUpdate) {
 	now := time.Now()
 	t.mu.Lock()
@@ -154,19 +170,20 @@
 	t.delays = append(t.delays, now.Sub(time.Unix(0, l.Version)).Seconds())
 }
 
-// waitForCounts waits for the counts to be what they should.
-func (t *updateCounter) waitForCounts(wholes, changes int, limit time.Duration) error {
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+// waitForCounts waits until enough full lists and changes were received. The error is errTimeout.
+func (t *updateCounter) waitForCounts(fullLists, changes int, timeout time.Duration) error {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		t.mu.Lock()
-		done := t.fullLists >= wholes && t.changes >= changes
+		done := t.fullLists >= fullLists && t.changes >= changes
 		t.mu.Unlock()
 		if done {
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: %d lists of %d, %d changes of %d", errTimeout, t.fullLists, wholes, t.changes, changes)
+	return fmt.Errorf("%w: %d lists of %d, %d changes of %d", errTimeout, t.fullLists, fullLists, t.changes, changes)
 }
 
+// playWatch has brokers watch the endpoint list, first until all have it, then while it changes.
 func playWatch(at Sizes, seed uint64) ([]Reading, error) {
 	brokers := int(at.Of(axisBrokers))
 	c, err := startChild(roleDiscovery, watchServers)
@@ -180,8 +197,7 @@
 	before := memoryInUse()
 	meter := StartMeter()
 	for i := range brokers {
-		w := &discovery.Watcher{Addr: c.startLines[0], NameTable: nameTable, Update: t.update, Log: discardLog,
-			Backoff: backoff.New(brokers, seed+uint64(i)*7919)}
+		w := newWatcher(c.startLines[0], t.update, brokers, seed+uint64(i)*watcherSeedStep)
 		go w.Run(ctx)
 	}
 	if err := t.waitForCounts(brokers, 0, listTimeout); err != nil {
--- a/internal/harness/scale/network.go
+++ b/internal/harness/scale/network.go
@@ -13,42 +13,43 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// Delays of the virtual network, each a datagram's longest; the shortest is half of it.
+// The virtual network delays a datagram by a uniform time between half of its longest delay and that.
 const (
 	maxDelayInZone         = 1 * time.Millisecond
 	maxDelayInRegion       = 3 * time.Millisecond
 	maxDelayBetweenRegions = 50 * time.Millisecond
 	fleetName              = 7
-	agreementPollInterval  = 200 * time.Millisecond // between two looks whether all agree
+	agreementPollInterval  = 200 * time.Millisecond // virtual time
 	seedsOfFleet           = 3
-	maxQueue               = 1 << 22 // datagrams and ticks that wait, in all
-	startWithin            = time.Second
+	maxQueue               = 1 << 22 // events
 	brokersPerAddrByte     = 250
 )
 
-// virtualNetwork plays the membership of many brokers on virtual time: one process, one seed, the same run each time.
-// Zones are dealt round, and zones to regions.
+// virtualNetwork runs the membership of many brokers on virtual time. Equal seeds give equal runs. Brokers are dealt to
+// zones, and zones to regions.
 type virtualNetwork struct {
 	rng    *rand.Rand
-	now    time.Duration
-	nodes  []*node
+	now    time.Duration // since the start
+	nodes  []*node       // by the broker's number
 	byAddr map[netip.AddrPort]*node
 	queue  eventQueue
-	cut    func(from, to *node) bool
+	cut    func(from, to *node) bool // reports whether datagrams from one node to another are lost
 }
 
+// nodeCounters are the traffic of a node so far.
+type nodeCounters struct{ sentBytes, sentDatagrams, receivedBytes, receivedDatagrams int }
+
 // node is one broker's membership.
 type node struct {
 	*membership.View
 	number, zone, region int
 	addr                 netip.AddrPort
 	dead                 bool
-	startedAt            time.Duration // its clock starts then, as a process's does
-
-	bytesSent, sentCount, heardBytes, heardCount int
+	startedAt            time.Duration // when its own clock was zero
+	counters             nodeCounters
 }
 
-// networkEvent is a datagram that comes, or a tick.
+// networkEvent is the arrival of a datagram at a node, or a tick of it.
 type networkEvent struct {
 	at   time.Duration
 	to   *node
@@ -56,6 +57,7 @@
 	data *planepb.Datagram // nil: a tick
 }
 
+// eventQueue is a heap by time.
 type eventQueue []networkEvent
 
 func (a eventQueue) Len() int           { return len(a) }
@@ -72,6 +74,7 @@
 
 var errQueue = errors.New("scale: the virtual network holds too many datagrams")
 
+// newNetwork returns a network on which a number of brokers start at once.
 func newNetwork(brokers int, seed uint64) *virtualNetwork {
 	w := &virtualNetwork{rng: rand.New(rand.NewPCG(seed, 5)), byAddr: map[netip.AddrPort]*node{},
 		cut: func(_, _ *node) bool { return false }}
@@ -86,7 +89,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(bytes), 7946)
 }
 
-// start starts the broker of a number, or another process of it.
+// start starts the broker of a number, or restarts it as a new instance at its address.
 func (w *virtualNetwork) start(i int) {
 	x := &node{number: i, zone: i % TargetZones, region: i % TargetZones % TargetRegions, addr: brokerAddr(i),
 		startedAt: w.now}
@@ -108,7 +111,7 @@
 	heap.Push(&w.queue, networkEvent{at: w.now + time.Duration(w.rng.Int64N(int64(membership.TickInterval))), to: x})
 }
 
-// run plays to a time.
+// run runs all events up to a time. The error is errQueue.
 func (w *virtualNetwork) run(to time.Duration) error {
 	for len(w.queue) > 0 && w.queue[0].at <= to {
 		if len(w.queue) > maxQueue {
@@ -123,8 +126,8 @@
 			w.send(x, x.Tick(w.now-x.startedAt))
 			heap.Push(&w.queue, networkEvent{at: w.now + membership.TickInterval, to: x})
 		default:
-			x.heardBytes += plane.WireSize(e.data)
-			x.heardCount++
+			x.counters.receivedBytes += plane.WireSize(e.data)
+			x.counters.receivedDatagrams++
 			w.send(x, x.Receive(w.now-x.startedAt, e.from, e.data))
 		}
 	}
@@ -132,10 +135,11 @@
 	return nil
 }
 
+// send sends a node's datagrams, of which those to dead or cut-off nodes are lost.
 func (w *virtualNetwork) send(from *node, out []membership.Send) {
 	for _, s := range out {
-		from.bytesSent += plane.WireSize(s.Data)
-		from.sentCount++
+		from.counters.sentBytes += plane.WireSize(s.Data)
+		from.counters.sentDatagrams++
 		to := w.byAddr[s.Addr]
 		if to == nil || to.dead || w.cut(from, to) {
 			continue
@@ -144,6 +148,7 @@
 	}
 }
 
+// delay draws the delay of a datagram.
 func (w *virtualNetwork) delay(from, to *node) time.Duration {
 	longest := maxDelayBetweenRegions
 	if from.zone == to.zone {
@@ -154,7 +159,7 @@
 	return longest/2 + time.Duration(w.rng.Int64N(int64(longest/2)))
 }
 
-// alive are the nodes that run, of a set; nil: of all.
+// alive returns the running nodes of a set, or of all if in is nil.
 func (w *virtualNetwork) alive(in func(*node) bool) (list []*node) {
 	for _, x := range w.nodes {
 		if !x.dead && (in == nil || in(x)) {
@@ -164,7 +169,7 @@
 	return list
 }
 
-// allAgree tells that all of a set see just each other alive.
+// allAgree reports whether each running node of a set sees exactly the running nodes of the set as alive.
 func (w *virtualNetwork) allAgree(in func(*node) bool) bool {
 	live := w.alive(in)
 	for _, x := range live {
@@ -186,7 +191,7 @@
 	return true
 }
 
-// runUntilAgreed plays until all agree, and returns how many seconds that took; agreeWithin, if they never did.
+// runUntilAgreed runs until all nodes agree and returns how many seconds that took. It stops after agreeTimeout.
 func (w *virtualNetwork) runUntilAgreed() (float64, error) {
 	from := w.now
 	for !w.allAgree(nil) && w.now-from < agreeTimeout {
@@ -197,33 +202,35 @@
 	return (w.now - from).Seconds(), nil
 }
 
-// traffic is what nodes sent and heard in a stretch, a second and a node.
+// traffic is what the nodes sent and received in a period, per second and node.
 type traffic struct {
-	sentBytes, maxSentBytes, sentDatagrams, receivedBytes, receivedDatagrams float64
+	sentBytes, sentDatagrams, receivedBytes, receivedDatagrams float64
+
+	maxSentBytes float64 // of the busiest node, per second
 }
 
-// recordTraffic plays a stretch and returns the traffic of those that live throughout.
-func (w *virtualNetwork) recordTraffic(stretch time.Duration) (traffic, error) {
-	type mark struct{ bytesSent, sentCount, heardBytes, heardCount int }
-	marks, from := map[*node]mark{}, w.now
+// recordTraffic runs for a period and returns the traffic of the nodes that were running throughout.
+func (w *virtualNetwork) recordTraffic(period time.Duration) (traffic, error) {
+	before, from := map[*node]nodeCounters{}, w.now
 	for _, x := range w.alive(nil) {
-		marks[x] = mark{x.bytesSent, x.sentCount, x.heardBytes, x.heardCount}
+		before[x] = x.counters
 	}
-	if err := w.run(w.now + stretch); err != nil {
+	if err := w.run(w.now + period); err != nil {
 		return traffic{}, err
 	}
 	var t traffic
 	n, seconds := 0.0, (w.now - from).Seconds()
-	for x, m := range marks {
+	for x, c := range before {
 		if x.dead {
 			continue
 		}
 		n++
-		t.sentBytes += float64(x.bytesSent - m.bytesSent)
-		t.maxSentBytes = max(t.maxSentBytes, float64(x.bytesSent-m.bytesSent)/seconds)
-		t.sentDatagrams += float64(x.sentCount - m.sentCount)
-		t.receivedBytes += float64(x.heardBytes - m.heardBytes)
-		t.receivedDatagrams += float64(x.heardCount - m.heardCount)
+		sentBytes := float64(x.counters.sentBytes - c.sentBytes)
+		t.sentBytes += sentBytes
+		t.maxSentBytes = max(t.maxSentBytes, sentBytes/seconds)
+		t.sentDatagrams += float64(x.counters.sentDatagrams - c.sentDatagrams)
+		t.receivedBytes += float64(x.counters.receivedBytes - c.receivedBytes)
+		t.receivedDatagrams += float64(x.counters.receivedDatagrams - c.receivedDatagrams)
 	}
 	per := max(n, 1) * seconds
 	t.sentBytes, t.sentDatagrams = t.sentBytes/per, t.sentDatagrams/per
@@ -231,10 +238,10 @@
 	return t, nil
 }
 
-// kill kills those of a set, at most so many.
-func (w *virtualNetwork) kill(in func(*node) bool, most int) (killed []int) {
+// kill kills the nodes of a set, maxNodes at most, and returns their numbers.
+func (w *virtualNetwork) kill(in func(*node) bool, maxNodes int) (killed []int) {
 	for _, x := range w.alive(in) {
-		if len(killed) < most {
+		if len(killed) < maxNodes {
 			x.dead = true
 			killed = append(killed, x.number)
 		}
--- a/internal/harness/scale/page_test.go
+++ b/internal/harness/scale/page_test.go
@@ -18,7 +18,7 @@
 	recordsDir = "../../../docs/capacity"
 )
 
-// The page and the runs cannot drift apart: every figure is computed anew.
+// The page is the one rendered from the records.
 func TestPageMatchesRecords(t *testing.T) {
 	records, err := scale.ReadRecords(recordsDir)
 	require.NoError(t, err)
@@ -28,16 +28,16 @@
 	if *update {
 		require.NoError(t, os.WriteFile(pagePath, page, 0o644))
 	}
-	stands, err := os.ReadFile(pagePath)
+	committed, err := os.ReadFile(pagePath)
 	require.NoError(t, err)
-	want, have := strings.Split(string(page), "\n"), strings.Split(string(stands), "\n")
+	want, have := strings.Split(string(page), "\n"), strings.Split(string(committed), "\n")
 	for i := range min(len(want), len(have)) {
 		require.Equal(t, want[i], have[i], "line %d; go test ./internal/harness/scale -run TestPage -update", i+1)
 	}
 	require.Len(t, have, len(want))
 }
 
-// A value that is changed in any one record changes the page: no figure of a run is left out or written by hand.
+// Changing the values of any record changes the page: none is left out or written by hand.
 func TestPageDependsOnEveryRecord(t *testing.T) {
 	records, err := scale.ReadRecords(recordsDir)
 	require.NoError(t, err)
--- a/internal/harness/scale/quantile.go
+++ b/internal/harness/scale/quantile.go
@@ -6,7 +6,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// hedgeAt is the quantile of a part's latency after which a hedged part sends its second copy.
+// hedgeAt is the quantile of a part's latency after which its hedge is sent.
 const hedgeAt = 0.95
 
 func quantileExperiment() Experiment {
@@ -19,11 +19,11 @@
 	}
 }
 
-// playQuantile computes which share of parts has to be in time so that TargetQuantile of queries are.
+// playQuantile computes which fraction of parts has to be in time so that TargetQuantile of queries are.
 func playQuantile(at Sizes, _ uint64) ([]Reading, error) {
 	late := 1 - PartQuantile(int(at.Of(axisParts)), at.Of(axisMinCompleteness))
-	// A hedged part is late if the first copy is and the second too. The second has what is left of the time; for it to
-	// be late is taken for as likely as for the first to be later than hedgeAt, which is cautious.
+	// A hedged part is late if both attempts are. The hedge has only the rest of the time; the probability that it is late
+	// is assumed to be that of a first attempt beyond hedgeAt, which is conservative.
 	hedged := late / (1 - hedgeAt)
 	return []Reading{
 		{"quantile of a part", "share", 1 - late},
@@ -32,14 +32,18 @@
 	}, nil
 }
 
-// PartQuantile is the least share of parts that has to be in time, so that of a query's parts a floor's share is in
-// time for TargetQuantile of all queries. Parts are taken for independent.
-func PartQuantile(parts int, floor float64) float64 {
-	need := math.Ceil(float64(parts)*floor - 1e-9)
+// PartQuantile returns the least fraction of parts that has to be in time, so that the minimum completeness of a query's
+// parts is in time for TargetQuantile of all queries. Parts are assumed to be independent.
+func PartQuantile(parts int, minCompleteness float64) float64 {
+	const (
+		rounding = 1e-9 // of the product of two floats
+		halvings = 200  // more than the digits of a float64
+	)
+	required := math.Ceil(float64(parts)*minCompleteness - rounding)
 	low, high := 0.0, 1.0
-	for range 200 { // halves until the numbers meet
+	for range halvings {
 		mid := (low + high) / 2
-		if inTimeProbability(parts, need, mid) < TargetQuantile {
+		if inTimeProbability(parts, required, mid) < TargetQuantile {
 			low = mid
 		} else {
 			high = mid
@@ -48,8 +52,9 @@
 	return high
 }
 
-// inTimeProbability is the chance that so many of a query's parts are in time. It counts the late ones, which are few.
-func inTimeProbability(parts int, need, inTime float64) float64 {
-	late := distuv.Binomial{N: float64(parts), P: 1 - inTime}
-	return late.CDF(float64(parts) - need)
+// inTimeProbability returns the probability that at least the required parts of a query are in time, each with the
+// probability partInTime. It counts the late parts, which are few, for precision.
+func inTimeProbability(parts int, required, partInTime float64) float64 {
+	late := distuv.Binomial{N: float64(parts), P: 1 - partInTime}
+	return late.CDF(float64(parts) - required)
 }
--- a/internal/harness/scale/quantile_test.go
+++ b/internal/harness/scale/quantile_test.go
@@ -17,5 +17,5 @@
 func TestPartQuantileWithMinCompleteness(t *testing.T) {
 	with, without := scale.PartQuantile(300, 0.95), scale.PartQuantile(300, 1)
 	require.Less(t, with, without)
-	require.Greater(t, with, 0.95) // a mean of just the floor would be under it half of the time
+	require.Greater(t, with, 0.95) // with a mean of just the minimum, half of the queries would be below it
 }
--- a/internal/harness/scale/record.go
+++ b/internal/harness/scale/record.go
@@ -10,12 +10,13 @@
 	"time"
 )
 
-// Provenance tells what of a run was what. An empty field: nothing was.
+// Provenance describes which components of a run were real and which were replaced. A field is empty if it does not
+// apply.
 type Provenance struct {
 	Real     string `json:"real,omitempty"`     // the program's own code on real sockets or a real clock
 	Hollow   string `json:"hollow,omitempty"`   // the program's state machines and drivers without clients or work
 	Virtual  string `json:"virtual,omitempty"`  // on a virtual network or clock
-	Computed string `json:"computed,omitempty"` // arithmetic or chance drawn by it
+	Computed string `json:"computed,omitempty"` // by arithmetic or random draws
 }
 
 // Size is the value of one axis at a point.
@@ -24,10 +25,10 @@
 	Value float64 `json:"value"`
 }
 
-// Sizes are a point's place on all axes.
+// Sizes are a point's values on all axes.
 type Sizes []Size
 
-// Of is the value of an axis; 0: the point does not name it.
+// Of returns the value on an axis, or 0 if there is none.
 func (s Sizes) Of(axis string) float64 {
 	for _, size := range s {
 		if size.Axis == axis {
@@ -44,20 +45,20 @@
 	Value float64
 }
 
-// Measure is what was read of one quantity at a point, a value for each repetition.
+// Measure is a quantity that was measured at a point, with a value for each repetition.
 type Measure struct {
 	Name   string    `json:"name"`
 	Unit   string    `json:"unit"`
 	Values []float64 `json:"values"`
 }
 
-// Point is what was measured at one place.
+// Point is what was measured at one combination of sizes.
 type Point struct {
 	Sizes    Sizes     `json:"sizes"`
 	Measures []Measure `json:"measures"`
 }
 
-// Values are what was read of a quantity; nil: nothing.
+// Values returns the values of a measure, or nil if it was not measured.
 func (p Point) Values(name string) []float64 {
 	for _, m := range p.Measures {
 		if m.Name == name {
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// repetitions is how often the point was played.
+// repetitions returns how often the point was measured.
 func (p Point) repetitions() int {
 	if len(p.Measures) == 0 {
 		return 0
@@ -75,7 +76,7 @@
 	return len(p.Measures[0].Values)
 }
 
-// add books one repetition's readings.
+// add adds the readings of one repetition.
 func (p *Point) add(readings []Reading) {
 	for _, r := range readings {
 		i := slices.IndexFunc(p.Measures, func(m Measure) bool { return m.Name == r.Name })
@@ -87,16 +88,16 @@
 	}
 }
 
-// Machine is where a run was played.
+// Machine describes the machine of a run.
 type Machine struct {
 	Processor string  `json:"processor"`
 	Cores     int     `json:"cores"`
 	MemoryGB  float64 `json:"memory_gb"`
 	Go        string  `json:"go"`
-	Shared    bool    `json:"shared"` // other work ran beside it
+	Shared    bool    `json:"shared"` // other processes ran beside it
 }
 
-// Record is one run: an experiment played at all of its points.
+// Record is one run of an experiment at all of its points.
 type Record struct {
 	Experiment  string     `json:"experiment"`
 	Command     string     `json:"command"`
@@ -109,19 +110,19 @@
 	Points      []Point    `json:"points"`
 }
 
-// ErrRecord is that of a record that cannot be used.
+// ErrRecord is the error of a record that lacks something or belongs to another run.
 var ErrRecord = errors.New("scale: a record is incomplete")
 
-// errNoRecord is that of an experiment that was not run.
+// errNoRecord is the error of an experiment without a record.
 var errNoRecord = errors.New("scale: no record")
 
-// Check tells what a record lacks.
+// Check returns nil for a complete record, or else ErrRecord with what it lacks.
 func (r *Record) Check() error {
 	switch {
 	case r.Experiment == "" || r.Commit == "" || r.Command == "" || r.Began.IsZero() || r.Machine.Cores == 0:
-		return fmt.Errorf("%w: experiment, commit, command, time and machine have to be told", ErrRecord)
+		return fmt.Errorf("%w: experiment, commit, command, time and machine are required", ErrRecord)
 	case r.Provenance == Provenance{}:
-		return fmt.Errorf("%w: what was real, hollow, virtual or computed has to be told", ErrRecord)
+		return fmt.Errorf("%w: the provenance is required", ErrRecord)
 	case r.Repetitions < 1 || len(r.Points) == 0:
 		return fmt.Errorf("%w: no point or no repetition", ErrRecord)
 	}
@@ -139,7 +140,7 @@
 	return nil
 }
 
-// Samples are the values of a quantity over one axis, at the points whose other axes stand as told.
+// Samples returns the values of a measure along one axis, at the points that have the fixed sizes on other axes.
 func (r *Record) Samples(name, axis string, fixed ...Size) []Sample {
 	var samples []Sample
 	for _, p := range r.Points {
@@ -154,26 +155,26 @@
 	return samples
 }
 
-// At are the values of a quantity at the one point that stands as told.
-func (r *Record) At(name string, place ...Size) ([]float64, error) {
+// At returns the values of a measure at the one point with the given sizes. It is an error if none or several match.
+func (r *Record) At(name string, sizes ...Size) ([]float64, error) {
 	var found []float64
 	for _, p := range r.Points {
 		off := func(f Size) bool { return p.Sizes.Of(f.Axis) != f.Value }
-		if slices.ContainsFunc(place, off) {
+		if slices.ContainsFunc(sizes, off) {
 			continue
 		}
 		if found != nil {
-			return nil, fmt.Errorf("scale: %s: several points at %v", r.Experiment, place)
+			return nil, fmt.Errorf("scale: %s: several points at %v", r.Experiment, sizes)
 		}
 		found = p.Values(name)
 	}
 	if found == nil {
-		return nil, fmt.Errorf("scale: %s: no %q at %v", r.Experiment, name, place)
+		return nil, fmt.Errorf("scale: %s: no %q at %v", r.Experiment, name, sizes)
 	}
 	return found, nil
 }
 
-// Save writes the record to a directory, under its experiment's and commit's name.
+// Save writes a complete record to a file in a directory, named by experiment and commit, and returns its path.
 func (r *Record) Save(dir string) (string, error) {
 	if err := r.Check(); err != nil {
 		return "", err
@@ -210,7 +211,7 @@
 	return all, nil
 }
 
-// Latest is the record of an experiment that began last.
+// Latest returns the record of an experiment that was started last. The error is errNoRecord if there is none.
 func Latest(all []*Record, experiment string) (*Record, error) {
 	var latest *Record
 	for _, r := range all {
@@ -224,7 +225,7 @@
 	return latest, nil
 }
 
-// SaveState keeps an incomplete record, for LoadState.
+// SaveState writes an incomplete record to a file for ReadState.
 func (r *Record) SaveState(path string) error {
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -233,7 +234,7 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// ReadState reads an incomplete record; nil: there is none.
+// ReadState reads an incomplete record. It returns nil if the file does not exist.
 func ReadState(path string) (*Record, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/harness/scale/deterministic_test.go
+++ b/internal/harness/scale/run_test.go
@@ -9,7 +9,8 @@
 	"mothrouter/internal/harness/scale"
 )
 
-// deterministicMeasures are the readings of a run that hang on the seed alone: neither processor time nor memory nor allocations.
+// deterministicMeasures returns the measures of a run that depend on the seed alone: neither processor time nor memory nor
+// allocations.
 func deterministicMeasures(t *testing.T, name string, seed uint64) map[string][]float64 {
 	e, err := scale.FindExperiment(name)
 	require.NoError(t, err)
@@ -31,7 +32,7 @@
 	for _, name := range []string{"decision", "membership", "faults", "cut", "restarts", "cold", "quantile"} {
 		require.Equal(t, deterministicMeasures(t, name, 3), deterministicMeasures(t, name, 3), name)
 	}
-	require.NotEqual(t, deterministicMeasures(t, "membership", 3), deterministicMeasures(t, "membership", 4), "the seed is of no use")
+	require.NotEqual(t, deterministicMeasures(t, "membership", 3), deterministicMeasures(t, "membership", 4), "the seed has no effect")
 }
 
 func TestRunResumesIncompleteRecord(t *testing.T) {
@@ -57,7 +58,7 @@
 	other := plan
 	other.Commit = "d"
 	_, err = scale.Run(e, other, r, time.Time{})
-	require.ErrorIs(t, err, scale.ErrRecord, "a run goes on at its own commit only")
+	require.ErrorIs(t, err, scale.ErrRecord, "a run is resumed only at its own commit")
 }
 
 func TestSaveRejectsIncompleteRecord(t *testing.T) {
@@ -66,15 +67,15 @@
 	plan := scale.Plan{Points: e.Small, Repetitions: 1, Seed: 1, Commit: "c", Command: "c"}
 	r, err := scale.Run(e, plan, nil, time.Time{})
 	require.NoError(t, err)
-	for name, spoil := range map[string]func(*scale.Record){
+	for name, damage := range map[string]func(*scale.Record){
 		"commit":     func(r *scale.Record) { r.Commit = "" },
 		"machine":    func(r *scale.Record) { r.Machine = scale.Machine{} },
 		"provenance": func(r *scale.Record) { r.Provenance = scale.Provenance{} },
 		"values":     func(r *scale.Record) { r.Repetitions = 2 },
 	} {
-		spoilt := *r
-		spoil(&spoilt)
-		_, err := spoilt.Save(t.TempDir())
+		damaged := *r
+		damage(&damaged)
+		_, err := damaged.Save(t.TempDir())
 		require.ErrorIs(t, err, scale.ErrRecord, name)
 	}
 }
--- a/internal/harness/scale/service.go
+++ b/internal/harness/scale/service.go
@@ -1,6 +1,7 @@
 package scale
 
 import (
+	"bytes"
 	"context"
 	"fmt"
 	"math/rand/v2"
@@ -13,14 +14,14 @@
 )
 
 const (
-	serviceConcurrency  = 4                // queries out at once
-	servicePartsCounted = 24_000           // parts counted at least
-	serviceDeadline     = 20 * time.Second // a client's wait; nothing is to end by time-out
+	serviceConcurrency  = 4                // queries in flight
+	servicePartsCounted = 24_000           // parts measured at least
+	serviceDeadline     = 20 * time.Second // long enough that no query ends by it
 	servicePayloadSize  = 64               // bytes of a part's text
 	openTimeout         = 30 * time.Second
 )
 
-// brokerCore is a broker's core and link, without a front, against record servers in a child.
+// brokerCore is a broker's core and link, without a front, with record servers in a child.
 type brokerCore struct {
 	*broker.Broker
 	child     *child
@@ -43,59 +44,74 @@
 	return &brokerCore{b, c, cancel, c.endpoints()}, nil
 }
 
+// endpoints returns the endpoint list of a child's record servers.
+func (c *child) endpoints() []broker.Endpoint {
+	list := make([]broker.Endpoint, len(c.startLines))
+	for i, addr := range c.startLines {
+		server := decision.Server{
+			ID: serverID(i), Zone: i / replicaSetsPerZone % TargetZones, ReplicaSet: i, Capacity: 1,
+		}
+		list[i] = broker.Endpoint{Addr: addr, Server: server}
+	}
+	return list
+}
+
+// update hands the full endpoint list to the core.
 func (c *brokerCore) update() {
 	c.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Version: 1, Servers: c.endpoints})
 }
 
+// stop ends the core and its child.
 func (c *brokerCore) stop() error {
 	c.cancel()
 	_, err := c.child.stop()
 	return err
 }
 
-// kill ends what an error has left; after stop it does nothing.
+// kill ends the core and its child after an error. After stop it does nothing.
 func (c *brokerCore) kill() {
 	c.cancel()
 	c.child.stop()
 }
 
-// resultChannel is a client's end of a query.
+// resultChannel receives the results of queries.
 type resultChannel chan broker.Result
 
 func (f resultChannel) Finish(r broker.Result) { f <- r }
 
-// runQueries plays queries, so many at once, and returns an error if one is not answered whole.
+// runQueries runs queries, serviceConcurrency at once, and returns an error if one is not answered completely.
 func (c *brokerCore) runQueries(name string, queries, parts int, rng *rand.Rand) error {
-	text := make([]byte, servicePayloadSize)
-	for i := range text {
-		text[i] = 'x'
-	}
-	done := make(resultChannel, serviceConcurrency)
-	out := 0
-	for asked, ended := 0, 0; ended < queries; {
-		for ; out < serviceConcurrency && asked < queries; asked++ {
-			r := &broker.Request{ID: fmt.Sprint(name, asked), ReceivedAt: time.Now(), Timeout: serviceDeadline, Payload: text}
-			first := rng.IntN(len(c.endpoints))
-			for i := range parts {
-				r.Parts = append(r.Parts, broker.Part{Shard: (first + i) % len(c.endpoints), Weight: 1 / float64(parts)})
-			}
-			c.Submit(r, done)
-			out++
+	payload := bytes.Repeat([]byte{'x'}, servicePayloadSize)
+	results := make(resultChannel, serviceConcurrency)
+	submitted := 0
+	for finished := range queries {
+		for submitted < queries && submitted-finished < serviceConcurrency {
+			c.Submit(c.newRequest(fmt.Sprint(name, submitted), payload, parts, rng), results)
+			submitted++
 		}
-		result := <-done
-		out--
-		if ended++; result.Outcome != broker.Answered || !result.Complete {
-			return fmt.Errorf("scale: a query ended as %d, whole: %t", result.Outcome, result.Complete)
+		result := <-results
+		if result.Outcome != broker.Answered || !result.Complete {
+			return fmt.Errorf("scale: a query ended as %d, complete: %t", result.Outcome, result.Complete)
 		}
 	}
 	return nil
 }
 
+// newRequest returns a query over consecutive shards from a random one on.
+func (c *brokerCore) newRequest(id string, payload []byte, parts int, rng *rand.Rand) *broker.Request {
+	r := &broker.Request{ID: id, ReceivedAt: time.Now(), Timeout: serviceDeadline, Payload: payload}
+	first := rng.IntN(len(c.endpoints))
+	for i := range parts {
+		r.Parts = append(r.Parts, broker.Part{Shard: (first + i) % len(c.endpoints), Weight: 1 / float64(parts)})
+	}
+	return r
+}
+
 func serviceExperiment() Experiment {
 	return Experiment{
 		Name: "service",
 		Provenance: Provenance{Real: "internal/broker, decision and upstream (frames) over loopback; no front",
-			Hollow: "record servers: internal/standin in a process of its own, 2 ms a part, 4 queries at once"},
+			Hollow: "record servers: internal/harness/recordservertest in a process of its own, 2 ms a part, 4 queries at once"},
 		Small: grid(axisServers, []float64{20, 40, 60}, axisParts, []float64{12}),
 		Large: serversAndParts(),
 		Play:  playService,
@@ -111,7 +127,7 @@
 	defer c.kill()
 	c.update()
 	rng := rand.New(rand.NewPCG(seed, 17))
-	warm := 3*servers/parts + 10 // parts for each server, so that most connections are open
+	warm := 3*servers/parts + 10 // three parts per server, so that most connections are open
 	if err := c.runQueries("warm", warm, parts, rng); err != nil {
 		return nil, err
 	}
@@ -142,14 +158,14 @@
 	return Experiment{
 		Name: "mesh",
 		Provenance: Provenance{Real: "internal/transport/upstream: one connection to each record server, over loopback",
-			Hollow: "record servers: internal/standin in a process of its own"},
+			Hollow: "record servers: internal/harness/recordservertest in a process of its own"},
 		Small: axis(axisServers, []float64{40}),
 		Large: axis(axisServers, serverSizes),
 		Play:  playMesh,
 	}
 }
 
-// playMesh has the module probe every server once, which opens a connection to each.
+// playMesh has the module health-check every server once, which opens a connection to each.
 func playMesh(at Sizes, seed uint64) ([]Reading, error) {
 	servers := int(at.Of(axisServers))
 	c, err := startCore(servers, decision.ReportPull, seed)
@@ -164,26 +180,17 @@
 	before := memoryInUse()
 	meter := StartMeter()
 	c.update()
-	for end := time.Now().Add(openTimeout); ; time.Sleep(50 * time.Millisecond) {
-		now, err := openDescriptors()
-		if err != nil {
-			return nil, err
-		}
-		if now-descriptors >= servers {
-			break
-		}
-		if time.Now().After(end) {
-			return nil, fmt.Errorf("%w: %d connections of %d", errTimeout, now-descriptors, servers)
-		}
+	if err := waitForDescriptors(descriptors + servers); err != nil {
+		return nil, err
 	}
-	time.Sleep(500 * time.Millisecond) // the answers to the probes
+	time.Sleep(500 * time.Millisecond) // for the answers to the health checks
 	used := meter.Stop()
 	held := memoryInUse() - before
 	now, err := openDescriptors()
 	if err != nil {
 		return nil, err
 	}
-	c.Gauges() // the broker has to live until its memory was read
+	c.Gauges() // keeps the broker reachable until its memory was measured
 	if err := c.stop(); err != nil {
 		return nil, err
 	}
@@ -196,7 +203,23 @@
 	}, nil
 }
 
-// openDescriptors counts this process's descriptors.
+// waitForDescriptors waits until this process has a number of open descriptors. The error is errTimeout.
+func waitForDescriptors(want int) error {
+	for end := time.Now().Add(openTimeout); ; time.Sleep(50 * time.Millisecond) {
+		now, err := openDescriptors()
+		if err != nil {
+			return err
+		}
+		if now >= want {
+			return nil
+		}
+		if time.Now().After(end) {
+			return fmt.Errorf("%w: %d open descriptors of %d", errTimeout, now, want)
+		}
+	}
+}
+
+// openDescriptors returns the number of this process's open descriptors.
 func openDescriptors() (int, error) {
 	list, err := os.ReadDir("/proc/self/fd")
 	return len(list), err
--- a/internal/harness/scale/target.go
+++ b/internal/harness/scale/target.go
@@ -1,6 +1,6 @@
 package scale
 
-// The operators' target, the size of two years.
+// The operators' target: the load that they expect in two years.
 const (
 	TargetServers   = 4600
 	TargetBrokers   = 590
@@ -18,27 +18,27 @@
 	ControlMachines = 4
 )
 
-// What control may cost a broker.
+// Limits of what membership, discovery and configuration may cost a broker.
 const (
 	BudgetCore  = 0.011  // of a core
 	BudgetBytes = 29_000 // a second
 	BudgetMB    = 32
 )
 
-// What is assumed, since nobody has told it.
+// Assumptions about what the target leaves open.
 const (
-	AssumedBatchInterval     = 0.001 // seconds: what a broker's loop takes together
-	AssumedServiceTime       = 0.010 // seconds: mean work of a part
+	AssumedBatchInterval     = 0.001 // seconds between two batches of a broker's loop
+	AssumedServiceTime       = 0.010 // seconds: mean service time of a part
 	AssumedReplicationFactor = 3     // replicas of a shard
-	AssumedUsableCores       = 0.7   // of its cores a broker may use on an ordinary day; the rest is for a zone's loss
+	AssumedUsableCores       = 0.7   // fraction that a broker may use on an ordinary day; the rest is for the loss of a zone
 	DayS                     = 86_400.0
 	HourS                    = 3600.0
 )
 
-// QueriesPerBroker is how many queries a second come to each of so many brokers.
+// QueriesPerBroker returns how many queries a second each of a number of brokers receives.
 func QueriesPerBroker(brokers float64) float64 { return TargetQueries / brokers }
 
-// PartsPerPair is how many parts a second one broker sends to one server.
+// PartsPerPair returns how many parts a second one broker sends to one server.
 func PartsPerPair(brokers, servers float64) float64 {
 	return TargetQueries * TargetParts / brokers / servers
 }
--- a/internal/harness/scale/usage.go
+++ b/internal/harness/scale/usage.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Usage is what a stretch of work took of this process.
+// Usage is what this process used in a period.
 type Usage struct {
 	Processor time.Duration // user and system, of all threads
 	Allocated uint64        // bytes
@@ -18,7 +18,7 @@
 	Wall      time.Duration
 }
 
-// Meter counts the usage from Start on.
+// Meter measures the usage from StartMeter on.
 type Meter struct {
 	processor time.Duration
 	memory    runtime.MemStats
@@ -33,7 +33,7 @@
 	return m
 }
 
-// Stop is the usage since the start.
+// Stop returns the usage since the start.
 func (m *Meter) Stop() Usage {
 	l := Usage{Processor: processorTime() - m.processor, Wall: time.Since(m.startedAt)}
 	var now runtime.MemStats
@@ -42,7 +42,7 @@
 	return l
 }
 
-// processorTime is the processor time of this process so far, without that of its children.
+// processorTime returns the processor time of this process so far, without that of its children.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -51,16 +51,16 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// memoryInUse is what the heap and the stacks of this process hold after a collection, in bytes.
+// memoryInUse returns the size of the heap and the stacks of this process after a garbage collection, in bytes.
 func memoryInUse() float64 {
 	runtime.GC()
-	runtime.GC() // what finalizers freed
+	runtime.GC() // frees what finalizers released
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// ThisMachine describes where this process runs.
+// ThisMachine describes the machine that this process runs on.
 func ThisMachine() Machine {
 	return Machine{Processor: procField("/proc/cpuinfo", "model name"), Cores: runtime.NumCPU(),
 		MemoryGB: memoryTotal(), Go: runtime.Version(), Shared: true}
@@ -76,7 +76,7 @@
 	return float64(int(n / kbPerGB))
 }
 
-// procField is the first value of a name in a file of "name: value" lines.
+// procField returns the first value of a name in a file of "name: value" lines, or "".
 func procField(path, name string) string {
 	f, err := os.Open(path)
 	if err != nil {
