--- a/cmd/mothrouter/api_test.go
+++ b/cmd/mothrouter/api_test.go
@@ -57,54 +57,69 @@
 	return node
 }
 
-// checker looks at each message of an exchange: what the program does must be described, with bodies to the
-// letter, and a query that is served must be what the description asks for.
+// checker returns a function that checks each message of an exchange: every response must be described for its path and
+// method, with a body that is valid by its schema, and so must every query that is answered.
 func (a *apiDescription) checker(t *testing.T) func(peer string, sent bool, message string) {
-	requests := map[string]string{}
+	requests := map[string]string{} // by client, the latest
 	return func(peer string, sent bool, message string) {
-		head, body, _ := strings.Cut(message, "\n\n")
-		start := strings.Fields(head)
 		switch {
 		case isServer(peer):
 		case strings.HasPrefix(peer, "discovery") && sent:
-			if line := strings.TrimSpace(strings.TrimPrefix(message, "~line")); strings.HasPrefix(line, "{") {
-				a.validate(t, "asyncapi.yaml#/components/schemas/Change", line)
-			}
+			a.checkUpdate(t, message)
 		case strings.HasPrefix(peer, "discovery"):
-			u, err := url.Parse(start[1])
-			require.NoError(t, err)
-			require.Equal(t, a.async["channels"].(map[string]any)["hosts"].(map[string]any)["address"], u.Path)
-			require.Equal(t, "1", u.Query().Get("follow"))
-			require.Regexp(t, "^[0-9]+$", u.Query().Get("since"))
+			a.checkWatch(t, message)
 		case sent && strings.HasPrefix(message, "~raw "):
 			requests[peer] += "\n\n" + strings.TrimPrefix(message, "~raw ")
-		case start[1] == "100": // an interim answer
+		case strings.Fields(message)[1] == "100": // an interim response
 		case sent:
 			requests[peer] = message
 		default:
-			question, text, _ := strings.Cut(requests[peer], "\n\n")
-			q := strings.Fields(question)
-			path, method := "/{class}", strings.ToLower(q[0])
-			if q[1] == "/up" {
-				path = "/up"
-			}
-			if start[1] == "405" || method == "what" { // of a method that is not described
-				method = map[string]string{"/up": "get", "/{class}": "post"}[path]
-			}
-			response := a.lookup(t, "paths", path, method, "responses", start[1]).(map[string]any)
-			require.Equal(t, response["content"] != nil, body != "", message)
-			if body != "" {
-				schema := map[bool]string{true: "Answer", false: "Problem"}[start[1] == "200"]
-				a.validate(t, "openapi.yaml#/components/schemas/"+schema, body)
-			}
-			if start[1] == "200" && path == "/{class}" && !strings.Contains(question, "chunked") {
-				a.validate(t, "openapi.yaml#/components/schemas/Query", text)
-			}
-			for _, name := range []string{"Retry-After", "Allow"} {
-				if strings.Contains(head, "\n"+name+": ") {
-					require.Contains(t, response["headers"], name)
-				}
-			}
+			a.checkResponse(t, requests[peer], message)
+		}
+	}
+}
+
+// checkUpdate checks an update that discovery sends.
+func (a *apiDescription) checkUpdate(t *testing.T, message string) {
+	if line := strings.TrimSpace(strings.TrimPrefix(message, "~line")); strings.HasPrefix(line, "{") {
+		a.validate(t, "asyncapi.yaml#/components/schemas/Change", line)
+	}
+}
+
+// checkWatch checks the program's request to discovery.
+func (a *apiDescription) checkWatch(t *testing.T, message string) {
+	u, err := url.Parse(strings.Fields(message)[1])
+	require.NoError(t, err)
+	require.Equal(t, a.async["channels"].(map[string]any)["hosts"].(map[string]any)["address"], u.Path)
+	require.Equal(t, "1", u.Query().Get("follow"))
+	require.Regexp(t, "^[0-9]+$", u.Query().Get("since"))
+}
+
+// checkResponse checks a response and, if it is a successful answer, the query that it answers.
+func (a *apiDescription) checkResponse(t *testing.T, request, message string) {
+	head, body, _ := strings.Cut(message, "\n\n")
+	status := strings.Fields(head)[1]
+	requestHead, query, _ := strings.Cut(request, "\n\n")
+	requestLine := strings.Fields(requestHead)
+	path, method := "/{class}", strings.ToLower(requestLine[0])
+	if requestLine[1] == "/up" {
+		path = "/up"
+	}
+	if status == "405" || method == "what" { // the method itself is not described
+		method = map[string]string{"/up": "get", "/{class}": "post"}[path]
+	}
+	response := a.lookup(t, "paths", path, method, "responses", status).(map[string]any)
+	require.Equal(t, response["content"] != nil, body != "", message)
+	if body != "" {
+		schema := map[bool]string{true: "Answer", false: "Problem"}[status == "200"]
+		a.validate(t, "openapi.yaml#/components/schemas/"+schema, body)
+	}
+	if status == "200" && path == "/{class}" && !strings.Contains(requestHead, "chunked") {
+		a.validate(t, "openapi.yaml#/components/schemas/Query", query)
+	}
+	for _, name := range []string{"Retry-After", "Allow"} {
+		if strings.Contains(head, "\n"+name+": ") {
+			require.Contains(t, response["headers"], name)
 		}
 	}
 }
--- a/cmd/mothrouter/attempt_ledger_test.go
+++ b/cmd/mothrouter/attempt_ledger_test.go
@@ -15,6 +15,7 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
+	"mothrouter/internal/harness/recordservertest"
 	mothflight "mothrouter/internal/transport/flight"
 	"mothrouter/internal/transport/frame"
 )
@@ -133,21 +134,7 @@
 			close(cancel)
 		}
 	}()
-	var in frame.Reader
-	for {
-		n, err := s.Read(in.Grow())
-		if err != nil {
-			return
-		}
-		in.Advance(n)
-		for {
-			message, ok, err := in.Next()
-			if err != nil || !ok {
-				break
-			}
-			s.handle(message)
-		}
-	}
+	recordservertest.ReadFrames(s, s.handle)
 }
 
 // handle starts an attempt ('S') or cancels one ('C').
--- a/cmd/mothrouter/configuration_test.go
+++ b/cmd/mothrouter/configuration_test.go
@@ -71,32 +71,32 @@
 }
 
 // documentOf returns the configuration document that the broker was started with, changed by pairs of old and new text.
-func (o *servingBroker) documentOf(changes ...string) string {
-	text, err := os.ReadFile(o.configPath)
-	require.NoError(o.t, err)
+func (b *servingBroker) documentOf(changes ...string) string {
+	text, err := os.ReadFile(b.configPath)
+	require.NoError(b.t, err)
 	var file struct {
 		Discovery string          `json:"discovery"`
 		Settings  json.RawMessage `json:"settings"`
 	}
-	require.NoError(o.t, json.Unmarshal(text, &file))
+	require.NoError(b.t, json.Unmarshal(text, &file))
 	document, err := json.Marshal(file)
-	require.NoError(o.t, err)
+	require.NoError(b.t, err)
 	for i := 0; i < len(changes); i += 2 {
-		require.Contains(o.t, string(document), changes[i])
+		require.Contains(b.t, string(document), changes[i])
 		document = []byte(strings.Replace(string(document), changes[i], changes[i+1], 1))
 	}
 	return string(document)
 }
 
 // waitForLog waits until the program has logged a line that contains all of the words.
-func (o *servingBroker) waitForLog(words ...string) {
-	o.t.Helper()
-	require.Eventually(o.t, func() bool { return o.hasLogged(words...) }, 10*time.Second, 20*time.Millisecond,
-		"no line has all of %q in\n%s", words, &o.log)
+func (b *servingBroker) waitForLog(words ...string) {
+	b.t.Helper()
+	require.Eventually(b.t, func() bool { return b.hasLogged(words...) }, 10*time.Second, 20*time.Millisecond,
+		"no line has all of %q in\n%s", words, &b.log)
 }
 
-func (o *servingBroker) hasLogged(words ...string) bool {
-	for line := range strings.Lines(o.log.String()) {
+func (b *servingBroker) hasLogged(words ...string) bool {
+	for line := range strings.Lines(b.log.String()) {
 		all := true
 		for _, word := range words {
 			all = all && strings.Contains(line, word)
@@ -110,7 +110,7 @@
 
 // startClients runs clients that send one query after the other until stop is called. Served counts the successful
 // answers so far; stop returns all others.
-func (o *servingBroker) startClients(clients int) (served *atomic.Int64, stop func() (others []string)) {
+func (b *servingBroker) startClients(clients int) (served *atomic.Int64, stop func() (others []string)) {
 	var asking sync.WaitGroup
 	var mu sync.Mutex
 	var ended atomic.Bool
@@ -118,7 +118,7 @@
 	served = new(atomic.Int64)
 	for i := range clients {
 		asking.Go(func() {
-			c := o.dial()
+			c := b.dial()
 			for n := 0; !ended.Load(); n++ {
 				answer := c.roundTrip(queryRequest(fmt.Sprintf("l%d-%d", i, n)))
 				if strings.Contains(answer, " 200 ") {
@@ -150,33 +150,33 @@
 			if cores {
 				flags = append(flags, "-cores", coresFile)
 			}
-			o := startServingBroker(t, flags...)
-			o.waitForLog("connected to a control machine")
-			served, stop := o.startClients(4)
+			b := startServingBroker(t, flags...)
+			b.waitForLog("connected to a control machine")
+			served, stop := b.startClients(4)
 			for i := range 20 {
-				number := m.publish(t, o.documentOf(`"openCap":400`, fmt.Sprintf(`"openCap":%d`, 300+i),
+				number := m.publish(t, b.documentOf(`"openCap":400`, fmt.Sprintf(`"openCap":%d`, 300+i),
 					`"deadlineS":4,"objectiveS":1`, fmt.Sprintf(`"deadlineS":%g,"objectiveS":0.9`, 3+0.1*float64(i))))
-				o.waitForLog("revision in force", fmt.Sprintf(" number=%d ", number))
+				b.waitForLog("revision in force", fmt.Sprintf(" number=%d ", number))
 				before := served.Load()
 				require.Eventually(t, func() bool { return served.Load() >= before+10 }, waitTimeout, time.Millisecond)
 			}
-			refused := m.publish(t, o.documentOf(
+			refused := m.publish(t, b.documentOf(
 				`"semantics":"single_shot"`, `"semantics":"free"`, `"openCap":400`, `"openCap":1`))
-			o.waitForLog("revision rejected", fmt.Sprintf(" number=%d ", refused), "settings.classes[1].semantics",
+			b.waitForLog("revision rejected", fmt.Sprintf(" number=%d ", refused), "settings.classes[1].semantics",
 				"in_force=20")
 			require.Empty(t, stop())
 			require.GreaterOrEqual(t, served.Load(), int64(200))
-			require.Contains(t, o.dial().roundTrip(queryRequest("held-by-the-refused-cap")), " 200 ")
+			require.Contains(t, b.dial().roundTrip(queryRequest("held-by-the-refused-cap")), " 200 ")
 
-			number := m.publish(t, o.documentOf(`"openCap":400`, `"openCap":1`)) // too low for a query and its part
-			o.waitForLog("revision in force", fmt.Sprintf(" number=%d ", number))
-			require.Contains(t, o.dial().roundTrip(queryRequest("no-room")), " 503 ")
+			number := m.publish(t, b.documentOf(`"openCap":400`, `"openCap":1`)) // too low for a query and its part
+			b.waitForLog("revision in force", fmt.Sprintf(" number=%d ", number))
+			require.Contains(t, b.dial().roundTrip(queryRequest("no-room")), " 503 ")
 
 			m.stop()
-			o.waitForLog("disconnected from a control machine")
-			require.Contains(t, o.dial().roundTrip(queryRequest("no-room-still")), " 503 ")
-			require.NoError(t, o.cmd.Process.Signal(syscall.SIGTERM))
-			require.NoError(t, o.cmd.Wait())
+			b.waitForLog("disconnected from a control machine")
+			require.Contains(t, b.dial().roundTrip(queryRequest("no-room-still")), " 503 ")
+			require.NoError(t, b.cmd.Process.Signal(syscall.SIGTERM))
+			require.NoError(t, b.cmd.Wait())
 
 			again := startServingBroker(t, flags...) // the control machine is down
 			require.Contains(t, again.dial().roundTrip(queryRequest("by-the-file")), " 200 ")
@@ -189,9 +189,9 @@
 func TestDiscoveryFollowsLatestAddress(t *testing.T) {
 	t.Parallel()
 	m := newControlMachine(t)
-	o := startServingBroker(t, m.flags(t)...)
-	o.waitForLog("connected to a control machine")
-	first := o.listener("discovery").Addr().String()
+	b := startServingBroker(t, m.flags(t)...)
+	b.waitForLog("connected to a control machine")
+	first := b.listener("discovery").Addr().String()
 	var places []net.Listener
 	for range 2 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -205,26 +205,26 @@
 		require.NoError(t, err)
 		c.Close()
 	}
-	start := o.documentOf()
+	start := b.documentOf()
 	second, third := places[0].Addr().String(), places[1].Addr().String()
 	m.publish(t, strings.Replace(start, first, second, 1))
 	called(places[0])
-	o.waitForLog("discovery address changed", first, second, "revision")
+	b.waitForLog("discovery address changed", first, second, "revision")
 
-	text, err := os.ReadFile(o.configPath)
+	text, err := os.ReadFile(b.configPath)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(o.configPath, []byte(strings.Replace(string(text), first, third, 1)), 0o600))
-	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP))
+	require.NoError(t, os.WriteFile(b.configPath, []byte(strings.Replace(string(text), first, third, 1)), 0o600))
+	require.NoError(t, b.cmd.Process.Signal(syscall.SIGHUP))
 	called(places[1])
-	o.waitForLog("discovery address changed", second, third, "file")
-	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP)) // the file has the same address as before
+	b.waitForLog("discovery address changed", second, third, "file")
+	require.NoError(t, b.cmd.Process.Signal(syscall.SIGHUP)) // the file has the same address as before
 	m.publish(t, strings.Replace(start, first, second, 1)+" ")
-	o.waitForLog("discovery address changed", third, second, "revision")
-	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP))
+	b.waitForLog("discovery address changed", third, second, "revision")
+	require.NoError(t, b.cmd.Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool {
-		return strings.Count(o.log.String(), "configuration reloaded") == 3
+		return strings.Count(b.log.String(), "configuration reloaded") == 3
 	}, waitTimeout, 20*time.Millisecond)
-	require.Equal(t, 3, strings.Count(o.log.String(), "discovery address changed"), "%s", &o.log)
+	require.Equal(t, 3, strings.Count(b.log.String(), "discovery address changed"), "%s", &b.log)
 }
 
 func TestConfigurationFileRejectedByKey(t *testing.T) {
--- a/cmd/mothrouter/drain_test.go
+++ b/cmd/mothrouter/drain_test.go
@@ -13,14 +13,14 @@
 // cancels all of them. The metrics count what was served meanwhile.
 func TestDrainStepsAndCancel(t *testing.T) {
 	t.Parallel()
-	o := startServingBroker(t)
-	idle, busy := o.dial(), o.dial()
+	b := startServingBroker(t)
+	idle, busy := b.dial(), b.dial()
 	require.Contains(t, idle.roundTrip(queryRequest("a")), " 200 ")
 	require.Contains(t, busy.roundTrip(readinessRequest), " 200 ")
-	require.Equal(t, "ACK\n", o.callControl("LEAVE"))
+	require.Equal(t, "ACK\n", b.callControl("LEAVE"))
 	drainedAt := time.Now()
-	require.Contains(t, o.callControl("HEALTH"), "NAK")
-	require.NotContains(t, o.dial().roundTrip(readinessRequest), " 200 ")
+	require.Contains(t, b.callControl("HEALTH"), "NAK")
+	require.NotContains(t, b.dial().roundTrip(readinessRequest), " 200 ")
 	answer := busy.roundTrip(queryRequest("b")) // on a connection opened before the drain
 	require.Contains(t, answer, " 200 ")
 	require.Contains(t, answer, "Connection: close")
@@ -29,22 +29,22 @@
 	require.ErrorIs(t, err, io.EOF)
 	require.InDelta(t, 1.5, time.Since(drainedAt).Seconds(), 0.6)
 	time.Sleep(time.Until(drainedAt.Add(2100 * time.Millisecond)))
-	answer = o.dial().roundTrip(queryRequest("c"))
+	answer = b.dial().roundTrip(queryRequest("c"))
 	require.Contains(t, answer, " 503 ")
 	require.Contains(t, answer, "Retry-After")
-	late := o.dial() // sends nothing
+	late := b.dial() // sends nothing
 	late.SetReadDeadline(time.Now().Add(time.Second))
 	_, err = late.in.ReadByte()
 	require.ErrorIs(t, err, io.EOF)
-	counters := o.callControl("DUMP")
+	counters := b.callControl("DUMP")
 	for _, line := range []string{"svc.operations.usage-lookup.fulfilled:2|c", "svc.operations.usage-lookup.throttled:1|c",
 		"svc.open_requests:0|g", "svc.registry_entries:1|g", "svc.out_of_rotation:0|g"} {
 		require.Contains(t, counters, line+"\n")
 	}
 	require.True(t, strings.HasSuffix(counters, "\n--\n"))
-	require.Equal(t, "ACK\n", o.callControl("JOIN"))
-	require.Equal(t, "ACK\n", o.callControl("HEALTH"))
-	again := o.dial()
+	require.Equal(t, "ACK\n", b.callControl("JOIN"))
+	require.Equal(t, "ACK\n", b.callControl("HEALTH"))
+	again := b.dial()
 	require.Contains(t, again.roundTrip(readinessRequest), " 200 ")
 	require.NotContains(t, again.roundTrip(queryRequest("d")), "Connection: close")
 }
--- a/cmd/mothrouter/flight_test.go
+++ b/cmd/mothrouter/flight_test.go
@@ -156,15 +156,15 @@
 // A client that cancels ends its query: the record server's context ends, and the query's id can be used again.
 func TestFlightCancelEndsQuery(t *testing.T) {
 	p := newPlayer(t)
-	came, ended := make(chan struct{}), make(chan struct{})
+	received, canceled := make(chan struct{}), make(chan struct{})
 	var first sync.Once
 	s0 := p.flightServer("s0", func(part mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
 		held := false
 		first.Do(func() {
 			held = true
-			close(came)
+			close(received)
 			<-s.Context().Done()
-			close(ended)
+			close(canceled)
 		})
 		if held {
 			return s.Context().Err()
@@ -173,15 +173,15 @@
 	})
 	c := p.startFlight(`"s0"`, "s0")
 	ctx, cancel := context.WithCancel(shortContext(t))
-	gone := make(chan error, 1)
+	clientErr := make(chan error, 1)
 	go func() {
 		_, err := fetchAnswer(ctx, c, queryTicket("q1", "charge-post", 1))
-		gone <- err
+		clientErr <- err
 	}()
-	<-came
+	<-received
 	cancel()
-	require.Equal(t, codes.Canceled, status.Code(<-gone))
-	<-ended
+	require.Equal(t, codes.Canceled, status.Code(<-clientErr))
+	<-canceled
 
 	// Slow-start admission may reject the next query while the record server has not answered yet, but not for long.
 	var a flightAnswer
--- a/cmd/mothrouter/serving_broker_test.go
+++ b/cmd/mothrouter/serving_broker_test.go
@@ -27,19 +27,19 @@
 // startServingBrokerWith starts a broker with the options' flags, environment, inherited files and, unless it is "",
 // address for clients.
 func startServingBrokerWith(t *testing.T, options brokerOptions) *servingBroker {
-	o := &servingBroker{exchangePlayer: newPlayer(t), control: unusedAddress(t)}
-	go serveIdleDiscovery(o.listener("discovery"))
-	go newAttemptLedger(t).serveFrames(o.listener("s1"))
+	b := &servingBroker{exchangePlayer: newPlayer(t), control: unusedAddress(t)}
+	go serveIdleDiscovery(b.listener("discovery"))
+	go newAttemptLedger(t).serveFrames(b.listener("s1"))
 	if options.listen == "" {
 		options.listen = unusedAddress(t)
 	}
-	options.discovery, options.control = o.listener("discovery").Addr().String(), o.control
-	options.servers = []string{o.endpointEntry("s1", "active")}
+	options.discovery, options.control = b.listener("discovery").Addr().String(), b.control
+	options.servers = []string{b.endpointEntry("s1", "active")}
 	options.openCap, options.sockets, options.idle = defaultOpenCap, 256, defaultIdle
-	o.run(options)
-	healthy := func() bool { return strings.HasPrefix(o.callControl("HEALTH"), "ACK") }
+	b.run(options)
+	healthy := func() bool { return strings.HasPrefix(b.callControl("HEALTH"), "ACK") }
 	require.Eventually(t, healthy, waitTimeout, 20*time.Millisecond)
-	return o
+	return b
 }
 
 // serveIdleDiscovery answers watches of the endpoint list with a heartbeat and no update.
@@ -54,8 +54,8 @@
 }
 
 // callControl makes one call at the control address and returns the reply, or "" if it cannot connect.
-func (o *servingBroker) callControl(call string) string {
-	c, err := net.Dial("tcp", o.control)
+func (b *servingBroker) callControl(call string) string {
+	c, err := net.Dial("tcp", b.control)
 	if err != nil {
 		return ""
 	}
@@ -73,10 +73,10 @@
 }
 
 // dial connects a client, whose connection is closed when the test ends.
-func (o *servingBroker) dial() *clientConn {
-	c, err := net.Dial("tcp", o.listen)
-	require.NoError(o.t, err)
-	o.t.Cleanup(func() { c.Close() })
+func (b *servingBroker) dial() *clientConn {
+	c, err := net.Dial("tcp", b.listen)
+	require.NoError(b.t, err)
+	b.t.Cleanup(func() { c.Close() })
 	return &clientConn{c, bufio.NewReader(c)}
 }
 
--- a/cmd/mothrouter/state_test.go
+++ b/cmd/mothrouter/state_test.go
@@ -82,11 +82,11 @@
 	folder := t.TempDir()
 	flags := []string{"-state", stateFile(t, folder)}
 	for i := range 3 {
-		o := startServingBroker(t, flags...)
-		require.Contains(t, o.dial().roundTrip(queryRequest("q")), " 200 ")
+		b := startServingBroker(t, flags...)
+		require.Contains(t, b.dial().roundTrip(queryRequest("q")), " 200 ")
 		time.Sleep(time.Duration(350+50*i) * time.Millisecond) // the first save is due after 375 to 625 ms
-		require.NoError(t, o.cmd.Process.Signal(syscall.SIGTERM))
-		require.NoError(t, o.cmd.Wait())
+		require.NoError(t, b.cmd.Process.Signal(syscall.SIGTERM))
+		require.NoError(t, b.cmd.Wait())
 		out, err := stateCommand(t, "verify", folder)
 		require.NoError(t, err, out)
 	}
--- a/internal/harness/recordservertest/conn.go
+++ b/internal/harness/recordservertest/conn.go
@@ -29,11 +29,16 @@
 		c.attempts.Wait()
 		c.server.update(func() { delete(c.server.conns, c.Conn) })
 	}()
+	ReadFrames(c, c.handle)
+	c.cancelAll()
+}
+
+// ReadFrames reads from a connection until it ends, and calls handle with each frame. It reads on after an invalid frame.
+func ReadFrames(conn net.Conn, handle func(frame.Message)) {
 	var in frame.Reader
 	for {
-		n, err := c.Read(in.Grow())
+		n, err := conn.Read(in.Grow())
 		if err != nil {
-			c.cancelAll()
 			return
 		}
 		in.Advance(n)
@@ -42,7 +47,7 @@
 			if err != nil || !ok {
 				break
 			}
-			c.handle(message)
+			handle(message)
 		}
 	}
 }
