--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -20,51 +20,55 @@
 	"mothrouter/internal/workers/cores"
 )
 
-// assemble puts the process together. Beside the loops run the parts; a part that rests on another is added, and so
-// started, after it.
+// assemble creates the core and the components that run beside it. A component that depends on another is added, and
+// so started, after it.
 func (p *process) assemble() error {
-	p.metrics = metrics.New(p.cfg.Classes, func() metrics.Gauges { return metrics.Gauges(p.core.Gauges()) })
+	p.metrics = metrics.New(p.startConfig.Classes, func() metrics.Gauges { return metrics.Gauges(p.core.Gauges()) })
 	link := p.link()
 	if err := p.addState(); err != nil {
 		return err
 	}
-	p.shareWaits()
+	p.addBackoff()
 	if err := p.addFleet(); err != nil {
 		return err
 	}
 	p.makeCore(link)
 	p.watcher = &discovery.Watcher{
-		Addr: p.cfg.Discovery, NameTable: p.cfg.NameTable, Since: p.cfg.CachedVersion, Update: p.core.Update, Log: p.log,
-		Backoff: p.backoff,
+		Addr: p.startConfig.Discovery, NameTable: p.startConfig.NameTable, Since: p.startConfig.CachedVersion,
+		Update: p.core.Update, Log: p.log, Backoff: p.backoff,
+	}
+	p.discoverySwitch = &discoverySwitch{
+		address: p.startConfig.Discovery, changeAddress: p.watcher.ChangeAddress, log: p.log,
 	}
-	p.followed = &followed{address: p.cfg.Discovery, move: p.watcher.ChangeAddress, log: p.log}
 	return p.addConfiguration()
 }
 
-// link is the way to the record servers.
+// link returns the link to the record servers.
 func (p *process) link() broker.Link {
+	cfg := p.startConfig
 	frames := upstream.New(p.ctx, upstream.Options{
-		MaxStreams: p.cfg.MaxStreams, MaxConns: p.cfg.MaxServerConns, IdleTimeout: p.cfg.ConnIdleTimeout, ConnectTimeout: p.cfg.ConnectTimeout,
-		OnSent: p.metrics.RecordSent,
+		MaxStreams: cfg.MaxStreams, MaxConns: cfg.MaxServerConns, IdleTimeout: cfg.ConnIdleTimeout,
+		ConnectTimeout: cfg.ConnectTimeout, OnSent: p.metrics.RecordSent,
 	})
-	if p.flight != nil {
-		return mixed(p.ctx, p.cfg, p.flight, frames)
+	if p.flightConfig != nil {
+		return newMixedLink(p.ctx, cfg, p.flightConfig, frames)
 	}
 	return frames
 }
 
-// mixed is the link to servers of both protocols.
-func mixed(ctx context.Context, cfg *config.Config, partners *config.Flight, frames broker.Link) broker.Link {
-	speaks := map[string]bool{}
-	for _, id := range partners.Servers {
-		speaks[id] = true
+// newMixedLink returns a link to the record servers of both protocols; flightConfig lists those that speak Flight.
+func newMixedLink(ctx context.Context, cfg *config.Config, flightConfig *config.Flight, frames broker.Link) broker.Link {
+	speaksFlight := map[string]bool{}
+	for _, id := range flightConfig.Servers {
+		speaksFlight[id] = true
 	}
-	return &flight.Mixed{Frames: frames, Speaks: speaks, Flight: flight.NewLink(ctx, flight.LinkOptions{
-		MaxStreams: cfg.MaxStreams, MaxConns: partners.ServerConns, IdleTimeout: cfg.ConnIdleTimeout, ConnectTimeout: cfg.ConnectTimeout,
+	return &flight.Mixed{Frames: frames, Speaks: speaksFlight, Flight: flight.NewLink(ctx, flight.LinkOptions{
+		MaxStreams: cfg.MaxStreams, MaxConns: flightConfig.ServerConns, IdleTimeout: cfg.ConnIdleTimeout,
+		ConnectTimeout: cfg.ConnectTimeout,
 	})}
 }
 
-// addState has learned state last over restarts.
+// addState restores the snapshot of server health and adds the component that saves it, if there is a file for it.
 func (p *process) addState() error {
 	if p.files.state == "" {
 		return nil
@@ -73,75 +77,81 @@
 	if err != nil {
 		return err
 	}
-	keep := checkpoint.Open(checkpoint.Options{Folder: state.Folder, Interval: state.Interval, Instance: p.cfg.Name,
-		Settings: p.cfg.Fingerprint(), Seed: p.cfg.Seed, Log: p.log})
-	p.parts.Add(assembly.Part{Name: "state", Run: keep.Run,
-		Wrap: func(_ int, inner decision.Decider) decision.Decider { return keep.Watch(inner) }})
+	saver := checkpoint.Open(checkpoint.Options{
+		Folder: state.Folder, Interval: state.Interval, Instance: p.startConfig.Name,
+		Settings: p.startConfig.Fingerprint(), Seed: p.startConfig.Seed, Log: p.log,
+	})
+	p.components.Add(assembly.Component{Name: "state", Run: saver.Run,
+		Wrap: func(_ int, inner decision.Decider) decision.Decider { return saver.Watch(inner) }})
 	return nil
 }
 
-// shareWaits spreads calls of all brokers to what they share.
-func (p *process) shareWaits() {
-	callers, told := backoff.ClampCallers(p.cfg.Settings.Brokers)
-	if !told {
+// addBackoff sets the backoff of calls to services that all brokers share, for the fleet's size by the settings.
+func (p *process) addBackoff() {
+	callers, inRange := backoff.ClampCallers(p.startConfig.Settings.Brokers)
+	if !inRange {
 		p.log.Warn("settings.peersTotal out of range",
-			"is", p.cfg.Settings.Brokers, "taken for", callers)
+			"is", p.startConfig.Settings.Brokers, "taken for", callers)
 	}
-	p.fleetSize, p.backoff = callers, backoff.New(callers, p.cfg.Seed)
+	p.fleetSize, p.backoff = callers, backoff.New(callers, p.startConfig.Seed)
 }
 
-// addFleet has brokers know of each other.
+// addFleet adds the membership of the fleet, if there is a file for it.
 func (p *process) addFleet() error {
 	if p.files.fleet == "" {
 		return nil
 	}
-	peers, err := config.LoadFleet(p.files.fleet, p.cfg)
+	fleetConfig, err := config.LoadFleet(p.files.fleet, p.startConfig)
 	if err != nil {
 		return err
 	}
-	others, err := join(peers, p.cfg, p.log, func(n int) {
+	plane, err := joinFleet(fleetConfig, p.startConfig, p.log, func(n int) {
 		p.backoff.Resize(n)
 		p.core.Notify(decision.FleetResized{Brokers: n})
-		if p.revisions != nil {
-			p.revisions.SetFleetSize(n)
+		if p.configFollower != nil {
+			p.configFollower.SetFleetSize(n)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	p.parts.Add(assembly.Part{Name: "fleet", Run: others.Run})
+	p.components.Add(assembly.Component{Name: "fleet", Run: plane.Run})
 	return nil
 }
 
-// join opens this process's end of the fleet's plane. Each change of the fleet is told as the number of brokers that
-// share what a cold server bears and what discovery serves; one that is fenced has no part of it.
-func join(peers *config.Fleet, cfg *config.Config, log *slog.Logger, changed func(n int)) (*fleet.Plane, error) {
+// joinFleet opens the process's membership socket. Whenever the fleet's size changes, it calls onResize with the number
+// of brokers that share slow-start budgets and the discovery service: at least the number by the settings. A fenced
+// broker, which a majority may have removed, takes the smallest share (backoff.MaxCallers).
+func joinFleet(fleetConfig *config.Fleet, cfg *config.Config, log *slog.Logger, onResize func(n int)) (*fleet.Plane, error) {
 	return fleet.Listen(fleet.Options{
-		Listen: peers.Listen, Advertise: peers.Advertise, Fleet: peers.Fleet, Name: peers.Name, Seeds: peers.Seeds,
-		Seed: cfg.Seed, Log: log, Changed: func(c membership.FleetSize) {
-			n := max(c.Sharing, cfg.Settings.Brokers)
-			if c.Fenced {
+		Listen: fleetConfig.Listen, Advertise: fleetConfig.Advertise, Fleet: fleetConfig.Fleet, Name: fleetConfig.Name,
+		Seeds: fleetConfig.Seeds, Seed: cfg.Seed, Log: log,
+		Changed: func(size membership.FleetSize) {
+			n := max(size.Sharing, cfg.Settings.Brokers)
+			if size.Fenced {
 				n = backoff.MaxCallers
 			}
-			changed(n)
+			onResize(n)
 		},
 	})
 }
 
-// makeCore makes one loop, or several. With one loop its panic ends the process.
+// makeCore creates the core: one loop, or several with -cores. A panic of a single loop ends the process; one of
+// several loops closes workerFailed.
 func (p *process) makeCore(link broker.Link) {
-	decider := p.parts.Decider(func(_ int, set decision.Settings, seed uint64) decision.Decider {
+	cfg := p.startConfig
+	decider := p.components.Decider(func(_ int, set decision.Settings, seed uint64) decision.Decider {
 		return decision.New(set, seed)
 	})
 	if p.files.cores == "" {
-		p.core = broker.New(broker.Options{Settings: p.cfg.Settings, ConcurrencyLimit: p.cfg.ConcurrencyLimit, Log: p.log},
-			decider(0, p.cfg.Settings, p.cfg.Seed), link)
+		options := broker.Options{Settings: cfg.Settings, ConcurrencyLimit: cfg.ConcurrencyLimit, Log: p.log}
+		p.core = broker.New(options, decider(0, cfg.Settings, cfg.Seed), link)
 		return
 	}
 	group := cores.New(cores.Options{
-		Workers: p.workers, Settings: p.cfg.Settings, ConcurrencyLimit: p.cfg.ConcurrencyLimit, Seed: p.cfg.Seed, Log: p.log,
+		Workers: p.workers, Settings: cfg.Settings, ConcurrencyLimit: cfg.ConcurrencyLimit, Seed: cfg.Seed, Log: p.log,
 		Decider: decider,
 	}, link)
-	p.core, p.died = group, group.Failed()
+	p.core, p.workerFailed = group, group.Failed()
 	p.log.Info("several cores", "workers", p.workers, "processors", runtime.NumCPU())
 }
--- a/cmd/mothrouter/configuration.go
+++ b/cmd/mothrouter/configuration.go
@@ -12,40 +12,40 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// addConfiguration has control machines change the configuration in service.
+// addConfiguration adds the client that follows the control machines' revisions, if there is a file for it.
 func (p *process) addConfiguration() error {
 	if p.files.configuration == "" {
 		return nil
 	}
-	machines, err := config.LoadFollower(p.files.configuration, p.cfg)
+	followerConfig, err := config.LoadFollower(p.files.configuration, p.startConfig)
 	if err != nil {
 		return err
 	}
-	start, err := p.cfg.Document()
+	start, err := p.startConfig.Document()
 	if err != nil {
 		return err
 	}
-	applier := &applier{start: start, core: p.core, followed: p.followed, log: p.log}
-	p.revisions, err = configfollower.New(configfollower.Options{
-		Name: machines.Name, StartedAt: p.started, Zone: machines.Zone, Region: machines.Region,
-		Machines: machines.ControlMachines, FleetSize: p.fleetSize, Seed: p.cfg.Seed, Log: p.log, Apply: applier.apply,
+	applier := &applier{start: start, core: p.core, discovery: p.discoverySwitch, log: p.log}
+	p.configFollower, err = configfollower.New(configfollower.Options{
+		Name: followerConfig.Name, StartedAt: p.started, Zone: followerConfig.Zone, Region: followerConfig.Region,
+		Machines: followerConfig.ControlMachines, FleetSize: p.fleetSize, Seed: p.startConfig.Seed, Log: p.log, Apply: applier.apply,
 	})
 	if err != nil {
 		return err
 	}
-	p.parts.Add(assembly.Part{Name: "configuration", Run: p.revisions.Run})
+	p.components.Add(assembly.Component{Name: "configuration", Run: p.configFollower.Run})
 	return nil
 }
 
-// applier takes revisions of the configuration into force.
+// applier puts revisions of the configuration in force.
 type applier struct {
-	start    *config.Document // of the file of the start
-	core     interface{ Configure(broker.Change) error }
-	followed *followed
-	log      *slog.Logger
+	start     *config.Document // what the process started with; some keys may not differ from it
+	core      interface{ Configure(broker.Change) error }
+	discovery *discoverySwitch
+	log       *slog.Logger
 }
 
-// apply takes a revision into force whole, and returns nil once it is; else it changes nothing and tells why.
+// apply puts a revision in force completely and returns nil, or changes nothing and returns the rejection.
 func (a *applier) apply(revision *configpb.Revision) *configpb.Refusal {
 	document, err := config.ParseDocument(revision.GetDocument())
 	if err == nil {
@@ -55,48 +55,49 @@
 		err = a.core.Configure(document.Change())
 	}
 	if err != nil {
-		return rejection(revision.GetNumber(), err)
+		return newRejection(revision.GetNumber(), err)
 	}
-	a.followed.tell(document.Discovery, "revision")
+	a.discovery.switchTo(document.Discovery, "revision")
 	a.log.Info("revision applied", "number", revision.GetNumber(), "discovery", document.Discovery,
 		"open_cap", document.ConcurrencyLimit)
 	return nil
 }
 
-// followed is the address at which the server list is followed. The file that is read again on SIGHUP and revisions
-// of the configuration tell it; the last one told wins. A revision tells it each time one comes into force, the file
-// where its address differs from when it was last read: a SIGHUP for another key takes no revision back.
-type followed struct {
-	mu      sync.Mutex
-	address string
-	move    func(address string)
-	log     *slog.Logger
+// discoverySwitch sets the address of the discovery service from which the endpoint list is watched. Two sources set
+// it, and the latest call wins: each revision that is put in force, and the configuration file on SIGHUP, but only if
+// its address differs from the last time that the file was read. So a SIGHUP for another key does not undo a revision.
+type discoverySwitch struct {
+	mu            sync.Mutex // guards address and orders the calls of changeAddress
+	address       string     // in use
+	changeAddress func(address string)
+	log           *slog.Logger
 }
 
-// tell moves the watch of the server list, unless it is there.
-func (f *followed) tell(address, by string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if address == f.address {
+// switchTo watches the endpoint list at another address. It does nothing if the address is in use already. The source
+// is "revision" or "file", for the log.
+func (s *discoverySwitch) switchTo(address, source string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if address == s.address {
 		return
 	}
-	f.log.Info("discovery address changed", "from", f.address, "to", address, "told by", by)
-	f.address = address
-	f.move(address)
+	s.log.Info("discovery address changed", "from", s.address, "to", address, "told by", source)
+	s.address = address
+	s.changeAddress(address)
 }
 
-// reload takes up the file again on each SIGHUP. A bad one changes nothing.
-func reload(hup <-chan os.Signal, cfg *config.Config, followed *followed, log *slog.Logger) {
-	for range hup {
-		next, waiting, err := cfg.Reload()
+// reload reads the configuration file again at each SIGHUP. An invalid file is logged and changes nothing.
+func reload(signals <-chan os.Signal, cfg *config.Config, discovery *discoverySwitch, log *slog.Logger) {
+	for range signals {
+		next, needRestart, err := cfg.Reload()
 		if err != nil {
 			log.Error("new configuration rejected, keeping the old one", "error", err)
 			continue
 		}
 		if next.Discovery != cfg.Discovery {
-			followed.tell(next.Discovery, "file")
+			discovery.switchTo(next.Discovery, "file")
 		}
 		cfg = next
-		log.Info("configuration reloaded", "discovery", cfg.Discovery, "wait for a start", waiting)
+		log.Info("configuration reloaded", "discovery", cfg.Discovery, "wait for a start", needRestart)
 	}
 }
--- a/cmd/mothrouter/configuration_test.go
+++ b/cmd/mothrouter/configuration_test.go
@@ -6,7 +6,6 @@
 	"log/slog"
 	"net"
 	"os"
-	"os/exec"
 	"path/filepath"
 	"strings"
 	"sync"
@@ -22,7 +21,7 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// controlMachine serves what the test publishes, on loopback.
+// controlMachine is a control machine on loopback that serves the revisions which the test publishes.
 type controlMachine struct {
 	configpb.UnimplementedControlServer
 	hub     *confighub.Hub
@@ -55,7 +54,7 @@
 	<-m.ended
 }
 
-// publish has a document be the newest revision.
+// publish makes a document the newest revision and returns its number.
 func (m *controlMachine) publish(t *testing.T, document string) uint64 {
 	m.newest = &configpb.Revision{Number: m.newest.GetNumber() + 1, Document: []byte(document),
 		Checksum: configpb.Checksum([]byte(document)), PublishedUnixMs: time.Now().UnixMilli()}
@@ -63,7 +62,7 @@
 	return m.newest.GetNumber()
 }
 
-// flags are those of a broker that follows the machine.
+// flags returns the flags of a broker that follows the machine.
 func (m *controlMachine) flags(t *testing.T) []string {
 	path := filepath.Join(t.TempDir(), "configuration.toml")
 	text := fmt.Sprintf("zone = \"bern-1\"\n[[control]]\naddress = %q\n", m.address)
@@ -71,33 +70,33 @@
 	return []string{"-configuration", path}
 }
 
-// documentOf is the document of the file that the broker was started with, changed by pairs of old and new text.
-func (o *operated) documentOf(changes ...string) string {
-	text, err := os.ReadFile(o.config)
-	require.NoError(o.t, err)
+// documentOf returns the configuration document that the broker was started with, changed by pairs of old and new text.
+func (b *servingBroker) documentOf(changes ...string) string {
+	text, err := os.ReadFile(b.configPath)
+	require.NoError(b.t, err)
 	var file struct {
 		Discovery string          `json:"discovery"`
 		Settings  json.RawMessage `json:"settings"`
 	}
-	require.NoError(o.t, json.Unmarshal(text, &file))
+	require.NoError(b.t, json.Unmarshal(text, &file))
 	document, err := json.Marshal(file)
-	require.NoError(o.t, err)
+	require.NoError(b.t, err)
 	for i := 0; i < len(changes); i += 2 {
-		require.Contains(o.t, string(document), changes[i])
+		require.Contains(b.t, string(document), changes[i])
 		document = []byte(strings.Replace(string(document), changes[i], changes[i+1], 1))
 	}
 	return string(document)
 }
 
-// logs waits until the program has logged a line with all of the words.
-func (o *operated) logs(words ...string) {
-	o.t.Helper()
-	require.Eventually(o.t, func() bool { return o.logged(words...) }, 10*time.Second, 20*time.Millisecond,
-		"no line has all of %q in\n%s", words, &o.log)
+// waitForLog waits until the program has logged a line that contains all of the words.
+func (b *servingBroker) waitForLog(words ...string) {
+	b.t.Helper()
+	require.Eventually(b.t, func() bool { return b.hasLogged(words...) }, 10*time.Second, 20*time.Millisecond,
+		"no line has all of %q in\n%s", words, &b.log)
 }
 
-func (o *operated) logged(words ...string) bool {
-	for line := range strings.Lines(o.log.String()) {
+func (b *servingBroker) hasLogged(words ...string) bool {
+	for line := range strings.Lines(b.log.String()) {
 		all := true
 		for _, word := range words {
 			all = all && strings.Contains(line, word)
@@ -109,9 +108,9 @@
 	return false
 }
 
-// load has clients ask until stop is called, which returns the answers of those that were not served. Served is how
-// many were so far.
-func (o *operated) load(clients int) (served *atomic.Int64, stop func() (others []string)) {
+// startClients runs clients that send one query after the other until stop is called. Served counts the successful
+// answers so far; stop returns all others.
+func (b *servingBroker) startClients(clients int) (served *atomic.Int64, stop func() (others []string)) {
 	var asking sync.WaitGroup
 	var mu sync.Mutex
 	var ended atomic.Bool
@@ -119,9 +118,9 @@
 	served = new(atomic.Int64)
 	for i := range clients {
 		asking.Go(func() {
-			c := o.dial()
+			c := b.dial()
 			for n := 0; !ended.Load(); n++ {
-				answer := c.asks(query(fmt.Sprintf("l%d-%d", i, n)))
+				answer := c.roundTrip(queryRequest(fmt.Sprintf("l%d-%d", i, n)))
 				if strings.Contains(answer, " 200 ") {
 					served.Add(1)
 					continue
@@ -139,59 +138,60 @@
 	}
 }
 
-// Revisions come into force while clients ask, with one loop and with several: no request is lost. One that needs a
-// restart is refused by its key, and the one before it stays in force, as does the file where no control machine is.
-func TestRevisionsComeIntoForceUnderLoad(t *testing.T) {
+// Revisions are put in force under load, with one loop and with several, and no request is lost. One that needs a
+// restart is rejected by its key, and the revision before it stays in force. Without a control machine a broker serves
+// by its file.
+func TestRevisionsApplyWithoutLosingRequests(t *testing.T) {
 	for _, cores := range []bool{false, true} {
 		t.Run(fmt.Sprint("several cores ", cores), func(t *testing.T) {
 			t.Parallel()
 			m := newControlMachine(t)
 			flags := m.flags(t)
 			if cores {
-				flags = append(flags, "-cores", "../../deploy/cores.toml")
+				flags = append(flags, "-cores", coresFile)
 			}
-			o := operateWith(t, flags)
-			o.logs("connected to a control machine")
-			served, stop := o.load(4)
+			b := startServingBroker(t, flags...)
+			b.waitForLog("connected to a control machine")
+			served, stop := b.startClients(4)
 			for i := range 20 {
-				number := m.publish(t, o.documentOf(`"openCap":400`, fmt.Sprintf(`"openCap":%d`, 300+i),
+				number := m.publish(t, b.documentOf(`"openCap":400`, fmt.Sprintf(`"openCap":%d`, 300+i),
 					`"deadlineS":4,"objectiveS":1`, fmt.Sprintf(`"deadlineS":%g,"objectiveS":0.9`, 3+0.1*float64(i))))
-				o.logs("revision in force", fmt.Sprintf(" number=%d ", number))
+				b.waitForLog("revision in force", fmt.Sprintf(" number=%d ", number))
 				before := served.Load()
-				require.Eventually(t, func() bool { return served.Load() >= before+10 }, patience, time.Millisecond)
+				require.Eventually(t, func() bool { return served.Load() >= before+10 }, waitTimeout, time.Millisecond)
 			}
-			refused := m.publish(t, o.documentOf(
+			refused := m.publish(t, b.documentOf(
 				`"semantics":"single_shot"`, `"semantics":"free"`, `"openCap":400`, `"openCap":1`))
-			o.logs("revision rejected", fmt.Sprintf(" number=%d ", refused), "settings.classes[1].semantics",
+			b.waitForLog("revision rejected", fmt.Sprintf(" number=%d ", refused), "settings.classes[1].semantics",
 				"in_force=20")
 			require.Empty(t, stop())
 			require.GreaterOrEqual(t, served.Load(), int64(200))
-			require.Contains(t, o.dial().asks(query("held-by-the-refused-cap")), " 200 ")
+			require.Contains(t, b.dial().roundTrip(queryRequest("held-by-the-refused-cap")), " 200 ")
 
-			number := m.publish(t, o.documentOf(`"openCap":400`, `"openCap":1`)) // not even one query of a part
-			o.logs("revision in force", fmt.Sprintf(" number=%d ", number))
-			require.Contains(t, o.dial().asks(query("no-room")), " 503 ")
+			number := m.publish(t, b.documentOf(`"openCap":400`, `"openCap":1`)) // too low for a query and its part
+			b.waitForLog("revision in force", fmt.Sprintf(" number=%d ", number))
+			require.Contains(t, b.dial().roundTrip(queryRequest("no-room")), " 503 ")
 
 			m.stop()
-			o.logs("disconnected from a control machine")
-			require.Contains(t, o.dial().asks(query("no-room-still")), " 503 ")
-			require.NoError(t, o.cmd.Process.Signal(syscall.SIGTERM))
-			require.NoError(t, o.cmd.Wait())
-
-			again := operateWith(t, flags) // nobody answers at the control machine's address
-			require.Contains(t, again.dial().asks(query("by-the-file")), " 200 ")
-			again.logs("serving by the file of the start")
+			b.waitForLog("disconnected from a control machine")
+			require.Contains(t, b.dial().roundTrip(queryRequest("no-room-still")), " 503 ")
+			require.NoError(t, b.cmd.Process.Signal(syscall.SIGTERM))
+			require.NoError(t, b.cmd.Wait())
+
+			again := startServingBroker(t, flags...) // the control machine is down
+			require.Contains(t, again.dial().roundTrip(queryRequest("by-the-file")), " 200 ")
+			again.waitForLog("serving by the file of the start")
 		})
 	}
 }
 
-// The address of discovery that was told last wins, whether by a revision or by the file on SIGHUP.
-func TestTheLastAddressOfDiscoveryWins(t *testing.T) {
+// The latest address of discovery is used, whether it is set by a revision or by the file on SIGHUP.
+func TestDiscoveryFollowsLatestAddress(t *testing.T) {
 	t.Parallel()
 	m := newControlMachine(t)
-	o := operateWith(t, m.flags(t))
-	o.logs("connected to a control machine")
-	first := o.listener("discovery").Addr().String()
+	b := startServingBroker(t, m.flags(t)...)
+	b.waitForLog("connected to a control machine")
+	first := b.listener("discovery").Addr().String()
 	var places []net.Listener
 	for range 2 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -200,52 +200,39 @@
 		places = append(places, l)
 	}
 	called := func(l net.Listener) {
-		require.NoError(t, l.(*net.TCPListener).SetDeadline(time.Now().Add(patience)))
+		require.NoError(t, l.(*net.TCPListener).SetDeadline(time.Now().Add(waitTimeout)))
 		c, err := l.Accept()
 		require.NoError(t, err)
 		c.Close()
 	}
-	start := o.documentOf()
+	start := b.documentOf()
 	second, third := places[0].Addr().String(), places[1].Addr().String()
 	m.publish(t, strings.Replace(start, first, second, 1))
 	called(places[0])
-	o.logs("discovery address changed", first, second, "revision")
+	b.waitForLog("discovery address changed", first, second, "revision")
 
-	text, err := os.ReadFile(o.config)
+	text, err := os.ReadFile(b.configPath)
 	require.NoError(t, err)
-	require.NoError(t, os.WriteFile(o.config, []byte(strings.Replace(string(text), first, third, 1)), 0o600))
-	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP))
+	require.NoError(t, os.WriteFile(b.configPath, []byte(strings.Replace(string(text), first, third, 1)), 0o600))
+	require.NoError(t, b.cmd.Process.Signal(syscall.SIGHUP))
 	called(places[1])
-	o.logs("discovery address changed", second, third, "file")
-	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP)) // unchanged: it says nothing of discovery
+	b.waitForLog("discovery address changed", second, third, "file")
+	require.NoError(t, b.cmd.Process.Signal(syscall.SIGHUP)) // the file has the same address as before
 	m.publish(t, strings.Replace(start, first, second, 1)+" ")
-	o.logs("discovery address changed", third, second, "revision")
-	require.NoError(t, o.cmd.Process.Signal(syscall.SIGHUP))
+	b.waitForLog("discovery address changed", third, second, "revision")
+	require.NoError(t, b.cmd.Process.Signal(syscall.SIGHUP))
 	require.Eventually(t, func() bool {
-		return strings.Count(o.log.String(), "configuration reloaded") == 3
-	}, patience, 20*time.Millisecond)
-	require.Equal(t, 3, strings.Count(o.log.String(), "discovery address changed"), "%s", &o.log)
+		return strings.Count(b.log.String(), "configuration reloaded") == 3
+	}, waitTimeout, 20*time.Millisecond)
+	require.Equal(t, 3, strings.Count(b.log.String(), "discovery address changed"), "%s", &b.log)
 }
 
-func TestABadConfigurationFileIsRefusedByKey(t *testing.T) {
+func TestConfigurationFileRejectedByKey(t *testing.T) {
 	t.Parallel()
-	for text, want := range map[string]string{
+	requireFileRejected(t, "-configuration", map[string]string{
 		"": "configuration.control: 0 entries not allowed, want 1 to 8 entries",
 		"speed = 1\n[[control]]\naddress = \"127.0.0.1:1\"":    "configuration.speed: unknown key not allowed, want one of name, zone, region, control",
 		"[[control]]\naddress = \"x\"":                         "configuration.control[0].address: ",
 		"[[control]]\naddress = \"127.0.0.1:1\"\nweight = 2\n": "configuration.control.weight: unknown key not allowed, want one of address, zone, region",
-	} {
-		p := newPlayer(t)
-		p.config = filepath.Join(t.TempDir(), "config.json")
-		config := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":%s}`,
-			fmt.Sprintf(profile, 15., 400))
-		require.NoError(t, os.WriteFile(p.config, []byte(config), 0o600))
-		path := filepath.Join(t.TempDir(), "configuration.toml")
-		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
-		cmd := exec.Command(program, "-configuration", path)
-		cmd.Env = append(os.Environ(), "PROXY_CONFIG="+p.config)
-		out, err := cmd.CombinedOutput()
-		require.Error(t, err)
-		require.Contains(t, string(out), want)
-	}
+	})
 }
--- /dev/null
+++ b/cmd/mothrouter/outage_test.go
@@ -0,0 +1,120 @@
+package main_test
+
+import (
+	"bufio"
+	"fmt"
+	"net"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// Idle clients use up the descriptors while discovery is down. Once it is back, the broker connects to it, applies its
+// update, and serves a query by the record server that the update adds.
+func TestDiscoveryReconnectsWhileIdleClientsFillDescriptors(t *testing.T) {
+	t.Parallel()
+	p := newPlayer(t)
+	down := p.listener("discovery")
+	addr := down.Addr().String()
+	require.NoError(t, down.Close())
+	p.start([]string{"s0"}, 100, 64, 15)
+	for i := range 100 { // more than the process has descriptors; the loop below replaces those that it closes
+		p.conn(fmt.Sprintf("idle%d", i))
+	}
+	stop := make(chan struct{})
+	var dialers sync.WaitGroup
+	dialers.Go(func() {
+		for {
+			select {
+			case <-stop:
+				return
+			case <-time.After(5 * time.Millisecond):
+			}
+			if c, err := net.Dial("tcp", p.listen); err == nil {
+				defer c.Close()
+			}
+		}
+	})
+	defer dialers.Wait()
+	defer close(stop)
+	time.Sleep(300 * time.Millisecond)
+	restoredAt := time.Now()
+	l, err := net.Listen("tcp", addr)
+	require.NoError(t, err)
+	p.listeners["discovery"] = l
+	p.conn("discovery")
+	require.Less(t, time.Since(restoredAt), 6*time.Second)
+	p.play("discovery gets", "GET /discovery/hosts?follow=1&since=41 HTTP/1.1\nHost: ~")
+	p.play("discovery sends", "HTTP/1.1 200 OK\nTransfer-Encoding: chunked")
+	p.play("discovery sends", `~line {"version":42,"full":true,"servers":[`+p.endpointEntry("s1", "active")+`]}`)
+	go newAttemptLedger(t).serveFrames(p.listener("s1"))
+	require.Eventually(t, func() bool {
+		c, err := net.Dial("tcp", p.listen)
+		if err != nil {
+			return false
+		}
+		defer c.Close()
+		client := &clientConn{c, bufio.NewReader(c)}
+		answer := client.roundTrip(queryRequest(fmt.Sprint("q", time.Now().UnixNano())))
+		return strings.HasPrefix(answer, "HTTP/1.1 200 OK")
+	}, waitTimeout, 10*time.Millisecond)
+}
+
+// Nine in ten processes are ready within 10 s of a restart after SIGKILL, while discovery is down and clients flood them
+// with invalid requests.
+func TestRestartReadyWithinLimit(t *testing.T) {
+	t.Parallel()
+	const processes = 10
+	ready := make(chan time.Duration, processes)
+	for range processes {
+		t.Run("", func(t *testing.T) {
+			p := newPlayer(t)
+			require.NoError(t, p.listener("discovery").Close())
+			p.start([]string{"s0"}, 100, 128, 15)
+			require.NoError(t, p.cmd.Process.Kill())
+			p.cmd.Wait()
+			stopFlood := startFlood(p.listen)
+			began := time.Now()
+			p.start([]string{"s0"}, 100, 128, 15)
+			stopFlood()
+			ready <- time.Since(began)
+		})
+	}
+	inTime := 0
+	for range processes {
+		if d := <-ready; d < 10*time.Second {
+			inTime++
+		}
+	}
+	require.GreaterOrEqual(t, inTime, processes*9/10)
+}
+
+// startFlood starts clients that send invalid requests until stop is called.
+func startFlood(address string) (stop func()) {
+	stopped := make(chan struct{})
+	var clients sync.WaitGroup
+	for range 8 {
+		clients.Go(func() {
+			for {
+				select {
+				case <-stopped:
+					return
+				default:
+				}
+				if c, err := net.Dial("tcp", address); err == nil {
+					c.Write(make([]byte, 64<<10))
+					c.Close()
+				} else {
+					time.Sleep(time.Millisecond)
+				}
+			}
+		})
+	}
+	return func() {
+		close(stopped)
+		clients.Wait()
+	}
+}
--- a/cmd/mothrouter/process.go
+++ b/cmd/mothrouter/process.go
@@ -24,11 +24,11 @@
 	"mothrouter/internal/transport/front"
 )
 
-const (
-	memoryFraction = 0.7 // of the limit, for the Go heap
-)
+// memoryFraction is the part of the process's memory limit that the Go runtime may use. The rest is for stacks of
+// cgo, socket buffers and the program itself.
+const memoryFraction = 0.7
 
-// core is one loop, or several.
+// core is the broker's core: a single loop (broker.Broker), or several (cores.Group).
 type core interface {
 	front.Core
 	Run(context.Context)
@@ -41,45 +41,45 @@
 	LongestDeadline() time.Duration
 }
 
-// process is a broker's process: what it was told, and its running parts as they are put together.
+// process is a broker's process: its configuration and, once assembled, its running components.
 type process struct {
-	files   files
-	started time.Time
-	cfg     *config.Config // of the start
-	workers int
-	flight  *config.Flight // nil: Arrow Flight is off
-	log     *slog.Logger
-	hup     chan os.Signal // SIGHUP
-	term    chan os.Signal // SIGTERM and interrupts
-	ctx     context.Context
+	files         operatorFiles
+	started       time.Time
+	startConfig   *config.Config // as read at the start; a reload does not change it
+	workers       int            // loops; 1 without -cores
+	flightConfig  *config.Flight // nil: Arrow Flight is off
+	log           *slog.Logger
+	reloadSignals chan os.Signal // SIGHUP
+	stopSignals   chan os.Signal // SIGTERM and interrupts
+	ctx           context.Context
 
-	parts     *assembly.Assembly
-	fleetSize int // brokers that share discovery and control, by the settings
-	backoff   *backoff.Backoff
-	metrics   *metrics.Counters
-	core      core
-	died      <-chan struct{} // closed when a worker has died; nil, which never speaks, with one loop
-	watcher   *discovery.Watcher
-	followed  *followed
-	revisions *configfollower.Client // nil: no control machine changes the configuration
+	components      *assembly.Assembly
+	fleetSize       int // brokers that share discovery and control, by the settings
+	backoff         *backoff.Backoff
+	metrics         *metrics.Counters
+	core            core
+	workerFailed    <-chan struct{} // closed when a worker has failed; nil with one loop
+	watcher         *discovery.Watcher
+	discoverySwitch *discoverySwitch
+	configFollower  *configfollower.Client // nil: control machines do not change the configuration
 
-	listener net.Listener
-	clients  *front.Front
-	flights  *flight.Front // nil: Arrow Flight is off
-	served   chan error    // of each front that has ended
+	listener    net.Listener
+	clientFront *front.Front
+	flightFront *flight.Front // nil: Arrow Flight is off
+	frontEnded  chan error    // receives the result of each front that has ended; room for all three
 }
 
-// run is the process, from its start to its end.
-func run(getenv func(string) string, files files) error {
-	p := &process{files: files, started: time.Now(), parts: &assembly.Assembly{}, served: make(chan error, 3)}
+// run runs a broker's process until it is stopped, a front fails or a worker fails.
+func run(getenv func(string) string, files operatorFiles) error {
+	p := &process{files: files, started: time.Now(), components: &assembly.Assembly{}, frontEnded: make(chan error, 3)}
 	p.handleSignals()
-	if err := p.load(getenv); err != nil {
+	if err := p.readConfig(getenv); err != nil {
 		return err
 	}
 	var cancel context.CancelFunc
 	p.ctx, cancel = context.WithCancel(context.Background())
 	defer cancel()
-	defer p.parts.End()
+	defer p.components.End()
 	if err := p.assemble(); err != nil {
 		return err
 	}
@@ -87,63 +87,65 @@
 	if err := p.serve(); err != nil {
 		return err
 	}
-	why, err := p.wait()
+	cause, err := p.wait()
 	if err != nil {
 		return err
 	}
-	if err := p.end(); err != nil {
+	if err := p.shutDown(); err != nil {
 		return err
 	}
 	cancel()
-	return why
+	return cause
 }
 
-// handleSignals comes before all else: a broker must not end because it was told of a new file.
+// handleSignals registers SIGHUP first of all: its default action would end a process that is still starting.
 func (p *process) handleSignals() {
-	p.hup = make(chan os.Signal, 1)
-	signal.Notify(p.hup, syscall.SIGHUP)
-	p.term = make(chan os.Signal, 1)
+	p.reloadSignals = make(chan os.Signal, 1)
+	signal.Notify(p.reloadSignals, syscall.SIGHUP)
+	p.stopSignals = make(chan os.Signal, 1)
 }
 
-// load reads the configuration and the operator files that shape the process, and bounds it by them.
-func (p *process) load(getenv func(string) string) (err error) {
-	if p.cfg, err = config.Load(getenv); err != nil {
+// readConfig reads the configuration and the operator files for cores and Flight, and sets the runtime's limits.
+func (p *process) readConfig(getenv func(string) string) error {
+	var err error
+	if p.startConfig, err = config.Load(getenv); err != nil {
 		return err
 	}
 	p.workers = 1
 	if p.files.cores != "" {
-		if p.workers, err = config.LoadCores(p.files.cores, p.cfg); err != nil {
+		if p.workers, err = config.LoadCores(p.files.cores, p.startConfig); err != nil {
 			return err
 		}
 	}
-	runtime.GOMAXPROCS(min(p.workers, runtime.NumCPU())) // a broker on the platform has one core
-	debug.SetMemoryLimit(int64(memoryFraction * float64(p.cfg.MemoryMB<<20)))
-	p.log = slog.New(slog.NewTextHandler(os.Stderr, nil)).With("broker", p.cfg.Name)
-	p.parts.Log = p.log
-	signal.Notify(p.term, syscall.SIGTERM, os.Interrupt)
+	runtime.GOMAXPROCS(min(p.workers, runtime.NumCPU())) // without -cores, the platform gives a broker one core
+	debug.SetMemoryLimit(int64(memoryFraction * float64(p.startConfig.MemoryMB<<20)))
+	p.log = slog.New(slog.NewTextHandler(os.Stderr, nil)).With("broker", p.startConfig.Name)
+	p.components.Log = p.log
+	signal.Notify(p.stopSignals, syscall.SIGTERM, os.Interrupt)
 	if p.files.flight != "" {
-		p.flight, err = config.LoadFlight(p.files.flight, p.cfg)
+		p.flightConfig, err = config.LoadFlight(p.files.flight, p.startConfig)
 	}
 	return err
 }
 
-// start starts the loops and what runs beside them.
+// start starts the core, the components, the endpoint watch and the handling of SIGHUP.
 func (p *process) start() {
 	go p.core.Run(p.ctx)
-	p.core.Update(p.cfg.CachedEndpoints)
-	p.parts.Start()
+	p.core.Update(p.startConfig.CachedEndpoints)
+	p.components.Start()
 	go p.watcher.Run(p.ctx)
-	go reload(p.hup, p.cfg, p.followed, p.log)
+	go reload(p.reloadSignals, p.startConfig, p.discoverySwitch, p.log)
 }
 
-// wait waits until the process has to end. The error ends it at once; why is told after an end in order.
-func (p *process) wait() (why, err error) {
+// wait waits until the process has to stop. With err it stops at once; otherwise it shuts down gracefully and then
+// returns cause, which is nil after a signal.
+func (p *process) wait() (cause, err error) {
 	select {
-	case err := <-p.served:
+	case err := <-p.frontEnded:
 		return nil, err
-	case <-p.term:
+	case <-p.stopSignals:
 		return nil, nil
-	case <-p.died:
+	case <-p.workerFailed:
 		return errors.New("a worker has died; what the others held was answered"), nil
 	}
 }
--- /dev/null
+++ b/cmd/mothrouter/serving_broker_test.go
@@ -0,0 +1,110 @@
+package main_test
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+)
+
+// servingBroker is a running program with a control address, a discovery service without updates and one record server
+// that answers.
+type servingBroker struct {
+	*exchangePlayer
+	control string // address for operators
+}
+
+// startServingBroker starts a broker with operator flags and waits until it is healthy.
+func startServingBroker(t *testing.T, flags ...string) *servingBroker {
+	return startServingBrokerWith(t, brokerOptions{flags: flags})
+}
+
+// startServingBrokerWith starts a broker with the options' flags, environment, inherited files and, unless it is "",
+// address for clients.
+func startServingBrokerWith(t *testing.T, options brokerOptions) *servingBroker {
+	b := &servingBroker{exchangePlayer: newPlayer(t), control: unusedAddress(t)}
+	go serveIdleDiscovery(b.listener("discovery"))
+	go newAttemptLedger(t).serveFrames(b.listener("s1"))
+	if options.listen == "" {
+		options.listen = unusedAddress(t)
+	}
+	options.discovery, options.control = b.listener("discovery").Addr().String(), b.control
+	options.servers = []string{b.endpointEntry("s1", "active")}
+	options.openCap, options.sockets, options.idle = defaultOpenCap, 256, defaultIdle
+	b.run(options)
+	healthy := func() bool { return strings.HasPrefix(b.callControl("HEALTH"), "ACK") }
+	require.Eventually(t, healthy, waitTimeout, 20*time.Millisecond)
+	return b
+}
+
+// serveIdleDiscovery answers watches of the endpoint list with a heartbeat and no update.
+func serveIdleDiscovery(l net.Listener) {
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return
+		}
+		fmt.Fprint(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n")
+	}
+}
+
+// callControl makes one call at the control address and returns the reply, or "" if it cannot connect.
+func (b *servingBroker) callControl(call string) string {
+	c, err := net.Dial("tcp", b.control)
+	if err != nil {
+		return ""
+	}
+	defer c.Close()
+	fmt.Fprintf(c, "%s\n", call)
+	c.SetDeadline(time.Now().Add(time.Second))
+	reply, _ := io.ReadAll(c)
+	return string(reply)
+}
+
+// clientConn is a client's connection with its reader.
+type clientConn struct {
+	net.Conn
+	in *bufio.Reader
+}
+
+// dial connects a client, whose connection is closed when the test ends.
+func (b *servingBroker) dial() *clientConn {
+	c, err := net.Dial("tcp", b.listen)
+	require.NoError(b.t, err)
+	b.t.Cleanup(func() { c.Close() })
+	return &clientConn{c, bufio.NewReader(c)}
+}
+
+// roundTrip sends one request and returns the head of its answer as far as it was received.
+func (c *clientConn) roundTrip(head string) string {
+	if _, err := fmt.Fprint(c, head); err != nil {
+		return ""
+	}
+	c.SetReadDeadline(time.Now().Add(waitTimeout))
+	var answer strings.Builder
+	length := 0
+	for {
+		line, err := c.in.ReadString('\n')
+		if err != nil {
+			return answer.String()
+		}
+		fmt.Sscanf(line, "Content-Length: %d", &length)
+		if answer.WriteString(line); line == "\r\n" {
+			io.CopyN(io.Discard, c.in, int64(length))
+			return answer.String()
+		}
+	}
+}
+
+const readinessRequest = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
+
+func queryRequest(id string) string {
+	body := `{"targets":[{"partition":1,"share":1}],"query":"x"}`
+	return fmt.Sprintf("POST /usage-lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: usage-lookup\r\nX-Deadline: 2000m\r\nContent-Length: %d\r\n\r\n%s",
+		id, len(body), body)
+}
--- /dev/null
+++ b/internal/harness/processtest/fleet.go
@@ -0,0 +1,134 @@
+// Package processtest runs a fleet of broker processes on loopback, with a UDP proxy between each directed pair of them.
+// The proxy loses, duplicates, delays, reorders and cuts membership datagrams by a seeded generator. Tests pause, kill and
+// restart the processes and read from their logs how each sees the fleet. No production code imports it.
+package processtest
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/netip"
+	"sync"
+	"time"
+)
+
+// Options configure a fleet.
+type Options struct {
+	Program string // path of the built program
+	Folder  string // for configuration files
+	Brokers int
+	Seed    uint64 // of the faults and, modulo 256, of the addresses: fleets that run side by side need different ones
+	// Config returns the text of a broker's configuration file, with its name and the addresses it listens at.
+	Config func(name, listen, control string) string
+	Flags  []string // more flags, the same for all brokers
+}
+
+// Faults are what happens to the datagrams of one directed pair of brokers.
+type Faults struct {
+	LossRatio      float64       // fraction of datagrams that are lost
+	DuplicateRatio float64       // fraction that is delivered twice
+	MaxDelay       time.Duration // each is delayed by a uniform time up to this, so that they overtake each other
+	Cut            bool          // all are lost
+}
+
+// Fleet is a set of brokers and the proxies between them. Its methods are safe for concurrent use.
+type Fleet struct {
+	Brokers []*Broker
+	options Options
+
+	mu            sync.Mutex // guards what follows
+	rng           *rand.Rand
+	faults        map[direction]Faults
+	defaultFaults Faults // of pairs without faults of their own
+	closed        bool
+	deliveries    sync.WaitGroup // delayed datagrams
+}
+
+// direction is a directed pair of brokers, by index.
+type direction struct{ from, to int }
+
+const (
+	fleetName = "processtest"
+	seedCount = 3 // brokers whose addresses all others are configured with
+
+	clientPort     = "8080"
+	controlPort    = "8081"
+	membershipPort = "7946"
+)
+
+// New starts a fleet. The caller has to close it.
+func New(options Options) (*Fleet, error) {
+	f := &Fleet{
+		options: options, rng: rand.New(rand.NewPCG(options.Seed, 0x9b05688c2b3e6c1f)), faults: map[direction]Faults{},
+	}
+	for i := range options.Brokers {
+		b, err := f.newBroker(i)
+		if err != nil {
+			f.Close()
+			return nil, err
+		}
+		f.Brokers = append(f.Brokers, b)
+	}
+	for _, b := range f.Brokers {
+		go b.relay()
+	}
+	for _, b := range f.Brokers {
+		if err := b.Start(); err != nil {
+			f.Close()
+			return nil, err
+		}
+	}
+	return f, nil
+}
+
+// newBroker returns a broker whose proxy listens, and whose process is not started.
+func (f *Fleet) newBroker(index int) (*Broker, error) {
+	host := fmt.Sprintf("127.77.%d.%d", f.options.Seed%256, index+1)
+	proxyHost := fmt.Sprintf("127.78.%d.%d", f.options.Seed%256, index+1)
+	b := &Broker{
+		Index: index, Name: fmt.Sprint("n", index), Listen: host + ":" + clientPort, Control: host + ":" + controlPort,
+		fleet:        f,
+		address:      netip.MustParseAddrPort(host + ":" + membershipPort),
+		proxyAddress: netip.MustParseAddrPort(proxyHost + ":" + membershipPort),
+	}
+	b.OnLine = b.readLine
+	var err error
+	b.proxy, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(b.proxyAddress))
+	return b, err
+}
+
+// Close kills all processes and closes the proxies.
+func (f *Fleet) Close() {
+	for _, b := range f.Brokers {
+		b.Kill()
+	}
+	f.mu.Lock()
+	f.closed = true
+	f.mu.Unlock()
+	f.deliveries.Wait()
+	for _, b := range f.Brokers {
+		b.proxy.Close()
+	}
+}
+
+// SetFaults sets the faults of datagrams from one broker to another.
+func (f *Fleet) SetFaults(from, to int, faults Faults) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.faults[direction{from, to}] = faults
+}
+
+// SetAllFaults sets the faults between all brokers. It replaces those of SetFaults.
+func (f *Fleet) SetAllFaults(faults Faults) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.defaultFaults = faults
+	clear(f.faults)
+}
+
+// ResetRemoved empties what Removed returns for each broker.
+func (f *Fleet) ResetRemoved() {
+	for _, b := range f.Brokers {
+		b.resetRemoved()
+	}
+}
--- /dev/null
+++ b/internal/harness/processtest/fleet_test.go
@@ -0,0 +1,184 @@
+package processtest_test
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"mothrouter/internal/harness/processtest"
+)
+
+var program string
+
+func TestMain(m *testing.M) {
+	dir, err := os.MkdirTemp("", "processtest")
+	if err != nil {
+		panic(err)
+	}
+	program = filepath.Join(dir, "mothrouter")
+	if out, err := exec.Command("go", "build", "-o", program, "mothrouter/cmd/mothrouter").CombinedOutput(); err != nil {
+		panic(string(out))
+	}
+	code := m.Run()
+	os.RemoveAll(dir)
+	os.Exit(code)
+}
+
+func config(name, listen, control string) string {
+	return fmt.Sprintf(`{"name":%q,"listen":%q,"control":%q,"discovery":"127.0.0.1:1","seed":"7","limits":{"memory_mb":64,"sockets":256},
+		"known":{"version":1,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:2","cell":0,"state":"active"}]},
+		"settings":{"peersTotal":3,"classes":[{"name":"c","deadlineS":2,"objectiveS":1,"semantics":"free"}],
+		"familyInfo":{"cells":1,"slabs":1},"caps":{"openCap":50}}}`, name, listen, control)
+}
+
+const fleetSize = 6
+
+// startFleet starts a fleet and waits until each broker sees all others.
+func startFleet(t *testing.T, seed uint64) *processtest.Fleet {
+	t.Parallel()
+	f, err := processtest.New(processtest.Options{Program: program, Folder: t.TempDir(), Brokers: fleetSize, Seed: seed, Config: config})
+	require.NoError(t, err)
+	t.Cleanup(func() {
+		f.Close()
+		if t.Failed() {
+			for _, b := range f.Brokers {
+				t.Logf("%s:\n%s", b.Name, b.Log())
+			}
+		}
+	})
+	waitForAlive(t, f, 20*time.Second, seenByAll)
+	f.ResetRemoved()
+	return f
+}
+
+// seenByAll expects each broker to see all others.
+func seenByAll(*processtest.Broker) int { return fleetSize }
+
+// seenWithout expects all brokers but one to see a fleet without that one.
+func seenWithout(index int) func(*processtest.Broker) int {
+	return func(b *processtest.Broker) int {
+		if b.Index == index {
+			return 0
+		}
+		return fleetSize - 1
+	}
+}
+
+// waitForAlive waits until each broker sees the wanted number of brokers alive, and returns how long that took. A broker
+// for which want returns 0 may see any number.
+func waitForAlive(t *testing.T, f *processtest.Fleet, within time.Duration, want func(*processtest.Broker) int) time.Duration {
+	t.Helper()
+	began := time.Now()
+	require.Eventually(t, func() bool {
+		for _, b := range f.Brokers {
+			if n := want(b); n > 0 && b.View().Alive != n {
+				return false
+			}
+		}
+		return true
+	}, within, 20*time.Millisecond)
+	return time.Since(began)
+}
+
+// requireNoneRemoved checks that brokers have marked none as lost but those named.
+func requireNoneRemoved(t *testing.T, f *processtest.Fleet, except ...string) {
+	t.Helper()
+	for _, b := range f.Brokers {
+		for _, name := range b.Removed() {
+			require.Contains(t, except, name, "%s marked it as lost", b.Name)
+		}
+	}
+}
+
+func TestKilledBrokerIsRemovedAndRejoins(t *testing.T) {
+	f := startFleet(t, 1)
+	f.Brokers[4].Kill()
+	took := waitForAlive(t, f, 8*time.Second, seenWithout(4))
+	t.Logf("known to all after %v", took)
+	require.Less(t, took, 6*time.Second) // 5 s, and 1 s for a busy machine
+	require.NoError(t, f.Brokers[4].Start())
+	waitForAlive(t, f, 10*time.Second, seenByAll)
+	requireNoneRemoved(t, f, "n4")
+	f.Brokers[5].Terminate() // it announces that it leaves
+	took = waitForAlive(t, f, 8*time.Second, seenWithout(5))
+	require.Less(t, took, 2*time.Second)
+}
+
+func TestFaultyNetworkAndShortPausesRemoveNoBroker(t *testing.T) {
+	f := startFleet(t, 2)
+	f.SetAllFaults(processtest.Faults{LossRatio: 0.2, DuplicateRatio: 0.2, MaxDelay: 60 * time.Millisecond})
+	sent := f.Brokers[0].SentBytes()
+	began := time.Now()
+	for i := range 3 {
+		b := f.Brokers[i+1]
+		b.Pause()
+		time.Sleep(3 * time.Second)
+		b.Continue()
+		time.Sleep(time.Second)
+	}
+	requireNoneRemoved(t, f)
+	require.Less(t, float64(f.Brokers[0].SentBytes()-sent)/time.Since(began).Seconds(), 4000.)
+}
+
+func TestLongPauseRemovesBrokerUntilItContinues(t *testing.T) {
+	f := startFleet(t, 3)
+	f.Brokers[2].Pause()
+	waitForAlive(t, f, 8*time.Second, seenWithout(2))
+	time.Sleep(2 * time.Second)
+	f.Brokers[2].Continue()
+	took := waitForAlive(t, f, 6*time.Second, seenByAll)
+	require.Less(t, took, 4*time.Second)
+	requireNoneRemoved(t, f, "n2")
+	require.Empty(t, f.Brokers[2].Removed(), "a broker that continues removes none")
+}
+
+func TestPartitionFencesMinorityAndCutPairRemovesNoBroker(t *testing.T) {
+	const minority = 2 // brokers that are cut off from the others
+	f := startFleet(t, 4)
+	cut := processtest.Faults{Cut: true}
+	f.SetFaults(0, 1, cut)
+	f.SetFaults(3, 2, cut)
+	f.SetFaults(2, 3, cut)
+	time.Sleep(6 * time.Second)
+	requireNoneRemoved(t, f)
+	f.SetAllFaults(processtest.Faults{})
+	for i := range minority {
+		for j := minority; j < fleetSize; j++ {
+			f.SetFaults(i, j, cut)
+			f.SetFaults(j, i, cut)
+		}
+	}
+	waitForAlive(t, f, 12*time.Second, func(b *processtest.Broker) int {
+		if b.Index < minority {
+			return minority
+		}
+		return fleetSize - minority
+	})
+	for _, b := range f.Brokers {
+		require.Equal(t, fleetSize, b.View().Sharing, "lost brokers keep their share")
+	}
+	require.Eventually(t, func() bool { return f.Brokers[0].View().Fenced && f.Brokers[1].View().Fenced }, 30*time.Second, 50*time.Millisecond)
+	require.False(t, f.Brokers[3].View().Fenced)
+	f.SetAllFaults(processtest.Faults{})
+	took := waitForAlive(t, f, 8*time.Second, seenByAll)
+	require.Less(t, took, 6*time.Second)
+	require.Eventually(t, func() bool { return !f.Brokers[0].View().Fenced }, 2*time.Second, 20*time.Millisecond)
+}
+
+// Four of six brokers are killed at once and restarted under their names: each counts as one broker, whatever the
+// others still know of the killed processes.
+func TestMajorityRestartsAtOnce(t *testing.T) {
+	f := startFleet(t, 5)
+	for _, b := range f.Brokers[1:5] {
+		b.Kill()
+	}
+	for _, b := range f.Brokers[1:5] {
+		require.NoError(t, b.Start())
+	}
+	waitForAlive(t, f, 15*time.Second, seenByAll)
+}
