--- /dev/null
+++ b/internal/controlplane/operatorclient/errors.go
@@ -0,0 +1,43 @@
+package operatorclient
+
+import (
+	"errors"
+	"fmt"
+)
+
+// RejectedError is the rejection of a publication. The document is in no revision.
+type RejectedError struct {
+	Key    string // of the document at fault; or "document", "expected", "request"
+	Reason string
+}
+
+// Error implements error.
+func (e *RejectedError) Error() string { return fmt.Sprintf("refused by %s: %s", e.Key, e.Reason) }
+
+// UnavailableError is returned if certainly no control machine has accepted a publication. The document is in no
+// revision.
+type UnavailableError struct {
+	Last error // of the last attempt
+}
+
+// Error implements error.
+func (e *UnavailableError) Error() string {
+	return fmt.Sprintf("not taken by any control machine: %v", e.Last)
+}
+
+// Unwrap returns the error of the last attempt.
+func (e *UnavailableError) Unwrap() error { return e.Last }
+
+// UnknownError is returned if a publication may be committed, now or later. It is safe to publish the same document
+// again under the same request id: it becomes one revision.
+type UnknownError struct {
+	Last error // of the last attempt
+}
+
+// Error implements error.
+func (e *UnknownError) Error() string { return e.Last.Error() }
+
+// Unwrap returns the error of the last attempt.
+func (e *UnknownError) Unwrap() error { return e.Last }
+
+var errNoAddress = errors.New("no address of a control machine")
--- a/internal/controlplane/operatorclient/operatorclient_test.go
+++ b/internal/controlplane/operatorclient/operatorclient_test.go
@@ -17,11 +17,11 @@
 	"mothrouter/internal/controlplane/operatorclient"
 )
 
-// machine is a control machine that answers publications by a script, the last answer again and again.
+// machine is a control machine that answers publications by a script, and repeats its last answer.
 type machine struct {
 	configpb.UnimplementedControlServer
 	script   []func() (*configpb.PublishResponse, error)
-	requests []uint64 // that came; one call at a time
+	requests []uint64 // request ids received; calls are not concurrent
 }
 
 func (m *machine) Publish(_ context.Context, r *configpb.PublishRequest) (*configpb.PublishResponse, error) {
--- /dev/null
+++ b/internal/controlplane/operatorclient/publish.go
@@ -0,0 +1,102 @@
+package operatorclient
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"time"
+
+	"google.golang.org/genproto/googleapis/rpc/errdetails"
+	"google.golang.org/grpc/codes"
+	"google.golang.org/grpc/status"
+
+	"mothrouter/internal/controlplane/configpb"
+)
+
+const (
+	// minRetryBackoff and maxRetryBackoff bound the doubling backoff between two rounds over all control machines.
+	minRetryBackoff = 100 * time.Millisecond
+	maxRetryBackoff = time.Second
+)
+
+// Publish publishes a document and returns the number of its revision. It tries the control machines in turn, under
+// the same request id, until the outcome is known or ctx ends. Errors: *RejectedError, *UnavailableError and
+// *UnknownError.
+func Publish(ctx context.Context, addresses []string, request *configpb.PublishRequest) (uint64, error) {
+	if len(addresses) == 0 {
+		return 0, &UnavailableError{errNoAddress}
+	}
+	var lastErr error
+	mayBeCommitted := false // by an attempt with an unknown outcome
+	for backoff := minRetryBackoff; ; backoff = min(2*backoff, maxRetryBackoff) {
+		for _, address := range addresses {
+			if ctx.Err() != nil {
+				return 0, unresolved(mayBeCommitted, lastErr)
+			}
+			number, err := publishTo(ctx, address, request)
+			var rejected *RejectedError
+			if err == nil || errors.As(err, &rejected) {
+				return number, err
+			}
+			var unknown *UnknownError
+			if errors.As(err, &unknown) {
+				mayBeCommitted = true
+			}
+			lastErr = fmt.Errorf("%s: %w", address, err)
+		}
+		select {
+		case <-time.After(backoff):
+		case <-ctx.Done():
+		}
+	}
+}
+
+// unresolved returns the error of a publication whose context has ended.
+func unresolved(mayBeCommitted bool, lastErr error) error {
+	if lastErr == nil {
+		lastErr = context.DeadlineExceeded
+	}
+	if mayBeCommitted {
+		return &UnknownError{lastErr}
+	}
+	return &UnavailableError{lastErr}
+}
+
+// publishTo publishes at one control machine. Errors: *RejectedError and *UnknownError; any other one means that the
+// machine has certainly not accepted the publication.
+func publishTo(ctx context.Context, address string, request *configpb.PublishRequest) (uint64, error) {
+	conn, err := connect(ctx, address)
+	if err != nil {
+		return 0, err
+	}
+	defer conn.Close()
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	defer cancel()
+	response, err := configpb.NewControlClient(conn).Publish(ctx, request)
+	if err != nil {
+		return 0, publishError(err)
+	}
+	return response.GetNumber(), nil
+}
+
+// publishError returns the error of publishTo for a gRPC error.
+func publishError(err error) error {
+	s := status.Convert(err)
+	for _, detail := range s.Details() {
+		switch d := detail.(type) {
+		case *configpb.Refusal:
+			return &RejectedError{Key: d.GetKey(), Reason: d.GetReason()}
+		case *errdetails.ErrorInfo:
+			if d.GetReason() == configpb.NotAppended && d.GetDomain() == configpb.ErrorDomain {
+				return errors.New(s.Message())
+			}
+		}
+	}
+	switch s.Code() {
+	case codes.ResourceExhausted: // the message exceeds the server's limit
+		return &RejectedError{Key: "document", Reason: s.Message()}
+	case codes.Unimplemented: // the server is not a control machine
+		return errors.New(s.Message())
+	}
+	return &UnknownError{errors.New(s.Message())}
+}
