--- a/internal/controlplane/configstatus/configstatus.go
+++ b/internal/controlplane/configstatus/configstatus.go
@@ -24,7 +24,7 @@
 type View struct {
 	Leader       string      `json:"leader"`       // name; "": unknown to the machines that answered
 	Newest       uint64      `json:"newest"`       // highest number at any machine; 0: none
-	ConfirmedMs  int64       `json:"confirmed_ms"` // milliseconds since a quorum last confirmed the leader's newest revision; -1: never
+	ConfirmedMs  int64       `json:"confirmed_ms"` // lowest of the machines' confirmation ages, in milliseconds; -1: never confirmed
 	Machines     []Machine   `json:"machines"`
 	Connected    int         `json:"connected"` // number of brokers
 	Lagging      []Broker    `json:"behind"`    // connected, without Newest in force
