--- a/cmd/mothrouter/state_test.go
+++ b/cmd/mothrouter/state_test.go
@@ -39,7 +39,7 @@
 				flags = append(flags, "-cores", coresFile)
 			}
 			first := startServingBroker(t, flags...)
-			require.Contains(t, first.log.String(), "no saved state, starting blank")
+			first.waitForLog("no saved state, starting blank")
 			for n := range 20 {
 				require.Contains(t, first.dial().roundTrip(queryRequest(fmt.Sprint("s", n))), " 200 ")
 			}
@@ -53,7 +53,7 @@
 			require.Contains(t, out, "broker n1")
 			require.Contains(t, out, "s1 ")
 			second := startServingBroker(t, flags...)
-			require.Contains(t, second.log.String(), "saved state restored")
+			second.waitForLog("saved state restored")
 			require.Contains(t, second.dial().roundTrip(queryRequest("again")), " 200 ")
 			require.NoError(t, second.cmd.Process.Kill())
 			second.cmd.Wait()
