--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -15,13 +15,13 @@
 	"mothrouter/internal/decision"
 )
 
-// script is a Decider that does what the test says, whether or not the rules allow it.
-type script struct {
+// scriptedDecider is a Decider that does what the test says, whether or not the rules allow it.
+type scriptedDecider struct {
 	events  chan decision.Event
 	actions chan []decision.Action
 }
 
-func (s script) Handle(_ float64, events []decision.Event) []decision.Action {
+func (s scriptedDecider) Handle(_ float64, events []decision.Event) []decision.Action {
 	woken := false
 	for _, e := range events {
 		s.events <- e
@@ -47,27 +47,27 @@
 
 func (c client) Finish(r broker.Result) { c <- r }
 
-type rig struct {
+type harness struct {
 	*testing.T
-	script
+	scriptedDecider
 	link
 	b *broker.Broker
 }
 
 const (
-	safe = iota
-	unsafe
+	idempotent = iota
+	nonIdempotent
 	partial
-	keyed
-	twoStep
-	twoStepPartial
+	idempotentWithKey
+	twoPhase
+	twoPhasePartial
 )
 
-func newRig(t *testing.T) *rig { return newRigWith(t, broker.Options{}) }
+func newHarness(t *testing.T) *harness { return newHarnessWith(t, broker.Options{}) }
 
-// newRigWith starts a core with options whose Settings and ConcurrencyLimit are the rig's.
-func newRigWith(t *testing.T, options broker.Options) *rig {
-	r := &rig{T: t, script: script{make(chan decision.Event, 100), make(chan []decision.Action, 10)},
+// newHarnessWith starts a core with options whose Settings and ConcurrencyLimit are the harness's.
+func newHarnessWith(t *testing.T, options broker.Options) *harness {
+	r := &harness{T: t, scriptedDecider: scriptedDecider{make(chan decision.Event, 100), make(chan []decision.Action, 10)},
 		link: link{make(chan *broker.Call, 10), make(chan *broker.Call, 10)}}
 	set := decision.Settings{ReplicaSets: 4, ReplicationFactor: 2, MaxAttempts: 3, RetryAfterSupported: true, MaxRetryAfter: 0.5,
 		ReportMode: decision.ReportPiggyback, Classes: []decision.Class{
@@ -79,7 +79,7 @@
 			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 0.5, SecondPhaseFanout: 2}}}
 	options.Settings = set
 	options.ConcurrencyLimit = 7
-	r.b = broker.New(options, r.script, r.link)
+	r.b = broker.New(options, r.scriptedDecider, r.link)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go r.b.Run(ctx)
@@ -88,7 +88,7 @@
 }
 
 // list tells id, cell and state of servers.
-func (r *rig) list(mode decision.UpdateMode, entries ...any) {
+func (r *harness) list(mode decision.UpdateMode, entries ...any) {
 	l := broker.EndpointUpdate{Mode: mode}
 	for i := 0; i < len(entries); i += 3 {
 		l.Servers = append(l.Servers, broker.Endpoint{Addr: entries[i].(string), Server: decision.Server{
@@ -99,7 +99,7 @@
 }
 
 // event waits for the next event of a kind.
-func event[E decision.Event](r *rig) E {
+func event[E decision.Event](r *harness) E {
 	r.Helper()
 	for limit := time.After(2 * time.Second); ; {
 		select {
@@ -114,7 +114,7 @@
 }
 
 // take hands a query of equal parts at shards 1, 2 ... over and returns the ids of query and first part.
-func (r *rig) take(name string, class, parts int, patience time.Duration) (decision.RequestID, decision.RequestID, client, *broker.Request) {
+func (r *harness) take(name string, class, parts int, patience time.Duration) (decision.RequestID, decision.RequestID, client, *broker.Request) {
 	req := &broker.Request{ID: name, Class: class, ReceivedAt: time.Now(), Timeout: patience, Payload: []byte("x")}
 	for i := range parts {
 		req.Parts = append(req.Parts, broker.Part{Shard: i + 1, Weight: 1 / float64(parts)})
@@ -131,12 +131,12 @@
 }
 
 // do has the Decider act, woken by a list that changes nothing.
-func (r *rig) do(actions ...decision.Action) {
+func (r *harness) do(actions ...decision.Action) {
 	r.actions <- actions
 	r.list(decision.DeltaUpdate)
 }
 
-func (r *rig) send(id decision.RequestID, server string) *broker.Call {
+func (r *harness) send(id decision.RequestID, server string) *broker.Call {
 	r.do(decision.Send{ID: id, Server: server})
 	return <-r.sent
 }
@@ -146,8 +146,8 @@
 }
 
 func TestRulesStopForbiddenSends(t *testing.T) {
-	r := newRig(t)
-	_, part, _, _ := r.take("q", unsafe, 1, time.Second)
+	r := newHarness(t)
+	_, part, _, _ := r.take("q", nonIdempotent, 1, time.Second)
 	stopped := func(server string) {
 		t.Helper()
 		r.do(decision.Send{ID: part, Server: server})
@@ -165,8 +165,8 @@
 		decision.Overloaded: true, decision.Unreachable: true, decision.NotSent: true,
 		decision.Error: false, decision.Reset: false, decision.TimedOut: false,
 	} {
-		r := newRig(t)
-		q, part, c, _ := r.take("q", unsafe, 1, time.Second)
+		r := newHarness(t)
+		q, part, c, _ := r.take("q", nonIdempotent, 1, time.Second)
 		call := r.send(part, "s1")
 		require.True(t, call.TryStart())
 		call.Finish(done(status))
@@ -188,8 +188,8 @@
 }
 
 func TestOneAttemptAtATimeAndNoMoreThanAllowed(t *testing.T) {
-	r := newRig(t)
-	_, part, _, _ := r.take("q", safe, 1, time.Second)
+	r := newHarness(t)
+	_, part, _, _ := r.take("q", idempotent, 1, time.Second)
 	call := r.send(part, "s1")
 	r.do(decision.Send{ID: part, Server: "s2"}) // while one is out
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
@@ -203,8 +203,8 @@
 }
 
 func TestDrainStopsNewAttempts(t *testing.T) {
-	r := newRig(t)
-	_, part, _, _ := r.take("q", safe, 1, time.Second)
+	r := newHarness(t)
+	_, part, _, _ := r.take("q", idempotent, 1, time.Second)
 	waiting := r.send(part, "s1") // no connection yet when the list speaks
 	r.list(decision.DeltaUpdate, "s1", 1, decision.Draining)
 	require.False(t, waiting.TryStart())
@@ -218,8 +218,8 @@
 }
 
 func TestLateResultEndsNothing(t *testing.T) {
-	r := newRig(t)
-	q, part, c, _ := r.take("q", safe, 1, time.Second)
+	r := newHarness(t)
+	q, part, c, _ := r.take("q", idempotent, 1, time.Second)
 	old := r.send(part, "s1")
 	require.True(t, old.TryStart())
 	r.do(decision.Cancel{ID: part, Attempt: 0})
@@ -234,8 +234,8 @@
 }
 
 func TestCallThatNeverStartedCannotHaveRun(t *testing.T) {
-	r := newRig(t)
-	_, part, _, _ := r.take("q", unsafe, 1, time.Second)
+	r := newHarness(t)
+	_, part, _, _ := r.take("q", nonIdempotent, 1, time.Second)
 	r.do(decision.Send{ID: part, Server: "s1", Timeout: 0.02})
 	waiting := <-r.sent
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
@@ -244,7 +244,7 @@
 }
 
 func TestNoAnswerBelowMinCompleteness(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	q, part, c, _ := r.take("q", partial, 2, time.Second)
 	r.send(part, "s1").Finish(done(decision.OK))
 	event[decision.AttemptFinished](r)
@@ -253,7 +253,7 @@
 }
 
 func TestPartialAnswerIsNotMarkedComplete(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	req := &broker.Request{ID: "q", Class: partial, ReceivedAt: time.Now(), Timeout: time.Second,
 		Parts: []broker.Part{{Shard: 1, Weight: 0.85}, {Shard: 2, Weight: 0.15}}}
 	c := make(client, 1)
@@ -266,11 +266,11 @@
 }
 
 func TestEachQueryEndsInTimeAndOnce(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	const timeout, tries = 50 * time.Millisecond, 5 // of which a busy machine may delay some by more than the core's lead
 	var took []time.Duration
 	for n := range tries {
-		q, _, c, req := r.take(fmt.Sprint("q", n), safe, 1, timeout)
+		q, _, c, req := r.take(fmt.Sprint("q", n), idempotent, 1, timeout)
 		require.Equal(t, broker.DeadlineExceeded, (<-c).Outcome) // the Decider has forgotten it
 		took = append(took, time.Since(req.ReceivedAt))
 		event[decision.ClientDisconnected](r)
@@ -281,8 +281,8 @@
 }
 
 func TestConcurrencyLimitAndDuplicateNames(t *testing.T) {
-	r := newRig(t) // 7 queries and parts
-	_, _, first, req := r.take("q", safe, 4, time.Second)
+	r := newHarness(t) // 7 queries and parts
+	_, _, first, req := r.take("q", idempotent, 4, time.Second)
 	more := make(client, 1)
 	r.b.Submit(&broker.Request{ID: "q", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, more)
 	require.Equal(t, broker.Duplicate, (<-more).Outcome)
@@ -290,7 +290,7 @@
 	require.Equal(t, broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}, <-more)
 	r.b.Disconnect(req)
 	event[decision.ClientDisconnected](r)
-	r.take("q", safe, 5, time.Second)
+	r.take("q", idempotent, 5, time.Second)
 	require.Empty(t, first)
 }
 
@@ -315,8 +315,8 @@
 // The client has gone while an attempt waits for its connection. The core itself ends it, whatever the Decider does;
 // and before the loop has heard of it, nothing begins either.
 func TestNoAttemptStartsAfterDisconnect(t *testing.T) {
-	r := newRig(t)
-	_, part, _, req := r.take("q", unsafe, 1, time.Second)
+	r := newHarness(t)
+	_, part, _, req := r.take("q", nonIdempotent, 1, time.Second)
 	waiting := r.send(part, "s1")
 	r.b.Disconnect(req)
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
@@ -324,7 +324,7 @@
 	require.False(t, waiting.TryStart())
 	require.Same(t, waiting, <-r.cancelled)
 
-	_, part, _, req = r.take("q2", safe, 1, time.Second)
+	_, part, _, req = r.take("q2", idempotent, 1, time.Second)
 	req.Disconnected = new(atomic.Bool)
 	waiting = r.send(part, "s1")
 	req.Disconnected.Store(true) // the front knows; the loop is busy
@@ -347,8 +347,8 @@
 
 // Nor for a query that has its answer, where cancels are not allowed.
 func TestNoAttemptStartsAfterTheQueryEnded(t *testing.T) {
-	r := newRig(t)
-	q, part, c, _ := r.take("q", safe, 1, time.Second)
+	r := newHarness(t)
+	q, part, c, _ := r.take("q", idempotent, 1, time.Second)
 	waiting := r.send(part, "s1")
 	r.do(decision.Reject{ID: q, RetryAfter: 0.5})
 	require.Equal(t, broker.Rejected, (<-c).Outcome)
@@ -358,8 +358,8 @@
 
 // Servers drop repeats for a while only. A repeat that has waited for its connection until that is over must not go.
 func TestNoRetryAfterIdempotencyWindow(t *testing.T) {
-	r := newRig(t)
-	_, part, _, _ := r.take("q", keyed, 1, 2*time.Second)
+	r := newHarness(t)
+	_, part, _, _ := r.take("q", idempotentWithKey, 1, 2*time.Second)
 	first := r.send(part, "s1")
 	require.True(t, first.TryStart())
 	first.Finish(done(decision.Reset))
@@ -372,7 +372,7 @@
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 	require.Empty(t, r.sent)
 
-	_, part, _, _ = r.take("q2", keyed, 1, 2*time.Second)
+	_, part, _, _ = r.take("q2", idempotentWithKey, 1, 2*time.Second)
 	r.send(part, "s1").Finish(done(decision.Unreachable)) // cannot have run: no window
 	event[decision.AttemptFinished](r)
 	time.Sleep(220 * time.Millisecond)
@@ -383,19 +383,19 @@
 // are in, refused, or failed.
 func TestShutdownDeadlineAnswersEveryQuery(t *testing.T) {
 	// On a virtual clock: a busy machine is late by more than the test allows.
-	synctest.Test(t, testAllIsAnsweredByTheEnd)
+	synctest.Test(t, testShutdownDeadlineAnswersEveryQuery)
 }
 
-func testAllIsAnsweredByTheEnd(t *testing.T) {
-	r := newRig(t)
+func testShutdownDeadlineAnswersEveryQuery(t *testing.T) {
+	r := newHarness(t)
 	_, part, in, _ := r.take("q", partial, 1, 4*time.Second)
 	r.send(part, "s1").Finish(done(decision.OK))
 	event[decision.AttemptFinished](r)
-	_, part, ran, _ := r.take("q2", unsafe, 1, 4*time.Second)
+	_, part, ran, _ := r.take("q2", nonIdempotent, 1, 4*time.Second)
 	require.True(t, r.send(part, "s1").TryStart())
 	end := time.Now().Add(100 * time.Millisecond)
 	r.b.SetShutdownDeadline(end)
-	q, _, later, _ := r.take("q3", safe, 1, 4*time.Second)
+	q, _, later, _ := r.take("q3", idempotent, 1, 4*time.Second)
 	require.NotZero(t, q)
 	require.Equal(t, broker.Result{Complete: true, Values: []broker.Value{{1, []byte("v")}}}, <-in)
 	require.Equal(t, broker.Result{Outcome: broker.Failed}, <-ran)
@@ -406,17 +406,17 @@
 	require.Equal(t, broker.Rejected, (<-last).Outcome, "at once")
 }
 
-// stuck is a client that holds up the loop until the test lets it go.
-type stuck chan struct{}
+// blockingClient is a client that holds up the loop until the test lets it go.
+type blockingClient chan struct{}
 
-func (s stuck) Finish(broker.Result) { s <- struct{}{}; <-s }
+func (s blockingClient) Finish(broker.Result) { s <- struct{}{}; <-s }
 
 // A loop that is far behind must not delay what a drain forbids: links see it at once.
 func TestUpdateBindsLinksBeforeTheLoop(t *testing.T) {
-	r := newRig(t)
-	_, part, _, req := r.take("q", safe, 1, time.Second)
+	r := newHarness(t)
+	_, part, _, req := r.take("q", idempotent, 1, time.Second)
 	waiting := r.send(part, "s1")
-	loop := make(stuck)
+	loop := make(blockingClient)
 	r.b.Submit(req, loop) // a second of its name
 	<-loop
 	go r.b.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Servers: []broker.Endpoint{{Addr: "s1",
@@ -429,9 +429,9 @@
 
 // A probe that has waited for a connection is asked again like a call.
 func TestNoHealthCheckOfADrainingServer(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	probes := make(chan *broker.HealthCheck, 1)
-	r.b = broker.New(broker.Options{Settings: decision.Settings{ReplicaSets: 4, ReplicationFactor: 2}}, r.script, keeps{r.link, probes})
+	r.b = broker.New(broker.Options{Settings: decision.Settings{ReplicaSets: 4, ReplicationFactor: 2}}, r.scriptedDecider, keeps{r.link, probes})
 	go r.b.Run(t.Context())
 	r.list(decision.FullUpdate, "s0", 0, decision.Ready, "s1", 1, decision.Ready)
 	r.do(decision.CheckHealth{Server: "s0"}, decision.CheckHealth{Server: "s1"})
--- a/internal/broker/configure_test.go
+++ b/internal/broker/configure_test.go
@@ -21,7 +21,7 @@
 	newCap      = 3
 )
 
-// classes are a safe class and one with a floor, with a deadline.
+// classes are a idempotent class and one with a floor, with a deadline.
 func classes(deadline float64) []decision.Class {
 	return []decision.Class{
 		{LatencyObjective: deadline / 2, Deadline: deadline, PriorityWeight: 1, CompletenessThreshold: 1, MinCompleteness: 1},
--- a/internal/broker/phase_test.go
+++ b/internal/broker/phase_test.go
@@ -19,7 +19,7 @@
 }
 
 // firstPhase plays the first phase of the query q of so many parts at s1: all come in with scores that fall with their shard.
-func (r *rig) firstPhase(class, parts int) (query decision.RequestID, c client, req *broker.Request) {
+func (r *harness) firstPhase(class, parts int) (query decision.RequestID, c client, req *broker.Request) {
 	query, first, c, req := r.take("q", class, parts, 2*time.Second)
 	r.list(decision.DeltaUpdate, "s1", 1, decision.Ready, "s2", 2, decision.Ready, "s3", 3, decision.Ready, "s0", 0, decision.Ready)
 	for i := range parts {
@@ -32,9 +32,9 @@
 // server holds a shard, of four cells.
 func server(shard int) string { return []string{"s0", "s1", "s2", "s3"}[shard%4] }
 
-// wantStep is the second step by the slow and obvious rule: of the shards that are in, again and again the one with the
+// wantSecondPhase is the second step by the slow and obvious rule: of the shards that are in, again and again the one with the
 // highest score, the lower shard first where scores are equal.
-func wantStep(scores map[int]int64, most int) (chosen []int) {
+func wantSecondPhase(scores map[int]int64, most int) (chosen []int) {
 	for len(chosen) < most && len(chosen) < len(scores) {
 		best := -1
 		for shard, score := range scores {
@@ -51,16 +51,16 @@
 func TestSecondPhaseGoesToTheHighestScores(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		r := newRig(t)
+		r := newHarness(t)
 		r.list(decision.DeltaUpdate, "s3", 3, decision.Ready)
-		class, parts := twoStep, 1+rng.IntN(6)
+		class, parts := twoPhase, 1+rng.IntN(6)
 		if seed%2 == 1 {
-			class = twoStepPartial
+			class = twoPhasePartial
 		}
 		q, first, c, _ := r.take("q", class, parts, 2*time.Second)
 		scores, from, missing := map[int]int64{}, []int(nil), 0
 		for _, i := range rng.Perm(parts) {
-			if class == twoStepPartial && missing < parts/2 && rng.IntN(3) == 0 {
+			if class == twoPhasePartial && missing < parts/2 && rng.IntN(3) == 0 {
 				missing++
 				continue
 			}
@@ -71,7 +71,7 @@
 		}
 		slices.Sort(from)
 		r.do(decision.Respond{ID: q, Complete: true})
-		want := wantStep(scores, 2)
+		want := wantSecondPhase(scores, 2)
 		var second []decision.Part
 		for range want {
 			second = append(second, event[decision.Part](r))
@@ -93,8 +93,8 @@
 }
 
 func TestAnswerWithoutScoreIsAFailedAttempt(t *testing.T) {
-	r := newRig(t)
-	_, part, _, _ := r.take("q", twoStep, 1, time.Second)
+	r := newHarness(t)
+	_, part, _, _ := r.take("q", twoPhase, 1, time.Second)
 	r.send(part, "s1").Finish(done(decision.OK))
 	require.Equal(t, decision.Error, event[decision.AttemptFinished](r).Status)
 	r.send(part, "s2").Finish(scored(1, "v"))
@@ -102,8 +102,8 @@
 }
 
 func TestNoSecondPhaseBelowMinCompleteness(t *testing.T) {
-	for class, want := range map[int]broker.Outcome{twoStep: broker.Failed, twoStepPartial: broker.Failed} {
-		r := newRig(t)
+	for class, want := range map[int]broker.Outcome{twoPhase: broker.Failed, twoPhasePartial: broker.Failed} {
+		r := newHarness(t)
 		q, part, c, _ := r.take("q", class, 3, time.Second)
 		r.send(part, "s1").Finish(scored(1, "v"))
 		event[decision.AttemptFinished](r)
@@ -115,10 +115,10 @@
 // A second step requires all its parts, or the class's floor where there is one; and it is whole only if both are.
 func TestSecondPhaseNeedsEveryPart(t *testing.T) {
 	for class, want := range map[int]broker.Result{
-		twoStep:        {Outcome: broker.Failed},
-		twoStepPartial: {Values: []broker.Value{{Shard: 1, Data: []byte("second")}}},
+		twoPhase:        {Outcome: broker.Failed},
+		twoPhasePartial: {Values: []broker.Value{{Shard: 1, Data: []byte("second")}}},
 	} {
-		r := newRig(t)
+		r := newHarness(t)
 		q, c, _ := r.firstPhase(class, 3)
 		r.do(decision.Respond{ID: q, Complete: true})
 		r.send(event[decision.Part](r).ID, "s1").Finish(scored(0, "second")) // one of two
@@ -129,8 +129,8 @@
 }
 
 func TestDisconnectBetweenPhases(t *testing.T) {
-	r := newRig(t)
-	q, c, req := r.firstPhase(twoStep, 3)
+	r := newHarness(t)
+	q, c, req := r.firstPhase(twoPhase, 3)
 	r.do(decision.Respond{ID: q, Complete: true})
 	second, other := event[decision.Part](r).ID, event[decision.Part](r).ID
 	waiting := r.send(second, "s1")
@@ -141,12 +141,12 @@
 	r.do(decision.Send{ID: other, Server: "s2"}, decision.Respond{ID: q, Complete: true})
 	require.Empty(t, r.sent)
 	require.Empty(t, c)
-	r.take("q", twoStep, 6, time.Second) // its name and all its room are free again
+	r.take("q", twoPhase, 6, time.Second) // its name and all its room are free again
 }
 
 func TestDrainBetweenPhases(t *testing.T) {
-	r := newRig(t)
-	q, _, _ := r.firstPhase(twoStep, 3)
+	r := newHarness(t)
+	q, _, _ := r.firstPhase(twoPhase, 3)
 	r.do(decision.Respond{ID: q, Complete: true})
 	second := event[decision.Part](r).ID
 	waiting := r.send(second, "s1")
@@ -164,8 +164,8 @@
 func TestShutdownBetweenPhases(t *testing.T) {
 	refused := broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}
 	for _, in := range []int{0, 1, 2} {
-		r := newRig(t)
-		q, c, _ := r.firstPhase(twoStep, 3)
+		r := newHarness(t)
+		q, c, _ := r.firstPhase(twoPhase, 3)
 		r.do(decision.Respond{ID: q, Complete: true})
 		second := []decision.Part{event[decision.Part](r), event[decision.Part](r)}
 		var values []broker.Value
@@ -181,8 +181,8 @@
 		}
 		require.Equal(t, want, <-c)
 	}
-	r := newRig(t)
-	_, c, _ := r.firstPhase(twoStep, 3) // all of the first step is in, the second has not begun
+	r := newHarness(t)
+	_, c, _ := r.firstPhase(twoPhase, 3) // all of the first step is in, the second has not begun
 	r.b.SetShutdownDeadline(time.Now().Add(50 * time.Millisecond))
 	require.Equal(t, refused, <-c)
 }
@@ -190,8 +190,8 @@
 // The first step's attempts that are still out end with it: a late answer is nobody's, and one that has not begun does
 // not begin.
 func TestSecondPhaseEndsTheFirst(t *testing.T) {
-	r := newRig(t)
-	q, first, c, _ := r.take("q", twoStepPartial, 4, 2*time.Second)
+	r := newHarness(t)
+	q, first, c, _ := r.take("q", twoPhasePartial, 4, 2*time.Second)
 	r.list(decision.DeltaUpdate, "s3", 3, decision.Ready)
 	for i := range 2 {
 		r.send(first+decision.RequestID(i), server(i+1)).Finish(scored(int64(i), "first"))
@@ -222,16 +222,16 @@
 
 // Of 7 queries and parts, a query of six parts holds all, and three once its second step has begun.
 func TestSlotsBetweenPhases(t *testing.T) {
-	r := newRig(t)
-	q, c, _ := r.firstPhase(twoStep, 6)
+	r := newHarness(t)
+	q, c, _ := r.firstPhase(twoPhase, 6)
 	full := make(client, 1)
 	r.b.Submit(&broker.Request{ID: "q2", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, full)
 	require.Equal(t, broker.Rejected, (<-full).Outcome)
 	r.do(decision.Respond{ID: q, Complete: true})
-	r.take("q3", safe, 3, time.Second)
+	r.take("q3", idempotent, 3, time.Second)
 	r.b.Submit(&broker.Request{ID: "q4", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, full)
 	require.Equal(t, broker.Rejected, (<-full).Outcome)
 	r.do(decision.Reject{ID: q})
 	require.Equal(t, broker.Rejected, (<-c).Outcome)
-	r.take("q5", safe, 2, time.Second)
+	r.take("q5", idempotent, 2, time.Second)
 }
--- a/internal/broker/refusal_test.go
+++ b/internal/broker/rejection_test.go
@@ -10,14 +10,14 @@
 	"mothrouter/internal/decision"
 )
 
-// A call's end that the loop has not come to yet counts all the same: an attempt of an unsafe part has begun, so that
+// A call's end that the loop has not come to yet counts all the same: an attempt of an nonIdempotent part has begun, so that
 // its query has failed, whatever that end will say.
 func TestNoRejectionWhileAStartedCallIsUnread(t *testing.T) {
-	r := newRig(t)
-	other := make(stuck)
-	r.b.Submit(&broker.Request{ID: "other", Class: safe, ReceivedAt: time.Now(), Timeout: 3 * time.Second}, other)
+	r := newHarness(t)
+	other := make(blockingClient)
+	r.b.Submit(&broker.Request{ID: "other", Class: idempotent, ReceivedAt: time.Now(), Timeout: 3 * time.Second}, other)
 	otherID := event[decision.Query](r).ID
-	id, part, c, _ := r.take("q", unsafe, 1, 3*time.Second)
+	id, part, c, _ := r.take("q", nonIdempotent, 1, 3*time.Second)
 	call := r.send(part, "s1")
 	require.True(t, call.TryStart())
 	r.do(decision.Reject{ID: otherID}, decision.Reject{ID: id})
@@ -29,8 +29,8 @@
 
 // A call that has not begun when its query is refused must not begin between the look at it and its end.
 func TestNoAttemptStartsDuringRejection(t *testing.T) {
-	r := newRig(t)
-	id, first, c, _ := r.take("q", unsafe, 2, 3*time.Second)
+	r := newHarness(t)
+	id, first, c, _ := r.take("q", nonIdempotent, 2, 3*time.Second)
 	calls := []*broker.Call{r.send(first, "s1"), r.send(first+1, "s2")}
 	for range cap(r.cancelled) {
 		r.cancelled <- nil // so that the loop waits where it cancels the first call
--- a/internal/broker/rules_test.go
+++ b/internal/broker/rules_test.go
@@ -22,8 +22,8 @@
 
 func TestRuleViolationNamesPartServerAndDeadline(t *testing.T) {
 	lines := make(logBuffer, 10)
-	r := newRigWith(t, broker.Options{Log: slog.New(slog.NewTextHandler(lines, nil))})
-	_, part, _, request := r.take("q", unsafe, 1, time.Second)
+	r := newHarnessWith(t, broker.Options{Log: slog.New(slog.NewTextHandler(lines, nil))})
+	_, part, _, request := r.take("q", nonIdempotent, 1, time.Second)
 	r.do(decision.Send{ID: part, Server: "s0"}) // shard 1 is held by replica sets 1 and 2
 	event[decision.AttemptFinished](r)
 	line := strings.ReplaceAll(<-lines, `\"`, `"`)
--- a/internal/collections/lazyheap/lazyheap_test.go
+++ b/internal/collections/lazyheap/lazyheap_test.go
@@ -17,7 +17,7 @@
 }
 
 // Keys grow, items cease to fit, come back and go: the least is always that of a walk over all.
-func TestLeastIsThatOfAWalk(t *testing.T) {
+func TestMinMatchesLinearScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := lazyheap.New(func(i *item) float64 { return i.key }, func(i *item) int { return i.number })
 		var all []*item
--- a/internal/collections/median/median_test.go
+++ b/internal/collections/median/median_test.go
@@ -12,7 +12,7 @@
 	"mothrouter/internal/collections/median"
 )
 
-func TestLowerIsTheSortedMiddle(t *testing.T) {
+func TestLowerMatchesSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		value := rapid.OneOf(rapid.Float64Range(0, 1), rapid.SampledFrom([]float64{0, 0.5, 1}))
 		values := rapid.SliceOfN(value, 1, 300).Draw(t, "values")
@@ -29,7 +29,7 @@
 }
 
 // Figures drift, come and go: what the tracker tells is the median of a sort, but for what is negligible.
-func TestTheTrackerTellsTheMedianOfASort(t *testing.T) {
+func TestTrackerMedianMatchesSort(t *testing.T) {
 	const negligible = 1e-6
 	told, asked, computed := 0, 0, 0
 	for seed := range uint64(20) {
@@ -97,7 +97,7 @@
 }
 
 // Negative figures in an unknown number must not pass for a negligible median.
-func TestManyUnknownFiguresAreNotNegligible(t *testing.T) {
+func TestTrackerNegativeValuesAreNotNegligible(t *testing.T) {
 	tracker := median.Tracker[float64]{}
 	entries := make([]median.Entry[float64], 5)
 	tracker.Reset(0)
--- a/internal/collections/recent/recent_test.go
+++ b/internal/collections/recent/recent_test.go
@@ -10,7 +10,7 @@
 	"mothrouter/internal/collections/recent"
 )
 
-func TestQuantilesAreThoseOfTheLatest(t *testing.T) {
+func TestRingQuantilesMatchSortOfLatestValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r recent.Ring
 		var all []float64
--- a/internal/collections/recent/window_test.go
+++ b/internal/collections/recent/window_test.go
@@ -10,7 +10,7 @@
 	"mothrouter/internal/collections/recent"
 )
 
-func TestAWindowCountsWhatIsNotForgotten(t *testing.T) {
+func TestWindowLenMatchesList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w recent.Window
 		var all []int
--- a/internal/collections/replicasets/replicasets_test.go
+++ b/internal/collections/replicasets/replicasets_test.go
@@ -11,7 +11,7 @@
 )
 
 // Holders are those of a walk over all items, in order, whatever comes and goes.
-func TestHoldersAreThoseOfAWalk(t *testing.T) {
+func TestReplicasMatchLinearScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count, reach := rapid.IntRange(1, 6).Draw(t, "cells"), rapid.IntRange(0, 8).Draw(t, "reach")
 		index := replicasets.New(count, reach, func(i int) int { return i })
--- a/internal/estimate/clientpatience/clientpatience_test.go
+++ b/internal/estimate/clientpatience/clientpatience_test.go
@@ -8,7 +8,7 @@
 	"mothrouter/internal/estimate/clientpatience"
 )
 
-func TestShortPatienceFollowsTheLatestQueries(t *testing.T) {
+func TestShortIsQuantileOfLatestDisconnects(t *testing.T) {
 	var e clientpatience.Estimate
 	require.Zero(t, e.Short())
 	for i := range 100 {
@@ -21,7 +21,7 @@
 	require.Zero(t, e.Short(), "only a few leave")
 }
 
-func TestShorterWaitsAreRetries(t *testing.T) {
+func TestIsRetryDetectsShorterWaits(t *testing.T) {
 	var w clientpatience.Waits
 	require.False(t, w.IsRetry(0, 2))
 	require.True(t, w.IsRetry(0, 1.8))
--- a/internal/estimate/failures/failures_test.go
+++ b/internal/estimate/failures/failures_test.go
@@ -16,13 +16,13 @@
 // fleet is what a broker sees of servers in zones that fail now and then.
 type fleet struct {
 	random  *rand.Rand
-	shares  failures.Ratios
+	ratios  failures.Ratios
 	records []*failures.Server
 	in      map[*failures.Server]bool
 }
 
 func newFleet(seed uint64, servers, zones int) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 3)), shares: failures.New(5, 0.05, negligible),
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 3)), ratios: failures.New(5, 0.05, negligible),
 		in: map[*failures.Server]bool{}}
 	for i := range servers {
 		r := &failures.Server{Zone: i % zones}
@@ -33,47 +33,47 @@
 }
 
 func (f *fleet) include(r *failures.Server) {
-	f.shares.Include(r)
+	f.ratios.Include(r)
 	f.in[r] = true
 }
 
 // step passes some time and one event, an outcome most of the times.
-func (f *fleet) step(failShare float64) {
-	f.shares.Now += 0.005 * f.random.ExpFloat64()
+func (f *fleet) step(failureRatio float64) {
+	f.ratios.Now += 0.005 * f.random.ExpFloat64()
 	if f.random.IntN(500) == 0 {
-		f.shares.Now += 3 * f.random.Float64()
+		f.ratios.Now += 3 * f.random.Float64()
 	}
-	f.shares.SlowHalfLife = 1 + 14*f.random.Float64()
+	f.ratios.SlowHalfLife = 1 + 14*f.random.Float64()
 	r := f.records[f.random.IntN(len(f.records))]
 	switch f.random.IntN(60) {
 	case 0:
-		f.shares.Exclude(r)
+		f.ratios.Exclude(r)
 		delete(f.in, r)
 	case 1:
 		r.Ratio = 0
 		f.include(r)
 	case 2:
-		f.shares.RecordPeer(r, float64(f.random.IntN(2)), f.random.Float64(), f.shares.Now+0.1*(f.random.Float64()-0.5))
+		f.ratios.RecordPeer(r, float64(f.random.IntN(2)), f.random.Float64(), f.ratios.Now+0.1*(f.random.Float64()-0.5))
 	default:
 		failed := 0.0
-		if f.random.Float64() < failShare {
+		if f.random.Float64() < failureRatio {
 			failed = 1
 		}
-		f.shares.Record(r, failed, 0.25+0.6*f.random.Float64(), failed == 1 && f.random.IntN(2) == 0)
+		f.ratios.Record(r, failed, 0.25+0.6*f.random.Float64(), failed == 1 && f.random.IntN(2) == 0)
 	}
 }
 
-// plain is the median of all shares, each computed.
+// plain is the median of all ratios, each computed.
 func (f *fleet) plain() float64 {
 	var values []float64
 	for r := range f.in {
-		values = append(values, f.shares.Of(r))
+		values = append(values, f.ratios.Of(r))
 	}
 	return median.Lower(values)
 }
 
-// Whatever befalls the servers, the median is to the bit that of all shares, but for negligible ones.
-func TestTheMedianIsExact(t *testing.T) {
+// Whatever befalls the servers, the median is to the bit that of all ratios, but for negligible ones.
+func TestMedianMatchesSortOfRatios(t *testing.T) {
 	above := 0
 	for seed := range uint64(30) {
 		zones := 1 + int(seed%5)
@@ -83,12 +83,12 @@
 			if len(f.in) == 0 {
 				continue
 			}
-			want, got := f.plain(), f.shares.Median()
+			want, got := f.plain(), f.ratios.Median()
 			if math.Abs(want) < negligible {
 				require.Less(t, math.Abs(got), negligible)
 				continue
 			}
-			require.Equal(t, want, got, "seed %d, at %v", seed, f.shares.Now)
+			require.Equal(t, want, got, "seed %d, at %v", seed, f.ratios.Now)
 			above++
 		}
 	}
@@ -96,16 +96,16 @@
 }
 
 // Servers of one zone are compared with nothing: it would tell nothing of them.
-func TestASingleZoneDoesNotCount(t *testing.T) {
+func TestSingleZoneRatioIsIgnored(t *testing.T) {
 	for zones := 1; zones <= 2; zones++ {
 		f := newFleet(1, 10, zones)
-		f.shares.Now = 10
+		f.ratios.Now = 10
 		for range 50 {
-			f.shares.Record(f.records[0], 1, 0.25, false)
+			f.ratios.Record(f.records[0], 1, 0.25, false)
 		}
-		f.shares.Now = 60
-		f.shares.Record(f.records[0], 1, 0.25, false)
-		other := f.shares.Of(f.records[2])
+		f.ratios.Now = 60
+		f.ratios.Record(f.records[0], 1, 0.25, false)
+		other := f.ratios.Of(f.records[2])
 		require.Equal(t, zones > 1, other > 0.01, "%d zones: its neighbour's share is %v", zones, other)
 	}
 }
--- a/internal/estimate/serverstats/serverstats_test.go
+++ b/internal/estimate/serverstats/serverstats_test.go
@@ -21,7 +21,7 @@
 	return serverstats.Attempt{SentAt: sentAt, Latency: latency, Concurrency: 1}
 }
 
-func TestAbandonedAttemptsCountUntilALaterOneIsAnswered(t *testing.T) {
+func TestQueueDepthIncludesAbandonedAttempts(t *testing.T) {
 	f := serverstats.NewFleet(1)
 	s := newServer(true)
 	f.Advance(10, 1, 0, 1)
@@ -37,7 +37,7 @@
 	require.Zero(t, s.QueueDepth(13.1), "a queue is done by then")
 }
 
-func TestSilenceCountsFromTheFirstAttemptThatIsOwedAnAnswer(t *testing.T) {
+func TestSilenceStartsAtFirstUnansweredAttempt(t *testing.T) {
 	f := serverstats.NewFleet(1)
 	s := newServer(true)
 	require.Zero(t, s.Silence(5))
@@ -78,7 +78,7 @@
 	require.Equal(t, 1000.0, queued.LoadReport.QueueLength, "an older report changes nothing")
 }
 
-func TestPeersCountOnlyWhereTheyAreNewer(t *testing.T) {
+func TestRecordPeerIgnoresOlderObservations(t *testing.T) {
 	f := serverstats.NewFleet(1)
 	s := newServer(true)
 	f.Failures.Include(&s.Failures)
--- a/internal/estimate/slowstart/slowstart_test.go
+++ b/internal/estimate/slowstart/slowstart_test.go
@@ -18,7 +18,7 @@
 	require.Equal(t, 1.0, none.CapacityFraction(0), "without a duration there is no slow start")
 }
 
-func TestBudgetLetsABlankBrokerTryItsPart(t *testing.T) {
+func TestBudgetIsAtLeastFairFraction(t *testing.T) {
 	require.Equal(t, 0.25, settings.Budget(0.2, 0, 4))
 	require.Equal(t, 1.0, settings.Budget(0.2, 0, 0))
 	require.InDelta(t, 0.8*2.5*0.2*1.5*50, settings.Budget(0.2, 50, 4), 1e-12)
