--- a/internal/collections/median/median_test.go
+++ b/internal/collections/median/median_test.go
@@ -21,79 +21,108 @@
 	})
 }
 
-type figure struct {
-	entry       median.Entry[*figure]
-	now         float64
-	least, most float64
-	in          bool
+// drifting is a value that drifts within its bounds.
+type drifting struct {
+	entry        median.Entry[*drifting]
+	now          float64
+	lower, upper float64
+	in           bool
 }
 
-// Figures drift, come and go: what the tracker tells is the median of a sort, but for what is negligible.
-func TestTrackerMedianMatchesSort(t *testing.T) {
-	const negligible = 1e-6
-	told, asked, computed := 0, 0, 0
-	for seed := range uint64(20) {
-		r := rand.New(rand.NewPCG(seed, 5))
-		tracker := median.Tracker[*figure]{Negligible: negligible}
-		figures := make([]*figure, 1+r.IntN(200))
-		base := []float64{0, 1e-8, 0.3}[r.IntN(3)]
-		renew := func(f *figure) {
-			f.least = base * r.Float64()
-			if r.IntN(10) == 0 {
-				f.least = r.Float64()
-			}
-			f.most = f.least * (1 + 0.2*r.Float64())
-			f.now = f.least
-			tracker.Put(&f.entry, f.least, f.most)
-			f.in = true
+// trackerModel has a tracker of drifting values, which come and go, and counts what the tracker does.
+type trackerModel struct {
+	random                    *rand.Rand
+	base                      float64 // lower bounds are mostly from 0 to this
+	tracker                   median.Tracker[*drifting]
+	values                    []*drifting
+	asked, answered, computed int
+}
+
+const trackerNegligible = 1e-6
+
+func newTrackerModel(seed uint64) *trackerModel {
+	random := rand.New(rand.NewPCG(seed, 5))
+	m := &trackerModel{random: random, tracker: median.Tracker[*drifting]{Negligible: trackerNegligible}}
+	m.values = make([]*drifting, 1+random.IntN(200))
+	m.base = []float64{0, 1e-8, 0.3}[random.IntN(3)]
+	for i := range m.values {
+		m.values[i] = &drifting{}
+		m.values[i].entry.Item = m.values[i]
+		m.renew(m.values[i])
+	}
+	return m
+}
+
+// renew puts a value in with new bounds.
+func (m *trackerModel) renew(v *drifting) {
+	v.lower = m.base * m.random.Float64()
+	if m.random.IntN(10) == 0 {
+		v.lower = m.random.Float64()
+	}
+	v.upper = v.lower * (1 + 0.2*m.random.Float64())
+	v.now = v.lower
+	m.tracker.Put(&v.entry, v.lower, v.upper)
+	v.in = true
+}
+
+// step removes or renews one value, and lets all drift. It returns the present values.
+func (m *trackerModel) step() (present []float64) {
+	v := m.values[m.random.IntN(len(m.values))]
+	if m.random.IntN(5) == 0 {
+		m.tracker.Remove(&v.entry)
+		v.in = false
+	} else {
+		m.renew(v)
+	}
+	for _, v := range m.values {
+		v.now = v.lower + (v.upper-v.lower)*m.random.Float64()
+		if v.in {
+			present = append(present, v.now)
 		}
-		for i := range figures {
-			figures[i] = &figure{}
-			figures[i].entry.Item = figures[i]
-			renew(figures[i])
+	}
+	return present
+}
+
+// check compares the tracker's median with that of a sort, and resets the tracker if it does not know it.
+func (m *trackerModel) check(t *testing.T, present []float64) {
+	require.Equal(t, len(present), m.tracker.Len())
+	m.asked++
+	got, ok := m.tracker.Median(func(v *drifting) float64 { m.computed++; return v.now })
+	if len(present) == 0 {
+		require.False(t, ok)
+		return
+	}
+	want := median.Lower(present)
+	if ok {
+		m.answered++
+		if got == 0 {
+			require.LessOrEqual(t, want, trackerNegligible)
+		} else {
+			require.Equal(t, want, got)
+		}
+		return
+	}
+	m.tracker.Reset(want)
+	for _, v := range m.values {
+		if v.in {
+			m.tracker.Put(&v.entry, v.lower, v.upper)
 		}
+	}
+}
+
+func TestTrackerMedianMatchesSort(t *testing.T) {
+	asked, answered, computed := 0, 0, 0
+	for seed := range uint64(20) {
+		m := newTrackerModel(seed)
 		for range 500 {
-			f := figures[r.IntN(len(figures))]
-			if r.IntN(5) == 0 {
-				tracker.Remove(&f.entry)
-				f.in = false
-			} else {
-				renew(f)
-			}
-			var values []float64
-			for _, f := range figures {
-				f.now = f.least + (f.most-f.least)*r.Float64()
-				if f.in {
-					values = append(values, f.now)
-				}
-			}
-			require.Equal(t, len(values), tracker.Len())
-			asked++
-			got, ok := tracker.Median(func(f *figure) float64 { computed++; return f.now })
-			if len(values) == 0 {
-				require.False(t, ok)
-				continue
-			}
-			want := median.Lower(values)
-			if ok {
-				told++
-				if got == 0 {
-					require.LessOrEqual(t, want, negligible)
-				} else {
-					require.Equal(t, want, got)
-				}
-				continue
-			}
-			tracker.Reset(want)
-			for _, f := range figures {
-				if f.in {
-					tracker.Put(&f.entry, f.least, f.most)
-				}
-			}
+			m.check(t, m.step())
 		}
+		asked += m.asked
+		answered += m.answered
+		computed += m.computed
 	}
-	require.Greater(t, told, asked*8/10, "it tells nearly always")
-	require.Less(t, computed, asked*100/2, "it computes few of 100 on average")
+	require.Greater(t, answered, asked*8/10, "the median is nearly always known")
+	require.Less(t, computed, asked*100/2, "few of 100 values on average are computed")
 }
 
 // Negative figures in an unknown number must not pass for a negligible median.
