--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -15,7 +15,7 @@
 	"mothrouter/internal/decision"
 )
 
-// scriptedDecider is a Decider that does what the test says, whether or not the rules allow it.
+// scriptedDecider returns the actions that the test gives it, whether or not the rules allow them.
 type scriptedDecider struct {
 	events  chan decision.Event
 	actions chan []decision.Action
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// link keeps the calls that it is handed.
+// link records its calls.
 type link struct{ sent, cancelled chan *broker.Call }
 
 func (l link) Send(c *broker.Call)   { l.sent <- c }
@@ -87,7 +87,7 @@
 	return r
 }
 
-// list tells id, cell and state of servers.
+// list posts an endpoint update; entries are id, replica set and state of each server.
 func (r *harness) list(mode decision.UpdateMode, entries ...any) {
 	l := broker.EndpointUpdate{Mode: mode}
 	for i := 0; i < len(entries); i += 3 {
@@ -98,7 +98,7 @@
 	event[decision.EndpointUpdate](r)
 }
 
-// event waits for the next event of a kind.
+// event returns the next event of a type.
 func event[E decision.Event](r *harness) E {
 	r.Helper()
 	for limit := time.After(2 * time.Second); ; {
@@ -113,7 +113,7 @@
 	}
 }
 
-// take hands a query of equal parts at shards 1, 2 ... over and returns the ids of query and first part.
+// take submits a query of equal parts at shards 1, 2 and so on, and returns the ids of the query and of its first part.
 func (r *harness) take(name string, class, parts int, patience time.Duration) (decision.RequestID, decision.RequestID, client, *broker.Request) {
 	req := &broker.Request{ID: name, Class: class, ReceivedAt: time.Now(), Timeout: patience, Payload: []byte("x")}
 	for i := range parts {
@@ -130,7 +130,7 @@
 	return q.ID, first, c, req
 }
 
-// do has the Decider act, woken by a list that changes nothing.
+// do has the Decider return actions, at an endpoint update that changes nothing.
 func (r *harness) do(actions ...decision.Action) {
 	r.actions <- actions
 	r.list(decision.DeltaUpdate)
@@ -345,7 +345,7 @@
 	require.Empty(t, r.events, "the Decider has not heard of it")
 }
 
-// Nor for a query that has its answer, where cancels are not allowed.
+// A query has its answer while an attempt waits for a connection; the Decider does not cancel it.
 func TestNoAttemptStartsAfterTheQueryEnded(t *testing.T) {
 	r := newHarness(t)
 	q, part, c, _ := r.take("q", idempotent, 1, time.Second)
@@ -356,7 +356,7 @@
 	require.False(t, waiting.TryStart())
 }
 
-// Servers drop repeats for a while only. A repeat that has waited for its connection until that is over must not go.
+// Servers drop duplicates within the window only. A retry that has waited for its connection beyond it must not start.
 func TestNoRetryAfterIdempotencyWindow(t *testing.T) {
 	r := newHarness(t)
 	_, part, _, _ := r.take("q", idempotentWithKey, 1, 2*time.Second)
@@ -379,8 +379,8 @@
 	require.True(t, r.send(part, "s2").TryStart())
 }
 
-// The process will be killed. What it holds, and what it takes until then, has its answer before: from the parts that
-// are in, refused, or failed.
+// Every query in flight or accepted later has its answer before the process is killed: from the answered parts, rejected or
+// failed.
 func TestShutdownDeadlineAnswersEveryQuery(t *testing.T) {
 	// On a virtual clock: a busy machine is late by more than the test allows.
 	synctest.Test(t, testShutdownDeadlineAnswersEveryQuery)
@@ -406,12 +406,12 @@
 	require.Equal(t, broker.Rejected, (<-last).Outcome, "at once")
 }
 
-// blockingClient is a client that holds up the loop until the test lets it go.
+// blockingClient blocks the loop in Finish: the test receives once to wait for that, and sends once to release it.
 type blockingClient chan struct{}
 
 func (s blockingClient) Finish(broker.Result) { s <- struct{}{}; <-s }
 
-// A loop that is far behind must not delay what a drain forbids: links see it at once.
+// A busy loop must not delay a drain: links see it at once.
 func TestUpdateBindsLinksBeforeTheLoop(t *testing.T) {
 	r := newHarness(t)
 	_, part, _, req := r.take("q", idempotent, 1, time.Second)
@@ -427,7 +427,7 @@
 	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
 }
 
-// A probe that has waited for a connection is asked again like a call.
+// A health check that has waited for a connection is checked again, like a call.
 func TestNoHealthCheckOfADrainingServer(t *testing.T) {
 	r := newHarness(t)
 	probes := make(chan *broker.HealthCheck, 1)
--- a/internal/broker/configure_test.go
+++ b/internal/broker/configure_test.go
@@ -122,9 +122,8 @@
 // post hands over a change and returns how to wait for it.
 func (h *held) post(c broker.Change) func() error { return h.b.ConfigureAsync(c, func() {}) }
 
-// Queries, changes and more queries that come to the loop at once: each query is taken whole under the settings before
-// or those after, by its place in the order, with its deadline, the cap and what the Decider hears; and the Decider
-// hears of the change between them.
+// Queries, a change and more queries are in the inbox at once: each query is accepted under the settings before or after the
+// change, by its position: deadline, limit and event; and the Decider gets the change between them.
 func TestConfigureAppliesAtOnePoint(t *testing.T) {
 	h := newHeld(t)
 	goOn := h.stop()
@@ -161,8 +160,7 @@
 	require.Equal(t, broker.DeadlineExceeded, h.result(after).Outcome)
 }
 
-// What stands before a change in the loop's order is judged by the settings before, also the smaller cap: a change is
-// not in force before its point has come, in no part.
+// A query before a change in the inbox is accepted under the settings before, also if the change lowers the limit.
 func TestConfigureAppliesAllFieldsTogether(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -187,7 +185,7 @@
 	}
 }
 
-// A query over a change keeps its deadline, floor, window and answer to the end.
+// A query in flight over a change keeps its deadline, minimum completeness and window.
 func TestQueryAcrossConfigureKeepsItsSettings(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -230,8 +228,7 @@
 	}
 }
 
-// A change that does not fit changes nothing, and the Decider hears nothing of it; nor does it of one that changes
-// classes in nothing.
+// An invalid change changes nothing and is not passed to the Decider; nor is one that leaves the classes as they are.
 func TestInvalidChangeChangesNothing(t *testing.T) {
 	h := newHeld(t)
 	spoil := func(f func(*decision.Class)) broker.Change {
@@ -267,7 +264,7 @@
 	require.Empty(t, h.batches, "the Decider has heard of a change")
 }
 
-// A change that is handed to a loop which has ended is an error, not a wait.
+// A change posted to a loop that has ended is an error and does not block.
 func TestConfigureAfterTheLoopEnded(t *testing.T) {
 	b := broker.New(broker.Options{Settings: decision.Settings{Classes: classes(oldDeadline)}}, &gate{}, link{})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/broker/phase_test.go
+++ b/internal/broker/phase_test.go
@@ -13,12 +13,12 @@
 	"mothrouter/internal/decision"
 )
 
-// scored is a served part with a score.
+// scored returns the result of an answered part with a score.
 func scored(score int64, value string) broker.CallResult {
 	return broker.CallResult{Status: decision.OK, Score: score, Scored: true, LoadReport: decision.NoLoadReport, Value: []byte(value)}
 }
 
-// firstPhase plays the first phase of the query q of so many parts at s1: all come in with scores that fall with their shard.
+// firstPhase runs the first phase of query q: all parts are answered, with scores that fall with their shard.
 func (r *harness) firstPhase(class, parts int) (query decision.RequestID, c client, req *broker.Request) {
 	query, first, c, req := r.take("q", class, parts, 2*time.Second)
 	r.list(decision.DeltaUpdate, "s1", 1, decision.Ready, "s2", 2, decision.Ready, "s3", 3, decision.Ready, "s0", 0, decision.Ready)
@@ -29,7 +29,7 @@
 	return query, c, req
 }
 
-// server holds a shard, of four cells.
+// server returns a server that holds a shard, of four replica sets.
 func server(shard int) string { return []string{"s0", "s1", "s2", "s3"}[shard%4] }
 
 // wantSecondPhase is the second step by the slow and obvious rule: of the shards that are in, again and again the one with the
@@ -112,7 +112,7 @@
 	}
 }
 
-// A second step requires all its parts, or the class's floor where there is one; and it is whole only if both are.
+// The second phase needs all its parts, or the class's minimum completeness; it is complete only if both phases are.
 func TestSecondPhaseNeedsEveryPart(t *testing.T) {
 	for class, want := range map[int]broker.Result{
 		twoPhase:        {Outcome: broker.Failed},
@@ -187,8 +187,8 @@
 	require.Equal(t, refused, <-c)
 }
 
-// The first step's attempts that are still out end with it: a late answer is nobody's, and one that has not begun does
-// not begin.
+// The first phase's attempts in flight end with it: a late answer is dropped, and an attempt that has not started does not
+// start.
 func TestSecondPhaseEndsTheFirst(t *testing.T) {
 	r := newHarness(t)
 	q, first, c, _ := r.take("q", twoPhasePartial, 4, 2*time.Second)
@@ -220,7 +220,7 @@
 	require.Equal(t, []broker.Value{{1, []byte("second")}, {2, []byte("second")}}, got.Values)
 }
 
-// Of 7 queries and parts, a query of six parts holds all, and three once its second step has begun.
+// Of 7 slots a query of six parts uses all, and three once its second phase has begun.
 func TestSlotsBetweenPhases(t *testing.T) {
 	r := newHarness(t)
 	q, c, _ := r.firstPhase(twoPhase, 6)
