--- /dev/null
+++ b/internal/transport/buffer/buffer.go
@@ -0,0 +1,99 @@
+// Package buffer is the receive buffer of the transport's state machines. A driver reads into the slice that Grow
+// returns and reports the count to Advance; a state machine consumes what is unread. All slices refer to the buffer's
+// memory and are valid until the next call of Grow.
+package buffer
+
+const (
+	minAllocation = 4 << 10           // bytes of the first allocation
+	minReadSize   = minAllocation / 2 // bytes that Grow offers at least: less would make small reads
+	maxIdle       = 16 << 10          // bytes that an empty buffer keeps for the next message
+)
+
+// Buffer holds received bytes until a state machine has consumed them. In front of the unread bytes it keeps the message
+// that is being assembled from them. The zero value is an empty buffer.
+//
+//	bytes: [ discarded | message | consumed | unread | free ]
+type Buffer struct {
+	bytes        []byte
+	messageStart int
+	messageEnd   int
+	readOffset   int
+	writeOffset  int
+	consumed     int64 // bytes since the buffer was first used
+}
+
+// Grow returns free memory for the next bytes, minReadSize or more. It invalidates every slice returned earlier. An empty
+// buffer drops its memory if that is more than maxIdle: a connection that once received a large message must not keep it.
+func (b *Buffer) Grow() []byte {
+	b.closeGap()
+	if b.messageStart == b.writeOffset && len(b.bytes) > maxIdle {
+		*b = Buffer{consumed: b.consumed}
+	}
+	if b.messageStart == b.writeOffset || len(b.bytes)-b.writeOffset < minReadSize {
+		b.Compact()
+	}
+	if len(b.bytes)-b.writeOffset < minReadSize {
+		grown := make([]byte, max(minAllocation, 2*len(b.bytes)))
+		copy(grown, b.bytes[:b.writeOffset])
+		b.bytes = grown
+	}
+	return b.bytes[b.writeOffset:]
+}
+
+// Advance marks the first n bytes of the slice that Grow returned as received.
+func (b *Buffer) Advance(n int) { b.writeOffset += n }
+
+// Compact moves the message and the unread bytes to the start of the memory. It invalidates every slice returned earlier.
+func (b *Buffer) Compact() {
+	shift := b.messageStart
+	if shift == 0 {
+		return
+	}
+	copy(b.bytes, b.bytes[shift:b.writeOffset])
+	b.messageStart = 0
+	b.messageEnd -= shift
+	b.readOffset -= shift
+	b.writeOffset -= shift
+}
+
+// closeGap moves the unread bytes to the end of the message. The framing that Skip consumes leaves a gap between them, which
+// would grow with every chunk.
+func (b *Buffer) closeGap() {
+	if b.readOffset == b.messageEnd {
+		return
+	}
+	n := copy(b.bytes[b.messageEnd:], b.Unread())
+	b.readOffset = b.messageEnd
+	b.writeOffset = b.messageEnd + n
+}
+
+// Unread returns the received bytes that are not consumed.
+func (b *Buffer) Unread() []byte { return b.bytes[b.readOffset:b.writeOffset] }
+
+// Skip consumes the first n unread bytes.
+func (b *Buffer) Skip(n int) {
+	b.readOffset += n
+	b.consumed += int64(n)
+}
+
+// StartMessage discards the message and starts an empty one at the first unread byte.
+func (b *Buffer) StartMessage() { b.messageStart, b.messageEnd = b.readOffset, b.readOffset }
+
+// Append consumes the first n unread bytes and appends them to the message.
+func (b *Buffer) Append(n int) {
+	b.messageEnd += copy(b.bytes[b.messageEnd:], b.Unread()[:n])
+	b.Skip(n)
+}
+
+// Message returns the message so far. Appending to the slice does not overwrite the buffer.
+func (b *Buffer) Message() []byte { return b.bytes[b.messageStart:b.messageEnd:b.messageEnd] }
+
+// Discard removes the first n bytes of the message.
+func (b *Buffer) Discard(n int) { b.messageStart += n }
+
+// Cap returns the size of the memory in bytes.
+func (b *Buffer) Cap() int { return len(b.bytes) }
+
+// Consumed returns how many bytes were consumed since the buffer was first used: the offset of the first unread byte in the
+// stream.
+func (b *Buffer) Consumed() int64 { return b.consumed }
--- /dev/null
+++ b/internal/transport/frame/loadreport.go
@@ -0,0 +1,45 @@
+package frame
+
+import (
+	"bytes"
+	"fmt"
+	"math"
+	"strconv"
+
+	"mothrouter/internal/decision"
+)
+
+// ParseLoadReport parses a load report: name=value pairs separated by commas, or "-" for none. The settings of a deployment
+// (report.columns) name the values differently from the protocol; names of both are known here, any other is ignored.
+func ParseLoadReport(text []byte) (decision.LoadReport, error) {
+	report := decision.NoLoadReport
+	for len(text) > 0 && string(text) != "-" {
+		var pair []byte
+		pair, text, _ = bytes.Cut(text, []byte{','})
+		name, number, ok := bytes.Cut(pair, []byte{'='})
+		value, err := strconv.ParseFloat(string(number), 64)
+		if !ok || err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
+			return decision.NoLoadReport, fmt.Errorf("load report: cannot read %q", pair)
+		}
+		setLoad(&report, name, value)
+	}
+	return report, nil
+}
+
+// setLoad sets the value of a report that name stands for.
+func setLoad(report *decision.LoadReport, name []byte, value float64) {
+	switch string(name) {
+	case "inflight", "rif":
+		report.InFlight = value
+	case "queue", "q":
+		report.QueueLength = value
+	case "util", "busy":
+		report.Utilization = value
+	case "latency_ms", "lat_ms":
+		report.Latency = value / 1000
+	case "qps", "rate":
+		report.Rate = value
+	case "eps", "fail_rate":
+		report.ErrorRate = value
+	}
+}
--- /dev/null
+++ b/internal/transport/frame/reply.go
@@ -0,0 +1,49 @@
+package frame
+
+import (
+	"bytes"
+	"strconv"
+
+	"mothrouter/internal/decision"
+)
+
+// Reply is how a part ended.
+type Reply struct {
+	ID         []byte
+	Status     decision.Status
+	Score      int64 // ranks the shards for the second phase
+	Scored     bool  // the score could be parsed
+	LoadReport decision.LoadReport
+	Value      []byte
+}
+
+// replyStatuses are the protocol's names of how a part ended.
+var replyStatuses = map[string]decision.Status{
+	"done": decision.OK, "failed": decision.Error, "full": decision.Overloaded,
+}
+
+// parseReply parses the body of a frame of TypeReply into reply: a line "id status score report", then the value. A score or load report
+// that cannot be parsed counts as absent: the value is valid all the same.
+func parseReply(reply *Reply, body []byte) error {
+	line, value, ok := bytes.Cut(body, []byte{'\n'})
+	if !ok {
+		return newError("an R frame without a line")
+	}
+	id, line, _ := bytes.Cut(line, []byte{' '})
+	statusName, line, _ := bytes.Cut(line, []byte{' '})
+	score, report, _ := bytes.Cut(line, []byte{' '})
+	status, ok := replyStatuses[string(statusName)]
+	if !ok {
+		return newError("an R frame that ends with %q", statusName)
+	}
+	reply.ID, reply.Status, reply.Value = id, status, value
+	if n, err := strconv.ParseInt(string(score), 10, 64); err == nil {
+		reply.Score, reply.Scored = n, true
+	}
+	var err error
+	reply.LoadReport, err = ParseLoadReport(report)
+	if err != nil {
+		reply.LoadReport = decision.NoLoadReport
+	}
+	return nil
+}
--- a/internal/transport/httpwire/query.go
+++ b/internal/transport/httpwire/query.go
@@ -1,7 +1,6 @@
 package httpwire
 
 import (
-	"bytes"
 	"encoding/json"
 	"fmt"
 	"net/url"
@@ -14,7 +13,7 @@
 	"mothrouter/internal/broker"
 )
 
-// Body is the body of a query.
+// Body is the JSON body of a query.
 type Body struct {
 	Targets []Target `json:"targets"`
 	Query   string   `json:"query"`
@@ -22,13 +21,13 @@
 
 // Target is one part of a query.
 type Target struct {
-	Partition int     `json:"partition"`
+	Partition int     `json:"partition"` // the shard
 	Weight    float64 `json:"share"`
-	EstUS     float64 `json:"est_us"`
-	Route     string  `json:"route"`
+	EstUS     float64 `json:"est_us"` // estimated service time in microseconds; 0: not stated
+	Route     string  `json:"route"`  // routing key in hex digits; empty: none
 }
 
-// Parts are the targets in the core's terms.
+// Parts returns the targets as the broker's parts. Its errors name the target's key.
 func (b *Body) Parts() ([]broker.Part, error) {
 	parts := make([]broker.Part, 0, len(b.Targets))
 	for i, t := range b.Targets {
@@ -44,13 +43,14 @@
 	return parts, nil
 }
 
-// Class is the class that a request's path names.
+// Class returns the query class, which is the first segment of the request's path.
 func (r *Request) Class() string {
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.Path, "/"), "/")
 	return class
 }
 
-// ParseQuery reads a query's request, all but its class. What it returns refers to nothing of the buffer.
+// ParseQuery parses a query's request, except for its class. The result does not refer to the reader's buffer. Its errors are
+// *Error.
 func ParseQuery(r *Request) (*broker.Request, error) {
 	if class := r.Header.Get("X-Class"); class != "" && class != r.Class() {
 		return nil, malformed("X-Class is %q, but the path says %q", class, r.Class())
@@ -74,8 +74,8 @@
 	return q, nil
 }
 
-// parseKey reads the key of a query from a request's parameters: what it is about. 0: there is none. Keys are hex
-// digits on the platform; any other is as good, since keys are only compared.
+// parseKey returns the routing key of a query from the parameter obj, 0 where there is none. Keys are only compared: the
+// platform's are hex digits, any other text is hashed.
 func parseKey(parameters string) (uint64, error) {
 	values, err := url.ParseQuery(parameters)
 	if err != nil {
@@ -91,8 +91,7 @@
 	return xxhash.Sum64String(key), nil
 }
 
-// parseDeadline reads a time as the platform writes it: a number, then m for milliseconds or u for
-// microseconds.
+// parseDeadline parses a duration in the platform's notation: a number, then m for milliseconds or u for microseconds.
 func parseDeadline(s string) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(s, "m")
@@ -106,70 +105,3 @@
 	}
 	return time.Duration(n * float64(unit)), nil
 }
-
-// Answer is the body of a served query.
-type Answer struct {
-	Complete bool  `json:"whole"`
-	Results  []Hit `json:"results"`
-}
-
-// Hit is the value of one part.
-type Hit struct {
-	Partition int    `json:"partition"`
-	Value     string `json:"value"`
-}
-
-var reasons = map[int]string{
-	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-	408: "Request Timeout", 409: "Conflict",
-	413: "Content Too Large", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
-	501: "Not Implemented", 503: "Service Unavailable", 504: "Gateway Timeout",
-	505: "HTTP Version Not Supported",
-}
-
-// Response is what a front writes.
-type Response struct {
-	Status     int
-	Body       any     // written as JSON; nil: none
-	RetryAfter float64 // seconds; 0: not said
-	Allow      string
-	Close      bool
-	NoBody     bool // the request was a HEAD: the length is told, the body is not
-}
-
-// Append writes a response behind b.
-func (r *Response) Append(b []byte) []byte {
-	var body []byte
-	if r.Body != nil {
-		var text bytes.Buffer
-		enc := json.NewEncoder(&text)
-		enc.SetEscapeHTML(false)
-		if err := enc.Encode(r.Body); err != nil {
-			return (&Response{Status: 500, Close: r.Close}).Append(b)
-		}
-		body = text.Bytes()
-	}
-	b = append(b, "HTTP/1.1 "...)
-	b = strconv.AppendInt(b, int64(r.Status), 10)
-	b = append(append(append(b, ' '), reasons[r.Status]...), "\r\n"...)
-	if body != nil {
-		b = append(b, "Content-Type: application/json\r\n"...)
-	}
-	b = append(b, "Content-Length: "...)
-	b = append(strconv.AppendInt(b, int64(len(body)), 10), "\r\n"...)
-	if r.RetryAfter > 0 {
-		b = append(b, "Retry-After: "...)
-		b = append(strconv.AppendFloat(b, r.RetryAfter, 'f', -1, 64), "\r\n"...)
-	}
-	if r.Allow != "" {
-		b = append(append(append(b, "Allow: "...), r.Allow...), "\r\n"...)
-	}
-	if r.Close {
-		b = append(b, "Connection: close\r\n"...)
-	}
-	b = append(b, "\r\n"...)
-	if r.NoBody {
-		return b
-	}
-	return append(b, body...)
-}
--- a/internal/transport/httpwire/request.go
+++ b/internal/transport/httpwire/request.go
@@ -3,131 +3,138 @@
 import (
 	"net/textproto"
 	"strings"
+
+	"mothrouter/internal/transport/buffer"
 )
 
-// Request is one request of a client. Body is a slice of the reader's buffer.
+// Request is one request of a client.
 type Request struct {
-	Method, Path string
-	Query        string // behind the path's "?", as it came
-	Header       textproto.MIMEHeader
-	Body         []byte
-	Close        bool // the client ends the connection after it
+	Method string
+	Path   string // without the query
+	Query  string // what follows the path's "?", not decoded
+	Header textproto.MIMEHeader
+	Body   []byte // a slice of the reader's buffer
+	Close  bool   // the client ends the connection after this request
 }
 
-// RequestReader reads requests, one after the other.
+// RequestReader reads requests, one after the other. The zero value is ready to read.
 type RequestReader struct {
-	buf     buffer
-	from    int // start of what must be kept: the body so far, else what is unread
-	req     *Request
-	bodyEnd int // the body so far is buf.b[from:bodyEnd]
-	length  int
-	chunked bool
-	chunks  chunks
-	expects bool // the client waits for a 100 before it sends the body
-	err     error
+	buffer          buffer.Buffer // its message is the body of request
+	request         *Request      // whose head is complete and whose body is not; nil: none
+	framing         bodyFraming
+	chunked         chunkedDecoder
+	expectsContinue bool // the client waits for a 100 (Continue) before it sends the body
+	err             error
 }
 
-// ExpectsContinue tells, once a request, that its client waits for a 100 (Continue) before it sends the body.
-func (d *RequestReader) ExpectsContinue() bool {
-	waits := d.expects && d.req != nil && len(d.buf.unread()) == 0
-	d.expects = d.expects && !waits
+// ExpectsContinue reports, once a request, whether its client waits for a 100 (Continue) before it sends the body.
+func (r *RequestReader) ExpectsContinue() bool {
+	waits := r.expectsContinue && r.request != nil && r.Unread() == 0
+	if waits {
+		r.expectsContinue = false
+	}
 	return waits
 }
 
-// Grow returns where to read the next bytes to. It ends what earlier requests refer to.
-func (d *RequestReader) Grow() []byte {
-	if d.req == nil {
-		d.from = d.buf.r
-	} else if d.chunked && d.buf.r > d.bodyEnd {
-		// The chunks' framing leaves a gap behind the body; close it, so that the buffer stays bounded.
-		n := copy(d.buf.b[d.bodyEnd:], d.buf.unread())
-		d.buf.r, d.buf.w = d.bodyEnd, d.bodyEnd+n
+// Grow returns the slice to read the next bytes into. Requests returned earlier are invalid from now on.
+func (r *RequestReader) Grow() []byte {
+	if r.request == nil {
+		r.buffer.StartMessage()
 	}
-	was := d.from
-	s := d.buf.space(&d.from)
-	d.bodyEnd -= was - d.from
-	return s
+	return r.buffer.Grow()
 }
 
-// Advance tells that n more bytes stand at the start of what Grow returned.
-func (d *RequestReader) Advance(n int) { d.buf.w += n }
+// Advance marks the first n bytes of the slice that Grow returned as received.
+func (r *RequestReader) Advance(n int) { r.buffer.Advance(n) }
 
-// Buffered is how much room the reader holds.
-func (d *RequestReader) Buffered() int { return len(d.buf.b) }
+// Buffered returns the memory in bytes that the reader holds.
+func (r *RequestReader) Buffered() int { return r.buffer.Cap() }
 
-// Unread is how many received bytes belong to no request that Next has returned.
-func (d *RequestReader) Unread() int { return len(d.buf.unread()) }
+// Unread returns how many received bytes are not consumed. Between requests they belong to none that Next has returned.
+func (r *RequestReader) Unread() int { return len(r.buffer.Unread()) }
 
-// Receiving tells that a request has come in part.
-func (d *RequestReader) Receiving() bool { return d.req != nil || len(d.buf.unread()) > 0 }
+// Receiving reports whether a part of a request has been received that Next has not returned.
+func (r *RequestReader) Receiving() bool { return r.request != nil || r.Unread() > 0 }
 
-// Full tells that so much is waiting that no more should be read before Next has taken it.
-func (d *RequestReader) Full() bool { return len(d.buf.unread()) > maxHead+MaxBody }
+// Full reports whether a request of the largest size may be unread: the driver must not read more before Next has taken it.
+func (r *RequestReader) Full() bool { return r.Unread() > maxHead+MaxBody }
 
-// Next returns the next request, or nil where more bytes must come first. After an error the connection
-// cannot be read on.
-func (d *RequestReader) Next() (*Request, error) {
-	if d.err == nil && d.req == nil {
-		d.err = d.readStart()
+// Next returns the next request, or nil where more bytes must be received first. After an error, which is an *Error, the
+// connection cannot be read on.
+func (r *RequestReader) Next() (*Request, error) {
+	if r.err == nil && r.request == nil {
+		r.err = r.readStart()
 	}
-	if d.err == nil && d.req != nil {
-		var done bool
-		if done, d.err = d.body(); done {
-			req := d.req
-			req.Body = d.buf.b[d.from:d.bodyEnd:d.bodyEnd]
-			d.req = nil
-			return req, nil
-		}
+	if r.err != nil || r.request == nil {
+		return nil, r.err
+	}
+	complete, err := r.decodeBody()
+	if err != nil {
+		r.err = withOffset(err, r.buffer.Consumed())
 	}
-	return nil, d.err
+	if !complete {
+		return nil, r.err
+	}
+	request := r.request
+	request.Body = r.buffer.Message()
+	r.request = nil
+	return request, nil
 }
 
-func (d *RequestReader) readStart() error {
-	h, err := d.buf.readHead()
+// readStart reads the head once it is complete.
+func (r *RequestReader) readStart() error {
+	h, err := readHead(&r.buffer)
 	if h == nil || err != nil {
-		return err
+		return withOffset(err, r.buffer.Consumed())
 	}
-	method, rest, _ := strings.Cut(h.line, " ")
+	return withOffset(r.startRequest(h), h.offset)
+}
+
+// startRequest takes up the request that a head begins.
+func (r *RequestReader) startRequest(h *head) (err error) {
+	method, rest, _ := strings.Cut(h.startLine, " ")
 	target, version, ok := strings.Cut(rest, " ")
 	if !ok || method == "" || !strings.HasPrefix(target, "/") {
-		return malformed("start line: cannot read %q", h.line)
+		return malformed("start line: cannot read %q", h.startLine)
 	}
 	if version != "HTTP/1.1" && version != "HTTP/1.0" {
-		return &Error{505, "HTTP/1.1 is spoken here"}
+		return &Error{Status: 505, Reason: "HTTP/1.1 is spoken here"}
 	}
-	d.length, d.chunked, err = h.framing()
+	r.framing, err = h.framing()
 	if err != nil {
 		return err
 	}
-	d.length = max(d.length, 0) // a request without either has no body
+	r.framing.length = max(r.framing.length, 0) // a request that states no length has no body
+	r.chunked = chunkedDecoder{}
 	path, query, _ := strings.Cut(target, "?")
-	d.req = &Request{Method: method, Path: path, Query: query, Header: h.header, Close: h.closes(version)}
-	d.from, d.bodyEnd, d.chunks = d.buf.r, d.buf.r, chunks{}
-	d.expects = version == "HTTP/1.1" && strings.EqualFold(h.header.Get("Expect"), "100-continue")
+	r.request = &Request{Method: method, Path: path, Query: query, Header: h.header, Close: h.closes(version)}
+	r.expectsContinue = version == "HTTP/1.1" && strings.EqualFold(h.header.Get("Expect"), "100-continue")
+	r.buffer.StartMessage()
 	return nil
 }
 
-// body takes what has come of the body and tells whether it is complete.
-func (d *RequestReader) body() (bool, error) {
-	if !d.chunked {
-		if len(d.buf.unread()) < d.length {
+// decodeBody consumes what has been received of the body and reports whether it is complete.
+func (r *RequestReader) decodeBody() (complete bool, err error) {
+	if !r.framing.chunked {
+		if r.Unread() < r.framing.length {
 			return false, nil
 		}
-		d.buf.r += d.length
-		d.bodyEnd = d.buf.r
+		r.buffer.Append(r.framing.length)
 		return true, nil
 	}
 	for {
-		used, data, err := d.chunks.next(d.buf.unread())
-		if err != nil {
+		used, isData, err := r.chunked.decode(r.buffer.Unread())
+		switch {
+		case err != nil:
 			return false, err
+		case !isData:
+			r.buffer.Skip(used)
+		case len(r.buffer.Message())+used > MaxBody:
+			return false, errBodyTooLong()
+		default:
+			r.buffer.Append(used)
 		}
-		if d.bodyEnd-d.from+len(data) > MaxBody {
-			return false, &Error{413, "the body is too long"}
-		}
-		d.bodyEnd += copy(d.buf.b[d.bodyEnd:], data)
-		d.buf.r += used
-		if d.chunks.state == chunkDone {
+		if r.chunked.done() {
 			return true, nil
 		}
 		if used == 0 {
--- a/internal/transport/httpwire/response.go
+++ b/internal/transport/httpwire/response.go
@@ -2,148 +2,91 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"strconv"
-	"strings"
 )
 
-// maxLine is the longest line of a watch: a whole list of some thousand servers.
-const maxLine = 1 << 20
-
-// LineReader reads one response whose body is lines of JSON, as discovery's watch is.
-type LineReader struct {
-	buf     buffer
-	from    int
-	lineEnd int // the line so far is buf.b[from:lineEnd]
-	started bool
-	status  int
-	length  int // left of a body with a length; -1: until the connection ends
-	chunked bool
-	chunks  chunks
-	done    bool
-	err     error
+// Answer is the JSON body of an answered query.
+type Answer struct {
+	Complete bool  `json:"whole"`
+	Results  []Hit `json:"results"`
 }
 
-// Grow returns where to read the next bytes to. It ends what earlier lines refer to.
-func (d *LineReader) Grow() []byte {
-	if !d.started {
-		d.from = d.buf.r
-	} else if d.buf.r > d.lineEnd {
-		n := copy(d.buf.b[d.lineEnd:], d.buf.unread())
-		d.buf.r, d.buf.w = d.lineEnd, d.lineEnd+n
-	}
-	was := d.from
-	s := d.buf.space(&d.from)
-	d.lineEnd -= was - d.from
-	return s
+// Hit is the value of one part.
+type Hit struct {
+	Partition int    `json:"partition"` // the shard
+	Value     string `json:"value"`
 }
 
-// Advance tells that n more bytes stand at the start of what Grow returned.
-func (d *LineReader) Advance(n int) { d.buf.w += n }
-
-// Status is the response's status, 0 while its head is not complete.
-func (d *LineReader) Status() int { return d.status }
-
-// Done tells that the body has ended.
-func (d *LineReader) Done() bool { return d.done }
+// reasonPhrases are the statuses that a front writes.
+var reasonPhrases = map[int]string{
+	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+	408: "Request Timeout", 409: "Conflict",
+	413: "Content Too Large", 431: "Request Header Fields Too Large", 500: "Internal Server Error",
+	501: "Not Implemented", 503: "Service Unavailable", 504: "Gateway Timeout",
+	505: "HTTP Version Not Supported",
+}
 
-// Next returns the next line without its end. ok is false where more bytes must come first.
-func (d *LineReader) Next() (line []byte, ok bool, err error) {
-	if d.err == nil && !d.started {
-		d.err = d.begin()
-	}
-	for d.err == nil && d.started && !d.done {
-		if end := bytes.IndexByte(d.buf.b[d.from:d.lineEnd], '\n'); end >= 0 {
-			line = bytes.TrimSuffix(d.buf.b[d.from:d.from+end], []byte("\r"))
-			d.from += end + 1
-			return line, true, nil
-		}
-		if d.lineEnd-d.from > maxLine {
-			d.err = malformed("a line is too long")
-			break
-		}
-		// The line so far and the data behind it must stand together.
-		var used int
-		var data []byte
-		p := d.buf.unread()
-		switch {
-		case d.chunked:
-			used, data, d.err = d.chunks.next(p)
-		case d.length < 0:
-			used, data = len(p), p
-		default:
-			used = min(len(p), d.length)
-			data, d.length = p[:used], d.length-used
-		}
-		if d.err != nil {
-			break
-		}
-		d.lineEnd += copy(d.buf.b[d.lineEnd:], data)
-		d.buf.r += used
-		ended := d.chunked && d.chunks.state == chunkDone || !d.chunked && d.length == 0
-		if ended && bytes.IndexByte(d.buf.b[d.from:d.lineEnd], '\n') < 0 {
-			d.done = true
-			if d.lineEnd > d.from { // a body may end without a line end
-				return d.buf.b[d.from:d.lineEnd], true, nil
-			}
-		}
-		if used == 0 {
-			break
-		}
-	}
-	return nil, false, d.err
+// Response is a response of a front.
+type Response struct {
+	Status     int
+	Body       any     // written as JSON; nil: none
+	RetryAfter float64 // seconds; 0: no such header
+	Allow      string  // methods that the path supports; empty: no such header
+	Close      bool    // the connection ends after the response
+	NoBody     bool    // the request was a HEAD: Content-Length is that of Body, which is not written
 }
 
-func (d *LineReader) begin() error {
-	h, err := d.buf.readHead()
-	if h == nil || err != nil {
-		return err
+// Append appends the response to b. A Body that JSON cannot encode becomes status 500.
+func (r *Response) Append(b []byte) []byte {
+	body, err := r.encodeBody()
+	if err != nil {
+		return (&Response{Status: 500, Close: r.Close}).Append(b)
 	}
-	version, rest, _ := strings.Cut(h.line, " ")
-	code, _, _ := strings.Cut(rest, " ")
-	if d.status, err = strconv.Atoi(code); err != nil || !strings.HasPrefix(version, "HTTP/1.") {
-		return malformed("status line: cannot read %q", h.line)
+	b = r.appendHead(b, len(body))
+	if r.NoBody {
+		return b
 	}
-	if d.length, d.chunked, err = h.framing(); err != nil {
-		return err
-	}
-	d.started, d.from, d.lineEnd = true, d.buf.r, d.buf.r
-	return nil
+	return append(b, body...)
 }
 
-// Object puts lines together to JSON objects: one may stand on a line, or be indented over several.
-type Object struct {
-	text           []byte
-	depth          int
-	quoted, escape bool // within a string; behind a backslash there
+// encodeBody returns the body as JSON without HTML escapes, empty where there is none.
+func (r *Response) encodeBody() ([]byte, error) {
+	if r.Body == nil {
+		return nil, nil
+	}
+	var body bytes.Buffer
+	encoder := json.NewEncoder(&body)
+	encoder.SetEscapeHTML(false)
+	err := encoder.Encode(r.Body)
+	return body.Bytes(), err
 }
 
-// Add takes one more line. Once an object is whole it returns its text, good until the next call; an empty line
-// between objects is whole and has none.
-func (o *Object) Add(line []byte) (text []byte, whole bool, err error) {
-	if o.depth == 0 {
-		if o.text = o.text[:0]; cap(o.text) > maxIdleBuffer {
-			o.text = nil
-		}
+// appendHead appends the status line and the header for a body of length bytes.
+func (r *Response) appendHead(b []byte, length int) []byte {
+	b = append(b, "HTTP/1.1 "...)
+	b = strconv.AppendInt(b, int64(r.Status), 10)
+	b = append(b, ' ')
+	b = append(b, reasonPhrases[r.Status]...)
+	b = append(b, "\r\n"...)
+	if r.Body != nil {
+		b = append(b, "Content-Type: application/json\r\n"...)
 	}
-	for _, c := range line {
-		switch {
-		case o.escape:
-			o.escape = false
-		case o.quoted:
-			o.escape, o.quoted = c == '\\', c != '"'
-		case c == '"':
-			o.quoted = true
-		case c == '{' || c == '[':
-			o.depth++
-		case c == '}' || c == ']':
-			o.depth--
-		}
+	b = append(b, "Content-Length: "...)
+	b = strconv.AppendInt(b, int64(length), 10)
+	b = append(b, "\r\n"...)
+	if r.RetryAfter > 0 {
+		b = append(b, "Retry-After: "...)
+		b = strconv.AppendFloat(b, r.RetryAfter, 'f', -1, 64)
+		b = append(b, "\r\n"...)
 	}
-	if o.depth < 0 || o.quoted { // no string goes over a line's end
-		return nil, false, malformed("an object that cannot be read")
+	if r.Allow != "" {
+		b = append(b, "Allow: "...)
+		b = append(b, r.Allow...)
+		b = append(b, "\r\n"...)
 	}
-	if o.text = append(o.text, line...); len(o.text) > maxLine {
-		return nil, false, malformed("an object is too long")
+	if r.Close {
+		b = append(b, "Connection: close\r\n"...)
 	}
-	return bytes.TrimSpace(o.text), o.depth == 0, nil
+	return append(b, "\r\n"...)
 }
