--- a/internal/transport/front/arrival.go
+++ b/internal/transport/front/arrival.go
@@ -12,7 +12,7 @@
 	reads    []socketRead
 }
 
-// socketRead is one read that brought bytes, or several of which the earliest time counts.
+// socketRead is one read that received bytes, or several adjacent ones under the time of the first.
 type socketRead struct {
 	end int64 // bytes received up to and including this read
 	at  time.Time
@@ -33,7 +33,7 @@
 }
 
 // lastByte returns when the last byte of a request was received that leaves unread bytes behind it. Earlier reads are
-// forgotten: requests are asked for in their order.
+// dropped, so that calls must follow the order of the requests.
 func (l *readLog) lastByte(unread int) time.Time {
 	end := l.received - int64(unread)
 	for len(l.reads) > 1 && l.reads[0].end < end {
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -16,38 +16,38 @@
 	front *Front
 	sock  net.Conn
 	reply chan broker.Result // cap 1: a connection has one query at a time
-	wake  chan struct{}      // the front shuts down, or wants this connection's place
+	wake  chan struct{}      // the stage of a shutdown or drain has changed, or the connection is evicted
 
 	reader       httpwire.RequestReader
 	readBuffers  chan []byte     // where the reader reads to
 	readResults  chan readResult // what it read
-	reading      bool            // a read is out
-	discarding   bool            // the read that is out is for bytes that are discarded
+	reading      bool            // a read is in progress
+	discarding   bool            // the read in progress is for bytes that are discarded
 	received     readLog         // when the bytes of requests were received
-	disconnected atomic.Bool     // the client has gone
+	disconnected atomic.Bool     // the client has closed the connection
 
 	request    *broker.Request // in flight; nil: none
 	closeAfter bool            // the connection closes after the answer to it
 	discarded  int             // bytes discarded behind it
-	hadRequest bool            // a request has come whole
-	receiving  bool            // a request has come in part
-	timer      *time.Timer     // of the time between requests, or for a request to come whole
-	expired    bool            // it has fired
+	hadRequest bool            // a complete request has been received
+	receiving  bool            // a request has been received in part
+	timer      *time.Timer     // idleTimeout, requestTimeout or FirstRequestTimeout, whichever holds
+	expired    bool            // timer has fired
 	out        []byte          // buffer for answers
 
 	// The front's mu guards these.
-	list     *list.List // that it stands in; nil: it has a request in flight
+	list     *list.List // of Front that contains it; nil: it has a request in flight
 	element  *list.Element
 	listedAt time.Time
-	evicted  bool // its place is wanted
-	reserved int  // bytes of requests that it holds
+	evicted  bool // it must end to free its slot
+	reserved int  // bytes of requests in its buffers, as counted in Front.bufferedBytes
 }
 
 // Finish implements broker.Client.
 func (c *conn) Finish(r broker.Result) { c.reply <- r }
 
-// serve drives the connection until it ends. One read is always out, so that a client that goes away while it waits is
-// noticed: at once, on the reader's goroutine, whatever else is going on.
+// serve drives the connection until it ends. A read is always in progress, so that the reader's goroutine detects at once that
+// a waiting client has closed the connection.
 func (c *conn) serve() {
 	defer c.startReader()()
 	timeout := FirstRequestTimeout
@@ -108,8 +108,8 @@
 		if !ends {
 			return true
 		}
-		// It ends between requests. What the reader has taken off the socket by now is served all the same, since its client
-		// cannot know that it was dropped. What comes later was never read, and is sent once more.
+		// It ends between requests. What the reader has read from the socket by now is served, since the client cannot
+		// know that it would be dropped. A request that arrives later was never read, and the client resends it.
 		n, ok := c.interruptRead()
 		if !ok {
 			return false
@@ -121,7 +121,7 @@
 	}
 }
 
-// serveRequests serves requests until one is in flight or more bytes must come first. It returns false where the connection
+// serveRequests serves requests until one is in flight or more bytes must be received first. It returns false where the connection
 // has ended.
 func (c *conn) serveRequests() bool {
 	for c.request == nil {
@@ -147,7 +147,7 @@
 	return true
 }
 
-// noteReceiving notes that a further request has begun to come, and limits the time for it to come whole.
+// noteReceiving records that a further request has been received in part, and limits the time to receive the rest.
 func (c *conn) noteReceiving() {
 	if c.receiving || !c.reader.Receiving() {
 		return
--- a/internal/transport/front/connread.go
+++ b/internal/transport/front/connread.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// readResult is what a read has brought.
+// readResult is the result of one read.
 type readResult struct {
 	n   int
 	err error
 	at  time.Time
 }
 
-// startRead keeps a read out. It returns false where there is no memory for more of a request: the connection has ended.
+// startRead starts a read unless one is in progress. It returns false where there is no memory for more of a request: the
+// connection has ended.
 func (c *conn) startRead() bool {
 	if c.reading {
 		return true
@@ -46,8 +47,8 @@
 	}
 }
 
-// nextBuffer is where the next bytes go. Behind a request in flight only so much is kept: what comes beyond is read and
-// discarded, so that its client's close is noticed, and the connection ends after the answer.
+// nextBuffer returns the slice for the next read. Pipelined bytes are kept up to the size of one request. Beyond that they are
+// read and discarded, so that the client's close is still detected, and the connection ends after the answer.
 func (c *conn) nextBuffer() []byte {
 	c.discarding = c.reader.Full()
 	if c.discarding {
@@ -57,7 +58,7 @@
 	return c.reader.Grow()
 }
 
-// onRead takes up what a read has brought. It returns false where the connection has ended.
+// onRead processes the result of a read. It returns false where the connection has ended.
 func (c *conn) onRead(e readResult) bool {
 	c.reading = false
 	if !c.discarding {
@@ -77,7 +78,7 @@
 	return true
 }
 
-// interruptRead ends the read that is out, and returns how many bytes it brought; ok is false where the connection has ended.
+// interruptRead ends the read in progress and returns how many bytes it received. ok is false where the connection has ended.
 func (c *conn) interruptRead() (n int, ok bool) {
 	if !c.reading {
 		return 0, true
@@ -88,7 +89,7 @@
 	return e.n, c.onRead(e)
 }
 
-// bufferedBytes is how many bytes of requests the connection holds, beside what each connection may.
+// bufferedBytes returns how many bytes of requests the connection holds beyond the maxIdleBuffer that each may.
 func (c *conn) bufferedBytes() int {
 	n := c.reader.Buffered()
 	if c.request != nil {
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -17,38 +17,38 @@
 )
 
 const (
-	// FirstRequestTimeout is for a connection's first request to come whole, from the start: silent and half-sent ones hold
-	// descriptors that usual clients need.
+	// FirstRequestTimeout is the time from the accept to the last byte of a connection's first request: connections that send
+	// nothing, or half a request, hold descriptors that other clients need.
 	FirstRequestTimeout = 2200 * time.Millisecond
 
-	requestTimeout  = 2200 * time.Millisecond // for a later request to come whole, from its first byte
+	requestTimeout  = 2200 * time.Millisecond // from the first to the last byte of a later request
 	idleTimeout     = 30 * time.Second        // between requests
-	writeTimeout    = 2 * time.Second         // for a client to take bytes
+	writeTimeout    = 2 * time.Second         // for a client to read a response
 	newConnGrace    = 250 * time.Millisecond  // a client that has just connected is about to send
 	evictionTimeout = 20 * time.Millisecond   // for an evicted connection to end; no other is accepted meanwhile
-	lingerTimeout   = 500 * time.Millisecond  // for a client to take its last answer and close
+	lingerTimeout   = 500 * time.Millisecond  // for a client to read its last answer and close
 	acceptBackoff   = 10 * time.Millisecond   // after a failed accept
 
 	maxLingerBytes    = 256 << 10 // read and discarded while a connection lingers
-	maxPipelinedBytes = 1 << 20   // read and discarded behind a request in flight, beyond what is kept
-	discardSize       = 16 << 10  // bytes discarded at once
-	maxIdleBuffer     = 16 << 10  // of a connection's buffers for the next request and answer
+	maxPipelinedBytes = 1 << 20   // pipelined bytes read and discarded during a request, beyond what is kept
+	discardSize       = 16 << 10  // bytes of one read that is discarded
+	maxIdleBuffer     = 16 << 10  // bytes kept in a connection's buffers between requests
 	maxRejecting      = 4         // connections over capacity that are answered at once; more are closed
 )
 
-// Core is what the front needs of the broker.
+// Core is the part of the broker that the front uses.
 type Core interface {
 	Submit(*broker.Request, broker.Client)
 	Disconnect(*broker.Request)
 	Ready() bool
 }
 
-// Options are what the deployment fixes.
+// Options are the settings of a Front.
 type Options struct {
 	Classes          map[string]int    // class by name
 	Shards           int               // 0: not stated
 	MaxConns         int               // client connections at once
-	MaxIdleConns     int               // of them between requests; 0: no bound
+	MaxIdleConns     int               // of these between requests; 0: no bound
 	MaxBufferedBytes int               // of requests, beside a few KiB for each connection
 	RetryAfter       float64           // seconds after which a client that is rejected should retry; 0: no advice
 	Metrics          *metrics.Counters // counts requests by how they ended; nil: they are not counted
@@ -67,24 +67,24 @@
 	shutdown      shutdownStage // of the process
 	drain         drain.State
 	conns         map[*conn]struct{}
-	lingering     list.List // conns that linger, by when they began to
-	newConns      list.List // conns that have not sent a whole request, by when they were accepted
-	idleConns     list.List // conns between requests, by when they had their last answer
-	receiving     list.List // conns of which a further request has come in part, by when it began
+	lingering     list.List // conns that linger, earliest first
+	newConns      list.List // conns without a complete request, earliest accept first
+	idleConns     list.List // conns between requests, longest idle first
+	receiving     list.List // conns whose next request is received in part, earliest first byte first
 	bufferedBytes int       // of requests
 
 	listener net.Listener
-	accepted chan struct{} // closed when no connection is accepted any more
+	accepted chan struct{} // closed once Serve accepts no more connections
 }
 
-// shutdownStage is how far a shutdown, or a drain, has come.
+// shutdownStage is the stage of a shutdown or a drain.
 type shutdownStage struct {
 	announceClose bool // answers say Connection: close
 	closeIdle     bool // connections between requests end
 	closeAll      bool // so do those that have received a request in part
 }
 
-// New makes a front to core.
+// New returns a front that submits queries to core.
 func New(opt Options, core Core, log *slog.Logger) *Front {
 	return &Front{
 		opt: opt, core: core, log: log, slots: make(chan struct{}, max(opt.MaxConns, 1)),
@@ -92,7 +92,7 @@
 	}
 }
 
-// Serve accepts until the listener is closed.
+// Serve accepts connections until the listener is closed, and then returns nil.
 func (f *Front) Serve(l net.Listener) error {
 	defer close(f.accepted)
 	f.mu.Lock()
@@ -108,7 +108,7 @@
 				return nil
 			}
 			f.log.Warn("accept failed", "error", err)
-			time.Sleep(acceptBackoff) // out of descriptors: some will come free
+			time.Sleep(acceptBackoff) // out of descriptors: some will be freed
 			continue
 		}
 		c := &conn{front: f, sock: sock, reply: make(chan broker.Result, 1), wake: make(chan struct{}, 1)}
@@ -134,8 +134,8 @@
 	}
 }
 
-// rejectOverCapacity answers a client that there are too many requests. Closing over its own would reset the connection, and
-// the answer with it; but only a few get the time to read it, since descriptors have run out.
+// rejectOverCapacity answers 503 on a connection without a slot. Closing with its request unread would reset the connection and
+// lose the answer, so that it lingers; only maxRejecting do at once, since descriptors are short.
 func (f *Front) rejectOverCapacity(c *conn) {
 	select {
 	case f.rejecting <- struct{}{}:
@@ -151,8 +151,8 @@
 }
 
 // admit takes a slot for one more connection. It guards usual clients against those that connect and send nothing, send half
-// a request or keep their connection for good: such a connection, which waits for no answer, is evicted where there is no
-// other slot. Only requests in flight can fill the front.
+// a request or never close: such a connection, which awaits no answer, is evicted where no slot is free. Only requests in
+// flight can fill the front.
 func (f *Front) admit() bool {
 	select {
 	case f.slots <- struct{}{}:
@@ -173,8 +173,8 @@
 	}
 }
 
-// evict asks the connection that has been in a list for longest to end, if it has been there for so long. It ends by itself:
-// only its own goroutine knows whether a request of it has just been read.
+// evict asks the first connection of a list to end, if it has been there for minAge, and reports whether it did. The
+// connection ends itself: only its own goroutine knows whether a request has just been read.
 func (f *Front) evict(l *list.List, minAge time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -189,14 +189,14 @@
 	return true
 }
 
-// isEvicted tells whether a connection's place is wanted.
+// isEvicted reports whether a connection must end to free its slot.
 func (f *Front) isEvicted(c *conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return c.evicted
 }
 
-// markLingering puts a connection among those that have had their last answer, unless it has no slot to give up.
+// markLingering adds a connection to the lingering ones, unless it has no slot to free.
 func (f *Front) markLingering(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -205,7 +205,8 @@
 	}
 }
 
-// markReceiving notes that a request has begun to come. Its connection is the last to be evicted, if it has had requests.
+// markReceiving records that a request has been received in part. After an earlier request, its connection is the last to be
+// evicted.
 func (f *Front) markReceiving(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -225,9 +226,8 @@
 	}
 }
 
-// markIdle puts a connection among those between requests, and evicts the longest idle of too many. It guards clients against
-// each other: together they may have only so many connections to a broker, and where some send one request and keep theirs
-// for good, the others could open none.
+// markIdle adds a connection to those between requests, and evicts the longest idle one above MaxIdleConns. The clients share a
+// bound on connections to a broker: without eviction, some that send one request and stay connected would lock the others out.
 func (f *Front) markIdle(c *conn) {
 	f.mu.Lock()
 	if !c.evicted {
@@ -240,7 +240,7 @@
 	}
 }
 
-// markBusy takes a connection off the lists, since its request has come. It is not evicted any more.
+// markBusy removes a connection from the lists, since its request is complete, and revokes an eviction.
 func (f *Front) markBusy(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -248,8 +248,8 @@
 	c.evicted = false
 }
 
-// reserveBuffer reserves what a connection holds of requests and tells whether it may. It guards the memory against many
-// large requests at once: each alone is within bounds.
+// reserveBuffer sets the bytes of requests that a connection holds, and reports whether the sum stays within MaxBufferedBytes;
+// fewer than before always do. It bounds the memory of many large requests, each of which is within its own bound.
 func (f *Front) reserveBuffer(c *conn, n int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -259,10 +259,10 @@
 	return !grows || f.bufferedBytes <= f.opt.MaxBufferedBytes
 }
 
-// Shutdown ends the front as planned, from now on: answers announce that the connection closes, and clients may use each
-// once more, since closing them all at once sends every client off at the same moment, perhaps to no broker at all. Then no
-// connection is accepted any more and idle ones end, the others once they have their answers. It returns when all have
-// ended, or ctx has.
+// Shutdown ends the front in the stages of the plan. From now on answers announce that the connection closes, and clients may
+// use each once more: closing all at once would make every client reconnect at the same moment, perhaps without a broker to
+// connect to. Then the listener closes and idle connections end, the others after their answers. It returns when all have
+// ended or ctx is done.
 func (f *Front) Shutdown(ctx context.Context, plan drain.ShutdownPlan) {
 	step := func(wait time.Duration, change func()) {
 		t := time.NewTimer(wait)
@@ -300,7 +300,7 @@
 	}
 }
 
-// Drain sends clients away, while the process runs on. Rejoin ends the drain.
+// Drain makes clients move to other brokers while the process keeps running. Rejoin ends the drain.
 func (f *Front) Drain() {
 	f.mu.Lock()
 	f.drain.Start(time.Now())
@@ -315,7 +315,7 @@
 	f.drain.Cancel()
 }
 
-// AcceptsClients tells whether clients should be sent here.
+// AcceptsClients reports whether new clients should connect.
 func (f *Front) AcceptsClients() bool {
 	f.mu.Lock()
 	takes := !f.shutdown.announceClose && f.drain.IsUp()
@@ -323,13 +323,13 @@
 	return takes && f.core.Ready()
 }
 
-// RejectsRequests tells whether a drain has come so far that requests are rejected, by whatever front.
+// RejectsRequests reports whether a drain has reached the stage at which every front rejects requests.
 func (f *Front) RejectsRequests() bool {
 	_, rejects := f.drainState()
 	return rejects
 }
 
-// wakeAll has each connection look at what has changed.
+// wakeAll wakes all connections.
 func (f *Front) wakeAll() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -338,7 +338,7 @@
 	}
 }
 
-// wakeUp has the connection look at what has changed. It does not wait.
+// wakeUp makes the serve loop check the stage and eviction again. It does not block.
 func (c *conn) wakeUp() {
 	select {
 	case c.wake <- struct{}{}:
@@ -346,7 +346,7 @@
 	}
 }
 
-// stage tells how far the shutdown or a drain has come, whichever is further.
+// stage returns the stage of the shutdown or the drain, whichever is later.
 func (f *Front) stage() shutdownStage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -355,7 +355,7 @@
 	return e
 }
 
-// drainState tells whether a drain has taken the process down for clients, and whether requests are rejected.
+// drainState returns whether a drain marks the process as down for clients, and whether it rejects requests.
 func (f *Front) drainState() (down, rejects bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/transport/front/respond.go
+++ b/internal/transport/front/respond.go
@@ -16,7 +16,7 @@
 	errBufferFull       = &httpwire.Error{Status: 503, Reason: "no room for a request of this size now"}
 )
 
-// handle answers a request or hands it to the core. It returns false where the connection ends.
+// handle answers a request or submits it to the broker. It returns false where the connection ends.
 func (c *conn) handle(req *httpwire.Request) bool {
 	resp := httpwire.Response{Close: req.Close, NoBody: req.Method == "HEAD"}
 	index, known := c.front.opt.Classes[req.Class()]
@@ -50,7 +50,7 @@
 	return c.write(resp)
 }
 
-// newRequest makes the core's request of a query. Its errors are *httpwire.Error.
+// newRequest returns the broker's request for a query. Its errors are *httpwire.Error.
 func (c *conn) newRequest(req *httpwire.Request, class int) (*broker.Request, error) {
 	r, err := httpwire.ParseQuery(req)
 	if err != nil {
@@ -69,15 +69,15 @@
 	c.linger()
 }
 
-// rejectEvicted answers the request of which a part has been read, since the rest will not be read. The connection's place
-// is wanted now: it neither lingers nor waits for a client that takes no bytes.
+// rejectEvicted answers a request that was read in part, since the rest will not be read. The slot is needed now: the
+// connection neither lingers nor waits for a client that does not read.
 func (c *conn) rejectEvicted() {
 	resp := c.finalError(errOverCapacity)
 	c.sock.SetWriteDeadline(time.Now().Add(evictionTimeout))
-	_, _ = c.sock.Write(resp.Append(nil)) // the connection ends whether or not its client takes the answer
+	_, _ = c.sock.Write(resp.Append(nil)) // the connection ends whether or not the client reads the answer
 }
 
-// statusOf is the status that answers an error of a client's input.
+// statusOf returns the HTTP status for an error of a client's input.
 func statusOf(err error) int {
 	var e *httpwire.Error
 	if errors.As(err, &e) {
@@ -86,7 +86,7 @@
 	return 400
 }
 
-// finalError is the last answer on a connection whose input cannot be served.
+// finalError returns the last answer on a connection whose input cannot be served.
 func (c *conn) finalError(err error) httpwire.Response {
 	resp := httpwire.Response{Status: statusOf(err), Body: problem{err.Error()}, Close: true}
 	if resp.Status == 503 {
@@ -95,9 +95,9 @@
 	return resp
 }
 
-// linger is a lingering close: it ends the sending side and gives the client a moment to take the answer and to close.
-// Closing with bytes unread would reset the connection, and the answer could be lost with it. What comes meanwhile is
-// discarded. A connection that lingers is the first to make room.
+// linger is a lingering close: it closes the sending side and gives the client lingerTimeout to read the answer and to close.
+// Closing with bytes unread would reset the connection, and the answer could be lost with it. What is received meanwhile is
+// discarded. A lingering connection is the first to be evicted.
 func (c *conn) linger() {
 	half, ok := c.sock.(interface{ CloseWrite() error })
 	if !ok || c.disconnected.Load() {
@@ -134,7 +134,7 @@
 	Error string `json:"error"`
 }
 
-// responseTo is a query's final answer as a response.
+// responseTo returns the response for a query's final result.
 func responseTo(r broker.Result, closes bool) httpwire.Response {
 	resp := httpwire.Response{Close: closes}
 	switch r.Outcome {
@@ -157,7 +157,7 @@
 	return resp
 }
 
-// write sends a response and tells whether the connection goes on.
+// write sends a response and reports whether the connection stays open.
 func (c *conn) write(resp httpwire.Response) bool {
 	if !resp.Close {
 		last, ok := c.isLastResponse()
@@ -174,9 +174,9 @@
 	return sent && !resp.Close
 }
 
-// isLastResponse tells whether the answer that is about to be written is the connection's last. While clients are sent away,
-// a request of which bytes have been read is served first: its client could not know that it was read and dropped.
-// ok is false where the client has gone.
+// isLastResponse reports whether the response that is about to be written is the connection's last. During a shutdown or
+// drain, a request of which bytes have been read is still served: its client could not know that it was dropped. ok is false
+// where the client has closed the connection.
 func (c *conn) isLastResponse() (last, ok bool) {
 	end := c.front.stage()
 	if c.closeAfter || !end.announceClose {
@@ -188,7 +188,7 @@
 	return end.closeAll || c.closeAfter || !c.reader.Receiving(), true
 }
 
-// send writes bytes and tells whether all went.
+// send writes b and reports whether all of it was written.
 func (c *conn) send(b []byte) bool {
 	c.sock.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.sock.Write(b)
