--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -59,7 +59,7 @@
 	for _, id := range partners.Servers {
 		speaks[id] = true
 	}
-	return &flight.Mixed{Frames: frames, Speaks: speaks, Flight: flight.NewLink(ctx, flight.LinkOptions{
+	return &flight.ProtocolSelector{Frames: frames, FlightServers: speaks, Flight: flight.NewLink(ctx, flight.LinkOptions{
 		MaxStreams: cfg.MaxStreams, MaxConns: partners.ServerConns, IdleTimeout: cfg.ConnIdleTimeout, ConnectTimeout: cfg.ConnectTimeout,
 	})}
 }
--- a/internal/transport/flight/link.go
+++ b/internal/transport/flight/link.go
@@ -357,24 +357,24 @@
 	return r
 }
 
-// Mixed sends by Flight to the servers that speak it, and by Frames to all others.
-type Mixed struct {
+// ProtocolSelector sends by Flight to the servers that speak it, and by Frames to all others.
+type ProtocolSelector struct {
 	Frames, Flight broker.Link
-	Speaks         map[string]bool // ids of servers that speak Flight
+	FlightServers  map[string]bool // ids of servers that speak Flight
 }
 
-func (m *Mixed) to(s *broker.Server) broker.Link {
-	if m.Speaks[s.ID] {
-		return m.Flight
+func (s *ProtocolSelector) linkTo(server *broker.Server) broker.Link {
+	if s.FlightServers[server.ID] {
+		return s.Flight
 	}
-	return m.Frames
+	return s.Frames
 }
 
 // Send starts a call.
-func (m *Mixed) Send(c *broker.Call) { m.to(c.Server).Send(c) }
+func (s *ProtocolSelector) Send(c *broker.Call) { s.linkTo(c.Server).Send(c) }
 
 // Cancel ends a call.
-func (m *Mixed) Cancel(c *broker.Call) { m.to(c.Server).Cancel(c) }
+func (s *ProtocolSelector) Cancel(c *broker.Call) { s.linkTo(c.Server).Cancel(c) }
 
 // CheckHealth asks a server how it is.
-func (m *Mixed) CheckHealth(p *broker.HealthCheck) { m.to(p.Server).CheckHealth(p) }
+func (s *ProtocolSelector) CheckHealth(check *broker.HealthCheck) { s.linkTo(check.Server).CheckHealth(check) }
