--- a/internal/transport/upstream/conn.go
+++ b/internal/transport/upstream/conn.go
@@ -49,7 +49,7 @@
 	answered       map[string]bool // ids that were answered lately
 	answeredIDs    []string        // the same, in order
 	healthChecks   []*job          // written and unanswered, in order
-	lastReceived   time.Time       // when the last message came; zero: none has
+	lastReceived   time.Time       // of the last message; zero: none yet
 	writingSince   time.Time       // since when bytes are being written; zero: none are
 	awaitingSince  time.Time       // since when an answer is due and nothing was received; zero: none is due
 	wake           chan struct{}   // wakes the writer, cap 1
@@ -65,7 +65,7 @@
 	}
 }
 
-// hasUsed tells that an answer on this connection might be one to an earlier attempt of the id.
+// hasUsed reports whether an answer on this connection might belong to an earlier attempt of the id.
 func (cn *conn) hasUsed(id string) bool {
 	return cn.calls[id] != nil || cn.abandoned[id] || cn.answered[id]
 }
@@ -109,8 +109,8 @@
 		return
 	}
 	if j.state == jobWriting || j.state == jobWritten {
-		// Guards against a machine that has dropped off the network: its connections stay open and silent,
-		// and what is written to them may have run. A new one does not come up, and shows that nothing ran.
+		// A server behind a partition leaves its connections open and silent, and what is written to them may have run. A new
+		// connection fails instead, which proves that nothing ran.
 		if cn.isSilent(cn.link.silenceTimeout() / 2) {
 			cn.retired = true
 		}
@@ -196,7 +196,7 @@
 		cn.sock.Close()
 	}
 	for _, j := range cn.queue {
-		if j.state == jobQueued && errors.Is(err, errProtocol) { // the server lives, and has not heard of it
+		if j.state == jobQueued && errors.Is(err, errProtocol) { // the server is alive and has not received it
 			delete(cn.calls, j.id)
 			cn.link.enqueue(cn.addr, cn.server, j)
 			continue
@@ -215,7 +215,7 @@
 	cn.signal()
 }
 
-// reset ends a connection whose peer takes no bytes, and takes back what is not delivered. The caller holds mu.
+// reset ends a connection whose peer accepts no bytes by a TCP reset, which drops what is not delivered. The caller holds mu.
 func (cn *conn) reset() {
 	if t, ok := cn.sock.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -223,8 +223,8 @@
 	cn.fail(errWriteStalled)
 }
 
-// lostStatus is how a call ended that was in flight when the connection ended. A server that broke the protocol lives: that
-// it is not cut off matters to the decisions. Either way the call may have run.
+// lostStatus returns the status of a call that was in flight when the connection ended. A server that broke the protocol is
+// alive, which the decisions distinguish from a reset. Either way the call may have run.
 func (cn *conn) lostStatus() decision.Status {
 	if errors.Is(cn.closeErr, errProtocol) {
 		return decision.Error
@@ -232,7 +232,7 @@
 	return decision.Reset
 }
 
-// finishJob tells the core how a job ended that got no answer. The caller holds mu.
+// finishJob reports the status of a job without an answer to the broker. The caller holds mu.
 func (cn *conn) finishJob(j *job, status decision.Status) {
 	if j.state == jobFinished {
 		return
--- a/internal/transport/upstream/connread.go
+++ b/internal/transport/upstream/connread.go
@@ -12,7 +12,7 @@
 	"mothrouter/internal/transport/frame"
 )
 
-const frameTimeout = 400 * time.Millisecond // for a frame to come whole: what does not may be noise
+const frameTimeout = 400 * time.Millisecond // to receive the rest of a frame: one that takes longer may be noise
 
 // readLoop reads frames until the connection ends.
 func (cn *conn) readLoop() error {
@@ -29,7 +29,7 @@
 		if err := cn.handleFrames(&in); err != nil {
 			return err
 		}
-		// Guards the calls that come next: with the rest of a frame behind an answer, theirs would be taken for more of it.
+		// A partial frame behind the last answer would make the next call's answer read as its rest.
 		var deadline time.Time
 		if in.Receiving() {
 			if !cn.awaitsAnswer() {
@@ -41,14 +41,14 @@
 	}
 }
 
-// awaitsAnswer tells whether an answer is due, be it to a call that was cancelled.
+// awaitsAnswer reports whether an answer is outstanding, also to a call that was cancelled.
 func (cn *conn) awaitsAnswer() bool {
 	cn.link.mu.Lock()
 	defer cn.link.mu.Unlock()
 	return len(cn.calls)+len(cn.healthChecks)+len(cn.abandoned) > 0
 }
 
-// handleFrames handles the frames that have come whole.
+// handleFrames handles the complete frames.
 func (cn *conn) handleFrames(in *frame.Reader) error {
 	for {
 		m, ok, err := in.Next()
@@ -58,7 +58,7 @@
 		if !ok {
 			return nil
 		}
-		if m.Type == 'F' {
+		if m.Type == frame.TypeRejected {
 			return errFrameRejected
 		}
 		cn.link.mu.Lock()
@@ -86,9 +86,9 @@
 
 func (cn *conn) dispatch(m frame.Message) error {
 	switch m.Type {
-	case 'R':
+	case frame.TypeReply:
 		return cn.handleReply(&m.Reply)
-	case 'H', 'M':
+	case frame.TypeHealth, frame.TypeLoadReport:
 		return cn.handleHealth(m)
 	}
 	return fmt.Errorf("%w: a frame of the letter %q", errProtocol, m.Type)
@@ -109,7 +109,7 @@
 	cn.markAnswered(id)
 	j.state = jobFinished
 	if r.Status == decision.OK {
-		if !j.writtenAt.IsZero() { // it may come before the writer has noted that all is written
+		if !j.writtenAt.IsZero() { // the answer may be read before the writer records the write
 			cn.link.recordLatency(time.Since(j.writtenAt))
 		}
 		r.Value = append([]byte{}, reply.Value...) // it outlives the buffer
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// handleUnexpectedReply handles an answer that no call waits for: a late one to a call that was cancelled, or a duplicate,
-// which does no harm.
+// handleUnexpectedReply handles an answer that no call awaits. One to a cancelled call and a duplicate are ignored; any other
+// is a protocol error.
 func (cn *conn) handleUnexpectedReply(id string) error {
 	switch {
 	case cn.abandoned[id]:
@@ -131,7 +131,7 @@
 	return nil
 }
 
-// handleHealth handles an answer to a health check. They come in order.
+// handleHealth handles an answer to a health check. A server answers them in order.
 func (cn *conn) handleHealth(m frame.Message) error {
 	if len(cn.healthChecks) == 0 {
 		return fmt.Errorf("%w: an answer to no health check", errProtocol)
@@ -142,7 +142,7 @@
 	r := broker.ResultOf(decision.OK)
 	if string(m.Body) == "failed" {
 		r.Status = decision.Error
-	} else if report, err := frame.ParseLoadReport(m.Body); m.Type == 'M' && err == nil {
+	} else if report, err := frame.ParseLoadReport(m.Body); m.Type == frame.TypeLoadReport && err == nil {
 		r.LoadReport = report
 	}
 	j.healthCheck.Finish(r)
--- a/internal/transport/upstream/connwrite.go
+++ b/internal/transport/upstream/connwrite.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	writeTimeout = 2 * time.Second        // for a peer to take bytes, before it is given up,
-	stallTimeout = 20 * time.Millisecond  // or this, once what is being written is cancelled
+	writeTimeout = 2 * time.Second        // for a server to accept a frame, else the connection is reset;
+	stallTimeout = 20 * time.Millisecond  // that time once the call being written is cancelled
 	maxFrameAge  = 100 * time.Millisecond // age of the time left in a call's frame; the rules allow 150 ms
 )
 
@@ -35,8 +35,8 @@
 	}
 }
 
-// nextWrite waits for something to write and appends it to buf: cancels first, since they free work, else a job's frame.
-// The job is nil for cancels, and nothing is appended for one that may not be sent any more. ok is false where the
+// nextWrite waits for frames to write and appends them to buf: cancels first, since they save servers work, else a job's
+// frame. The job is nil for cancels, and nothing is appended for a job that may no longer start. ok is false where the
 // connection has ended.
 func (cn *conn) nextWrite(buf []byte) (j *job, frames []byte, ok bool) {
 	for {
@@ -47,7 +47,7 @@
 			return nil, nil, false
 		case len(cn.pendingCancels) > 0:
 			for _, id := range cn.pendingCancels {
-				buf = frame.Append(buf, 'C', id)
+				buf = frame.Append(buf, frame.TypeCancel, id)
 			}
 			cn.pendingCancels = cn.pendingCancels[:0]
 		case len(cn.queue) > 0:
@@ -111,13 +111,13 @@
 		j.state = jobFinished
 		return buf
 	}
-	letter := byte('H')
+	messageType := frame.TypeHealth
 	if j.healthCheck.WantsLoadReport {
-		letter = 'M'
+		messageType = frame.TypeLoadReport
 	}
 	j.state = jobWritten
 	cn.healthChecks = append(cn.healthChecks, j)
-	return frame.Append(buf, letter, "")
+	return frame.Append(buf, messageType, "")
 }
 
 // appendCall appends a call's frame with the time that is left now.
@@ -130,9 +130,9 @@
 	return frame.AppendCall(buf, call)
 }
 
-// writeFrame writes a frame; j is nil for cancels. A call's frame tells the server how much time is left, so while the server
-// takes none of it, it is made anew every maxFrameAge, for writeTimeout at most; one that was taken in part ends there. A call
-// that may no longer start is not written. It returns how many bytes of the frame were taken.
+// writeFrame writes frames; j is nil for cancels. A call's frame states the time that is left, so it is rebuilt every
+// maxFrameAge, for writeTimeout at most, while the server accepts no byte of it; one that was written in part is not. A call
+// that may no longer start is not written. It returns the number of bytes that were written.
 func (cn *conn) writeFrame(j *job, buf []byte) (n int, err error) {
 	limit := time.Now().Add(writeTimeout)
 	if j == nil || j.call == nil {
--- a/internal/transport/upstream/liveness.go
+++ b/internal/transport/upstream/liveness.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// A part that must not run twice is lost where its connection breaks, so it goes by one that is proven alive, else by a new
-// one. On the platform, connections were reset at the next request once they had been idle for a tenth of a second.
+// A non-idempotent part fails with its connection, so it uses one that is proven alive, else a new one. On the platform,
+// connections idle for 100 ms or more were reset at the next request.
 const (
-	minQuietTime   = 2 * time.Millisecond // servers close some connections right behind an answer
+	minQuietTime   = 2 * time.Millisecond // since the last answer: servers close some connections right after one
 	provenAliveFor = 80 * time.Millisecond
 )
 
-// A connection on which answers are due and nothing was received for longer than answers take gets no more calls: the
-// machine, or the path of this one connection, may have dropped off the network, which shows nowhere else.
+// A connection that awaits answers and has received nothing for longer than answers take gets no more calls: the server or
+// the path of this connection may be partitioned off, which TCP does not report.
 const (
-	// MaxSilence is the longest such time, and the one while no answer has told how long they take.
+	// MaxSilence is the longest such time, which also holds before the first answer is measured.
 	MaxSilence = 400 * time.Millisecond
 
 	minSilence    = 20 * time.Millisecond
-	silenceFactor = 8    // times the mean latency of answers
-	latencyWeight = 0.05 // of one answer in that mean
+	silenceFactor = 8    // multiple of the mean latency of answers
+	latencyWeight = 0.05 // weight of one answer in that mean
 )
 
-// isSilent tells that an answer has been due for longer than a limit, and nothing was received. The caller holds mu.
+// isSilent reports whether an answer has been outstanding for longer than limit with nothing received. The caller holds mu.
 func (cn *conn) isSilent(limit time.Duration) bool {
 	return !cn.awaitingSince.IsZero() && time.Since(cn.awaitingSince) > limit
 }
 
-// isReserved tells that a part that must not run twice is in flight on the connection, alone. The caller holds mu.
+// isReserved reports whether the only call in flight is a non-idempotent one. The caller holds mu.
 func (cn *conn) isReserved() bool {
 	if len(cn.calls) == 1 {
 		for _, j := range cn.calls {
@@ -35,14 +35,14 @@
 	return false
 }
 
-// isProvenAlive tells that nothing is in flight on the connection, and that it very likely lives: something was received
-// lately, but not only just now. The caller holds mu.
+// isProvenAlive reports whether the connection is idle and very likely alive: its last message is between minQuietTime and
+// ProvenAliveFor old. The caller holds mu.
 func (cn *conn) isProvenAlive() bool {
 	age := time.Since(cn.lastReceived)
 	return !cn.isBusy() && age >= minQuietTime && age <= cn.link.opt.ProvenAliveFor
 }
 
-// isBusy tells that something is in flight or queued. The caller holds mu.
+// isBusy reports whether anything is in flight or queued. The caller holds mu.
 func (cn *conn) isBusy() bool {
 	return len(cn.calls)+len(cn.healthChecks)+len(cn.queue)+len(cn.pendingCancels) > 0
 }
@@ -55,7 +55,7 @@
 	l.meanLatency += time.Duration(latencyWeight * float64(took-l.meanLatency))
 }
 
-// silenceTimeout is for how long nothing may be received before a connection counts as silent. The caller holds mu.
+// silenceTimeout returns how long a connection that awaits answers may receive nothing before it counts as silent. The caller holds mu.
 func (l *Link) silenceTimeout() time.Duration {
 	if l.meanLatency == 0 {
 		return MaxSilence
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -54,7 +54,7 @@
 	l.enqueue(p.Addr, p.Server, &job{healthCheck: p})
 }
 
-// Cancel ends the wait for a call's answer. If its frame may have been written, the server is told.
+// Cancel ends the wait for a call's answer. If its frame may have been written, the server is notified.
 func (l *Link) Cancel(c *broker.Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,10 +122,9 @@
 	return cn
 }
 
-// evictIdle closes a connection on which nothing is in flight: one to an unavailable server, else any. It guards against a
-// fleet of as many servers as descriptors: those that came late were not reached at all. Not the one that was idle longest:
-// a query of many parts goes over all servers, and would close just what its next parts need. It tells whether there was one.
-// The caller holds mu.
+// evictIdle closes an idle connection, one to an unavailable server if there is any, and reports whether it found one. With as
+// many servers as descriptors, those that are used last could not be reached otherwise. It does not pick the longest idle: a
+// query of many parts visits all servers in turn, and would close just what its next parts need. The caller holds mu.
 func (l *Link) evictIdle() bool {
 	var spare *conn
 	for _, conns := range l.conns { // in no order
