--- a/internal/transport/flight/flight.go
+++ b/internal/transport/flight/flight.go
@@ -20,8 +20,8 @@
 
 const maxMessage = httpwire.MaxBody + 4<<10 // a body of the platform's, in an envelope
 
-// Ticket asks a broker for a query: the platform's body with what its header says. How long the client
-// waits is the call's own deadline.
+// Ticket requests a query from a broker: the platform's body with the fields of its header. The client's deadline is that of
+// the gRPC call.
 type Ticket struct {
 	ID    string `json:"id"`
 	Class string `json:"class"`
@@ -29,22 +29,22 @@
 	httpwire.Body
 }
 
-// PartTicket asks a record server for one part.
+// PartTicket requests one part from a record server.
 type PartTicket struct {
-	ID        string `json:"id"` // the query's id, a dot and the partition; behind them ".p2" in a second step
+	ID        string `json:"id"` // the query's id, a dot and the partition; with the suffix ".p2" in a second phase
 	Partition int    `json:"partition"`
 	Query     string `json:"query"`
-	// FirstPhase is what the first phase brought, in a part of a second phase; absent: a part of the first.
+	// FirstPhase is the result of the first phase, in a part of a second phase; absent: a part of the first.
 	FirstPhase *FirstPhase `json:"first_step,omitempty"`
 }
 
-// FirstPhase is what the parts of a second phase tell of the first one.
+// FirstPhase is the result of the first phase as the parts of a second phase state it.
 type FirstPhase struct {
-	AnsweredShards []int `json:"from"` // the partitions that were in, ascending
+	AnsweredShards []int `json:"from"` // the partitions that answered, ascending
 	Complete       bool  `json:"whole"`
 }
 
-// partTicket is the ticket of a call.
+// partTicket returns the ticket of a call.
 func partTicket(c *broker.Call) PartTicket {
 	t := PartTicket{
 		ID: frame.PartID(c.Query, c.Shard, c.FirstPhase != nil), Partition: c.Shard, Query: string(c.Payload),
@@ -55,12 +55,12 @@
 	return t
 }
 
-// Closing is the metadata of an answer's last message. An answer without it has been cut and is not whole.
+// Closing is the metadata of an answer's last message. An answer without it is truncated.
 type Closing struct {
 	ID       string `json:"id"`
 	Class    string `json:"class"`
 	Complete bool   `json:"whole"`
-	Parts    int    `json:"parts"` // so many rows came
+	Parts    int    `json:"parts"` // rows of the answer
 }
 
 // The schema's metadata carries these keys.
@@ -69,7 +69,7 @@
 	classKey = "mothrouter.class"
 )
 
-// answerSchema is that of a broker's answer.
+// answerSchema returns the schema of a broker's answer.
 func answerSchema(id, class string) *arrow.Schema {
 	md := arrow.NewMetadata([]string{idKey, classKey}, []string{id, class})
 	return arrow.NewSchema([]arrow.Field{
@@ -78,8 +78,8 @@
 	}, &md)
 }
 
-// The status mapping. UNAVAILABLE with RetryInfo says that trying again is harmless; gRPC itself makes
-// UNAVAILABLE too, of a connection that broke, and then without RetryInfo.
+// codeOf maps outcomes to gRPC statuses. UNAVAILABLE with RetryInfo means that a retry is safe; gRPC itself returns UNAVAILABLE
+// for a broken connection, without RetryInfo.
 var codeOf = map[broker.Outcome]codes.Code{
 	broker.Rejected: codes.Unavailable, broker.Failed: codes.Aborted,
 	broker.DeadlineExceeded: codes.DeadlineExceeded, broker.Duplicate: codes.AlreadyExists,
@@ -90,7 +90,7 @@
 	broker.DeadlineExceeded: "the time is up", broker.Duplicate: "a query of this id is being served",
 }
 
-// statusOf is the status of a query that was not answered.
+// statusOf returns the gRPC status of a query that was not answered.
 func statusOf(r broker.Result) error {
 	s := status.New(codeOf[r.Outcome], saidOf[r.Outcome])
 	if r.Outcome != broker.Rejected {
@@ -99,13 +99,13 @@
 	detailed, err := s.WithDetails(&errdetails.RetryInfo{
 		RetryDelay: durationpb.New(secondsOf(r.RetryAfter)),
 	})
-	if err != nil { // without RetryInfo it must not be taken for a refusal
+	if err != nil { // without RetryInfo it must not be taken for a rejection
 		return status.Error(codes.Aborted, err.Error())
 	}
 	return detailed.Err()
 }
 
-// isRejected tells whether a status is a refusal: nothing unsafe has run.
+// isRejected reports whether a status is a rejection: no non-idempotent part has run.
 func isRejected(err error) bool {
 	s, ok := status.FromError(err)
 	if !ok || s.Code() != codes.Unavailable {
--- a/internal/transport/flight/front.go
+++ b/internal/transport/flight/front.go
@@ -23,23 +23,23 @@
 
 func secondsOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Core is what the front needs of the broker.
+// Core is the part of the broker that the front uses.
 type Core interface {
 	Submit(*broker.Request, broker.Client)
 	Disconnect(*broker.Request)
 }
 
-// Options are what the deployment fixes.
+// Options are the settings of a Front.
 type Options struct {
 	Classes  map[string]int // class by name
-	Shards   int            // 0: not told
-	MaxConns int            // connections held at most
+	Shards   int            // 0: not stated
+	MaxConns int            // client connections at once
 }
 
 const (
-	maxStreams        = 16       // calls at once on a connection
-	maxCalls          = 128      // queries at once on all of them
-	flowControlWindow = 64 << 10 // bytes unread on a stream and on a connection; so set, gRPC does not widen it
+	maxStreams        = 16       // concurrent calls on a connection
+	maxCalls          = 128      // concurrent queries on all connections
+	flowControlWindow = 64 << 10 // unread bytes of a stream and of a connection; a fixed value disables gRPC's dynamic window
 )
 
 // Front serves Flight clients on the same core as the platform's front.
@@ -51,7 +51,7 @@
 	slots  chan struct{} // of calls
 }
 
-// NewFront makes a front to core.
+// NewFront returns a front that submits queries to core.
 func NewFront(opt Options, core Core) *Front {
 	f := &Front{opt: opt, core: core, slots: make(chan struct{}, maxCalls)}
 	f.server = grpc.NewServer(
@@ -65,20 +65,20 @@
 	return f
 }
 
-// Serve accepts until Stop.
+// Serve accepts connections until Stop.
 func (f *Front) Serve(l net.Listener, log *slog.Logger) error {
 	log.Info("serving Arrow Flight", "listen", l.Addr().String())
 	return f.server.Serve(netutil.LimitListener(l, max(f.opt.MaxConns, 1)))
 }
 
-// Stop takes nothing new and waits for what is held; when ctx ends, it ends that too.
+// Stop accepts no new calls and waits for those in flight; when ctx is done, it cancels them.
 func (f *Front) Stop(ctx context.Context) {
 	stop := context.AfterFunc(ctx, f.server.Stop)
 	f.server.GracefulStop()
 	stop()
 }
 
-// admit bounds the calls that are held, before their tickets are read.
+// admit bounds the calls in flight before their tickets are read.
 func (f *Front) admit(srv any, stream grpc.ServerStream, _ *grpc.StreamServerInfo, next grpc.StreamHandler) error {
 	select {
 	case f.slots <- struct{}{}:
@@ -89,7 +89,7 @@
 	}
 }
 
-// request makes a core's request of a ticket.
+// request returns the broker's request for a ticket. Its errors are gRPC statuses.
 func (f *Front) request(ctx context.Context, data []byte) (*broker.Request, *Ticket, error) {
 	now := time.Now()
 	t, err := parseTicket(data)
@@ -116,13 +116,13 @@
 	return r, t, nil
 }
 
-// client is a query's end on this front.
+// client receives the result of one query.
 type client chan broker.Result
 
-// Finish is called by the core's loop.
+// Finish implements broker.Client.
 func (c client) Finish(r broker.Result) { c <- r }
 
-// DoGet serves one query: rows of the parts that are in, then the closing metadata.
+// DoGet serves one query: a row for each part that answered, then the Closing metadata.
 func (f *Front) DoGet(ticket *flight.Ticket, stream flight.FlightService_DoGetServer) error {
 	ctx := stream.Context()
 	r, t, err := f.request(ctx, ticket.GetTicket())
@@ -145,7 +145,7 @@
 	}
 }
 
-// writeAnswer sends the rows, and only behind them the mark whether they are the whole.
+// writeAnswer sends the rows, and only after them the metadata that states whether they are complete.
 func writeAnswer(stream flight.DataStreamWriter, t *Ticket, res broker.Result) error {
 	schema := answerSchema(t.ID, t.Class)
 	w := flight.NewRecordWriter(stream, ipc.WithSchema(schema))
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// GetFlightInfo tells how to fetch the query that the descriptor's command holds. Nothing runs yet.
+// GetFlightInfo returns the ticket and schema for the query in the descriptor's command. Nothing runs yet.
 func (f *Front) GetFlightInfo(ctx context.Context, d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	r, t, err := f.request(ctx, d.GetCmd())
 	if err != nil {
@@ -187,7 +187,7 @@
 	}, nil
 }
 
-// GetSchema tells the schema of a query's answer.
+// GetSchema returns the schema of a query's answer.
 func (f *Front) GetSchema(ctx context.Context, d *flight.FlightDescriptor) (*flight.SchemaResult, error) {
 	_, t, err := f.request(ctx, d.GetCmd())
 	if err != nil {
--- a/internal/transport/flight/link.go
+++ b/internal/transport/flight/link.go
@@ -26,11 +26,11 @@
 	"mothrouter/internal/transport/httpwire"
 )
 
-// LinkOptions are what the deployment fixes.
+// LinkOptions are the settings of a Link.
 type LinkOptions struct {
-	MaxStreams     int           // calls that one connection carries at once
-	MaxConns       int           // connections held at most; 0: no bound
-	IdleTimeout    time.Duration // connections idle for so long are closed
+	MaxStreams     int           // concurrent calls on one connection
+	MaxConns       int           // connections to all servers; 0: no bound
+	IdleTimeout    time.Duration // connections that are idle for four fifths of it are closed
 	ConnectTimeout time.Duration
 }
 
@@ -50,10 +50,10 @@
 	conn   *grpc.ClientConn
 	client flight.Client
 	calls  int
-	idle   *time.Timer // runs while there are none
+	idle   *time.Timer // runs while there are no calls
 }
 
-// NewLink makes a link whose connections end with ctx.
+// NewLink returns a link whose connections end with ctx.
 func NewLink(ctx context.Context, opt LinkOptions) *Link {
 	opt.MaxStreams = max(opt.MaxStreams, 1)
 	l := &Link{opt: opt, ctx: ctx, conns: map[string][]*channel{}, calls: map[*broker.Call]context.CancelFunc{}}
@@ -73,7 +73,7 @@
 	return l
 }
 
-// acquire returns a connection with room.
+// acquire reserves a stream on a connection to addr, which it opens if all are full.
 func (l *Link) acquire(addr string) (*channel, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,7 +92,7 @@
 	}
 	conn, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		// A part's attempts are the core's to decide: gRPC repeats none by itself.
+		// The broker decides on the attempts of a part: gRPC must not retry by itself.
 		grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(),
 		grpc.WithIdleTimeout(l.opt.IdleTimeout*4/5),
 		grpc.WithConnectParams(grpc.ConnectParams{
@@ -125,8 +125,8 @@
 	return false
 }
 
-// release takes a call off a connection. One without calls is closed: at once where it is not the server's
-// only one, else when it has been idle, so that servers that are gone leave nothing behind.
+// release ends a call on a connection. A connection without calls is closed: at once where the server has another, else after
+// the idle time, so that removed servers leave none behind.
 func (l *Link) release(addr string, ch *channel) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,7 +145,7 @@
 	}
 }
 
-// remove closes a connection and forgets it. The caller holds mu.
+// remove closes a connection and removes it from the link. The caller holds mu.
 func (l *Link) remove(addr string, ch *channel) {
 	list := slices.DeleteFunc(l.conns[addr], func(other *channel) bool { return other == ch })
 	if len(list) < len(l.conns[addr]) {
@@ -173,7 +173,7 @@
 	}()
 }
 
-// Cancel ends a call's stream, and with it the server's wait.
+// Cancel cancels a call's stream.
 func (l *Link) Cancel(c *broker.Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -182,19 +182,19 @@
 	}
 }
 
-// gate is asked by gRPC for the credentials of a call just before its header is written, and so is where
-// the call is checked for the last time. It lets the header through once: gRPC would send a call again that
-// the server did not process, and then without asking the core.
+// gate decides, just before a call's header is written, whether the call may still start. It implements
+// credentials.PerRPCCredentials, whose method gRPC calls at that moment. It passes a call once: gRPC's transparent retry, of a
+// call that the server did not process, would start an attempt that the broker has not decided on.
 type gate struct {
 	call    *broker.Call
 	mu      sync.Mutex
 	passed  bool
-	blocked bool // a call was stopped here before anything was written
+	blocked bool // the call was stopped before anything was written
 }
 
 var errNotStarted = status.Error(codes.FailedPrecondition, "the call may not be sent any more")
 
-// GetRequestMetadata is credentials.PerRPCCredentials'.
+// GetRequestMetadata implements credentials.PerRPCCredentials. It adds no metadata.
 func (g *gate) GetRequestMetadata(context.Context, ...string) (map[string]string, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -209,7 +209,7 @@
 	return nil, nil
 }
 
-// RequireTransportSecurity is credentials.PerRPCCredentials'.
+// RequireTransportSecurity implements credentials.PerRPCCredentials.
 func (g *gate) RequireTransportSecurity() bool { return false }
 
 func (g *gate) mayHaveRun() bool {
@@ -218,11 +218,11 @@
 	return g.passed
 }
 
-// get runs one call to its end.
+// get runs one call and returns its result.
 func (l *Link) get(ctx context.Context, c *broker.Call) broker.CallResult {
 	ch, err := l.acquire(c.Addr)
 	if err != nil {
-		return broker.ResultOf(decision.NotSent) // which tells nothing of the server
+		return broker.ResultOf(decision.NotSent) // the server is not at fault
 	}
 	defer l.release(c.Addr, ch)
 	ticket, err := json.Marshal(partTicket(c))
@@ -239,15 +239,14 @@
 	case err != nil:
 		return failedResult(err, g)
 	case !utf8.Valid(r.Value):
-		return broker.ResultOf(decision.Error) // no answer could carry it
+		return broker.ResultOf(decision.Error) // a JSON answer cannot contain it
 	}
 	return r
 }
 
 var errTooLong = errors.New("the value is too long")
 
-// readPart reads a part's stream to its status. Only a stream that ends well has brought the part: one that
-// breaks halfway leaves it not in.
+// readPart reads a part's stream to its status. Only a stream that ends with OK has delivered the part.
 func readPart(stream flight.FlightService_DoGetClient) (broker.CallResult, error) {
 	part := broker.CallResult{Status: decision.OK, LoadReport: decision.NoLoadReport, Value: []byte{}}
 	r, err := flight.NewRecordReader(stream)
@@ -280,8 +279,8 @@
 // scoreName is the metadata's name for the score of a part.
 const scoreName = "score"
 
-// readMetadata takes the load report and the score from a message's metadata, name=value pairs set apart by commas.
-// What cannot be read spoils no value.
+// readMetadata parses the load report and the score in a message's metadata, name=value pairs separated by commas. A pair that
+// cannot be parsed counts as absent: the value is valid all the same.
 func readMetadata(data []byte, part *broker.CallResult) {
 	if len(data) == 0 {
 		return
@@ -300,9 +299,8 @@
 	}
 }
 
-// failedResult is the outcome of a call that ended without an answer. Nothing can have run if its header was
-// never written, or if the server says so; anything else may have run, and above all a stream that ends
-// without a status.
+// failedResult returns the result of a call that ended without an answer. It cannot have run if its header was never written or
+// the server rejected it; it may have run otherwise, also where the stream ended without a status.
 func failedResult(err error, g *gate) broker.CallResult {
 	switch {
 	case g.blocked:
@@ -321,7 +319,7 @@
 	return broker.ResultOf(decision.Error)
 }
 
-// CheckHealth asks a server for its load by the action "load".
+// CheckHealth requests a load report by the action "load".
 func (l *Link) CheckHealth(p *broker.HealthCheck) {
 	go func() {
 		ctx, cancel := context.WithDeadline(l.ctx, p.Deadline)
@@ -376,5 +374,7 @@
 // Cancel ends a call.
 func (s *ProtocolSelector) Cancel(c *broker.Call) { s.linkTo(c.Server).Cancel(c) }
 
-// CheckHealth asks a server how it is.
-func (s *ProtocolSelector) CheckHealth(check *broker.HealthCheck) { s.linkTo(check.Server).CheckHealth(check) }
+// CheckHealth starts a health check.
+func (s *ProtocolSelector) CheckHealth(check *broker.HealthCheck) {
+	s.linkTo(check.Server).CheckHealth(check)
+}
