--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -62,7 +62,7 @@
 	for _, id := range flightConfig.Servers {
 		speaksFlight[id] = true
 	}
-	return &flight.Mixed{Frames: frames, Speaks: speaksFlight, Flight: flight.NewLink(ctx, flight.LinkOptions{
+	return &flight.ProtocolSelector{Frames: frames, FlightServers: speaksFlight, Flight: flight.NewLink(ctx, flight.LinkOptions{
 		MaxStreams: cfg.MaxStreams, MaxConns: flightConfig.ServerConns, IdleTimeout: cfg.ConnIdleTimeout,
 		ConnectTimeout: cfg.ConnectTimeout,
 	})}
--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -260,3 +260,42 @@
 	}
 	require.Greater(t, checked, 20)
 }
+
+// testName is the name of a test function in a page.
+var testName = regexp.MustCompile(`\bTest[A-Z]\w+`)
+
+func TestNamedTestsExist(t *testing.T) {
+	declared := map[string]bool{}
+	for _, top := range []string{"cmd", "internal"} {
+		err := filepath.WalkDir(filepath.Join(root, top), func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(path, "_test.go") {
+				return err
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+			if err != nil {
+				return err
+			}
+			for _, declaration := range file.Decls {
+				if f, ok := declaration.(*ast.FuncDecl); ok {
+					declared[f.Name.Name] = true
+				}
+			}
+			return nil
+		})
+		require.NoError(t, err)
+	}
+	pages, err := filepath.Glob("*.md")
+	require.NoError(t, err)
+	for _, page := range pages {
+		if page == "ROADMAP.md" {
+			continue // it names tests of earlier programs
+		}
+		text, err := os.ReadFile(page)
+		require.NoError(t, err)
+		for _, name := range testName.FindAllString(string(text), -1) {
+			if !declared[name] {
+				t.Errorf("%s names the test %s, which is not there", page, name)
+			}
+		}
+	}
+}
