--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -1,6 +1,6 @@
 package decision
 
-// The record servers that the endpoint list names, and when the broker polls the list.
+// The endpoint list: which servers are known, which of them hold a shard, and when the list is polled.
 
 import (
 	"maps"
@@ -12,98 +12,118 @@
 )
 
 const (
-	pollBackoff      = 0.5 // seconds after a failed poll; doubled by each further one,
-	maxPollDoublings = 5   // so often at most
-	minPollInterval  = 1.0 // seconds until a poll without any reply is repeated
+	// pollBackoff is in seconds and doubles with each failed poll in a row: 1 s after the first one, so that
+	// a single lost reply costs little.
+	pollBackoff = 0.5
+	// maxPollDoublings bounds the backoff at 0.5 s * 2^5 = 16 s.
+	maxPollDoublings = 5
+	// maxBackoffsPerInterval is how many of the longest backoffs fit into Settings.PollInterval: three polls
+	// may fail before the list is older than the operators allow.
+	maxBackoffsPerInterval = 3
+	// minPollInterval is in seconds: a poll without any reply, not even a failure, is repeated no sooner.
+	minPollInterval = 1.0
 )
 
-// endpoints are the servers that are listed, or are still answering.
+// endpoints holds the servers on the endpoint list, and those off it whose attempts are still in flight.
 type endpoints struct {
-	servers     []*server
-	byID        map[string]*server // looked up, never iterated
-	replicaSets replicasets.Index[*server]
-	removed     []*server // off the list, with attempts in flight
-	warmingUp   []*server // in slow start
-	lastNumber  int       // servers numbered so far
-	pollAt      float64   // when to poll the list again; +Inf: subscribed or not needed
-	failedPolls int       // in a row
+	servers     []*server                  // in the order in which they were first listed
+	byID        map[string]*server         // looked up, never iterated: its order is random
+	replicaSets replicasets.Index[*server] // servers that are ready or draining, by replica set
+	removed     []*server                  // off the list, with attempts in flight
+	warmingUp   []*server                  // those with slowStart.warming set
+	lastNumber  int                        // number of the newest server
+	pollAt      float64                    // time of the next poll; +Inf: subscribed, or not polled
+	failedPolls int                        // failed polls in a row
 }
 
-// server is what this broker knows of one record server.
-type server struct {
-	Server
-	serverstats.Stats
-	slowStart
-	number   int     // in the order of the list
-	keyRound int     // the draw round that drawKey belongs to
-	drawKey  float64 // exponential variate / weight in that round
-	removed  bool    // in endpoints.removed
-}
-
-func (s *server) IsReady() bool { return s.State == Ready }
-func number(s *server) int      { return s.number }
-
-func (p *Policy) onEndpointUpdate(u EndpointUpdate) {
-	if u.Mode == FailedUpdate {
+func (p *Policy) onEndpointUpdate(update EndpointUpdate) {
+	if update.Mode == FailedUpdate {
 		p.backOffPolls()
 		return
 	}
-	if u.Mode != CachedUpdate {
-		p.failedPolls, p.pollAt = 0, math.Inf(1)
+	if update.Mode != CachedUpdate {
+		p.failedPolls = 0
+		p.pollAt = math.Inf(1)
 	}
-	if u.Mode != DeltaUpdate {
-		for _, s := range p.servers {
-			s.State = Removed
-		}
-		p.replicaSets.Clear()
+	listsAll := update.Mode != DeltaUpdate
+	if listsAll {
+		p.markAllRemoved()
 	}
-	for _, e := range u.Servers {
-		p.updateServer(e)
+	for _, entry := range update.Servers {
+		p.updateServer(entry)
 	}
-	if u.Mode != DeltaUpdate {
-		for _, s := range p.servers {
-			if s.State == Removed {
-				p.index(s)
-			}
-		}
+	if listsAll {
+		p.indexRemoved()
 	}
 	p.forgetRemoved()
 }
 
-// backOffPolls polls soon, then less often: a directory that is down is not helped by more calls.
+// markAllRemoved marks all servers removed before a complete list is applied, which names those that stay.
+func (p *Policy) markAllRemoved() {
+	for _, s := range p.servers {
+		s.State = Removed
+	}
+	p.replicaSets.Clear()
+}
+
+// indexRemoved indexes the servers that a complete list did not name.
+func (p *Policy) indexRemoved() {
+	for _, s := range p.servers {
+		if s.State == Removed {
+			p.index(s)
+		}
+	}
+}
+
+// backOffPolls schedules the next poll after a failed one, later after each further failure, so that polls do
+// not add to the load of a failing directory.
 func (p *Policy) backOffPolls() {
 	p.failedPolls++
-	if p.settings.PollEndpoints {
-		backoff := pollBackoff * math.Pow(2, float64(min(p.failedPolls, maxPollDoublings)))
-		p.pollAt = p.now + min(backoff, p.settings.PollInterval/3)
+	if !p.settings.PollEndpoints {
+		return
 	}
+	doublings := min(p.failedPolls, maxPollDoublings)
+	backoff := pollBackoff * math.Pow(2, float64(doublings))
+	p.pollAt = p.now + min(backoff, p.settings.PollInterval/maxBackoffsPerInterval)
 }
 
-// updateServer takes up one entry of the list.
-func (p *Policy) updateServer(e Server) {
-	e.Zone = max(e.Zone, 0) // an odd zone is no index
-	s := p.byID[e.ID]
+// updateServer applies one entry of the list.
+func (p *Policy) updateServer(entry Server) {
+	entry.Zone = max(entry.Zone, 0) // zones index the failure ratios by zone
+	s := p.byID[entry.ID]
 	if s == nil {
-		p.lastNumber++
-		s = &server{number: p.lastNumber, Stats: serverstats.NewStats()}
-		s.warmingSince = math.Inf(-1)
-		p.byID[e.ID] = s
-		p.servers = append(p.servers, s)
+		s = p.addServer(entry.ID)
 	}
 	p.replicaSets.Remove(s.ReplicaSet, s)
-	if e.Started > 0 && e.Started != s.Started {
-		s.Restarted() // a new process: what was known of the old one is void
-		s.warmingSince = e.Started
-		if !s.warming {
-			s.warming = true
-			p.warmingUp = append(p.warmingUp, s)
-		}
+	if entry.Started > 0 && entry.Started != s.Started {
+		p.restartServer(s, entry.Started)
 	}
-	s.Server, s.Failures.Zone = e, e.Zone
+	s.Server = entry
+	s.Failures.Zone = entry.Zone
 	p.index(s)
 }
 
-// index files a server where its state and replica set put it.
+// addServer returns a new server without history, which counts as started long ago.
+func (p *Policy) addServer(id string) *server {
+	p.lastNumber++
+	s := &server{number: p.lastNumber, Stats: serverstats.NewStats()}
+	s.warmingSince = math.Inf(-1)
+	p.byID[id] = s
+	p.servers = append(p.servers, s)
+	return s
+}
+
+// restartServer discards what was known of a server's previous process and begins its slow start.
+func (p *Policy) restartServer(s *server, started float64) {
+	s.Restarted()
+	s.warmingSince = started
+	if !s.warming {
+		s.warming = true
+		p.warmingUp = append(p.warmingUp, s)
+	}
+}
+
+// index files a server by its state and replica set.
 func (p *Policy) index(s *server) {
 	if s.State != Removed {
 		p.replicaSets.Insert(s.ReplicaSet, s)
@@ -119,18 +139,26 @@
 	p.queueHealthCheck(s)
 }
 
-// forgetRemoved forgets servers off the list once nothing is in flight: they would count as a fleet down.
+// forgetRemoved deletes servers off the list once they have no attempt in flight: kept longer, they would
+// count as servers that are down.
 func (p *Policy) forgetRemoved() {
-	idle := func(s *server) bool { return s.State == Removed && s.InFlight == 0 }
-	forgets := slices.ContainsFunc(p.removed, idle)
-	p.removed = slices.DeleteFunc(p.removed, func(s *server) bool {
-		s.removed = s.State == Removed && s.InFlight > 0
-		return !s.removed
-	})
-	if forgets {
-		maps.DeleteFunc(p.byID, func(_ string, s *server) bool { return idle(s) })
-		p.servers = slices.DeleteFunc(p.servers, idle)
-		p.warmingUp = slices.DeleteFunc(p.warmingUp, idle)
-		p.stalest.Remove(idle)
+	forgets := slices.ContainsFunc(p.removed, isForgettable)
+	p.removed = slices.DeleteFunc(p.removed, leavesRemoved)
+	if !forgets {
+		return
 	}
+	maps.DeleteFunc(p.byID, func(_ string, s *server) bool { return isForgettable(s) })
+	p.servers = slices.DeleteFunc(p.servers, isForgettable)
+	p.warmingUp = slices.DeleteFunc(p.warmingUp, isForgettable)
+	p.stalest.Remove(isForgettable)
+}
+
+// isForgettable reports whether a server is off the list and has no attempt in flight.
+func isForgettable(s *server) bool { return s.State == Removed && s.InFlight == 0 }
+
+// leavesRemoved updates server.removed and reports whether the server is no longer off the list with attempts
+// in flight.
+func leavesRemoved(s *server) bool {
+	s.removed = s.State == Removed && s.InFlight > 0
+	return !s.removed
 }
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -48,7 +48,7 @@
 		p.pollAt = math.Inf(1)
 	}
 	p.meanFitness = 1
-	p.stalest = lazyheap.New(func(s *server) float64 { return s.ObservedAt }, number)
+	p.stalest = lazyheap.New(observedAt, number)
 	p.queries, p.byQuery, p.parts = map[int64]*query{}, map[RequestID]*query{}, map[RequestID]*part{}
 	p.poisonQueries, p.quarantineUntil = map[uint64]float64{}, make([]float64, len(s.Classes))
 	if !s.RetryAfterSupported {
