--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -1,9 +1,8 @@
 package decision
 
-// Which queries and parts are rejected at their arrival.
+// Deadline admission: queries that would miss their objective are rejected at arrival, before they cost work.
 
 import (
-	"maps"
 	"math"
 
 	"mothrouter/internal/completeness"
@@ -13,77 +12,89 @@
 )
 
 const (
-	admitBlind         = 0.4  // of the time to the objective that the delay may take if little is seen
-	admitInformed      = 0.4  // and this much more where servers are heard of all the time
-	minWeightFactor    = 0.7  // a narrower margin would reject what an idle fleet serves at once
-	missedMargin       = 0.3  // of that margin, for queries past their objective, if little is seen
-	trialProbability   = 0.03 // with which a part that would be late is let through
-	poisonProbability  = 0.05 // so unlikely is it that so many attempts were broken off by chance
-	quarantineDuration = 30.0 // seconds: at size a broker meets such a query only once in so long
+	// blindDelayRatio is the fraction of the time to the objective that the expected delay may take where
+	// service times have a long half-life: little is seen of each server, and the estimate is often too high
+	// or too low.
+	blindDelayRatio = 0.4
+	// informedDelayRatio is added to blindDelayRatio, divided by the half-life in seconds: with the shortest
+	// one of 1 s the limit is 0.8 of the time to the objective.
+	informedDelayRatio = 0.4
+	// minWeightFactor bounds from below how far a small priority weight narrows the limit: less would reject
+	// what an idle fleet serves at once.
+	minWeightFactor = 0.7
+	// missedDelayRatio narrows the limit of queries past their objective where the half-life is long: a
+	// client's retry reaches another broker, which cannot know that it was rejected before.
+	missedDelayRatio = 0.3
+	// trialProbability is the probability that a part which would be late is admitted, so that the end of an
+	// overload is noticed at a cost of 3 % of its parts.
+	trialProbability = 0.03
 )
 
-// admission is what is known of the queries that came before.
+// admission is what the admission of a query takes from those before it.
 type admission struct {
-	patience                clientpatience.Estimate
-	waits                   clientpatience.Waits
-	poisonQueries           map[uint64]float64 // by fingerprint, queries that broke their servers: until when
-	quarantineUntil         []float64          // by class: until then one part of a query goes ahead
-	totalWeight, totalParts float64            // of all queries so far: priority weight, and parts needed
+	patience    clientpatience.Estimate // how long clients wait before they disconnect
+	waits       clientpatience.Waits    // longest waits by class, from which retries are recognized
+	totalWeight float64                 // sum of the priority weights of the queries so far
+	totalParts  float64                 // sum of the parts that complete answers to these need
 }
 
-// crashesServers tells that all attempts of a query have ended, more of them broken off than by chance.
-func (p *Policy) crashesServers(q *query, g progress) bool {
-	return q.resets > 1 && g.Answered == 0 && g.live == 0 && q.phase == firstPhase &&
-		math.Pow(p.fleet.DisconnectRatio, float64(q.resets)) < poisonProbability
-}
-
-// isPoison tells that a query like this one has broken its servers lately.
-func (p *Policy) isPoison(q *query) bool {
-	maps.DeleteFunc(p.poisonQueries, func(_ uint64, until float64) bool { return p.now > until })
-	return p.poisonQueries[q.fingerprint] > 0
-}
-
-// expectedDelay is how long one more part of a shard is expected to take.
+// expectedDelay returns the expected time in seconds until one more part of a shard is answered.
 func (p *Policy) expectedDelay(shard int) float64 {
 	var delay queueing.Delay
 	p.replicaSets.Replicas(shard, func(s *server) {
-		if s.IsReady() && p.hasSlowStartBudget(s) {
-			capacity := p.usableFraction(s) * p.capacityFraction(s)
-			delay.Add(capacity, p.fleet.ServiceTime.Of(&s.ServiceTime, p.now), s.QueueDepth(p.now))
+		if !s.IsReady() || !p.hasSlowStartBudget(s) {
+			return
 		}
+		capacity := p.usableFraction(s) * p.capacityFraction(s)
+		serviceTime := p.fleet.ServiceTime.Of(&s.ServiceTime, p.now)
+		delay.Add(capacity, serviceTime, s.QueueDepth(p.now))
 	})
 	return delay.Expected()
 }
 
-// delayLimit is the expected delay up to which parts are admitted. The less is seen of each server, the wider
-// the margin. Priority widens it, a missed objective narrows it.
+// delayLimit returns the expected delay in seconds up to which the parts of a query are admitted. A long
+// half-life of service times narrows it, as do a small priority weight and a missed objective.
 func (p *Policy) delayLimit(q *query) float64 {
 	left := q.objectiveAt - p.now
-	limit := (admitBlind + admitInformed/p.fleet.ServiceTime.HalfLife) * left
-	if weight := q.class.PriorityWeight; !p.settings.WeightByWork && weight > 0 {
-		parts := q.class.CompletenessThreshold * float64(len(q.parts))
-		p.totalWeight += weight
-		p.totalParts += parts
-		relative := weight / parts * p.totalParts / p.totalWeight
-		limit = min(limit*max(math.Sqrt(relative), minWeightFactor), left)
+	halfLife := p.fleet.ServiceTime.HalfLife
+	limit := (blindDelayRatio + informedDelayRatio/halfLife) * left
+	if !p.settings.WeightByWork && q.class.PriorityWeight > 0 {
+		limit = min(limit*p.weightFactor(q), left)
 	}
 	if q.objectiveMissed {
-		return limit * math.Pow(missedMargin, 1-servicetime.MinHalfLife/p.fleet.ServiceTime.HalfLife)
-	} else if p.needsCanary(q) {
-		return left // its canary parts tell more
+		return limit * math.Pow(missedDelayRatio, 1-servicetime.MinHalfLife/halfLife)
+	}
+	if p.needsCanary(q) {
+		return left // the canary parts show better whether the others would be late
 	}
 	return limit
 }
 
-// admissionRejects tells at a query's arrival that it would miss its objective. Some late parts are let
-// through, to learn of the end of a jam. Where the others are enough, only the late parts are left out.
+// weightFactor counts a query's priority weight and returns the factor by which its weight for each part,
+// relative to that of all queries so far, widens or narrows the limit. The square root keeps queries of a
+// small weight from being rejected altogether.
+func (p *Policy) weightFactor(q *query) float64 {
+	weight := q.class.PriorityWeight
+	parts := q.class.CompletenessThreshold * float64(len(q.parts))
+	p.totalWeight += weight
+	p.totalParts += parts
+	relative := weight / parts * p.totalParts / p.totalWeight
+	return max(math.Sqrt(relative), minWeightFactor)
+}
+
+// admissionRejects reports, at the arrival of a query, whether it would miss its objective. Parts that would
+// be late are given up, except for a few trials. If the others are enough for an answer, the query is
+// admitted.
 func (p *Policy) admissionRejects(q *query) bool {
-	admitted, limit := 0.0, p.delayLimit(q)
+	limit := p.delayLimit(q)
+	admitted := 0.0
 	for _, pt := range q.parts {
-		pt.givenUp = p.expectedDelay(pt.Shard) > limit && p.rng.Float64() >= trialProbability
+		late := p.expectedDelay(pt.Shard) > limit
+		pt.givenUp = late && p.rng.Float64() >= trialProbability
 		if !pt.givenUp {
 			admitted += pt.Weight
 		}
 	}
-	return admitted < min(q.class.MinCompleteness, q.class.CompletenessThreshold)-completeness.Slack
+	needed := min(q.class.MinCompleteness, q.class.CompletenessThreshold)
+	return admitted < needed-completeness.Slack
 }
--- a/internal/decision/canary.go
+++ b/internal/decision/canary.go
@@ -10,8 +10,8 @@
 	minCanaryParts = 8
 	// maxCanaryMissing is the fraction of the canary parts that may be unanswered when the others are sent.
 	maxCanaryMissing = 0.3
-	// partsPerCanary is the number of parts to one canary where that gives more than minCanaryParts: 5 %, a
-	// load that a fleet which is full can still take.
+	// partsPerCanary is the number of parts to one canary part where that gives more than minCanaryParts: 5 %
+	// of the load are risked at most.
 	partsPerCanary = 20
 	// minFanout is the number of parts from which a query has a large fan-out: at least four parts to one of
 	// minCanaryParts canaries.
--- a/internal/decision/health.go
+++ b/internal/decision/health.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// learnFromAttempt updates the statistics of the server and the fleet from the outcome of an attempt.
+// learnFromAttempt updates the service times and answer rates of the server and the fleet from the outcome of
+// an attempt, which recordOutcome has counted.
 func (p *Policy) learnFromAttempt(a *attempt, q *query, outcome AttemptFinished) {
 	s := a.server
-	p.recordOutcome(s, outcome.Status)
 	finished := serverstats.Attempt{
 		Class:       q.Class,
 		SentAt:      a.sentAt,
--- a/internal/decision/healthchecks.go
+++ b/internal/decision/healthchecks.go
@@ -15,7 +15,7 @@
 	// that docs/design.md names.
 	fitnessInterval = 10.0
 	// healthCheckTimeout is in seconds: the replies to the health checks that precede a computation of
-	// fitness are awaited this long. A broker's round trip takes a few milliseconds.
+	// fitness are awaited this long. Later replies count in the next one.
 	healthCheckTimeout = 0.3
 	// healthCheckThreshold is the fraction of attempts refused or reset from which servers are also checked
 	// one by one, since attempts alone then find the recovered ones too late.
--- /dev/null
+++ b/internal/decision/progress.go
@@ -0,0 +1,92 @@
+package decision
+
+// The progress of a query: when it is answered, rejected, or its parts are sent.
+
+import "mothrouter/internal/completeness"
+
+// progress is the state of a query's phase.
+type progress struct {
+	completeness.Tally          // weights of the parts that are answered, pending and lost
+	completeness.Thresholds     // weights that an answer needs
+	live                    int // attempts in flight
+}
+
+// progressOf returns the progress of the phase in progress.
+func (p *Policy) progressOf(q *query) progress {
+	var tally completeness.Tally
+	live := 0
+	for _, pt := range q.parts {
+		live += pt.live
+		switch {
+		case pt.answered:
+			tally.AddAnswered(pt.Weight)
+		case p.isPending(pt):
+			tally.AddPending(pt.Weight)
+		default:
+			tally.AddLost()
+		}
+	}
+	thresholds := q.class.Thresholds(q.phase == secondPhase)
+	return progress{Tally: tally, Thresholds: thresholds, live: live}
+}
+
+// isPending reports whether an unanswered part may still be answered.
+func (p *Policy) isPending(pt *part) bool {
+	if pt.givenUp {
+		return false
+	}
+	return pt.live > 0 || p.mayAttempt(pt)
+}
+
+// advance takes the next step of a query: it responds, rejects or fails it, or sends parts.
+func (p *Policy) advance(q *query) {
+	awaitsParts := len(q.parts) == 0 && q.phase == secondPhase && p.now < q.expiresAt
+	if q.ended || awaitsParts {
+		p.wakeAt(q.expiresAt)
+		return
+	}
+	g := p.progressOf(q)
+	complete := g.Tally.Complete(g.Thresholds)
+	enough := g.Enough(g.Thresholds)
+	late := p.now >= q.expiresAt || p.now >= q.objectiveAt && enough
+	switch {
+	case complete || enough && (late || g.CannotComplete(g.Thresholds)):
+		p.respond(q, complete, g.Answered)
+	case late || g.CannotAnswer(g.Thresholds):
+		p.rejectOrFail(q)
+	case p.crashesServers(q, g):
+		p.quarantine(q)
+		p.rejectOrFail(q)
+	case !q.admitted && (p.isPoison(q) || p.admissionRejects(q)):
+		p.rejectOrFail(q)
+	default:
+		q.admitted = true
+		p.sendParts(q, g.Answered)
+		p.wakeForDeadlines(q)
+	}
+}
+
+// wakeForDeadlines requests batches at the times after which a query may be answered or given up.
+func (p *Policy) wakeForDeadlines(q *query) {
+	p.wakeAt(q.expiresAt)
+	if p.now < q.objectiveAt {
+		p.wakeAt(q.objectiveAt)
+	}
+}
+
+// respond answers a query from its answered parts, which sum to a weight of answered. If that ends the first
+// of two phases, the query stays open for the parts of the second.
+func (p *Policy) respond(q *query, complete bool, answered float64) {
+	hasSecondPhase := q.class.SecondPhaseFanout != 0 && answered != 0
+	if q.phase == secondPhase || !hasSecondPhase {
+		allComplete := complete && (q.phase == firstPhase || q.firstComplete)
+		p.finish(q, Respond{ID: q.ID, Complete: allComplete})
+		return
+	}
+	p.finishParts(q)
+	p.emit(Respond{ID: q.ID, Complete: complete})
+	q.firstComplete = complete
+	q.phase = secondPhase
+	q.parts = nil
+	p.wakeAt(q.expiresAt)
+}
--- a/internal/decision/reference_test.go
+++ b/internal/decision/reference_test.go
@@ -769,14 +769,14 @@
 // the wider the margin. A few parts are let through, to learn of its end. Where enough other parts make an
 // answer, only doomed ones are left out. Late repeats yield. Queries worth more have a wider margin.
 func (p *refPolicy) doomed(q *refQuery) bool {
-	left, limit := 0.0, (admitBlind+admitInformed/p.memory)*(q.aim-p.now)
+	left, limit := 0.0, (blindDelayRatio+informedDelayRatio/p.memory)*(q.aim-p.now)
 	if parts := q.class.CompletenessThreshold * float64(len(q.parts)); !p.set.WeightByWork && q.class.PriorityWeight > 0 {
 		p.worthAsked, p.partsAsked = p.worthAsked+q.class.PriorityWeight, p.partsAsked+parts
 		merit := q.class.PriorityWeight / parts * p.partsAsked / p.worthAsked
 		limit = math.Min(limit*math.Max(math.Sqrt(merit), minWeightFactor), q.aim-p.now)
 	}
 	if q.late {
-		limit *= math.Pow(missedMargin, 1-memoryLeast/p.memory)
+		limit *= math.Pow(missedDelayRatio, 1-memoryLeast/p.memory)
 	} else if p.wide(q) {
 		limit = q.aim - p.now // its parts that go ahead tell more
 	}
