--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -18,7 +18,7 @@
 // RequestID names a query or a part of one. The caller never reuses one.
 type RequestID uint64
 
-// Idempotency tells what a retried part of a class does.
+// Idempotency is what executing a part of a class more than once does.
 type Idempotency int
 
 const (
@@ -32,9 +32,9 @@
 
 // Class describes one class of query.
 type Class struct {
-	LatencyObjective      float64 // a response within this time earns its full value
-	ObjectivePerWork      float64 // the objective grows by this multiple of the query's own work
-	Deadline              float64 // the client's patience over all its tries
+	LatencyObjective      float64 // seconds from receipt within which a response earns its full value
+	ObjectivePerWork      float64 // seconds added to the objective for each unit of Query.Work
+	Deadline              float64 // seconds that the client waits over all its tries
 	PriorityWeight        float64 // value of a complete response in time; 0: not stated
 	LateValue             float64 // fraction of that value which a late response earns
 	Idempotency           Idempotency
@@ -54,7 +54,7 @@
 	return at
 }
 
-// ReportMode tells how servers' load reports arrive.
+// ReportMode is the way in which servers' load reports arrive.
 type ReportMode int
 
 // The report modes.
@@ -132,13 +132,13 @@
 	Unreachable        // there was no connection; the attempt did not run
 	Reset              // the connection broke; the attempt may have run
 	Cancelled          // the attempt may have run or may still run
-	NotSent            // the attempt did not run, and tells nothing of the server
+	NotSent            // the attempt did not run; its outcome does not depend on the server
 )
 
 // Event is what happened: one of the types below.
 type Event interface{ event() }
 
-// UpdateMode tells what an EndpointUpdate holds.
+// UpdateMode is the kind of entries that an EndpointUpdate holds.
 type UpdateMode int
 
 // What endpoint updates hold.
@@ -179,7 +179,7 @@
 		Key         uint64
 		Work        float64
 	}
-	// ResponseStarted tells that an attempt's streamed answer has begun.
+	// ResponseStarted reports that an attempt's streamed answer has begun.
 	ResponseStarted struct {
 		ID      RequestID
 		Attempt int
@@ -195,7 +195,7 @@
 		PartConcluded bool // the part gets no further attempt
 		LoadReport    LoadReport
 	}
-	// ClientDisconnected tells that the client of a query has gone.
+	// ClientDisconnected reports that the client of a query has closed its connection or cancelled the query.
 	ClientDisconnected struct{ ID RequestID }
 	// HealthChecked is the result of a CheckHealth.
 	HealthChecked struct {
@@ -204,7 +204,7 @@
 		Latency    float64
 		LoadReport LoadReport
 	}
-	// PeerObservation is what another loop of the same process observed of a server, or the process before this one.
+	// PeerObservation is what another loop of the same process, or the previous process, observed of a server.
 	// The broker's own observations win over it unless they are older.
 	PeerObservation struct {
 		Server         string
@@ -215,26 +215,26 @@
 		LoadReport     LoadReport
 		LoadReportedAt float64 // 0: At
 	}
-	// RestoredState is what the process before this one knew of the fleet. It counts while this one has seen nothing.
+	// RestoredState is what the previous process knew of the fleet. It is used until this one has its own observations.
 	RestoredState struct {
 		ServiceTime    float64 // of a part
 		PeakThroughput float64 // parts that a warm server answers this broker a second
 	}
-	// SlowStartLease tells how many more parts may go to a server in slow start until a time. A broker that gets one
-	// holds a part of a common budget and estimates none of its own.
+	// SlowStartLease is this broker's share of a common budget for a server in slow start: how many more parts it may
+	// send there before the lease expires. A broker with a lease estimates no budget of its own.
 	SlowStartLease struct {
 		Server    string
 		Parts     int
 		ExpiresAt float64
 	}
-	// ClassesChanged tells that queries received from now on belong to these classes: as many as before, in the same
+	// ClassesChanged replaces the classes of queries received from now on: as many as before, in the same
 	// order, that differ in LatencyObjective, Deadline, PriorityWeight and LateValue at most. Open queries keep the
 	// classes under which they were received. Neither side writes to Classes afterwards, so that several Deciders may
 	// share one slice.
 	ClassesChanged struct{ Classes []Class }
-	// FleetResized tells how many brokers share the record servers, where they know of each other.
+	// FleetResized reports how many brokers share the record servers. Only brokers that discover each other send it.
 	FleetResized struct{ Brokers int }
-	// TimerFired tells that a SetTimer is due.
+	// TimerFired reports that the time of a SetTimer has passed.
 	TimerFired struct{ Token uint64 }
 	// PeerMessage is a message from another broker.
 	PeerMessage struct {
@@ -294,7 +294,7 @@
 	CheckHealth struct{ Server string }
 	// WatchEndpoints subscribes to the endpoint list.
 	WatchEndpoints struct{ On bool }
-	// FetchEndpoints asks for the whole list once.
+	// FetchEndpoints requests the complete endpoint list once.
 	FetchEndpoints struct{}
 	// Log adds a line to the broker's report.
 	Log struct{ Line string }
