--- a/internal/decision/fleet_test.go
+++ b/internal/decision/canary_test.go
@@ -67,42 +67,6 @@
 	}
 }
 
-// A client that was refused comes back to a broker that knows nothing of it, when its aim has passed. Served, it
-// earns nothing and takes the room of a first try: hundreds of brokers so kept a jam alive. It waits for less than
-// first tries do, which tells it. Where nothing is scarce it is served all the same, and so it is by a broker that
-// sees much of each server: of few brokers, the one that refused meets it again, and knows what it can bear.
-func TestLateRetriesGetNarrowerMargin(t *testing.T) {
-	s := settings()
-	s.Classes[0] = decision.Class{LatencyObjective: 0.4, Deadline: 1.4, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 1}
-	for _, c := range []struct {
-		servers        int
-		pace, patience float64
-		served         bool
-	}{{20, 0.12, 1.1, true}, {20, 0.12, 0.5, false}, {20, 0.01, 0.5, true}, {2, 0.12, 0.5, true}} {
-		r := newRig(t, s, servers(c.servers)...)
-		served := 0
-		for i := range 200 {
-			_, ev := r.query(0, 1)
-			q := ev[0].(decision.Query)
-			if q.Deadline = r.now + 1.1; i >= 100 {
-				q.Deadline = r.now + c.patience
-			}
-			ev[0] = q
-			for _, snd := range sends(r.at(r.now+0.1, ev...)) {
-				r.now += c.pace
-				r.handle(ended(snd.ID, 0, snd.Server, decision.OK, c.pace))
-				if i >= 100 {
-					served++
-				}
-			}
-		}
-		if got := served > 50; got != c.served {
-			t.Errorf("%d servers, parts take %g s, clients wait %g s: %d of 100 served, want most: %v", c.servers, c.pace,
-				c.patience, served, c.served)
-		}
-	}
-}
-
 func BenchmarkWideQuery(b *testing.B) {
 	p, query := fleetRig(b, 200)
 	now := 101.0
--- /dev/null
+++ b/internal/decision/health_test.go
@@ -0,0 +1,274 @@
+package decision_test
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"mothrouter/internal/decision"
+)
+
+// share counts where single parts go when every server answers as the table of behaviour says.
+func share(r *rig, n int, answer func(decision.Send) decision.Event) map[string]int {
+	count := map[string]int{}
+	for range n {
+		_, ev := r.query(0, 1)
+		out := sends(r.at(r.now+0.02, ev...))
+		for k := 0; len(out) > 0; k++ {
+			count[out[0].Server]++
+			e := answer(out[0])
+			if e == nil {
+				break
+			}
+			end := e.(decision.AttemptFinished)
+			end.Attempt = k
+			out = sends(r.at(r.now+0.005, end))
+		}
+	}
+	return count
+}
+
+// A server that fails fast shows a short queue and would win parts.
+func TestFailingServerLosesWeight(t *testing.T) {
+	for _, st := range []decision.Status{decision.Error, decision.Overloaded, decision.Unreachable,
+		decision.Reset} {
+		r := newRig(t, settings(), servers(3)...)
+		r.warm(60, 0.05)
+		answer := func(s decision.Send) decision.Event {
+			if s.Server == "s0" {
+				return ended(s.ID, 0, s.Server, st, 0.001)
+			}
+			return ended(s.ID, 0, s.Server, decision.OK, 0.05)
+		}
+		share(r, 30, answer)
+		if got := share(r, 100, answer)["s0"]; got > 10 {
+			t.Errorf("status %d: %d of 100 parts went to the failing server, want at most 10", st, got)
+		}
+	}
+}
+
+// A hung server sends no figures: its last good fitness stands in the table.
+func TestSilentServerLosesWeight(t *testing.T) {
+	r := newRig(t, settings(), servers(3)...)
+	r.warm(60, 0.05)
+	answer := func(s decision.Send) decision.Event {
+		if s.Server == "s0" {
+			return nil
+		}
+		return ended(s.ID, 0, s.Server, decision.OK, 0.05)
+	}
+	if got := share(r, 200, answer)["s0"]; got > 20 {
+		t.Errorf("%d of 200 parts went to the silent server, want at most 20", got)
+	}
+}
+
+// One connection of a server may fall silent while the others go on. What was lost on it must not count as the
+// server's silence for as long as it answers what is sent since, or its shards' queries are refused.
+func TestLostAttemptsAreNotSilence(t *testing.T) {
+	r := newRig(t, settings(), servers(2)...)
+	r.warm(60, 0.02)
+	_, ev := r.query(0, 2) // both parts are lost
+	lost := sends(r.handle(ev...))
+	if len(lost) != 2 {
+		t.Fatalf("%d sends", len(lost))
+	}
+	r.warm(20, 0.02)
+	r.now += 0.2 // and then nobody asks for a while
+	_, ev = r.query(0, 1)
+	if out := r.handle(ev...); len(finals(out)) != 0 || len(sends(out)) != 1 {
+		t.Errorf("%v, want the part sent", out)
+	}
+}
+
+// A broker of many sees little of each server: one long answer must tell, and be forgotten again.
+func TestSlowServerLosesWeightForAWhile(t *testing.T) {
+	r := newRig(t, settings(), servers(3)...)
+	slow := 1.0
+	answer := func(s decision.Send) decision.Event {
+		if s.Server == "s0" {
+			return ended(s.ID, 0, s.Server, decision.OK, 0.05*slow)
+		}
+		return ended(s.ID, 0, s.Server, decision.OK, 0.05)
+	}
+	rare := func(n int) int {
+		count := 0
+		for range n {
+			r.now++
+			count += share(r, 1, answer)["s0"]
+		}
+		return count
+	}
+	rare(30)
+	slow = 8
+	if got := rare(100); got > 15 {
+		t.Errorf("%d of 100 parts went to the slow server, want at most 15", got)
+	}
+	slow = 1
+	rare(60)
+	if got := rare(150); got < 30 {
+		t.Errorf("%d of 150 parts went to the server after it had recovered, want at least 30", got)
+	}
+}
+
+// Attempts that never end but are cancelled with their query tell of their server all the same.
+func TestCancelledAttemptsRaiseServiceTime(t *testing.T) {
+	r := newRig(t, settings(), servers(3)...)
+	r.warm(60, 0.05)
+	toSilent := 0
+	for range 60 {
+		r.now += 4 // long enough for cancelled parts to leave the queue
+		id, ev := r.query(0, 1)
+		out := sends(r.handle(ev...))
+		if len(out) != 1 {
+			t.Fatalf("%d parts sent, want 1", len(out))
+		}
+		if out[0].Server != "s0" {
+			r.at(r.now+0.05, ended(out[0].ID, 0, out[0].Server, decision.OK, 0.05))
+			continue
+		}
+		toSilent++
+		r.at(r.now+0.7, decision.ClientDisconnected{ID: id},
+			ended(out[0].ID, 0, "s0", decision.Cancelled, 0.7))
+	}
+	if toSilent > 12 {
+		t.Errorf("%d of 60 parts went to the server that never answers, want at most 12", toSilent)
+	}
+}
+
+// Every server fails most attempts: no query is refused for it, since no server is worse than its peers.
+func TestFleetWideErrorsRejectNoQuery(t *testing.T) {
+	r := newRig(t, settings(), servers(3)...)
+	r.warm(60, 0.05)
+	_, held := r.query(0, 3)
+	r.handle(held...) // these stay out, so that the group is never idle
+	refused := 0
+	for i := range 60 {
+		_, ev := r.query(0, 1)
+		out := sends(r.at(r.now+0.005, ev...))
+		if len(out) == 0 {
+			refused++
+			continue
+		}
+		for k := 0; len(out) > 0; k++ {
+			st := decision.Error
+			if k == 2 || i%10 == 0 {
+				st = decision.OK
+			}
+			out = sends(r.handle(ended(out[0].ID, k, out[0].Server, st, 0.02)))
+		}
+	}
+	if refused > 0 {
+		t.Errorf("%d of 60 queries refused, want none", refused)
+	}
+}
+
+// A restarted process owes nothing for its predecessor: it must not stay condemned for its predecessor's end.
+func TestRestartResetsFailureRatio(t *testing.T) {
+	s := settings()
+	s.SlowStart.Duration = 0
+	r := newRig(t, s, servers(3)...)
+	share(r, 60, func(snd decision.Send) decision.Event {
+		if snd.Server == "s0" {
+			return ended(snd.ID, 0, snd.Server, decision.Unreachable, 0.001)
+		}
+		return ended(snd.ID, 0, snd.Server, decision.OK, 0.01)
+	})
+	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now}}})
+	first := share(r, 12, func(snd decision.Send) decision.Event {
+		return ended(snd.ID, 0, snd.Server, decision.OK, 0.01)
+	})
+	if first["s0"] < 2 {
+		t.Errorf("%d of the first 12 parts went to the restarted server, want at least 2", first["s0"])
+	}
+}
+
+// zoned are servers of one cell in two zones by turns.
+func zoned(n int) []decision.Server {
+	list := servers(n)
+	for i := range list {
+		list[i].Zone = i % 2
+	}
+	return list
+}
+
+// A zone is cut off from this broker: its servers that were not met yet are avoided too, though half of the fleet
+// fails and the median server with it.
+func TestFailingZoneLosesWeight(t *testing.T) {
+	s := settings()
+	s.MaxAttempts, s.HealthChecksAllowed = 1, false
+	r := newRig(t, s, zoned(300)...)
+	answer := func(s decision.Send) decision.Event {
+		if int(s.Server[len(s.Server)-1]-'0')%2 == 1 {
+			return ended(s.ID, 0, s.Server, decision.Reset, 0.002)
+		}
+		return ended(s.ID, 0, s.Server, decision.OK, 0.05)
+	}
+	share(r, 40, answer)
+	failed := 0
+	for server, n := range share(r, 100, answer) {
+		if int(server[len(server)-1]-'0')%2 == 1 {
+			failed += n
+		}
+	}
+	if failed > 15 {
+		t.Errorf("%d of 100 parts went to the zone that fails, want at most 15", failed)
+	}
+}
+
+// A release in a deployment of one zone: what failed at the old servers is not held against the new ones.
+func TestNewServersOfASingleZoneKeepWeight(t *testing.T) {
+	s := settings()
+	s.MaxAttempts = 1
+	r := newRig(t, s, servers(40)...)
+	share(r, 40, func(s decision.Send) decision.Event {
+		return ended(s.ID, 0, s.Server, decision.Reset, 0.002)
+	})
+	sound := decision.Server{ID: "sound"}
+	ok := func(s decision.Send) decision.Event { return ended(s.ID, 0, s.Server, decision.OK, 0.005) }
+	r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{sound}})
+	share(r, 5, ok)
+	list := []decision.Server{sound}
+	for _, n := range []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8", "n9"} {
+		list = append(list, decision.Server{ID: n})
+	}
+	r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: list})
+	if got := share(r, 20, ok)["sound"]; got > 6 {
+		t.Errorf("%d of 20 parts went to the one server known, want at most 6: ten new ones are as good", got)
+	}
+}
+
+// Hearsay moves the draw away from a server that another loop of the process saw fail, unless this one knows
+// better, and a later recovery brings it back.
+func TestPeerObservationMovesTheDraw(t *testing.T) {
+	share := func(r *rig) (n int) { // of 100 parts, those that went to s0
+		for range 100 {
+			_, ev := r.query(0, 1)
+			for _, s := range sends(r.handle(ev...)) {
+				if s.Server == "s0" {
+					n++
+				}
+				r.now += 0.001
+				r.handle(ended(s.ID, 0, s.Server, decision.OK, 0.001))
+			}
+		}
+		return n
+	}
+	heard := func(r *rig, at, failed, weight float64) {
+		r.handle(decision.PeerObservation{Server: "s0", At: at, FailureRatio: failed, Weight: weight, LoadReport: decision.NoLoadReport})
+	}
+	r := newRig(t, settings(), servers(2)...)
+	require.InDelta(t, 50, share(r), 20)
+	heard(r, r.now-0.05, 1, 0.75) // older than what was seen here
+	require.InDelta(t, 50, share(r), 20)
+	r.now += 3
+	heard(r, r.now, 1, 0.75)
+	require.Less(t, share(r), 10)
+	heard(r, r.now+0.001, 0, 1)
+	require.Greater(t, share(r), 30)
+	heard(r, r.now, 1, 1)
+	r.handle(decision.PeerObservation{Server: "unheard-of", At: r.now, FailureRatio: 1, Weight: 1, LoadReport: decision.NoLoadReport})
+	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now + 1}}})
+	heard(r, r.now, 1, 0.75) // of the process before
+	r.now += 30              // warm again
+	require.Greater(t, share(r), 30)
+}
--- /dev/null
+++ b/internal/decision/healthchecks_test.go
@@ -0,0 +1,80 @@
+package decision_test
+
+import (
+	"testing"
+
+	"mothrouter/internal/decision"
+)
+
+// Probes look for sound servers while attempts fail often, and only then; they count like attempts.
+func TestDisconnectsTriggerHealthChecks(t *testing.T) {
+	s := settings()
+	s.MaxAttempts, s.HealthChecksAllowed = 1, true
+	for _, st := range []decision.Status{decision.OK, decision.Reset} {
+		r := newRig(t, s, servers(100)...)
+		probed := map[string]bool{}
+		parts := map[string]int{}
+		for i := range 200 {
+			_, ev := r.query(0, 1)
+			actions := r.at(r.now+0.05, ev...)
+			for _, a := range actions {
+				switch a := a.(type) {
+				case decision.CheckHealth:
+					probed[a.Server] = true
+					status := decision.OK
+					if a.Server < "s7" { // seven in ten
+						status = st
+					}
+					r.handle(decision.HealthChecked{Server: a.Server, Status: status, LoadReport: decision.NoLoadReport})
+				case decision.Send:
+					status := decision.OK
+					if a.Server < "s7" {
+						status = st
+					}
+					if i >= 100 {
+						parts[a.Server]++
+					}
+					r.handle(ended(a.ID, 0, a.Server, status, 0.01))
+				}
+			}
+		}
+		if st == decision.OK && len(probed) > 0 {
+			t.Errorf("%d servers probed while all is well, want none", len(probed))
+		}
+		if st != decision.OK && len(probed) < 20 {
+			t.Errorf("%d servers probed while most of them fail, want at least 20", len(probed))
+		}
+		failed := 0
+		for server, n := range parts {
+			if server < "s7" {
+				failed += n
+			}
+		}
+		if st != decision.OK && failed > 20 {
+			t.Errorf("%d of 100 parts went to failing servers, want at most 20", failed)
+		}
+	}
+}
+
+func TestPulledReportsAreAskedForEveryTenSeconds(t *testing.T) {
+	s := settings()
+	s.ReportMode, s.HealthChecksAllowed = decision.ReportPull, true
+	p := decision.New(s, 1)
+	probes := func(now float64, e ...decision.Event) (n int) {
+		for _, a := range p.Handle(now, e) {
+			if _, ok := a.(decision.CheckHealth); ok {
+				n++
+			}
+		}
+		return n
+	}
+	if n := probes(0, decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers(4)}); n != 4 {
+		t.Errorf("%d probes at the start, want 4", n)
+	}
+	if n := probes(9.9); n != 0 {
+		t.Errorf("%d probes before ten seconds, want none", n)
+	}
+	if n := probes(10); n != 4 {
+		t.Errorf("%d probes after ten seconds, want 4", n)
+	}
+}
--- /dev/null
+++ b/internal/decision/hedging_test.go
@@ -0,0 +1,153 @@
+package decision_test
+
+import (
+	"testing"
+
+	"mothrouter/internal/decision"
+)
+
+func TestHedgesOnlyWhereAllowed(t *testing.T) {
+	for _, copies := range []bool{false, true} {
+		s := settings()
+		s.HedgingAllowed = copies
+		r := newRig(t, s, servers(3)...)
+		r.warm(40, 0.05)
+		_, ev := r.query(0, 1)
+		first := sends(r.handle(ev...))[0]
+		got := r.at(r.now + 0.5) // ten times the usual, and the server is silent
+		if !copies {             // the attempt is given up first, and only its end lets another go
+			if len(got) != 1 || got[0] != (decision.Cancel{ID: first.ID}) {
+				t.Fatalf("%v, want the running attempt cancelled", got)
+			}
+			if again := r.at(r.now + 0.01); len(again) != 0 {
+				t.Errorf("%v before the cancelled attempt has ended", again)
+			}
+			got = r.handle(ended(first.ID, 0, first.Server, decision.Cancelled, 0.5))
+		}
+		if n := len(sends(got)); n != 1 {
+			t.Fatalf("copies allowed %v: %v, want one more attempt", copies, got)
+		}
+		if sends(got)[0].Server == first.Server {
+			t.Error("the other attempt went to the server that is silent")
+		}
+	}
+}
+
+// Each test stands for a failure that was met; it fails without the defence that answers it.
+
+// A whole group stalls: repeats must not feed it, and its queries are refused until it answers again.
+func TestNoRetriesIntoASilentReplicaSet(t *testing.T) {
+	r := newRig(t, settings(), servers(3)...)
+	r.warm(60, 0.05)
+	toJam, refused := 0, 0
+	var out []decision.Send
+	for range 40 {
+		_, ev := r.query(0, 3)
+		actions := r.at(r.now+0.1, ev...)
+		for len(actions) > 0 {
+			var next []decision.Event
+			for _, a := range actions {
+				switch a := a.(type) {
+				case decision.Send:
+					toJam++
+					out = append(out, a)
+				case decision.Cancel:
+					srv := serverOf(out, a.ID, a.Attempt)
+					next = append(next, ended(a.ID, a.Attempt, srv, decision.Cancelled, 0.3))
+				case decision.Reject:
+					refused++
+				}
+			}
+			actions = nil
+			if len(next) > 0 {
+				actions = r.handle(next...)
+			}
+		}
+	}
+	if toJam > 33 {
+		t.Errorf("%d parts sent to a group that answers nothing in 4 s, want at most 33 of 120", toJam)
+	}
+	if refused < 20 {
+		t.Errorf("%d of 40 queries refused, want at least 20", refused)
+	}
+}
+
+func serverOf(out []decision.Send, id decision.RequestID, attempt int) string {
+	for _, s := range out {
+		if s.ID == id {
+			if attempt == 0 {
+				return s.Server
+			}
+			attempt--
+		}
+	}
+	return ""
+}
+
+// An attempt that its server has passed over for long is lost: it is given up for another, once, where a repeat
+// is safe, and left alone where it is not.
+func TestOvertakenAttemptIsCancelled(t *testing.T) {
+	for _, repeat := range []decision.Idempotency{decision.Idempotent, decision.NonIdempotent} {
+		s := settings()
+		s.Classes[0].Idempotency = repeat
+		r := newRig(t, s, servers(1)...) // one server: it answers everything else
+		r.warm(40, 0.02)
+		_, ev := r.query(0, 1)
+		first := sends(r.handle(ev...))[0]
+		cancelled := 0
+		for range 10 {
+			_, ev := r.query(0, 1)
+			out := r.handle(ev...)
+			r.now += 0.02
+			for _, other := range sends(out) {
+				out = append(out, r.handle(ended(other.ID, 0, other.Server, decision.OK, 0.02))...)
+			}
+			for _, a := range out {
+				if c, ok := a.(decision.Cancel); ok && c.ID == first.ID {
+					cancelled++
+				}
+			}
+		}
+		if want := map[decision.Idempotency]int{decision.Idempotent: 1}[repeat]; cancelled != want {
+			t.Errorf("repeat %v: cancelled %d times, want %d", repeat, cancelled, want)
+		}
+	}
+}
+
+// Where a share of the parts makes a whole answer, a spare part stands in for one whose server stays silent.
+func TestSparePartsReplaceSilentOnes(t *testing.T) {
+	s := settings()
+	s.Classes[0].CompletenessThreshold, s.Classes[0].MinCompleteness = 0.5, 0.5
+	s.HedgingAllowed = false
+	r := newRig(t, s, servers(12)...)
+	r.warm(60, 0.05)
+	_, ev := r.query(0, 4)
+	out := sends(r.handle(ev...))
+	if len(out) != 2 {
+		t.Fatalf("%d parts sent, want 2 of 4", len(out))
+	}
+	if n := len(sends(r.at(r.now+0.04, ended(out[0].ID, 0, out[0].Server, decision.OK, 0.04)))); n != 0 {
+		t.Fatalf("%d spare parts sent while the other may come in time, want 0", n)
+	}
+	spare := sends(r.at(r.now + 0.02))
+	if len(spare) != 1 || spare[0].ID == out[1].ID {
+		t.Fatalf("the other is late: %v sent, want one spare part", spare)
+	}
+}
+
+// While too few answers are known to tell when a copy is due, a running part asks for no timers in between.
+func TestNoTimerStormBeforeFirstAnswer(t *testing.T) {
+	s := settings()
+	s.HedgingAllowed = true
+	r := newRig(t, s, servers(3)...)
+	_, ev := r.query(0, 1)
+	r.handle(ev...)
+	for range 20 {
+		r.now += s.Tick
+		for _, a := range r.p.Handle(r.now, []decision.Event{decision.TimerFired{Token: 1}}) {
+			if timer, ok := a.(decision.SetTimer); ok && timer.At <= r.now {
+				t.Fatal("a timer for at once, though nothing is due")
+			}
+		}
+	}
+}
--- a/internal/decision/size_test.go
+++ b/internal/decision/policyfiles_test.go
@@ -27,7 +27,7 @@
 	return balancer.Policy
 }
 
-func TestModuleStaysSmall(t *testing.T) {
+func TestPolicyFilesKeepTheLineWidth(t *testing.T) {
 	for _, name := range policyFiles(t) {
 		text, err := os.ReadFile(filepath.Join(root, name))
 		require.NoError(t, err)
--- /dev/null
+++ b/internal/decision/slowstart_test.go
@@ -0,0 +1,121 @@
+package decision_test
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"mothrouter/internal/decision"
+)
+
+func TestSlowStartBudgetHoldsForOneBroker(t *testing.T) {
+	s := settings()
+	r := newRig(t, s, servers(4)...)
+	r.warm(200, 0.02)
+	cold := decision.Server{ID: "s0", Started: r.now}
+	r.handle(decision.EndpointUpdate{Servers: []decision.Server{cold}})
+	start, toCold, toAll := r.now, 0, 0
+	for r.now < start+1 {
+		_, ev := r.query(0, 1)
+		for _, snd := range sends(r.handle(ev...)) {
+			toAll++
+			if snd.Server == "s0" {
+				toCold++
+			}
+			r.at(r.now+0.02, ended(snd.ID, 0, snd.Server, decision.OK, 0.02))
+		}
+	}
+	// Warm servers were seen to take a quarter of some 50 a second each; the cold one has a quarter of that.
+	limit := s.SlowStart.OverloadFactor * (s.SlowStart.InitialFraction + 0.75*1/s.SlowStart.Duration) * 50 / 4
+	if float64(toCold) > limit {
+		t.Errorf("%d of %d parts went to the cold server in its first second, limit %g", toCold, toAll, limit)
+	}
+}
+
+// Ninety brokers with a part each for a cold server: together they must stay under what makes it fall over,
+// and still use it.
+func TestBrokersShareSlowStartBudget(t *testing.T) {
+	const brokers, warmRate = 90, 12 // warmRate: parts a second that each warm server answers, to all brokers
+	s := settings()
+	s.Brokers, s.ReplicaSets = brokers, 2
+	toCold, windows := 0, 4
+	for m := range brokers {
+		r := newRig(t, s, servers(4)...)
+		r.p = decision.New(s, uint64(m))
+		r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers(4)})
+		for range 60 { // this broker's share of what four servers answer
+			_, ev := r.query(0, 1)
+			for _, snd := range sends(r.handle(ev...)) {
+				r.at(r.now+brokers/4.0/warmRate, ended(snd.ID, 0, snd.Server, decision.OK, 0.02))
+			}
+		}
+		r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", ReplicaSet: 1, Started: r.now}}})
+		for range 40 * windows { // a query whenever it likes, in each fall window
+			_, ev := r.query(0, 1)
+			pt := ev[1].(decision.Part)
+			pt.Shard = 1
+			ev[1] = pt
+			for _, snd := range sends(r.at(r.now+s.SlowStart.OverloadWindow/40, ev...)) {
+				toCold++
+				r.handle(ended(snd.ID, 0, snd.Server, decision.OK, 0.02))
+			}
+		}
+	}
+	limit := s.SlowStart.OverloadFactor * (s.SlowStart.InitialFraction + 0.75*4/s.SlowStart.Duration) * warmRate
+	if got := float64(toCold) / float64(windows); got > limit || got < limit/4 {
+		t.Errorf("%g parts in a fall window to a cold server, want %g to %g", got, limit/4, limit)
+	}
+}
+
+func TestPartsWaitWhileAllReplicasWarmUp(t *testing.T) {
+	s0, s1 := decision.Server{ID: "s0", Started: 99.9}, decision.Server{ID: "s1", Started: 99.9}
+	r := newRig(t, settings(), s0, s1)
+	_, ev := r.query(0, 8)
+	if n := len(sends(r.handle(ev...))); n > 4 {
+		t.Errorf("%d parts sent at once to two cold servers of unknown capacity", n)
+	}
+	r.at(r.now + 0.9)
+	if got := finals(r.at(r.now + 0.5)); len(got) != 1 {
+		t.Errorf("final answers %v, want one", got)
+	}
+}
+
+// A broker that is told its room at a cold server keeps to it to the part and to the time.
+func TestSlowStartLeaseLimitsSends(t *testing.T) {
+	r := newRig(t, settings(), servers(1)...)
+	r.warm(50, 0.01) // by its own estimate it would send several a second
+	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now}}})
+	try := func(events ...decision.Event) int {
+		_, ev := r.query(0, 6)
+		out := sends(r.handle(append(events, ev...)...))
+		for _, snd := range out {
+			r.handle(ended(snd.ID, 0, snd.Server, decision.OK, 0.01))
+		}
+		return len(out)
+	}
+	require.Equal(t, 2, try(decision.SlowStartLease{Server: "s0", Parts: 2, ExpiresAt: r.now + 0.1}))
+	require.Zero(t, try())
+	require.Equal(t, 3, try(decision.SlowStartLease{Server: "s0", Parts: 3, ExpiresAt: r.now + 0.1}))
+	require.Zero(t, try(decision.SlowStartLease{Server: "s0", Parts: 3, ExpiresAt: r.now - 0.01}), "the lease has expired")
+	r.now += 20
+	require.Equal(t, 6, try(), "warm again: no lease is needed")
+}
+
+// Where brokers know of each other, one that has seen no answer yet tries a cold server as rarely as there are many; one
+// that is told of a fleet too large to have a part of it does not at all. Nothing else hangs on their number.
+func TestFleetResizedChangesBudgets(t *testing.T) {
+	tries := func(events ...decision.Event) (n int) {
+		for seed := range uint64(400) {
+			r := newRig(t, settings(), servers(1)...)
+			r.p = decision.New(settings(), seed)
+			r.handle(append(events, decision.EndpointUpdate{Mode: decision.FullUpdate,
+				Servers: []decision.Server{{ID: "s0", Started: r.now}}})...)
+			_, ev := r.query(0, 1)
+			n += len(sends(r.handle(ev...)))
+		}
+		return n
+	}
+	require.Equal(t, 400, tries(), "the settings tell of one broker")
+	require.InDelta(t, 100, tries(decision.FleetResized{Brokers: 4}), 40)
+	require.Zero(t, tries(decision.FleetResized{Brokers: 100_000}))
+}
