--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -15,7 +15,7 @@
 	s.ReplicaSets = 2
 	list := servers(4)
 	list[2].ReplicaSet, list[3].ReplicaSet = 1, 1
-	r := newRig(t, s, list...)
+	r := newRunner(t, s, list...)
 	refused := 0
 	for i := range 120 {
 		_, ev := r.query(0, 1)
@@ -25,7 +25,7 @@
 			pt.Shard, took = 1, 0.9
 			ev[1] = pt
 		}
-		out := sends(r.at(r.now+0.5, ev...))
+		out := sends(r.handleAt(r.now+0.5, ev...))
 		if len(out) == 0 && i >= 40 {
 			refused++
 			if i%2 == 0 {
@@ -33,7 +33,7 @@
 			}
 		}
 		for _, snd := range out {
-			r.at(r.now+took, ended(snd.ID, 0, snd.Server, decision.OK, took))
+			r.handleAt(r.now+took, finished(snd.ID, 0, snd.Server, decision.OK, took))
 		}
 	}
 	if refused < 20 || refused == 40 {
@@ -44,18 +44,18 @@
 // A jam has the queries of all shards refused; when it has passed, nothing but time can tell, since queries of
 // many parts are never let through part by part.
 func TestRejectionEndsAfterOverload(t *testing.T) {
-	r := newRig(t, settings(), servers(120)...)
+	r := newRunner(t, settings(), servers(120)...)
 	ask := func(took float64) (sent bool) { // as a whole
 		_, ev := r.query(0, 40)
-		out := sends(r.at(r.now+0.5, ev...))
+		out := sends(r.handleAt(r.now+0.5, ev...))
 		n := 0
 		for len(out) > 0 { // those that go ahead, then the others
 			var back []decision.Event
 			for _, snd := range out {
-				back = append(back, ended(snd.ID, 0, snd.Server, decision.OK, took))
+				back = append(back, finished(snd.ID, 0, snd.Server, decision.OK, took))
 			}
 			n += len(out)
-			out = sends(r.at(r.now+took, back...))
+			out = sends(r.handleAt(r.now+took, back...))
 		}
 		return n >= 40
 	}
@@ -83,20 +83,20 @@
 		s.Classes = []decision.Class{
 			{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 1}, {LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 3},
 		}
-		r := newRig(t, s, servers(3)...)
+		r := newRunner(t, s, servers(3)...)
 		refused := [2]int{}
 		for i := range 200 {
 			class, parts := i%2, 4-3*(i%2)
 			_, ev := r.query(class, parts)
-			actions := r.at(r.now+0.05, ev...)
+			actions := r.handleAt(r.now+0.05, ev...)
 			var done []decision.Event
 			for _, snd := range sends(actions) {
-				done = append(done, ended(snd.ID, 0, snd.Server, decision.OK, 0.9))
+				done = append(done, finished(snd.ID, 0, snd.Server, decision.OK, 0.9))
 			}
 			if i >= 100 {
-				refused[class] += len(finals(actions))
+				refused[class] += len(finalAnswers(actions))
 			}
-			r.at(r.now+0.9, done...)
+			r.handleAt(r.now+0.9, done...)
 		}
 		if byWork && (refused[0] < 25 || refused[1] < 25) || !byWork && (refused[0] < 25 || refused[1] > refused[0]/2) {
 			t.Errorf("by work %v: %d of 50 cheap and %d of 50 worthy queries refused", byWork, refused[0], refused[1])
@@ -116,7 +116,7 @@
 		pace, patience float64
 		served         bool
 	}{{20, 0.12, 1.1, true}, {20, 0.12, 0.5, false}, {20, 0.01, 0.5, true}, {2, 0.12, 0.5, true}} {
-		r := newRig(t, s, servers(c.servers)...)
+		r := newRunner(t, s, servers(c.servers)...)
 		served := 0
 		for i := range 200 {
 			_, ev := r.query(0, 1)
@@ -125,9 +125,9 @@
 				q.Deadline = r.now + c.patience
 			}
 			ev[0] = q
-			for _, snd := range sends(r.at(r.now+0.1, ev...)) {
+			for _, snd := range sends(r.handleAt(r.now+0.1, ev...)) {
 				r.now += c.pace
-				r.handle(ended(snd.ID, 0, snd.Server, decision.OK, c.pace))
+				r.handle(finished(snd.ID, 0, snd.Server, decision.OK, c.pace))
 				if i >= 100 {
 					served++
 				}
@@ -142,28 +142,28 @@
 
 // Clients that leave sooner than parts take cannot be served: the others must not be refused for them.
 func TestImmediateDisconnectsSetNoObjective(t *testing.T) {
-	r := newRig(t, settings(), servers(3)...)
-	r.warm(40, 0.05)
+	r := newRunner(t, settings(), servers(3)...)
+	r.answerQueries(40, 0.05)
 	for range 12 {
 		id, ev := r.query(0, 1)
 		out := sends(r.handle(ev...))
 		if len(out) != 1 {
 			t.Fatal("a query was refused for the clients that left before")
 		}
-		r.at(r.now+0.001, decision.ClientDisconnected{ID: id}, ended(out[0].ID, 0, out[0].Server, decision.Cancelled, 0.001))
+		r.handleAt(r.now+0.001, decision.ClientDisconnected{ID: id}, finished(out[0].ID, 0, out[0].Server, decision.Cancelled, 0.001))
 		r.now += 4
 	}
 	_, ev := r.query(0, 1)
-	if out := r.handle(ev...); len(finals(out)) != 0 || len(sends(out)) != 1 {
+	if out := r.handle(ev...); len(finalAnswers(out)) != 0 || len(sends(out)) != 1 {
 		t.Errorf("%v, want the part sent", out)
 	}
 }
 
-// silence sends a query at the rig's time, answers none of its parts and returns when it was given up, to the
+// rejectedAt sends a query at the rig's time, answers none of its parts and returns when it was given up, to the
 // millisecond, by the rig's clock. Other events may come in between.
-func (r *rig) silence(id decision.RequestID, until float64) (ended float64) {
+func (r *runner) rejectedAt(id decision.RequestID, until float64) (ended float64) {
 	for ; r.now < until; r.now += 0.001 {
-		for _, a := range finals(r.handle()) {
+		for _, a := range finalAnswers(r.handle()) {
 			if f, ok := a.(decision.Reject); ok && f.ID == id {
 				return r.now
 			}
@@ -182,7 +182,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
 			s.Classes[0].LatencyObjective = c.old
-			r := newRig(t, s, servers(3)...)
+			r := newRunner(t, s, servers(3)...)
 			start := r.now
 			before, events := r.query(0, 1)
 			require.Len(t, sends(r.handle(events...)), 1)
@@ -196,8 +196,8 @@
 			if c.new < c.old {
 				first, second = after, before
 			}
-			ends := map[decision.RequestID]float64{first: r.silence(first, start+2)}
-			ends[second] = r.silence(second, start+2)
+			ends := map[decision.RequestID]float64{first: r.rejectedAt(first, start+2)}
+			ends[second] = r.rejectedAt(second, start+2)
 			require.InDelta(t, start+c.old, ends[before], 0.03)
 			require.InDelta(t, start+c.new, ends[after], 0.03)
 			require.Equal(t, c.old, s.Classes[0].LatencyObjective, "the classes of the start were written to")
@@ -211,14 +211,14 @@
 	taken := func(configured bool) (sent int) {
 		s := settings()
 		s.Classes[0] = decision.Class{LatencyObjective: 0.1, Deadline: 8, CompletenessThreshold: 1, MinCompleteness: 1}
-		r := newRig(t, s, servers(3)...)
+		r := newRunner(t, s, servers(3)...)
 		id, events := r.query(0, 1)
 		q := events[0].(decision.Query)
 		q.Deadline = r.now + 8
 		events[0] = q
 		out := sends(r.handle(events...))
 		r.now += 0.04
-		r.handle(ended(id+1, 0, out[0].Server, decision.OK, 0.04))
+		r.handle(finished(id+1, 0, out[0].Server, decision.OK, 0.04))
 		r.now += 20
 		if configured {
 			r.handle(decision.ClassesChanged{Classes: []decision.Class{{LatencyObjective: 0.1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}}})
@@ -233,7 +233,7 @@
 			sent += len(out)
 			for _, s := range out {
 				r.now += 0.04
-				r.handle(ended(id+1, 0, s.Server, decision.OK, 0.04))
+				r.handle(finished(id+1, 0, s.Server, decision.OK, 0.04))
 			}
 		}
 		return sent
--- a/internal/decision/attempts_test.go
+++ b/internal/decision/attempts_test.go
@@ -31,25 +31,25 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
 			s.Classes[0].Idempotency, s.Classes[0].IdempotencyWindow = c.repeat, 0.3
-			r := newRig(t, s, servers(2)...)
+			r := newRunner(t, s, servers(2)...)
 			_, ev := r.query(0, 1)
 			first := sends(r.handle(ev...))[0]
-			got := r.at(r.now+c.after, ended(first.ID, 0, first.Server, c.status, c.after))
+			got := r.handleAt(r.now+c.after, finished(first.ID, 0, first.Server, c.status, c.after))
 			if again := len(sends(got)) == 1; again != c.resend {
 				t.Fatalf("sent again: %v, want %v", again, c.resend)
 			}
 			n := 1
-			for len(finals(got)) == 0 {
+			for len(finalAnswers(got)) == 0 {
 				again := sends(got)
 				if len(again) != 1 || n > 3 {
 					t.Fatalf("neither a send nor a final answer: %v", got)
 				}
-				got = r.at(r.now+0.01, ended(again[0].ID, n, again[0].Server, c.status, 0.01))
+				got = r.handleAt(r.now+0.01, finished(again[0].ID, n, again[0].Server, c.status, 0.01))
 				n++
 			}
-			_, refused := finals(got)[0].(decision.Reject)
+			_, refused := finalAnswers(got)[0].(decision.Reject)
 			if refused != c.refuse {
-				t.Errorf("final answer %v, want a refusal: %v", finals(got)[0], c.refuse)
+				t.Errorf("final answer %v, want a refusal: %v", finalAnswers(got)[0], c.refuse)
 			}
 		})
 	}
@@ -58,10 +58,10 @@
 func TestNonIdempotentQueryInFlightFailsAtItsEnd(t *testing.T) {
 	s := settings()
 	s.Classes[0].Idempotency = decision.NonIdempotent
-	r := newRig(t, s, servers(2)...)
+	r := newRunner(t, s, servers(2)...)
 	_, ev := r.query(0, 1)
 	r.handle(ev...)
-	got := finals(r.at(r.now + 1.5))
+	got := finalAnswers(r.handleAt(r.now + 1.5))
 	if len(got) != 1 {
 		t.Fatalf("final answers %v, want one", got)
 	}
@@ -73,7 +73,7 @@
 func TestRetryBudgetHoldsInEveryWindow(t *testing.T) {
 	s := settings()
 	s.RetryBudget.Enabled, s.RetryBudget.Min, s.RetryBudget.Ratio, s.RetryBudget.Window = true, 2, 0.25, 1
-	r := newRig(t, s, servers(3)...)
+	r := newRunner(t, s, servers(3)...)
 	var taken, extra []float64
 	var queue []decision.Send
 	for range 400 {
@@ -87,9 +87,9 @@
 			}
 			r.attempts[snd.ID]++
 			queue = append(queue[1:],
-				sends(r.handle(ended(snd.ID, r.attempts[snd.ID]-1, snd.Server, decision.Error, 0)))...)
+				sends(r.handle(finished(snd.ID, r.attempts[snd.ID]-1, snd.Server, decision.Error, 0)))...)
 		}
-		queue = sends(r.at(r.now + 0.0625)) // a sixteenth: sixteen steps are exactly one window
+		queue = sends(r.handleAt(r.now + 0.0625)) // a sixteenth: sixteen steps are exactly one window
 	}
 	if len(extra) < 50 {
 		t.Fatalf("only %d further attempts: the budget is not used", len(extra))
--- a/internal/decision/bench_test.go
+++ b/internal/decision/bench_test.go
@@ -21,14 +21,14 @@
 
 // benchmarkFleet is a broker that knows a fleet of the target's shape.
 type benchmarkFleet struct {
-	policy    *decision.Policy
-	list      []decision.Server
-	now       float64
-	next      decision.RequestID
-	random    *rand.Rand
-	failShare float64 // share of the parts that a server answers with an error
-	failure   decision.Status
-	send      []decision.Event
+	policy       *decision.Policy
+	list         []decision.Server
+	now          float64
+	next         decision.RequestID
+	random       *rand.Rand
+	failureRatio float64 // share of the parts that a server answers with an error
+	failure      decision.Status
+	send         []decision.Event
 }
 
 func newBenchmarkFleet(size int, failShare float64, change func(*decision.Settings)) *benchmarkFleet {
@@ -39,7 +39,7 @@
 		change(&s)
 	}
 	f := &benchmarkFleet{policy: decision.New(s, 7), now: 1000, random: rand.New(rand.NewPCG(uint64(size), 1)),
-		failShare: failShare, failure: decision.Error}
+		failureRatio: failShare, failure: decision.Error}
 	for i := range size {
 		f.list = append(f.list, decision.Server{ID: fmt.Sprint("server-", i), ReplicaSet: i, Zone: i % benchmarkZones})
 	}
@@ -69,7 +69,7 @@
 		f.now += 0.00002
 		end := decision.AttemptFinished{ID: send.ID, Server: send.Server, Status: decision.OK, Latency: benchmarkReply, PartConcluded: true,
 			LoadReport: decision.LoadReport{InFlight: 1, QueueLength: 1, Utilization: 0.5, Latency: 0.02, Rate: 10}}
-		if f.random.Float64() < f.failShare {
+		if f.random.Float64() < f.failureRatio {
 			end.Status, end.PartConcluded = f.failure, false
 		}
 		for _, more := range sends(f.policy.Handle(f.now, []decision.Event{end})) {
@@ -147,7 +147,7 @@
 func BenchmarkQueryWhileProbing(b *testing.B) {
 	benchmarkEach(b, func(b *testing.B, size int) {
 		f := newBenchmarkFleet(size, 0, func(s *decision.Settings) { s.HealthChecksAllowed = true })
-		f.failShare, f.failure = 0.5, decision.Unreachable
+		f.failureRatio, f.failure = 0.5, decision.Unreachable
 		for range 5 {
 			f.query()
 		}
@@ -167,19 +167,19 @@
 		f.now += 20
 		const entries = 41_700 * 10
 		for i := range entries / benchmarkParts { // fills the window
-			f.policy.Handle(f.now+float64(i)*benchmarkParts/41_700, refused(benchmarkParts))
+			f.policy.Handle(f.now+float64(i)*benchmarkParts/41_700, rejectedQuery(benchmarkParts))
 		}
 		f.now += 10 - 0.001
 		b.ResetTimer()
 		for b.Loop() {
-			f.policy.Handle(f.now, refused(benchmarkParts))
+			f.policy.Handle(f.now, rejectedQuery(benchmarkParts))
 			f.now += benchmarkParts / 41_700.0
 		}
 	})
 }
 
-// refused is a query that is refused at once, with parts that count as taken.
-func refused(parts int) []decision.Event {
+// rejectedQuery is a query that is refused at once, with parts that count as taken.
+func rejectedQuery(parts int) []decision.Event {
 	events := []decision.Event{decision.Query{ID: 1, Number: 1, Class: -1}}
 	for range parts {
 		events = append(events, decision.Part{ID: 2, QueryNumber: 1})
--- a/internal/decision/canary_test.go
+++ b/internal/decision/canary_test.go
@@ -10,8 +10,8 @@
 	"mothrouter/internal/decision"
 )
 
-// fleetRig is a broker of many that knows 200 servers, each shard held by two, and the wide class of the site.
-func fleetRig(t testing.TB, n int) (*decision.Policy, func(now float64, parts int) []decision.Event) {
+// newFleetBroker is a broker of many that knows 200 servers, each shard held by two, and the wide class of the site.
+func newFleetBroker(t testing.TB, n int) (*decision.Policy, func(now float64, parts int) []decision.Event) {
 	t.Helper()
 	s := settings()
 	s.Brokers, s.ReplicaSets, s.ReplicationFactor, s.ReportMode = 300, n, 2, decision.ReportPiggyback
@@ -38,7 +38,7 @@
 // that are out times the figures kept: a broker has a quarter of a core, and queries were late by its own work.
 func TestOutcomeOfLargeFanoutIsCheap(t *testing.T) {
 	const n = 200
-	p, query := fleetRig(t, n)
+	p, query := newFleetBroker(t, n)
 	now := 101.0
 	answer := func(s decision.Send) {
 		now += 0.0002
@@ -67,8 +67,8 @@
 	}
 }
 
-func BenchmarkWideQuery(b *testing.B) {
-	p, query := fleetRig(b, 200)
+func BenchmarkLargeFanout(b *testing.B) {
+	p, query := newFleetBroker(b, 200)
 	now := 101.0
 	for b.Loop() {
 		for _, s := range sends(p.Handle(now, query(now, 200))) {
@@ -92,7 +92,7 @@
 		}
 		return p.Handle(now, back)
 	}
-	p, query := fleetRig(t, n)
+	p, query := newFleetBroker(t, n)
 	ahead := sends(p.Handle(101, query(101, n)))
 	require.Len(t, ahead, n/20)
 	shards := map[decision.RequestID]bool{}
@@ -103,7 +103,7 @@
 	require.Empty(t, sends(served(101.03, p, ahead[:6])), "too few are back")
 	require.Len(t, sends(served(101.04, p, ahead[6:])), n-n/20)
 
-	p, query = fleetRig(t, n)
+	p, query = newFleetBroker(t, n)
 	ahead = sends(p.Handle(101, query(101, n)))
 	served(101.1, p, ahead[:5])
 	var refused bool
@@ -115,9 +115,9 @@
 	}
 	require.True(t, refused, "at once, not at its aim")
 
-	p, query = fleetRig(t, n)
+	p, query = newFleetBroker(t, n)
 	require.Len(t, sends(p.Handle(101, query(101, 31))), 31, "a narrow query goes as a whole")
-	p, query = fleetRig(t, 40)
+	p, query = newFleetBroker(t, 40)
 	for now := 101.; now < 106; now += 0.03 { // this broker hears of each server all the time
 		served(now+0.02, p, sends(p.Handle(now, query(now, 31))))
 	}
@@ -128,7 +128,7 @@
 // request of 200 parts, and as long for its answer, which came some milliseconds after the aim.
 func TestResponseLeadCountsTheWayIn(t *testing.T) {
 	for _, lag := range []float64{0, 0.02} {
-		p, query := fleetRig(t, 200)
+		p, query := newFleetBroker(t, 200)
 		ev := query(101, 10)
 		q := ev[0].(decision.Query)
 		q.ReceivedAt = 101 - lag
--- a/internal/decision/endpoints_test.go
+++ b/internal/decision/endpoints_test.go
@@ -16,7 +16,7 @@
 		{"missing from a full list", decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers(2)[1:]}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRig(t, settings(), servers(2)...)
+			r := newRunner(t, settings(), servers(2)...)
 			r.handle(c.news)
 			for range 50 {
 				_, ev := r.query(0, 1)
@@ -24,7 +24,7 @@
 					if snd.Server != "s1" {
 						t.Fatalf("sent to %s", snd.Server)
 					}
-					r.at(r.now+0.01, ended(snd.ID, 0, snd.Server, decision.OK, 0.01))
+					r.handleAt(r.now+0.01, finished(snd.ID, 0, snd.Server, decision.OK, 0.01))
 				}
 			}
 		})
--- a/internal/decision/forget_test.go
+++ b/internal/decision/forget_test.go
@@ -7,7 +7,7 @@
 
 // Where machines are replaced under new ids all day, what is known of those that are gone must go with them;
 // but not while an attempt is out there, whose end is still to be booked.
-func TestRemovedServersAreForgotten(t *testing.T) {
+func TestRemovedServersAreForgottenOnceIdle(t *testing.T) {
 	p := New(Settings{Classes: []Class{{LatencyObjective: 1, Deadline: 1, CompletenessThreshold: 1, MinCompleteness: 1}}, ReplicaSets: 1, ReplicationFactor: 1}, 1)
 	entry := func(i int, s State) Server { return Server{ID: fmt.Sprint("s", i), State: s, Started: float64(i)} }
 	p.Handle(0, []Event{EndpointUpdate{Mode: FullUpdate, Servers: []Server{entry(0, Ready)}},
--- a/internal/decision/health_test.go
+++ b/internal/decision/health_test.go
@@ -8,12 +8,12 @@
 	"mothrouter/internal/decision"
 )
 
-// share counts where single parts go when every server answers as the table of behaviour says.
-func share(r *rig, n int, answer func(decision.Send) decision.Event) map[string]int {
+// countSends counts where single parts go when every server answers as the table of behaviour says.
+func countSends(r *runner, n int, answer func(decision.Send) decision.Event) map[string]int {
 	count := map[string]int{}
 	for range n {
 		_, ev := r.query(0, 1)
-		out := sends(r.at(r.now+0.02, ev...))
+		out := sends(r.handleAt(r.now+0.02, ev...))
 		for k := 0; len(out) > 0; k++ {
 			count[out[0].Server]++
 			e := answer(out[0])
@@ -22,7 +22,7 @@
 			}
 			end := e.(decision.AttemptFinished)
 			end.Attempt = k
-			out = sends(r.at(r.now+0.005, end))
+			out = sends(r.handleAt(r.now+0.005, end))
 		}
 	}
 	return count
@@ -32,16 +32,16 @@
 func TestFailingServerLosesWeight(t *testing.T) {
 	for _, st := range []decision.Status{decision.Error, decision.Overloaded, decision.Unreachable,
 		decision.Reset} {
-		r := newRig(t, settings(), servers(3)...)
-		r.warm(60, 0.05)
+		r := newRunner(t, settings(), servers(3)...)
+		r.answerQueries(60, 0.05)
 		answer := func(s decision.Send) decision.Event {
 			if s.Server == "s0" {
-				return ended(s.ID, 0, s.Server, st, 0.001)
+				return finished(s.ID, 0, s.Server, st, 0.001)
 			}
-			return ended(s.ID, 0, s.Server, decision.OK, 0.05)
+			return finished(s.ID, 0, s.Server, decision.OK, 0.05)
 		}
-		share(r, 30, answer)
-		if got := share(r, 100, answer)["s0"]; got > 10 {
+		countSends(r, 30, answer)
+		if got := countSends(r, 100, answer)["s0"]; got > 10 {
 			t.Errorf("status %d: %d of 100 parts went to the failing server, want at most 10", st, got)
 		}
 	}
@@ -49,15 +49,15 @@
 
 // A hung server sends no figures: its last good fitness stands in the table.
 func TestSilentServerLosesWeight(t *testing.T) {
-	r := newRig(t, settings(), servers(3)...)
-	r.warm(60, 0.05)
+	r := newRunner(t, settings(), servers(3)...)
+	r.answerQueries(60, 0.05)
 	answer := func(s decision.Send) decision.Event {
 		if s.Server == "s0" {
 			return nil
 		}
-		return ended(s.ID, 0, s.Server, decision.OK, 0.05)
+		return finished(s.ID, 0, s.Server, decision.OK, 0.05)
 	}
-	if got := share(r, 200, answer)["s0"]; got > 20 {
+	if got := countSends(r, 200, answer)["s0"]; got > 20 {
 		t.Errorf("%d of 200 parts went to the silent server, want at most 20", got)
 	}
 }
@@ -65,36 +65,36 @@
 // One connection of a server may fall silent while the others go on. What was lost on it must not count as the
 // server's silence for as long as it answers what is sent since, or its shards' queries are refused.
 func TestLostAttemptsAreNotSilence(t *testing.T) {
-	r := newRig(t, settings(), servers(2)...)
-	r.warm(60, 0.02)
+	r := newRunner(t, settings(), servers(2)...)
+	r.answerQueries(60, 0.02)
 	_, ev := r.query(0, 2) // both parts are lost
 	lost := sends(r.handle(ev...))
 	if len(lost) != 2 {
 		t.Fatalf("%d sends", len(lost))
 	}
-	r.warm(20, 0.02)
+	r.answerQueries(20, 0.02)
 	r.now += 0.2 // and then nobody asks for a while
 	_, ev = r.query(0, 1)
-	if out := r.handle(ev...); len(finals(out)) != 0 || len(sends(out)) != 1 {
+	if out := r.handle(ev...); len(finalAnswers(out)) != 0 || len(sends(out)) != 1 {
 		t.Errorf("%v, want the part sent", out)
 	}
 }
 
 // A broker of many sees little of each server: one long answer must tell, and be forgotten again.
 func TestSlowServerLosesWeightForAWhile(t *testing.T) {
-	r := newRig(t, settings(), servers(3)...)
+	r := newRunner(t, settings(), servers(3)...)
 	slow := 1.0
 	answer := func(s decision.Send) decision.Event {
 		if s.Server == "s0" {
-			return ended(s.ID, 0, s.Server, decision.OK, 0.05*slow)
+			return finished(s.ID, 0, s.Server, decision.OK, 0.05*slow)
 		}
-		return ended(s.ID, 0, s.Server, decision.OK, 0.05)
+		return finished(s.ID, 0, s.Server, decision.OK, 0.05)
 	}
 	rare := func(n int) int {
 		count := 0
 		for range n {
 			r.now++
-			count += share(r, 1, answer)["s0"]
+			count += countSends(r, 1, answer)["s0"]
 		}
 		return count
 	}
@@ -112,8 +112,8 @@
 
 // Attempts that never end but are cancelled with their query tell of their server all the same.
 func TestCancelledAttemptsRaiseServiceTime(t *testing.T) {
-	r := newRig(t, settings(), servers(3)...)
-	r.warm(60, 0.05)
+	r := newRunner(t, settings(), servers(3)...)
+	r.answerQueries(60, 0.05)
 	toSilent := 0
 	for range 60 {
 		r.now += 4 // long enough for cancelled parts to leave the queue
@@ -123,12 +123,12 @@
 			t.Fatalf("%d parts sent, want 1", len(out))
 		}
 		if out[0].Server != "s0" {
-			r.at(r.now+0.05, ended(out[0].ID, 0, out[0].Server, decision.OK, 0.05))
+			r.handleAt(r.now+0.05, finished(out[0].ID, 0, out[0].Server, decision.OK, 0.05))
 			continue
 		}
 		toSilent++
-		r.at(r.now+0.7, decision.ClientDisconnected{ID: id},
-			ended(out[0].ID, 0, "s0", decision.Cancelled, 0.7))
+		r.handleAt(r.now+0.7, decision.ClientDisconnected{ID: id},
+			finished(out[0].ID, 0, "s0", decision.Cancelled, 0.7))
 	}
 	if toSilent > 12 {
 		t.Errorf("%d of 60 parts went to the server that never answers, want at most 12", toSilent)
@@ -137,14 +137,14 @@
 
 // Every server fails most attempts: no query is refused for it, since no server is worse than its peers.
 func TestFleetWideErrorsRejectNoQuery(t *testing.T) {
-	r := newRig(t, settings(), servers(3)...)
-	r.warm(60, 0.05)
+	r := newRunner(t, settings(), servers(3)...)
+	r.answerQueries(60, 0.05)
 	_, held := r.query(0, 3)
 	r.handle(held...) // these stay out, so that the group is never idle
 	refused := 0
 	for i := range 60 {
 		_, ev := r.query(0, 1)
-		out := sends(r.at(r.now+0.005, ev...))
+		out := sends(r.handleAt(r.now+0.005, ev...))
 		if len(out) == 0 {
 			refused++
 			continue
@@ -154,7 +154,7 @@
 			if k == 2 || i%10 == 0 {
 				st = decision.OK
 			}
-			out = sends(r.handle(ended(out[0].ID, k, out[0].Server, st, 0.02)))
+			out = sends(r.handle(finished(out[0].ID, k, out[0].Server, st, 0.02)))
 		}
 	}
 	if refused > 0 {
@@ -166,24 +166,24 @@
 func TestRestartResetsFailureRatio(t *testing.T) {
 	s := settings()
 	s.SlowStart.Duration = 0
-	r := newRig(t, s, servers(3)...)
-	share(r, 60, func(snd decision.Send) decision.Event {
+	r := newRunner(t, s, servers(3)...)
+	countSends(r, 60, func(snd decision.Send) decision.Event {
 		if snd.Server == "s0" {
-			return ended(snd.ID, 0, snd.Server, decision.Unreachable, 0.001)
+			return finished(snd.ID, 0, snd.Server, decision.Unreachable, 0.001)
 		}
-		return ended(snd.ID, 0, snd.Server, decision.OK, 0.01)
+		return finished(snd.ID, 0, snd.Server, decision.OK, 0.01)
 	})
 	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now}}})
-	first := share(r, 12, func(snd decision.Send) decision.Event {
-		return ended(snd.ID, 0, snd.Server, decision.OK, 0.01)
+	first := countSends(r, 12, func(snd decision.Send) decision.Event {
+		return finished(snd.ID, 0, snd.Server, decision.OK, 0.01)
 	})
 	if first["s0"] < 2 {
 		t.Errorf("%d of the first 12 parts went to the restarted server, want at least 2", first["s0"])
 	}
 }
 
-// zoned are servers of one cell in two zones by turns.
-func zoned(n int) []decision.Server {
+// serversInTwoZones are servers of one cell in two zones by turns.
+func serversInTwoZones(n int) []decision.Server {
 	list := servers(n)
 	for i := range list {
 		list[i].Zone = i % 2
@@ -196,16 +196,16 @@
 func TestFailingZoneLosesWeight(t *testing.T) {
 	s := settings()
 	s.MaxAttempts, s.HealthChecksAllowed = 1, false
-	r := newRig(t, s, zoned(300)...)
+	r := newRunner(t, s, serversInTwoZones(300)...)
 	answer := func(s decision.Send) decision.Event {
 		if int(s.Server[len(s.Server)-1]-'0')%2 == 1 {
-			return ended(s.ID, 0, s.Server, decision.Reset, 0.002)
+			return finished(s.ID, 0, s.Server, decision.Reset, 0.002)
 		}
-		return ended(s.ID, 0, s.Server, decision.OK, 0.05)
+		return finished(s.ID, 0, s.Server, decision.OK, 0.05)
 	}
-	share(r, 40, answer)
+	countSends(r, 40, answer)
 	failed := 0
-	for server, n := range share(r, 100, answer) {
+	for server, n := range countSends(r, 100, answer) {
 		if int(server[len(server)-1]-'0')%2 == 1 {
 			failed += n
 		}
@@ -219,20 +219,20 @@
 func TestNewServersOfASingleZoneKeepWeight(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 1
-	r := newRig(t, s, servers(40)...)
-	share(r, 40, func(s decision.Send) decision.Event {
-		return ended(s.ID, 0, s.Server, decision.Reset, 0.002)
+	r := newRunner(t, s, servers(40)...)
+	countSends(r, 40, func(s decision.Send) decision.Event {
+		return finished(s.ID, 0, s.Server, decision.Reset, 0.002)
 	})
 	sound := decision.Server{ID: "sound"}
-	ok := func(s decision.Send) decision.Event { return ended(s.ID, 0, s.Server, decision.OK, 0.005) }
+	ok := func(s decision.Send) decision.Event { return finished(s.ID, 0, s.Server, decision.OK, 0.005) }
 	r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{sound}})
-	share(r, 5, ok)
+	countSends(r, 5, ok)
 	list := []decision.Server{sound}
 	for _, n := range []string{"n0", "n1", "n2", "n3", "n4", "n5", "n6", "n7", "n8", "n9"} {
 		list = append(list, decision.Server{ID: n})
 	}
 	r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: list})
-	if got := share(r, 20, ok)["sound"]; got > 6 {
+	if got := countSends(r, 20, ok)["sound"]; got > 6 {
 		t.Errorf("%d of 20 parts went to the one server known, want at most 6: ten new ones are as good", got)
 	}
 }
@@ -240,7 +240,7 @@
 // Hearsay moves the draw away from a server that another loop of the process saw fail, unless this one knows
 // better, and a later recovery brings it back.
 func TestPeerObservationMovesTheDraw(t *testing.T) {
-	share := func(r *rig) (n int) { // of 100 parts, those that went to s0
+	share := func(r *runner) (n int) { // of 100 parts, those that went to s0
 		for range 100 {
 			_, ev := r.query(0, 1)
 			for _, s := range sends(r.handle(ev...)) {
@@ -248,15 +248,15 @@
 					n++
 				}
 				r.now += 0.001
-				r.handle(ended(s.ID, 0, s.Server, decision.OK, 0.001))
+				r.handle(finished(s.ID, 0, s.Server, decision.OK, 0.001))
 			}
 		}
 		return n
 	}
-	heard := func(r *rig, at, failed, weight float64) {
+	heard := func(r *runner, at, failed, weight float64) {
 		r.handle(decision.PeerObservation{Server: "s0", At: at, FailureRatio: failed, Weight: weight, LoadReport: decision.NoLoadReport})
 	}
-	r := newRig(t, settings(), servers(2)...)
+	r := newRunner(t, settings(), servers(2)...)
 	require.InDelta(t, 50, share(r), 20)
 	heard(r, r.now-0.05, 1, 0.75) // older than what was seen here
 	require.InDelta(t, 50, share(r), 20)
--- a/internal/decision/healthchecks_test.go
+++ b/internal/decision/healthchecks_test.go
@@ -11,12 +11,12 @@
 	s := settings()
 	s.MaxAttempts, s.HealthChecksAllowed = 1, true
 	for _, st := range []decision.Status{decision.OK, decision.Reset} {
-		r := newRig(t, s, servers(100)...)
+		r := newRunner(t, s, servers(100)...)
 		probed := map[string]bool{}
 		parts := map[string]int{}
 		for i := range 200 {
 			_, ev := r.query(0, 1)
-			actions := r.at(r.now+0.05, ev...)
+			actions := r.handleAt(r.now+0.05, ev...)
 			for _, a := range actions {
 				switch a := a.(type) {
 				case decision.CheckHealth:
@@ -34,7 +34,7 @@
 					if i >= 100 {
 						parts[a.Server]++
 					}
-					r.handle(ended(a.ID, 0, a.Server, status, 0.01))
+					r.handle(finished(a.ID, 0, a.Server, status, 0.01))
 				}
 			}
 		}
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestPulledReportsAreAskedForEveryTenSeconds(t *testing.T) {
+func TestPulledReportsAreRequestedEveryTenSeconds(t *testing.T) {
 	s := settings()
 	s.ReportMode, s.HealthChecksAllowed = decision.ReportPull, true
 	p := decision.New(s, 1)
--- a/internal/decision/hedging_test.go
+++ b/internal/decision/hedging_test.go
@@ -10,19 +10,19 @@
 	for _, copies := range []bool{false, true} {
 		s := settings()
 		s.HedgingAllowed = copies
-		r := newRig(t, s, servers(3)...)
-		r.warm(40, 0.05)
+		r := newRunner(t, s, servers(3)...)
+		r.answerQueries(40, 0.05)
 		_, ev := r.query(0, 1)
 		first := sends(r.handle(ev...))[0]
-		got := r.at(r.now + 0.5) // ten times the usual, and the server is silent
-		if !copies {             // the attempt is given up first, and only its end lets another go
+		got := r.handleAt(r.now + 0.5) // ten times the usual, and the server is silent
+		if !copies {                   // the attempt is given up first, and only its end lets another go
 			if len(got) != 1 || got[0] != (decision.Cancel{ID: first.ID}) {
 				t.Fatalf("%v, want the running attempt cancelled", got)
 			}
-			if again := r.at(r.now + 0.01); len(again) != 0 {
+			if again := r.handleAt(r.now + 0.01); len(again) != 0 {
 				t.Errorf("%v before the cancelled attempt has ended", again)
 			}
-			got = r.handle(ended(first.ID, 0, first.Server, decision.Cancelled, 0.5))
+			got = r.handle(finished(first.ID, 0, first.Server, decision.Cancelled, 0.5))
 		}
 		if n := len(sends(got)); n != 1 {
 			t.Fatalf("copies allowed %v: %v, want one more attempt", copies, got)
@@ -37,13 +37,13 @@
 
 // A whole group stalls: repeats must not feed it, and its queries are refused until it answers again.
 func TestNoRetriesIntoASilentReplicaSet(t *testing.T) {
-	r := newRig(t, settings(), servers(3)...)
-	r.warm(60, 0.05)
+	r := newRunner(t, settings(), servers(3)...)
+	r.answerQueries(60, 0.05)
 	toJam, refused := 0, 0
 	var out []decision.Send
 	for range 40 {
 		_, ev := r.query(0, 3)
-		actions := r.at(r.now+0.1, ev...)
+		actions := r.handleAt(r.now+0.1, ev...)
 		for len(actions) > 0 {
 			var next []decision.Event
 			for _, a := range actions {
@@ -53,7 +53,7 @@
 					out = append(out, a)
 				case decision.Cancel:
 					srv := serverOf(out, a.ID, a.Attempt)
-					next = append(next, ended(a.ID, a.Attempt, srv, decision.Cancelled, 0.3))
+					next = append(next, finished(a.ID, a.Attempt, srv, decision.Cancelled, 0.3))
 				case decision.Reject:
 					refused++
 				}
@@ -90,8 +90,8 @@
 	for _, repeat := range []decision.Idempotency{decision.Idempotent, decision.NonIdempotent} {
 		s := settings()
 		s.Classes[0].Idempotency = repeat
-		r := newRig(t, s, servers(1)...) // one server: it answers everything else
-		r.warm(40, 0.02)
+		r := newRunner(t, s, servers(1)...) // one server: it answers everything else
+		r.answerQueries(40, 0.02)
 		_, ev := r.query(0, 1)
 		first := sends(r.handle(ev...))[0]
 		cancelled := 0
@@ -100,7 +100,7 @@
 			out := r.handle(ev...)
 			r.now += 0.02
 			for _, other := range sends(out) {
-				out = append(out, r.handle(ended(other.ID, 0, other.Server, decision.OK, 0.02))...)
+				out = append(out, r.handle(finished(other.ID, 0, other.Server, decision.OK, 0.02))...)
 			}
 			for _, a := range out {
 				if c, ok := a.(decision.Cancel); ok && c.ID == first.ID {
@@ -119,17 +119,17 @@
 	s := settings()
 	s.Classes[0].CompletenessThreshold, s.Classes[0].MinCompleteness = 0.5, 0.5
 	s.HedgingAllowed = false
-	r := newRig(t, s, servers(12)...)
-	r.warm(60, 0.05)
+	r := newRunner(t, s, servers(12)...)
+	r.answerQueries(60, 0.05)
 	_, ev := r.query(0, 4)
 	out := sends(r.handle(ev...))
 	if len(out) != 2 {
 		t.Fatalf("%d parts sent, want 2 of 4", len(out))
 	}
-	if n := len(sends(r.at(r.now+0.04, ended(out[0].ID, 0, out[0].Server, decision.OK, 0.04)))); n != 0 {
+	if n := len(sends(r.handleAt(r.now+0.04, finished(out[0].ID, 0, out[0].Server, decision.OK, 0.04)))); n != 0 {
 		t.Fatalf("%d spare parts sent while the other may come in time, want 0", n)
 	}
-	spare := sends(r.at(r.now + 0.02))
+	spare := sends(r.handleAt(r.now + 0.02))
 	if len(spare) != 1 || spare[0].ID == out[1].ID {
 		t.Fatalf("the other is late: %v sent, want one spare part", spare)
 	}
@@ -139,7 +139,7 @@
 func TestNoTimerStormBeforeFirstAnswer(t *testing.T) {
 	s := settings()
 	s.HedgingAllowed = true
-	r := newRig(t, s, servers(3)...)
+	r := newRunner(t, s, servers(3)...)
 	_, ev := r.query(0, 1)
 	r.handle(ev...)
 	for range 20 {
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -8,8 +8,8 @@
 	"mothrouter/internal/estimate/slowstart"
 )
 
-// rig drives one Policy with events and keeps what it did.
-type rig struct {
+// runner drives one Policy with events and keeps what it did.
+type runner struct {
 	t        *testing.T
 	p        *decision.Policy
 	now      float64
@@ -27,8 +27,8 @@
 	}
 }
 
-func newRig(t *testing.T, s decision.Settings, servers ...decision.Server) *rig {
-	r := &rig{t: t, p: decision.New(s, 7), attempts: map[decision.RequestID]int{}, nextID: 100, now: 100}
+func newRunner(t *testing.T, s decision.Settings, servers ...decision.Server) *runner {
+	r := &runner{t: t, p: decision.New(s, 7), attempts: map[decision.RequestID]int{}, nextID: 100, now: 100}
 	r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers})
 	return r
 }
@@ -42,7 +42,7 @@
 }
 
 // handle passes events and returns the actions, without timers.
-func (r *rig) handle(events ...decision.Event) []decision.Action {
+func (r *runner) handle(events ...decision.Event) []decision.Action {
 	var kept []decision.Action
 	for _, a := range r.p.Handle(r.now, events) {
 		if _, ok := a.(decision.SetTimer); !ok {
@@ -52,14 +52,14 @@
 	return kept
 }
 
-// at moves the clock and passes events.
-func (r *rig) at(now float64, events ...decision.Event) []decision.Action {
+// handleAt moves the clock and passes events.
+func (r *runner) handleAt(now float64, events ...decision.Event) []decision.Action {
 	r.now = now
 	return r.handle(events...)
 }
 
 // query makes a query with n parts of equal weight, all at the given shard.
-func (r *rig) query(class, n int) (decision.RequestID, []decision.Event) {
+func (r *runner) query(class, n int) (decision.RequestID, []decision.Event) {
 	r.number++
 	r.nextID += 100
 	id := r.nextID
@@ -75,7 +75,7 @@
 	return id, events
 }
 
-func ended(id decision.RequestID, n int, server string, st decision.Status, lat float64,
+func finished(id decision.RequestID, n int, server string, st decision.Status, lat float64,
 ) decision.AttemptFinished {
 	return decision.AttemptFinished{ID: id, Attempt: n, Server: server, Status: st, Latency: lat,
 		PartConcluded: st == decision.OK, LoadReport: decision.NoLoadReport}
@@ -91,8 +91,8 @@
 	return list
 }
 
-// finals are the final answers among actions.
-func finals(actions []decision.Action) []decision.Action {
+// finalAnswers are the final answers among actions.
+func finalAnswers(actions []decision.Action) []decision.Action {
 	var list []decision.Action
 	for _, a := range actions {
 		switch a.(type) {
@@ -103,14 +103,14 @@
 	return list
 }
 
-// warm sends and answers queries one by one so that latencies are known.
-func (r *rig) warm(n int, latency float64) {
+// answerQueries sends and answers queries one by one so that latencies are known.
+func (r *runner) answerQueries(n int, latency float64) {
 	for range n {
 		_, ev := r.query(0, 1)
 		out := sends(r.handle(ev...))
 		r.now += latency
 		for _, s := range out {
-			r.handle(ended(s.ID, 0, s.Server, decision.OK, latency))
+			r.handle(finished(s.ID, 0, s.Server, decision.OK, latency))
 		}
 	}
 }
--- a/internal/decision/progress_test.go
+++ b/internal/decision/progress_test.go
@@ -23,13 +23,13 @@
 			t.Run(c.name, func(t *testing.T) {
 				s := settings()
 				s.Classes[0].LateValue = late
-				r := newRig(t, s, servers(2)...)
+				r := newRunner(t, s, servers(2)...)
 				start := r.now
 				id, ev := r.query(0, 3)
 				queue := r.handle(ev...)
 				var got []decision.Action
 				for r.now < start+2.5 {
-					answers := finals(queue)
+					answers := finalAnswers(queue)
 					got = append(got, answers...)
 					if len(got) > 0 && len(sends(queue)) > 0 {
 						t.Fatal("sent after the final answer")
@@ -40,11 +40,11 @@
 					var next []decision.Event
 					for _, snd := range sends(queue) {
 						if c.answer {
-							next = append(next, ended(snd.ID, r.attempts[snd.ID], snd.Server, c.status, 0.01))
+							next = append(next, finished(snd.ID, r.attempts[snd.ID], snd.Server, c.status, 0.01))
 						}
 						r.attempts[snd.ID]++
 					}
-					queue = r.at(r.now+0.01, next...)
+					queue = r.handleAt(r.now+0.01, next...)
 				}
 				if len(got) != 1 {
 					t.Fatalf("final answers of query %d: %v, want exactly one", id, got)
@@ -55,14 +55,14 @@
 }
 
 func TestClientDisconnectedEndsWithoutResponse(t *testing.T) {
-	r := newRig(t, settings(), servers(2)...)
+	r := newRunner(t, settings(), servers(2)...)
 	id, ev := r.query(0, 2)
 	r.handle(ev...)
 	got := r.handle(decision.ClientDisconnected{ID: id})
-	if len(finals(got)) != 0 || len(got) != 2 {
+	if len(finalAnswers(got)) != 0 || len(got) != 2 {
 		t.Errorf("after the client left: %v, want two cancels only", got)
 	}
-	if got := r.at(r.now+3, decision.ClientDisconnected{ID: id}); len(got) != 0 {
+	if got := r.handleAt(r.now+3, decision.ClientDisconnected{ID: id}); len(got) != 0 {
 		t.Errorf("a second notice led to %v", got)
 	}
 }
@@ -71,16 +71,16 @@
 func TestResponsesPrecedeClientTimeouts(t *testing.T) {
 	s := settings()
 	s.Classes[0].MinCompleteness = 0.5
-	r := newRig(t, s, servers(3)...)
-	r.warm(60, 0.05)
+	r := newRunner(t, s, servers(3)...)
+	r.answerQueries(60, 0.05)
 	for range 10 {
 		id, ev := r.query(0, 2)
 		out := sends(r.handle(ev...))
-		if len(out) != 2 || len(finals(r.at(r.now+0.4))) > 0 {
+		if len(out) != 2 || len(finalAnswers(r.handleAt(r.now+0.4))) > 0 {
 			t.Fatalf("%d parts sent, want 2 and no final answer within 0.4 s", len(out))
 		}
-		r.handle(decision.ClientDisconnected{ID: id}, ended(out[0].ID, 0, out[0].Server, decision.OK, 0.1),
-			ended(out[1].ID, 0, out[1].Server, decision.Cancelled, 0.4))
+		r.handle(decision.ClientDisconnected{ID: id}, finished(out[0].ID, 0, out[0].Server, decision.OK, 0.1),
+			finished(out[1].ID, 0, out[1].Server, decision.Cancelled, 0.4))
 		r.now += 5 // long enough for the parts that were cancelled to be forgotten
 	}
 	id, ev := r.query(0, 2)
@@ -88,8 +88,8 @@
 	if len(out) != 2 {
 		t.Fatalf("%d parts sent, want 2", len(out))
 	}
-	r.at(r.now+0.1, ended(out[0].ID, 0, out[0].Server, decision.OK, 0.1))
-	got := finals(r.at(r.now + 0.29))
+	r.handleAt(r.now+0.1, finished(out[0].ID, 0, out[0].Server, decision.OK, 0.1))
+	got := finalAnswers(r.handleAt(r.now + 0.29))
 	if len(got) != 1 || got[0] != (decision.Respond{ID: id}) {
 		t.Errorf("just before clients leave: %v, want an answer in part", got)
 	}
@@ -113,14 +113,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
 			s.Classes[0].CompletenessThreshold, s.Classes[0].MinCompleteness = c.need, c.floor
-			r := newRig(t, s, servers(3)...)
+			r := newRunner(t, s, servers(3)...)
 			id, ev := r.query(0, c.parts)
 			out := sends(r.handle(ev...))
 			var got []decision.Action
 			for i := range c.in {
-				got = append(got, finals(r.handle(ended(out[i].ID, 0, out[i].Server, decision.OK, 0)))...)
+				got = append(got, finalAnswers(r.handle(finished(out[i].ID, 0, out[i].Server, decision.OK, 0)))...)
 			}
-			got = append(got, finals(r.at(r.now+1))...)
+			got = append(got, finalAnswers(r.handleAt(r.now+1))...)
 			want := c.want
 			switch w := want.(type) {
 			case decision.Respond:
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestSecondPhase(t *testing.T) {
+func TestSecondPhaseCompletesOnlyACompleteFirst(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		first, then int // parts in of four, then of two
@@ -152,20 +152,20 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
 			s.Classes[0].MinCompleteness, s.Classes[0].SecondPhaseFanout, s.Classes[0].LateValue = 0.5, 2, 0.5
-			r := newRig(t, s, servers(3)...)
+			r := newRunner(t, s, servers(3)...)
 			id, ev := r.query(0, 4)
 			out := sends(r.handle(ev...))
 			var got []decision.Action
 			for i := range c.first {
-				got = append(got, finals(r.handle(ended(out[i].ID, 0, out[i].Server, decision.OK, 0)))...)
+				got = append(got, finalAnswers(r.handle(finished(out[i].ID, 0, out[i].Server, decision.OK, 0)))...)
 			}
 			if c.first < 4 {
-				got = append(got, finals(r.at(r.now+1))...)
+				got = append(got, finalAnswers(r.handleAt(r.now+1))...)
 			}
 			if len(got) != 1 || got[0] != (decision.Respond{ID: id, Complete: c.first == 4}) {
 				t.Fatalf("first answer %v", got)
 			}
-			out = sends(r.at(r.now+0.01,
+			out = sends(r.handleAt(r.now+0.01,
 				decision.Part{ID: id + 50, QueryNumber: r.number, Weight: 0.5},
 				decision.Part{ID: id + 51, QueryNumber: r.number, Weight: 0.5}))
 			if len(out) != 2 {
@@ -173,9 +173,9 @@
 			}
 			got = nil
 			for i := range c.then {
-				got = append(got, finals(r.handle(ended(out[i].ID, 0, out[i].Server, decision.OK, 0)))...)
+				got = append(got, finalAnswers(r.handle(finished(out[i].ID, 0, out[i].Server, decision.OK, 0)))...)
 			}
-			got = append(got, finals(r.at(r.now+2))...)
+			got = append(got, finalAnswers(r.handleAt(r.now+2))...)
 			if len(got) != 1 {
 				t.Fatalf("final answers %v, want one", got)
 			}
@@ -190,13 +190,13 @@
 func TestNonIdempotentQueryIsNotRejectedAfterItsFirstPhase(t *testing.T) {
 	s := settings()
 	s.Classes[0].Idempotency, s.Classes[0].SecondPhaseFanout = decision.NonIdempotent, 1
-	r := newRig(t, s, servers(2)...)
+	r := newRunner(t, s, servers(2)...)
 	id, ev := r.query(0, 1)
 	out := sends(r.handle(ev...))
-	r.handle(ended(out[0].ID, 0, out[0].Server, decision.OK, 0))
+	r.handle(finished(out[0].ID, 0, out[0].Server, decision.OK, 0))
 	r.handle(decision.Part{ID: id + 50, QueryNumber: r.number, Weight: 1})
 	r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate}) // no server is left
-	if got := finals(r.at(r.now + 1)); len(got) != 1 || got[0] != (decision.Fail{ID: id}) {
+	if got := finalAnswers(r.handleAt(r.now + 1)); len(got) != 1 || got[0] != (decision.Fail{ID: id}) {
 		t.Errorf("final answers %v, want one Fail: the first step has run", got)
 	}
 }
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -14,7 +14,7 @@
 	busy := []float64{0, 0.2, 0.5}
 	for _, batch := range []int{1, 8} {
 		s.MaxPartsPerCall = batch
-		r := newRig(t, s, servers(3)...)
+		r := newRunner(t, s, servers(3)...)
 		load := func(server string) decision.LoadReport {
 			l := decision.NoLoadReport
 			l.Utilization, l.QueueLength = busy[server[1]-'0'], 0
@@ -35,7 +35,7 @@
 			}
 			for _, snd := range out {
 				count[snd.Server]++
-				e := ended(snd.ID, 0, snd.Server, decision.OK, 0)
+				e := finished(snd.ID, 0, snd.Server, decision.OK, 0)
 				e.LoadReport = load(snd.Server)
 				r.handle(e)
 			}
@@ -63,7 +63,7 @@
 func TestTriedReplicasWaitForTheOthers(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 5
-	r := newRig(t, s, servers(3)...)
+	r := newRunner(t, s, servers(3)...)
 	for range 30 {
 		_, ev := r.query(0, 1)
 		queue := sends(r.handle(ev...))
@@ -76,9 +76,9 @@
 				t.Fatalf("attempt %d goes to a replica that was asked just now", n)
 			}
 			order, asked[last.Server] = append(order, last.Server), r.now
-			queue = sends(r.at(r.now+0.001, ended(last.ID, n, last.Server, decision.Error, 0)))
+			queue = sends(r.handleAt(r.now+0.001, finished(last.ID, n, last.Server, decision.Error, 0)))
 			if len(queue) == 0 {
-				queue = sends(r.at(r.now + 0.02))
+				queue = sends(r.handleAt(r.now + 0.02))
 			}
 		}
 		if len(order) != 5 {
@@ -101,8 +101,8 @@
 		s.CrossZoneCost = c.price
 		list := servers(2)
 		list[1].Zone = 1
-		got := share(newRig(t, s, list...), 300, func(snd decision.Send) decision.Event {
-			return ended(snd.ID, 0, snd.Server, decision.OK, 0.01)
+		got := countSends(newRunner(t, s, list...), 300, func(snd decision.Send) decision.Event {
+			return finished(snd.ID, 0, snd.Server, decision.OK, 0.01)
 		})["s1"]
 		if got < c.min || got > c.max {
 			t.Errorf("price %g: %d of 300 parts crossed zones, want %d to %d", c.price, got, c.min, c.max)
@@ -112,7 +112,7 @@
 
 func TestEqualEventsGiveEqualActions(t *testing.T) {
 	run := func(seed uint64) (all []decision.Action) {
-		r := newRig(t, settings(), servers(5)...)
+		r := newRunner(t, settings(), servers(5)...)
 		r.p = decision.New(settings(), seed)
 		r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers(5)})
 		for range 50 {
@@ -120,7 +120,7 @@
 			got := r.handle(ev...)
 			all = append(all, got...)
 			for _, snd := range sends(got) {
-				all = append(all, r.at(r.now+0.01, ended(snd.ID, 0, snd.Server, decision.OK, 0.01))...)
+				all = append(all, r.handleAt(r.now+0.01, finished(snd.ID, 0, snd.Server, decision.OK, 0.01))...)
 			}
 		}
 		return all
--- a/internal/decision/slowstart_fleet_test.go
+++ b/internal/decision/slowstart_fleet_test.go
@@ -188,7 +188,7 @@
 			capacity *= math.Min(1, f.settings.SlowStart.InitialFraction+
 				(1-f.settings.SlowStart.InitialFraction)*(now-at)/f.settings.SlowStart.Duration)
 		}
-		outcome := ended(s.ID, 0, s.Server, decision.OK, 0.001)
+		outcome := finished(s.ID, 0, s.Server, decision.OK, 0.001)
 		if f.freeAt[s.Server] > now+1 {
 			outcome.Status, outcome.PartConcluded = decision.Overloaded, false
 		} else {
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -10,8 +10,8 @@
 
 func TestSlowStartBudgetHoldsForOneBroker(t *testing.T) {
 	s := settings()
-	r := newRig(t, s, servers(4)...)
-	r.warm(200, 0.02)
+	r := newRunner(t, s, servers(4)...)
+	r.answerQueries(200, 0.02)
 	cold := decision.Server{ID: "s0", Started: r.now}
 	r.handle(decision.EndpointUpdate{Servers: []decision.Server{cold}})
 	start, toCold, toAll := r.now, 0, 0
@@ -22,7 +22,7 @@
 			if snd.Server == "s0" {
 				toCold++
 			}
-			r.at(r.now+0.02, ended(snd.ID, 0, snd.Server, decision.OK, 0.02))
+			r.handleAt(r.now+0.02, finished(snd.ID, 0, snd.Server, decision.OK, 0.02))
 		}
 	}
 	// Warm servers were seen to take a quarter of some 50 a second each; the cold one has a quarter of that.
@@ -40,13 +40,13 @@
 	s.Brokers, s.ReplicaSets = brokers, 2
 	toCold, windows := 0, 4
 	for m := range brokers {
-		r := newRig(t, s, servers(4)...)
+		r := newRunner(t, s, servers(4)...)
 		r.p = decision.New(s, uint64(m))
 		r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers(4)})
 		for range 60 { // this broker's share of what four servers answer
 			_, ev := r.query(0, 1)
 			for _, snd := range sends(r.handle(ev...)) {
-				r.at(r.now+brokers/4.0/warmRate, ended(snd.ID, 0, snd.Server, decision.OK, 0.02))
+				r.handleAt(r.now+brokers/4.0/warmRate, finished(snd.ID, 0, snd.Server, decision.OK, 0.02))
 			}
 		}
 		r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", ReplicaSet: 1, Started: r.now}}})
@@ -55,9 +55,9 @@
 			pt := ev[1].(decision.Part)
 			pt.Shard = 1
 			ev[1] = pt
-			for _, snd := range sends(r.at(r.now+s.SlowStart.OverloadWindow/40, ev...)) {
+			for _, snd := range sends(r.handleAt(r.now+s.SlowStart.OverloadWindow/40, ev...)) {
 				toCold++
-				r.handle(ended(snd.ID, 0, snd.Server, decision.OK, 0.02))
+				r.handle(finished(snd.ID, 0, snd.Server, decision.OK, 0.02))
 			}
 		}
 	}
@@ -69,27 +69,27 @@
 
 func TestPartsWaitWhileAllReplicasWarmUp(t *testing.T) {
 	s0, s1 := decision.Server{ID: "s0", Started: 99.9}, decision.Server{ID: "s1", Started: 99.9}
-	r := newRig(t, settings(), s0, s1)
+	r := newRunner(t, settings(), s0, s1)
 	_, ev := r.query(0, 8)
 	if n := len(sends(r.handle(ev...))); n > 4 {
 		t.Errorf("%d parts sent at once to two cold servers of unknown capacity", n)
 	}
-	r.at(r.now + 0.9)
-	if got := finals(r.at(r.now + 0.5)); len(got) != 1 {
+	r.handleAt(r.now + 0.9)
+	if got := finalAnswers(r.handleAt(r.now + 0.5)); len(got) != 1 {
 		t.Errorf("final answers %v, want one", got)
 	}
 }
 
 // A broker that is told its room at a cold server keeps to it to the part and to the time.
 func TestSlowStartLeaseLimitsSends(t *testing.T) {
-	r := newRig(t, settings(), servers(1)...)
-	r.warm(50, 0.01) // by its own estimate it would send several a second
+	r := newRunner(t, settings(), servers(1)...)
+	r.answerQueries(50, 0.01) // by its own estimate it would send several a second
 	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now}}})
 	try := func(events ...decision.Event) int {
 		_, ev := r.query(0, 6)
 		out := sends(r.handle(append(events, ev...)...))
 		for _, snd := range out {
-			r.handle(ended(snd.ID, 0, snd.Server, decision.OK, 0.01))
+			r.handle(finished(snd.ID, 0, snd.Server, decision.OK, 0.01))
 		}
 		return len(out)
 	}
@@ -106,7 +106,7 @@
 func TestFleetResizedChangesBudgets(t *testing.T) {
 	tries := func(events ...decision.Event) (n int) {
 		for seed := range uint64(400) {
-			r := newRig(t, settings(), servers(1)...)
+			r := newRunner(t, settings(), servers(1)...)
 			r.p = decision.New(settings(), seed)
 			r.handle(append(events, decision.EndpointUpdate{Mode: decision.FullUpdate,
 				Servers: []decision.Server{{ID: "s0", Started: r.now}}})...)
