--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -9,14 +9,14 @@
 	"mothrouter/internal/decision"
 )
 
-// Where all replicas of a shard answer slowly, for others' parts too, few queries are let through on trial.
+// All replicas of a shard are slow, by the load of other brokers: few of its queries are admitted, on trial.
 func TestSlowShardIsRejectedDespiteIdleBroker(t *testing.T) {
 	s := settings()
 	s.ReplicaSets = 2
 	list := servers(4)
 	list[2].ReplicaSet, list[3].ReplicaSet = 1, 1
 	r := newRunner(t, s, list...)
-	refused := 0
+	rejected := 0
 	for i := range 120 {
 		_, ev := r.query(0, 1)
 		took := 0.05
@@ -27,25 +27,25 @@
 		}
 		out := sends(r.handleAt(r.now+0.5, ev...))
 		if len(out) == 0 && i >= 40 {
-			refused++
+			rejected++
 			if i%2 == 0 {
-				t.Fatal("a query of the quick shard was refused")
+				t.Fatal("a query of the quick shard was rejected")
 			}
 		}
 		for _, snd := range out {
 			r.handleAt(r.now+took, finished(snd.ID, 0, snd.Server, decision.OK, took))
 		}
 	}
-	if refused < 20 || refused == 40 {
-		t.Errorf("%d of 40 queries of the slow shard refused, want most and not all", refused)
+	if rejected < 20 || rejected == 40 {
+		t.Errorf("%d of 40 queries of the slow shard rejected, want most and not all", rejected)
 	}
 }
 
-// A jam has the queries of all shards refused; when it has passed, nothing but time can tell, since queries of
-// many parts are never let through part by part.
+// An overload has the queries of all shards rejected. Once it is over only time shows that, since queries of many parts
+// are never admitted part by part on trial.
 func TestRejectionEndsAfterOverload(t *testing.T) {
 	r := newRunner(t, settings(), servers(120)...)
-	ask := func(took float64) (sent bool) { // as a whole
+	sendAll := func(took float64) (sent bool) { // all of its parts
 		_, ev := r.query(0, 40)
 		out := sends(r.handleAt(r.now+0.5, ev...))
 		n := 0
@@ -59,23 +59,23 @@
 		}
 		return n >= 40
 	}
-	jammed := false
+	overloaded := false
 	for range 20 {
-		jammed = !ask(0.95) || jammed
+		overloaded = !sendAll(0.95) || overloaded
 	}
-	if !jammed {
-		t.Fatal("nothing was refused in the jam")
+	if !overloaded {
+		t.Fatal("nothing was rejected in the overload")
 	}
 	r.now += 30
 	for range 3 {
-		if !ask(0.05) {
-			t.Error("a query was refused 30 s after the jam")
+		if !sendAll(0.05) {
+			t.Error("a query was rejected 30 s after the overload")
 		}
 	}
 }
 
-// Not all can be served: queries worth several times more a part keep a wider margin, where the worth goes by
-// the query; where it goes by work, no class goes first.
+// Not all queries can be served: those of a larger priority weight for each part have a wider margin. Where the value
+// goes by work, no class comes first.
 func TestPriorityWidensAdmissionMargin(t *testing.T) {
 	for _, byWork := range []bool{false, true} {
 		s := settings()
@@ -84,7 +84,7 @@
 			{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 1}, {LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 3},
 		}
 		r := newRunner(t, s, servers(3)...)
-		refused := [2]int{}
+		rejected := [2]int{}
 		for i := range 200 {
 			class, parts := i%2, 4-3*(i%2)
 			_, ev := r.query(class, parts)
@@ -94,27 +94,27 @@
 				done = append(done, finished(snd.ID, 0, snd.Server, decision.OK, 0.9))
 			}
 			if i >= 100 {
-				refused[class] += len(finalAnswers(actions))
+				rejected[class] += len(finalAnswers(actions))
 			}
 			r.handleAt(r.now+0.9, done...)
 		}
-		if byWork && (refused[0] < 25 || refused[1] < 25) || !byWork && (refused[0] < 25 || refused[1] > refused[0]/2) {
-			t.Errorf("by work %v: %d of 50 cheap and %d of 50 worthy queries refused", byWork, refused[0], refused[1])
+		if byWork && (rejected[0] < 25 || rejected[1] < 25) || !byWork && (rejected[0] < 25 || rejected[1] > rejected[0]/2) {
+			t.Errorf("by work %v: %d of 50 cheap and %d of 50 preferred queries rejected", byWork, rejected[0], rejected[1])
 		}
 	}
 }
 
-// A client that was refused comes back to a broker that knows nothing of it, when its aim has passed. Served, it
-// earns nothing and takes the room of a first try: hundreds of brokers so kept a jam alive. It waits for less than
-// first tries do, which tells it. Where nothing is scarce it is served all the same, and so it is by a broker that
-// sees much of each server: of few brokers, the one that refused meets it again, and knows what it can bear.
+// A client that was rejected retries at a broker that does not know of it, after its objective. Served, it earns
+// nothing and takes the capacity for a first try, which kept overloads of hundreds of brokers going. It is recognized by
+// its wait, shorter than that of first tries. It is served where capacity is left, and by a broker that sees much of each
+// server: of few brokers, the one that rejected it meets it again, with a good estimate of the capacity.
 func TestLateRetriesGetNarrowerMargin(t *testing.T) {
 	s := settings()
 	s.Classes[0] = decision.Class{LatencyObjective: 0.4, Deadline: 1.4, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 1}
 	for _, c := range []struct {
-		servers        int
-		pace, patience float64
-		served         bool
+		servers               int
+		serviceTime, patience float64
+		served                bool
 	}{{20, 0.12, 1.1, true}, {20, 0.12, 0.5, false}, {20, 0.01, 0.5, true}, {2, 0.12, 0.5, true}} {
 		r := newRunner(t, s, servers(c.servers)...)
 		served := 0
@@ -126,21 +126,21 @@
 			}
 			ev[0] = q
 			for _, snd := range sends(r.handleAt(r.now+0.1, ev...)) {
-				r.now += c.pace
-				r.handle(finished(snd.ID, 0, snd.Server, decision.OK, c.pace))
+				r.now += c.serviceTime
+				r.handle(finished(snd.ID, 0, snd.Server, decision.OK, c.serviceTime))
 				if i >= 100 {
 					served++
 				}
 			}
 		}
 		if got := served > 50; got != c.served {
-			t.Errorf("%d servers, parts take %g s, clients wait %g s: %d of 100 served, want most: %v", c.servers, c.pace,
+			t.Errorf("%d servers, parts take %g s, clients wait %g s: %d of 100 served, want most: %v", c.servers, c.serviceTime,
 				c.patience, served, c.served)
 		}
 	}
 }
 
-// Clients that leave sooner than parts take cannot be served: the others must not be refused for them.
+// Clients that disconnect sooner than parts take cannot be served, and the others must not be rejected for them.
 func TestImmediateDisconnectsSetNoObjective(t *testing.T) {
 	r := newRunner(t, settings(), servers(3)...)
 	r.answerQueries(40, 0.05)
@@ -148,7 +148,7 @@
 		id, ev := r.query(0, 1)
 		out := sends(r.handle(ev...))
 		if len(out) != 1 {
-			t.Fatal("a query was refused for the clients that left before")
+			t.Fatal("a query was rejected for the clients that left before")
 		}
 		r.handleAt(r.now+0.001, decision.ClientDisconnected{ID: id}, finished(out[0].ID, 0, out[0].Server, decision.Cancelled, 0.001))
 		r.now += 4
@@ -160,7 +160,7 @@
 }
 
 // rejectedAt sends a query at the rig's time, answers none of its parts and returns when it was given up, to the
-// millisecond, by the rig's clock. Other events may come in between.
+// millisecond, by the clock of the runner. Other events may come in between.
 func (r *runner) rejectedAt(id decision.RequestID, until float64) (ended float64) {
 	for ; r.now < until; r.now += 0.001 {
 		for _, a := range finalAnswers(r.handle()) {
@@ -173,7 +173,7 @@
 	return 0
 }
 
-// A change of the aim holds for queries taken from then on. One that is open ends when its own aim has passed.
+// A change of the latency objective holds for queries received from then on. An open query keeps its own.
 func TestClassesChangedKeepsOpenQueriesObjectives(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -205,8 +205,8 @@
 	}
 }
 
-// What was taken for the whole patience of clients under a long deadline says nothing under a short one: else each
-// query would pass for a client's repeat, of which a broker that sees little refuses more.
+// Waits of clients under a long deadline do not count under a short one: each query would otherwise pass for a retry,
+// of which a broker that sees little rejects more.
 func TestClassesChangedMakesNoQueryARetry(t *testing.T) {
 	taken := func(configured bool) (sent int) {
 		s := settings()
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -21,15 +21,15 @@
 		if a.live && !p.settings.HedgingAllowed {
 			return false
 		}
-		if (a.live || a.mayRun) && !p.mayRepeat(pt.query.class, a) {
+		if (a.live || a.mayRun) && !p.mayExecuteAgain(pt.query.class, a) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayRepeat reports whether a part may be executed again after an attempt that may have run.
-func (p *Policy) mayRepeat(class *Class, a *attempt) bool {
+// mayExecuteAgain reports whether a part may be executed again after an attempt that may have run.
+func (p *Policy) mayExecuteAgain(class *Class, a *attempt) bool {
 	switch class.Idempotency {
 	case NonIdempotent:
 		return false
@@ -102,7 +102,7 @@
 	return !p.isSlow(pt, usual)
 }
 
-// send emits an attempt of a part and counts it at the server.
+// send starts an attempt of a part and adds it to those in flight at the server.
 func (p *Policy) send(pt *part, s *server) {
 	if len(pt.attempts) > 0 {
 		p.retryBudget.Retry(p.now)
--- a/internal/decision/attempts_test.go
+++ b/internal/decision/attempts_test.go
@@ -8,12 +8,12 @@
 
 func TestRetriesFollowIdempotency(t *testing.T) {
 	cases := []struct {
-		name   string
-		repeat decision.Idempotency
-		status decision.Status
-		after  float64 // time from the send to the outcome
-		resend bool
-		refuse bool // the final answer may be a refusal
+		name        string
+		idempotency decision.Idempotency
+		status      decision.Status
+		after       float64 // time from the send to the outcome
+		retried     bool
+		rejects     bool // the final answer may be a rejection
 	}{
 		{"unsafe, never ran", decision.NonIdempotent, decision.Overloaded, 0.1, true, true},
 		{"unsafe, no connection", decision.NonIdempotent, decision.Unreachable, 0.1, true, true},
@@ -30,13 +30,13 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.Classes[0].Idempotency, s.Classes[0].IdempotencyWindow = c.repeat, 0.3
+			s.Classes[0].Idempotency, s.Classes[0].IdempotencyWindow = c.idempotency, 0.3
 			r := newRunner(t, s, servers(2)...)
 			_, ev := r.query(0, 1)
 			first := sends(r.handle(ev...))[0]
 			got := r.handleAt(r.now+c.after, finished(first.ID, 0, first.Server, c.status, c.after))
-			if again := len(sends(got)) == 1; again != c.resend {
-				t.Fatalf("sent again: %v, want %v", again, c.resend)
+			if again := len(sends(got)) == 1; again != c.retried {
+				t.Fatalf("sent again: %v, want %v", again, c.retried)
 			}
 			n := 1
 			for len(finalAnswers(got)) == 0 {
@@ -47,9 +47,9 @@
 				got = r.handleAt(r.now+0.01, finished(again[0].ID, n, again[0].Server, c.status, 0.01))
 				n++
 			}
-			_, refused := finalAnswers(got)[0].(decision.Reject)
-			if refused != c.refuse {
-				t.Errorf("final answer %v, want a refusal: %v", finalAnswers(got)[0], c.refuse)
+			_, rejected := finalAnswers(got)[0].(decision.Reject)
+			if rejected != c.rejects {
+				t.Errorf("final answer %v, want a rejection: %v", finalAnswers(got)[0], c.rejects)
 			}
 		})
 	}
@@ -74,16 +74,16 @@
 	s := settings()
 	s.RetryBudget.Enabled, s.RetryBudget.Min, s.RetryBudget.Ratio, s.RetryBudget.Window = true, 2, 0.25, 1
 	r := newRunner(t, s, servers(3)...)
-	var taken, extra []float64
+	var requests, retries []float64
 	var queue []decision.Send
 	for range 400 {
 		_, ev := r.query(0, 1)
-		taken = append(taken, r.now, r.now)
+		requests = append(requests, r.now, r.now)
 		queue = append(queue, sends(r.handle(ev...))...)
 		for len(queue) > 0 {
 			snd := queue[0]
 			if r.attempts[snd.ID] > 0 {
-				extra = append(extra, r.now)
+				retries = append(retries, r.now)
 			}
 			r.attempts[snd.ID]++
 			queue = append(queue[1:],
@@ -91,10 +91,10 @@
 		}
 		queue = sends(r.handleAt(r.now + 0.0625)) // a sixteenth: sixteen steps are exactly one window
 	}
-	if len(extra) < 50 {
-		t.Fatalf("only %d further attempts: the budget is not used", len(extra))
+	if len(retries) < 50 {
+		t.Fatalf("only %d retries: the budget is not used", len(retries))
 	}
-	for i, at := range extra {
+	for i, at := range retries {
 		in := func(list []float64) (n int) {
 			for _, x := range list {
 				if x > at-s.RetryBudget.Window && x <= at {
@@ -103,9 +103,9 @@
 			}
 			return n
 		}
-		used := in(extra[:i+1])
-		if allowed := float64(s.RetryBudget.Min) + s.RetryBudget.Ratio*float64(in(taken)); float64(used) > allowed {
-			t.Fatalf("at %g: %d further attempts in the window, allowed %g", at, used, allowed)
+		used := in(retries[:i+1])
+		if allowed := float64(s.RetryBudget.Min) + s.RetryBudget.Ratio*float64(in(requests)); float64(used) > allowed {
+			t.Fatalf("at %g: %d retries in the window, allowed %g", at, used, allowed)
 		}
 	}
 }
--- a/internal/decision/bench_test.go
+++ b/internal/decision/bench_test.go
@@ -31,7 +31,7 @@
 	send         []decision.Event
 }
 
-func newBenchmarkFleet(size int, failShare float64, change func(*decision.Settings)) *benchmarkFleet {
+func newBenchmarkFleet(size int, failureRatio float64, change func(*decision.Settings)) *benchmarkFleet {
 	s := settings()
 	s.Brokers, s.ReplicaSets, s.ReplicationFactor, s.ReportMode = 590, size, 3, decision.ReportPiggyback
 	s.Classes = []decision.Class{{LatencyObjective: 0.24, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 0.8, PriorityWeight: 1}}
@@ -39,7 +39,7 @@
 		change(&s)
 	}
 	f := &benchmarkFleet{policy: decision.New(s, 7), now: 1000, random: rand.New(rand.NewPCG(uint64(size), 1)),
-		failureRatio: failShare, failure: decision.Error}
+		failureRatio: failureRatio, failure: decision.Error}
 	for i := range size {
 		f.list = append(f.list, decision.Server{ID: fmt.Sprint("server-", i), ReplicaSet: i, Zone: i % benchmarkZones})
 	}
@@ -120,9 +120,9 @@
 // The same where one attempt in a hundred fails.
 func BenchmarkQueryManyErrors(b *testing.B) { benchmarkQuery(b, 1e-2) }
 
-func benchmarkQuery(b *testing.B, failShare float64) {
+func benchmarkQuery(b *testing.B, failureRatio float64) {
 	benchmarkEach(b, func(b *testing.B, size int) {
-		f := newBenchmarkFleet(size, failShare, nil)
+		f := newBenchmarkFleet(size, failureRatio, nil)
 		b.ResetTimer()
 		for b.Loop() {
 			f.query()
@@ -130,7 +130,7 @@
 	})
 }
 
-// One changed entry of the server list.
+// An endpoint update of one entry.
 func BenchmarkListEntry(b *testing.B) {
 	benchmarkEach(b, func(b *testing.B, size int) {
 		f := newBenchmarkFleet(size, 0, nil)
@@ -143,7 +143,7 @@
 	})
 }
 
-// A query while half of the attempts are cut off and servers are probed.
+// A query while half of the attempts are rejected and servers are checked.
 func BenchmarkQueryWhileProbing(b *testing.B) {
 	benchmarkEach(b, func(b *testing.B, size int) {
 		f := newBenchmarkFleet(size, 0, func(s *decision.Settings) { s.HealthChecksAllowed = true })
@@ -158,7 +158,7 @@
 	})
 }
 
-// A query where further attempts are limited by a share of what was taken in 10 s, at 41,700 parts a second.
+// A query where retries are limited by a ratio of the requests of 10 s, at 41,700 parts a second.
 func BenchmarkQueryWithBudget(b *testing.B) {
 	benchmarkEach(b, func(b *testing.B, size int) {
 		f := newBenchmarkFleet(size, 0, func(s *decision.Settings) {
@@ -178,7 +178,7 @@
 	})
 }
 
-// rejectedQuery is a query that is refused at once, with parts that count as taken.
+// rejectedQuery is a query that is rejected at once, with parts that count as requests of the retry budget.
 func rejectedQuery(parts int) []decision.Event {
 	events := []decision.Event{decision.Query{ID: 1, Number: 1, Class: -1}}
 	for range parts {
@@ -187,7 +187,7 @@
 	return events
 }
 
-// The batch that rebuilds the fitness of all servers, each 10 s.
+// The batch that computes the fitness of all servers, each 10 s.
 func BenchmarkRebuild(b *testing.B) {
 	benchmarkEach(b, func(b *testing.B, size int) {
 		f := newBenchmarkFleet(size, 0, nil)
--- a/internal/decision/canary_test.go
+++ b/internal/decision/canary_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// A wide query hears of each of its parts by itself. What one such event costs must not grow with the parts
-// that are out times the figures kept: a broker has a quarter of a core, and queries were late by its own work.
+// Each part of a query with a large fan-out has an event of its own. Its cost must not grow with the parts in flight: a
+// broker has a quarter of a core, and its own work has made queries late.
 func TestOutcomeOfLargeFanoutIsCheap(t *testing.T) {
 	const n = 200
 	p, query := newFleetBroker(t, n)
@@ -80,8 +80,8 @@
 	}
 }
 
-// A broker of hundreds meets each server every few seconds: at a wide query's arrival it cannot know that the fleet is
-// full. When all sent their wide queries whole, each made the others late. A few parts go ahead and tell.
+// A broker of hundreds meets each server every few seconds and does not see that the fleet is full. Queries with a large
+// fan-out that were sent at once made each other late, so a few canary parts are sent first.
 func TestFanoutFollowsCanaryParts(t *testing.T) {
 	const n = 200
 	served := func(now float64, p *decision.Policy, out []decision.Send) []decision.Action {
@@ -106,26 +106,26 @@
 	p, query = newFleetBroker(t, n)
 	ahead = sends(p.Handle(101, query(101, n)))
 	served(101.1, p, ahead[:5])
-	var refused bool
-	for _, a := range p.Handle(101.13, []decision.Event{decision.TimerFired{Token: 1}}) { // a quarter of the aim is over
+	var rejected bool
+	for _, a := range p.Handle(101.13, []decision.Event{decision.TimerFired{Token: 1}}) { // a quarter of the time to the objective is over
 		_, sent := a.(decision.Send)
 		require.False(t, sent)
 		_, r := a.(decision.Reject)
-		refused = refused || r
+		rejected = rejected || r
 	}
-	require.True(t, refused, "at once, not at its aim")
+	require.True(t, rejected, "at once, not at its aim")
 
 	p, query = newFleetBroker(t, n)
 	require.Len(t, sends(p.Handle(101, query(101, 31))), 31, "a narrow query goes as a whole")
 	p, query = newFleetBroker(t, 40)
-	for now := 101.; now < 106; now += 0.03 { // this broker hears of each server all the time
+	for now := 101.; now < 106; now += 0.03 { // this broker observes each server all the time
 		served(now+0.02, p, sends(p.Handle(now, query(now, 31))))
 	}
 	require.Len(t, sends(p.Handle(107, query(107, 40))), 40, "a broker that sees enough needs no scouts")
 }
 
-// What is in at the aim is answered, if that is enough. A broker with a small share of a core needs a while for a
-// request of 200 parts, and as long for its answer, which came some milliseconds after the aim.
+// A query with enough parts answered is answered before its objective. A broker with a small share of a core takes a
+// while to read a request of 200 parts, and as long to write the answer, which was some milliseconds late.
 func TestResponseLeadCountsTheWayIn(t *testing.T) {
 	for _, lag := range []float64{0, 0.02} {
 		p, query := newFleetBroker(t, 200)
@@ -139,7 +139,7 @@
 				PartConcluded: true, LoadReport: decision.NoLoadReport})
 		}
 		p.Handle(101.1, back)
-		due := q.ReceivedAt + 0.5 - lag // the class's aim
+		due := q.ReceivedAt + 0.5 - lag // the class's objective
 		answered := func(at float64) (yes bool) {
 			for _, a := range p.Handle(at, []decision.Event{decision.TimerFired{Token: 1}}) {
 				_, ok := a.(decision.Respond)
--- a/internal/decision/endpoints_test.go
+++ b/internal/decision/endpoints_test.go
@@ -8,8 +8,8 @@
 
 func TestDrainingAndRemovedServersGetNoAttempts(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		news decision.EndpointUpdate
+		name   string
+		update decision.EndpointUpdate
 	}{
 		{"draining", decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", State: decision.Draining}}}},
 		{"gone", decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", State: decision.Removed}}}},
@@ -17,7 +17,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := newRunner(t, settings(), servers(2)...)
-			r.handle(c.news)
+			r.handle(c.update)
 			for range 50 {
 				_, ev := r.query(0, 1)
 				for _, snd := range sends(r.handle(ev...)) {
@@ -47,15 +47,15 @@
 		t.Fatal("no subscription at the start")
 	}
 	if watches(5.1, decision.EndpointUpdate{Mode: decision.FailedUpdate}) != 0 {
-		t.Error("asked again at once after a failure")
+		t.Error("polled again at once after a failure")
 	}
 	if watches(8.5) != 1 {
-		t.Error("not asked again within a third of the time allowed")
+		t.Error("not polled again within a third of the time allowed")
 	}
 	if watches(8.6, decision.EndpointUpdate{Mode: decision.DeltaUpdate})+watches(60) != 0 {
-		t.Error("asked again although subscribed")
+		t.Error("polled again although subscribed")
 	}
 	if watches(61, decision.EndpointUpdate{Mode: decision.FailedUpdate})+watches(65) != 1 {
-		t.Error("not asked again after the subscription broke")
+		t.Error("not polled again after the subscription broke")
 	}
 }
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -22,7 +22,7 @@
 			case decision.Send:
 				fmt.Println("send part", a.ID, "to", a.Server)
 			case decision.Respond:
-				fmt.Println("answer query", a.ID, "whole:", a.Complete)
+				fmt.Println("answer query", a.ID, "complete:", a.Complete)
 			}
 		}
 	}
@@ -36,5 +36,5 @@
 	}))
 	// Output:
 	// send part 11 to a:1
-	// answer query 10 whole: true
+	// answer query 10 complete: true
 }
--- a/internal/decision/forget_test.go
+++ b/internal/decision/forget_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Where machines are replaced under new ids all day, what is known of those that are gone must go with them;
-// but not while an attempt is out there, whose end is still to be booked.
+// Where machines are replaced under new IDs all day, removed servers are forgotten, but not while an attempt is in flight
+// there, whose outcome is still to be counted.
 func TestRemovedServersAreForgottenOnceIdle(t *testing.T) {
 	p := New(Settings{Classes: []Class{{LatencyObjective: 1, Deadline: 1, CompletenessThreshold: 1, MinCompleteness: 1}}, ReplicaSets: 1, ReplicationFactor: 1}, 1)
 	entry := func(i int, s State) Server { return Server{ID: fmt.Sprint("s", i), State: s, Started: float64(i)} }
--- a/internal/decision/health_test.go
+++ b/internal/decision/health_test.go
@@ -8,7 +8,7 @@
 	"mothrouter/internal/decision"
 )
 
-// countSends counts where single parts go when every server answers as the table of behaviour says.
+// countSends sends n queries of one part and returns the attempts by server. A nil outcome leaves an attempt open.
 func countSends(r *runner, n int, answer func(decision.Send) decision.Event) map[string]int {
 	count := map[string]int{}
 	for range n {
@@ -28,7 +28,7 @@
 	return count
 }
 
-// A server that fails fast shows a short queue and would win parts.
+// A server that fails fast has a short queue and would attract parts.
 func TestFailingServerLosesWeight(t *testing.T) {
 	for _, st := range []decision.Status{decision.Error, decision.Overloaded, decision.Unreachable,
 		decision.Reset} {
@@ -47,7 +47,7 @@
 	}
 }
 
-// A hung server sends no figures: its last good fitness stands in the table.
+// A hung server sends no load reports, and its last good fitness stands.
 func TestSilentServerLosesWeight(t *testing.T) {
 	r := newRunner(t, settings(), servers(3)...)
 	r.answerQueries(60, 0.05)
@@ -62,8 +62,8 @@
 	}
 }
 
-// One connection of a server may fall silent while the others go on. What was lost on it must not count as the
-// server's silence for as long as it answers what is sent since, or its shards' queries are refused.
+// One connection of a server may hang while the others work. Attempts lost on it do not count as a stall while the server
+// answers what is sent later, or queries of its shards are rejected.
 func TestLostAttemptsAreNotSilence(t *testing.T) {
 	r := newRunner(t, settings(), servers(2)...)
 	r.answerQueries(60, 0.02)
@@ -73,14 +73,14 @@
 		t.Fatalf("%d sends", len(lost))
 	}
 	r.answerQueries(20, 0.02)
-	r.now += 0.2 // and then nobody asks for a while
+	r.now += 0.2 // and then no query arrives for a while
 	_, ev = r.query(0, 1)
 	if out := r.handle(ev...); len(finalAnswers(out)) != 0 || len(sends(out)) != 1 {
 		t.Errorf("%v, want the part sent", out)
 	}
 }
 
-// A broker of many sees little of each server: one long answer must tell, and be forgotten again.
+// A broker of many sees little of each server: one slow answer must lower its weight, and be forgotten again.
 func TestSlowServerLosesWeightForAWhile(t *testing.T) {
 	r := newRunner(t, settings(), servers(3)...)
 	slow := 1.0
@@ -110,7 +110,7 @@
 	}
 }
 
-// Attempts that never end but are cancelled with their query tell of their server all the same.
+// Attempts that are cancelled with their query still show that their server is slow.
 func TestCancelledAttemptsRaiseServiceTime(t *testing.T) {
 	r := newRunner(t, settings(), servers(3)...)
 	r.answerQueries(60, 0.05)
@@ -135,18 +135,18 @@
 	}
 }
 
-// Every server fails most attempts: no query is refused for it, since no server is worse than its peers.
+// Every server fails most attempts: no query is rejected for that, since no server is worse than its peers.
 func TestFleetWideErrorsRejectNoQuery(t *testing.T) {
 	r := newRunner(t, settings(), servers(3)...)
 	r.answerQueries(60, 0.05)
 	_, held := r.query(0, 3)
 	r.handle(held...) // these stay out, so that the group is never idle
-	refused := 0
+	rejected := 0
 	for i := range 60 {
 		_, ev := r.query(0, 1)
 		out := sends(r.handleAt(r.now+0.005, ev...))
 		if len(out) == 0 {
-			refused++
+			rejected++
 			continue
 		}
 		for k := 0; len(out) > 0; k++ {
@@ -157,12 +157,12 @@
 			out = sends(r.handle(finished(out[0].ID, k, out[0].Server, st, 0.02)))
 		}
 	}
-	if refused > 0 {
-		t.Errorf("%d of 60 queries refused, want none", refused)
+	if rejected > 0 {
+		t.Errorf("%d of 60 queries rejected, want none", rejected)
 	}
 }
 
-// A restarted process owes nothing for its predecessor: it must not stay condemned for its predecessor's end.
+// A new process does not inherit the failures of the previous one.
 func TestRestartResetsFailureRatio(t *testing.T) {
 	s := settings()
 	s.SlowStart.Duration = 0
@@ -237,8 +237,8 @@
 	}
 }
 
-// Hearsay moves the draw away from a server that another loop of the process saw fail, unless this one knows
-// better, and a later recovery brings it back.
+// An observation of another loop moves the draw away from a failing server, unless this one has a newer observation, and
+// a later recovery brings it back.
 func TestPeerObservationMovesTheDraw(t *testing.T) {
 	share := func(r *runner) (n int) { // of 100 parts, those that went to s0
 		for range 100 {
--- a/internal/decision/healthchecks_test.go
+++ b/internal/decision/healthchecks_test.go
@@ -6,13 +6,13 @@
 	"mothrouter/internal/decision"
 )
 
-// Probes look for sound servers while attempts fail often, and only then; they count like attempts.
+// Health checks look for healthy servers while attempts fail often, and only then; they count like attempts.
 func TestDisconnectsTriggerHealthChecks(t *testing.T) {
 	s := settings()
 	s.MaxAttempts, s.HealthChecksAllowed = 1, true
 	for _, st := range []decision.Status{decision.OK, decision.Reset} {
 		r := newRunner(t, s, servers(100)...)
-		probed := map[string]bool{}
+		checked := map[string]bool{}
 		parts := map[string]int{}
 		for i := range 200 {
 			_, ev := r.query(0, 1)
@@ -20,7 +20,7 @@
 			for _, a := range actions {
 				switch a := a.(type) {
 				case decision.CheckHealth:
-					probed[a.Server] = true
+					checked[a.Server] = true
 					status := decision.OK
 					if a.Server < "s7" { // seven in ten
 						status = st
@@ -38,11 +38,11 @@
 				}
 			}
 		}
-		if st == decision.OK && len(probed) > 0 {
-			t.Errorf("%d servers probed while all is well, want none", len(probed))
+		if st == decision.OK && len(checked) > 0 {
+			t.Errorf("%d servers checked while all is well, want none", len(checked))
 		}
-		if st != decision.OK && len(probed) < 20 {
-			t.Errorf("%d servers probed while most of them fail, want at least 20", len(probed))
+		if st != decision.OK && len(checked) < 20 {
+			t.Errorf("%d servers checked while most of them fail, want at least 20", len(checked))
 		}
 		failed := 0
 		for server, n := range parts {
@@ -60,7 +60,7 @@
 	s := settings()
 	s.ReportMode, s.HealthChecksAllowed = decision.ReportPull, true
 	p := decision.New(s, 1)
-	probes := func(now float64, e ...decision.Event) (n int) {
+	checks := func(now float64, e ...decision.Event) (n int) {
 		for _, a := range p.Handle(now, e) {
 			if _, ok := a.(decision.CheckHealth); ok {
 				n++
@@ -68,13 +68,13 @@
 		}
 		return n
 	}
-	if n := probes(0, decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers(4)}); n != 4 {
-		t.Errorf("%d probes at the start, want 4", n)
+	if n := checks(0, decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers(4)}); n != 4 {
+		t.Errorf("%d checks at the start, want 4", n)
 	}
-	if n := probes(9.9); n != 0 {
-		t.Errorf("%d probes before ten seconds, want none", n)
+	if n := checks(9.9); n != 0 {
+		t.Errorf("%d checks before ten seconds, want none", n)
 	}
-	if n := probes(10); n != 4 {
-		t.Errorf("%d probes after ten seconds, want 4", n)
+	if n := checks(10); n != 4 {
+		t.Errorf("%d checks after ten seconds, want 4", n)
 	}
 }
--- a/internal/decision/hedging_test.go
+++ b/internal/decision/hedging_test.go
@@ -7,15 +7,15 @@
 )
 
 func TestHedgesOnlyWhereAllowed(t *testing.T) {
-	for _, copies := range []bool{false, true} {
+	for _, hedging := range []bool{false, true} {
 		s := settings()
-		s.HedgingAllowed = copies
+		s.HedgingAllowed = hedging
 		r := newRunner(t, s, servers(3)...)
 		r.answerQueries(40, 0.05)
 		_, ev := r.query(0, 1)
 		first := sends(r.handle(ev...))[0]
 		got := r.handleAt(r.now + 0.5) // ten times the usual, and the server is silent
-		if !copies {                   // the attempt is given up first, and only its end lets another go
+		if !hedging {                  // the attempt is given up first, and only its end lets another go
 			if len(got) != 1 || got[0] != (decision.Cancel{ID: first.ID}) {
 				t.Fatalf("%v, want the running attempt cancelled", got)
 			}
@@ -25,7 +25,7 @@
 			got = r.handle(finished(first.ID, 0, first.Server, decision.Cancelled, 0.5))
 		}
 		if n := len(sends(got)); n != 1 {
-			t.Fatalf("copies allowed %v: %v, want one more attempt", copies, got)
+			t.Fatalf("hedging allowed %v: %v, want one more attempt", hedging, got)
 		}
 		if sends(got)[0].Server == first.Server {
 			t.Error("the other attempt went to the server that is silent")
@@ -33,13 +33,11 @@
 	}
 }
 
-// Each test stands for a failure that was met; it fails without the defence that answers it.
-
-// A whole group stalls: repeats must not feed it, and its queries are refused until it answers again.
+// All servers of a replica set stall: retries must not add to their load, and queries are rejected until they answer.
 func TestNoRetriesIntoASilentReplicaSet(t *testing.T) {
 	r := newRunner(t, settings(), servers(3)...)
 	r.answerQueries(60, 0.05)
-	toJam, refused := 0, 0
+	attempts, rejected := 0, 0
 	var out []decision.Send
 	for range 40 {
 		_, ev := r.query(0, 3)
@@ -49,13 +47,13 @@
 			for _, a := range actions {
 				switch a := a.(type) {
 				case decision.Send:
-					toJam++
+					attempts++
 					out = append(out, a)
 				case decision.Cancel:
 					srv := serverOf(out, a.ID, a.Attempt)
 					next = append(next, finished(a.ID, a.Attempt, srv, decision.Cancelled, 0.3))
 				case decision.Reject:
-					refused++
+					rejected++
 				}
 			}
 			actions = nil
@@ -64,11 +62,11 @@
 			}
 		}
 	}
-	if toJam > 33 {
-		t.Errorf("%d parts sent to a group that answers nothing in 4 s, want at most 33 of 120", toJam)
+	if attempts > 33 {
+		t.Errorf("%d parts sent to a group that answers nothing in 4 s, want at most 33 of 120", attempts)
 	}
-	if refused < 20 {
-		t.Errorf("%d of 40 queries refused, want at least 20", refused)
+	if rejected < 20 {
+		t.Errorf("%d of 40 queries rejected, want at least 20", rejected)
 	}
 }
 
@@ -84,12 +82,12 @@
 	return ""
 }
 
-// An attempt that its server has passed over for long is lost: it is given up for another, once, where a repeat
-// is safe, and left alone where it is not.
+// An attempt that its server has long overtaken is lost: it is cancelled for another, once, where the class is idempotent,
+// and left alone where it is not.
 func TestOvertakenAttemptIsCancelled(t *testing.T) {
-	for _, repeat := range []decision.Idempotency{decision.Idempotent, decision.NonIdempotent} {
+	for _, idempotency := range []decision.Idempotency{decision.Idempotent, decision.NonIdempotent} {
 		s := settings()
-		s.Classes[0].Idempotency = repeat
+		s.Classes[0].Idempotency = idempotency
 		r := newRunner(t, s, servers(1)...) // one server: it answers everything else
 		r.answerQueries(40, 0.02)
 		_, ev := r.query(0, 1)
@@ -108,13 +106,13 @@
 				}
 			}
 		}
-		if want := map[decision.Idempotency]int{decision.Idempotent: 1}[repeat]; cancelled != want {
-			t.Errorf("repeat %v: cancelled %d times, want %d", repeat, cancelled, want)
+		if want := map[decision.Idempotency]int{decision.Idempotent: 1}[idempotency]; cancelled != want {
+			t.Errorf("idempotency %v: cancelled %d times, want %d", idempotency, cancelled, want)
 		}
 	}
 }
 
-// Where a share of the parts makes a whole answer, a spare part stands in for one whose server stays silent.
+// Where some of the parts make a complete answer, a spare part replaces one whose server stays silent.
 func TestSparePartsReplaceSilentOnes(t *testing.T) {
 	s := settings()
 	s.Classes[0].CompletenessThreshold, s.Classes[0].MinCompleteness = 0.5, 0.5
@@ -135,7 +133,7 @@
 	}
 }
 
-// While too few answers are known to tell when a copy is due, a running part asks for no timers in between.
+// While too few answers are known to say when a hedge is due, a part in flight requests no timers in between.
 func TestNoTimerStormBeforeFirstAnswer(t *testing.T) {
 	s := settings()
 	s.HedgingAllowed = true
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -8,7 +8,7 @@
 	"mothrouter/internal/estimate/slowstart"
 )
 
-// runner drives one Policy with events and keeps what it did.
+// runner drives one Policy with events and keeps the time, IDs and attempts.
 type runner struct {
 	t        *testing.T
 	p        *decision.Policy
@@ -18,7 +18,7 @@
 	number   int64
 }
 
-// settings of a plain deployment: one cell, safe queries that need every part.
+// settings are those of a plain deployment: one replica set, idempotent queries that need every part.
 func settings() decision.Settings {
 	return decision.Settings{
 		Classes: []decision.Class{{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}},
@@ -43,13 +43,13 @@
 
 // handle passes events and returns the actions, without timers.
 func (r *runner) handle(events ...decision.Event) []decision.Action {
-	var kept []decision.Action
+	var actions []decision.Action
 	for _, a := range r.p.Handle(r.now, events) {
 		if _, ok := a.(decision.SetTimer); !ok {
-			kept = append(kept, a)
+			actions = append(actions, a)
 		}
 	}
-	return kept
+	return actions
 }
 
 // handleAt moves the clock and passes events.
@@ -91,7 +91,7 @@
 	return list
 }
 
-// finalAnswers are the final answers among actions.
+// finalAnswers returns the final answers among actions.
 func finalAnswers(actions []decision.Action) []decision.Action {
 	var list []decision.Action
 	for _, a := range actions {
@@ -103,7 +103,7 @@
 	return list
 }
 
-// answerQueries sends and answers queries one by one so that latencies are known.
+// answerQueries sends and answers n queries one by one, so that latencies are known.
 func (r *runner) answerQueries(n int, latency float64) {
 	for range n {
 		_, ev := r.query(0, 1)
--- a/internal/decision/poison_test.go
+++ b/internal/decision/poison_test.go
@@ -6,8 +6,8 @@
 	"mothrouter/internal/decision"
 )
 
-// A query whose parts all bring down the servers that begin them is given up, its client's repeats are turned
-// away before they cost a server, and the class's next query sends one part ahead.
+// A query whose attempts all crash their servers is rejected, its client's retries are rejected before they cost a server,
+// and the next query of the class sends one part first.
 func TestPoisonQueryIsQuarantined(t *testing.T) {
 	r := newRunner(t, settings(), servers(12)...)
 	r.answerQueries(60, 0.05)
@@ -22,12 +22,12 @@
 	}
 	actions := r.handleAt(r.now+0.02, resets...)
 	if got := finalAnswers(actions); len(got) != 1 || got[0] != (decision.Reject{ID: id}) || len(sends(actions)) > 0 {
-		t.Errorf("all parts broke their servers: %v, want a refusal and no further send", actions)
+		t.Errorf("all parts broke their servers: %v, want a rejection and no further send", actions)
 	}
 	id, ev = r.query(0, 6)
 	actions = r.handleAt(r.now+0.1, ev...)
 	if got := finalAnswers(actions); len(got) != 1 || got[0] != (decision.Reject{ID: id}) || len(sends(actions)) > 0 {
-		t.Errorf("its repeat: %v, want a refusal and no send", actions)
+		t.Errorf("its repeat: %v, want a rejection and no send", actions)
 	}
 	_, ev = r.query(0, 5)
 	ahead := sends(r.handleAt(r.now+0.1, ev...))
@@ -47,7 +47,7 @@
 	}
 }
 
-// Half of the servers break connections off before any work: that tells of them, not of the query.
+// Half of the servers reset connections before any work: that says something of the servers, not of the query.
 func TestResetsAloneDoNotQuarantineAQuery(t *testing.T) {
 	s := settings()
 	s.MaxAttempts = 6
--- a/internal/decision/progress_test.go
+++ b/internal/decision/progress_test.go
@@ -97,22 +97,22 @@
 
 func TestResponsesAreMarkedCompleteOnlyIfTheyAre(t *testing.T) {
 	cases := []struct {
-		name        string
-		need, floor float64
-		in, parts   int
-		want        decision.Action // with ID 0; nil: no answer before the end
+		name               string
+		threshold, minimum float64
+		in, parts          int
+		want               decision.Action // with ID 0; nil: no answer before the end
 	}{
-		{"whole", 1, 1, 4, 4, decision.Respond{Complete: true}},
+		{"complete", 1, 1, 4, 4, decision.Respond{Complete: true}},
 		{"all needed, one missing", 1, 1, 3, 4, decision.Reject{}},
-		{"partial at its floor", 1, 0.5, 2, 4, decision.Respond{}},
-		{"partial under its floor", 1, 0.5, 1, 4, decision.Reject{}},
-		{"need under one", 0.5, 0.5, 2, 4, decision.Respond{Complete: true}},
+		{"partial at its minimum", 1, 0.5, 2, 4, decision.Respond{}},
+		{"partial under its minimum", 1, 0.5, 1, 4, decision.Reject{}},
+		{"threshold under one", 0.5, 0.5, 2, 4, decision.Respond{Complete: true}},
 		{"thirds add up", 1, 1, 3, 3, decision.Respond{Complete: true}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := settings()
-			s.Classes[0].CompletenessThreshold, s.Classes[0].MinCompleteness = c.need, c.floor
+			s.Classes[0].CompletenessThreshold, s.Classes[0].MinCompleteness = c.threshold, c.minimum
 			r := newRunner(t, s, servers(3)...)
 			id, ev := r.query(0, c.parts)
 			out := sends(r.handle(ev...))
@@ -141,10 +141,10 @@
 	for _, c := range []struct {
 		name        string
 		first, then int // parts in of four, then of two
-		whole       bool
+		complete    bool
 		answered    bool
 	}{
-		{"both whole", 4, 2, true, true},
+		{"both complete", 4, 2, true, true},
 		{"first in part", 2, 2, false, true},
 		{"second in part", 4, 1, false, true},
 		{"second empty", 4, 0, false, false},
@@ -169,7 +169,7 @@
 				decision.Part{ID: id + 50, QueryNumber: r.number, Weight: 0.5},
 				decision.Part{ID: id + 51, QueryNumber: r.number, Weight: 0.5}))
 			if len(out) != 2 {
-				t.Fatalf("second step sent %d parts, want 2", len(out))
+				t.Fatalf("second phase sent %d parts, want 2", len(out))
 			}
 			got = nil
 			for i := range c.then {
@@ -180,8 +180,8 @@
 				t.Fatalf("final answers %v, want one", got)
 			}
 			a, ok := got[0].(decision.Respond)
-			if ok != c.answered || ok && a.Complete != c.whole {
-				t.Errorf("final answer %v, want answered %v, whole %v", got[0], c.answered, c.whole)
+			if ok != c.answered || ok && a.Complete != c.complete {
+				t.Errorf("final answer %v, want answered %v, complete %v", got[0], c.answered, c.complete)
 			}
 		})
 	}
@@ -197,6 +197,6 @@
 	r.handle(decision.Part{ID: id + 50, QueryNumber: r.number, Weight: 1})
 	r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate}) // no server is left
 	if got := finalAnswers(r.handleAt(r.now + 1)); len(got) != 1 || got[0] != (decision.Fail{ID: id}) {
-		t.Errorf("final answers %v, want one Fail: the first step has run", got)
+		t.Errorf("final answers %v, want one Fail: the first phase has run", got)
 	}
 }
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -23,7 +23,7 @@
 		count, together, n := map[string]float64{}, 0, 4000
 		for i := range n {
 			if i == 500 {
-				r.now += 11 // the table is rebuilt from what came so far
+				r.now += 11 // fitness is computed from the reports so far
 				r.handle()
 				clear(count)
 				together = 0
@@ -71,7 +71,7 @@
 		asked := map[string]float64{}
 		for n := 0; len(queue) > 0; n++ {
 			last := queue[0]
-			// One that failed at once is not asked again at once: that would use up the attempts in a moment.
+			// A replica that failed at once is not tried again at once: that would use up the attempts in a moment.
 			if r.now < asked[last.Server]+0.02 {
 				t.Fatalf("attempt %d goes to a replica that was asked just now", n)
 			}
@@ -91,7 +91,7 @@
 	}
 }
 
-// Where crossing zones has a price, parts stay near; where it has none, zones do not matter.
+// Where crossing zones has a cost, parts stay in the zone; where it has none, zones do not matter.
 func TestPartsStayInZoneWhereCrossingCosts(t *testing.T) {
 	for _, c := range []struct {
 		price    float64
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -25,15 +25,14 @@
 			r.handleAt(r.now+0.02, finished(snd.ID, 0, snd.Server, decision.OK, 0.02))
 		}
 	}
-	// Warm servers were seen to take a quarter of some 50 a second each; the cold one has a quarter of that.
+	// Each warm server answered a quarter of some 50 parts a second; the restarted one has a quarter of that.
 	limit := s.SlowStart.OverloadFactor * (s.SlowStart.InitialFraction + 0.75*1/s.SlowStart.Duration) * 50 / 4
 	if float64(toCold) > limit {
 		t.Errorf("%d of %d parts went to the cold server in its first second, limit %g", toCold, toAll, limit)
 	}
 }
 
-// Ninety brokers with a part each for a cold server: together they must stay under what makes it fall over,
-// and still use it.
+// Ninety brokers with a part each for a server in slow start: together they stay below its overload, and still use it.
 func TestBrokersShareSlowStartBudget(t *testing.T) {
 	const brokers, warmRate = 90, 12 // warmRate: parts a second that each warm server answers, to all brokers
 	s := settings()
@@ -80,7 +79,7 @@
 	}
 }
 
-// A broker that is told its room at a cold server keeps to it to the part and to the time.
+// A broker with a lease at a server in slow start keeps to its parts and its expiry.
 func TestSlowStartLeaseLimitsSends(t *testing.T) {
 	r := newRunner(t, settings(), servers(1)...)
 	r.answerQueries(50, 0.01) // by its own estimate it would send several a second
@@ -101,8 +100,8 @@
 	require.Equal(t, 6, try(), "warm again: no lease is needed")
 }
 
-// Where brokers know of each other, one that has seen no answer yet tries a cold server as rarely as there are many; one
-// that is told of a fleet too large to have a part of it does not at all. Nothing else hangs on their number.
+// A broker that has seen no answer yet tries a server in slow start the more rarely the more brokers there are, and in a
+// very large fleet not at all.
 func TestFleetResizedChangesBudgets(t *testing.T) {
 	tries := func(events ...decision.Event) (n int) {
 		for seed := range uint64(400) {
