--- a/internal/decision/differential_test.go
+++ b/internal/decision/differential_test.go
@@ -9,6 +9,7 @@
 	"testing"
 
 	"mothrouter/internal/estimate/retrybudget"
+	"mothrouter/internal/estimate/serverstats"
 	"mothrouter/internal/estimate/slowstart"
 )
 
@@ -16,23 +17,23 @@
 
 var differentialDays = flag.Int("days", 8, "random days on which the module is compared with its plain form")
 
-// day is a random course of events for one broker: its settings, its servers and what befalls them. Its servers answer
+// randomDay is a random course of events for one broker: its settings, its servers and what befalls them. Its servers answer
 // what the module sends, so that both forms meet the same world as long as their actions are equal.
-type day struct {
+type randomDay struct {
 	random   *rand.Rand
 	settings Settings
 	servers  []Server
 	faults   map[string]fault
 	now      float64
-	armed    float64 // the earliest timer out
+	timerAt  float64 // the earliest timer out
 	queries  int64
 	requests []RequestID
 	attempts map[RequestID]int
-	due      []dueEvent
+	pending  []pendingEvent
 	restarts int
 }
 
-type dueEvent struct {
+type pendingEvent struct {
 	at    float64
 	event Event
 }
@@ -40,15 +41,15 @@
 // fault is how a server fails.
 type fault struct {
 	status Status
-	share  float64 // of its attempts
+	ratio  float64 // of its attempts
 	slow   float64 // times its usual latency
 }
 
-func newDay(seed uint64) *day {
+func newRandomDay(seed uint64) *randomDay {
 	r := rand.New(rand.NewPCG(seed, 11))
 	pick := func(values ...int) int { return values[r.IntN(len(values))] }
 	maybe := func() bool { return r.IntN(2) == 0 }
-	d := &day{random: r, now: 100 + 1e6*float64(r.IntN(2)), armed: math.Inf(1), faults: map[string]fault{},
+	d := &randomDay{random: r, now: 100 + 1e6*float64(r.IntN(2)), timerAt: math.Inf(1), faults: map[string]fault{},
 		attempts: map[RequestID]int{}}
 	d.settings = Settings{
 		Brokers: pick(1, 3, 590), Zone: r.IntN(3), ReplicaSets: pick(1, 4, 30, 120), ReplicationFactor: pick(1, 2, 3), MaxPartsPerCall: pick(1, 8),
@@ -82,8 +83,8 @@
 	return d
 }
 
-// step lets time pass and returns the events of the next batch.
-func (d *day) step() []Event {
+// nextEvents lets time pass and returns the events of the next batch.
+func (d *randomDay) nextEvents() []Event {
 	switch d.random.IntN(300) {
 	case 0:
 		d.now += 20 * d.random.Float64()
@@ -93,27 +94,27 @@
 		d.now += 0.006 * d.random.Float64()
 	}
 	var events []Event
-	if d.armed <= d.now {
-		d.armed = math.Inf(1)
+	if d.timerAt <= d.now {
+		d.timerAt = math.Inf(1)
 		events = append(events, TimerFired{Token: 1})
 	}
-	later := d.due[:0]
-	for _, e := range d.due {
+	later := d.pending[:0]
+	for _, e := range d.pending {
 		if e.at <= d.now {
 			events = append(events, e.event)
 		} else {
 			later = append(later, e)
 		}
 	}
-	d.due = later
+	d.pending = later
 	if d.random.IntN(3) == 0 {
 		events = append(events, d.query()...)
 	}
 	if d.random.IntN(40) == 0 {
-		d.strike()
+		d.changeFaults()
 	}
 	if d.random.IntN(25) == 0 {
-		events = append(events, d.news())
+		events = append(events, d.otherEvent())
 	}
 	d.random.Shuffle(len(events), func(i, j int) {
 		_, part := events[j].(Part) // parts stay behind their query
@@ -127,7 +128,7 @@
 	return events
 }
 
-func (d *day) query() []Event {
+func (d *randomDay) query() []Event {
 	d.queries++
 	id := RequestID(d.queries * 10_000)
 	class := d.random.IntN(len(d.settings.Classes))
@@ -145,7 +146,7 @@
 	return append(events, d.parts(d.queries, id, parts)...)
 }
 
-func (d *day) parts(number int64, id RequestID, n int) []Event {
+func (d *randomDay) parts(number int64, id RequestID, n int) []Event {
 	var events []Event
 	for i := range n {
 		events = append(events, Part{ID: id + 1 + RequestID(i), QueryNumber: number, Shard: d.random.IntN(200),
@@ -154,14 +155,14 @@
 	return events
 }
 
-// strike lets servers fail or recover: one, a zone, or all a little.
-func (d *day) strike() {
-	f := fault{status: Status(d.random.IntN(int(NotSent) + 1)), share: []float64{0, 0.002, 0.1, 0.5, 1}[d.random.IntN(5)],
+// changeFaults lets servers fail or recover: one, a zone, or all a little.
+func (d *randomDay) changeFaults() {
+	f := fault{status: Status(d.random.IntN(int(NotSent) + 1)), ratio: []float64{0, 0.002, 0.1, 0.5, 1}[d.random.IntN(5)],
 		slow: []float64{1, 1, 5}[d.random.IntN(3)]}
 	zone, kind := d.servers[d.random.IntN(len(d.servers))].Zone, d.random.IntN(4)
 	one := d.servers[d.random.IntN(len(d.servers))].ID
 	if kind == 3 {
-		f.share = min(f.share, 0.02)
+		f.ratio = min(f.ratio, 0.02)
 	}
 	for _, s := range d.servers {
 		if kind == 0 && s.ID == one || kind == 1 && s.Zone == zone || kind == 3 {
@@ -172,21 +173,21 @@
 	}
 }
 
-// news is an event that no part brings.
-func (d *day) news() Event {
+// otherEvent is an event that no part brings.
+func (d *randomDay) otherEvent() Event {
 	r := d.random
 	s := &d.servers[r.IntN(len(d.servers))]
 	switch r.IntN(8) {
 	case 0, 1:
 		var list []Server
 		for range 1 + r.IntN(4) {
-			d.change()
+			d.changeServer()
 			list = append(list, d.servers[r.IntN(len(d.servers))])
 		}
 		list = append(list, list[0])
 		return EndpointUpdate{Mode: DeltaUpdate, Servers: list}
 	case 2:
-		d.change()
+		d.changeServer()
 		list := EndpointUpdate{Mode: []UpdateMode{FullUpdate, CachedUpdate, FailedUpdate, FailedUpdate}[r.IntN(4)]}
 		if list.Mode == FullUpdate || list.Mode == CachedUpdate {
 			for _, i := range r.Perm(len(d.servers)) {
@@ -198,7 +199,7 @@
 		return list
 	case 3:
 		return PeerObservation{Server: s.ID, At: d.now - r.Float64(), FailureRatio: float64(r.IntN(2)), Weight: r.Float64(),
-			ServiceTime: 0.05 * float64(r.IntN(2)), LoadReport: d.load()}
+			ServiceTime: 0.05 * float64(r.IntN(2)), LoadReport: d.loadReport()}
 	case 4:
 		return SlowStartLease{Server: s.ID, Parts: r.IntN(5), ExpiresAt: d.now + r.Float64()}
 	case 5:
@@ -211,8 +212,8 @@
 	return RestoredState{ServiceTime: 0.02, PeakThroughput: 10 * r.Float64()}
 }
 
-// change changes an entry of the server list: its state, start, place, or its machine.
-func (d *day) change() {
+// changeServer changes an entry of the server list: its state, start, place, or its machine.
+func (d *randomDay) changeServer() {
 	s := &d.servers[d.random.IntN(len(d.servers))]
 	switch d.random.IntN(8) {
 	case 0, 1:
@@ -231,7 +232,7 @@
 	}
 }
 
-func (d *day) load() LoadReport {
+func (d *randomDay) loadReport() LoadReport {
 	if d.settings.ReportMode == ReportNone || d.random.IntN(4) == 0 {
 		return NoLoadReport
 	}
@@ -239,35 +240,35 @@
 		Rate: 10}
 }
 
-// take lets the world answer what the module did.
-func (d *day) take(actions []Action) {
+// perform lets the world answer what the module did.
+func (d *randomDay) perform(actions []Action) {
 	for _, a := range actions {
 		switch a := a.(type) {
 		case Send:
 			d.answer(a)
 		case SetTimer:
-			d.armed = min(d.armed, a.At)
+			d.timerAt = min(d.timerAt, a.At)
 		case CheckHealth:
-			d.due = append(d.due, dueEvent{d.now + 0.02*d.random.Float64(),
-				HealthChecked{Server: a.Server, Status: d.outcome(a.Server), LoadReport: d.load()}})
+			d.pending = append(d.pending, pendingEvent{d.now + 0.02*d.random.Float64(),
+				HealthChecked{Server: a.Server, Status: d.outcome(a.Server), LoadReport: d.loadReport()}})
 		case Respond:
 			if d.random.IntN(2) == 0 { // the parts of a second step
 				for _, e := range d.parts(int64(a.ID)/10_000, a.ID+500, 3) {
-					d.due = append(d.due, dueEvent{d.now, e})
+					d.pending = append(d.pending, pendingEvent{d.now, e})
 				}
 			}
 		}
 	}
 }
 
-func (d *day) outcome(server string) Status {
-	if f := d.faults[server]; d.random.Float64() < f.share {
+func (d *randomDay) outcome(server string) Status {
+	if f := d.faults[server]; d.random.Float64() < f.ratio {
 		return f.status
 	}
 	return OK
 }
 
-func (d *day) answer(s Send) {
+func (d *randomDay) answer(s Send) {
 	n := d.attempts[s.ID]
 	d.attempts[s.ID]++
 	latency := 0.002 + 0.03*d.random.ExpFloat64()*max(d.faults[s.Server].slow, 1)
@@ -275,40 +276,48 @@
 	if s.Timeout > 0 && latency > s.Timeout {
 		latency, status = s.Timeout, TimedOut
 	}
-	d.due = append(d.due, dueEvent{d.now + latency, AttemptFinished{ID: s.ID, Attempt: n, Server: s.Server, Status: status,
-		Latency: latency, PartConcluded: status == OK || d.random.IntN(20) == 0, LoadReport: d.load()}})
+	d.pending = append(d.pending, pendingEvent{d.now + latency, AttemptFinished{ID: s.ID, Attempt: n, Server: s.Server, Status: status,
+		Latency: latency, PartConcluded: status == OK || d.random.IntN(20) == 0, LoadReport: d.loadReport()}})
 }
 
-// The module must decide, to the bit of every time it names, what it decided when each batch walked all servers.
+// sameFigures reports whether two forms compare servers with the same figures, where Policy takes a negligible median
+// for 0.
+func sameFigures(got, want *serverstats.Fleet) bool {
+	sameMedian := got.MedianFailureRatio == want.MedianFailureRatio ||
+		max(got.MedianFailureRatio, math.Abs(want.MedianFailureRatio)) < negligibleFailureRatio
+	return sameMedian && got.DisconnectRatio == want.DisconnectRatio &&
+		got.PeakRate.Value == want.PeakRate.Value &&
+		got.SlowStartWindows.Fraction() == want.SlowStartWindows.Fraction() &&
+		got.ServiceTime.Mean == want.ServiceTime.Mean && got.ServiceTime.HalfLife == want.ServiceTime.HalfLife
+}
+
+// The module decides, to the bit of every time, as the form that walks over all servers.
 func TestDecisionsEqualThePlainForm(t *testing.T) {
 	kinds := map[string]int{}
 	for seed := range uint64(*differentialDays) {
-		d := newDay(seed)
-		policy, plain := New(d.settings, seed), newReference(d.settings, seed)
+		d := newRandomDay(seed)
+		policy, plain := New(d.settings, seed), newPlain(d.settings, seed)
 		first := []Event{EndpointUpdate{Mode: FullUpdate, Servers: d.servers}}
 		for batch := range differentialBatches {
 			events := first
 			if batch > 0 {
-				events = d.step()
+				events = d.nextEvents()
 			}
 			got, want := policy.Handle(d.now, events), plain.Handle(d.now, events)
 			if !reflect.DeepEqual(got, want) {
 				t.Fatalf("day %d, batch %d at %v:\n got %v\nwant %v\nof %v", seed, batch, d.now, got, want, events)
 			}
-			same := policy.fleet.MedianFailureRatio == plain.fleetBad || max(policy.fleet.MedianFailureRatio, math.Abs(plain.fleetBad)) < negligibleRatio
-			windows := math.Min(1, (plain.drawn+2)/(plain.chances+1))
-			if !same || policy.fleet.PeakRate.Value != plain.peak || policy.fleet.SlowStartWindows.Fraction() != windows ||
-				policy.fleet.ServiceTime.Mean != plain.pace || policy.fleet.ServiceTime.HalfLife != plain.memory {
-				t.Fatalf("day %d, batch %d at %v: the fleet's figures differ: median %v, want %v; peak %v, want %v",
-					seed, batch, d.now, policy.fleet.MedianFailureRatio, plain.fleetBad, policy.fleet.PeakRate.Value, plain.peak)
+			if !sameFigures(&policy.fleet, &plain.fleet) {
+				t.Fatalf("day %d, batch %d at %v: the fleet's figures differ:\n got %+v\nwant %+v",
+					seed, batch, d.now, policy.fleet, plain.fleet)
 			}
 			for _, a := range got {
 				kinds[fmt.Sprintf("%T", a)]++
 			}
-			if plain.fleetBad > 0 {
+			if plain.fleet.MedianFailureRatio > 0 {
 				kinds["median above 0"]++
 			}
-			d.take(got)
+			d.perform(got)
 		}
 	}
 	for _, kind := range []string{"Send", "Respond", "Reject", "Fail", "Cancel", "SetTimer", "CheckHealth", "WatchEndpoints"} {
