--- /dev/null
+++ b/internal/controlplane/raftlog/verify_tree.go
@@ -0,0 +1,151 @@
+package raftlog
+
+import "encoding/binary"
+
+// verifyTree checks a page of a bucket and all pages below it. Each page is used once, so a cycle is an error.
+func (v *pageVerifier) verifyTree(id uint64, depth int) error {
+	if depth > maxTreeDepth {
+		return corruptError("page %d at depth %d, the limit is %d", id, depth, maxTreeDepth)
+	}
+	content, err := v.readPage(id)
+	if err != nil {
+		return err
+	}
+	switch content.flags {
+	case branchPageFlag:
+		return v.verifyBranch(content, depth)
+	case leafPageFlag:
+		return v.verifyLeaf(content, depth)
+	}
+	return corruptError("page %d has flags %x", id, content.flags)
+}
+
+// elementHeader is the header of an element of a branch or leaf page.
+type elementHeader struct {
+	offset    uint32 // of the key, from the start of the element
+	keySize   uint32
+	valueSize uint32 // of a leaf element
+	flags     uint32 // of a leaf element
+	child     uint64 // page id, of a branch element
+}
+
+func decodeBranchElement(data []byte) elementHeader {
+	return elementHeader{
+		offset:  binary.LittleEndian.Uint32(data),
+		keySize: binary.LittleEndian.Uint32(data[4:]),
+		child:   binary.LittleEndian.Uint64(data[8:]),
+	}
+}
+
+func decodeLeafElement(data []byte) elementHeader {
+	return elementHeader{
+		flags:     binary.LittleEndian.Uint32(data),
+		offset:    binary.LittleEndian.Uint32(data[4:]),
+		keySize:   binary.LittleEndian.Uint32(data[8:]),
+		valueSize: binary.LittleEndian.Uint32(data[12:]),
+	}
+}
+
+func (v *pageVerifier) verifyBranch(branch page, depth int) error {
+	if branch.count == 0 {
+		return corruptError("branch page %d is empty", branch.id)
+	}
+	return branch.visitElements(branchElementBytes, decodeBranchElement, func(header elementHeader, _ []byte) error {
+		return v.verifyTree(header.child, depth+1)
+	})
+}
+
+func (v *pageVerifier) verifyLeaf(leaf page, depth int) error {
+	return leaf.visitElements(leafElementBytes, decodeLeafElement, func(header elementHeader, value []byte) error {
+		switch header.flags {
+		case 0:
+			return nil
+		case bucketFlag:
+			return v.verifyBucket(value, depth)
+		}
+		return corruptError("leaf page %d has an element with flags %x", leaf.id, header.flags)
+	})
+}
+
+// visitElements calls visit for each element with its value. It checks before that the element lies within the page and
+// that its key is greater than the previous one.
+func (p page) visitElements(elementBytes int, decode func(data []byte) elementHeader,
+	visit func(header elementHeader, value []byte) error) error {
+	var previousKey []byte
+	for i := range p.count {
+		start := pageHeaderBytes + i*elementBytes
+		if start+elementBytes > len(p.data) {
+			return corruptError("page %d of %d bytes has %d elements", p.id, len(p.data), p.count)
+		}
+		header := decode(p.data[start:])
+		key, value, err := p.keyAndValue(start, header)
+		if err != nil {
+			return err
+		}
+		if i > 0 && string(key) <= string(previousKey) {
+			return corruptError("page %d: key of element %d is not greater than the previous one", p.id, i)
+		}
+		previousKey = key
+		if err := visit(header, value); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// keyAndValue returns the key and value of the element that starts at an offset of the page.
+func (p page) keyAndValue(elementStart int, header elementHeader) (key, value []byte, err error) {
+	keyStart := uint64(elementStart) + uint64(header.offset)
+	keyEnd := keyStart + uint64(header.keySize)
+	valueEnd := keyEnd + uint64(header.valueSize)
+	if header.keySize == 0 || valueEnd > uint64(len(p.data)) {
+		return nil, nil, corruptError("page %d of %d bytes: element at offset %d with key at %d and end at %d", p.id,
+			len(p.data), elementStart, keyStart, valueEnd)
+	}
+	return p.data[keyStart:keyEnd], p.data[keyEnd:valueEnd], nil
+}
+
+// verifyBucket checks the value of a bucket element: the tree at its root page, or the inline page of a small bucket.
+func (v *pageVerifier) verifyBucket(value []byte, depth int) error {
+	if len(value) < bucketHeaderBytes {
+		return corruptError("bucket of %d bytes, want at least %d", len(value), bucketHeaderBytes)
+	}
+	if root := binary.LittleEndian.Uint64(value); root != 0 {
+		return v.verifyTree(root, depth+1)
+	}
+	inline := value[bucketHeaderBytes:]
+	if len(inline) < pageHeaderBytes {
+		return corruptError("bucket with an inline page of %d bytes, want at least %d", len(inline), pageHeaderBytes)
+	}
+	flags, overflow := binary.LittleEndian.Uint16(inline[8:]), binary.LittleEndian.Uint32(inline[12:])
+	if binary.LittleEndian.Uint64(inline) != 0 || flags != leafPageFlag || overflow != 0 || depth > maxTreeDepth {
+		return corruptError("header of an inline page of a bucket")
+	}
+	return v.verifyLeaf(page{count: int(binary.LittleEndian.Uint16(inline[10:])), data: inline}, depth+1)
+}
+
+// verifyFreelist checks the free list and marks its pages as used.
+func (v *pageVerifier) verifyFreelist() error {
+	freelist, err := v.readPage(v.meta.freelist)
+	if err != nil {
+		return err
+	}
+	if freelist.flags != freelistPageFlag {
+		return corruptError("free list has flags %x", freelist.flags)
+	}
+	ids := freelist.data[pageHeaderBytes:]
+	count := uint64(freelist.count)
+	if freelist.count == freelistCountInData {
+		count = binary.LittleEndian.Uint64(ids)
+		ids = ids[8:]
+	}
+	if count > uint64(len(ids)/8) {
+		return corruptError("free list of %d pages in %d bytes", count, len(ids))
+	}
+	for i := range count {
+		if err := v.markUsed(binary.LittleEndian.Uint64(ids[8*i:])); err != nil {
+			return err
+		}
+	}
+	return nil
+}
