--- a/internal/controlplane/raftlog/crash_test.go
+++ b/internal/controlplane/raftlog/crash_test.go
@@ -26,7 +26,7 @@
 	childFault = "RAFTLOG_CHILD_FAULT"
 	childLimit = "RAFTLOG_CHILD_LIMIT" // bytes of a file, after which the disk counts as full
 
-	faultEarlyAcknowledgement = "early" // tells that a write is saved before it is
+	faultEarlyAcknowledgement = "early" // acknowledges a write before it is saved
 
 	killedFiles = 5
 	kills       = 20 // of the writers of each file
@@ -119,7 +119,7 @@
 	return log.Compact(snapshotAt(commit, term, contentOf(commit, 7)), first)
 }
 
-// acknowledged is the last line of a child: what it told to be saved.
+// acknowledged is the last acknowledgement of a child.
 type acknowledged struct {
 	term, vote, commit, last uint64
 }
@@ -136,7 +136,7 @@
 	return command, bufio.NewScanner(output)
 }
 
-// killChild lets a child write for a time after its first line and kills it. It returns the last line that came whole.
+// killChild lets a child write for a time after its first line and kills it. It returns the last complete line.
 func killChild(t *testing.T, path string, seed uint64, settings ...string) acknowledged {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 4))
@@ -155,7 +155,7 @@
 	return told
 }
 
-// checkNothingLost tells what a log lacks of what was acknowledged. One write more than that may be there, as a whole.
+// checkNothingLost returns what a log lacks of the acknowledged writes, or nil. One later write may be complete.
 func checkNothingLost(log *Log, told acknowledged) error {
 	hard, last := log.memory.hardState, log.memory.last()
 	switch {
@@ -195,7 +195,7 @@
 	}
 }
 
-// TestCrashCheckDetectsEarlyAcknowledgement plants a writer that tells of writes before they are saved: lost must see it.
+// TestCrashCheckDetectsEarlyAcknowledgement plants a writer that acknowledges writes before they are saved: checkNothingLost has to detect it.
 func TestCrashCheckDetectsEarlyAcknowledgement(t *testing.T) {
 	t.Parallel()
 	for kill := range uint64(40) {
--- a/internal/controlplane/raftlog/earlier_release_test.go
+++ b/internal/controlplane/raftlog/earlier_release_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A log that was written before the names in the code changed is opened with all that it holds.
+// TestOpenReadsLogOfEarlierRelease opens a log written by an earlier release and requires all its content.
 func TestOpenReadsLogOfEarlierRelease(t *testing.T) {
 	packed, err := os.Open("testdata/as-found.log.gz")
 	require.NoError(t, err)
--- a/internal/controlplane/raftlog/load.go
+++ b/internal/controlplane/raftlog/load.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// load reads the whole file into memory and checks it.
+// load reads the file into memory and checks it. Its error wraps ErrForeign, ErrVersion or ErrCorrupt.
 func (l *Log) load(identity Identity) (err error) {
 	defer recoverCorruption(&err)
 	defer panicOnFault()()
@@ -25,9 +25,10 @@
 	})
 }
 
+// loadIdentity checks the identity record.
 func loadIdentity(tx *bolt.Tx, identity Identity) error {
 	if tx.Bucket(identityBucket) == nil {
-		return fmt.Errorf("%w: it has no identity", ErrForeign)
+		return fmt.Errorf("%w: no identity record", ErrForeign)
 	}
 	payload, err := getRecord(tx, identityBucket)
 	if err != nil {
@@ -36,6 +37,7 @@
 	return checkIdentity(payload, identity)
 }
 
+// loadMemory reads hard state, snapshot and entries.
 func loadMemory(tx *bolt.Tx) (logState, error) {
 	payload, err := getRecord(tx, stateBucket)
 	if err != nil {
@@ -61,6 +63,7 @@
 	return loaded, loaded.checkInvariants()
 }
 
+// loadSnapshot reads the snapshot.
 func loadSnapshot(tx *bolt.Tx) (*raftpb.Snapshot, error) {
 	payload, err := getRecord(tx, snapshotBucket)
 	if err != nil {
@@ -73,7 +76,7 @@
 	return snapshot, nil
 }
 
-// loadEntries reads the entries. It stops at the first that isn't where the state has it.
+// loadEntries reads the entries. It fails at the first one that does not have the index expected by the state record.
 func loadEntries(tx *bolt.Tx, stored stateRecord) ([]*raftpb.Entry, error) {
 	bucket := tx.Bucket(entriesBucket)
 	if bucket == nil {
@@ -88,7 +91,7 @@
 			return nil, err
 		}
 		if entry.GetIndex() != next || next > stored.last.index {
-			return nil, fmt.Errorf("%w: entry %d in the place of %d, last is %d", ErrCorrupt, entry.GetIndex(), next,
+			return nil, fmt.Errorf("%w: entry %d instead of %d, the last index is %d", ErrCorrupt, entry.GetIndex(), next,
 				stored.last.index)
 		}
 		entries = append(entries, entry)
--- a/internal/controlplane/raftlog/memory.go
+++ b/internal/controlplane/raftlog/memory.go
@@ -8,20 +8,21 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// logState is the copy of the log that is read. It is replaced as a whole by each write that the disk has.
+// logState is the log in memory, from which it is read. A new one replaces it after each synced write.
 type logState struct {
 	hardState *raftpb.HardState
 	snapshot  *raftpb.Snapshot
-	compacted entryID         // of the entry before the first one held
+	compacted entryID         // the entry before the first of entries
 	entries   []*raftpb.Entry // ascending, without gaps, from compacted.index + 1; immutable
 }
 
-// entryID names an entry.
+// entryID identifies an entry.
 type entryID struct {
 	index uint64
 	term  uint64
 }
 
+// last returns the id of the last entry.
 func (m logState) last() entryID {
 	if len(m.entries) == 0 {
 		return m.compacted
@@ -30,7 +31,7 @@
 	return entryID{index: entry.GetIndex(), term: entry.GetTerm()}
 }
 
-// withSnapshot replaces the whole log by a snapshot.
+// withSnapshot returns the log replaced by a snapshot, without entries.
 func (m logState) withSnapshot(snapshot *raftpb.Snapshot) logState {
 	metadata := snapshot.GetMetadata()
 	m.snapshot = snapshot
@@ -39,14 +40,14 @@
 	return m
 }
 
-// withEntries appends entries in the place of those of the same and higher indexes.
+// withEntries returns the log with entries that replace those of the same and higher indexes.
 func (m logState) withEntries(entries []*raftpb.Entry) logState {
 	kept := entries[0].GetIndex() - m.compacted.index - 1
 	m.entries = append(m.entries[:kept:kept], entries...)
 	return m
 }
 
-// compactedTo drops the entries before an index.
+// compactedTo returns the log without the entries before an index.
 func (m logState) compactedTo(first uint64) logState {
 	dropped := first - m.compacted.index - 1
 	if dropped == 0 {
@@ -108,7 +109,7 @@
 // Snapshot implements raft.Storage. The snapshot is shared and must not be changed.
 func (l *Log) Snapshot() (*raftpb.Snapshot, error) { return l.memory.snapshot, nil }
 
-// checkInvariants states what holds of every log, and is checked of each that is opened.
+// checkInvariants checks what holds for every log. Its error wraps ErrCorrupt.
 func (m logState) checkInvariants() error {
 	snapshot := m.snapshot.GetMetadata().GetIndex()
 	last, commit := m.last(), m.hardState.GetCommit()
@@ -124,7 +125,7 @@
 	return checkConsecutive(m.compacted, m.entries)
 }
 
-// checkConsecutive tells whether entries follow a position without gaps and without a term that goes back.
+// checkConsecutive checks that entries follow an entry with consecutive indexes and non-decreasing terms.
 func checkConsecutive(before entryID, entries []*raftpb.Entry) error {
 	for _, entry := range entries {
 		if entry.GetIndex() != before.index+1 || entry.GetTerm() < before.term {
--- a/internal/controlplane/raftlog/raftlog.go
+++ b/internal/controlplane/raftlog/raftlog.go
@@ -1,14 +1,14 @@
-// Package raftlog is the durable storage of one member of the replicated log: hard state, entries and the latest
-// snapshot in one bbolt file. Save and Compact return once what they wrote is synced to the disk.
+// Package raftlog is the durable storage of one raft member: hard state, entries and the latest snapshot in one bbolt
+// file. Save and Compact return after their write is synced to disk.
 //
-// A Log implements raft.Storage from a copy in memory, so that a read never fails: raft panics where its storage does.
-// The copy is bounded by what its caller keeps before it compacts.
+// A Log implements raft.Storage from a copy in memory, so a read has no I/O error, on which raft would panic. The size of
+// the copy is bounded by the entries that its caller keeps between compactions.
 //
-// Every record has a checksum over its place and content, and Open reads and checks the whole file, down to the pages
-// of bbolt, before it serves anything. What it cannot detect is a disk that returns an older, whole state of the file.
+// Every record has a checksum over its bucket, key and payload, and Open checks the complete file, including bbolt's
+// pages. It cannot detect a disk that returns an earlier, valid version of the file.
 //
-// After an error of Save or Compact the log is broken: a failed sync leaves unknown what the disk holds. Every further
-// call returns that error, and the file has to be opened anew.
+// After a failed write the log is broken, since the content of the disk is unknown after a failed sync. Every further
+// Save and Compact returns that error until the file is reopened.
 //
 // A Log is not safe for concurrent use.
 package raftlog
@@ -31,7 +31,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Errors of this package; those that are returned wrap one of them.
+// Errors of this package. Returned errors wrap one of them or are those of the system.
 var (
 	ErrNotExist     = errors.New("raftlog: no such log")
 	ErrExists       = errors.New("raftlog: log exists already")
@@ -57,13 +57,13 @@
 	identityBytes = len(magic) + 4 + 8 + 8 // magic, version, fleet, node
 )
 
-// Identity says whose log a file is.
+// Identity identifies the member whose log a file is.
 type Identity struct {
 	Fleet uint64 // fingerprint of the fleet
 	Node  uint64 // raft id of the member
 }
 
-// Options of a log.
+// Options are the options of a log.
 type Options struct {
 	Identity Identity
 	MaxBytes int // of the file; 0: DefaultMaxBytes
@@ -73,7 +73,7 @@
 type Log struct {
 	db        *bolt.DB
 	memory    logState
-	brokenErr error // what every further write returns
+	brokenErr error // if not nil, every write returns it
 }
 
 var _ raft.Storage = (*Log)(nil)
@@ -96,7 +96,8 @@
 	return Open(path, options)
 }
 
-// createFile writes the file under another name and then renames it, so that the file is whole wherever it exists.
+// createFile writes the file under a temporary name and then renames it, so that a partial file never has its final
+// name.
 func createFile(path string, options Options, start *raftpb.Snapshot) error {
 	unfinished := path + ".new"
 	if err := os.Remove(unfinished); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -138,7 +139,7 @@
 	})
 }
 
-// Open opens a log, checks it whole and loads it. Its error wraps ErrNotExist, ErrLocked, ErrForeign, ErrVersion,
+// Open opens a log, checks the complete file and loads it. Its error wraps ErrNotExist, ErrLocked, ErrForeign, ErrVersion,
 // ErrTorn or ErrCorrupt.
 func Open(path string, options Options) (log *Log, err error) {
 	defer recoverCorruption(&err)
@@ -224,7 +225,7 @@
 
 func checkIdentity(data []byte, want Identity) error {
 	if len(data) < len(magic)+4 || string(data[:len(magic)]) != magic {
-		return fmt.Errorf("%w: its identity is not one", ErrForeign)
+		return fmt.Errorf("%w: malformed identity record", ErrForeign)
 	}
 	if version := binary.BigEndian.Uint32(data[len(magic):]); version != formatVersion {
 		return fmt.Errorf("%w: %d, not %d", ErrVersion, version, formatVersion)
@@ -241,7 +242,7 @@
 	return nil
 }
 
-// openError names an error of bbolt on a file whose pages were found whole.
+// openError wraps an error of bbolt on a file whose pages are valid in ErrForeign, ErrVersion or ErrCorrupt.
 func openError(err error) error {
 	switch {
 	case errors.Is(err, berrors.ErrInvalid):
@@ -271,7 +272,8 @@
 	return err
 }
 
-// recoverCorruption turns a panic of bbolt, and a fault in its mapped file, into an error that wraps ErrCorrupt. It is deferred.
+// recoverCorruption converts a panic of bbolt, or a fault in its mapped file, to an error that wraps ErrCorrupt. It has to
+// be deferred.
 func recoverCorruption(err *error) {
 	if cause := recover(); cause != nil {
 		*err = fmt.Errorf("%w: %v", ErrCorrupt, cause)
--- a/internal/controlplane/raftlog/record.go
+++ b/internal/controlplane/raftlog/record.go
@@ -10,20 +10,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The buckets. State and snapshot are apart, since bbolt writes the page of a record whole: the state is written by
-// every Save, and a snapshot has megabytes.
+// The buckets. State and snapshot have separate buckets, since bbolt rewrites all pages of a leaf: every Save writes the
+// state of 56 bytes, and a snapshot has megabytes.
 var (
 	identityBucket = []byte("identity")
 	stateBucket    = []byte("state")
 	snapshotBucket = []byte("snapshot")
 	entriesBucket  = []byte("entries")
 
-	singleKey = []byte("only") // of the buckets that hold one record
+	singleKey = []byte("only") // of the buckets with one record
 )
 
 const checksumBytes = 8
 
-// stateRecord is the record that every Save writes. It has the bounds of the entries, so that none can be missing unseen.
+// stateRecord is the record that every Save writes. It has the first and last entry, so that a missing one is detected.
 type stateRecord struct {
 	term, vote, commit uint64
 	compacted, last    entryID
@@ -60,14 +60,14 @@
 	}, nil
 }
 
-// encodeRecord returns a record: the payload and a checksum over its place and the payload.
+// encodeRecord returns a record: the payload, and a checksum over bucket, key and payload.
 func encodeRecord(bucket, key, payload []byte) []byte {
 	record := make([]byte, 0, len(payload)+checksumBytes)
 	record = append(record, payload...)
 	return binary.BigEndian.AppendUint64(record, checksum(bucket, key, payload))
 }
 
-// decodeRecord returns the payload of a record, as part of it.
+// decodeRecord checks a record and returns its payload, a slice of it.
 func decodeRecord(bucket, key, record []byte) ([]byte, error) {
 	if len(record) < checksumBytes {
 		return nil, fmt.Errorf("%w: record %s/%x of %d bytes", ErrCorrupt, bucket, key, len(record))
@@ -113,7 +113,7 @@
 
 func entryKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
-// getRecord returns the payload of the one record of a bucket, as part of the mapped file.
+// getRecord returns the payload of the only record of a bucket, a slice of the mapped file.
 func getRecord(tx *bolt.Tx, name []byte) ([]byte, error) {
 	bucket := tx.Bucket(name)
 	if bucket == nil {
--- a/internal/controlplane/raftlog/verify.go
+++ b/internal/controlplane/raftlog/verify.go
@@ -27,7 +27,7 @@
 	leafPageFlag     = 0x02
 	metaPageFlag     = 0x04
 	freelistPageFlag = 0x10
-	bucketFlag       = 0x01
+	bucketFlag       = 0x01 // of a leaf element
 
 	freelistCountInData = 0xFFFF // page count of a free list that stores its count as its first element
 
