--- a/internal/controlplane/controlserver/publish_status.go
+++ b/internal/controlplane/controlserver/publish_status.go
@@ -21,7 +21,7 @@
 		return err
 	case errors.Is(err, errRequestReused):
 		return rejectionError(codes.InvalidArgument, &configpb.Refusal{Key: keyRequest, Reason: err.Error()})
-	case errors.Is(err, revision.ErrCommand):
+	case errors.Is(err, revision.ErrInvalidCommand):
 		return rejectionError(codes.InvalidArgument, &configpb.Refusal{Key: keyDocument, Reason: err.Error()})
 	}
 	return notAppendedError("%v", err)
--- a/internal/controlplane/revision/machine.go
+++ b/internal/controlplane/revision/machine.go
@@ -8,12 +8,12 @@
 
 // Machine is the state after the entries applied so far.
 type Machine struct {
-	applied  uint64
-	newest   uint64
-	history  []*configpb.Revision // ascending, without gaps; the last is the newest
-	bytes    int                  // of the documents in history
-	requests []appliedRequest     // oldest first, at most MaxRequests
-	byID     map[uint64]appliedRequest
+	applied     uint64
+	newest      uint64
+	history     []*configpb.Revision // ascending, without gaps; the last is the newest
+	bytes       int                  // of the documents in history
+	requests    []appliedRequest     // oldest first, at most MaxRequests
+	requestByID map[uint64]appliedRequest
 }
 
 type appliedRequest struct {
@@ -24,7 +24,7 @@
 
 // NewMachine returns a machine without revisions.
 func NewMachine() *Machine {
-	return &Machine{byID: make(map[uint64]appliedRequest)}
+	return &Machine{requestByID: make(map[uint64]appliedRequest)}
 }
 
 // Applied returns the index of the last entry applied, 0 before the first.
@@ -65,12 +65,12 @@
 // of its own. A nil command stands for an entry that is none.
 func (m *Machine) Apply(index uint64, command *configpb.Command) Result {
 	m.Skip(index)
-	if rejection := check(command); rejection != Accepted {
+	if rejection := checkCommand(command); rejection != Accepted {
 		return Result{Rejection: rejection, Number: m.newest}
 	}
 	checksum := configpb.Checksum(command.GetDocument())
-	if before, found := m.byID[command.GetRequest()]; found {
-		return m.repeat(before, checksum)
+	if before, found := m.requestByID[command.GetRequest()]; found {
+		return m.resultOfRetry(before, checksum)
 	}
 	if expected := command.GetExpected(); expected != 0 && expected != m.newest {
 		return Result{Rejection: NotNewest, Number: m.newest}
@@ -81,7 +81,7 @@
 		Document:        command.GetDocument(),
 		PublishedUnixMs: command.GetPublishedUnixMs(),
 	})
-	m.remember(appliedRequest{request: command.GetRequest(), number: m.newest, checksum: checksum})
+	m.recordRequest(appliedRequest{request: command.GetRequest(), number: m.newest, checksum: checksum})
 	return Result{Number: m.newest}
 }
 
@@ -94,7 +94,7 @@
 	m.applied = index
 }
 
-func check(command *configpb.Command) Rejection {
+func checkCommand(command *configpb.Command) Rejection {
 	switch {
 	case command == nil:
 		return Undecodable
@@ -108,7 +108,7 @@
 	return Accepted
 }
 
-func (m *Machine) repeat(before appliedRequest, checksum uint64) Result {
+func (m *Machine) resultOfRetry(before appliedRequest, checksum uint64) Result {
 	if before.checksum != checksum {
 		return Result{Rejection: RequestReused, Number: m.newest}
 	}
@@ -129,11 +129,11 @@
 	}
 }
 
-func (m *Machine) remember(request appliedRequest) {
+func (m *Machine) recordRequest(request appliedRequest) {
 	m.requests = append(m.requests, request)
-	m.byID[request.request] = request
+	m.requestByID[request.request] = request
 	if len(m.requests) > MaxRequests {
-		delete(m.byID, m.requests[0].request)
+		delete(m.requestByID, m.requests[0].request)
 		m.requests = m.requests[1:]
 	}
 }
--- a/internal/controlplane/revision/revision.go
+++ b/internal/controlplane/revision/revision.go
@@ -73,18 +73,18 @@
 	Repeated  bool   // Accepted before, by an earlier command of the same request id
 }
 
-// ErrCommand tells that an entry is no Command, or a larger one than the log takes.
-var ErrCommand = errors.New("revision: not a command")
+// ErrInvalidCommand tells that an entry is no Command, or a larger one than the log takes.
+var ErrInvalidCommand = errors.New("revision: not a command")
 
 // Encode returns a command as an entry of the log. It returns an error that wraps ErrCommand where the encoding
 // would have more than MaxCommandBytes.
 func Encode(command *configpb.Command) ([]byte, error) {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(command)
 	if err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrCommand, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidCommand, err)
 	}
 	if len(data) > MaxCommandBytes {
-		return nil, fmt.Errorf("%w: %d bytes, of at most %d", ErrCommand, len(data), MaxCommandBytes)
+		return nil, fmt.Errorf("%w: %d bytes, of at most %d", ErrInvalidCommand, len(data), MaxCommandBytes)
 	}
 	return data, nil
 }
@@ -92,11 +92,11 @@
 // Decode reads an entry of the log. It returns an error that wraps ErrCommand where it is no Command.
 func Decode(data []byte) (*configpb.Command, error) {
 	if len(data) > MaxCommandBytes {
-		return nil, fmt.Errorf("%w: %d bytes, of at most %d", ErrCommand, len(data), MaxCommandBytes)
+		return nil, fmt.Errorf("%w: %d bytes, of at most %d", ErrInvalidCommand, len(data), MaxCommandBytes)
 	}
 	command := &configpb.Command{}
 	if err := proto.Unmarshal(data, command); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrCommand, err)
+		return nil, fmt.Errorf("%w: %w", ErrInvalidCommand, err)
 	}
 	return command, nil
 }
--- a/internal/controlplane/revision/revision_test.go
+++ b/internal/controlplane/revision/revision_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestPublicationsBecomeNumberedRevisions(t *testing.T) {
+func TestApplyNumbersRevisions(t *testing.T) {
 	machine := NewMachine()
 	require.Nil(t, machine.Newest())
 	require.Zero(t, machine.Number())
@@ -39,7 +39,7 @@
 	require.Nil(t, machine.Get(4))
 }
 
-func TestCommandsAreRejectedByTheirFault(t *testing.T) {
+func TestApplyRejectsInvalidCommands(t *testing.T) {
 	machine := NewMachine()
 	require.Equal(t, Accepted, machine.Apply(1, command(1, 0, "first")).Rejection)
 	for index, bad := range []struct {
@@ -65,7 +65,7 @@
 	require.Equal(t, "rejection 99", Rejection(99).String())
 }
 
-func TestRequestAppliedAgainHasItsNumber(t *testing.T) {
+func TestApplyRetryReturnsFirstNumber(t *testing.T) {
 	machine := NewMachine()
 	machine.Apply(1, command(7, 0, "first"))
 	machine.Apply(2, command(8, 1, "second"))
@@ -74,24 +74,24 @@
 	require.Equal(t, uint64(2), machine.Number())
 }
 
-func TestRejectedRequestMayBeSentAgain(t *testing.T) {
+func TestApplyAcceptsRejectedRequestLater(t *testing.T) {
 	machine := NewMachine()
 	require.Equal(t, NotNewest, machine.Apply(1, command(7, 3, "early")).Rejection)
 	require.Equal(t, Result{Number: 1}, machine.Apply(2, command(7, 0, "early")))
 }
 
-func TestMemoryOfRequestsIsBounded(t *testing.T) {
+func TestApplyLimitsRecordedRequests(t *testing.T) {
 	machine := NewMachine()
 	for request := uint64(1); request <= MaxRequests+1; request++ {
 		machine.Apply(request, command(request, 0, fmt.Sprint(request)))
 	}
 	require.Len(t, machine.requests, MaxRequests)
-	require.Len(t, machine.byID, MaxRequests)
+	require.Len(t, machine.requestByID, MaxRequests)
 	require.Equal(t, Result{Number: 2, Repeated: true}, machine.Apply(MaxRequests+2, command(2, 0, "2")))
 	require.Equal(t, Result{Number: MaxRequests + 2}, machine.Apply(MaxRequests+3, command(1, 0, "1")), "forgotten")
 }
 
-func TestHistoryIsBounded(t *testing.T) {
+func TestApplyLimitsHistory(t *testing.T) {
 	machine := NewMachine()
 	for number := uint64(1); number <= MaxHistory+5; number++ {
 		machine.Apply(number, command(number, 0, "small"))
@@ -111,7 +111,7 @@
 	require.LessOrEqual(t, len(machine.Snapshot()), MaxSnapshotBytes)
 }
 
-func TestLargestSnapshotFits(t *testing.T) {
+func TestSnapshotOfLargestStateWithinLimit(t *testing.T) {
 	machine := NewMachine()
 	document := bytes.Repeat([]byte{'x'}, MaxHistoryBytes/MaxHistory)
 	for number := uint64(1); number <= MaxHistory; number++ {
@@ -124,15 +124,15 @@
 	require.NoError(t, err)
 }
 
-func TestEntryAppliedTwicePanics(t *testing.T) {
+func TestApplyPanicsOnRepeatedIndex(t *testing.T) {
 	machine := NewMachine()
 	machine.Skip(4)
 	require.Panics(t, func() { machine.Apply(4, command(1, 0, "again")) })
 	require.Panics(t, func() { machine.Skip(3) })
 }
 
-// TestSnapshotContinuesAsTheOriginal holds a machine that is saved and restored at any point against one that isn't.
-func TestSnapshotContinuesAsTheOriginal(t *testing.T) {
+// TestRestoredMachineEqualsOriginal holds a machine that is saved and restored at any point against one that isn't.
+func TestRestoredMachineEqualsOriginal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		original, restored := NewMachine(), NewMachine()
 		for index := uint64(1); index <= 60; index++ {
@@ -162,7 +162,7 @@
 	return machine.Snapshot()
 }
 
-func TestDamagedSnapshotsAreRefused(t *testing.T) {
+func TestRestoreRejectsDamagedSnapshots(t *testing.T) {
 	whole := someSnapshot()
 	_, err := Restore(whole)
 	require.NoError(t, err)
@@ -198,7 +198,7 @@
 	return append(data, body...)
 }
 
-func TestContradictorySnapshotsAreRefused(t *testing.T) {
+func TestRestoreRejectsInconsistentStates(t *testing.T) {
 	revision := func(number uint64, document string) *configpb.Revision {
 		return &configpb.Revision{Number: number, Document: []byte(document), Checksum: configpb.Checksum([]byte(document))}
 	}
@@ -227,7 +227,7 @@
 	}
 }
 
-func TestCommandsSurviveTheirEncoding(t *testing.T) {
+func TestEncodeDecodeCommands(t *testing.T) {
 	largest := command(^uint64(0), ^uint64(0), string(make([]byte, MaxDocumentBytes)))
 	largest.PublishedUnixMs = -1
 	data, err := Encode(largest)
@@ -236,11 +236,11 @@
 	require.NoError(t, err)
 	require.True(t, proto.Equal(largest, decoded))
 	_, err = Encode(command(1, 0, string(make([]byte, MaxCommandBytes))))
-	require.ErrorIs(t, err, ErrCommand)
+	require.ErrorIs(t, err, ErrInvalidCommand)
 	_, err = Decode(make([]byte, MaxCommandBytes+1))
-	require.ErrorIs(t, err, ErrCommand)
+	require.ErrorIs(t, err, ErrInvalidCommand)
 	_, err = Decode([]byte{0xff})
-	require.ErrorIs(t, err, ErrCommand)
+	require.ErrorIs(t, err, ErrInvalidCommand)
 }
 
 // FuzzCommand feeds entries of any content to two machines: they never panic and stay the same.
--- a/internal/controlplane/revision/snapshot.go
+++ b/internal/controlplane/revision/snapshot.go
@@ -64,7 +64,7 @@
 
 // Restore returns the machine of a snapshot. Its error wraps ErrForeign, ErrVersion, ErrTorn or ErrCorrupt.
 func Restore(data []byte) (*Machine, error) {
-	body, err := snapshotBody(data)
+	body, err := decodeSnapshotBody(data)
 	if err != nil {
 		return nil, err
 	}
@@ -83,7 +83,7 @@
 	return machine, nil
 }
 
-func snapshotBody(data []byte) ([]byte, error) {
+func decodeSnapshotBody(data []byte) ([]byte, error) {
 	if !bytes.HasPrefix(data, []byte(snapshotMagic)) {
 		if len(data) < len(snapshotMagic) && bytes.HasPrefix([]byte(snapshotMagic), data) {
 			return nil, fmt.Errorf("%w: %d bytes", ErrTorn, len(data))
@@ -123,7 +123,7 @@
 	}
 	m.newest = state.GetNewest() - uint64(len(history))
 	for _, revision := range history {
-		if err := m.checkNext(revision); err != nil {
+		if err := m.checkNextRevision(revision); err != nil {
 			return err
 		}
 		m.append(revision)
@@ -134,7 +134,7 @@
 	return nil
 }
 
-func (m *Machine) checkNext(revision *configpb.Revision) error {
+func (m *Machine) checkNextRevision(revision *configpb.Revision) error {
 	number, document := revision.GetNumber(), revision.GetDocument()
 	if number != m.newest+1 {
 		return fmt.Errorf("%w: revision %d follows %d", ErrCorrupt, number, m.newest)
@@ -148,13 +148,13 @@
 func (m *Machine) restoreRequests(state *revisionpb.State) error {
 	var last uint64
 	for _, request := range state.GetRequests() {
-		_, twice := m.byID[request.GetRequest()]
+		_, twice := m.requestByID[request.GetRequest()]
 		inOrder := request.GetNumber() > last && request.GetNumber() <= m.newest
 		if twice || !inOrder || request.GetRequest() == 0 {
 			return fmt.Errorf("%w: request of revision %d", ErrCorrupt, request.GetNumber())
 		}
 		last = request.GetNumber()
-		m.remember(appliedRequest{
+		m.recordRequest(appliedRequest{
 			request: request.GetRequest(), number: request.GetNumber(), checksum: request.GetChecksum(),
 		})
 	}
