--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -207,7 +207,7 @@
 
 // Propose appends a command to the log. The ProposalOutcome with its request id is returned by an Advance within
 // ProposalTimeout; a pending request is not appended again. Its error is a NotLeaderError, that of a stopped node, or
-// wraps ErrTooManyProposals, ErrProposalDropped or revision.ErrCommand; there is no outcome then.
+// wraps ErrTooManyProposals, ErrProposalDropped or revision.ErrInvalidCommand; there is no outcome then.
 func (n *Node) Propose(command *configpb.Command) error {
 	if n.stopErr != nil {
 		return n.stopErr
--- a/internal/controlplane/revision/machine.go
+++ b/internal/controlplane/revision/machine.go
@@ -6,7 +6,7 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// Machine is the state after the entries applied so far.
+// Machine is the state after the applied entries.
 type Machine struct {
 	applied     uint64
 	newest      uint64
@@ -16,6 +16,7 @@
 	requestByID map[uint64]appliedRequest
 }
 
+// appliedRequest is an accepted request, by which a retry is recognised.
 type appliedRequest struct {
 	request  uint64
 	number   uint64
@@ -41,7 +42,7 @@
 	return m.history[len(m.history)-1]
 }
 
-// Get returns the revision of a number, the newest for 0. It returns nil where there is none or it is no longer kept.
+// Get returns the revision with a number, the newest for 0. It returns nil if the history does not have it.
 func (m *Machine) Get(number uint64) *configpb.Revision {
 	if number == 0 {
 		return m.Newest()
@@ -53,7 +54,7 @@
 	return m.history[number-oldest]
 }
 
-// Oldest returns the number of the oldest revision that is kept, 0 where there is none.
+// Oldest returns the number of the oldest revision in the history, 0 if it is empty.
 func (m *Machine) Oldest() uint64 {
 	if len(m.history) == 0 {
 		return 0
@@ -61,8 +62,8 @@
 	return m.history[0].GetNumber()
 }
 
-// Apply applies the command of one entry. Indexes must ascend; that they have gaps is fine, since the log has entries
-// of its own. A nil command stands for an entry that is none.
+// Apply applies the command of the entry at an index. Indexes have to ascend and may have gaps, since raft has entries of
+// its own. A nil command stands for an entry that does not decode. It panics like Skip.
 func (m *Machine) Apply(index uint64, command *configpb.Command) Result {
 	m.Skip(index)
 	if rejection := checkCommand(command); rejection != Accepted {
@@ -85,8 +86,8 @@
 	return Result{Number: m.newest}
 }
 
-// Skip books an entry that holds no command. It panics where the index doesn't ascend: an entry applied twice would
-// make this machine differ from the others.
+// Skip records the index of an entry without a command. It panics if the index does not ascend: an entry applied twice
+// would make this machine diverge from the others.
 func (m *Machine) Skip(index uint64) {
 	if index <= m.applied {
 		panic(fmt.Sprintf("revision: entry %d applied after entry %d", index, m.applied))
@@ -94,6 +95,7 @@
 	m.applied = index
 }
 
+// checkCommand returns the rejection of a command that is invalid in any state, or Accepted.
 func checkCommand(command *configpb.Command) Rejection {
 	switch {
 	case command == nil:
@@ -108,6 +110,7 @@
 	return Accepted
 }
 
+// resultOfRetry returns the result of a request id that was accepted before.
 func (m *Machine) resultOfRetry(before appliedRequest, checksum uint64) Result {
 	if before.checksum != checksum {
 		return Result{Rejection: RequestReused, Number: m.newest}
@@ -115,6 +118,7 @@
 	return Result{Number: before.number, Repeated: true}
 }
 
+// append appends a revision to the history and removes the oldest ones beyond its limits.
 func (m *Machine) append(revision *configpb.Revision) {
 	if revision.GetNumber() != m.newest+1 {
 		panic(fmt.Sprintf("revision: number %d follows %d", revision.GetNumber(), m.newest))
@@ -129,6 +133,7 @@
 	}
 }
 
+// recordRequest records an accepted request and removes the oldest one beyond MaxRequests.
 func (m *Machine) recordRequest(request appliedRequest) {
 	m.requests = append(m.requests, request)
 	m.requestByID[request.request] = request
--- a/internal/controlplane/revision/snapshot.go
+++ b/internal/controlplane/revision/snapshot.go
@@ -24,7 +24,7 @@
 	snapshotVersion = 1
 	headerBytes     = len(snapshotMagic) + 4 + 8 + 8
 
-	// MaxSnapshotBytes is the size of the largest snapshot: 16 MiB of documents, 4,096 revisions of 48 bytes beside
+	// MaxSnapshotBytes is the maximum size of a snapshot: 16 MiB of documents, 4,096 revisions of 48 bytes beside
 	// their documents and 4,096 requests of 36 bytes, which are 336 KiB, rounded up to 17 MiB.
 	MaxSnapshotBytes = MaxHistoryBytes + 1<<20
 )
@@ -37,7 +37,7 @@
 	ErrCorrupt = errors.New("revision: snapshot corrupt")
 )
 
-// Snapshot returns the whole state, MaxSnapshotBytes at most. Machines that applied the same entries return the same
+// Snapshot returns the encoded state, at most MaxSnapshotBytes. Machines that applied the same entries return the same
 // bytes.
 func (m *Machine) Snapshot() []byte {
 	state := &revisionpb.State{Applied: m.applied, Newest: m.newest, History: m.history}
@@ -48,7 +48,7 @@
 	}
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(state)
 	if err != nil {
-		panic(fmt.Sprintf("revision: a state that cannot be encoded: %v", err))
+		panic(fmt.Sprintf("revision: encoding the state: %v", err))
 	}
 	data := make([]byte, 0, headerBytes+len(body))
 	data = append(data, snapshotMagic...)
@@ -57,12 +57,12 @@
 	data = binary.BigEndian.AppendUint64(data, xxhash.Sum64(body))
 	data = append(data, body...)
 	if len(data) > MaxSnapshotBytes {
-		panic(fmt.Sprintf("revision: snapshot of %d bytes", len(data)))
+		panic(fmt.Sprintf("revision: snapshot of %d bytes, the limit is %d", len(data), MaxSnapshotBytes))
 	}
 	return data
 }
 
-// Restore returns the machine of a snapshot. Its error wraps ErrForeign, ErrVersion, ErrTorn or ErrCorrupt.
+// Restore returns a machine with the state of a snapshot. Its error wraps ErrForeign, ErrVersion, ErrTorn or ErrCorrupt.
 func Restore(data []byte) (*Machine, error) {
 	body, err := decodeSnapshotBody(data)
 	if err != nil {
@@ -83,6 +83,7 @@
 	return machine, nil
 }
 
+// decodeSnapshotBody checks the header of a snapshot and returns its encoded state.
 func decodeSnapshotBody(data []byte) ([]byte, error) {
 	if !bytes.HasPrefix(data, []byte(snapshotMagic)) {
 		if len(data) < len(snapshotMagic) && bytes.HasPrefix([]byte(snapshotMagic), data) {
@@ -94,7 +95,7 @@
 		return nil, fmt.Errorf("%w: %d bytes", ErrTorn, len(data))
 	}
 	if len(data) > MaxSnapshotBytes {
-		return nil, fmt.Errorf("%w: %d bytes, of at most %d", ErrCorrupt, len(data), MaxSnapshotBytes)
+		return nil, fmt.Errorf("%w: %d bytes, the limit is %d", ErrCorrupt, len(data), MaxSnapshotBytes)
 	}
 	header, body := data[len(snapshotMagic):headerBytes], data[headerBytes:]
 	version := binary.BigEndian.Uint32(header)
@@ -108,11 +109,12 @@
 	case uint64(len(body)) > length:
 		return nil, fmt.Errorf("%w: %d bytes follow its end", ErrCorrupt, uint64(len(body))-length)
 	case xxhash.Sum64(body) != checksum:
-		return nil, fmt.Errorf("%w: checksum", ErrCorrupt)
+		return nil, fmt.Errorf("%w: checksum of %d bytes", ErrCorrupt, len(body))
 	}
 	return body, nil
 }
 
+// restoreHistory checks and restores the revisions of a snapshot.
 func (m *Machine) restoreHistory(state *revisionpb.State) error {
 	history := state.GetHistory()
 	if uint64(len(history)) > state.GetNewest() {
@@ -129,11 +131,12 @@
 		m.append(revision)
 	}
 	if len(m.history) != len(history) {
-		return fmt.Errorf("%w: more history than is kept", ErrCorrupt)
+		return fmt.Errorf("%w: history of %d revisions is beyond its limits", ErrCorrupt, len(history))
 	}
 	return nil
 }
 
+// checkNextRevision checks the number, size and checksum of the next revision of a snapshot.
 func (m *Machine) checkNextRevision(revision *configpb.Revision) error {
 	number, document := revision.GetNumber(), revision.GetDocument()
 	if number != m.newest+1 {
@@ -145,6 +148,7 @@
 	return nil
 }
 
+// restoreRequests checks and restores the recorded requests of a snapshot, in ascending order of their revisions.
 func (m *Machine) restoreRequests(state *revisionpb.State) error {
 	var last uint64
 	for _, request := range state.GetRequests() {
@@ -159,7 +163,7 @@
 		})
 	}
 	if len(m.requests) != len(state.GetRequests()) {
-		return fmt.Errorf("%w: more requests than are remembered", ErrCorrupt)
+		return fmt.Errorf("%w: %d requests, the limit is %d", ErrCorrupt, len(state.GetRequests()), MaxRequests)
 	}
 	return nil
 }
