--- a/internal/controlplane/raftlog/raftlog.go
+++ b/internal/controlplane/raftlog/raftlog.go
@@ -50,8 +50,11 @@
 const DefaultMaxBytes = 256 << 20
 
 const (
-	lockTimeout   = 500 * time.Millisecond
-	fileMode      = 0o600
+	// lockTimeout is the maximum time that Open waits for the file lock: the system may release that of a killed process
+	// shortly after its end.
+	lockTimeout = 500 * time.Millisecond
+
+	fileMode      = 0o600 // for its owner only
 	magic         = "mothrouter raft log\n"
 	formatVersion = 1
 	identityBytes = len(magic) + 4 + 8 + 8 // magic, version, fleet, node
@@ -118,6 +121,7 @@
 	return syncDirectory(filepath.Dir(path))
 }
 
+// initialize writes the identity, the snapshot and the state of a new log.
 func (l *Log) initialize(identity Identity, start *raftpb.Snapshot) error {
 	return l.update(func(tx *bolt.Tx) error {
 		for _, name := range [][]byte{identityBucket, stateBucket, snapshotBucket, entriesBucket} {
@@ -184,8 +188,7 @@
 	return file, nil
 }
 
-// lock takes the lock of a file. It waits a little: a system may release that of a killed process some time after it
-// has ended.
+// lock locks a file, within lockTimeout. Its error wraps ErrLocked if another process holds the lock.
 func lock(file *os.File) error {
 	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockTimeout / 50) {
 		err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
@@ -286,6 +289,7 @@
 	return func() { debug.SetPanicOnFault(before) }
 }
 
+// syncDirectory syncs a directory, which makes a rename in it durable.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
--- a/internal/controlplane/raftlog/save.go
+++ b/internal/controlplane/raftlog/save.go
@@ -148,7 +148,7 @@
 	return nil
 }
 
-// commitWrite runs a write and, once it is on the disk, makes next what is read.
+// commitWrite runs a write in one transaction and, when it is synced, replaces the log in memory by next.
 func (l *Log) commitWrite(next logState, write func(tx *bolt.Tx) error) error {
 	if err := l.update(write); err != nil {
 		l.brokenErr = err
