--- a/internal/controlplane/raftlog/raftlog.go
+++ b/internal/controlplane/raftlog/raftlog.go
@@ -83,7 +83,7 @@
 
 // Create makes a new log that starts with a snapshot, which all members must share, and opens it. A member that lost
 // its disk must not come back under its old id with a new log: it would have forgotten its votes and entries. Its
-// error wraps ErrExists where there is a file already, ErrInvalid where the snapshot is empty, or ErrFull.
+// error wraps ErrExists where there is a file already, ErrInvalidWrite where the snapshot is empty, or ErrNoSpace.
 func Create(path string, options Options, start *raftpb.Snapshot) (*Log, error) {
 	if raft.IsEmptySnap(start) {
 		return nil, fmt.Errorf("%w: a log starts with a snapshot", ErrInvalidWrite)
@@ -258,8 +258,7 @@
 	return diskError(err)
 }
 
-// diskError wraps ErrFull around the errors of a disk or file that can take no more. bbolt hands on some errors of the
-// system by their text alone.
+// diskError wraps the errors of a full disk or file in ErrNoSpace. bbolt returns some errors of the system as text only.
 func diskError(err error) error {
 	if err == nil {
 		return nil
--- a/internal/controlplane/raftlog/save.go
+++ b/internal/controlplane/raftlog/save.go
@@ -10,8 +10,8 @@
 
 // Save writes what a raft.Ready asks to be saved, in one transaction that is synced before it returns: a snapshot
 // replaces the log, entries replace those of the same and higher indexes, then the hard state. Each may be empty. Its
-// error wraps ErrInvalid where the write doesn't fit the log (nothing is written), ErrFull where the disk or the file
-// can take no more, ErrCorrupt where the file turned out corrupt, or is that of the disk.
+// error wraps ErrInvalidWrite if the write is inconsistent with the log (nothing is written), ErrNoSpace if the disk or
+// the file is full, ErrCorrupt if the file is corrupt, or is that of the disk.
 func (l *Log) Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	if l.brokenErr != nil {
 		return l.brokenErr
@@ -71,6 +71,7 @@
 	})
 }
 
+// checkAppend checks that entries follow the log or replace entries of it. Its error wraps ErrInvalidWrite.
 func (m logState) checkAppend(entries []*raftpb.Entry) error {
 	first := entries[0].GetIndex()
 	if first <= m.compacted.index || first > m.last().index+1 {
@@ -87,7 +88,8 @@
 	return nil
 }
 
-// checkTransition states what a write must never undo: the term, the vote in a term, and what is committed.
+// checkTransition checks that a write does not decrease the term or the commit index, change the vote in a term, or
+// replace committed entries. Its error wraps ErrInvalidWrite.
 func (m logState) checkTransition(before logState) error {
 	was, is := before.hardState, m.hardState
 	switch {
@@ -109,8 +111,10 @@
 	return nil
 }
 
+// termAt returns the term of the entry at an index, which the log must have.
 func (m logState) termAt(index uint64) uint64 { return m.entries[index-m.compacted.index-1].GetTerm() }
 
+// writeSave writes the difference between two states.
 func writeSave(tx *bolt.Tx, before, next logState, entries []*raftpb.Entry) error {
 	replaced := next.snapshot != before.snapshot
 	first, end := uint64(0), before.last().index+1
@@ -138,6 +142,7 @@
 	return putRecord(tx, stateBucket, singleKey, next.state().encode())
 }
 
+// deleteEntries deletes the entries from first to before end.
 func deleteEntries(tx *bolt.Tx, first, end uint64) error {
 	bucket := tx.Bucket(entriesBucket)
 	for index := first; index < end; index++ {
@@ -158,6 +163,7 @@
 	return nil
 }
 
+// update runs a write in one synced transaction.
 func (l *Log) update(write func(tx *bolt.Tx) error) (err error) {
 	defer recoverCorruption(&err)
 	defer panicOnFault()()
