--- a/internal/controlplane/raftlog/corruption_test.go
+++ b/internal/controlplane/raftlog/corruption_test.go
@@ -176,7 +176,7 @@
 	reopen(t, log, path)
 }
 
-// FuzzDecodeEntry reads records of any content: only what seal made for that place is taken.
+// FuzzDecodeEntry reads records of any content: only what encodeRecord returns for its bucket and key is accepted.
 func FuzzDecodeEntry(f *testing.F) {
 	payload, err := proto.Marshal(entry(5, 2, "content"))
 	if err != nil {
--- a/internal/controlplane/raftlog/crash_test.go
+++ b/internal/controlplane/raftlog/crash_test.go
@@ -149,24 +149,24 @@
 		last = lines.Text()
 	}
 	_ = command.Wait() // it was killed
-	var told acknowledged
-	_, err := fmt.Sscanf(last, "saved %d %d %d %d", &told.term, &told.vote, &told.commit, &told.last)
+	var acked acknowledged
+	_, err := fmt.Sscanf(last, "saved %d %d %d %d", &acked.term, &acked.vote, &acked.commit, &acked.last)
 	require.NoError(t, err, "last line %q", last)
-	return told
+	return acked
 }
 
 // checkNothingLost returns what a log lacks of the acknowledged writes, or nil. One later write may be complete.
-func checkNothingLost(log *Log, told acknowledged) error {
+func checkNothingLost(log *Log, acked acknowledged) error {
 	hard, last := log.memory.hardState, log.memory.last()
 	switch {
-	case hard.GetTerm() < told.term || hard.GetTerm() > told.term+1:
-		return fmt.Errorf("term %d, acknowledged was %d", hard.GetTerm(), told.term)
-	case hard.GetTerm() == told.term && hard.GetVote() != told.vote:
-		return fmt.Errorf("vote %d, acknowledged was %d", hard.GetVote(), told.vote)
-	case hard.GetCommit() < told.commit || last.index < told.commit:
-		return fmt.Errorf("commit %d of %d, acknowledged was %d", hard.GetCommit(), last.index, told.commit)
-	case hard.GetTerm() == told.term && hard.GetCommit() == told.commit && last.index < told.last && last.term < told.term:
-		return fmt.Errorf("last %d, acknowledged was %d", last.index, told.last)
+	case hard.GetTerm() < acked.term || hard.GetTerm() > acked.term+1:
+		return fmt.Errorf("term %d, acknowledged was %d", hard.GetTerm(), acked.term)
+	case hard.GetTerm() == acked.term && hard.GetVote() != acked.vote:
+		return fmt.Errorf("vote %d, acknowledged was %d", hard.GetVote(), acked.vote)
+	case hard.GetCommit() < acked.commit || last.index < acked.commit:
+		return fmt.Errorf("commit %d of %d, acknowledged was %d", hard.GetCommit(), last.index, acked.commit)
+	case hard.GetTerm() == acked.term && hard.GetCommit() == acked.commit && last.index < acked.last && last.term < acked.term:
+		return fmt.Errorf("last %d, acknowledged was %d", last.index, acked.last)
 	}
 	for _, entry := range log.memory.entries {
 		if string(entry.GetData()) != contentOf(entry.GetIndex(), entry.GetTerm()) {
@@ -185,10 +185,10 @@
 			log, path := create(t)
 			require.NoError(t, log.Close())
 			for kill := file * kills; kill < (file+1)*kills; kill++ {
-				told := killChild(t, path, kill)
+				acked := killChild(t, path, kill)
 				log, err := Open(path, testOptions)
 				require.NoError(t, err, "kill %d", kill)
-				require.NoError(t, checkNothingLost(log, told), "kill %d", kill)
+				require.NoError(t, checkNothingLost(log, acked), "kill %d", kill)
 				require.NoError(t, log.Close())
 			}
 		})
@@ -201,10 +201,10 @@
 	for kill := range uint64(40) {
 		log, path := create(t)
 		require.NoError(t, log.Close())
-		told := killChild(t, path, kill, childFault+"="+faultEarlyAcknowledgement)
+		acked := killChild(t, path, kill, childFault+"="+faultEarlyAcknowledgement)
 		log, err := Open(path, testOptions)
 		require.NoError(t, err)
-		err = checkNothingLost(log, told)
+		err = checkNothingLost(log, acked)
 		require.NoError(t, log.Close())
 		if err != nil {
 			t.Logf("seen after kill %d: %v", kill, err)
@@ -226,12 +226,12 @@
 	}
 	require.Error(t, command.Wait())
 	require.Contains(t, last, "error "+ErrNoSpace.Error())
-	var told acknowledged
-	_, err := fmt.Sscanf(before, "saved %d %d %d %d", &told.term, &told.vote, &told.commit, &told.last)
+	var acked acknowledged
+	_, err := fmt.Sscanf(before, "saved %d %d %d %d", &acked.term, &acked.vote, &acked.commit, &acked.last)
 	require.NoError(t, err, "line before %q", before)
 	log, err = Open(path, testOptions)
 	require.NoError(t, err)
-	require.NoError(t, checkNothingLost(log, told))
+	require.NoError(t, checkNothingLost(log, acked))
 	require.NoError(t, randomWrite(log, rand.New(rand.NewPCG(2, 2))).write(log), "there is room again")
 	require.NoError(t, log.Close())
 }
