--- a/internal/controlplane/raftlog/raftlog.go
+++ b/internal/controlplane/raftlog/raftlog.go
@@ -1,14 +1,14 @@
-// Package raftlog is the durable storage of one member of the replicated log: hard state, entries and the latest
-// snapshot in one bbolt file. Save and Compact return once what they wrote is synced to the disk.
+// Package raftlog is the durable storage of one raft member: hard state, entries and the latest snapshot in one bbolt
+// file. Save and Compact return after their write is synced to disk.
 //
-// A Log implements raft.Storage from a copy in memory, so that a read never fails: raft panics where its storage does.
-// The copy is bounded by what its caller keeps before it compacts.
+// A Log implements raft.Storage from a copy in memory, so a read has no I/O error, on which raft would panic. The size of
+// the copy is bounded by the entries that its caller keeps between compactions.
 //
-// Every record has a checksum over its place and content, and Open reads and checks the whole file, down to the pages
-// of bbolt, before it serves anything. What it cannot detect is a disk that returns an older, whole state of the file.
+// Every record has a checksum over its bucket, key and payload, and Open checks the complete file, including bbolt's
+// pages. It cannot detect a disk that returns an earlier, valid version of the file.
 //
-// After an error of Save or Compact the log is broken: a failed sync leaves unknown what the disk holds. Every further
-// call returns that error, and the file has to be opened anew.
+// After a failed write the log is broken, since the content of the disk is unknown after a failed sync. Every further
+// Save and Compact returns that error until the file is reopened.
 //
 // A Log is not safe for concurrent use.
 package raftlog
@@ -31,7 +31,7 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Errors of this package; those that are returned wrap one of them.
+// Errors of this package. Returned errors wrap one of them or are those of the system.
 var (
 	ErrNotExist     = errors.New("raftlog: no such log")
 	ErrExists       = errors.New("raftlog: log exists already")
@@ -50,20 +50,23 @@
 const DefaultMaxBytes = 256 << 20
 
 const (
-	lockTimeout   = 500 * time.Millisecond
-	fileMode      = 0o600
+	// lockTimeout is the maximum time that Open waits for the file lock: the system may release that of a killed process
+	// shortly after its end.
+	lockTimeout = 500 * time.Millisecond
+
+	fileMode      = 0o600 // for its owner only
 	magic         = "mothrouter raft log\n"
 	formatVersion = 1
 	identityBytes = len(magic) + 4 + 8 + 8 // magic, version, fleet, node
 )
 
-// Identity says whose log a file is.
+// Identity identifies the member whose log a file is.
 type Identity struct {
 	Fleet uint64 // fingerprint of the fleet
 	Node  uint64 // raft id of the member
 }
 
-// Options of a log.
+// Options are the options of a log.
 type Options struct {
 	Identity Identity
 	MaxBytes int // of the file; 0: DefaultMaxBytes
@@ -73,14 +76,14 @@
 type Log struct {
 	db        *bolt.DB
 	memory    logState
-	brokenErr error // what every further write returns
+	brokenErr error // if not nil, every write returns it
 }
 
 var _ raft.Storage = (*Log)(nil)
 
 // Create makes a new log that starts with a snapshot, which all members must share, and opens it. A member that lost
 // its disk must not come back under its old id with a new log: it would have forgotten its votes and entries. Its
-// error wraps ErrExists where there is a file already, ErrInvalid where the snapshot is empty, or ErrFull.
+// error wraps ErrExists where there is a file already, ErrInvalidWrite where the snapshot is empty, or ErrNoSpace.
 func Create(path string, options Options, start *raftpb.Snapshot) (*Log, error) {
 	if raft.IsEmptySnap(start) {
 		return nil, fmt.Errorf("%w: a log starts with a snapshot", ErrInvalidWrite)
@@ -96,7 +99,8 @@
 	return Open(path, options)
 }
 
-// createFile writes the file under another name and then renames it, so that the file is whole wherever it exists.
+// createFile writes the file under a temporary name and then renames it, so that a partial file never has its final
+// name.
 func createFile(path string, options Options, start *raftpb.Snapshot) error {
 	unfinished := path + ".new"
 	if err := os.Remove(unfinished); err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -117,6 +121,7 @@
 	return syncDirectory(filepath.Dir(path))
 }
 
+// initialize writes the identity, the snapshot and the state of a new log.
 func (l *Log) initialize(identity Identity, start *raftpb.Snapshot) error {
 	return l.update(func(tx *bolt.Tx) error {
 		for _, name := range [][]byte{identityBucket, stateBucket, snapshotBucket, entriesBucket} {
@@ -138,7 +143,7 @@
 	})
 }
 
-// Open opens a log, checks it whole and loads it. Its error wraps ErrNotExist, ErrLocked, ErrForeign, ErrVersion,
+// Open opens a log, checks the complete file and loads it. Its error wraps ErrNotExist, ErrLocked, ErrForeign, ErrVersion,
 // ErrTorn or ErrCorrupt.
 func Open(path string, options Options) (log *Log, err error) {
 	defer recoverCorruption(&err)
@@ -183,8 +188,7 @@
 	return file, nil
 }
 
-// lock takes the lock of a file. It waits a little: a system may release that of a killed process some time after it
-// has ended.
+// lock locks a file, within lockTimeout. Its error wraps ErrLocked if another process holds the lock.
 func lock(file *os.File) error {
 	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockTimeout / 50) {
 		err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
@@ -224,7 +228,7 @@
 
 func checkIdentity(data []byte, want Identity) error {
 	if len(data) < len(magic)+4 || string(data[:len(magic)]) != magic {
-		return fmt.Errorf("%w: its identity is not one", ErrForeign)
+		return fmt.Errorf("%w: malformed identity record", ErrForeign)
 	}
 	if version := binary.BigEndian.Uint32(data[len(magic):]); version != formatVersion {
 		return fmt.Errorf("%w: %d, not %d", ErrVersion, version, formatVersion)
@@ -241,7 +245,7 @@
 	return nil
 }
 
-// openError names an error of bbolt on a file whose pages were found whole.
+// openError wraps an error of bbolt on a file whose pages are valid in ErrForeign, ErrVersion or ErrCorrupt.
 func openError(err error) error {
 	switch {
 	case errors.Is(err, berrors.ErrInvalid):
@@ -254,8 +258,7 @@
 	return diskError(err)
 }
 
-// diskError wraps ErrFull around the errors of a disk or file that can take no more. bbolt hands on some errors of the
-// system by their text alone.
+// diskError wraps the errors of a full disk or file in ErrNoSpace. bbolt returns some errors of the system as text only.
 func diskError(err error) error {
 	if err == nil {
 		return nil
@@ -271,7 +274,8 @@
 	return err
 }
 
-// recoverCorruption turns a panic of bbolt, and a fault in its mapped file, into an error that wraps ErrCorrupt. It is deferred.
+// recoverCorruption converts a panic of bbolt, or a fault in its mapped file, to an error that wraps ErrCorrupt. It has to
+// be deferred.
 func recoverCorruption(err *error) {
 	if cause := recover(); cause != nil {
 		*err = fmt.Errorf("%w: %v", ErrCorrupt, cause)
@@ -284,6 +288,7 @@
 	return func() { debug.SetPanicOnFault(before) }
 }
 
+// syncDirectory syncs a directory, which makes a rename in it durable.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
--- a/internal/controlplane/revision/machine.go
+++ b/internal/controlplane/revision/machine.go
@@ -6,16 +6,17 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// Machine is the state after the entries applied so far.
+// Machine is the state after the applied entries.
 type Machine struct {
-	applied  uint64
-	newest   uint64
-	history  []*configpb.Revision // ascending, without gaps; the last is the newest
-	bytes    int                  // of the documents in history
-	requests []appliedRequest     // oldest first, at most MaxRequests
-	byID     map[uint64]appliedRequest
+	applied     uint64
+	newest      uint64
+	history     []*configpb.Revision // ascending, without gaps; the last is the newest
+	bytes       int                  // of the documents in history
+	requests    []appliedRequest     // oldest first, at most MaxRequests
+	requestByID map[uint64]appliedRequest
 }
 
+// appliedRequest is an accepted request, by which a retry is recognised.
 type appliedRequest struct {
 	request  uint64
 	number   uint64
@@ -24,7 +25,7 @@
 
 // NewMachine returns a machine without revisions.
 func NewMachine() *Machine {
-	return &Machine{byID: make(map[uint64]appliedRequest)}
+	return &Machine{requestByID: make(map[uint64]appliedRequest)}
 }
 
 // Applied returns the index of the last entry applied, 0 before the first.
@@ -41,7 +42,7 @@
 	return m.history[len(m.history)-1]
 }
 
-// Get returns the revision of a number, the newest for 0. It returns nil where there is none or it is no longer kept.
+// Get returns the revision with a number, the newest for 0. It returns nil if the history does not have it.
 func (m *Machine) Get(number uint64) *configpb.Revision {
 	if number == 0 {
 		return m.Newest()
@@ -53,7 +54,7 @@
 	return m.history[number-oldest]
 }
 
-// Oldest returns the number of the oldest revision that is kept, 0 where there is none.
+// Oldest returns the number of the oldest revision in the history, 0 if it is empty.
 func (m *Machine) Oldest() uint64 {
 	if len(m.history) == 0 {
 		return 0
@@ -61,16 +62,16 @@
 	return m.history[0].GetNumber()
 }
 
-// Apply applies the command of one entry. Indexes must ascend; that they have gaps is fine, since the log has entries
-// of its own. A nil command stands for an entry that is none.
+// Apply applies the command of the entry at an index. Indexes have to ascend and may have gaps, since raft has entries of
+// its own. A nil command stands for an entry that does not decode. It panics like Skip.
 func (m *Machine) Apply(index uint64, command *configpb.Command) Result {
 	m.Skip(index)
-	if rejection := check(command); rejection != Accepted {
+	if rejection := checkCommand(command); rejection != Accepted {
 		return Result{Rejection: rejection, Number: m.newest}
 	}
 	checksum := configpb.Checksum(command.GetDocument())
-	if before, found := m.byID[command.GetRequest()]; found {
-		return m.repeat(before, checksum)
+	if before, found := m.requestByID[command.GetRequest()]; found {
+		return m.resultOfRetry(before, checksum)
 	}
 	if expected := command.GetExpected(); expected != 0 && expected != m.newest {
 		return Result{Rejection: NotNewest, Number: m.newest}
@@ -81,12 +82,12 @@
 		Document:        command.GetDocument(),
 		PublishedUnixMs: command.GetPublishedUnixMs(),
 	})
-	m.remember(appliedRequest{request: command.GetRequest(), number: m.newest, checksum: checksum})
+	m.recordRequest(appliedRequest{request: command.GetRequest(), number: m.newest, checksum: checksum})
 	return Result{Number: m.newest}
 }
 
-// Skip books an entry that holds no command. It panics where the index doesn't ascend: an entry applied twice would
-// make this machine differ from the others.
+// Skip records the index of an entry without a command. It panics if the index does not ascend: an entry applied twice
+// would make this machine diverge from the others.
 func (m *Machine) Skip(index uint64) {
 	if index <= m.applied {
 		panic(fmt.Sprintf("revision: entry %d applied after entry %d", index, m.applied))
@@ -94,7 +95,8 @@
 	m.applied = index
 }
 
-func check(command *configpb.Command) Rejection {
+// checkCommand returns the rejection of a command that is invalid in any state, or Accepted.
+func checkCommand(command *configpb.Command) Rejection {
 	switch {
 	case command == nil:
 		return Undecodable
@@ -108,13 +110,15 @@
 	return Accepted
 }
 
-func (m *Machine) repeat(before appliedRequest, checksum uint64) Result {
+// resultOfRetry returns the result of a request id that was accepted before.
+func (m *Machine) resultOfRetry(before appliedRequest, checksum uint64) Result {
 	if before.checksum != checksum {
 		return Result{Rejection: RequestReused, Number: m.newest}
 	}
 	return Result{Number: before.number, Repeated: true}
 }
 
+// append appends a revision to the history and removes the oldest ones beyond its limits.
 func (m *Machine) append(revision *configpb.Revision) {
 	if revision.GetNumber() != m.newest+1 {
 		panic(fmt.Sprintf("revision: number %d follows %d", revision.GetNumber(), m.newest))
@@ -129,11 +133,12 @@
 	}
 }
 
-func (m *Machine) remember(request appliedRequest) {
+// recordRequest records an accepted request and removes the oldest one beyond MaxRequests.
+func (m *Machine) recordRequest(request appliedRequest) {
 	m.requests = append(m.requests, request)
-	m.byID[request.request] = request
+	m.requestByID[request.request] = request
 	if len(m.requests) > MaxRequests {
-		delete(m.byID, m.requests[0].request)
+		delete(m.requestByID, m.requests[0].request)
 		m.requests = m.requests[1:]
 	}
 }
