--- a/internal/state/snapshot/snapshot_test.go
+++ b/internal/state/snapshot/snapshot_test.go
@@ -49,7 +49,7 @@
 	t.Logf("a file of 200 servers has %d bytes", len(b))
 }
 
-// A file cut at any byte, or with any bit flipped, is refused.
+// TestDecodeRejectsDamagedFiles truncates a file at each byte and flips each of its bits.
 func TestDecodeRejectsDamagedFiles(t *testing.T) {
 	b, err := snapshot.Encode(newSnapshot(12))
 	require.NoError(t, err)
@@ -79,16 +79,16 @@
 	}
 }
 
-// What the checksum vouches for may still be nonsense.
+// TestDecodeRejectsInvalidContent decodes files with a valid checksum and a value out of its range.
 func TestDecodeRejectsInvalidContent(t *testing.T) {
 	for what, change := range map[string]func(*snapshot.Snapshot){
-		"a time before time":  func(s *snapshot.Snapshot) { s.WrittenAt = -1 },
-		"no number":           func(s *snapshot.Snapshot) { s.ServiceTime = math.NaN() },
-		"without end":         func(s *snapshot.Snapshot) { s.PeakThroughput = math.Inf(1) },
-		"a server twice":      func(s *snapshot.Snapshot) { s.Servers[1].ID = s.Servers[0].ID },
-		"a server of no name": func(s *snapshot.Snapshot) { s.Servers[0].ID = "" },
-		"more than all fail":  func(s *snapshot.Snapshot) { s.Servers[0].FailureRatio = 1.5 },
-		"no report":           func(s *snapshot.Snapshot) { s.Servers[0].LoadReport.Utilization = math.NaN() },
+		"a negative time":        func(s *snapshot.Snapshot) { s.WrittenAt = -1 },
+		"not a number":           func(s *snapshot.Snapshot) { s.ServiceTime = math.NaN() },
+		"infinite":               func(s *snapshot.Snapshot) { s.PeakThroughput = math.Inf(1) },
+		"a server twice":         func(s *snapshot.Snapshot) { s.Servers[1].ID = s.Servers[0].ID },
+		"a server without id":    func(s *snapshot.Snapshot) { s.Servers[0].ID = "" },
+		"a failure ratio over 1": func(s *snapshot.Snapshot) { s.Servers[0].FailureRatio = 1.5 },
+		"a report with NaN":      func(s *snapshot.Snapshot) { s.Servers[0].LoadReport.Utilization = math.NaN() },
 	} {
 		s := newSnapshot(3)
 		change(s)
@@ -128,7 +128,7 @@
 	}
 }
 
-// A file that was written before the names in the code changed is read as it was meant.
+// TestDecodeReadsFileOfFirstVersion reads a file written before the names in the code changed, and writes the same bytes.
 func TestDecodeReadsFileOfFirstVersion(t *testing.T) {
 	b, err := os.ReadFile("testdata/as-found.moth")
 	require.NoError(t, err)
