--- a/internal/state/recovery/collector.go
+++ b/internal/state/recovery/collector.go
@@ -1,5 +1,5 @@
-// Package recovery collects what a broker learns of the record servers in a form that outlives it, and decides after a
-// restart what of it still counts. It does no I/O and keeps no clock: the caller hands in the time, in Unix seconds.
+// Package recovery collects a broker's server-health state for a snapshot, and decides after a restart which of it is
+// still valid. It does no I/O and reads no clock: the caller passes in the time, in Unix seconds.
 package recovery
 
 import (
@@ -22,8 +22,8 @@
 	minLatency         = 1e-6 // seconds, added where a logarithm is taken
 )
 
-// Collector watches outcomes, and holds what is worth restoring. It is bounded by the endpoint list: servers that are off
-// it are forgotten. It is not safe for concurrent use.
+// Collector collects the outcomes of attempts as server-health state. It holds state of listed servers only, so that the
+// endpoint list bounds its memory. It is not safe for concurrent use.
 type Collector struct {
 	servers        map[string]*snapshot.Server
 	answeredAt     map[string]float64 // latest answer of a server
@@ -34,12 +34,13 @@
 	advancedAt     float64
 }
 
-// NewCollector returns a collector that has seen nothing.
+// NewCollector returns a collector without any state.
 func NewCollector() *Collector {
 	return &Collector{servers: map[string]*snapshot.Server{}, answeredAt: map[string]float64{}}
 }
 
-// UpdateEndpoints takes up an update of the endpoint list.
+// UpdateEndpoints applies an update of the endpoint list. The state of servers that are removed or have restarted is
+// discarded.
 func (c *Collector) UpdateEndpoints(u decision.EndpointUpdate) {
 	if u.Mode == decision.FailedUpdate {
 		return
@@ -49,7 +50,7 @@
 		listed[s.ID] = s.State != decision.Removed
 		if !listed[s.ID] {
 			c.forget(s.ID)
-		} else if old := c.servers[s.ID]; old == nil || s.Started > old.Started { // another process: nothing holds
+		} else if old := c.servers[s.ID]; old == nil || s.Started > old.Started { // a new process
 			delete(c.answeredAt, s.ID)
 			c.servers[s.ID] = &snapshot.Server{ID: s.ID, Started: s.Started, LoadReport: decision.NoLoadReport}
 		}
@@ -69,7 +70,7 @@
 	delete(c.answeredAt, id)
 }
 
-// RecordOutcome records how an attempt or a health check ended, after a latency in seconds.
+// RecordOutcome records the outcome of an attempt or a health check, with its latency in seconds.
 func (c *Collector) RecordOutcome(now float64, server string, status decision.Status, latency float64, report decision.LoadReport) {
 	s := c.servers[server]
 	if s == nil {
@@ -88,12 +89,12 @@
 		c.decayedAnswers++
 		recordFailure(s, 0, now)
 	case decision.TimedOut, decision.Cancelled:
-		// A server that hangs ends no attempt: what was given up tells of it, if it has answered nothing since.
+		// A server that hangs answers no attempt: an abandoned one counts as a failure if no answer arrived meanwhile.
 		silence := math.Max(silenceFactor*math.Exp(c.meanLogLatency), minSilence)
 		if latency < silence || c.answeredAt[server] >= now-latency {
 			return
 		}
-		if latency > s.ServiceTime { // it would have taken longer still
+		if latency > s.ServiceTime { // the latency is a lower bound
 			recordLatency(s, latency, now)
 		}
 		recordFailure(s, 1, now)
@@ -122,7 +123,7 @@
 	c.serviceTime += fleetLatencyWeight * (latency - c.serviceTime)
 }
 
-// advance brings the answer rate and its peak to a time.
+// advance decays the answer rate and its peak to a time.
 func (c *Collector) advance(now float64) {
 	elapsed := math.Max(now-c.advancedAt, 0)
 	c.advancedAt = now
@@ -131,7 +132,7 @@
 	c.peakRate = math.Max(c.peakRate*math.Exp(-elapsed/peakTimeConstant), rate)
 }
 
-// Snapshot is what is worth restoring now, in the order of ids.
+// Snapshot returns the state as of now, of the servers of which there is any, ordered by id.
 func (c *Collector) Snapshot(now float64) *snapshot.Snapshot {
 	c.advance(now)
 	s := &snapshot.Snapshot{WrittenAt: now, ServiceTime: c.serviceTime, PeakThroughput: c.peakRate}
--- a/internal/state/recovery/recovery.go
+++ b/internal/state/recovery/recovery.go
@@ -9,10 +9,10 @@
 	"mothrouter/internal/state/snapshot"
 )
 
-// How much an observation still counts. That a server is healthy fades faster than that it is not: to avoid a healthy
-// server costs a little, to trust a dead one costs requests.
+// Decay of restored observations. Health decays faster than faults, since to avoid a healthy server costs little capacity,
+// while to trust a dead one costs requests.
 const (
-	// MaxAge is how old a snapshot may be, in seconds: the fleet is another by then.
+	// MaxAge is the maximum age of a snapshot, in seconds. An older one describes a fleet that has changed since.
 	MaxAge = 600.0
 
 	clockSlack         = 0.5  // seconds by which a clock may seem to run ahead
@@ -24,13 +24,13 @@
 	minWeight          = 0.05 // less does not count
 )
 
-// Errors of snapshots that do not count any more.
+// Errors of CheckAge.
 var (
 	ErrFuture = errors.New("written in the future: a clock went back")
 	ErrStale  = errors.New("stale")
 )
 
-// CheckAge returns ErrFuture or ErrStale for a snapshot of which nothing counts any more, with its age; nil: it counts.
+// CheckAge returns nil for a snapshot that may be restored, else an error with its age that wraps ErrFuture or ErrStale.
 func CheckAge(s *snapshot.Snapshot, now float64) error {
 	switch age := now - s.WrittenAt; {
 	case age < -clockSlack:
@@ -41,9 +41,9 @@
 	return nil
 }
 
-// Restore returns, as the decision module's events, what of a snapshot still counts for the servers of a list, as it is
-// now. The events follow the list. Of a server that has restarted since, drains, or was removed and came back as another
-// process, nothing counts: it is never warm, healthy or unhealthy for what its predecessor was.
+// Restore returns the valid state of a snapshot as events for the decision module, which must have handled the endpoint list
+// before. State is valid only for a server that is ready and still the same process: nothing is restored of one that has
+// restarted, drains or was replaced under its id.
 func Restore(s *snapshot.Snapshot, list []decision.Server, now float64) (events []decision.Event) {
 	if CheckAge(s, now) != nil {
 		return nil
@@ -67,11 +67,11 @@
 	return events
 }
 
-// peerObservation is what is restored of a server, as an observation of the time when it was made: the older it is, the
-// more the module's first observation of its own weighs against it. That a server was fast is left out. A blank start takes
-// each server for average, and a good past would make its first failures count for less.
+// peerObservation returns the restored state of a server as an observation dated to when it was made, since the module's
+// own observations outweigh older ones. It reports whether there is any. That a server was fast is not restored: without
+// state each server counts as average, and a good past would reduce the weight of its first failures.
 func peerObservation(v snapshot.Server, s *snapshot.Snapshot, now float64) (o decision.PeerObservation, ok bool) {
-	// Times within a snapshot that lie behind its end are no times.
+	// Times after the snapshot's own are invalid and count as its own.
 	madeAt := func(t float64) float64 { return math.Min(t, s.WrittenAt) }
 	age := func(t float64) float64 { return now - madeAt(t) }
 	o = decision.PeerObservation{
@@ -93,5 +93,5 @@
 	return o, ok
 }
 
-// decay is what is left of 1 after an age.
+// decay returns the factor by which a weight has decayed at an age.
 func decay(age, halfLife float64) float64 { return math.Exp2(-math.Max(age, 0) / halfLife) }
