--- a/internal/state/checkpoint/checkpoint.go
+++ b/internal/state/checkpoint/checkpoint.go
@@ -1,5 +1,6 @@
-// Package checkpoint saves what a broker has learned to a folder and reads it after a restart: the driver beside
-// packages snapshot (the file) and recovery (what of it counts). It works beside the loop and never has it wait.
+// Package checkpoint saves a broker's server-health state to a folder and restores it after a restart. It drives the
+// packages snapshot, the file format, and recovery, which collects the state and decides which of it is still valid. Saves
+// run beside the broker's loop, which never waits for I/O.
 package checkpoint
 
 import (
@@ -26,24 +27,29 @@
 // Names of the files in the folder.
 const (
 	FileName       = "learned.moth"
-	QuarantineName = "learned.moth.bad" // the latest file that could not be used
+	QuarantineName = "learned.moth.bad" // the latest unusable file
 	lockName       = "lock"
-
-	intervalJitter = 0.25 // of the interval, either way: brokers that started together do not save together
 )
 
-// Files is what the saver does with files. Tests put faults in its place.
+// intervalJitter is the maximum deviation of the time between two saves, as a fraction of the interval, so that brokers that
+// started together do not save together.
+const intervalJitter = 0.25
+
+// randomStream is the second word of the seed of a saver's random numbers.
+const randomStream = 0x510e527fade682d1
+
+// Files is the file access of a Saver. Tests inject faults through it.
 type Files interface {
 	Read(path string) ([]byte, error)
-	// Replace puts a file in the place of another, whole or not at all, and returns once it lasts.
+	// Replace writes a file atomically in place of another, and returns once it is durable.
 	Replace(path string, b []byte) error
 	Rename(from, to string) error
 }
 
-// Disk is the real files.
+// Disk is the Files of the operating system.
 type Disk struct{}
 
-// Read reads a file up to a little more than a snapshot may have.
+// Read reads a file, up to one byte more than snapshot.MaxSize.
 func (Disk) Read(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
@@ -53,25 +59,25 @@
 	return io.ReadAll(io.LimitReader(f, snapshot.MaxSize+1))
 }
 
-// Replace writes, syncs and renames.
+// Replace writes and syncs a temporary file and renames it.
 func (Disk) Replace(path string, b []byte) error {
 	return renameio.WriteFile(path, b, 0o600, renameio.WithTempDir(filepath.Dir(path)))
 }
 
-// Rename renames.
+// Rename renames a file.
 func (Disk) Rename(from, to string) error { return os.Rename(from, to) }
 
-// errNotLocked tells that another process is the folder's writer.
+// errNotLocked is the error of a save by a process that does not hold the folder's lock.
 var errNotLocked = errors.New("the state folder is locked by another process")
 
-// Options are what a deployment fixes.
+// Options configure a Saver.
 type Options struct {
 	Folder   string
-	Interval time.Duration
-	Instance string
-	Settings uint64 // fingerprint
-	Seed     uint64
-	Files    Files // nil: Disk
+	Interval time.Duration // mean time between two saves
+	Instance string        // name of the broker
+	Settings uint64        // snapshot.Fingerprint of its settings
+	Seed     uint64        // of random numbers
+	Files    Files         // nil: Disk
 	Log      *slog.Logger
 }
 
@@ -83,20 +89,20 @@
 
 	collectorMu sync.Mutex // guards collector; held for the few steps of a batch, never across I/O
 	collector   *recovery.Collector
-	restored    *snapshot.Snapshot // what the process before has left; nil: nothing usable
+	restored    *snapshot.Snapshot // state of the previous process; nil: none usable
 
-	folderMu          sync.Mutex // guards what follows, and the folder
+	folderMu          sync.Mutex // guards the following fields and the folder; held across I/O
 	lockFile          *os.File
-	lastLoggedFailure string // the failure that was logged last; it is logged once
+	lastLoggedFailure string // message of the failure logged last, not logged again until it changes; "": the last save succeeded
 }
 
 // Open locks the folder and reads the state in it. It never fails: without a usable folder or file the start is blank, and
-// one log line says why.
+// a log line has the reason.
 func Open(opt Options) *Saver {
 	if opt.Files == nil {
 		opt.Files = Disk{}
 	}
-	k := &Saver{options: opt, rng: rand.New(rand.NewPCG(opt.Seed, 0x510e527fade682d1)), collector: recovery.NewCollector(),
+	k := &Saver{options: opt, rng: rand.New(rand.NewPCG(opt.Seed, randomStream)), collector: recovery.NewCollector(),
 		now: func() float64 { return float64(time.Now().UnixNano()) / 1e9 }}
 	k.folderMu.Lock()
 	defer k.folderMu.Unlock()
@@ -104,35 +110,52 @@
 	if mine {
 		k.removeTemporaryFiles()
 	}
-	path := filepath.Join(opt.Folder, FileName)
-	b, err := opt.Files.Read(path)
-	if errors.Is(err, fs.ErrNotExist) {
-		opt.Log.Info("no saved state, starting blank", "folder", opt.Folder)
-		return k
-	}
-	var s *snapshot.Snapshot
-	if err == nil {
-		if s, err = snapshot.Decode(b); err == nil {
-			err = s.CheckOwner(opt.Instance, opt.Settings)
-		}
-	}
+	k.restore(mine)
+	return k
+}
+
+// restore reads the saved state and logs whether it is usable. The caller holds folderMu; mine is whether it holds the
+// folder's lock.
+func (k *Saver) restore(mine bool) {
+	s, err := k.read()
+	log := k.options.Log
 	switch {
-	case err != nil && mine: // kept for inspection, and out of the way
-		aside := filepath.Join(opt.Folder, QuarantineName)
-		opt.Log.Warn("saved state unusable, starting blank", "error", err, "quarantine", aside, "moved", opt.Files.Rename(path, aside) == nil)
+	case errors.Is(err, fs.ErrNotExist):
+		log.Info("no saved state, starting blank", "folder", k.options.Folder)
+	case err != nil && mine:
+		k.quarantine(err)
 	case err != nil:
-		opt.Log.Warn("saved state unusable, starting blank", "error", err)
+		log.Warn("saved state unusable, starting blank", "error", err)
 	case recovery.CheckAge(s, k.now()) != nil:
-		opt.Log.Info("saved state too old, starting blank", "error", recovery.CheckAge(s, k.now()))
+		log.Info("saved state too old, starting blank", "error", recovery.CheckAge(s, k.now()))
 	default:
 		k.restored = s
-		opt.Log.Info("saved state restored", "servers", len(s.Servers), "age", fmt.Sprintf("%.1f s", k.now()-s.WrittenAt))
+		log.Info("saved state restored", "servers", len(s.Servers), "age", fmt.Sprintf("%.1f s", k.now()-s.WrittenAt))
 	}
-	return k
 }
 
-// removeTemporaryFiles removes what writers that were killed have left half written: else they would fill the folder in
-// time.
+// read reads and decodes the saved state, and checks that it is this broker's.
+func (k *Saver) read() (*snapshot.Snapshot, error) {
+	b, err := k.options.Files.Read(filepath.Join(k.options.Folder, FileName))
+	if err != nil {
+		return nil, err
+	}
+	s, err := snapshot.Decode(b)
+	if err != nil {
+		return nil, err
+	}
+	return s, s.CheckOwner(k.options.Instance, k.options.Settings)
+}
+
+// quarantine renames an unusable file, so that it is kept for inspection and not read again.
+func (k *Saver) quarantine(reason error) {
+	path := filepath.Join(k.options.Folder, FileName)
+	aside := filepath.Join(k.options.Folder, QuarantineName)
+	moved := k.options.Files.Rename(path, aside) == nil
+	k.options.Log.Warn("saved state unusable, starting blank", "error", reason, "quarantine", aside, "moved", moved)
+}
+
+// removeTemporaryFiles removes the temporary files of writers that were killed during a save. The caller holds the lock.
 func (k *Saver) removeTemporaryFiles() {
 	left, _ := filepath.Glob(filepath.Join(k.options.Folder, "."+FileName+"*"))
 	for _, path := range left {
@@ -142,8 +165,8 @@
 	}
 }
 
-// tryLock tells whether this process is the folder's writer, and tries to become it. A process that takes over from another
-// reads at once and writes once the other has ended. The caller holds saving.
+// tryLock reports whether this process holds the folder's lock, and acquires it if it is free. A process that replaces another
+// reads at once, and writes once the other has released the lock. The caller holds folderMu.
 func (k *Saver) tryLock() bool {
 	path := filepath.Join(k.options.Folder, lockName)
 	if k.lockFile != nil {
@@ -152,7 +175,7 @@
 		if err1 == nil && err2 == nil && os.SameFile(held, there) {
 			return true
 		}
-		_ = k.lockFile.Close() // the folder is gone, or another: what was locked guards nothing
+		_ = k.lockFile.Close() // the folder was removed or replaced, and the lock with it
 		k.lockFile = nil
 	}
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
@@ -169,7 +192,7 @@
 	return true
 }
 
-// logOnce logs a failure once, until another follows or it is over. The caller holds saving.
+// logOnce logs a failure unless it is the one logged last. The caller holds folderMu.
 func (k *Saver) logOnce(what string, err error) {
 	if k.lastLoggedFailure != what {
 		k.lastLoggedFailure = what
@@ -177,7 +200,7 @@
 	}
 }
 
-// Save writes the present state. It logs a failure before it returns it; errNotLocked: another process owns the folder.
+// Save writes the present state. It logs a failure and returns it; errNotLocked: another process holds the folder's lock.
 func (k *Saver) Save() error {
 	k.collectorMu.Lock()
 	s := k.collector.Snapshot(k.now())
@@ -203,7 +226,7 @@
 	return nil
 }
 
-// Run saves at intervals until ctx ends, and once more then.
+// Run saves at jittered intervals until ctx ends, then once more, and releases the lock.
 func (k *Saver) Run(ctx context.Context) {
 	for {
 		span := float64(k.options.Interval) * (1 - intervalJitter + 2*intervalJitter*k.rng.Float64())
@@ -225,7 +248,8 @@
 	}
 }
 
-// Watch wraps a Decider: its events are collected, and the restored state follows its first endpoint update.
+// Watch wraps a Decider. It collects state from the events, and adds the restored state to the batch of the first endpoint
+// update.
 func (k *Saver) Watch(d decision.Decider) decision.Decider {
 	return &watchedDecider{saver: k, inner: d}
 }
@@ -241,7 +265,8 @@
 	return w.inner.Handle(now, w.saver.collect(now, events, &w.restored))
 }
 
-// collect collects from the events, and adds the restored state behind the first endpoint update.
+// collect collects state from a batch of events and returns the batch, with the restored state appended to that of the first
+// endpoint update, which sets restoredOnce.
 func (k *Saver) collect(now float64, events []decision.Event, restoredOnce *bool) []decision.Event {
 	k.collectorMu.Lock()
 	defer k.collectorMu.Unlock()
