--- a/internal/workers/lease/capacity.go
+++ b/internal/workers/lease/capacity.go
@@ -7,8 +7,8 @@
 	"mothrouter/internal/estimate/slowstart"
 )
 
-// CapacityEstimate estimates, for a whole process, what one server in slow start bears. What warm servers answered to this
-// process is a lower bound of their capacity and of the process's share of it.
+// CapacityEstimate estimates, for all workers of a process, the capacity of a server in slow start. The rate at which warm
+// servers answered this process is a lower bound of their capacity and of the process's share of it.
 type CapacityEstimate struct {
 	settings slowstart.Settings
 	brokers  int
@@ -16,15 +16,15 @@
 	peak     slowstart.PeakRate
 }
 
-// NewCapacityEstimate returns an estimate that knows nothing yet, of one of so many brokers.
+// NewCapacityEstimate returns an estimate without observations, for one of a number of brokers.
 func NewCapacityEstimate(s slowstart.Settings, brokers int, rng *rand.Rand) *CapacityEstimate {
 	return &CapacityEstimate{settings: s, brokers: brokers, rng: rng}
 }
 
-// Resize takes note of how many brokers there are.
+// Resize sets the number of brokers that share the servers.
 func (e *CapacityEstimate) Resize(brokers int) { e.brokers = brokers }
 
-// Answered counts an answer of a warm server, of which there are warm.
+// Answered records an answer of one of the warm servers, whose number is warm.
 func (e *CapacityEstimate) Answered(now float64, warm int) {
 	e.advance(now, warm)
 	e.peak.Answered()
--- a/internal/workers/lease/lease.go
+++ b/internal/workers/lease/lease.go
@@ -1,5 +1,5 @@
-// Package lease divides budgets that belong to a whole process over its workers. It does no I/O and keeps no clock: the
-// caller hands in the time, in seconds, and holds a lock.
+// Package lease divides the budgets of a process among its workers. It does no I/O and reads no clock: the caller passes in
+// the time, in seconds, and serializes the calls.
 //
 // A Budget is that of one server in slow start: how many parts may go there in any window. Each worker has a lease of some
 // parts, good until a time. What all leases grant and what has been sent within the window never sum to more than the
@@ -18,8 +18,8 @@
 	Duration = 0.1
 
 	demandSpan    = 0.5  // seconds over which a worker's use is averaged
-	roundingSlack = 1e-9 // of a capacity that is a whole number but for its computation
-	minDemand     = 0.1  // what a worker without any use counts as, so that it is offered a part now and then
+	roundingSlack = 1e-9 // parts: absorbs the rounding error of a capacity that is an integer
+	minDemand     = 0.1  // parts: demand of an idle worker, so that it still gets a part at times
 )
 
 // Lease is what a worker may send to a server until it expires.
@@ -43,7 +43,7 @@
 	demandAt float64
 }
 
-// NewBudget returns the budget of a server for so many workers, counted over windows of so many seconds.
+// NewBudget returns the budget of a server for a number of workers, over a sliding window in seconds.
 func NewBudget(workers int, window float64) *Budget {
 	return &Budget{window: window, workers: make([]workerLease, max(workers, 1))}
 }
@@ -64,7 +64,7 @@
 // EndDecision ends a worker's decision: what its lease has left may expire again.
 func (b *Budget) EndDecision(worker int) { b.workers[worker].deciding = false }
 
-// RecordUnmetDemand tells that a worker could have used more than its lease.
+// RecordUnmetDemand records that a worker could have used one part more than its lease.
 func (b *Budget) RecordUnmetDemand(worker int, now float64) { b.workers[worker].recordDemand(1, now) }
 
 func (w *workerLease) recordDemand(parts, now float64) {
@@ -76,7 +76,7 @@
 	return minDemand + w.demand*math.Exp(-(now-w.demandAt)/demandSpan)
 }
 
-// Outstanding is what was sent within the window that ends now, and what leases still grant.
+// Outstanding returns the parts sent within the window that ends now, and the parts that leases still grant.
 func (b *Budget) Outstanding(now float64) (sent, granted int) {
 	b.expire(now)
 	for _, w := range b.workers {
@@ -129,8 +129,8 @@
 	return own.lease
 }
 
-// isNext tells whether a worker is the next to get a single part, and moves on to the one behind it if so. Workers without
-// recent demand are passed over: they must not hold up the others.
+// isNext reports whether a worker is next in the round robin for single parts, and advances past it if so. Workers without
+// recent demand are skipped.
 func (b *Budget) isNext(worker int, now float64) bool {
 	n := len(b.workers)
 	for range n {
--- a/internal/workers/lease/semaphore.go
+++ b/internal/workers/lease/semaphore.go
@@ -10,18 +10,18 @@
 	acquired atomic.Int64
 }
 
-// NewSemaphore returns a semaphore of so many units; 0: it has no bound.
+// NewSemaphore returns a semaphore with a capacity in units; 0: unlimited.
 func NewSemaphore(capacity int) *Semaphore {
 	s := &Semaphore{}
 	s.Resize(capacity)
 	return s
 }
 
-// Resize changes the capacity; 0: it has no bound. What is acquired beyond a smaller one stays acquired, and nothing more is
-// until enough of it has been released.
+// Resize changes the capacity; 0: unlimited. Units acquired beyond a smaller capacity stay acquired; TryAcquire fails until
+// enough of them are released.
 func (s *Semaphore) Resize(capacity int) { s.capacity.Store(int64(capacity)) }
 
-// TryAcquire acquires n units, all or none, and does not wait.
+// TryAcquire acquires n units or none, without waiting, and reports whether it acquired them.
 func (s *Semaphore) TryAcquire(n int) bool {
 	capacity := s.capacity.Load()
 	if s.acquired.Add(int64(n)) > capacity && capacity > 0 {
@@ -34,5 +34,5 @@
 // Release gives n units back.
 func (s *Semaphore) Release(n int) { s.acquired.Add(-int64(n)) }
 
-// Acquired is how many units are acquired.
+// Acquired returns the number of units acquired.
 func (s *Semaphore) Acquired() int { return int(s.acquired.Load()) }
