--- a/internal/workers/observations/observations.go
+++ b/internal/workers/observations/observations.go
@@ -1,11 +1,12 @@
 // Package observations shares what the workers of one process observe of record servers: failures, time-outs, recoveries
-// and load reports, each with its age and a weight. It does no I/O and keeps no clock: the caller hands in the time, in
-// seconds, and holds a lock.
+// and load reports, each with its age and a weight. It does no I/O and reads no clock: the caller passes in the time, in
+// seconds, and serializes the calls.
 //
-// Two things must hold. A worker that still trusts a dead server learns of it from another's loss, before its own. And one
-// worker's bad luck, say a connection of its own that broke, does not condemn a healthy server for all. So a peer's
-// observation weighs less than the worker's own, more with a second witness, less the older it is, and next to nothing for
-// a worker that was itself just answered there. What a worker has observed since is never overruled.
+// There are two goals. A worker that considers a failed server healthy learns of the failure from another worker before it
+// loses a request there. And a fault of one worker alone, such as a broken connection, does not make a healthy server
+// unhealthy for all. So a peer's observation weighs less than the worker's own, more with a second witness, less with age,
+// and next to nothing for a worker that has just received an answer itself. It never overrides a later observation of the
+// worker's own.
 package observations
 
 import (
@@ -55,7 +56,7 @@
 	answeredAt, failedAt float64 // its own latest answer, and its own latest failure or silence
 	offeredAt            float64 // when an observation was last offered to it
 	newestOffered        float64 // time of the newest observation that it was offered
-	unhealthy            bool    // what it takes the server for
+	unhealthy            bool    // whether it considers the server unhealthy
 	loadReportedAt       float64 // when the latest report was made that it has
 	queued               bool    // in the worker's queue
 }
@@ -76,7 +77,7 @@
 	meanLatency float64     // mean latency of answers
 }
 
-// NewShared returns no observations for so many workers.
+// NewShared returns an empty Shared for a number of workers.
 func NewShared(workers int) *Shared {
 	return &Shared{workers: workers, servers: map[string]*record{}, queues: make([][]*record, workers)}
 }
@@ -98,7 +99,7 @@
 // Forget drops what was observed of a server: it has restarted, or is removed.
 func (b *Shared) Forget(id string) { delete(b.servers, id) }
 
-// Len is of how many servers something is known.
+// Len returns the number of servers with observations.
 func (b *Shared) Len() int { return len(b.servers) }
 
 // Record records what a worker observed.
@@ -136,16 +137,16 @@
 	b.meanLatency += latencyWeight * (latency - b.meanLatency)
 }
 
-// isSilent tells whether a wait that was given up tells of silence: the server answered no other worker meanwhile, and has
-// had the time to.
+// isSilent reports whether an abandoned attempt counts as a failure: the server answered no worker during the wait, which
+// was long enough for an answer.
 func (r *record) isSilent(now, waited, meanLatency float64) bool {
 	return r.answeredAt < now-waited && waited >= math.Max(silenceFactor*meanLatency, minSilence)
 }
 
-// HasPending tells whether there may be something to offer to a worker.
+// HasPending reports whether there may be observations for a worker.
 func (b *Shared) HasPending(worker int) bool { return len(b.queues[worker]) > 0 }
 
-// Collect returns the observations of others that a worker should take up now.
+// Collect returns the observations of other workers that are due for a worker.
 func (b *Shared) Collect(worker int, now float64) (collected []decision.PeerObservation) {
 	queue := b.queues[worker]
 	keep := queue[:0]
@@ -169,7 +170,7 @@
 	return collected
 }
 
-// observationFor is what a worker should take up of a server, if anything.
+// observationFor returns the observation of a server that is due for a worker, and reports whether there is one.
 func (r *record) observationFor(worker int, now float64) (o decision.PeerObservation, ok bool) {
 	own := &r.views[worker]
 	o = decision.PeerObservation{Server: r.id, LoadReport: decision.NoLoadReport}
@@ -196,14 +197,14 @@
 	return o, ok
 }
 
-// hasLoadReportFor tells whether there is a load report that a worker should have.
+// hasLoadReportFor reports whether there is a load report that is due for a worker.
 func (r *record) hasLoadReportFor(own *view, now float64) bool {
 	newer := r.loadReportedAt - own.loadReportedAt
 	return newer > 0 && now-r.loadReportedAt <= MaxAge && (own.loadReportedAt == never || newer >= loadReportInterval)
 }
 
-// latestFailure is when the others saw the latest failure, and how many of them saw one at about that time and no answer
-// since.
+// latestFailure returns when other workers last observed a failure, and the number of witnesses: those that observed one within
+// sameFaultWindow before it, and no answer since.
 func (r *record) latestFailure(worker int) (at float64, witnesses int) {
 	at = never
 	for w := range r.views {
@@ -219,7 +220,7 @@
 	return at, witnesses
 }
 
-// failureWeight is the weight of a failure of an age, for a worker that was itself answered so many seconds ago.
+// failureWeight returns the weight of a failure of an age for a worker whose own latest success has an age, in seconds.
 func failureWeight(witnesses int, age, ownSuccessAge float64) float64 {
 	weight := singleWitnessWeight
 	if witnesses > 1 {
--- a/internal/workers/placement/placement.go
+++ b/internal/workers/placement/placement.go
@@ -1,29 +1,29 @@
-// Package placement decides which worker serves a query, and sees that a query's name is served once. It does no
-// I/O and keeps no clock.
+// Package placement chooses the worker that serves a query, and registers the names of queries in flight so that none is
+// served twice. It does no I/O and reads no clock.
 //
-// A query is placed when it arrives, not its connection: a connection that brings all the load is spread over the workers
-// like any other, and nothing has to migrate off a worker that falls behind; it gets no more.
+// Queries are placed on arrival, connections are not: the load of a single connection spreads over all workers, and nothing
+// has to migrate off an overloaded worker, which merely receives no more.
 package placement
 
 import "math/rand/v2"
 
-// WorkerLoad is what one worker has to do.
+// WorkerLoad is the load of one worker.
 type WorkerLoad struct {
 	InFlight int  // queries and parts, including those on their way to it
-	Backlog  int  // functions that wait for its loop
+	Backlog  int  // functions queued for its loop
 	Dead     bool // its loop has ended
 }
 
 const (
-	// backlogWeight is what a function that waits for the loop counts as: it delays all that the worker has in flight,
-	// while a part in flight only waits for its record server.
+	// backlogWeight is the weight of a function queued for the loop, in parts in flight: it delays all queries of the
+	// worker, while a part in flight only waits for its record server.
 	backlogWeight = 4
 )
 
 func (l WorkerLoad) cost() int { return l.InFlight + backlogWeight*l.Backlog }
 
-// Choose returns the worker for a query: the less loaded of two drawn at random (the power of two choices), since loads
-// are a moment old and all queries that look for the least loaded would meet there. -1: none lives.
+// Choose returns the worker for a query, or -1 if all are dead: the less loaded of two random ones (the power of two
+// choices). Loads are slightly stale, so that choosing the least loaded would send all queries to the same worker.
 func Choose(loads []WorkerLoad, rng *rand.Rand) int {
 	alive := 0
 	for _, l := range loads {
@@ -63,7 +63,7 @@
 // NewNameRegistry returns an empty registry.
 func NewNameRegistry() *NameRegistry { return &NameRegistry{worker: map[string]int{}} }
 
-// Claim gives a name to a worker. It returns false where a query of that name is in flight at any of them.
+// Claim registers a name for a worker. It reports whether no query of that name was in flight.
 func (n *NameRegistry) Claim(name string, worker int) bool {
 	if _, taken := n.worker[name]; taken {
 		return false
@@ -72,14 +72,14 @@
 	return true
 }
 
-// Worker returns the worker that serves a name; false: none does.
+// Worker returns the worker that serves a name, and reports whether there is one.
 func (n *NameRegistry) Worker(name string) (int, bool) {
 	w, ok := n.worker[name]
 	return w, ok
 }
 
-// Release frees a name once its query has ended.
+// Release removes a name after its query has ended.
 func (n *NameRegistry) Release(name string) { delete(n.worker, name) }
 
-// Len is how many queries are in flight.
+// Len returns the number of queries in flight.
 func (n *NameRegistry) Len() int { return len(n.worker) }
