--- a/internal/workers/cores/bench_test.go
+++ b/internal/workers/cores/bench_test.go
@@ -12,8 +12,8 @@
 
 func (nothing) Handle(float64, []decision.Event) []decision.Action { return nil }
 
-// BenchmarkShare is what one outcome costs beside its decision, with 200 servers, of which some are cold.
-func BenchmarkShare(b *testing.B) {
+// BenchmarkShareOutcome is what one outcome costs beside its decision, with 200 servers, of which some are cold.
+func BenchmarkShareOutcome(b *testing.B) {
 	for _, workers := range []int{1, 2, 4} {
 		for _, cold := range []int{0, 20} {
 			b.Run(fmt.Sprintf("workers=%d/cold=%d", workers, cold), func(b *testing.B) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// BenchmarkPlace is what a front pays for a query to be placed and its name kept.
-func BenchmarkPlace(b *testing.B) {
+// BenchmarkSubmit is what a front pays for a query to be placed and its name kept.
+func BenchmarkSubmit(b *testing.B) {
 	g := New(Options{Workers: 4, Settings: settings(4, 0)}, nil)
 	b.ReportAllocs()
 	for i := range b.N {
--- a/internal/workers/cores/configure_test.go
+++ b/internal/workers/cores/configure_test.go
@@ -129,7 +129,7 @@
 
 // Queries and changes from several goroutines: each worker hears of each change, in one order, and each query is
 // taken whole under one of them: its deadline is the one that its worker heard of last.
-func TestEachWorkerAppliesChangesWhole(t *testing.T) {
+func TestWorkersApplyChangesAtomically(t *testing.T) {
 	const workers, changes, askers = 4, 60, 6
 	r := newRecorded(t, workers, 0, false)
 	var asking sync.WaitGroup
@@ -176,7 +176,7 @@
 }
 
 // With one worker, class and cap come into force at one point: what was handed over before is judged by the old cap.
-func TestTheCapComesIntoForceWithTheClasses(t *testing.T) {
+func TestConcurrencyLimitChangesWithClasses(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		cap, parts    int
@@ -206,7 +206,7 @@
 }
 
 // While one worker is busy, the others serve under the new classes, and all within the old cap until it follows.
-func TestTheSharedCapWaitsForTheLastWorker(t *testing.T) {
+func TestSharedLimitWaitsForLastWorker(t *testing.T) {
 	r := newRecorded(t, 2, 2, true)
 	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenHold})
 	<-r.deciders[0].holds
@@ -226,7 +226,7 @@
 }
 
 // A worker that dies while a change comes holds it up for nobody, nor does one that is dead.
-func TestAChangeWithADeadWorker(t *testing.T) {
+func TestConfigureWithDeadWorker(t *testing.T) {
 	r := newRecorded(t, 2, 2, true)
 	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenHold})
 	<-r.deciders[0].holds
@@ -253,7 +253,7 @@
 }
 
 // A change that does not fit changes nothing in any worker, nor the cap.
-func TestAChangeThatDoesNotFitAnyWorker(t *testing.T) {
+func TestConfigureRejectsInvalidChange(t *testing.T) {
 	r := newRecorded(t, 3, 2, true)
 	spoilt := classesOf(0.4)
 	spoilt[2].MinCompleteness = 0.1
--- a/internal/workers/cores/cores_test.go
+++ b/internal/workers/cores/cores_test.go
@@ -148,7 +148,7 @@
 }
 
 // One worker sees a server hang; the other, which never met it, is told before it loses parts of its own.
-func TestAHangThatOneWorkerSawIsKnownToTheOther(t *testing.T) {
+func TestHangingServerIsSharedBetweenWorkers(t *testing.T) {
 	r := newRig(t, rigOptions{workers: 2, servers: 4, work: 5 * time.Millisecond})
 	for n := range 60 {
 		for w := range 2 {
@@ -174,7 +174,7 @@
 }
 
 // A sound server on which one worker alone fails stays in use by the others.
-func TestOneWorkersBadPathDoesNotCondemnAServer(t *testing.T) {
+func TestFaultOfOneWorkerDoesNotMarkServerUnhealthy(t *testing.T) {
 	r := newRig(t, rigOptions{workers: 2, servers: 2, work: time.Millisecond})
 	r.ask(r.request(usage, 0, 2))
 	s := r.fleet.Servers[0]
@@ -191,7 +191,7 @@
 func (r *rig) now() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
 // All workers together send a server that has just started no more than one would.
-func TestAFreshServerUnderLoadFromAllWorkers(t *testing.T) {
+func TestLeasesProtectServerInSlowStart(t *testing.T) {
 	var peak [2]int
 	for i, workers := range []int{1, 4} {
 		r := newRig(t, rigOptions{workers: workers, servers: 4, work: 4 * time.Millisecond, warmUp: 6})
@@ -216,7 +216,7 @@
 }
 
 // The list changes while leases are out: servers restart, leave and come back under load.
-func TestTheListChangesWhileLeasesAreOut(t *testing.T) {
+func TestEndpointUpdatesWhileLeasesAreOutstanding(t *testing.T) {
 	r := newRig(t, rigOptions{workers: 3, servers: 6, work: 2 * time.Millisecond, warmUp: 3})
 	stop := make(chan struct{})
 	var all sync.WaitGroup
@@ -263,7 +263,7 @@
 }
 
 // A drain is told while a worker is busy. What that worker had decided before must not go out after it.
-func TestADrainToldWhileAWorkerIsBusy(t *testing.T) {
+func TestDrainStopsSendsOfBusyWorker(t *testing.T) {
 	var busy atomic.Int64
 	r := newRig(t, rigOptions{workers: 2, servers: 4, work: 2 * time.Millisecond,
 		decider: func(w int, set decision.Settings, seed uint64) decision.Decider {
@@ -291,7 +291,7 @@
 }
 
 // All load comes by one connection, one query after the other: it is spread all the same.
-func TestOneConnectionsLoadIsSpread(t *testing.T) {
+func TestLoadOfOneConnectionSpreadsOverWorkers(t *testing.T) {
 	var asked [2]atomic.Int64
 	r := newRig(t, rigOptions{workers: 2, servers: 4, work: time.Millisecond,
 		decider: func(w int, set decision.Settings, seed uint64) decision.Decider {
@@ -321,7 +321,7 @@
 
 // Classes are skewed to what must not run twice, servers fail and break off, and clients ask again at once, with a
 // new name, at whichever worker. The ledger watches the rules.
-func TestChargePostsRetriedAcrossWorkers(t *testing.T) {
+func TestNonIdempotentPartsAcrossWorkers(t *testing.T) {
 	r := newRig(t, rigOptions{workers: 4, servers: 4, work: 3 * time.Millisecond})
 	for _, s := range r.fleet.Servers[:2] {
 		s.SetFailureRatio(0.3)
@@ -350,7 +350,7 @@
 }
 
 // A name that is being served is served once, whichever workers get it.
-func TestANameIsServedOnceByWhicheverWorker(t *testing.T) {
+func TestDuplicateNameIsRejectedAcrossWorkers(t *testing.T) {
 	r := newRig(t, rigOptions{workers: 4, servers: 4, work: 30 * time.Millisecond})
 	for range 10 {
 		q := r.request(charge, 0, 1)
@@ -370,7 +370,7 @@
 	require.Zero(t, r.InFlight())
 }
 
-func TestAClientThatLeavesFreesWhatItHeld(t *testing.T) {
+func TestDisconnectReleasesCapacity(t *testing.T) {
 	r := newRig(t, rigOptions{workers: 2, servers: 2, openCap: 4, work: 200 * time.Millisecond})
 	for range 5 {
 		q := r.request(usage, 0, 2)
@@ -383,7 +383,7 @@
 }
 
 // The open cap holds for all workers together.
-func TestTheOpenCapIsOne(t *testing.T) {
+func TestConcurrencyLimitIsSharedByWorkers(t *testing.T) {
 	r := newRig(t, rigOptions{workers: 4, servers: 4, openCap: 9, work: 100 * time.Millisecond})
 	var all sync.WaitGroup
 	var served, refused atomic.Int64
@@ -410,7 +410,7 @@
 }
 
 // Six connections for four servers and four workers: calls share them, and no worker starves.
-func TestAHandfulOfDescriptors(t *testing.T) {
+func TestWorkersWithFewDescriptors(t *testing.T) {
 	r := newRig(t, rigOptions{workers: 4, servers: 4, conns: 6, work: 2 * time.Millisecond})
 	ends := r.load(12, time.Second, r.mixed)
 	require.Greater(t, ends[broker.Answered], 9*(ends[broker.Failed]+ends[broker.DeadlineExceeded]))
@@ -434,7 +434,7 @@
 }
 
 // A worker that panics leaves nobody hanging: what it held fails at once, the others serve on.
-func TestAWorkerThatPanicsLeavesNobodyHanging(t *testing.T) {
+func TestPanickingWorkerFailsItsQueries(t *testing.T) {
 	r := newRig(t, rigOptions{workers: 2, servers: 4, work: 150 * time.Millisecond,
 		decider: func(_ int, set decision.Settings, seed uint64) decision.Decider {
 			return doomed{decision.New(set, seed)}
--- a/internal/workers/cores/second_phase_test.go
+++ b/internal/workers/cores/second_phase_test.go
@@ -12,7 +12,7 @@
 
 // Queries of two steps by one worker and by three, while servers fail, hang, drain and break their connections. The
 // stand-ins hold each part of a second step against what they have answered.
-func TestSecondStepsThroughTroubles(t *testing.T) {
+func TestSecondPhaseUnderFaults(t *testing.T) {
 	for _, workers := range []int{1, 3} {
 		r := newRig(t, rigOptions{workers: workers, servers: 8, work: 2 * time.Millisecond})
 		go func() {
--- a/internal/workers/lease/lease_test.go
+++ b/internal/workers/lease/lease_test.go
@@ -14,7 +14,7 @@
 // Over any schedule of decisions that overlap, sends, pauses and a whole that changes: what is sent within a window
 // and what is granted never sum to more than the largest whole of late, and no worker sends beyond its lease, however
 // long it takes to decide.
-func TestLeasesNeverSumToMoreThanTheWhole(t *testing.T) {
+func TestLeasesNeverExceedCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		workers := rapid.IntRange(1, 8).Draw(t, "workers")
 		const window = 1.5
@@ -68,7 +68,7 @@
 	})
 }
 
-func TestALeaseThatExpiredSendsNothing(t *testing.T) {
+func TestExpiredLeaseGrantsNothing(t *testing.T) {
 	r := lease.NewBudget(2, 1.5)
 	require.Equal(t, 4, r.Renew(0, 8, 10).Parts)
 	r.EndDecision(0)
@@ -102,7 +102,7 @@
 }
 
 // Where the whole is less than the workers, single parts go round, and a worker that is gone holds up nobody.
-func TestASinglePartGoesRound(t *testing.T) {
+func TestSinglePartsGoRoundRobin(t *testing.T) {
 	r := lease.NewBudget(4, 0.5)
 	got := make([]int, 4)
 	for i := range 4000 {
@@ -123,7 +123,7 @@
 	require.LessOrEqual(t, got[0]+got[1]+got[2], 81)
 }
 
-func TestCountIsExact(t *testing.T) {
+func TestSemaphoreIsExact(t *testing.T) {
 	c := lease.NewSemaphore(10)
 	require.True(t, c.TryAcquire(7))
 	require.False(t, c.TryAcquire(4))
@@ -134,7 +134,7 @@
 }
 
 // A process of four workers bears on a cold server as one of a single worker does.
-func TestCapacityEstimateDoesNotGrowWithTheWorkers(t *testing.T) {
+func TestCapacityEstimateIsIndependentOfWorkers(t *testing.T) {
 	l := slowstart.Settings{InitialFraction: 0.2, Duration: 10, OverloadFactor: 2.5, OverloadWindow: 1.5}
 	b := lease.NewCapacityEstimate(l, 2, rand.New(rand.NewPCG(1, 2)))
 	for i := range 1000 { // 100 answers a second from 10 warm servers: 10 a second each
@@ -161,7 +161,7 @@
 }
 
 // A budget that shrinks takes nothing back, and one that grows, or loses its bound, holds at once.
-func TestCountIsResized(t *testing.T) {
+func TestSemaphoreResize(t *testing.T) {
 	c := lease.NewSemaphore(10)
 	require.True(t, c.TryAcquire(8))
 	c.Resize(5)
--- a/internal/workers/observations/observations_test.go
+++ b/internal/workers/observations/observations_test.go
@@ -15,7 +15,7 @@
 	return observations.Observation{Kind: kind, Latency: 0.02, LoadReport: decision.NoLoadReport}
 }
 
-func TestAFailureIsHeardByTheOthers(t *testing.T) {
+func TestFailureIsOfferedToOtherWorkers(t *testing.T) {
 	b := observations.NewShared(3)
 	b.Record(0, "s", 10, see(observations.Failed))
 	require.Empty(t, b.Collect(0, 10.01), "a worker hears nothing of its own")
@@ -31,7 +31,7 @@
 }
 
 // One worker's bad path: the others are answered there all the time.
-func TestAnswersOfOnesOwnSpeakAgainstHearsay(t *testing.T) {
+func TestOwnAnswersReduceWeightOfPeerFailures(t *testing.T) {
 	b := observations.NewShared(2)
 	for i := range 20 {
 		now := 10 + 0.05*float64(i)
@@ -46,7 +46,7 @@
 	require.Empty(t, b.Collect(1, 20.1))
 }
 
-func TestRecoveryIsHeardByThoseThatHoldItForBad(t *testing.T) {
+func TestRecoveryIsOfferedToWorkersThatMarkedUnhealthy(t *testing.T) {
 	b := observations.NewShared(3)
 	b.Record(0, "s", 10, see(observations.Failed))
 	require.Len(t, b.Collect(1, 10.1), 1)
@@ -60,7 +60,7 @@
 }
 
 // A server that hangs ends no attempt. Waits that were given up tell of it, unless it answers others meanwhile.
-func TestSilenceIsToldFromSlowness(t *testing.T) {
+func TestSlowServerIsNotSilent(t *testing.T) {
 	given := observations.Observation{Kind: observations.TimedOut, Latency: 0.4, LoadReport: decision.NoLoadReport}
 	b := observations.NewShared(2)
 	for i := range 50 {
@@ -77,7 +77,7 @@
 	require.Empty(t, b.Collect(1, 12.1))
 }
 
-func TestLoadReportsAreSharedNowAndThen(t *testing.T) {
+func TestLoadReportsAreRateLimited(t *testing.T) {
 	b := observations.NewShared(2)
 	n := 0
 	for i := range 100 {
@@ -93,7 +93,7 @@
 	require.Less(t, n, 7, "a report costs the listener a little each time")
 }
 
-func TestWhatWasSeenOfAProcessEndsWithIt(t *testing.T) {
+func TestForgetDropsObservations(t *testing.T) {
 	b := observations.NewShared(2)
 	b.Record(0, "s", 10, see(observations.Failed))
 	b.Forget("s")
@@ -103,7 +103,7 @@
 
 // Over any schedule: hearsay is never older than MaxAge nor than the listener's own news, it comes from another
 // worker, its weight stays in bounds, and a call brings a bounded number.
-func TestHearsayIsBounded(t *testing.T) {
+func TestObservationsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const workers, servers = 3, 4
 		b := observations.NewShared(workers)
@@ -142,7 +142,7 @@
 	})
 }
 
-func BenchmarkSeeAndTake(b *testing.B) {
+func BenchmarkRecordAndCollect(b *testing.B) {
 	board := observations.NewShared(4)
 	ids := make([]string, 200)
 	for i := range ids {
--- a/internal/workers/placement/placement_test.go
+++ b/internal/workers/placement/placement_test.go
@@ -10,7 +10,7 @@
 	"mothrouter/internal/workers/placement"
 )
 
-func TestQueriesGoToWorkersThatHoldLess(t *testing.T) {
+func TestChoosePrefersLessLoadedWorker(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	loads := make([]placement.WorkerLoad, 4)
 	for range 4000 {
@@ -28,7 +28,7 @@
 	require.Equal(t, before, loads[1].InFlight)
 }
 
-func TestNothingGoesToTheDead(t *testing.T) {
+func TestChooseSkipsDeadWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		loads := make([]placement.WorkerLoad, rapid.IntRange(1, 6).Draw(t, "workers"))
@@ -50,7 +50,7 @@
 	})
 }
 
-func TestANameIsServedOnce(t *testing.T) {
+func TestNameRegistryClaimsNameOnce(t *testing.T) {
 	n := placement.NewNameRegistry()
 	require.True(t, n.Claim("q", 0))
 	require.False(t, n.Claim("q", 1))
