--- a/internal/workers/cores/cores.go
+++ b/internal/workers/cores/cores.go
@@ -18,10 +18,10 @@
 	"mothrouter/internal/workers/placement"
 )
 
-// updateTimeout is how long Update waits for a worker that is busy. Links know of a drain before any worker does.
+// updateTimeout is the maximum time that Update waits for busy workers. Links apply a drain before any worker does.
 const updateTimeout = 200 * time.Millisecond
 
-// Options are what a Group needs.
+// Options configure a Group.
 type Options struct {
 	Workers          int
 	Settings         decision.Settings
@@ -32,7 +32,7 @@
 	Decider func(worker int, set decision.Settings, seed uint64) decision.Decider
 }
 
-// Group is the workers. To fronts it is one core.
+// Group is the set of workers. Fronts use it as a single core.
 type Group struct {
 	log     *slog.Logger
 	servers *broker.Endpoints
@@ -81,8 +81,8 @@
 	return g
 }
 
-// Run runs the workers until ctx ends. A worker that panics ends alone: its queries in flight fail at once, it gets no
-// more of them, and Failed tells, so that the process can end cleanly.
+// Run runs the workers until ctx ends. A worker that panics ends alone: its queries in flight fail at once, it receives no
+// more of them, and the channel of Failed is closed, so that the process can shut down cleanly.
 func (g *Group) Run(ctx context.Context) {
 	var all sync.WaitGroup
 	for i, w := range g.workers {
@@ -153,7 +153,7 @@
 	}
 }
 
-// Disconnect tells that the client of a query has gone away.
+// Disconnect cancels a query whose client has disconnected.
 func (g *Group) Disconnect(r *broker.Request) {
 	g.mu.Lock()
 	w, served := g.registry.Worker(r.ID)
@@ -163,7 +163,7 @@
 	}
 }
 
-// Ready tells whether record servers are known and a worker lives.
+// Ready reports whether record servers are known and a worker is alive.
 func (g *Group) Ready() bool {
 	for _, w := range g.workers {
 		if !w.dead.Load() {
@@ -216,7 +216,7 @@
 	}
 }
 
-// SetShutdownDeadline has all workers answer their queries by then.
+// SetShutdownDeadline sets the time by which all workers answer their queries.
 func (g *Group) SetShutdownDeadline(t time.Time) {
 	for _, w := range g.workers {
 		if !w.dead.Load() {
@@ -225,20 +225,20 @@
 	}
 }
 
-// InFlight is how many queries are in flight.
+// InFlight returns the number of queries in flight.
 func (g *Group) InFlight() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.registry.Len()
 }
 
-// Gauges returns the present figures of all workers together.
+// Gauges returns the present gauges of all workers together.
 func (g *Group) Gauges() broker.Gauges {
 	listed, avoided := g.servers.Size()
 	return broker.Gauges{Queries: g.InFlight(), Endpoints: listed, Avoided: avoided}
 }
 
-// InFlightByWorker is how many queries and parts each worker has in flight.
+// InFlightByWorker returns the number of queries and parts that each worker has in flight.
 func (g *Group) InFlightByWorker() (open []int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/workers/cores/shareddecider.go
+++ b/internal/workers/cores/shareddecider.go
@@ -76,8 +76,8 @@
 	return kept
 }
 
-// spendLease counts a part that is sent. One that was decided while the update came counts, but broke no lease that its
-// worker knew of.
+// spendLease counts a part that is sent. If it was decided before the worker had the update that brought the lease, it
+// counts against the budget, but is not overspent.
 func (d *sharedDecider) spendLease(server string, now float64) {
 	w := d.warmingUp[server]
 	if w != nil && !w.budget.Spend(d.worker, 1, now) && w.announcedAt < d.seenUpdates {
@@ -85,7 +85,7 @@
 	}
 }
 
-// mayCheckHealth tells whether no worker has checked a server's health just now: all get what it reports.
+// mayCheckHealth reports whether no worker has checked a server's health within healthCheckInterval: the result is shared.
 func (d *sharedDecider) mayCheckHealth(server string, now float64) bool {
 	if at, checked := d.checkedAt[server]; checked && now-at < healthCheckInterval {
 		return false
--- a/internal/workers/cores/state.go
+++ b/internal/workers/cores/state.go
@@ -14,7 +14,7 @@
 
 const (
 	healthCheckInterval = 0.25 // seconds in which a server's health is checked once, by whichever worker
-	maxUpdates          = 64   // a worker that lags behind more updates gets the whole list instead
+	maxUpdates          = 64   // a worker that lags by more updates receives a full update instead
 	capacitySeedStream  = 0x3c6ef372fe94f82b
 )
 
@@ -55,14 +55,14 @@
 	}
 }
 
-// resize takes note of how many brokers share the budget of a server in slow start.
+// resize sets the number of brokers that share the budget of a server in slow start.
 func (s *processState) resize(brokers int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.capacity.Resize(brokers)
 }
 
-// warmServers is how many servers are warm, at least a third of all, as the module counts.
+// warmServers returns the number of warm servers, at least a third of all, as in the decision module.
 func (s *processState) warmServers() int {
 	return max(len(s.entries)-len(s.warmingUp), len(s.entries)/3, 1)
 }
@@ -102,7 +102,7 @@
 	}
 }
 
-// put takes up one entry of the list.
+// put adds or replaces one entry of the endpoint list.
 func (s *processState) put(e decision.Server, now float64) {
 	started, known := s.started[e.ID]
 	s.entries[e.ID] = e
@@ -130,7 +130,7 @@
 	s.observations.Forget(id)
 }
 
-// missedUpdates are the updates that a worker has not had, which has had those before number seen.
+// missedUpdates returns the updates from number seen on, or one full update if the first of them are no longer kept.
 func (s *processState) missedUpdates(seen int) (missed []decision.Event) {
 	if seen < s.firstUpdate {
 		return []decision.Event{s.fullUpdate()}
@@ -141,7 +141,7 @@
 	return missed
 }
 
-// fullUpdate is the whole list, in the order of the ids.
+// fullUpdate returns a full update of the present endpoint list, ordered by id.
 func (s *processState) fullUpdate() decision.EndpointUpdate {
 	u := decision.EndpointUpdate{Mode: decision.FullUpdate}
 	for _, e := range s.entries {
