--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"log/slog"
 	"math/rand/v2"
 	"os"
@@ -22,10 +23,11 @@
 	"mothrouter/internal/state/snapshot"
 )
 
-// TestMain is also the process that is killed: one that does nothing but save, as fast as it can.
+// TestMain is also the process that is killed: it writes a byte to its standard output, then saves as fast as it can.
 func TestMain(m *testing.M) {
 	if folder := os.Getenv("CHECKPOINT_TEST_FOLDER"); folder != "" {
 		k := Open(Options{Folder: folder, Interval: time.Hour, Instance: "n1", Settings: 7, Log: slog.New(slog.DiscardHandler)})
+		_, _ = os.Stdout.Write([]byte{0}) // without a reader the kill does not come, which the test notices
 		for n := 0; ; n++ {
 			recordOutcomes(k, 1+n%200)
 			_ = k.Save() // it is killed at any moment; what it leaves behind is checked
@@ -123,8 +125,12 @@
 	for ; kills < 1000 && time.Now().Before(deadline); kills++ {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "CHECKPOINT_TEST_FOLDER="+folder, "GOMAXPROCS=1")
+		started, err := cmd.StdoutPipe()
+		require.NoError(t, err)
 		require.NoError(t, cmd.Start())
-		time.Sleep(time.Duration(4+rng.IntN(16)) * time.Millisecond)
+		_, err = io.ReadFull(started, make([]byte, 1))
+		require.NoError(t, err, "the process did not begin to save")
+		time.Sleep(time.Duration(rng.IntN(16)) * time.Millisecond)
 		require.NoError(t, cmd.Process.Kill())
 		cmd.Wait()
 		b, err := Disk{}.Read(filepath.Join(folder, FileName))
