--- a/internal/workers/cores/cores_test.go
+++ b/internal/workers/cores/cores_test.go
@@ -22,26 +22,26 @@
 	"mothrouter/internal/workers/observations"
 )
 
-// rig is a group of workers on loopback record servers that check the rules.
-type rig struct {
+// testGroup is a group of workers with fake record servers on loopback that check the rules of service.
+type testGroup struct {
 	*testing.T
 	*Group
 	fleet *recordservertest.Fleet
 	next  atomic.Int64
 }
 
-type rigOptions struct {
-	workers, servers, conns, openCap int
-	work                             time.Duration
-	warmUp                           float64
-	decider                          func(int, decision.Settings, uint64) decision.Decider
+type testGroupOptions struct {
+	workers, servers, conns, limit int
+	serviceTime                    time.Duration
+	warmUp                         float64
+	decider                        func(int, decision.Settings, uint64) decision.Decider
 }
 
 const (
 	usage = iota
 	charge
 	report
-	docket // with a second step of two parts
+	docket // with a second phase of two parts
 )
 
 func settings(servers int, warmUp float64) decision.Settings {
@@ -57,15 +57,15 @@
 	}
 }
 
-func newRig(t *testing.T, o rigOptions) *rig {
-	fleet, err := recordservertest.New(recordservertest.Options{Servers: o.servers, ReplicationFactor: 2, ServiceTime: o.work, Seed: 1, SecondPhaseFanout: 2,
+func newTestGroup(t *testing.T, o testGroupOptions) *testGroup {
+	fleet, err := recordservertest.New(recordservertest.Options{Servers: o.servers, ReplicationFactor: 2, ServiceTime: o.serviceTime, Seed: 1, SecondPhaseFanout: 2,
 		NonIdempotent: func(id string) bool { return strings.HasPrefix(id, "charge") }})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	link := upstream.New(ctx, upstream.Options{MaxStreams: 100, MaxConns: o.conns, IdleTimeout: 15 * time.Second,
 		ConnectTimeout: 250 * time.Millisecond})
-	r := &rig{T: t, fleet: fleet, Group: New(Options{Workers: o.workers, Settings: settings(o.servers, o.warmUp),
-		ConcurrencyLimit: o.openCap, Seed: 7, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Decider: o.decider}, link)}
+	r := &testGroup{T: t, fleet: fleet, Group: New(Options{Workers: o.workers, Settings: settings(o.servers, o.warmUp),
+		ConcurrencyLimit: o.limit, Seed: 7, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Decider: o.decider}, link)}
 	ended := make(chan struct{})
 	go func() {
 		r.Group.Run(ctx)
@@ -90,8 +90,8 @@
 
 func (a answer) Finish(r broker.Result) { a <- r }
 
-// request makes a query of parts at shards in a row.
-func (r *rig) request(class, shard, parts int) *broker.Request {
+// request returns a query of parts at consecutive shards.
+func (r *testGroup) request(class, shard, parts int) *broker.Request {
 	n := r.next.Add(1)
 	q := &broker.Request{ID: fmt.Sprintf("%s%d", []string{"usage", "charge", "report", "docket"}[class], n), Class: class,
 		ReceivedAt: time.Now(), Timeout: 1500 * time.Millisecond, Payload: []byte("x")}
@@ -101,8 +101,8 @@
 	return q
 }
 
-// ask has a query served, by whichever worker or, with a worker given, by that one.
-func (r *rig) ask(q *broker.Request, worker ...int) broker.Result {
+// serve submits a query, to the given worker if there is one, and returns its result.
+func (r *testGroup) serve(q *broker.Request, worker ...int) broker.Result {
 	a := make(answer, 2)
 	if len(worker) > 0 {
 		r.workers[worker[0]].broker.Submit(q, a)
@@ -121,15 +121,15 @@
 	}
 }
 
-// load asks queries from so many clients for a time, and counts how they ended.
-func (r *rig) load(clients int, d time.Duration, request func(client, n int) *broker.Request) (ends [5]int) {
+// runLoad submits queries from a number of clients for a time, and counts them by outcome.
+func (r *testGroup) runLoad(clients int, d time.Duration, request func(client, n int) *broker.Request) (ends [5]int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	stop := time.Now().Add(d)
 	for c := range clients {
 		all.Go(func() {
 			for n := 0; time.Now().Before(stop); n++ {
-				res := r.ask(request(c, n))
+				res := r.serve(request(c, n))
 				mu.Lock()
 				ends[res.Outcome]++
 				mu.Unlock()
@@ -143,59 +143,59 @@
 	return ends
 }
 
-func (r *rig) mixed(c, n int) *broker.Request {
+func (r *testGroup) mixed(c, n int) *broker.Request {
 	return r.request([]int{usage, report, charge, usage}[(c+n)%4], c+n, []int{3, 4, 1, 3}[(c+n)%4])
 }
 
-// One worker sees a server hang; the other, which never met it, is told before it loses parts of its own.
+// One worker observes a hanging server; the other, which has sent it nothing, learns of it before it loses many parts.
 func TestHangingServerIsSharedBetweenWorkers(t *testing.T) {
-	r := newRig(t, rigOptions{workers: 2, servers: 4, work: 5 * time.Millisecond})
+	r := newTestGroup(t, testGroupOptions{workers: 2, servers: 4, serviceTime: 5 * time.Millisecond})
 	for n := range 60 {
 		for w := range 2 {
-			require.Equal(t, broker.Answered, r.ask(r.request(usage, n, 4), w).Outcome)
+			require.Equal(t, broker.Answered, r.serve(r.request(usage, n, 4), w).Outcome)
 		}
 	}
-	bad := r.fleet.Servers[1]
-	bad.SetHanging(true)
+	hanging := r.fleet.Servers[1]
+	hanging.SetHanging(true)
 	var all sync.WaitGroup
 	for i := range 16 { // shards 0 and 1 are held by the server that hangs
-		all.Go(func() { r.ask(r.request(usage, i%2, 1), 0) })
+		all.Go(func() { r.serve(r.request(usage, i%2, 1), 0) })
 	}
 	all.Wait()
-	met := bad.Arrivals()
+	met := hanging.Arrivals()
 	served := 0
 	for i := range 40 {
-		if r.ask(r.request(usage, i%2, 1), 1).Outcome == broker.Answered {
+		if r.serve(r.request(usage, i%2, 1), 1).Outcome == broker.Answered {
 			served++
 		}
 	}
-	require.LessOrEqual(t, bad.Arrivals()-met, 6, "of 40 parts, half of which it would draw")
+	require.LessOrEqual(t, hanging.Arrivals()-met, 6, "of 40 parts, half of which it would draw")
 	require.GreaterOrEqual(t, served, 36)
 }
 
-// A sound server on which one worker alone fails stays in use by the others.
+// A healthy server on which only one worker fails stays in use by the others.
 func TestFaultOfOneWorkerDoesNotMarkServerUnhealthy(t *testing.T) {
-	r := newRig(t, rigOptions{workers: 2, servers: 2, work: time.Millisecond})
-	r.ask(r.request(usage, 0, 2))
+	r := newTestGroup(t, testGroupOptions{workers: 2, servers: 2, serviceTime: time.Millisecond})
+	r.serve(r.request(usage, 0, 2))
 	s := r.fleet.Servers[0]
 	from := s.Arrivals()
-	for range 1000 { // so many that one slow answer, on a machine that does much else, is long forgotten at the end
-		require.Equal(t, broker.Answered, r.ask(r.request(usage, 0, 1), 1).Outcome)
-		r.state.mu.Lock() // worker 0 tells of a connection of its own that breaks, again and again
+	for range 1000 { // enough for one slow answer, on a busy machine, to have decayed at the end
+		require.Equal(t, broker.Answered, r.serve(r.request(usage, 0, 1), 1).Outcome)
+		r.state.mu.Lock() // worker 0 reports resets of its own connection, again and again
 		r.state.recordOutcome(0, r.now(), s.ID, decision.Reset, observations.Observation{Latency: 0.001, LoadReport: decision.NoLoadReport})
 		r.state.mu.Unlock()
 	}
 	require.Greater(t, s.Arrivals()-from, 200, "of 1000 parts that two servers hold")
 }
 
-func (r *rig) now() float64 { return float64(time.Now().UnixNano()) / 1e9 }
+func (r *testGroup) now() float64 { return float64(time.Now().UnixNano()) / 1e9 }
 
 // All workers together send a server that has just started no more than one would.
 func TestLeasesProtectServerInSlowStart(t *testing.T) {
 	var peak [2]int
 	for i, workers := range []int{1, 4} {
-		r := newRig(t, rigOptions{workers: workers, servers: 4, work: 4 * time.Millisecond, warmUp: 6})
-		r.load(8, 1500*time.Millisecond, func(c, n int) *broker.Request { return r.request(usage, c+n, 2) })
+		r := newTestGroup(t, testGroupOptions{workers: workers, servers: 4, serviceTime: 4 * time.Millisecond, warmUp: 6})
+		r.runLoad(8, 1500*time.Millisecond, func(c, n int) *broker.Request { return r.request(usage, c+n, 2) })
 		before := make([]int, 4)
 		for i, s := range r.fleet.Servers {
 			before[i] = s.Arrivals()
@@ -203,7 +203,7 @@
 		fresh := r.fleet.Servers[2]
 		fresh.Restart()
 		r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: 1, Servers: []broker.Endpoint{fresh.Endpoint(decision.Ready)}})
-		ends := r.load(8, 1600*time.Millisecond, func(c, n int) *broker.Request { return r.request(usage, c+n, 2) })
+		ends := r.runLoad(8, 1600*time.Millisecond, func(c, n int) *broker.Request { return r.request(usage, c+n, 2) })
 		require.NotZero(t, ends[broker.Answered])
 		peak[i] = fresh.MaxArrivals(1500 * time.Millisecond)
 		require.NotZero(t, peak[i], "it is warmed up, not left alone")
@@ -215,9 +215,9 @@
 	t.Logf("parts in the worst 1.5 s: one worker %d, four workers %d", peak[0], peak[1])
 }
 
-// The list changes while leases are out: servers restart, leave and come back under load.
+// Endpoints change while leases are outstanding: servers restart, are removed and come back under load.
 func TestEndpointUpdatesWhileLeasesAreOutstanding(t *testing.T) {
-	r := newRig(t, rigOptions{workers: 3, servers: 6, work: 2 * time.Millisecond, warmUp: 3})
+	r := newTestGroup(t, testGroupOptions{workers: 3, servers: 6, serviceTime: 2 * time.Millisecond, warmUp: 3})
 	stop := make(chan struct{})
 	var all sync.WaitGroup
 	all.Go(func() {
@@ -240,7 +240,7 @@
 			}
 		}
 	})
-	ends := r.load(8, 2*time.Second, r.mixed)
+	ends := r.runLoad(8, 2*time.Second, r.mixed)
 	close(stop)
 	all.Wait()
 	require.NotZero(t, ends[broker.Answered])
@@ -250,30 +250,30 @@
 	require.LessOrEqual(t, r.state.observations.Len(), 6)
 }
 
-// slow is a Decider that takes its time now and then, as one does whose core is taken away.
-type slow struct {
+// slowDecider is a Decider that returns late now and then, as if its core were taken away.
+type slowDecider struct {
 	decision.Decider
 	until *atomic.Int64
 }
 
-func (s slow) Handle(now float64, events []decision.Event) []decision.Action {
+func (s slowDecider) Handle(now float64, events []decision.Event) []decision.Action {
 	actions := s.Decider.Handle(now, events)
 	time.Sleep(time.Until(time.Unix(0, s.until.Load()))) // behind the decision: what it decided is old by then
 	return actions
 }
 
-// A drain is told while a worker is busy. What that worker had decided before must not go out after it.
+// A drain arrives while a worker is busy. What that worker had decided before must not be sent afterwards.
 func TestDrainStopsSendsOfBusyWorker(t *testing.T) {
 	var busy atomic.Int64
-	r := newRig(t, rigOptions{workers: 2, servers: 4, work: 2 * time.Millisecond,
+	r := newTestGroup(t, testGroupOptions{workers: 2, servers: 4, serviceTime: 2 * time.Millisecond,
 		decider: func(w int, set decision.Settings, seed uint64) decision.Decider {
 			if w == 0 {
-				return slow{decision.New(set, seed), &busy}
+				return slowDecider{decision.New(set, seed), &busy}
 			}
 			return decision.New(set, seed)
 		}})
-	var told sync.WaitGroup
-	told.Go(func() {
+	var updates sync.WaitGroup
+	updates.Go(func() {
 		time.Sleep(300 * time.Millisecond)
 		busy.Store(time.Now().Add(700 * time.Millisecond).UnixNano())
 		time.Sleep(50 * time.Millisecond) // parts for all servers are decided and wait
@@ -281,36 +281,36 @@
 		s.RecordDrain()
 		r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: 1, Servers: []broker.Endpoint{s.Endpoint(decision.Draining)}})
 		if late := time.Since(time.Unix(0, busy.Load())); late >= 0 {
-			t.Errorf("the watch of the list was held up until %v after the worker was free again", late)
+			t.Errorf("the endpoint watch was blocked until %v after the worker was free again", late)
 		}
 	})
-	ends := r.load(8, 1500*time.Millisecond, func(c, n int) *broker.Request { return r.request(usage, c+n, 4) })
-	told.Wait()
+	ends := r.runLoad(8, 1500*time.Millisecond, func(c, n int) *broker.Request { return r.request(usage, c+n, 4) })
+	updates.Wait()
 	require.NotZero(t, ends[broker.Answered])
 	require.LessOrEqual(t, updateTimeout, 200*time.Millisecond, "a watch waits for a busy worker no longer than this")
 }
 
-// All load comes by one connection, one query after the other: it is spread all the same.
+// Queries that arrive one after the other on one connection are spread over the workers.
 func TestLoadOfOneConnectionSpreadsOverWorkers(t *testing.T) {
-	var asked [2]atomic.Int64
-	r := newRig(t, rigOptions{workers: 2, servers: 4, work: time.Millisecond,
+	var queries [2]atomic.Int64
+	r := newTestGroup(t, testGroupOptions{workers: 2, servers: 4, serviceTime: time.Millisecond,
 		decider: func(w int, set decision.Settings, seed uint64) decision.Decider {
-			return counting{decision.New(set, seed), &asked[w]}
+			return countingDecider{decision.New(set, seed), &queries[w]}
 		}})
 	for n := range 100 {
-		require.Equal(t, broker.Answered, r.ask(r.request(usage, n, 2)).Outcome)
+		require.Equal(t, broker.Answered, r.serve(r.request(usage, n, 2)).Outcome)
 	}
-	require.Greater(t, asked[0].Load(), int64(25))
-	require.Greater(t, asked[1].Load(), int64(25))
+	require.Greater(t, queries[0].Load(), int64(25))
+	require.Greater(t, queries[1].Load(), int64(25))
 	require.Equal(t, []int{0, 0}, r.InFlightByWorker())
 }
 
-type counting struct {
+type countingDecider struct {
 	decision.Decider
 	n *atomic.Int64
 }
 
-func (c counting) Handle(now float64, events []decision.Event) []decision.Action {
+func (c countingDecider) Handle(now float64, events []decision.Event) []decision.Action {
 	for _, e := range events {
 		if _, ok := e.(decision.Query); ok {
 			c.n.Add(1)
@@ -319,10 +319,10 @@
 	return c.Decider.Handle(now, events)
 }
 
-// Classes are skewed to what must not run twice, servers fail and break off, and clients ask again at once, with a
-// new name, at whichever worker. The ledger watches the rules.
+// Most queries are not idempotent, servers fail and reset connections, and clients retry at once, with a new name, at any
+// worker. The fake servers check the rules.
 func TestNonIdempotentPartsAcrossWorkers(t *testing.T) {
-	r := newRig(t, rigOptions{workers: 4, servers: 4, work: 3 * time.Millisecond})
+	r := newTestGroup(t, testGroupOptions{workers: 4, servers: 4, serviceTime: 3 * time.Millisecond})
 	for _, s := range r.fleet.Servers[:2] {
 		s.SetFailureRatio(0.3)
 	}
@@ -338,7 +338,7 @@
 			}
 		}
 	})
-	ends := r.load(12, 1500*time.Millisecond, func(c, n int) *broker.Request {
+	ends := r.runLoad(12, 1500*time.Millisecond, func(c, n int) *broker.Request {
 		if n%10 == 0 {
 			return r.request(report, c, 4)
 		}
@@ -349,9 +349,9 @@
 	require.NotZero(t, ends[broker.Answered])
 }
 
-// A name that is being served is served once, whichever workers get it.
+// A query name in flight is served once, whichever workers receive it.
 func TestDuplicateNameIsRejectedAcrossWorkers(t *testing.T) {
-	r := newRig(t, rigOptions{workers: 4, servers: 4, work: 30 * time.Millisecond})
+	r := newTestGroup(t, testGroupOptions{workers: 4, servers: 4, serviceTime: 30 * time.Millisecond})
 	for range 10 {
 		q := r.request(charge, 0, 1)
 		var ends [5]atomic.Int64
@@ -360,7 +360,7 @@
 			all.Go(func() {
 				again := *q
 				again.ReceivedAt = time.Now()
-				ends[r.ask(&again).Outcome].Add(1)
+				ends[r.serve(&again).Outcome].Add(1)
 			})
 		}
 		all.Wait()
@@ -371,7 +371,7 @@
 }
 
 func TestDisconnectReleasesCapacity(t *testing.T) {
-	r := newRig(t, rigOptions{workers: 2, servers: 2, openCap: 4, work: 200 * time.Millisecond})
+	r := newTestGroup(t, testGroupOptions{workers: 2, servers: 2, limit: 4, serviceTime: 200 * time.Millisecond})
 	for range 5 {
 		q := r.request(usage, 0, 2)
 		r.Submit(q, make(answer, 1))
@@ -379,40 +379,40 @@
 		require.Eventually(t, func() bool { return r.limiter.Acquired() == 0 && r.InFlight() == 0 }, time.Second, time.Millisecond)
 	}
 	require.Equal(t, []int{0, 0}, r.InFlightByWorker())
-	require.Equal(t, broker.Answered, r.ask(r.request(usage, 0, 1)).Outcome)
+	require.Equal(t, broker.Answered, r.serve(r.request(usage, 0, 1)).Outcome)
 }
 
-// The open cap holds for all workers together.
+// The concurrency limit holds for all workers together.
 func TestConcurrencyLimitIsSharedByWorkers(t *testing.T) {
-	r := newRig(t, rigOptions{workers: 4, servers: 4, openCap: 9, work: 100 * time.Millisecond})
+	r := newTestGroup(t, testGroupOptions{workers: 4, servers: 4, limit: 9, serviceTime: 100 * time.Millisecond})
 	var all sync.WaitGroup
-	var served, refused atomic.Int64
+	var served, rejected atomic.Int64
 	for range 8 {
 		all.Go(func() {
-			switch res := r.ask(r.request(usage, 0, 2)); res.Outcome { // three of nine each
+			switch res := r.serve(r.request(usage, 0, 2)); res.Outcome { // three of nine each
 			case broker.Answered:
 				served.Add(1)
 			case broker.Rejected:
 				require.Equal(t, 0.5, res.RetryAfter)
-				refused.Add(1)
+				rejected.Add(1)
 			}
 		})
 	}
 	all.Wait()
 	require.Equal(t, int64(3), served.Load())
-	require.Equal(t, int64(5), refused.Load())
+	require.Equal(t, int64(5), rejected.Load())
 }
 
 func TestMoreWorkersThanCores(t *testing.T) {
-	r := newRig(t, rigOptions{workers: 3 * runtime.NumCPU(), servers: 6, work: 2 * time.Millisecond, warmUp: 3})
-	ends := r.load(24, time.Second, r.mixed)
+	r := newTestGroup(t, testGroupOptions{workers: 3 * runtime.NumCPU(), servers: 6, serviceTime: 2 * time.Millisecond, warmUp: 3})
+	ends := r.runLoad(24, time.Second, r.mixed)
 	require.Greater(t, ends[broker.Answered], 9*(ends[broker.Failed]+ends[broker.DeadlineExceeded]))
 }
 
 // Six connections for four servers and four workers: calls share them, and no worker starves.
 func TestWorkersWithFewDescriptors(t *testing.T) {
-	r := newRig(t, rigOptions{workers: 4, servers: 4, conns: 6, work: 2 * time.Millisecond})
-	ends := r.load(12, time.Second, r.mixed)
+	r := newTestGroup(t, testGroupOptions{workers: 4, servers: 4, conns: 6, serviceTime: 2 * time.Millisecond})
+	ends := r.runLoad(12, time.Second, r.mixed)
 	require.Greater(t, ends[broker.Answered], 9*(ends[broker.Failed]+ends[broker.DeadlineExceeded]))
 	conns := 0
 	for _, s := range r.fleet.Servers {
@@ -421,10 +421,10 @@
 	require.LessOrEqual(t, conns, 6+2) // one just closed may not be gone yet
 }
 
-// doomed is a Decider that panics at a query of two parts.
-type doomed struct{ decision.Decider }
+// panickingDecider is a Decider that panics on a query of two parts.
+type panickingDecider struct{ decision.Decider }
 
-func (d doomed) Handle(now float64, events []decision.Event) []decision.Action {
+func (d panickingDecider) Handle(now float64, events []decision.Event) []decision.Action {
 	for _, e := range events {
 		if q, ok := e.(decision.Query); ok && q.Parts == 2 {
 			panic("a fault in the decisions")
@@ -433,28 +433,28 @@
 	return d.Decider.Handle(now, events)
 }
 
-// A worker that panics leaves nobody hanging: what it held fails at once, the others serve on.
+// The queries of a worker that panics fail at once, and the others continue to serve.
 func TestPanickingWorkerFailsItsQueries(t *testing.T) {
-	r := newRig(t, rigOptions{workers: 2, servers: 4, work: 150 * time.Millisecond,
+	r := newTestGroup(t, testGroupOptions{workers: 2, servers: 4, serviceTime: 150 * time.Millisecond,
 		decider: func(_ int, set decision.Settings, seed uint64) decision.Decider {
-			return doomed{decision.New(set, seed)}
+			return panickingDecider{decision.New(set, seed)}
 		}})
-	held := make(chan broker.Result, 4)
+	inFlight := make(chan broker.Result, 4)
 	for i := range 4 {
-		go func() { held <- r.ask(r.request(usage, i, 1), 0) }()
+		go func() { inFlight <- r.serve(r.request(usage, i, 1), 0) }()
 	}
 	time.Sleep(20 * time.Millisecond)
 	began := time.Now()
-	require.Equal(t, broker.Failed, r.ask(r.request(usage, 0, 2), 0).Outcome)
+	require.Equal(t, broker.Failed, r.serve(r.request(usage, 0, 2), 0).Outcome)
 	for range 4 {
-		require.Equal(t, broker.Failed, (<-held).Outcome)
+		require.Equal(t, broker.Failed, (<-inFlight).Outcome)
 	}
 	require.Less(t, time.Since(began), 200*time.Millisecond)
 	<-r.Failed()
-	require.Equal(t, broker.Failed, r.ask(r.request(usage, 0, 1), 0).Outcome, "posted to a loop that is gone")
+	require.Equal(t, broker.Failed, r.serve(r.request(usage, 0, 1), 0).Outcome, "posted to a loop that is gone")
 	require.True(t, r.Ready())
 	for i := range 4 {
-		require.Equal(t, broker.Answered, r.ask(r.request(usage, i, 1)).Outcome)
+		require.Equal(t, broker.Answered, r.serve(r.request(usage, i, 1)).Outcome)
 	}
 	r.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: 1, Servers: r.fleet.Endpoints()})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/internal/workers/lease/lease.go
+++ b/internal/workers/lease/lease.go
@@ -95,7 +95,7 @@
 }
 
 // Renew returns a worker's lease for a decision that EndDecision ends. The times of workers that decide side by side are
-// not in order: one that is slow must not find its lease given to another that came later. A lease that has expired is
+// not in order: a slow one must not find its lease granted to another that renewed later. A lease that has expired is
 // made anew; one that is good is returned as it is, and grows where there is budget that others do not want. The capacity
 // is what the server bears within one window now. Where it has shrunk below what is granted, nothing is revoked: a lease
 // is a promise, and short.
--- a/internal/workers/lease/lease_test.go
+++ b/internal/workers/lease/lease_test.go
@@ -11,25 +11,24 @@
 	"mothrouter/internal/workers/lease"
 )
 
-// Over any schedule of decisions that overlap, sends, pauses and a whole that changes: what is sent within a window
-// and what is granted never sum to more than the largest whole of late, and no worker sends beyond its lease, however
-// long it takes to decide.
+// For any schedule of overlapping decisions, sends, pauses and changing capacities: what is sent within a window and what is
+// granted never exceed the largest recent capacity, and no worker sends beyond its lease, however long it takes to decide.
 func TestLeasesNeverExceedCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		workers := rapid.IntRange(1, 8).Draw(t, "workers")
 		const window = 1.5
 		r := lease.NewBudget(workers, window)
-		now, whole := 100.0, 0
+		now, capacity := 100.0, 0
 		type decision struct {
 			at    float64
 			grant lease.Lease
 		}
 		deciding := make([]*decision, workers)
-		type told struct {
-			at    float64
-			whole int
+		type pastCapacity struct {
+			at       float64
+			capacity int
 		}
-		var wholes []told // what the whole was, as long as it may matter
+		var capacities []pastCapacity // recent ones
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 0.2).Draw(t, "pause")
 			w := rapid.IntRange(0, workers-1).Draw(t, "worker")
@@ -41,9 +40,9 @@
 				r.EndDecision(w)
 				deciding[w] = nil
 			} else {
-				whole = rapid.IntRange(max(0, whole-1), whole+2).Draw(t, "whole")
-				wholes = append(wholes, told{now, whole})
-				g := r.Renew(w, float64(whole), now)
+				capacity = rapid.IntRange(max(0, capacity-1), capacity+2).Draw(t, "capacity")
+				capacities = append(capacities, pastCapacity{now, capacity})
+				g := r.Renew(w, float64(capacity), now)
 				if g.Parts > 0 && (now > g.ExpiresAt || g.ExpiresAt > now+lease.Duration+1e-9) {
 					t.Fatalf("a lease until %g at %g", g.ExpiresAt, now)
 				}
@@ -56,9 +55,9 @@
 				}
 			}
 			bound := 0
-			for _, o := range wholes {
+			for _, o := range capacities {
 				if o.at >= oldest-window-lease.Duration-0.2 {
-					bound = max(bound, o.whole)
+					bound = max(bound, o.capacity)
 				}
 			}
 			if sent, granted := r.Outstanding(now); sent+granted > bound {
@@ -79,7 +78,7 @@
 	require.False(t, r.Spend(0, 1, 10+lease.Duration/2))
 }
 
-// What one worker does not use goes to the one that does.
+// What one worker does not use is granted to the one that does.
 func TestLeasesFollowDemand(t *testing.T) {
 	r := lease.NewBudget(4, 1.5)
 	busy, idle := 0, 0
@@ -96,18 +95,18 @@
 			}
 		}
 	}
-	require.Greater(t, busy, 40, "of 53 that four seconds of a whole of 20 in 1.5 s allow")
+	require.Greater(t, busy, 40, "of 53 that four seconds of a capacity of 20 in 1.5 s allow")
 	require.LessOrEqual(t, busy, 60)
 	require.LessOrEqual(t, idle, 5)
 }
 
-// Where the whole is less than the workers, single parts go round, and a worker that is gone holds up nobody.
+// With a capacity below the number of workers, single parts are granted in turn, and an idle worker delays no other.
 func TestSinglePartsGoRoundRobin(t *testing.T) {
 	r := lease.NewBudget(4, 0.5)
 	got := make([]int, 4)
 	for i := range 4000 {
 		now := 10 + 0.01*float64(i)
-		for w := range 3 { // the fourth never asks
+		for w := range 3 { // the fourth never renews
 			g := r.Renew(w, 1, now)
 			r.EndDecision(w)
 			if g.Parts == 0 {
--- a/internal/workers/observations/observations_test.go
+++ b/internal/workers/observations/observations_test.go
@@ -59,7 +59,7 @@
 	require.Empty(t, b.Collect(2, 10.7))
 }
 
-// A server that hangs ends no attempt. Waits that were given up tell of it, unless it answers others meanwhile.
+// A hanging server ends no attempt. Attempts that timed out are observations of it, unless it answers others meanwhile.
 func TestSlowServerIsNotSilent(t *testing.T) {
 	given := observations.Observation{Kind: observations.TimedOut, Latency: 0.4, LoadReport: decision.NoLoadReport}
 	b := observations.NewShared(2)
@@ -90,7 +90,7 @@
 		}
 	}
 	require.Greater(t, n, 2)
-	require.Less(t, n, 7, "a report costs the listener a little each time")
+	require.Less(t, n, 7, "each load report costs the collecting worker a little")
 }
 
 func TestForgetDropsObservations(t *testing.T) {
@@ -101,15 +101,15 @@
 	require.Zero(t, b.Len())
 }
 
-// Over any schedule: hearsay is never older than MaxAge nor than the listener's own news, it comes from another
-// worker, its weight stays in bounds, and a call brings a bounded number.
+// For any schedule: a collected observation is never older than MaxAge nor than the collecting worker's own, it is another
+// worker's, its weight is bounded, and so is the number of one call.
 func TestObservationsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const workers, servers = 3, 4
 		b := observations.NewShared(workers)
 		now := 10.0
 		var own [workers][servers]float64
-		last := [servers][workers]float64{} // the latest that anyone but... each worker saw
+		last := [servers][workers]float64{} // time of each worker's latest observation
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 0.5).Draw(t, "pause")
 			w, s := rapid.IntRange(0, workers-1).Draw(t, "worker"), rapid.IntRange(0, servers-1).Draw(t, "server")
@@ -123,11 +123,11 @@
 				last[s][w] = now
 				continue
 			}
-			heard := b.Collect(w, now)
-			if len(heard) > 64 {
-				t.Fatalf("%d pieces at once", len(heard))
+			collected := b.Collect(w, now)
+			if len(collected) > 64 {
+				t.Fatalf("%d observations at once", len(collected))
 			}
-			for _, h := range heard {
+			for _, h := range collected {
 				var id int
 				fmt.Sscan(h.Server, &id)
 				from := false
@@ -135,7 +135,7 @@
 					from = from || other != w && last[id][other] > 0 && h.At <= last[id][other]
 				}
 				if !from || now-h.At > observations.MaxAge || h.At <= own[w][id] || h.Weight < 0 || h.Weight > 0.75 {
-					t.Fatalf("worker %d hears %+v at %g, own news %g", w, h, now, own[w][id])
+					t.Fatalf("worker %d collects %+v at %g, own observation %g", w, h, now, own[w][id])
 				}
 			}
 		}
