--- a/internal/controlplane/consensus/simulator_test.go
+++ b/internal/controlplane/consensus/simulator_test.go
@@ -1,13 +1,14 @@
 package consensus
 
 import (
-	"container/heap"
 	cryptorand "crypto/rand"
 	"fmt"
 	"hash/fnv"
 	"io"
 	"math/rand/v2"
 	"time"
+
+	"mothrouter/internal/controlplane/simulationtest"
 )
 
 // A simulation is four members and some clients on a virtual network and clock, driven by one seed: the same seed gives
@@ -26,20 +27,19 @@
 
 // simulation is one run.
 type simulation struct {
-	seed       uint64
-	fault      fault
-	random     *rand.Rand
-	now        time.Duration
-	events     eventQueue
-	eventCount int // events scheduled, the order of those at one time
-	ended      bool
-	members    map[uint64]*simulatedMember
-	network    network
-	clients    []*client
-	checker    *invariantChecker
-	trace      io.Writer // written to a digest
-	digest     func() uint64
-	stats      simulationStats
+	seed    uint64
+	fault   fault
+	random  *rand.Rand
+	now     time.Duration
+	events  simulationtest.EventQueue
+	ended   bool
+	members map[uint64]*simulatedMember
+	network network
+	clients []*client
+	checker *invariantChecker
+	trace   io.Writer // written to a digest
+	digest  func() uint64
+	stats   simulationStats
 }
 
 // simulationStats count the events of a run, so that a test can require that its invariants were exercised.
@@ -97,10 +97,10 @@
 
 // run runs the events in order until the end.
 func (s *simulation) run() {
-	for len(s.events) > 0 && s.events[0].at < endAt && !s.ended {
-		next := heap.Pop(&s.events).(event)
-		s.now = next.at
-		next.run()
+	for at, ok := s.events.NextAt(); ok && at < endAt && !s.ended; at, ok = s.events.NextAt() {
+		next := s.events.Pop()
+		s.now = next.At
+		next.Run()
 	}
 }
 
@@ -118,8 +118,7 @@
 
 // at schedules a function at a time of the simulation.
 func (s *simulation) at(when time.Duration, run func()) {
-	s.eventCount++
-	heap.Push(&s.events, event{at: max(when, s.now), order: s.eventCount, run: run})
+	s.events.Schedule(max(when, s.now), run)
 }
 
 func (s *simulation) after(wait time.Duration, run func()) { s.at(s.now+wait, run) }
--- a/internal/controlplane/distribution/simulation_test.go
+++ b/internal/controlplane/distribution/simulation_test.go
@@ -1,7 +1,6 @@
 package distribution_test
 
 import (
-	"container/heap"
 	"fmt"
 	"hash/fnv"
 	"math/rand/v2"
@@ -13,6 +12,7 @@
 
 	"mothrouter/internal/controlplane/configpb"
 	"mothrouter/internal/controlplane/distribution"
+	"mothrouter/internal/controlplane/simulationtest"
 )
 
 // The simulation runs brokers and four control machines in virtual time. Its streams behave like TCP connections: in
@@ -38,28 +38,6 @@
 // zoneOfHub is each hub's zone. Hubs 0 to 2 are the voters, one in each region; hub 3 is the spare, in the first one.
 var zoneOfHub = [hubs]int{0, 3, 6, 1}
 
-type scheduledEvent struct {
-	at    time.Duration
-	order int
-	run   func()
-}
-
-type eventQueue []scheduledEvent
-
-func (q eventQueue) Len() int { return len(q) }
-func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
-}
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(v any)   { *q = append(*q, v.(scheduledEvent)) }
-func (q *eventQueue) Pop() any {
-	old := *q
-	last := old[len(old)-1]
-	old[len(old)-1] = scheduledEvent{}
-	*q = old[:len(old)-1]
-	return last
-}
-
 // plantedFault is a fault of the system under test that a checker has to find.
 type plantedFault string
 
@@ -89,8 +67,7 @@
 	simOptions
 	rng         *rand.Rand
 	now         time.Duration
-	queue       eventQueue
-	lastOrder   int
+	queue       simulationtest.EventQueue
 	events      int
 	trace       uint64
 	hubs        [hubs]*simHub
@@ -136,16 +113,15 @@
 func (s *simulation) time() time.Time { return epoch.Add(s.now) }
 
 func (s *simulation) after(wait time.Duration, run func()) {
-	s.lastOrder++
-	heap.Push(&s.queue, scheduledEvent{s.now + max(wait, 0), s.lastOrder, run})
+	s.queue.Schedule(s.now+max(wait, 0), run)
 }
 
 func (s *simulation) runUntil(end time.Duration) {
-	for len(s.queue) > 0 && s.queue[0].at <= end {
-		e := heap.Pop(&s.queue).(scheduledEvent)
-		s.now = e.at
+	for at, ok := s.queue.NextAt(); ok && at <= end; at, ok = s.queue.NextAt() {
+		next := s.queue.Pop()
+		s.now = next.At
 		s.events++
-		e.run()
+		next.Run()
 	}
 	s.now = end
 }
