--- a/cmd/mothrouter/program_test.go
+++ b/cmd/mothrouter/program_test.go
@@ -9,12 +9,13 @@
 	"os/exec"
 	"path/filepath"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
 
 	"github.com/stretchr/testify/require"
+
+	"mothrouter/internal/harness/logtest"
 )
 
 const (
@@ -95,7 +96,7 @@
 	listen     string // address for clients
 	configPath string
 	cmd        *exec.Cmd
-	log        logBuffer
+	log        logtest.Buffer
 }
 
 // run writes the configuration file and starts the process, which is killed when the test ends.
@@ -143,24 +144,6 @@
 	}
 }
 
-// logBuffer holds what a process writes. It is safe for concurrent use.
-type logBuffer struct {
-	mu   sync.Mutex
-	data bytes.Buffer
-}
-
-func (l *logBuffer) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.data.Write(b)
-}
-
-func (l *logBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.data.String()
-}
-
 // addresses counts the addresses that unusedAddress has returned.
 var addresses atomic.Int32
 
--- a/internal/cluster/fleet/fleet_test.go
+++ b/internal/cluster/fleet/fleet_test.go
@@ -7,7 +7,6 @@
 	"net"
 	"net/netip"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -18,26 +17,9 @@
 	"mothrouter/internal/cluster/membership"
 	"mothrouter/internal/cluster/plane"
 	"mothrouter/internal/cluster/plane/planepb"
+	"mothrouter/internal/harness/logtest"
 )
 
-// logBuffer collects a log.
-type logBuffer struct {
-	mu   sync.Mutex
-	text strings.Builder
-}
-
-func (l *logBuffer) Write(b []byte) (int, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.Write(b)
-}
-
-func (l *logBuffer) String() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.text.String()
-}
-
 func startPlane(t *testing.T, log io.Writer, name string, seeds ...netip.AddrPort) (p *fleet.Plane, addr netip.AddrPort, end func()) {
 	addr = netip.MustParseAddrPort("127.79.0." + name + ":7946")
 	p, err := fleet.Listen(fleet.Options{Listen: addr, Fleet: "f", Name: name, Seeds: append(seeds, addr),
@@ -70,7 +52,7 @@
 
 // TestInvalidDatagramsAreDroppedAndCounted sends datagrams of another fleet, truncated, oversized and empty ones, and a flood.
 func TestInvalidDatagramsAreDroppedAndCounted(t *testing.T) {
-	log := &logBuffer{}
+	log := &logtest.Buffer{}
 	p, addr, end := startPlane(t, log, "9")
 	defer end()
 	conn, err := net.Dial("udp", addr.String())
--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -1,7 +1,6 @@
 package checkpoint
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
@@ -19,6 +18,7 @@
 	"github.com/stretchr/testify/require"
 
 	"mothrouter/internal/decision"
+	"mothrouter/internal/harness/logtest"
 	"mothrouter/internal/state/snapshot"
 )
 
@@ -53,25 +53,8 @@
 
 func (idleDecider) Handle(float64, []decision.Event) []decision.Action { return nil }
 
-type logBuffer struct {
-	mu sync.Mutex
-	b  bytes.Buffer
-}
-
-func (t *logBuffer) Write(p []byte) (int, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.b.Write(p)
-}
-
-func (t *logBuffer) count(s string) int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return strings.Count(t.b.String(), s)
-}
-
-func openSaver(folder string, files Files) (*Saver, *logBuffer) {
-	var out logBuffer
+func openSaver(folder string, files Files) (*Saver, *logtest.Buffer) {
+	var out logtest.Buffer
 	return Open(Options{Folder: folder, Interval: 20 * time.Millisecond, Instance: "n1", Settings: 7, Files: files,
 		Log: slog.New(slog.NewTextHandler(&out, nil))}), &out
 }
@@ -79,7 +62,7 @@
 func TestOpenRestoresSavedState(t *testing.T) {
 	folder := t.TempDir()
 	k, out := openSaver(folder, nil)
-	require.Equal(t, 1, out.count("starting blank"))
+	require.Equal(t, 1, strings.Count(out.String(), "starting blank"))
 	recordOutcomes(k, 20)
 	ctx, cancel := context.WithCancel(context.Background())
 	var all sync.WaitGroup
@@ -91,7 +74,7 @@
 	k, out = openSaver(folder, nil)
 	require.NotNil(t, k.restored)
 	require.Len(t, k.restored.Servers, 40)
-	require.Equal(t, 1, out.count("saved state restored"))
+	require.Equal(t, 1, strings.Count(out.String(), "saved state restored"))
 	var heard int
 	w := k.Watch(deciderFunc(func(events []decision.Event) {
 		for _, e := range events {
@@ -197,7 +180,7 @@
 				require.Len(t, k.restored.Servers, 2)
 			} else if torn {
 				require.Nil(t, k.restored, "cut at %d", steps)
-				require.Equal(t, 1, out.count("saved state unusable"))
+				require.Equal(t, 1, strings.Count(out.String(), "saved state unusable"))
 				require.FileExists(t, filepath.Join(folder, QuarantineName))
 				require.NoFileExists(t, filepath.Join(folder, FileName))
 			} else {
@@ -225,7 +208,7 @@
 		require.NoError(t, os.WriteFile(filepath.Join(folder, FileName), b, 0o600))
 		k, out := openSaver(folder, nil)
 		require.Nil(t, k.restored)
-		require.Equal(t, 1, out.count(why), why)
+		require.Equal(t, 1, strings.Count(out.String(), why), why)
 		require.FileExists(t, filepath.Join(folder, QuarantineName))
 		recordOutcomes(k, 3)
 		require.NoError(t, k.Save())
@@ -256,11 +239,11 @@
 		for range 20 {
 			require.ErrorIs(t, k.Save(), err)
 		}
-		require.Equal(t, 1, out.count("state not saved"))
+		require.Equal(t, 1, strings.Count(out.String(), "state not saved"))
 		layer.err = nil
 		require.NoError(t, k.Save())
 		require.NoError(t, k.Save())
-		require.Equal(t, 1, out.count("state saved again"))
+		require.Equal(t, 1, strings.Count(out.String(), "state saved again"))
 	}
 }
 
@@ -271,17 +254,17 @@
 	require.NoError(t, first.Save())
 	second, out := openSaver(folder, nil) // takes over while the first still runs: it reads, and does not write
 	require.NotNil(t, second.restored)
-	require.Equal(t, 1, out.count("locked by another process"))
+	require.Equal(t, 1, strings.Count(out.String(), "locked by another process"))
 	recordOutcomes(second, 9)
 	for range 5 {
 		require.Error(t, second.Save())
 	}
-	require.Equal(t, 1, out.count("locked by another process"))
+	require.Equal(t, 1, strings.Count(out.String(), "locked by another process"))
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	first.Run(ctx) // its clean end
 	require.NoError(t, second.Save())
-	require.Equal(t, 1, out.count("state saved again"))
+	require.Equal(t, 1, strings.Count(out.String(), "state saved again"))
 	third, _ := openSaver(folder, nil)
 	require.Len(t, third.restored.Servers, 9)
 }
@@ -297,7 +280,7 @@
 	for range 5 {
 		require.Error(t, k.Save())
 	}
-	require.Equal(t, 2, out.count("state folder unusable"), "once for each time")
+	require.Equal(t, 2, strings.Count(out.String(), "state folder unusable"), "once for each time")
 	require.NoError(t, os.Mkdir(folder, 0o700))
 	other, _ := openSaver(folder, nil)
 	require.NotNil(t, other.lockFile)
