--- a/internal/workers/cores/configure_test.go
+++ b/internal/workers/cores/configure_test.go
@@ -17,38 +17,38 @@
 	"mothrouter/internal/decision"
 )
 
-// recorder is a worker's Decider: it keeps what it hears of classes and queries, refuses each query at once unless it
-// is silent, and has its loop wait, or die, where a test says so by a Timer.
-type recorder struct {
-	mu     sync.Mutex
-	heard  []decision.Event // ClassesChanged and Query
-	silent bool
-	hold   chan struct{} // a Timer with token tokenHold waits for it
-	holds  chan struct{} // and tells so
-	once   sync.Once
+// recordingDecider is a worker's Decider that records class changes and queries. It rejects each query at once unless it
+// is silent. A TimerFired event, by its token, blocks the worker's loop or makes it panic.
+type recordingDecider struct {
+	mu       sync.Mutex
+	recorded []decision.Event // ClassesChanged and Query
+	silent   bool
+	resume   chan struct{} // closed to unblock the loop
+	blocked  chan struct{} // receives when a tokenBlock blocks the loop
+	once     sync.Once
 }
 
-// goOn lets a loop that waits go on.
-func (d *recorder) goOn() { d.once.Do(func() { close(d.hold) }) }
+// unblock resumes a blocked loop. It may be called again.
+func (d *recordingDecider) unblock() { d.once.Do(func() { close(d.resume) }) }
 
 const (
-	tokenHold = iota
-	tokenDie
+	tokenBlock = iota
+	tokenPanic
 )
 
-func (d *recorder) Handle(_ float64, events []decision.Event) (actions []decision.Action) {
+func (d *recordingDecider) Handle(_ float64, events []decision.Event) (actions []decision.Action) {
 	for _, e := range events {
 		switch e := e.(type) {
 		case decision.TimerFired:
-			if e.Token == tokenDie {
-				panic("as the test says")
+			if e.Token == tokenPanic {
+				panic("requested by the test")
 			}
-			d.holds <- struct{}{}
-			<-d.hold
+			d.blocked <- struct{}{}
+			<-d.resume
 		case decision.ClassesChanged:
-			d.keep(e)
+			d.record(e)
 		case decision.Query:
-			d.keep(e)
+			d.record(e)
 			if !d.silent {
 				actions = append(actions, decision.Reject{ID: e.ID})
 			}
@@ -57,26 +57,26 @@
 	return actions
 }
 
-func (d *recorder) keep(e decision.Event) {
+func (d *recordingDecider) record(e decision.Event) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.heard = append(d.heard, e)
+	d.recorded = append(d.recorded, e)
 }
 
-// recorded is a group of recorders with the classes of settings, under an open cap.
-type recorded struct {
+// recordingGroup is a group of workers with recording Deciders and the classes of settings.
+type recordingGroup struct {
 	*testing.T
 	*Group
-	deciders []*recorder
+	deciders []*recordingDecider
 	next     atomic.Int64
 }
 
-func newRecorded(t *testing.T, workers, openCap int, silent bool) *recorded {
-	r := &recorded{T: t}
-	r.Group = New(Options{Workers: workers, Settings: settings(1, 0), ConcurrencyLimit: openCap, Seed: 7,
+func newRecordingGroup(t *testing.T, workers, concurrencyLimit int, silent bool) *recordingGroup {
+	r := &recordingGroup{T: t}
+	r.Group = New(Options{Workers: workers, Settings: settings(1, 0), ConcurrencyLimit: concurrencyLimit, Seed: 7,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Decider: func(int, decision.Settings, uint64) decision.Decider {
-			d := &recorder{hold: make(chan struct{}), holds: make(chan struct{}, 1), silent: silent}
+			d := &recordingDecider{resume: make(chan struct{}), blocked: make(chan struct{}, 1), silent: silent}
 			r.deciders = append(r.deciders, d)
 			return d
 		}}, nil)
@@ -89,15 +89,16 @@
 	t.Cleanup(func() {
 		cancel()
 		for _, d := range r.deciders {
-			d.goOn()
+			d.unblock()
 		}
 		<-ended
 	})
 	return r
 }
 
-// classesOf are the classes of settings with another deadline and aim.
-func classesOf(deadline float64) []decision.Class {
+// classesWithDeadline returns the classes of settings with another deadline, in seconds, and half of it as the latency
+// objective.
+func classesWithDeadline(deadline float64) []decision.Class {
 	classes := slices.Clone(settings(1, 0).Classes)
 	for i := range classes {
 		classes[i].LatencyObjective, classes[i].Deadline = deadline/2, deadline
@@ -105,8 +106,8 @@
 	return classes
 }
 
-// query hands over a query of so many parts that waits for its class's deadline.
-func (r *recorded) query(parts int) answer {
+// query submits a query of a number of parts, with its class's deadline.
+func (r *recordingGroup) query(parts int) answer {
 	a := make(answer, 1)
 	q := &broker.Request{ID: fmt.Sprint("q", r.next.Add(1)), TimeoutUnstated: true, ReceivedAt: time.Now()}
 	for i := range parts {
@@ -116,66 +117,66 @@
 	return a
 }
 
-func (r *recorded) outcome(a answer) broker.Outcome {
+func (r *recordingGroup) outcome(a answer) broker.Outcome {
 	r.Helper()
 	select {
 	case res := <-a:
 		return res.Outcome
 	case <-time.After(5 * time.Second):
-		require.FailNow(r, "no answer came")
+		require.FailNow(r, "no response")
 		return 0
 	}
 }
 
-// Queries and changes from several goroutines: each worker hears of each change, in one order, and each query is
-// taken whole under one of them: its deadline is the one that its worker heard of last.
+// Each worker receives each change, in one order, and accepts each query under exactly one of them: the query's
+// deadline is that of the last change that its worker received.
 func TestWorkersApplyChangesAtomically(t *testing.T) {
-	const workers, changes, askers = 4, 60, 6
-	r := newRecorded(t, workers, 0, false)
-	var asking sync.WaitGroup
+	const workers, changes, clients = 4, 60, 6
+	r := newRecordingGroup(t, workers, 0, false)
+	var running sync.WaitGroup
 	ended := make(chan struct{})
-	var asked atomic.Int64
-	for range askers {
-		asking.Go(func() {
+	var answered atomic.Int64
+	for range clients {
+		running.Go(func() {
 			for {
 				select {
 				case <-ended:
 					return
 				default:
 					r.outcome(r.query(1))
-					asked.Add(1)
+					answered.Add(1)
 				}
 			}
 		})
 	}
 	for i := range changes {
-		before := asked.Load()
-		require.NoError(t, r.Configure(broker.Change{Classes: classesOf(float64(10 + i))}))
+		before := answered.Load()
+		require.NoError(t, r.Configure(broker.Change{Classes: classesWithDeadline(float64(10 + i))}))
 		require.Equal(t, float64(10+i), r.LongestDeadline().Seconds())
-		require.Eventually(t, func() bool { return asked.Load() > before+workers }, 5*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return answered.Load() > before+workers }, 5*time.Second, time.Millisecond)
 	}
 	close(ended)
-	asking.Wait()
+	running.Wait()
 	queries := 0
 	for _, d := range r.deciders {
-		deadline, heard := settings(1, 0).Classes[0].Deadline, 0
-		for _, e := range d.heard {
+		deadline, changesSeen := settings(1, 0).Classes[0].Deadline, 0
+		for _, e := range d.recorded {
 			switch e := e.(type) {
 			case decision.ClassesChanged:
-				require.Equal(t, classesOf(float64(10+heard)), e.Classes)
+				require.Equal(t, classesWithDeadline(float64(10+changesSeen)), e.Classes)
 				deadline = e.Classes[0].Deadline
-				heard++
+				changesSeen++
 			case decision.Query:
 				require.InDelta(t, deadline, e.Deadline-e.ReceivedAt, 1e-3)
 				queries++
 			}
 		}
-		require.Equal(t, changes, heard)
+		require.Equal(t, changes, changesSeen)
 	}
-	require.Equal(t, asked.Load(), int64(queries))
+	require.Equal(t, answered.Load(), int64(queries))
 }
 
-// With one worker, class and cap come into force at one point: what was handed over before is judged by the old cap.
+// With one worker, classes and concurrency limit change at one point: the old limit holds for earlier queries.
 func TestConcurrencyLimitChangesWithClasses(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -186,18 +187,18 @@
 		{"smaller", 1, 1, broker.DeadlineExceeded, broker.Rejected},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := newRecorded(t, 1, 2, true)
-			require.NoError(t, r.Configure(broker.Change{Classes: classesOf(0.2), ConcurrencyLimit: 2}))
-			r.Notify(decision.TimerFired{Token: tokenHold})
-			<-r.deciders[0].holds
+			r := newRecordingGroup(t, 1, 2, true)
+			require.NoError(t, r.Configure(broker.Change{Classes: classesWithDeadline(0.2), ConcurrencyLimit: 2}))
+			r.Notify(decision.TimerFired{Token: tokenBlock})
+			<-r.deciders[0].blocked
 			early := r.query(c.parts)
 			done := make(chan error, 1)
-			behind := r.workers[0].broker.Backlog()
-			go func() { done <- r.Configure(broker.Change{Classes: classesOf(0.3), ConcurrencyLimit: c.cap}) }()
-			require.Eventually(t, func() bool { return r.workers[0].broker.Backlog() > behind }, 5*time.Second,
+			backlog := r.workers[0].broker.Backlog()
+			go func() { done <- r.Configure(broker.Change{Classes: classesWithDeadline(0.3), ConcurrencyLimit: c.cap}) }()
+			require.Eventually(t, func() bool { return r.workers[0].broker.Backlog() > backlog }, 5*time.Second,
 				time.Millisecond)
 			late := r.query(c.parts)
-			r.deciders[0].goOn()
+			r.deciders[0].unblock()
 			require.NoError(t, <-done)
 			require.Equal(t, c.before, r.outcome(early))
 			require.Equal(t, c.after, r.outcome(late))
@@ -205,62 +206,62 @@
 	}
 }
 
-// While one worker is busy, the others serve under the new classes, and all within the old cap until it follows.
+// While one worker is busy, the others serve under the new classes, and all within the old limit until it follows.
 func TestSharedLimitWaitsForLastWorker(t *testing.T) {
-	r := newRecorded(t, 2, 2, true)
-	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenHold})
-	<-r.deciders[0].holds
+	r := newRecordingGroup(t, 2, 2, true)
+	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenBlock})
+	<-r.deciders[0].blocked
 	done := make(chan error, 1)
-	go func() { done <- r.Configure(broker.Change{Classes: classesOf(0.4), ConcurrencyLimit: 6}) }()
+	go func() { done <- r.Configure(broker.Change{Classes: classesWithDeadline(0.4), ConcurrencyLimit: 6}) }()
 	require.Eventually(t, func() bool {
 		d := r.deciders[1]
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		return len(d.heard) == 1
+		return len(d.recorded) == 1
 	}, 5*time.Second, time.Millisecond)
-	require.False(t, r.limiter.TryAcquire(3), "the cap came into force ahead of a worker's classes")
-	r.deciders[0].goOn()
+	require.False(t, r.limiter.TryAcquire(3), "the limit was raised before a worker had the new classes")
+	r.deciders[0].unblock()
 	require.NoError(t, <-done)
 	require.True(t, r.limiter.TryAcquire(6))
 	require.False(t, r.limiter.TryAcquire(1))
 }
 
-// A worker that dies while a change comes holds it up for nobody, nor does one that is dead.
+// Neither a worker that panics during a change nor one that is already dead delays it.
 func TestConfigureWithDeadWorker(t *testing.T) {
-	r := newRecorded(t, 2, 2, true)
-	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenHold})
-	<-r.deciders[0].holds
-	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenDie})
+	r := newRecordingGroup(t, 2, 2, true)
+	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenBlock})
+	<-r.deciders[0].blocked
+	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenPanic})
 	done := make(chan error, 1)
-	go func() { done <- r.Configure(broker.Change{Classes: classesOf(0.4), ConcurrencyLimit: 6}) }()
+	go func() { done <- r.Configure(broker.Change{Classes: classesWithDeadline(0.4), ConcurrencyLimit: 6}) }()
 	time.Sleep(20 * time.Millisecond)
-	r.deciders[0].goOn()
+	r.deciders[0].unblock()
 	require.NoError(t, <-done)
 	<-r.Failed()
 	require.True(t, r.limiter.TryAcquire(6))
 	r.limiter.Release(6)
-	require.NoError(t, r.Configure(broker.Change{Classes: classesOf(0.5), ConcurrencyLimit: 7}))
+	require.NoError(t, r.Configure(broker.Change{Classes: classesWithDeadline(0.5), ConcurrencyLimit: 7}))
 	require.True(t, r.limiter.TryAcquire(7))
 	require.Equal(t, 0.5, r.LongestDeadline().Seconds())
-	r.workers[0].dead.Store(false) // as for a worker that dies between the look at it and the post
-	require.NoError(t, r.Configure(broker.Change{Classes: classesOf(0.5), ConcurrencyLimit: 9}))
+	r.workers[0].dead.Store(false) // as for a worker that dies after the check, before the post
+	require.NoError(t, r.Configure(broker.Change{Classes: classesWithDeadline(0.5), ConcurrencyLimit: 9}))
 	require.False(t, r.limiter.TryAcquire(3))
 	require.True(t, r.limiter.TryAcquire(2))
 	r.workers[0].dead.Store(true)
-	r.workers[1].broker.Notify(decision.TimerFired{Token: tokenDie})
+	r.workers[1].broker.Notify(decision.TimerFired{Token: tokenPanic})
 	require.Eventually(t, r.workers[1].dead.Load, 5*time.Second, time.Millisecond)
-	require.ErrorIs(t, r.Configure(broker.Change{Classes: classesOf(0.6), ConcurrencyLimit: 8}), broker.ErrEnded)
+	require.ErrorIs(t, r.Configure(broker.Change{Classes: classesWithDeadline(0.6), ConcurrencyLimit: 8}), broker.ErrEnded)
 }
 
-// A change that does not fit changes nothing in any worker, nor the cap.
+// An invalid change alters neither a worker's classes nor the concurrency limit.
 func TestConfigureRejectsInvalidChange(t *testing.T) {
-	r := newRecorded(t, 3, 2, true)
-	spoilt := classesOf(0.4)
-	spoilt[2].MinCompleteness = 0.1
-	require.Error(t, r.Configure(broker.Change{Classes: spoilt, ConcurrencyLimit: 9}))
+	r := newRecordingGroup(t, 3, 2, true)
+	invalid := classesWithDeadline(0.4)
+	invalid[2].MinCompleteness = 0.1
+	require.Error(t, r.Configure(broker.Change{Classes: invalid, ConcurrencyLimit: 9}))
 	require.False(t, r.limiter.TryAcquire(3))
 	require.Equal(t, 2., r.LongestDeadline().Seconds())
 	for _, d := range r.deciders {
-		require.Empty(t, d.heard)
+		require.Empty(t, d.recorded)
 	}
 }
--- a/internal/workers/cores/second_phase_test.go
+++ b/internal/workers/cores/second_phase_test.go
@@ -10,11 +10,11 @@
 	"mothrouter/internal/decision"
 )
 
-// Queries of two steps by one worker and by three, while servers fail, hang, drain and break their connections. The
-// stand-ins hold each part of a second step against what they have answered.
+// Queries with a second phase are served by one worker and by three while servers fail, hang, drain and reset
+// connections. The record servers check each part of a second phase against what they answered in the first.
 func TestSecondPhaseUnderFaults(t *testing.T) {
 	for _, workers := range []int{1, 3} {
-		r := newRig(t, rigOptions{workers: workers, servers: 8, work: 2 * time.Millisecond})
+		r := newWorkerGroup(t, groupOptions{workers: workers, servers: 8, serviceTime: 2 * time.Millisecond})
 		go func() {
 			time.Sleep(200 * time.Millisecond)
 			r.fleet.Servers[0].SetFailureRatio(0.5)
@@ -28,13 +28,13 @@
 			r.fleet.Servers[5].SetHanging(false)
 			r.fleet.Servers[0].SetFailureRatio(0)
 		}()
-		ends := r.load(6, 1200*time.Millisecond, func(client, n int) *broker.Request {
-			return r.request(docket, client+n, 5)
+		outcomes := r.runClients(6, 1200*time.Millisecond, func(client, n int) *broker.Request {
+			return r.request(twoPhase, client+n, 5)
 		})
-		require.Greater(t, ends[broker.Answered], 9*(ends[broker.Rejected]+ends[broker.DeadlineExceeded]+ends[broker.Failed]))
+		require.Greater(t, outcomes[broker.Answered], 9*(outcomes[broker.Rejected]+outcomes[broker.DeadlineExceeded]+outcomes[broker.Failed]))
 	}
-	r := newRig(t, rigOptions{workers: 2, servers: 8, work: time.Millisecond})
-	res := r.ask(r.request(docket, 0, 5))
+	r := newWorkerGroup(t, groupOptions{workers: 2, servers: 8, serviceTime: time.Millisecond})
+	res := r.submit(r.request(twoPhase, 0, 5))
 	require.Equal(t, broker.Answered, res.Outcome)
 	require.True(t, res.Complete)
 	require.Len(t, res.Values, 2)
