--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -43,6 +43,15 @@
 	reserved int  // bytes of requests in its buffers, as counted in Front.bufferedBytes
 }
 
+func newConn(f *Front, sock net.Conn) *conn {
+	return &conn{
+		front: f,
+		sock:  sock,
+		reply: make(chan broker.Result, 1),
+		wake:  make(chan struct{}, 1),
+	}
+}
+
 // Finish implements broker.Client.
 func (c *conn) Finish(r broker.Result) { c.reply <- r }
 
--- /dev/null
+++ b/internal/transport/front/limits.go
@@ -0,0 +1,25 @@
+package front
+
+import (
+	"time"
+)
+
+const (
+	// FirstRequestTimeout is the time from the accept to the last byte of a connection's first request: connections that send
+	// nothing, or half a request, hold descriptors that other clients need.
+	FirstRequestTimeout = 2200 * time.Millisecond
+
+	requestTimeout  = 2200 * time.Millisecond // from the first to the last byte of a later request
+	idleTimeout     = 30 * time.Second        // between requests
+	writeTimeout    = 2 * time.Second         // for a client to read a response
+	newConnGrace    = 250 * time.Millisecond  // a client that has just connected is about to send
+	evictionTimeout = 20 * time.Millisecond   // for an evicted connection to end; no other is accepted meanwhile
+	lingerTimeout   = 500 * time.Millisecond  // for a client to read its last answer and close
+	acceptBackoff   = 10 * time.Millisecond   // after a failed accept
+
+	maxLingerBytes    = 256 << 10 // read and discarded while a connection lingers
+	maxPipelinedBytes = 1 << 20   // pipelined bytes read and discarded during a request, beyond what is kept
+	discardSize       = 16 << 10  // bytes of one read that is discarded
+	maxIdleBuffer     = 16 << 10  // bytes kept in a connection's buffers between requests
+	maxRejecting      = 4         // connections over capacity that are answered at once; more are closed
+)
