--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -112,9 +112,8 @@
 			return true
 		}
 		c.noteReceiving()
-		stage, evicted := c.front.stage(), c.front.isEvicted(c)
-		ends := c.expired || evicted || stage.closeAll || stage.closeIdle && !c.receiving
-		if !ends {
+		evicted := c.front.isEvicted(c)
+		if !evicted && !c.mustEnd() {
 			return true
 		}
 		// It ends between requests. What the reader has read from the socket by now is served, since the client cannot
@@ -130,6 +129,15 @@
 	}
 }
 
+// mustEnd reports whether a connection between requests must end because its time is up, or by the stage of a shutdown or drain.
+func (c *conn) mustEnd() bool {
+	if c.expired {
+		return true
+	}
+	stage := c.front.stage()
+	return stage.closeAll || stage.closeIdle && !c.receiving
+}
+
 // serveRequests serves requests until one is in flight or more bytes must be received first. It returns false where the connection
 // has ended.
 func (c *conn) serveRequests() bool {
@@ -142,7 +150,9 @@
 		if req == nil {
 			return !c.reader.ExpectsContinue() || c.send([]byte("HTTP/1.1 100 Continue\r\n\r\n"))
 		}
-		c.hadRequest, c.receiving, c.expired = true, false, false
+		c.hadRequest = true
+		c.receiving = false
+		c.expired = false
 		c.timer.Reset(idleTimeout)
 		c.front.markBusy(c)
 		if !c.handle(req) {
@@ -162,12 +172,14 @@
 		return
 	}
 	c.front.markReceiving(c)
-	c.receiving, c.expired = true, false
+	c.receiving = true
+	c.expired = false
 	if c.hadRequest { // the first one's time counts from the start
 		c.timer.Reset(requestTimeout)
 	}
 }
 
+// endBetweenRequests answers a request received in part; without one, it lingers unless the slot is needed now.
 func (c *conn) endBetweenRequests(evicted bool) {
 	switch {
 	case c.receiving && evicted:
--- a/internal/transport/front/connread.go
+++ b/internal/transport/front/connread.go
@@ -8,9 +8,9 @@
 
 // readResult is the result of one read.
 type readResult struct {
-	n   int
+	n   int // bytes received, also with an error
 	err error
-	at  time.Time
+	at  time.Time // when the read returned
 }
 
 // startRead starts a read unless one is in progress. It returns false where there is no memory for more of a request: the
@@ -31,22 +31,27 @@
 
 // startReader starts the reader; the returned function ends it, and the connection.
 func (c *conn) startReader() (end func()) {
-	c.readBuffers, c.readResults = make(chan []byte, 1), make(chan readResult, 1)
-	go func() {
-		for p := range c.readBuffers {
-			n, err := c.sock.Read(p)
-			if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-				c.disconnected.Store(true)
-			}
-			c.readResults <- readResult{n, err, time.Now()}
-		}
-	}()
+	c.readBuffers = make(chan []byte, 1)
+	c.readResults = make(chan readResult, 1)
+	go c.readLoop()
 	return func() {
 		c.sock.Close()
 		close(c.readBuffers)
 	}
 }
 
+// readLoop reads to each of readBuffers until the channel is closed. An error other than the deadline that interruptRead sets
+// marks the client as disconnected.
+func (c *conn) readLoop() {
+	for buffer := range c.readBuffers {
+		n, err := c.sock.Read(buffer)
+		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
+			c.disconnected.Store(true)
+		}
+		c.readResults <- readResult{n, err, time.Now()}
+	}
+}
+
 // nextBuffer returns the slice for the next read. Pipelined bytes are kept up to the size of one request. Beyond that they are
 // read and discarded, so that the client's close is still detected, and the connection ends after the answer.
 func (c *conn) nextBuffer() []byte {
@@ -61,10 +66,13 @@
 // onRead processes the result of a read. It returns false where the connection has ended.
 func (c *conn) onRead(e readResult) bool {
 	c.reading = false
-	if !c.discarding {
+	if c.discarding {
+		c.discarded += e.n
+	} else {
 		c.reader.Advance(e.n)
 		c.received.add(e.n, e.at)
-	} else if c.discarded += e.n; c.discarded > maxPipelinedBytes {
+	}
+	if c.discarding && c.discarded > maxPipelinedBytes {
 		c.front.core.Disconnect(c.request)
 		c.rejectAndClose(errTooMuchPipelined)
 		return false
--- a/internal/transport/front/respond.go
+++ b/internal/transport/front/respond.go
@@ -20,33 +20,56 @@
 func (c *conn) handle(req *httpwire.Request) bool {
 	resp := httpwire.Response{Close: req.Close, NoBody: req.Method == "HEAD"}
 	index, known := c.front.opt.Classes[req.Class()]
-	down, rejects := c.front.drainState()
 	switch {
 	case req.Path == "/up":
-		if resp.Status = 200; req.Method != "GET" && req.Method != "HEAD" {
-			resp.Status, resp.Allow = 405, "GET, HEAD"
-		} else if down || !c.front.core.Ready() {
-			resp.Status = 503
-		}
+		c.setReadiness(&resp, req.Method)
 	case !known:
-		resp.Status, resp.Body = 404, problem{"no class of query has this name"}
+		resp.Status = 404
+		resp.Body = problem{"no class of query has this name"}
 	case req.Method != "POST":
-		resp.Status, resp.Allow = 405, "POST"
+		resp.Status = 405
+		resp.Allow = "POST"
 	default:
-		r, err := c.newRequest(req, index)
-		if err == nil && rejects {
-			resp.Status, resp.RetryAfter, resp.Body = 503, c.front.opt.RetryAfter, problem{"refused: this broker is being drained"}
-			c.front.opt.Metrics.RecordResponse(index, resp.Status)
-			break
-		}
-		if err == nil {
-			c.request, c.closeAfter, c.discarded = r, req.Close, 0
-			c.front.core.Submit(r, c)
-			return true
-		}
-		resp.Status, resp.Body = statusOf(err), problem{err.Error()}
-		c.front.opt.Metrics.RecordResponse(index, resp.Status)
+		return c.handleQuery(req, index, resp)
+	}
+	return c.write(resp)
+}
+
+// setReadiness sets the response to a request for /up: 200 if new clients should connect, else 503.
+func (c *conn) setReadiness(resp *httpwire.Response, method string) {
+	down, _ := c.front.drainState()
+	switch {
+	case method != "GET" && method != "HEAD":
+		resp.Status = 405
+		resp.Allow = "GET, HEAD"
+	case down || !c.front.core.Ready():
+		resp.Status = 503
+	default:
+		resp.Status = 200
+	}
+}
+
+// handleQuery submits a query to the broker. One that is invalid, or that arrives while a drain rejects requests, is answered by
+// resp. It returns false where the connection ends.
+func (c *conn) handleQuery(req *httpwire.Request, class int, resp httpwire.Response) bool {
+	rejects := c.front.RejectsRequests()
+	r, err := c.newRequest(req, class)
+	if err == nil && !rejects {
+		c.request = r
+		c.closeAfter = req.Close
+		c.discarded = 0
+		c.front.core.Submit(r, c)
+		return true
+	}
+	if err != nil {
+		resp.Status = statusOf(err)
+		resp.Body = problem{err.Error()}
+	} else {
+		resp.Status = 503
+		resp.RetryAfter = c.front.opt.RetryAfter
+		resp.Body = problem{"refused: this broker is being drained"}
 	}
+	c.front.opt.Metrics.RecordResponse(class, resp.Status)
 	return c.write(resp)
 }
 
@@ -56,7 +79,9 @@
 	if err != nil {
 		return nil, err
 	}
-	r.Class, r.ReceivedAt, r.Disconnected = class, c.received.lastByte(c.reader.Unread()), &c.disconnected
+	r.Class = class
+	r.ReceivedAt = c.received.lastByte(c.reader.Unread())
+	r.Disconnected = &c.disconnected
 	if err := r.Normalize(c.front.opt.Shards); err != nil {
 		return nil, &httpwire.Error{Status: 400, Reason: err.Error()}
 	}
@@ -121,7 +146,8 @@
 				return
 			}
 		case e := <-c.readResults:
-			if c.reading = false; e.err != nil {
+			c.reading = false
+			if e.err != nil {
 				return
 			}
 			remaining -= e.n
@@ -143,16 +169,21 @@
 		for _, v := range r.Values {
 			a.Results = append(a.Results, httpwire.Hit{Partition: v.Shard, Value: string(v.Data)})
 		}
-		resp.Status, resp.Body = 200, a
+		resp.Status = 200
+		resp.Body = a
 	case broker.Rejected:
-		resp.Status, resp.RetryAfter = 503, r.RetryAfter
+		resp.Status = 503
+		resp.RetryAfter = r.RetryAfter
 		resp.Body = problem{"refused: trying again is harmless"}
 	case broker.DeadlineExceeded:
-		resp.Status, resp.Body = 504, problem{"the time is up"}
+		resp.Status = 504
+		resp.Body = problem{"the time is up"}
 	case broker.Duplicate:
-		resp.Status, resp.Body = 409, problem{"a query of this id is being served"}
+		resp.Status = 409
+		resp.Body = problem{"a query of this id is being served"}
 	default:
-		resp.Status, resp.Body = 500, problem{"failed: parts may have run"}
+		resp.Status = 500
+		resp.Body = problem{"failed: parts may have run"}
 	}
 	return resp
 }
