--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/front_test.go
@@ -9,7 +9,7 @@
 
 // Clients that ask once and hold their connection for good must not use up what clients may hold together: of
 // too many idle connections the longest idle is closed, and no other.
-func TestIdleConnectionsAreBounded(t *testing.T) {
+func TestMarkIdleEvictsLongestIdle(t *testing.T) {
 	f := New(Options{MaxConns: 9, MaxIdleConns: 2}, nil, nil)
 	var conns []*conn
 	for range 4 {
@@ -35,7 +35,7 @@
 
 // Many large requests at once must not take the memory: one that would go beyond the bound is turned away,
 // and what ends makes room.
-func TestBuffersAreBounded(t *testing.T) {
+func TestReserveBufferBoundsSum(t *testing.T) {
 	f := New(Options{MaxConns: 2, MaxBufferedBytes: 100}, nil, nil)
 	a, b := &conn{front: f}, &conn{front: f}
 	require.True(t, f.reserveBuffer(a, 80))
