--- a/internal/transport/front/front_test.go
+++ b/internal/transport/front/capacity_test.go
@@ -7,18 +7,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Clients that ask once and hold their connection for good must not use up what clients may hold together: of
-// too many idle connections the longest idle is closed, and no other.
+// Beyond MaxIdleConns the longest idle connection is evicted, and no other; a request that was read revokes the eviction.
 func TestMarkIdleEvictsLongestIdle(t *testing.T) {
 	f := New(Options{MaxConns: 9, MaxIdleConns: 2}, nil, nil)
 	var conns []*conn
 	for range 4 {
-		sock, peer := net.Pipe()
-		defer peer.Close()
+		sock, client := net.Pipe()
+		defer client.Close()
 		c := &conn{front: f, sock: sock}
 		f.markIdle(c)
 		conns = append(conns, c)
-		if len(conns) == 2 { // the first asks again, and so is not the longest idle
+		if len(conns) == 2 { // a further request: the first is no longer the longest idle
 			f.markBusy(conns[0])
 			f.markIdle(conns[0])
 		}
@@ -28,13 +27,12 @@
 		evicted = append(evicted, c.evicted)
 	}
 	require.Equal(t, []bool{true, true, false, false}, evicted)
-	f.markBusy(conns[1]) // its request was read just before it looked: it goes on
+	f.markBusy(conns[1]) // a request was read before the connection ended
 	require.False(t, conns[1].evicted)
 	require.Equal(t, 2, f.idleConns.Len())
 }
 
-// Many large requests at once must not take the memory: one that would go beyond the bound is turned away,
-// and what ends makes room.
+// A reservation that would exceed MaxBufferedBytes is refused; one that shrinks succeeds and frees bytes for others.
 func TestReserveBufferBoundsSum(t *testing.T) {
 	f := New(Options{MaxConns: 2, MaxBufferedBytes: 100}, nil, nil)
 	a, b := &conn{front: f}, &conn{front: f}
--- a/internal/transport/front/conn_test.go
+++ b/internal/transport/front/conn_test.go
@@ -4,10 +4,7 @@
 	"bufio"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
-	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -17,179 +14,19 @@
 	"mothrouter/internal/drain"
 )
 
-// fakeCore is a core that hands the test what it is given.
-type fakeCore struct {
-	submissions  chan submission
-	disconnected chan *broker.Request
-}
-
-type submission struct {
-	*broker.Request
-	broker.Client
-}
-
-func (f fakeCore) Submit(r *broker.Request, c broker.Client) { f.submissions <- submission{r, c} }
-func (f fakeCore) Disconnect(r *broker.Request)              { f.disconnected <- r }
-func (f fakeCore) Ready() bool                               { return true }
-
-// pausableListener is a listener whose connections, once told to, keep what they have read from the loopback socket until somebody
-// wants the read to end: so the front looks at a connection in just the moment in which a request was read.
-type pausableListener struct {
-	*net.TCPListener
-	mu    sync.Mutex
-	conns []*pausableConn
-}
-
-type pausableConn struct {
-	*net.TCPConn
-	pauseNext  chan struct{} // closed: reads are kept from now on
-	paused     chan struct{} // closed: one is kept
-	resume     chan struct{} // closed: it goes on
-	resumeOnce sync.Once
-}
-
-func (l *pausableListener) Accept() (net.Conn, error) {
-	c, err := l.TCPListener.Accept()
-	if err != nil {
-		return nil, err
-	}
-	conn := &pausableConn{TCPConn: c.(*net.TCPConn), pauseNext: make(chan struct{}), paused: make(chan struct{}), resume: make(chan struct{})}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.conns = append(l.conns, conn)
-	return conn, nil
-}
-
-func (c *pausableConn) Read(p []byte) (int, error) {
-	n, err := c.TCPConn.Read(p)
-	select {
-	case <-c.pauseNext:
-		if n > 0 {
-			close(c.paused)
-			c.pauseNext = nil
-			<-c.resume
-		}
-	default:
-	}
-	return n, err
-}
-
-func (c *pausableConn) SetReadDeadline(t time.Time) error {
-	c.resumeOnce.Do(func() { close(c.resume) })
-	return c.TCPConn.SetReadDeadline(t)
-}
-
-func (c *pausableConn) Close() error {
-	c.resumeOnce.Do(func() { close(c.resume) })
-	return c.TCPConn.Close()
-}
-
-type fixture struct {
-	*testing.T
-	fakeCore
-	front    *Front
-	listener *pausableListener
-}
-
-func newFixture(t *testing.T, opt Options) *fixture {
-	opt.Classes, opt.MaxBufferedBytes, opt.RetryAfter = map[string]int{"look": 0}, 1<<20, 0.5
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	x := &fixture{T: t, fakeCore: fakeCore{make(chan submission, 9), make(chan *broker.Request, 9)}, listener: &pausableListener{TCPListener: l.(*net.TCPListener)}}
-	x.front = New(opt, x.fakeCore, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	go x.front.Serve(x.listener)
-	t.Cleanup(func() { l.Close() })
-	return x
-}
-
-// dial opens a client's connection; gate is the front's end of it.
-func (x *fixture) dial() (c *net.TCPConn, in *bufio.Reader, serverConn *pausableConn) {
-	s, err := net.Dial("tcp", x.listener.Addr().String())
-	require.NoError(x, err)
-	x.Cleanup(func() { s.Close() })
-	s.SetDeadline(time.Now().Add(5 * time.Second))
-	require.Eventually(x, func() bool {
-		x.listener.mu.Lock()
-		defer x.listener.mu.Unlock()
-		for _, accepted := range x.listener.conns {
-			if accepted.RemoteAddr().String() == s.LocalAddr().String() {
-				serverConn = accepted
-			}
-		}
-		return serverConn != nil
-	}, time.Second, time.Millisecond)
-	return s.(*net.TCPConn), bufio.NewReader(s), serverConn
-}
-
-func requestText(id string, head ...string) string {
-	body := `{"targets":[{"partition":0,"share":1}],"query":"x"}`
-	return fmt.Sprintf("POST /look HTTP/1.1\r\nX-Request-Id: %s\r\nX-Deadline: 2000m\r\nContent-Length: %d\r\n%s\r\n%s", id, len(body),
-		strings.Join(head, ""), body)
-}
-
-// roundTrip plays one request whole.
-func (x *fixture) roundTrip(c net.Conn, in *bufio.Reader, id string) {
-	x.Helper()
-	fmt.Fprint(c, requestText(id))
-	x.answerNext(in, id)
-}
-
-func (x *fixture) answerNext(in *bufio.Reader, id string) {
-	x.Helper()
-	select {
-	case q := <-x.submissions:
-		require.Equal(x, id, q.ID)
-		q.Finish(broker.Result{Complete: true, Values: []broker.Value{{Data: []byte("v")}}})
-	case <-time.After(2 * time.Second):
-		require.FailNow(x, "the request was never taken")
-	}
-	require.Equal(x, "HTTP/1.1 200 OK", readStatusLine(x.T, in))
-}
-
-// awaitIdle waits until so many connections are between requests: the client has its answer a moment before.
-func (x *fixture) awaitIdle(n int) {
-	x.Helper()
-	require.Eventually(x, func() bool {
-		x.front.mu.Lock()
-		defer x.front.mu.Unlock()
-		return x.front.idleConns.Len() == n
-	}, 2*time.Second, time.Millisecond)
-}
-
-// readStatusLine reads an answer and returns its first line.
-func readStatusLine(t *testing.T, in *bufio.Reader) string {
-	t.Helper()
-	first, length := "", 0
-	for {
-		line, err := in.ReadString('\n')
-		require.NoError(t, err)
-		line = strings.TrimSpace(line)
-		if first == "" {
-			first = line
-		}
-		fmt.Sscanf(line, "Content-Length: %d", &length)
-		if line == "" {
-			break
-		}
-	}
-	_, err := io.CopyN(io.Discard, in, int64(length))
-	require.NoError(t, err)
-	return first
-}
-
-// A request has been read off a resting connection in the moment in which the connection is chosen to make room, its
-// time is up, or the process ends. Its client cannot know that nobody looked at it: it is served.
+// A request that was read from an idle connection just as the connection is evicted, or must end by a shutdown or drain, is
+// served: its client cannot know that it was not processed.
 func TestConnServesRequestReadWhileEnding(t *testing.T) {
 	for name, end := range map[string]func(x *fixture){
-		"to make room": func(x *fixture) { x.dial() },
-		"too many rest": func(x *fixture) {
+		"eviction for a slot": func(x *fixture) { x.dial() },
+		"too many idle connections": func(x *fixture) {
 			c, in, _ := x.dial()
 			x.roundTrip(c, in, "other")
 		},
-		"the process ends": func(x *fixture) {
+		"shutdown": func(x *fixture) {
 			go x.front.Shutdown(x.Context(), drain.ShutdownPlan{AnswerBy: time.Second})
 		},
-		"a drain": func(x *fixture) {
+		"drain": func(x *fixture) {
 			x.front.mu.Lock()
 			x.front.drain.Start(time.Now().Add(-drain.CloseIdleDelay()))
 			x.front.mu.Unlock()
@@ -198,7 +35,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			opt := Options{MaxConns: 1}
-			if name == "too many rest" {
+			if name == "too many idle connections" {
 				opt = Options{MaxConns: 2, MaxIdleConns: 1}
 			}
 			x := newFixture(t, opt)
@@ -214,9 +51,9 @@
 	}
 }
 
-// The last answer must come whole, and then the end: not a reset by what the client has sent behind its request.
+// Pipelined bytes behind the last request must not reset the connection before the client has read the response and EOF.
 func TestLingeringCloseDeliversLastResponse(t *testing.T) {
-	for name, behind := range map[string]int{"another request": 300, "a flood": 200 << 10} {
+	for name, behind := range map[string]int{"300 bytes": 300, "200 KiB": 200 << 10} {
 		t.Run(name, func(t *testing.T) {
 			x := newFixture(t, Options{MaxConns: 9})
 			c, in, _ := x.dial()
@@ -226,18 +63,18 @@
 			require.NoError(t, err)
 			q.Finish(broker.Result{Complete: true, Values: []broker.Value{{Data: []byte("v")}}})
 			time.Sleep(20 * time.Millisecond)
-			_, err = fmt.Fprint(c, requestText("late")) // crosses the end
+			_, err = fmt.Fprint(c, requestText("late")) // arrives after the close
 			require.NoError(t, err)
 			time.Sleep(20 * time.Millisecond)
 			require.Equal(t, "HTTP/1.1 200 OK", readStatusLine(t, in))
 			_, err = in.ReadByte()
 			require.ErrorIs(t, err, io.EOF)
-			require.Empty(t, x.submissions, "nothing is taken behind the end")
+			require.Empty(t, x.submissions, "a request behind the close was submitted")
 		})
 	}
 }
 
-// A client that has sent much behind its request, and goes, has gone: nobody may work for it.
+// A client's close is detected, and its query disconnected, also behind pipelined bytes that are discarded.
 func TestConnDetectsCloseBehindDiscardedBytes(t *testing.T) {
 	x := newFixture(t, Options{MaxConns: 9})
 	c, _, _ := x.dial()
@@ -252,11 +89,11 @@
 		require.Same(t, q.Request, r)
 		require.True(t, r.Disconnected.Load())
 	case <-time.After(time.Second):
-		require.FailNow(t, "its close was not noticed")
+		require.FailNow(t, "the close was not detected within 1 s")
 	}
 }
 
-// One that goes on sending behind a request that is held is told off and ended, at no cost to the others.
+// A client that pipelines more than maxPipelinedBytes behind a request in flight gets 413, and its query is disconnected.
 func TestConnRejectsExcessivePipelining(t *testing.T) {
 	x := newFixture(t, Options{MaxConns: 9})
 	c, in, _ := x.dial()
@@ -273,7 +110,7 @@
 	require.Equal(t, "HTTP/1.1 413 Content Too Large", readStatusLine(t, in))
 }
 
-// Newcomers find room among connections that rest or linger, however many come, and one that asks is answered soon.
+// New connections get the slots of idle and lingering ones without delay, and their requests are served.
 func TestAdmitEvictsIdleAndLingeringConnections(t *testing.T) {
 	x := newFixture(t, Options{MaxConns: 8})
 	began := time.Now()
@@ -287,65 +124,9 @@
 	require.Less(t, time.Since(began), 2*time.Second)
 }
 
-// A request that came behind another counts from when it came, not from when its turn was.
-func TestReceivedAtOfPipelinedRequestPrecedesItsTurn(t *testing.T) {
-	x := newFixture(t, Options{MaxConns: 8})
-	c, in, _ := x.dial()
-	fmt.Fprint(c, requestText("q1"), requestText("q2"))
-	q := <-x.submissions
-	time.Sleep(50 * time.Millisecond)
-	q.Finish(broker.Result{Complete: true})
-	require.Equal(t, "HTTP/1.1 200 OK", readStatusLine(t, in))
-	q2 := <-x.submissions
-	require.Less(t, q2.ReceivedAt.Sub(q.ReceivedAt), 40*time.Millisecond)
-}
-
-// A request that waits behind another counts from its own last byte, not from bytes that followed it meanwhile.
-func TestReceivedAtIsTimeOfRequestsLastByte(t *testing.T) {
-	x := newFixture(t, Options{MaxConns: 8})
-	c, in, _ := x.dial()
-	fmt.Fprint(c, requestText("q1"), requestText("q2"))
-	q1 := <-x.submissions
-	third := requestText("q3")
-	for range 2 {
-		time.Sleep(60 * time.Millisecond)
-		fmt.Fprint(c, third[:len(third)/2])
-		third = third[len(third)/2:]
-	}
-	time.Sleep(20 * time.Millisecond)
-	receivedAt := []time.Time{q1.ReceivedAt}
-	for q := range 2 {
-		q1.Finish(broker.Result{Complete: true})
-		require.Equal(t, "HTTP/1.1 200 OK", readStatusLine(t, in), "request %d", q)
-		q1 = <-x.submissions
-		receivedAt = append(receivedAt, q1.ReceivedAt)
-		if q == 0 {
-			fmt.Fprint(c, third)
-			time.Sleep(20 * time.Millisecond)
-		}
-	}
-	require.Less(t, receivedAt[1].Sub(receivedAt[0]), 50*time.Millisecond)
-	require.Greater(t, receivedAt[2].Sub(receivedAt[0]), 120*time.Millisecond)
-}
-
-// Many small reads are remembered within a bound, and a request never counts from later than it came.
-func TestReadLogIsBoundedAndNeverReturnsLaterTime(t *testing.T) {
-	var l readLog
-	begin := time.Now()
-	const reads = 5 * maxReads
-	for i := range reads {
-		l.add(1, begin.Add(time.Duration(i)*time.Millisecond))
-	}
-	require.Len(t, l.reads, maxReads)
-	for request := 1; request <= reads; request++ {
-		received := begin.Add(time.Duration(request-1) * time.Millisecond)
-		require.False(t, l.lastByte(reads-request).After(received), "request %d", request)
-	}
-}
-
-// While clients are sent away, a request that was read behind the one in flight is served before the connection closes.
+// During a shutdown, a request read behind the one in flight, completely or in part, is served before the connection closes.
 func TestShutdownServesPipelinedRequest(t *testing.T) {
-	for name, second := range map[string]string{"whole": requestText("q2"), "in part": requestText("q2")[:60]} {
+	for name, second := range map[string]string{"complete": requestText("q2"), "in part": requestText("q2")[:60]} {
 		t.Run(name, func(t *testing.T) {
 			x := newFixture(t, Options{MaxConns: 8})
 			c, in, _ := x.dial()
@@ -365,7 +146,7 @@
 	}
 }
 
-// A connection that has to make room after a part of its request was read answers it.
+// A connection that is evicted after a part of a request was read gets 503.
 func TestEvictionAnswersPartialRequest(t *testing.T) {
 	x := newFixture(t, Options{MaxConns: 1})
 	c, in, _ := x.dial()
@@ -381,7 +162,7 @@
 	x.roundTrip(newcomer, newcomerIn, "third")
 }
 
-// Half a request is no request: told to end, the front waits for the rest, and no longer than its time allows.
+// A shutdown waits for the rest of a request received in part until AnswerBy, and then answers 408.
 func TestShutdownAwaitsPartialRequestUntilAnswerBy(t *testing.T) {
 	x := newFixture(t, Options{MaxConns: 8})
 	c, in, _ := x.dial()
@@ -405,13 +186,13 @@
 	require.Less(t, (<-ended).Sub(began), time.Second)
 }
 
-// Where all connections hold requests, one more is told when to come back, not reset over what it has sent.
+// While requests in flight hold all slots, a further connection gets 503 with Retry-After, and no reset loses the response.
 func TestConnectionOverCapacityGets503WithRetryAfter(t *testing.T) {
 	x := newFixture(t, Options{MaxConns: 1})
 	c, in, _ := x.dial()
 	fmt.Fprint(c, requestText("q"))
 	q := <-x.submissions
-	for range 10 { // each gives its place back
+	for range 10 { // more than maxRejecting: each frees its slot
 		s, err := net.Dial("tcp", x.listener.Addr().String())
 		require.NoError(t, err)
 		defer s.Close()
