--- a/internal/transport/upstream/liveness_test.go
+++ b/internal/transport/upstream/liveness_test.go
@@ -11,9 +11,9 @@
 	"mothrouter/internal/transport/frame"
 )
 
-type asks struct{}
+type sendingDecider struct{}
 
-func (a asks) Handle(_ float64, events []decision.Event) (do []decision.Action) {
+func (a sendingDecider) Handle(_ float64, events []decision.Event) (do []decision.Action) {
 	for _, e := range events {
 		if p, ok := e.(decision.Part); ok {
 			do = append(do, decision.Send{ID: p.ID, Server: "s"})
@@ -22,23 +22,23 @@
 	return do
 }
 
-type calls chan *broker.Call
+type callRecorder chan *broker.Call
 
-func (c calls) Send(x *broker.Call)           { c <- x }
-func (calls) Cancel(*broker.Call)             {}
-func (calls) CheckHealth(*broker.HealthCheck) {}
+func (c callRecorder) Send(x *broker.Call)           { c <- x }
+func (callRecorder) Cancel(*broker.Call)             {}
+func (callRecorder) CheckHealth(*broker.HealthCheck) {}
 
-type nobody struct{}
+type discardClient struct{}
 
-func (nobody) Finish(broker.Result) {}
+func (discardClient) Finish(broker.Result) {}
 
 // newCall returns a call of a query whose client waits for patience, as the core hands it to a link.
 func newCall(t *testing.T, patience time.Duration) *broker.Call {
-	out := make(calls, 1)
-	b := broker.New(broker.Options{Settings: decision.Settings{Classes: []decision.Class{{Deadline: 9, CompletenessThreshold: 1, MinCompleteness: 1}}}}, asks{}, out)
+	out := make(callRecorder, 1)
+	b := broker.New(broker.Options{Settings: decision.Settings{Classes: []decision.Class{{Deadline: 9, CompletenessThreshold: 1, MinCompleteness: 1}}}}, sendingDecider{}, out)
 	go b.Run(t.Context())
 	b.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Servers: []broker.Endpoint{{Server: decision.Server{ID: "s"}, Addr: "a"}}})
-	b.Submit(&broker.Request{ID: "q", ReceivedAt: time.Now(), Timeout: patience, Parts: []broker.Part{{Weight: 1}}}, nobody{})
+	b.Submit(&broker.Request{ID: "q", ReceivedAt: time.Now(), Timeout: patience, Parts: []broker.Part{{Weight: 1}}}, discardClient{})
 	return <-out
 }
 
