--- a/internal/transport/upstream/connwrite_test.go
+++ b/internal/transport/upstream/connwrite_test.go
@@ -12,14 +12,14 @@
 	"mothrouter/internal/transport/frame"
 )
 
-// stalledSocket takes no bytes until a time, and from then on all but the last held ones.
+// stalledSocket accepts no bytes until stalledUntil, and then all but the last withheld bytes of each write.
 type stalledSocket struct {
 	net.Conn
 	stalledUntil time.Time
 	withheld     int
 	deadline     time.Time
 	written      []byte
-	writtenAt    time.Time // when bytes were taken
+	writtenAt    time.Time // of the latest write that was accepted
 }
 
 func (s *stalledSocket) SetWriteDeadline(t time.Time) error {
@@ -41,8 +41,7 @@
 	return len(p), nil
 }
 
-// A server is told at most the time that the client has left when the frame goes out, with 0.15 s of slack, however long
-// the server took no bytes before.
+// A call's frame states at most the time left when it is written, with 0.15 s of slack, however long the socket was stalled.
 func TestWriteFrameStatesTimeLeftAtWrite(t *testing.T) {
 	const slack = 150 * time.Millisecond
 	for _, stall := range []time.Duration{0, 90 * time.Millisecond, 550 * time.Millisecond} {
@@ -53,23 +52,23 @@
 			require.NoError(t, err)
 			require.Equal(t, len(sock.written), n)
 			left := j.call.Deadline.Sub(sock.writtenAt)
-			least := frame.AppendCall(nil, frame.Call{ID: "q.0", WaitMS: int((left + slack) / time.Millisecond)})
-			require.LessOrEqual(t, statedWait(t, sock.written), statedWait(t, least), "milliseconds told; %v are left", left)
+			limit := frame.AppendCall(nil, frame.Call{ID: "q.0", WaitMS: int((left + slack) / time.Millisecond)})
+			require.LessOrEqual(t, statedWait(t, sock.written), statedWait(t, limit), "stated milliseconds; %v are left", left)
 		})
 	}
 }
 
-// A frame that was taken in part cannot be renewed: it ends with the connection, and counts as never written whole.
+// A frame that was written in part is neither continued nor rebuilt, and the write returns how much was accepted.
 func TestWriteFrameDoesNotRetryPartialWrite(t *testing.T) {
 	j := &job{call: newCall(t, 2*time.Second), id: "q.0"}
 	sock := &stalledSocket{withheld: 3}
-	whole := j.appendCall(nil)
-	n, err := (&conn{sock: sock}).writeFrame(j, whole)
+	complete := j.appendCall(nil)
+	n, err := (&conn{sock: sock}).writeFrame(j, complete)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	require.Equal(t, len(whole)-3, n)
+	require.Equal(t, len(complete)-3, n)
 }
 
-// What may no longer begin is not written once the server takes bytes again.
+// A call whose deadline passes while the socket is stalled is not written.
 func TestWriteFrameSkipsExpiredCall(t *testing.T) {
 	j := &job{call: newCall(t, 150*time.Millisecond), id: "q.0"}
 	sock := &stalledSocket{stalledUntil: time.Now().Add(450 * time.Millisecond)}
@@ -78,12 +77,13 @@
 	require.Empty(t, sock.written)
 }
 
-// statedWait reads the milliseconds that a call's frame tells its server.
-func statedWait(t *testing.T, text []byte) (ms int) {
+// statedWait returns the milliseconds that a call's frame states as its time left.
+func statedWait(t *testing.T, data []byte) int {
 	t.Helper()
-	const headerAndLetter = 5
+	const headerSize = 5 // length and message type
 	var id, shard string
-	_, err := fmt.Sscanf(string(text[headerAndLetter:]), "%s %s d=%d", &id, &shard, &ms)
-	require.NoError(t, err, "%q", text)
-	return ms
+	var milliseconds int
+	_, err := fmt.Sscanf(string(data[headerSize:]), "%s %s d=%d", &id, &shard, &milliseconds)
+	require.NoError(t, err, "%q", data)
+	return milliseconds
 }
--- a/internal/transport/upstream/liveness_test.go
+++ b/internal/transport/upstream/liveness_test.go
@@ -11,39 +11,53 @@
 	"mothrouter/internal/transport/frame"
 )
 
+// sendingDecider sends each part to the server "s".
 type sendingDecider struct{}
 
-func (a sendingDecider) Handle(_ float64, events []decision.Event) (do []decision.Action) {
+func (sendingDecider) Handle(_ float64, events []decision.Event) []decision.Action {
+	var actions []decision.Action
 	for _, e := range events {
 		if p, ok := e.(decision.Part); ok {
-			do = append(do, decision.Send{ID: p.ID, Server: "s"})
+			actions = append(actions, decision.Send{ID: p.ID, Server: "s"})
 		}
 	}
-	return do
+	return actions
 }
 
+// callRecorder is a link that passes calls to the test.
 type callRecorder chan *broker.Call
 
-func (c callRecorder) Send(x *broker.Call)           { c <- x }
+func (c callRecorder) Send(call *broker.Call)        { c <- call }
 func (callRecorder) Cancel(*broker.Call)             {}
 func (callRecorder) CheckHealth(*broker.HealthCheck) {}
 
+// discardClient is a client that ignores its result.
 type discardClient struct{}
 
 func (discardClient) Finish(broker.Result) {}
 
-// newCall returns a call of a query whose client waits for patience, as the core hands it to a link.
-func newCall(t *testing.T, patience time.Duration) *broker.Call {
-	out := make(callRecorder, 1)
-	b := broker.New(broker.Options{Settings: decision.Settings{Classes: []decision.Class{{Deadline: 9, CompletenessThreshold: 1, MinCompleteness: 1}}}}, sendingDecider{}, out)
+// newCall returns a call, as the core passes it to a link, of a query whose client waits for timeout.
+func newCall(t *testing.T, timeout time.Duration) *broker.Call {
+	calls := make(callRecorder, 1)
+	class := decision.Class{Deadline: 9, CompletenessThreshold: 1, MinCompleteness: 1}
+	settings := decision.Settings{Classes: []decision.Class{class}}
+	b := broker.New(broker.Options{Settings: settings}, sendingDecider{}, calls)
 	go b.Run(t.Context())
-	b.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Servers: []broker.Endpoint{{Server: decision.Server{ID: "s"}, Addr: "a"}}})
-	b.Submit(&broker.Request{ID: "q", ReceivedAt: time.Now(), Timeout: patience, Parts: []broker.Part{{Weight: 1}}}, discardClient{})
-	return <-out
+	b.Update(broker.EndpointUpdate{
+		Mode:    decision.FullUpdate,
+		Servers: []broker.Endpoint{{Server: decision.Server{ID: "s"}, Addr: "a"}},
+	})
+	b.Submit(&broker.Request{
+		ID:         "q",
+		ReceivedAt: time.Now(),
+		Timeout:    timeout,
+		Parts:      []broker.Part{{Weight: 1}},
+	}, discardClient{})
+	return <-calls
 }
 
-// An answer may come before the writer has noted when it had written the call. It must not count as having taken since
-// the zero time: for hundreds of answers no silence would be noticed.
+// An answer may be read before the writer records the write. It must not count as a latency since the zero time, which would
+// keep silenceTimeout at its maximum.
 func TestAnswerBeforeWriteReturnsHasNoLatency(t *testing.T) {
 	l := New(t.Context(), Options{})
 	cn := newConn(l, "a", nil)
@@ -51,7 +65,8 @@
 	cn.calls[j.id] = j
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	require.NoError(t, cn.handleMessage(frame.Message{Type: 'R', Reply: frame.Reply{ID: []byte("q.0"), Status: decision.OK, Value: []byte("v")}}))
+	reply := frame.Reply{ID: []byte("q.0"), Status: decision.OK, Value: []byte("v")}
+	require.NoError(t, cn.handleMessage(frame.Message{Type: frame.TypeReply, Reply: reply}))
 	require.Zero(t, l.meanLatency)
 	require.Equal(t, MaxSilence, l.silenceTimeout())
 }
