--- a/internal/transport/upstream/conn.go
+++ b/internal/transport/upstream/conn.go
@@ -18,9 +18,9 @@
 
 // job is one call or health check on a connection.
 type job struct {
-	call        *broker.Call
-	healthCheck *broker.HealthCheck
-	id          string
+	call        *broker.Call        // nil: a health check
+	healthCheck *broker.HealthCheck // nil: a call
+	id          string              // of the part; empty for a health check
 	state       jobState
 	writtenAt   time.Time // zero: not yet
 }
@@ -56,12 +56,18 @@
 	idleTimer      *time.Timer     // runs while nothing is in flight
 }
 
+// partID returns the id that the frames of a call carry; all attempts of a part share it.
 func partID(c *broker.Call) string { return frame.PartID(c.Query, c.Shard, c.FirstPhase != nil) }
 
 func newConn(l *Link, addr string, server *broker.Server) *conn {
 	return &conn{
-		link: l, addr: addr, server: server, calls: map[string]*job{}, abandoned: map[string]bool{},
-		answered: map[string]bool{}, wake: make(chan struct{}, 1),
+		link:      l,
+		addr:      addr,
+		server:    server,
+		calls:     map[string]*job{},
+		abandoned: map[string]bool{},
+		answered:  map[string]bool{},
+		wake:      make(chan struct{}, 1),
 	}
 }
 
@@ -76,9 +82,11 @@
 		delete(cn.answered, cn.answeredIDs[0])
 		cn.answeredIDs = cn.answeredIDs[1:]
 	}
-	cn.answered[id], cn.answeredIDs = true, append(cn.answeredIDs, id)
+	cn.answered[id] = true
+	cn.answeredIDs = append(cn.answeredIDs, id)
 }
 
+// enqueue queues a job to be written. The caller holds mu.
 func (cn *conn) enqueue(j *job) {
 	if cn.idleTimer != nil {
 		cn.idleTimer.Stop()
@@ -91,6 +99,7 @@
 	cn.signal()
 }
 
+// signal wakes the writer. It does not block.
 func (cn *conn) signal() {
 	select {
 	case cn.wake <- struct{}{}:
@@ -195,14 +204,7 @@
 	if cn.sock != nil {
 		cn.sock.Close()
 	}
-	for _, j := range cn.queue {
-		if j.state == jobQueued && errors.Is(err, errProtocol) { // the server is alive and has not received it
-			delete(cn.calls, j.id)
-			cn.link.enqueue(cn.addr, cn.server, j)
-			continue
-		}
-		cn.finishJob(j, decision.Unreachable)
-	}
+	cn.failQueue(errors.Is(err, errProtocol))
 	for _, j := range cn.calls {
 		if j.state == jobWritten {
 			cn.finishJob(j, cn.lostStatus())
@@ -211,10 +213,24 @@
 	for _, j := range cn.healthChecks {
 		cn.finishJob(j, cn.lostStatus())
 	}
-	cn.queue, cn.healthChecks = nil, nil
+	cn.queue = nil
+	cn.healthChecks = nil
 	cn.signal()
 }
 
+// failQueue ends the jobs that were not written. After a protocol error the server is alive and has not received them: those
+// that still wait move to another connection. The caller holds mu.
+func (cn *conn) failQueue(protocolError bool) {
+	for _, j := range cn.queue {
+		if j.state == jobQueued && protocolError {
+			delete(cn.calls, j.id)
+			cn.link.enqueue(cn.addr, cn.server, j)
+			continue
+		}
+		cn.finishJob(j, decision.Unreachable)
+	}
+}
+
 // reset ends a connection whose peer accepts no bytes by a TCP reset, which drops what is not delivered. The caller holds mu.
 func (cn *conn) reset() {
 	if t, ok := cn.sock.(*net.TCPConn); ok {
--- a/internal/transport/upstream/connread.go
+++ b/internal/transport/upstream/connread.go
@@ -84,6 +84,7 @@
 	return err
 }
 
+// dispatch handles a message by its type. The caller holds mu.
 func (cn *conn) dispatch(m frame.Message) error {
 	switch m.Type {
 	case frame.TypeReply:
@@ -109,7 +110,8 @@
 	cn.markAnswered(id)
 	j.state = jobFinished
 	if r.Status == decision.OK {
-		if !j.writtenAt.IsZero() { // the answer may be read before the writer records the write
+		writeRecorded := !j.writtenAt.IsZero() // the answer may be read before the writer records the write
+		if writeRecorded {
 			cn.link.recordLatency(time.Since(j.writtenAt))
 		}
 		r.Value = append([]byte{}, reply.Value...) // it outlives the buffer
@@ -142,9 +144,17 @@
 	r := broker.ResultOf(decision.OK)
 	if string(m.Body) == "failed" {
 		r.Status = decision.Error
-	} else if report, err := frame.ParseLoadReport(m.Body); m.Type == frame.TypeLoadReport && err == nil {
-		r.LoadReport = report
+	} else if m.Type == frame.TypeLoadReport {
+		setLoadReport(&r, m.Body)
 	}
 	j.healthCheck.Finish(r)
 	return nil
 }
+
+// setLoadReport sets the load report of a result. One that cannot be parsed counts as absent.
+func setLoadReport(r *broker.CallResult, body []byte) {
+	report, err := frame.ParseLoadReport(body)
+	if err == nil {
+		r.LoadReport = report
+	}
+}
--- a/internal/transport/upstream/connwrite.go
+++ b/internal/transport/upstream/connwrite.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	writeTimeout = 2 * time.Second        // for a server to accept a frame, else the connection is reset;
-	stallTimeout = 20 * time.Millisecond  // that time once the call being written is cancelled
+	writeTimeout = 2 * time.Second        // for a server to accept a frame, else the connection is reset
+	stallTimeout = 20 * time.Millisecond  // the same once the call being written is cancelled
 	maxFrameAge  = 100 * time.Millisecond // age of the time left in a call's frame; the rules allow 150 ms
 )
 
@@ -28,10 +28,12 @@
 			continue
 		}
 		n, err := cn.writeFrame(j, frames)
-		if j != nil && j.call != nil && n == len(frames) && cn.link.opt.OnSent != nil {
+		complete := n == len(frames)
+		isCall := j != nil && j.call != nil
+		if isCall && complete && cn.link.opt.OnSent != nil {
 			cn.link.opt.OnSent(j.call.Class)
 		}
-		cn.finishWrite(j, n == len(frames), err)
+		cn.finishWrite(j, complete, err)
 	}
 }
 
@@ -51,7 +53,8 @@
 			}
 			cn.pendingCancels = cn.pendingCancels[:0]
 		case len(cn.queue) > 0:
-			j, cn.queue = cn.queue[0], cn.queue[1:]
+			j = cn.queue[0]
+			cn.queue = cn.queue[1:]
 			buf = cn.appendFrame(j, buf)
 		default:
 			cn.startIdleTimer()
@@ -70,7 +73,8 @@
 	cn.link.mu.Lock()
 	defer cn.link.mu.Unlock()
 	if j != nil && j.state == jobWriting {
-		j.state, j.writtenAt = jobWritten, time.Now()
+		j.state = jobWritten
+		j.writtenAt = time.Now()
 		if cn.awaitingSince.IsZero() {
 			cn.awaitingSince = j.writtenAt
 		}
@@ -106,6 +110,7 @@
 	return j.appendCall(buf)
 }
 
+// appendHealthCheck appends a health check's frame to buf, if it may still be sent. The caller holds mu.
 func (cn *conn) appendHealthCheck(j *job, buf []byte) []byte {
 	if !j.healthCheck.TryStart() {
 		j.state = jobFinished
@@ -125,7 +130,9 @@
 	wait := max(int(time.Until(j.call.Deadline)/time.Millisecond), 1)
 	call := frame.Call{ID: j.id, Shard: j.call.Shard, WaitMS: wait, Payload: j.call.Payload}
 	if first := j.call.FirstPhase; first != nil {
-		call.SecondPhase, call.AnsweredShards, call.FirstComplete = true, first.AnsweredShards, first.Complete
+		call.SecondPhase = true
+		call.AnsweredShards = first.AnsweredShards
+		call.FirstComplete = first.Complete
 	}
 	return frame.AppendCall(buf, call)
 }
@@ -142,7 +149,8 @@
 	for {
 		cn.sock.SetWriteDeadline(time.Now().Add(maxFrameAge))
 		n, err = cn.sock.Write(buf)
-		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) || !j.call.MayStart() || !time.Now().Before(limit) {
+		stalled := n == 0 && errors.Is(err, os.ErrDeadlineExceeded)
+		if !stalled || !j.call.MayStart() || !time.Now().Before(limit) {
 			return n, err
 		}
 		buf = j.appendCall(buf[:0])
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -11,27 +11,28 @@
 	"mothrouter/internal/decision"
 )
 
-// Options are what the deployment fixes.
+// Options are the settings of a Link.
 type Options struct {
-	MaxStreams     int           // calls in flight on one connection
-	MaxConns       int           // 0: no bound
-	IdleTimeout    time.Duration // record servers close connections that are idle for so long
-	ConnectTimeout time.Duration
+	MaxStreams     int             // calls in flight on one connection
+	MaxConns       int             // connections to all servers; 0: no bound
+	IdleTimeout    time.Duration   // record servers close connections that are idle for so long
+	ConnectTimeout time.Duration   // for a TCP connection to be established
 	ProvenAliveFor time.Duration   // for how long after a message a connection counts as proven alive; 0: 80 ms
 	OnSent         func(class int) // called for each call that was written completely; nil: it is not
 }
 
 // Link is the link to all record servers.
 type Link struct {
-	opt         Options
-	ctx         context.Context
-	mu          sync.Mutex // guards everything below, and the conns' fields that say so
-	conns       map[string][]*conn
-	openConns   int           // of all servers
-	meanLatency time.Duration // of answers; 0: there was none
+	opt Options
+	ctx context.Context
+
+	mu          sync.Mutex         // guards what follows, and the fields of the conns
+	conns       map[string][]*conn // by address
+	openConns   int                // of all servers
+	meanLatency time.Duration      // of answers, exponentially weighted; 0: there was none
 }
 
-// New makes a link whose connections end with ctx.
+// New returns a link whose connections end with ctx.
 func New(ctx context.Context, opt Options) *Link {
 	opt.MaxStreams = max(opt.MaxStreams, 1)
 	if opt.ProvenAliveFor == 0 {
@@ -90,7 +91,7 @@
 	nonIdempotent := j.call != nil && j.call.NonIdempotent
 	var best, other, idle *conn
 	for _, cn := range l.conns[addr] {
-		if cn.retired || len(cn.calls) >= l.opt.MaxStreams || cn.hasUsed(j.id) || cn.isSilent(l.silenceTimeout()) {
+		if !l.acceptsJob(cn, j) {
 			continue
 		}
 		if !cn.isBusy() && time.Since(cn.lastReceived) > l.opt.ProvenAliveFor {
@@ -122,6 +123,14 @@
 	return cn
 }
 
+// acceptsJob reports whether a connection may carry a job beside those that it has. The caller holds mu.
+func (l *Link) acceptsJob(cn *conn, j *job) bool {
+	if cn.retired || len(cn.calls) >= l.opt.MaxStreams {
+		return false
+	}
+	return !cn.hasUsed(j.id) && !cn.isSilent(l.silenceTimeout())
+}
+
 // evictIdle closes an idle connection, one to an unavailable server if there is any, and reports whether it found one. With as
 // many servers as descriptors, those that are used last could not be reached otherwise. It does not pick the longest idle: a
 // query of many parts visits all servers in turn, and would close just what its next parts need. The caller holds mu.
@@ -153,11 +162,13 @@
 			break
 		}
 	}
-	if l.conns[cn.addr] = list; len(list) == 0 {
+	l.conns[cn.addr] = list
+	if len(list) == 0 {
 		delete(l.conns, cn.addr)
 	}
 }
 
+// dial connects to addr within ConnectTimeout, or until the link ends.
 func (l *Link) dial(addr string) (net.Conn, error) {
 	d := net.Dialer{Timeout: l.opt.ConnectTimeout, KeepAlive: -1}
 	return d.DialContext(l.ctx, "tcp", addr)
