--- a/internal/transport/flight/flight.go
+++ b/internal/transport/flight/flight.go
@@ -18,7 +18,7 @@
 	"mothrouter/internal/transport/httpwire"
 )
 
-const maxMessage = httpwire.MaxBody + 4<<10 // a body of the platform's, in an envelope
+const maxMessageSize = httpwire.MaxBody + 4<<10 // a body of the platform's, in an envelope
 
 // Ticket requests a query from a broker: the platform's body with the fields of its header. The client's deadline is that of
 // the gRPC call.
@@ -85,14 +85,14 @@
 	broker.DeadlineExceeded: codes.DeadlineExceeded, broker.Duplicate: codes.AlreadyExists,
 }
 
-var saidOf = map[broker.Outcome]string{
+var messageOf = map[broker.Outcome]string{
 	broker.Rejected: "refused: trying again is harmless", broker.Failed: "failed: parts may have run",
 	broker.DeadlineExceeded: "the time is up", broker.Duplicate: "a query of this id is being served",
 }
 
 // statusOf returns the gRPC status of a query that was not answered.
 func statusOf(r broker.Result) error {
-	s := status.New(codeOf[r.Outcome], saidOf[r.Outcome])
+	s := status.New(codeOf[r.Outcome], messageOf[r.Outcome])
 	if r.Outcome != broker.Rejected {
 		return s.Err()
 	}
@@ -121,7 +121,7 @@
 
 func parseTicket(data []byte) (*Ticket, error) {
 	var t Ticket
-	if len(data) > maxMessage {
+	if len(data) > maxMessageSize {
 		return nil, errors.New("the ticket is too long")
 	}
 	if err := json.Unmarshal(data, &t); err != nil {
--- a/internal/transport/flight/front.go
+++ b/internal/transport/flight/front.go
@@ -55,7 +55,7 @@
 func NewFront(opt Options, core Core) *Front {
 	f := &Front{opt: opt, core: core, slots: make(chan struct{}, maxCalls)}
 	f.server = grpc.NewServer(
-		grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(maxStreams),
+		grpc.MaxRecvMsgSize(maxMessageSize), grpc.MaxConcurrentStreams(maxStreams),
 		grpc.InitialWindowSize(flowControlWindow), grpc.InitialConnWindowSize(flowControlWindow),
 		grpc.StreamInterceptor(f.admit),
 		grpc.MaxHeaderListSize(8<<10), grpc.ConnectionTimeout(10*time.Second),
--- a/internal/transport/flight/deadline_test.go
+++ b/internal/transport/flight/front_test.go
@@ -38,7 +38,7 @@
 
 // An unsafe part that is out when the client's time ends has the query failed, by the broker's own word and before
 // that time. The test's time is virtual: on a real clock a busy machine delays the word past the deadline.
-func TestAnUnsafePartThatIsOutFailsBeforeTheDeadline(t *testing.T) {
+func TestDoGetAbortsNonIdempotentQueryBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := decision.Settings{ReplicaSets: 1, ReplicationFactor: 1, CancelAllowed: true, Tick: 0.005, Classes: []decision.Class{
 			{LatencyObjective: 1, Deadline: 5, PriorityWeight: 2, Idempotency: decision.NonIdempotent, CompletenessThreshold: 1, MinCompleteness: 1}}}
@@ -54,15 +54,15 @@
 		text, err := json.Marshal(Ticket{ID: "q1", Class: "charge-post", Body: httpwire.Body{
 			Query: "x", Targets: []httpwire.Target{{Weight: 1}}}})
 		require.NoError(t, err)
-		const patience = 300 * time.Millisecond
+		const timeout = 300 * time.Millisecond
 		begin := time.Now()
-		ctx, cancel := context.WithDeadline(t.Context(), begin.Add(patience))
+		ctx, cancel := context.WithDeadline(t.Context(), begin.Add(timeout))
 		defer cancel()
 		err = front.DoGet(&flight.Ticket{Ticket: text}, serverStream{ctx: ctx})
 		require.Equal(t, codes.Aborted, status.Code(err), "%v", err)
-		require.Less(t, time.Since(begin), patience)
-		require.Greater(t, time.Since(begin), patience-50*time.Millisecond)
+		require.Less(t, time.Since(begin), timeout)
+		require.Greater(t, time.Since(begin), timeout-50*time.Millisecond)
 		require.Len(t, link.sent, 1)
-		require.False(t, (<-link.sent).Deadline.After(begin.Add(patience)))
+		require.False(t, (<-link.sent).Deadline.After(begin.Add(timeout)))
 	})
 }
--- a/internal/transport/flight/link.go
+++ b/internal/transport/flight/link.go
@@ -99,7 +99,7 @@
 			Backoff:           backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second},
 			MinConnectTimeout: l.opt.ConnectTimeout,
 		}),
-		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)),
 	)
 	if err != nil {
 		return nil, err
--- a/internal/transport/flight/flight_test.go
+++ b/internal/transport/flight/link_test.go
@@ -12,7 +12,7 @@
 	"mothrouter/internal/decision"
 )
 
-func TestStatusOfEachOutcome(t *testing.T) {
+func TestStatusOfDistinguishesOutcomes(t *testing.T) {
 	seen := map[codes.Code]bool{}
 	for _, o := range []broker.Outcome{broker.Rejected, broker.Failed, broker.DeadlineExceeded, broker.Duplicate} {
 		err := statusOf(broker.Result{Outcome: o, RetryAfter: 0.5})
@@ -24,8 +24,8 @@
 }
 
 // What ends a call that has begun may have run, unless the server says that it has not.
-func TestBrokenCalls(t *testing.T) {
-	refusal := statusOf(broker.Result{Outcome: broker.Rejected})
+func TestFailedResultStatus(t *testing.T) {
+	rejection := statusOf(broker.Result{Outcome: broker.Rejected})
 	for _, c := range []struct {
 		err  error
 		gate *gate
@@ -35,7 +35,7 @@
 		{status.Error(codes.DeadlineExceeded, ""), &gate{}, decision.Unreachable},
 		{errNotStarted, &gate{blocked: true}, decision.NotSent},
 		{errNotStarted, &gate{passed: true}, decision.Error}, // gRPC wanted to send it again by itself
-		{refusal, &gate{passed: true}, decision.Overloaded},
+		{rejection, &gate{passed: true}, decision.Overloaded},
 		{status.Error(codes.Unavailable, ""), &gate{passed: true}, decision.Reset},
 		{status.Error(codes.Internal, ""), &gate{passed: true}, decision.Reset},
 		{status.Error(codes.DeadlineExceeded, ""), &gate{passed: true}, decision.TimedOut},
@@ -46,9 +46,9 @@
 }
 
 // A server that is gone must leave no connection behind.
-func TestIdleConnectionsAreDropped(t *testing.T) {
+func TestReleaseClosesIdleConnections(t *testing.T) {
 	l := NewLink(t.Context(), LinkOptions{MaxStreams: 1, IdleTimeout: 50 * time.Millisecond})
-	held := func() int {
+	openConns := func() int {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return len(l.conns["127.0.0.1:1"])
@@ -57,15 +57,15 @@
 	require.NoError(t, err)
 	second, err := l.acquire("127.0.0.1:1") // the first is full
 	require.NoError(t, err)
-	require.Equal(t, 2, held())
+	require.Equal(t, 2, openConns())
 	l.release("127.0.0.1:1", second)
-	require.Equal(t, 1, held())
+	require.Equal(t, 1, openConns())
 	l.release("127.0.0.1:1", first)
 	again, err := l.acquire("127.0.0.1:1")
 	require.NoError(t, err)
 	require.Same(t, first, again)
 	time.Sleep(80 * time.Millisecond)
-	require.Equal(t, 1, held()) // in use
+	require.Equal(t, 1, openConns()) // in use
 	l.release("127.0.0.1:1", first)
-	require.Eventually(t, func() bool { return held() == 0 }, 2*time.Second, 5*time.Millisecond)
+	require.Eventually(t, func() bool { return openConns() == 0 }, 2*time.Second, 5*time.Millisecond)
 }
