--- /dev/null
+++ b/internal/transport/flight/channel.go
@@ -0,0 +1,124 @@
+package flight
+
+import (
+	"errors"
+	"slices"
+	"time"
+
+	"github.com/apache/arrow-go/v18/arrow/flight"
+	"google.golang.org/grpc"
+	"google.golang.org/grpc/backoff"
+	"google.golang.org/grpc/credentials/insecure"
+)
+
+// channel is one gRPC connection and the calls on it.
+type channel struct {
+	conn      *grpc.ClientConn
+	client    flight.Client
+	calls     int         // in flight
+	idleTimer *time.Timer // closes the connection; nil: there are calls
+}
+
+// stopIdleTimer stops the idle timer, if it runs.
+func (ch *channel) stopIdleTimer() {
+	if ch.idleTimer != nil {
+		ch.idleTimer.Stop()
+		ch.idleTimer = nil
+	}
+}
+
+// acquire reserves a stream on a connection to addr, which it opens if all are full.
+func (l *Link) acquire(addr string) (*channel, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, ch := range l.conns[addr] {
+		if ch.calls < l.opt.MaxStreams {
+			ch.stopIdleTimer()
+			ch.calls++
+			return ch, nil
+		}
+	}
+	full := l.opt.MaxConns > 0 && l.openConns >= l.opt.MaxConns
+	if full && !l.evictIdle() {
+		return nil, errNoConn
+	}
+	return l.open(addr)
+}
+
+// open opens a connection to addr with one call reserved on it. The caller holds mu.
+func (l *Link) open(addr string) (*channel, error) {
+	conn, err := grpc.NewClient("passthrough:///"+addr,
+		grpc.WithTransportCredentials(insecure.NewCredentials()),
+		// The broker decides on the attempts of a part: gRPC must not retry by itself.
+		grpc.WithDisableRetry(),
+		grpc.WithDisableServiceConfig(),
+		grpc.WithIdleTimeout(l.idleLimit()),
+		grpc.WithConnectParams(grpc.ConnectParams{
+			Backoff:           backoff.Config{BaseDelay: 100 * time.Millisecond, Multiplier: 1.6, Jitter: 0.2, MaxDelay: time.Second},
+			MinConnectTimeout: l.opt.ConnectTimeout,
+		}),
+		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessageSize)),
+	)
+	if err != nil {
+		return nil, err
+	}
+	ch := &channel{conn: conn, client: flight.NewClientFromConn(conn, nil), calls: 1}
+	l.conns[addr] = append(l.conns[addr], ch)
+	l.openConns++
+	return ch, nil
+}
+
+var errNoConn = errors.New("no connection is left")
+
+// evictIdle closes a connection without calls and reports whether it found one. The caller holds mu.
+func (l *Link) evictIdle() bool {
+	for addr, list := range l.conns {
+		for _, ch := range list {
+			if ch.calls == 0 {
+				l.remove(addr, ch)
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// release ends a call on a connection. A connection without calls is closed: at once where the server has another, else after
+// the idle time, so that removed servers leave none behind.
+func (l *Link) release(addr string, ch *channel) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	ch.calls--
+	switch {
+	case ch.calls > 0:
+	case len(l.conns[addr]) > 1:
+		l.remove(addr, ch)
+	default:
+		ch.idleTimer = time.AfterFunc(l.idleLimit(), func() { l.removeIdle(addr, ch) })
+	}
+}
+
+// removeIdle removes a connection unless a call has begun on it.
+func (l *Link) removeIdle(addr string, ch *channel) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if ch.calls == 0 {
+		l.remove(addr, ch)
+	}
+}
+
+// idleLimit returns how long a connection may be idle: four fifths of the time after which servers close it.
+func (l *Link) idleLimit() time.Duration { return l.opt.IdleTimeout * 4 / 5 }
+
+// remove closes a connection and removes it from the link. The caller holds mu.
+func (l *Link) remove(addr string, ch *channel) {
+	list := slices.DeleteFunc(l.conns[addr], func(other *channel) bool { return other == ch })
+	if len(list) < len(l.conns[addr]) {
+		l.openConns--
+	}
+	l.conns[addr] = list
+	if len(list) == 0 {
+		delete(l.conns, addr)
+	}
+	ch.conn.Close()
+}
--- a/internal/transport/flight/flight.go
+++ b/internal/transport/flight/flight.go
@@ -18,7 +18,8 @@
 	"mothrouter/internal/transport/httpwire"
 )
 
-const maxMessageSize = httpwire.MaxBody + 4<<10 // a body of the platform's, in an envelope
+// maxMessageSize is the largest gRPC message in bytes: a query's body and its envelope.
+const maxMessageSize = httpwire.MaxBody + 4<<10
 
 // Ticket requests a query from a broker: the platform's body with the fields of its header. The client's deadline is that of
 // the gRPC call.
@@ -47,7 +48,9 @@
 // partTicket returns the ticket of a call.
 func partTicket(c *broker.Call) PartTicket {
 	t := PartTicket{
-		ID: frame.PartID(c.Query, c.Shard, c.FirstPhase != nil), Partition: c.Shard, Query: string(c.Payload),
+		ID:        frame.PartID(c.Query, c.Shard, c.FirstPhase != nil),
+		Partition: c.Shard,
+		Query:     string(c.Payload),
 	}
 	if c.FirstPhase != nil {
 		t.FirstPhase = &FirstPhase{AnsweredShards: c.FirstPhase.AnsweredShards, Complete: c.FirstPhase.Complete}
@@ -81,13 +84,18 @@
 // codeOf maps outcomes to gRPC statuses. UNAVAILABLE with RetryInfo means that a retry is safe; gRPC itself returns UNAVAILABLE
 // for a broken connection, without RetryInfo.
 var codeOf = map[broker.Outcome]codes.Code{
-	broker.Rejected: codes.Unavailable, broker.Failed: codes.Aborted,
-	broker.DeadlineExceeded: codes.DeadlineExceeded, broker.Duplicate: codes.AlreadyExists,
+	broker.Rejected:         codes.Unavailable,
+	broker.Failed:           codes.Aborted,
+	broker.DeadlineExceeded: codes.DeadlineExceeded,
+	broker.Duplicate:        codes.AlreadyExists,
 }
 
+// messageOf maps outcomes to the messages of their gRPC statuses.
 var messageOf = map[broker.Outcome]string{
-	broker.Rejected: "refused: trying again is harmless", broker.Failed: "failed: parts may have run",
-	broker.DeadlineExceeded: "the time is up", broker.Duplicate: "a query of this id is being served",
+	broker.Rejected:         "refused: trying again is harmless",
+	broker.Failed:           "failed: parts may have run",
+	broker.DeadlineExceeded: "the time is up",
+	broker.Duplicate:        "a query of this id is being served",
 }
 
 // statusOf returns the gRPC status of a query that was not answered.
@@ -119,6 +127,7 @@
 	return false
 }
 
+// parseTicket parses a ticket of at most maxMessageSize bytes.
 func parseTicket(data []byte) (*Ticket, error) {
 	var t Ticket
 	if len(data) > maxMessageSize {
--- a/internal/transport/flight/front.go
+++ b/internal/transport/flight/front.go
@@ -21,6 +21,7 @@
 	"mothrouter/internal/broker"
 )
 
+// secondsOf converts seconds to a duration.
 func secondsOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Core is the part of the broker that the front uses.
@@ -55,10 +56,13 @@
 func NewFront(opt Options, core Core) *Front {
 	f := &Front{opt: opt, core: core, slots: make(chan struct{}, maxCalls)}
 	f.server = grpc.NewServer(
-		grpc.MaxRecvMsgSize(maxMessageSize), grpc.MaxConcurrentStreams(maxStreams),
-		grpc.InitialWindowSize(flowControlWindow), grpc.InitialConnWindowSize(flowControlWindow),
+		grpc.MaxRecvMsgSize(maxMessageSize),
+		grpc.MaxConcurrentStreams(maxStreams),
+		grpc.InitialWindowSize(flowControlWindow),
+		grpc.InitialConnWindowSize(flowControlWindow),
 		grpc.StreamInterceptor(f.admit),
-		grpc.MaxHeaderListSize(8<<10), grpc.ConnectionTimeout(10*time.Second),
+		grpc.MaxHeaderListSize(8<<10),
+		grpc.ConnectionTimeout(10*time.Second),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: 90 * time.Second}),
 	)
 	flight.RegisterFlightServiceServer(f.server, f)
@@ -101,13 +105,19 @@
 		return nil, nil, status.Errorf(codes.NotFound, "class: no class of query is named %q", t.Class)
 	}
 	r := &broker.Request{
-		ID: t.ID, Class: class, Retry: t.Retry, ReceivedAt: now, TimeoutUnstated: true,
-		Payload: []byte(t.Query),
+		ID:              t.ID,
+		Class:           class,
+		Retry:           t.Retry,
+		ReceivedAt:      now,
+		TimeoutUnstated: true,
+		Payload:         []byte(t.Query),
 	}
 	if d, ok := ctx.Deadline(); ok {
-		r.Timeout, r.TimeoutUnstated = d.Sub(now), false
+		r.Timeout = d.Sub(now)
+		r.TimeoutUnstated = false
 	}
-	if r.Parts, err = t.Parts(); err == nil {
+	r.Parts, err = t.Parts()
+	if err == nil {
 		err = r.Normalize(f.opt.Shards)
 	}
 	if err != nil {
@@ -183,7 +193,8 @@
 		Schema:           flight.SerializeSchema(answerSchema(t.ID, t.Class), memory.DefaultAllocator),
 		FlightDescriptor: d,
 		Endpoint:         []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: d.GetCmd()}}},
-		TotalRecords:     int64(len(r.Parts)), TotalBytes: -1,
+		TotalRecords:     int64(len(r.Parts)),
+		TotalBytes:       -1, // unknown
 	}, nil
 }
 
