--- a/internal/transport/flight/front.go
+++ b/internal/transport/flight/front.go
@@ -26,14 +26,16 @@
 
 // Core is the part of the broker that the front uses.
 type Core interface {
+	// Submit posts a request. The client gets its result once, unless it disconnects first.
 	Submit(*broker.Request, broker.Client)
+	// Disconnect reports that the client of a request has disconnected. It does not block.
 	Disconnect(*broker.Request)
 }
 
 // Options are the settings of a Front.
 type Options struct {
 	Classes  map[string]int // class by name
-	Shards   int            // 0: not stated
+	Shards   int            // partitions of the data; 0: not stated
 	MaxConns int            // client connections at once
 }
 
--- a/internal/transport/flight/front_test.go
+++ b/internal/transport/flight/front_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// A query whose non-idempotent part is in flight near the client's deadline ends with Aborted before it. The clock is synctest's:
-// on a real one a busy machine may delay the status past the deadline.
+// A query whose non-idempotent part is in flight near the client's deadline ends with Aborted before it. The clock is
+// synctest's: on a real one a busy machine may delay the status past the deadline.
 func TestDoGetAbortsNonIdempotentQueryBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := nonIdempotentSettings()
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// mustEnd reports whether a connection between requests must end because its time is up, or by the stage of a shutdown or drain.
+// mustEnd reports whether a connection between requests must end: its time is up, or a shutdown or drain requires it.
 func (c *conn) mustEnd() bool {
 	if c.expired {
 		return true
@@ -138,8 +138,8 @@
 	return stage.closeAll || stage.closeIdle && !c.receiving
 }
 
-// serveRequests serves requests until one is in flight or more bytes must be received first. It returns false where the connection
-// has ended.
+// serveRequests serves requests until one is in flight or more bytes must be received first. It returns false where the
+// connection has ended.
 func (c *conn) serveRequests() bool {
 	for c.request == nil {
 		req, err := c.reader.Next()
--- a/internal/transport/front/fixture_test.go
+++ b/internal/transport/front/fixture_test.go
@@ -137,8 +137,8 @@
 // requestText returns a query of one part with the id, and with the further header lines in head, each ended by CRLF.
 func requestText(id string, head ...string) string {
 	body := `{"targets":[{"partition":0,"share":1}],"query":"x"}`
-	return fmt.Sprintf("POST /look HTTP/1.1\r\nX-Request-Id: %s\r\nX-Deadline: 2000m\r\nContent-Length: %d\r\n%s\r\n%s", id, len(body),
-		strings.Join(head, ""), body)
+	const format = "POST /look HTTP/1.1\r\nX-Request-Id: %s\r\nX-Deadline: 2000m\r\nContent-Length: %d\r\n%s\r\n%s"
+	return fmt.Sprintf(format, id, len(body), strings.Join(head, ""), body)
 }
 
 // roundTrip sends a request, answers it and reads the response.
@@ -174,7 +174,8 @@
 // readStatusLine reads a response and returns its status line.
 func readStatusLine(t *testing.T, in *bufio.Reader) string {
 	t.Helper()
-	first, length := "", 0
+	first := ""
+	length := 0
 	for {
 		line, err := in.ReadString('\n')
 		require.NoError(t, err)
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -17,15 +17,18 @@
 
 // Core is the part of the broker that the front uses.
 type Core interface {
+	// Submit posts a request. The client gets its result once, unless it disconnects first.
 	Submit(*broker.Request, broker.Client)
+	// Disconnect reports that the client of a request has disconnected. It does not block.
 	Disconnect(*broker.Request)
+	// Ready reports whether the broker can serve: it has had an endpoint list, and its loop runs.
 	Ready() bool
 }
 
 // Options are the settings of a Front.
 type Options struct {
 	Classes          map[string]int    // class by name
-	Shards           int               // 0: not stated
+	Shards           int               // partitions of the data; 0: not stated
 	MaxConns         int               // client connections at once
 	MaxIdleConns     int               // of these between requests; 0: no bound
 	MaxBufferedBytes int               // of requests, beside a few KiB for each connection
@@ -42,7 +45,7 @@
 	rejecting chan struct{} // slots of connections that are rejected over capacity
 	wg        sync.WaitGroup
 
-	mu            sync.Mutex    // guards what follows, up to listener
+	mu            sync.Mutex    // guards the fields below, except accepted
 	shutdown      shutdownStage // of the process
 	drain         drain.State
 	conns         map[*conn]struct{} // connections with a slot
@@ -51,8 +54,8 @@
 	idleConns     list.List          // conns between requests, longest idle first
 	receiving     list.List          // conns whose next request is received in part, earliest first byte first
 	bufferedBytes int                // of requests
+	listener      net.Listener       // nil before Serve
 
-	listener net.Listener  // nil before Serve
 	accepted chan struct{} // closed once Serve accepts no more connections
 }
 
--- a/internal/transport/front/limits.go
+++ b/internal/transport/front/limits.go
@@ -1,8 +1,6 @@
 package front
 
-import (
-	"time"
-)
+import "time"
 
 const (
 	// FirstRequestTimeout is the time from the accept to the last byte of a connection's first request: connections that send
--- a/internal/transport/front/respond.go
+++ b/internal/transport/front/respond.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// handleQuery submits a query to the broker. One that is invalid, or that arrives while a drain rejects requests, is answered by
-// resp. It returns false where the connection ends.
+// handleQuery submits a query to the broker. One that is invalid, or that arrives while a drain rejects requests, is answered
+// by resp. It returns false where the connection ends.
 func (c *conn) handleQuery(req *httpwire.Request, class int, resp httpwire.Response) bool {
 	rejects := c.front.RejectsRequests()
 	r, err := c.newRequest(req, class)
--- a/internal/transport/upstream/liveness.go
+++ b/internal/transport/upstream/liveness.go
@@ -55,7 +55,8 @@
 	l.meanLatency += time.Duration(latencyWeight * float64(took-l.meanLatency))
 }
 
-// silenceTimeout returns how long a connection that awaits answers may receive nothing before it counts as silent. The caller holds mu.
+// silenceTimeout returns how long a connection that awaits answers may receive nothing before it counts as silent. The
+// caller holds mu.
 func (l *Link) silenceTimeout() time.Duration {
 	if l.meanLatency == 0 {
 		return MaxSilence
--- a/internal/transport/upstream/upstream_test.go
+++ b/internal/transport/upstream/upstream_test.go
@@ -151,7 +151,12 @@
 // A non-idempotent call fails with its connection, so it uses one that is proven alive, or a new one, and shares it with no
 // other call. An idle connection is closed for the new one.
 func TestNonIdempotentCallsUseProvenConnectionsAlone(t *testing.T) {
-	x := newFixture(t, upstream.Options{MaxStreams: 9, IdleTimeout: time.Minute, ConnectTimeout: time.Second, ProvenAliveFor: time.Second})
+	x := newFixture(t, upstream.Options{
+		MaxStreams:     9,
+		IdleTimeout:    time.Minute,
+		ConnectTimeout: time.Second,
+		ProvenAliveFor: time.Second,
+	})
 	_, first := x.sendOnNewConn("safe")
 	x.act(send(x.submitOfClass(nonIdempotentClass, "alone")))
 	second := x.accept()
@@ -209,7 +214,12 @@
 	text := bytes.Repeat([]byte("x"), 60<<10)
 	var ids []decision.RequestID
 	for i := range 300 { // more bytes than the socket buffers accept
-		id := x.submitRequest(&broker.Request{ID: fmt.Sprint("q", i), ReceivedAt: time.Now(), Timeout: 9 * time.Second, Payload: text})
+		id := x.submitRequest(&broker.Request{
+			ID:         fmt.Sprint("q", i),
+			ReceivedAt: time.Now(),
+			Timeout:    9 * time.Second,
+			Payload:    text,
+		})
 		x.act(send(id))
 		ids = append(ids, id)
 	}
