--- a/internal/transport/flight/front.go
+++ b/internal/transport/flight/front.go
@@ -21,18 +21,21 @@
 	"mothrouter/internal/broker"
 )
 
+// secondsOf converts seconds to a duration.
 func secondsOf(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Core is the part of the broker that the front uses.
 type Core interface {
+	// Submit posts a request. The client gets its result once, unless it disconnects first.
 	Submit(*broker.Request, broker.Client)
+	// Disconnect reports that the client of a request has disconnected. It does not block.
 	Disconnect(*broker.Request)
 }
 
 // Options are the settings of a Front.
 type Options struct {
 	Classes  map[string]int // class by name
-	Shards   int            // 0: not stated
+	Shards   int            // partitions of the data; 0: not stated
 	MaxConns int            // client connections at once
 }
 
@@ -55,10 +58,13 @@
 func NewFront(opt Options, core Core) *Front {
 	f := &Front{opt: opt, core: core, slots: make(chan struct{}, maxCalls)}
 	f.server = grpc.NewServer(
-		grpc.MaxRecvMsgSize(maxMessage), grpc.MaxConcurrentStreams(maxStreams),
-		grpc.InitialWindowSize(flowControlWindow), grpc.InitialConnWindowSize(flowControlWindow),
+		grpc.MaxRecvMsgSize(maxMessageSize),
+		grpc.MaxConcurrentStreams(maxStreams),
+		grpc.InitialWindowSize(flowControlWindow),
+		grpc.InitialConnWindowSize(flowControlWindow),
 		grpc.StreamInterceptor(f.admit),
-		grpc.MaxHeaderListSize(8<<10), grpc.ConnectionTimeout(10*time.Second),
+		grpc.MaxHeaderListSize(8<<10),
+		grpc.ConnectionTimeout(10*time.Second),
 		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: 90 * time.Second}),
 	)
 	flight.RegisterFlightServiceServer(f.server, f)
@@ -101,13 +107,19 @@
 		return nil, nil, status.Errorf(codes.NotFound, "class: no class of query is named %q", t.Class)
 	}
 	r := &broker.Request{
-		ID: t.ID, Class: class, Retry: t.Retry, ReceivedAt: now, TimeoutUnstated: true,
-		Payload: []byte(t.Query),
+		ID:              t.ID,
+		Class:           class,
+		Retry:           t.Retry,
+		ReceivedAt:      now,
+		TimeoutUnstated: true,
+		Payload:         []byte(t.Query),
 	}
 	if d, ok := ctx.Deadline(); ok {
-		r.Timeout, r.TimeoutUnstated = d.Sub(now), false
+		r.Timeout = d.Sub(now)
+		r.TimeoutUnstated = false
 	}
-	if r.Parts, err = t.Parts(); err == nil {
+	r.Parts, err = t.Parts()
+	if err == nil {
 		err = r.Normalize(f.opt.Shards)
 	}
 	if err != nil {
@@ -183,7 +195,8 @@
 		Schema:           flight.SerializeSchema(answerSchema(t.ID, t.Class), memory.DefaultAllocator),
 		FlightDescriptor: d,
 		Endpoint:         []*flight.FlightEndpoint{{Ticket: &flight.Ticket{Ticket: d.GetCmd()}}},
-		TotalRecords:     int64(len(r.Parts)), TotalBytes: -1,
+		TotalRecords:     int64(len(r.Parts)),
+		TotalBytes:       -1, // unknown
 	}, nil
 }
 
