--- /dev/null
+++ b/internal/broker/shutdown_test.go
@@ -0,0 +1,39 @@
+package broker_test
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"mothrouter/internal/broker"
+	"mothrouter/internal/decision"
+)
+
+// Every query in flight or accepted later has its answer before the process is killed: from the answered parts, rejected or
+// failed.
+func TestShutdownDeadlineAnswersEveryQuery(t *testing.T) {
+	// On a virtual clock: a busy machine is late by more than the test allows.
+	synctest.Test(t, testShutdownDeadlineAnswersEveryQuery)
+}
+
+func testShutdownDeadlineAnswersEveryQuery(t *testing.T) {
+	r := newHarness(t)
+	_, part, in, _ := r.take("q", partial, 1, 4*time.Second)
+	r.send(part, "s1").Finish(done(decision.OK))
+	event[decision.AttemptFinished](r)
+	_, part, ran, _ := r.take("q2", nonIdempotent, 1, 4*time.Second)
+	require.True(t, r.send(part, "s1").TryStart())
+	end := time.Now().Add(100 * time.Millisecond)
+	r.b.SetShutdownDeadline(end)
+	q, _, later, _ := r.take("q3", idempotent, 1, 4*time.Second)
+	require.NotZero(t, q)
+	require.Equal(t, broker.Result{Complete: true, Values: []broker.Value{{1, []byte("v")}}}, <-in)
+	require.Equal(t, broker.Result{Outcome: broker.Failed}, <-ran)
+	require.Equal(t, broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}, <-later)
+	require.WithinRange(t, time.Now(), end.Add(-50*time.Millisecond), end)
+	last := make(client, 1)
+	r.b.Submit(&broker.Request{ID: "q4", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, last)
+	require.Equal(t, broker.Rejected, (<-last).Outcome, "at once")
+}
