--- a/internal/broker/configure_test.go
+++ b/internal/broker/configure_test.go
@@ -32,59 +32,59 @@
 
 // gate is a Decider that has its loop wait in each batch with a Timer until the test lets it go on, and keeps all
 // events.
-type gate struct {
+type pausingDecider struct {
 	batches chan []decision.Event
-	hold    chan struct{}
+	resumed chan struct{}
 	actions chan []decision.Action
 }
 
-func (g *gate) Handle(_ float64, events []decision.Event) []decision.Action {
+func (g *pausingDecider) Handle(_ float64, events []decision.Event) []decision.Action {
 	g.batches <- slices.Clone(events)
 	if slices.ContainsFunc(events, func(e decision.Event) bool { _, ok := e.(decision.TimerFired); return ok }) {
-		<-g.hold
+		<-g.resumed
 		return <-g.actions
 	}
 	return nil
 }
 
-// held is a core whose loop a test can hold, under the old settings.
-type held struct {
+// pausableBroker is a core whose loop a test can pause, under the old settings.
+type pausableBroker struct {
 	*testing.T
-	*gate
+	*pausingDecider
 	link
-	b     *broker.Broker
-	start []decision.Class // those handed over at its start
+	broker *broker.Broker
+	start  []decision.Class // those handed over at its start
 }
 
-func newHeld(t *testing.T) *held {
-	h := &held{T: t,
-		gate: &gate{make(chan []decision.Event, 1000), make(chan struct{}), make(chan []decision.Action, 10)},
-		link: link{make(chan *broker.Call, 10), make(chan *broker.Call, 10)}}
-	set := decision.Settings{ReplicaSets: 1, ReplicationFactor: 1, MaxAttempts: 3, RetryAfterSupported: true, MaxRetryAfter: 0.5,
+func newPausableBroker(t *testing.T) *pausableBroker {
+	h := &pausableBroker{T: t,
+		pausingDecider: &pausingDecider{make(chan []decision.Event, 1000), make(chan struct{}), make(chan []decision.Action, 10)},
+		link:           link{make(chan *broker.Call, 10), make(chan *broker.Call, 10)}}
+	settings := decision.Settings{ReplicaSets: 1, ReplicationFactor: 1, MaxAttempts: 3, RetryAfterSupported: true, MaxRetryAfter: 0.5,
 		Classes: classes(oldDeadline)}
-	h.start = set.Classes
-	h.b = broker.New(broker.Options{Settings: set, ConcurrencyLimit: oldCap}, h.gate, h.link)
+	h.start = settings.Classes
+	h.broker = broker.New(broker.Options{Settings: settings, ConcurrencyLimit: oldCap}, h.pausingDecider, h.link)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go h.b.Run(ctx)
+	go h.broker.Run(ctx)
 	return h
 }
 
-// stop holds the loop: all that is handed over from now on comes to it at once, in its order, when go on is called.
-func (h *held) stop() (goOn func(...decision.Action)) {
-	h.b.Notify(decision.TimerFired{Token: 7})
+// pause pauses the loop and returns the function that resumes it: all that was posted meanwhile is handled in one batch, in order.
+func (h *pausableBroker) pause() (resume func(...decision.Action)) {
+	h.broker.Notify(decision.TimerFired{Token: 7})
 	for {
-		batch := h.batch()
+		batch := h.nextBatch()
 		if slices.Contains(batch, decision.Event(decision.TimerFired{Token: 7})) {
 			return func(actions ...decision.Action) {
 				h.actions <- actions
-				h.hold <- struct{}{}
+				h.resumed <- struct{}{}
 			}
 		}
 	}
 }
 
-func (h *held) batch() []decision.Event {
+func (h *pausableBroker) nextBatch() []decision.Event {
 	h.Helper()
 	select {
 	case b := <-h.batches:
@@ -95,20 +95,20 @@
 	}
 }
 
-// query hands over a query that states no time and has parts at shards 0, 1 ... .
-func (h *held) query(name string, class, parts int) client {
+// submit submits a query that states no timeout and has parts at shards 0, 1 ... .
+func (h *pausableBroker) submit(name string, class, parts int) client {
 	c := make(client, 1)
 	r := &broker.Request{ID: name, Class: class, TimeoutUnstated: true, ReceivedAt: time.Now(), Payload: []byte("x")}
 	for i := range parts {
 		r.Parts = append(r.Parts, broker.Part{Shard: i, Weight: 1 / float64(parts)})
 	}
 	require.NoError(h, r.Normalize(0))
-	h.b.Submit(r, c)
+	h.broker.Submit(r, c)
 	return c
 }
 
-// result waits for an answer.
-func (h *held) result(c client) broker.Result {
+// awaitResult returns the result of a query.
+func (h *pausableBroker) awaitResult(c client) broker.Result {
 	h.Helper()
 	select {
 	case r := <-c:
@@ -119,37 +119,39 @@
 	}
 }
 
-// post hands over a change and returns how to wait for it.
-func (h *held) post(c broker.Change) func() error { return h.b.ConfigureAsync(c, func() {}) }
+// configureAsync posts a change and returns a function that waits until it is applied.
+func (h *pausableBroker) configureAsync(c broker.Change) func() error {
+	return h.broker.ConfigureAsync(c, func() {})
+}
 
 // Queries, a change and more queries are in the inbox at once: each query is accepted under the settings before or after the
 // change, by its position: deadline, limit and event; and the Decider gets the change between them.
 func TestConfigureAppliesAtOnePoint(t *testing.T) {
-	h := newHeld(t)
-	goOn := h.stop()
-	fits := h.query("before", 0, 1)
-	refused := h.query("beyond-the-old-cap", 0, 2)
-	full := h.query("full-before", 1, 1)
-	wait := h.post(broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: newCap})
-	more := h.query("full-still", 0, 2)
-	goOn()
+	h := newPausableBroker(t)
+	resume := h.pause()
+	accepted := h.submit("before", 0, 1)
+	rejected := h.submit("beyond-the-old-cap", 0, 2)
+	full := h.submit("full-before", 1, 1)
+	wait := h.configureAsync(broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: newCap})
+	stillFull := h.submit("full-still", 0, 2)
+	resume()
 	require.NoError(t, wait())
-	require.Equal(t, broker.Rejected, h.result(refused).Outcome)
-	require.Equal(t, broker.Rejected, h.result(full).Outcome, "one query of one part fills the old cap")
-	require.Equal(t, broker.Rejected, h.result(more).Outcome, "the cap counts what is held")
-	batch := h.batch()
-	taken := slices.IndexFunc(batch, func(e decision.Event) bool { _, ok := e.(decision.Query); return ok })
-	told := slices.IndexFunc(batch, func(e decision.Event) bool { _, ok := e.(decision.ClassesChanged); return ok })
-	require.True(t, taken >= 0 && taken < told, "%v", batch)
-	require.Equal(t, classes(newDeadline), batch[told].(decision.ClassesChanged).Classes)
-	early := batch[taken].(decision.Query)
+	require.Equal(t, broker.Rejected, h.awaitResult(rejected).Outcome)
+	require.Equal(t, broker.Rejected, h.awaitResult(full).Outcome, "one query of one part fills the old cap")
+	require.Equal(t, broker.Rejected, h.awaitResult(stillFull).Outcome, "the cap counts what is held")
+	batch := h.nextBatch()
+	queryAt := slices.IndexFunc(batch, func(e decision.Event) bool { _, ok := e.(decision.Query); return ok })
+	changeAt := slices.IndexFunc(batch, func(e decision.Event) bool { _, ok := e.(decision.ClassesChanged); return ok })
+	require.True(t, queryAt >= 0 && queryAt < changeAt, "%v", batch)
+	require.Equal(t, classes(newDeadline), batch[changeAt].(decision.ClassesChanged).Classes)
+	early := batch[queryAt].(decision.Query)
 	require.InDelta(t, oldDeadline, early.Deadline-early.ReceivedAt, 1e-3)
-	require.Equal(t, broker.DeadlineExceeded, h.result(fits).Outcome)
+	require.Equal(t, broker.DeadlineExceeded, h.awaitResult(accepted).Outcome)
 
-	after := h.query("after", 0, 2)
+	after := h.submit("after", 0, 2)
 	var late *decision.Query
 	for late == nil {
-		for _, e := range h.batch() {
+		for _, e := range h.nextBatch() {
 			if q, ok := e.(decision.Query); ok {
 				late = &q
 			}
@@ -157,7 +159,7 @@
 	}
 	require.Equal(t, 2, late.Parts)
 	require.InDelta(t, newDeadline, late.Deadline-late.ReceivedAt, 1e-3)
-	require.Equal(t, broker.DeadlineExceeded, h.result(after).Outcome)
+	require.Equal(t, broker.DeadlineExceeded, h.awaitResult(after).Outcome)
 }
 
 // A query before a change in the inbox is accepted under the settings before, also if the change lowers the limit.
@@ -168,18 +170,18 @@
 		want broker.Outcome
 	}{{"larger cap", newCap, broker.Rejected}, {"smaller cap", 1, broker.DeadlineExceeded}} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHeld(t)
-			goOn := h.stop()
+			h := newPausableBroker(t)
+			resume := h.pause()
 			parts := 1
 			if c.cap > oldCap {
 				parts = 2
 			}
-			query := h.query("before", 0, parts)
-			wait := h.post(broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: c.cap})
-			goOn()
+			query := h.submit("before", 0, parts)
+			wait := h.configureAsync(broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: c.cap})
+			resume()
 			require.NoError(t, wait())
 			from := time.Now()
-			require.Equal(t, c.want, h.result(query).Outcome)
+			require.Equal(t, c.want, h.awaitResult(query).Outcome)
 			require.Less(t, time.Since(from).Seconds(), newDeadline/2)
 		})
 	}
@@ -192,16 +194,16 @@
 		old, new float64
 	}{{"longer deadlines", oldDeadline, newDeadline}, {"shorter deadlines", newDeadline, oldDeadline}} {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHeld(t)
-			require.NoError(t, h.b.Configure(broker.Change{Classes: classes(c.old), ConcurrencyLimit: 20}))
-			h.b.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Servers: []broker.Endpoint{
+			h := newPausableBroker(t)
+			require.NoError(t, h.broker.Configure(broker.Change{Classes: classes(c.old), ConcurrencyLimit: 20}))
+			h.broker.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Servers: []broker.Endpoint{
 				{Addr: "s0", Server: decision.Server{ID: "s0"}}}})
 			start := time.Now()
-			silent := h.query("silent", 0, 1)
-			half := h.query("half", 1, 2)
+			silent := h.submit("silent", 0, 1)
+			half := h.submit("half", 1, 2)
 			var first, name decision.RequestID
 			for first == 0 {
-				for _, e := range h.batch() {
+				for _, e := range h.nextBatch() {
 					if q, ok := e.(decision.Query); ok && q.Class == 1 {
 						name = q.ID
 					}
@@ -210,27 +212,27 @@
 					}
 				}
 			}
-			require.NoError(t, h.b.Configure(broker.Change{Classes: classes(c.new), ConcurrencyLimit: 20}))
-			require.Equal(t, newDeadline, h.b.LongestDeadline().Seconds(), "the longest that is held or in force")
-			h.stop()(decision.Send{ID: first, Server: "s0"})
+			require.NoError(t, h.broker.Configure(broker.Change{Classes: classes(c.new), ConcurrencyLimit: 20}))
+			require.Equal(t, newDeadline, h.broker.LongestDeadline().Seconds(), "the longest that is held or in force")
+			h.pause()(decision.Send{ID: first, Server: "s0"})
 			call := <-h.sent
 			require.InDelta(t, c.old, call.Deadline.Sub(start).Seconds(), 0.2)
 			require.True(t, call.TryStart())
-			call.Finish(done(decision.OK))
-			h.stop()(decision.Respond{ID: name, Complete: true})
-			answered := h.result(half)
+			call.Finish(callResult(decision.OK))
+			h.pause()(decision.Respond{ID: name, Complete: true})
+			answered := h.awaitResult(half)
 			require.Equal(t, broker.Answered, answered.Outcome, "half of it is its floor")
 			require.Len(t, answered.Values, 1)
-			require.Equal(t, broker.DeadlineExceeded, h.result(silent).Outcome)
+			require.Equal(t, broker.DeadlineExceeded, h.awaitResult(silent).Outcome)
 			require.InDelta(t, c.old, time.Since(start).Seconds(), 0.25)
-			require.Equal(t, c.new, h.b.LongestDeadline().Seconds(), "nothing is held any more")
+			require.Equal(t, c.new, h.broker.LongestDeadline().Seconds(), "nothing is held any more")
 		})
 	}
 }
 
 // An invalid change changes nothing and is not passed to the Decider; nor is one that leaves the classes as they are.
 func TestInvalidChangeChangesNothing(t *testing.T) {
-	h := newHeld(t)
+	h := newPausableBroker(t)
 	spoil := func(f func(*decision.Class)) broker.Change {
 		c := classes(newDeadline)
 		f(&c[1])
@@ -255,18 +257,18 @@
 		"objective":      {spoil(func(c *decision.Class) { c.LatencyObjective = 0 }), "settings.classes[1].objectiveS: 0 is not above 0"},
 		"deadline":       {spoil(func(c *decision.Class) { c.Deadline = -1 }), "settings.classes[1].deadlineS: -1 is not above 0"},
 	} {
-		require.ErrorContains(t, h.b.Configure(c.change), c.want, name)
+		require.ErrorContains(t, h.broker.Configure(c.change), c.want, name)
 	}
-	require.NoError(t, h.b.Configure(broker.Change{Classes: classes(oldDeadline), ConcurrencyLimit: oldCap}))
-	require.Equal(t, oldDeadline, h.b.LongestDeadline().Seconds())
-	require.Equal(t, broker.Rejected, h.result(h.query("beyond", 0, 2)).Outcome)
-	h.stop()()
+	require.NoError(t, h.broker.Configure(broker.Change{Classes: classes(oldDeadline), ConcurrencyLimit: oldCap}))
+	require.Equal(t, oldDeadline, h.broker.LongestDeadline().Seconds())
+	require.Equal(t, broker.Rejected, h.awaitResult(h.submit("beyond", 0, 2)).Outcome)
+	h.pause()()
 	require.Empty(t, h.batches, "the Decider has heard of a change")
 }
 
 // A change posted to a loop that has ended is an error and does not block.
 func TestConfigureAfterTheLoopEnded(t *testing.T) {
-	b := broker.New(broker.Options{Settings: decision.Settings{Classes: classes(oldDeadline)}}, &gate{}, link{})
+	b := broker.New(broker.Options{Settings: decision.Settings{Classes: classes(oldDeadline)}}, &pausingDecider{}, link{})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	b.Run(ctx)
@@ -276,15 +278,15 @@
 
 // Classes that a Decider or the caller may hold are not written to, by this change nor by the next one.
 func TestConfigureDoesNotWriteToOldClasses(t *testing.T) {
-	h := newHeld(t)
+	h := newPausableBroker(t)
 	c := broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: newCap}
-	require.NoError(t, h.b.Configure(c))
-	told := h.batch()[0].(decision.ClassesChanged).Classes
-	require.NoError(t, h.b.Configure(broker.Change{Classes: classes(9), ConcurrencyLimit: newCap}))
+	require.NoError(t, h.broker.Configure(c))
+	received := h.nextBatch()[0].(decision.ClassesChanged).Classes
+	require.NoError(t, h.broker.Configure(broker.Change{Classes: classes(9), ConcurrencyLimit: newCap}))
 	require.Equal(t, classes(oldDeadline), h.start)
-	require.Equal(t, classes(newDeadline), told)
+	require.Equal(t, classes(newDeadline), received)
 	require.Equal(t, classes(newDeadline), c.Classes)
 	c.Classes[0].Deadline = 99 // the caller's affair
-	require.Equal(t, 9., h.b.LongestDeadline().Seconds())
-	require.Equal(t, classes(newDeadline), told)
+	require.Equal(t, 9., h.broker.LongestDeadline().Seconds())
+	require.Equal(t, classes(newDeadline), received)
 }
--- a/internal/broker/endpoints_test.go
+++ b/internal/broker/endpoints_test.go
@@ -11,32 +11,32 @@
 )
 
 func TestDrainStopsNewAttempts(t *testing.T) {
-	r := newHarness(t)
-	_, part, _, _ := r.take("q", idempotent, 1, time.Second)
-	waiting := r.send(part, "s1") // no connection yet when the list speaks
-	r.list(decision.DeltaUpdate, "s1", 1, decision.Draining)
+	h := newHarness(t)
+	_, part, _, _ := h.submit("q", idempotent, 1, time.Second)
+	waiting := h.send(part, "s1") // no connection yet when the list speaks
+	h.updateEndpoints(decision.DeltaUpdate, "s1", 1, decision.Draining)
 	require.False(t, waiting.TryStart())
-	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
-	r.do(decision.Send{ID: part, Server: "s1"})
-	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
-	r.list(decision.FullUpdate, "s1", 1, decision.Ready) // back; those that a full list lacks are gone
-	r.do(decision.Send{ID: part, Server: "s2"})
-	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
-	require.Empty(t, r.sent)
+	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
+	h.perform(decision.Send{ID: part, Server: "s1"})
+	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
+	h.updateEndpoints(decision.FullUpdate, "s1", 1, decision.Ready) // back; those that a full list lacks are gone
+	h.perform(decision.Send{ID: part, Server: "s2"})
+	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
+	require.Empty(t, h.sent)
 }
 
 // A busy loop must not delay a drain: links see it at once.
 func TestUpdateBindsLinksBeforeTheLoop(t *testing.T) {
-	r := newHarness(t)
-	_, part, _, req := r.take("q", idempotent, 1, time.Second)
-	waiting := r.send(part, "s1")
+	h := newHarness(t)
+	_, part, _, req := h.submit("q", idempotent, 1, time.Second)
+	waiting := h.send(part, "s1")
 	loop := make(blockingClient)
-	r.b.Submit(req, loop) // a second of its name
+	h.broker.Submit(req, loop) // a second of its name
 	<-loop
-	go r.b.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Servers: []broker.Endpoint{{Addr: "s1",
+	go h.broker.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Servers: []broker.Endpoint{{Addr: "s1",
 		Server: decision.Server{ID: "s1", ReplicaSet: 1, State: decision.Draining}}}})
 	require.Eventually(t, waiting.Server.Unavailable, time.Second, time.Millisecond)
 	require.False(t, waiting.TryStart())
 	loop <- struct{}{}
-	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
+	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 }
--- a/internal/broker/harness_test.go
+++ b/internal/broker/harness_test.go
@@ -18,13 +18,13 @@
 }
 
 func (s scriptedDecider) Handle(_ float64, events []decision.Event) []decision.Action {
-	woken := false
+	updated := false
 	for _, e := range events {
 		s.events <- e
-		_, list := e.(decision.EndpointUpdate)
-		woken = woken || list
+		_, isUpdate := e.(decision.EndpointUpdate)
+		updated = updated || isUpdate
 	}
-	if woken && len(s.actions) > 0 {
+	if updated && len(s.actions) > 0 {
 		return <-s.actions
 	}
 	return nil
@@ -33,7 +33,7 @@
 // link records its calls.
 type link struct{ sent, cancelled chan *broker.Call }
 
-func (l link) Send(c *broker.Call)   { l.sent <- c }
+func (l link) Send(c *broker.Call) { l.sent <- c }
 
 func (l link) Cancel(c *broker.Call) { l.cancelled <- c }
 
@@ -49,7 +49,7 @@
 	*testing.T
 	scriptedDecider
 	link
-	b *broker.Broker
+	broker *broker.Broker
 }
 
 const (
@@ -65,9 +65,9 @@
 
 // newHarnessWith starts a core with options whose Settings and ConcurrencyLimit are the harness's.
 func newHarnessWith(t *testing.T, options broker.Options) *harness {
-	r := &harness{T: t, scriptedDecider: scriptedDecider{make(chan decision.Event, 100), make(chan []decision.Action, 10)},
+	h := &harness{T: t, scriptedDecider: scriptedDecider{make(chan decision.Event, 100), make(chan []decision.Action, 10)},
 		link: link{make(chan *broker.Call, 10), make(chan *broker.Call, 10)}}
-	set := decision.Settings{ReplicaSets: 4, ReplicationFactor: 2, MaxAttempts: 3, RetryAfterSupported: true, MaxRetryAfter: 0.5,
+	settings := decision.Settings{ReplicaSets: 4, ReplicationFactor: 2, MaxAttempts: 3, RetryAfterSupported: true, MaxRetryAfter: 0.5,
 		ReportMode: decision.ReportPiggyback, Classes: []decision.Class{
 			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 1},
 			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 1, Idempotency: decision.NonIdempotent},
@@ -75,71 +75,71 @@
 			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 1, Idempotency: decision.IdempotentWithKey, IdempotencyWindow: 0.2},
 			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 1, SecondPhaseFanout: 2},
 			{Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 0.5, SecondPhaseFanout: 2}}}
-	options.Settings = set
+	options.Settings = settings
 	options.ConcurrencyLimit = 7
-	r.b = broker.New(options, r.scriptedDecider, r.link)
+	h.broker = broker.New(options, h.scriptedDecider, h.link)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	go r.b.Run(ctx)
-	r.list(decision.CachedUpdate, "s0", 0, decision.Ready, "s1", 1, decision.Ready, "s2", 2, decision.Ready)
-	return r
+	go h.broker.Run(ctx)
+	h.updateEndpoints(decision.CachedUpdate, "s0", 0, decision.Ready, "s1", 1, decision.Ready, "s2", 2, decision.Ready)
+	return h
 }
 
-// list posts an endpoint update; entries are id, replica set and state of each server.
-func (r *harness) list(mode decision.UpdateMode, entries ...any) {
-	l := broker.EndpointUpdate{Mode: mode}
+// updateEndpoints posts an endpoint update; entries are id, replica set and state of each server.
+func (h *harness) updateEndpoints(mode decision.UpdateMode, entries ...any) {
+	update := broker.EndpointUpdate{Mode: mode}
 	for i := 0; i < len(entries); i += 3 {
-		l.Servers = append(l.Servers, broker.Endpoint{Addr: entries[i].(string), Server: decision.Server{
+		update.Servers = append(update.Servers, broker.Endpoint{Addr: entries[i].(string), Server: decision.Server{
 			ID: entries[i].(string), ReplicaSet: entries[i+1].(int), State: entries[i+2].(decision.State)}})
 	}
-	r.b.Update(l)
-	event[decision.EndpointUpdate](r)
+	h.broker.Update(update)
+	awaitEvent[decision.EndpointUpdate](h)
 }
 
-// event returns the next event of a type.
-func event[E decision.Event](r *harness) E {
-	r.Helper()
-	for limit := time.After(2 * time.Second); ; {
+// awaitEvent returns the next event of a type.
+func awaitEvent[E decision.Event](h *harness) E {
+	h.Helper()
+	for timeout := time.After(2 * time.Second); ; {
 		select {
-		case e := <-r.events:
+		case e := <-h.events:
 			if e, ok := e.(E); ok {
 				return e
 			}
-		case <-limit:
-			require.FailNow(r, "no such event came")
+		case <-timeout:
+			require.FailNow(h, "no such event came")
 		}
 	}
 }
 
-// take submits a query of equal parts at shards 1, 2 and so on, and returns the ids of the query and of its first part.
-func (r *harness) take(name string, class, parts int, patience time.Duration) (decision.RequestID, decision.RequestID, client, *broker.Request) {
-	req := &broker.Request{ID: name, Class: class, ReceivedAt: time.Now(), Timeout: patience, Payload: []byte("x")}
+// submit submits a query of equal parts at shards 1, 2 and so on, and returns the ids of the query and of its first part.
+func (h *harness) submit(name string, class, parts int, timeout time.Duration) (decision.RequestID, decision.RequestID, client, *broker.Request) {
+	req := &broker.Request{ID: name, Class: class, ReceivedAt: time.Now(), Timeout: timeout, Payload: []byte("x")}
 	for i := range parts {
 		req.Parts = append(req.Parts, broker.Part{Shard: i + 1, Weight: 1 / float64(parts)})
 	}
-	require.NoError(r, req.Normalize(24))
+	require.NoError(h, req.Normalize(24))
 	c := make(client, 1)
-	r.b.Submit(req, c)
-	q := event[decision.Query](r)
-	first := event[decision.Part](r).ID
+	h.broker.Submit(req, c)
+	q := awaitEvent[decision.Query](h)
+	first := awaitEvent[decision.Part](h).ID
 	for range parts - 1 {
-		event[decision.Part](r)
+		awaitEvent[decision.Part](h)
 	}
 	return q.ID, first, c, req
 }
 
-// do has the Decider return actions, at an endpoint update that changes nothing.
-func (r *harness) do(actions ...decision.Action) {
-	r.actions <- actions
-	r.list(decision.DeltaUpdate)
+// perform has the Decider return actions, at an endpoint update that changes nothing.
+func (h *harness) perform(actions ...decision.Action) {
+	h.actions <- actions
+	h.updateEndpoints(decision.DeltaUpdate)
 }
 
-func (r *harness) send(id decision.RequestID, server string) *broker.Call {
-	r.do(decision.Send{ID: id, Server: server})
-	return <-r.sent
+func (h *harness) send(id decision.RequestID, server string) *broker.Call {
+	h.perform(decision.Send{ID: id, Server: server})
+	return <-h.sent
 }
 
-func done(status decision.Status) broker.CallResult {
+func callResult(status decision.Status) broker.CallResult {
 	return broker.CallResult{Status: status, LoadReport: decision.NoLoadReport, Value: []byte("v")}
 }
 
--- a/internal/broker/healthcheck_test.go
+++ b/internal/broker/healthcheck_test.go
@@ -11,22 +11,22 @@
 
 // A health check that has waited for a connection is checked again, like a call.
 func TestNoHealthCheckOfADrainingServer(t *testing.T) {
-	r := newHarness(t)
-	probes := make(chan *broker.HealthCheck, 1)
-	r.b = broker.New(broker.Options{Settings: decision.Settings{ReplicaSets: 4, ReplicationFactor: 2}}, r.scriptedDecider, keeps{r.link, probes})
-	go r.b.Run(t.Context())
-	r.list(decision.FullUpdate, "s0", 0, decision.Ready, "s1", 1, decision.Ready)
-	r.do(decision.CheckHealth{Server: "s0"}, decision.CheckHealth{Server: "s1"})
-	stays, leaves := <-probes, <-probes
-	r.list(decision.DeltaUpdate, "s1", 1, decision.Draining)
-	require.True(t, stays.TryStart())
-	require.False(t, leaves.TryStart())
-	require.Equal(t, decision.NotSent, event[decision.HealthChecked](r).Status)
+	h := newHarness(t)
+	checks := make(chan *broker.HealthCheck, 1)
+	h.broker = broker.New(broker.Options{Settings: decision.Settings{ReplicaSets: 4, ReplicationFactor: 2}}, h.scriptedDecider, healthCheckLink{h.link, checks})
+	go h.broker.Run(t.Context())
+	h.updateEndpoints(decision.FullUpdate, "s0", 0, decision.Ready, "s1", 1, decision.Ready)
+	h.perform(decision.CheckHealth{Server: "s0"}, decision.CheckHealth{Server: "s1"})
+	readyCheck, drainingCheck := <-checks, <-checks
+	h.updateEndpoints(decision.DeltaUpdate, "s1", 1, decision.Draining)
+	require.True(t, readyCheck.TryStart())
+	require.False(t, drainingCheck.TryStart())
+	require.Equal(t, decision.NotSent, awaitEvent[decision.HealthChecked](h).Status)
 }
 
-type keeps struct {
+type healthCheckLink struct {
 	link
-	probes chan *broker.HealthCheck
+	checks chan *broker.HealthCheck
 }
 
-func (k keeps) CheckHealth(p *broker.HealthCheck) { k.probes <- p }
+func (l healthCheckLink) CheckHealth(check *broker.HealthCheck) { l.checks <- check }
--- a/internal/broker/rules_test.go
+++ b/internal/broker/rules_test.go
@@ -22,10 +22,10 @@
 
 func TestRuleViolationNamesPartServerAndDeadline(t *testing.T) {
 	lines := make(logBuffer, 10)
-	r := newHarnessWith(t, broker.Options{Log: slog.New(slog.NewTextHandler(lines, nil))})
-	_, part, _, request := r.take("q", nonIdempotent, 1, time.Second)
-	r.do(decision.Send{ID: part, Server: "s0"}) // shard 1 is held by replica sets 1 and 2
-	event[decision.AttemptFinished](r)
+	h := newHarnessWith(t, broker.Options{Log: slog.New(slog.NewTextHandler(lines, nil))})
+	_, part, _, request := h.submit("q", nonIdempotent, 1, time.Second)
+	h.perform(decision.Send{ID: part, Server: "s0"}) // shard 1 is held by replica sets 1 and 2
+	awaitEvent[decision.AttemptFinished](h)
 	line := strings.ReplaceAll(<-lines, `\"`, `"`)
 	require.Contains(t, line, `msg="attempt stopped by a rule"`)
 	require.Contains(t, line, `query "q", shard 1, server "s0", deadline `+
@@ -34,18 +34,18 @@
 }
 
 func TestRulesStopForbiddenSends(t *testing.T) {
-	r := newHarness(t)
-	_, part, _, _ := r.take("q", nonIdempotent, 1, time.Second)
+	h := newHarness(t)
+	_, part, _, _ := h.submit("q", nonIdempotent, 1, time.Second)
 	stopped := func(server string) {
 		t.Helper()
-		r.do(decision.Send{ID: part, Server: server})
-		require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
-		require.Empty(t, r.sent)
+		h.perform(decision.Send{ID: part, Server: server})
+		require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
+		require.Empty(t, h.sent)
 	}
 	stopped("unheard-of")
 	stopped("s0") // shard 1 is held by cells 1 and 2
-	r.send(part, "s2").Finish(done(decision.OK))
-	require.Equal(t, decision.OK, event[decision.AttemptFinished](r).Status)
+	h.send(part, "s2").Finish(callResult(decision.OK))
+	require.Equal(t, decision.OK, awaitEvent[decision.AttemptFinished](h).Status)
 }
 
 func TestNonIdempotentPartsThatMayHaveRunAreNotRetried(t *testing.T) {
@@ -53,20 +53,20 @@
 		decision.Overloaded: true, decision.Unreachable: true, decision.NotSent: true,
 		decision.Error: false, decision.Reset: false, decision.TimedOut: false,
 	} {
-		r := newHarness(t)
-		q, part, c, _ := r.take("q", nonIdempotent, 1, time.Second)
-		call := r.send(part, "s1")
+		h := newHarness(t)
+		q, part, c, _ := h.submit("q", nonIdempotent, 1, time.Second)
+		call := h.send(part, "s1")
 		require.True(t, call.TryStart())
-		call.Finish(done(status))
-		event[decision.AttemptFinished](r)
-		r.do(decision.Send{ID: part, Server: "s2"})
+		call.Finish(callResult(status))
+		awaitEvent[decision.AttemptFinished](h)
+		h.perform(decision.Send{ID: part, Server: "s2"})
 		if again {
-			(<-r.sent).Finish(done(decision.Overloaded))
+			(<-h.sent).Finish(callResult(decision.Overloaded))
 		}
-		event[decision.AttemptFinished](r)
-		require.Empty(t, r.sent)
+		awaitEvent[decision.AttemptFinished](h)
+		require.Empty(t, h.sent)
 		// Nor is such a query refused: that would tell the client that a repeat is harmless.
-		r.do(decision.Reject{ID: q, RetryAfter: 0.5})
+		h.perform(decision.Reject{ID: q, RetryAfter: 0.5})
 		want := broker.Result{Outcome: broker.Failed}
 		if again {
 			want = broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}
@@ -76,16 +76,16 @@
 }
 
 func TestOneAttemptAtATimeAndNoMoreThanAllowed(t *testing.T) {
-	r := newHarness(t)
-	_, part, _, _ := r.take("q", idempotent, 1, time.Second)
-	call := r.send(part, "s1")
-	r.do(decision.Send{ID: part, Server: "s2"}) // while one is out
-	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
-	call.Finish(done(decision.Error))
-	event[decision.AttemptFinished](r)
-	r.send(part, "s2").Finish(done(decision.Error))
-	event[decision.AttemptFinished](r)
-	r.do(decision.Send{ID: part, Server: "s1"}) // the fourth of three
-	require.Equal(t, decision.NotSent, event[decision.AttemptFinished](r).Status)
-	require.Empty(t, r.sent)
+	h := newHarness(t)
+	_, part, _, _ := h.submit("q", idempotent, 1, time.Second)
+	call := h.send(part, "s1")
+	h.perform(decision.Send{ID: part, Server: "s2"}) // while one is out
+	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
+	call.Finish(callResult(decision.Error))
+	awaitEvent[decision.AttemptFinished](h)
+	h.send(part, "s2").Finish(callResult(decision.Error))
+	awaitEvent[decision.AttemptFinished](h)
+	h.perform(decision.Send{ID: part, Server: "s1"}) // the fourth of three
+	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
+	require.Empty(t, h.sent)
 }
--- a/internal/broker/slots_test.go
+++ b/internal/broker/slots_test.go
@@ -11,15 +11,15 @@
 )
 
 func TestConcurrencyLimitAndDuplicateNames(t *testing.T) {
-	r := newHarness(t) // 7 queries and parts
-	_, _, first, req := r.take("q", idempotent, 4, time.Second)
+	h := newHarness(t) // 7 queries and parts
+	_, _, first, req := h.submit("q", idempotent, 4, time.Second)
 	more := make(client, 1)
-	r.b.Submit(&broker.Request{ID: "q", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, more)
+	h.broker.Submit(&broker.Request{ID: "q", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, more)
 	require.Equal(t, broker.Duplicate, (<-more).Outcome)
-	r.b.Submit(&broker.Request{ID: "q2", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 2)}, more)
+	h.broker.Submit(&broker.Request{ID: "q2", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 2)}, more)
 	require.Equal(t, broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}, <-more)
-	r.b.Disconnect(req)
-	event[decision.ClientDisconnected](r)
-	r.take("q", idempotent, 5, time.Second)
+	h.broker.Disconnect(req)
+	awaitEvent[decision.ClientDisconnected](h)
+	h.submit("q", idempotent, 5, time.Second)
 	require.Empty(t, first)
 }
