--- a/internal/broker/call_test.go
+++ b/internal/broker/call_test.go
@@ -21,8 +21,8 @@
 	h.send(part, "s2")
 }
 
-// The client has gone while an attempt waits for its connection. The core itself ends it, whatever the Decider does;
-// and before the loop has heard of it, nothing begins either.
+// The client disconnects while an attempt waits for its connection. The core ends the attempt, whatever the Decider does, and
+// none starts before the loop has handled the disconnect either.
 func TestNoAttemptStartsAfterDisconnect(t *testing.T) {
 	h := newHarness(t)
 	_, part, _, req := h.submit("q", nonIdempotent, 1, time.Second)
@@ -36,7 +36,7 @@
 	_, part, _, req = h.submit("q2", idempotent, 1, time.Second)
 	req.Disconnected = new(atomic.Bool)
 	waiting = h.send(part, "s1")
-	req.Disconnected.Store(true) // the front knows; the loop is busy
+	req.Disconnected.Store(true) // the front has noticed; the loop has not been notified
 	require.False(t, waiting.TryStart())
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	h.perform(decision.Send{ID: part, Server: "s2"})
@@ -45,16 +45,16 @@
 	h.broker.Disconnect(req)
 	awaitEvent[decision.ClientDisconnected](h)
 
-	gone := &broker.Request{ID: "q3", ReceivedAt: time.Now(), Timeout: time.Second, Parts: []broker.Part{{Shard: 1, Weight: 1}}, Disconnected: new(atomic.Bool)}
-	gone.Disconnected.Store(true)
+	disconnected := &broker.Request{ID: "q3", ReceivedAt: time.Now(), Timeout: time.Second, Parts: []broker.Part{{Shard: 1, Weight: 1}}, Disconnected: new(atomic.Bool)}
+	disconnected.Disconnected.Store(true)
 	c := make(client, 1)
-	h.broker.Submit(gone, c)
+	h.broker.Submit(disconnected, c)
 	h.updateEndpoints(decision.DeltaUpdate)
 	require.Empty(t, c)
-	require.Empty(t, h.events, "the Decider has not heard of it")
+	require.Empty(t, h.events, "the Decider gets no event of it")
 }
 
-// A query has its answer while an attempt waits for a connection; the Decider does not cancel it.
+// A query is finished while an attempt waits for a connection; the Decider does not cancel it.
 func TestNoAttemptStartsAfterTheQueryEnded(t *testing.T) {
 	h := newHarness(t)
 	q, part, c, _ := h.submit("q", idempotent, 1, time.Second)
@@ -73,9 +73,9 @@
 	require.True(t, first.TryStart())
 	first.Finish(callResult(decision.Reset))
 	awaitEvent[decision.AttemptFinished](h)
-	again := h.send(part, "s2") // within the window of 0.2 s
+	retry := h.send(part, "s2") // within the window of 0.2 s
 	time.Sleep(220 * time.Millisecond)
-	require.False(t, again.TryStart())
+	require.False(t, retry.TryStart())
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	h.perform(decision.Send{ID: part, Server: "s1"})
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
--- a/internal/broker/configure_test.go
+++ b/internal/broker/configure_test.go
@@ -12,16 +12,16 @@
 	"mothrouter/internal/decision"
 )
 
-// oldDeadline and newDeadline are of the classes before and after the changes of these tests; aims are half of them.
-// The open caps are as far apart: a query of one part passes the old one, the new one passes two parts.
+// oldDeadline and newDeadline are the deadlines in seconds of the classes before and after a change; latency objectives are half.
+// oldLimit and newLimit are the concurrency limits: one query of one part, and one of two parts.
 const (
 	oldDeadline = 0.6
 	newDeadline = 2.4
-	oldCap      = 2
-	newCap      = 3
+	oldLimit    = 2
+	newLimit    = 3
 )
 
-// classes are a idempotent class and one with a floor, with a deadline.
+// classes returns an idempotent class and one with a minimum completeness, both with a deadline in seconds.
 func classes(deadline float64) []decision.Class {
 	return []decision.Class{
 		{LatencyObjective: deadline / 2, Deadline: deadline, PriorityWeight: 1, CompletenessThreshold: 1, MinCompleteness: 1},
@@ -30,19 +30,18 @@
 	}
 }
 
-// gate is a Decider that has its loop wait in each batch with a Timer until the test lets it go on, and keeps all
-// events.
+// pausingDecider is a Decider that records all events, and blocks in each batch with a TimerFired until the test resumes it.
 type pausingDecider struct {
 	batches chan []decision.Event
 	resumed chan struct{}
 	actions chan []decision.Action
 }
 
-func (g *pausingDecider) Handle(_ float64, events []decision.Event) []decision.Action {
-	g.batches <- slices.Clone(events)
+func (d *pausingDecider) Handle(_ float64, events []decision.Event) []decision.Action {
+	d.batches <- slices.Clone(events)
 	if slices.ContainsFunc(events, func(e decision.Event) bool { _, ok := e.(decision.TimerFired); return ok }) {
-		<-g.resumed
-		return <-g.actions
+		<-d.resumed
+		return <-d.actions
 	}
 	return nil
 }
@@ -53,9 +52,10 @@
 	*pausingDecider
 	link
 	broker *broker.Broker
-	start  []decision.Class // those handed over at its start
+	start  []decision.Class // passed to broker.New
 }
 
+// newPausableBroker starts a broker with a concurrency limit of oldLimit; it ends with the test.
 func newPausableBroker(t *testing.T) *pausableBroker {
 	h := &pausableBroker{T: t,
 		pausingDecider: &pausingDecider{make(chan []decision.Event, 1000), make(chan struct{}), make(chan []decision.Action, 10)},
@@ -63,7 +63,7 @@
 	settings := decision.Settings{ReplicaSets: 1, ReplicationFactor: 1, MaxAttempts: 3, RetryAfterSupported: true, MaxRetryAfter: 0.5,
 		Classes: classes(oldDeadline)}
 	h.start = settings.Classes
-	h.broker = broker.New(broker.Options{Settings: settings, ConcurrencyLimit: oldCap}, h.pausingDecider, h.link)
+	h.broker = broker.New(broker.Options{Settings: settings, ConcurrencyLimit: oldLimit}, h.pausingDecider, h.link)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go h.broker.Run(ctx)
@@ -84,13 +84,14 @@
 	}
 }
 
+// nextBatch returns the next batch of events that the Decider received.
 func (h *pausableBroker) nextBatch() []decision.Event {
 	h.Helper()
 	select {
 	case b := <-h.batches:
 		return b
 	case <-time.After(2 * time.Second):
-		require.FailNow(h, "no batch came")
+		require.FailNow(h, "no batch within 2 s")
 		return nil
 	}
 }
@@ -114,7 +115,7 @@
 	case r := <-c:
 		return r
 	case <-time.After(5 * time.Second):
-		require.FailNow(h, "no answer came")
+		require.FailNow(h, "no result within 5 s")
 		return broker.Result{}
 	}
 }
@@ -130,15 +131,15 @@
 	h := newPausableBroker(t)
 	resume := h.pause()
 	accepted := h.submit("before", 0, 1)
-	rejected := h.submit("beyond-the-old-cap", 0, 2)
+	rejected := h.submit("beyond-the-old-limit", 0, 2)
 	full := h.submit("full-before", 1, 1)
-	wait := h.configureAsync(broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: newCap})
+	wait := h.configureAsync(broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: newLimit})
 	stillFull := h.submit("full-still", 0, 2)
 	resume()
 	require.NoError(t, wait())
 	require.Equal(t, broker.Rejected, h.awaitResult(rejected).Outcome)
-	require.Equal(t, broker.Rejected, h.awaitResult(full).Outcome, "one query of one part fills the old cap")
-	require.Equal(t, broker.Rejected, h.awaitResult(stillFull).Outcome, "the cap counts what is held")
+	require.Equal(t, broker.Rejected, h.awaitResult(full).Outcome, "one query of one part uses the old limit")
+	require.Equal(t, broker.Rejected, h.awaitResult(stillFull).Outcome, "queries in flight count against the new limit")
 	batch := h.nextBatch()
 	queryAt := slices.IndexFunc(batch, func(e decision.Event) bool { _, ok := e.(decision.Query); return ok })
 	changeAt := slices.IndexFunc(batch, func(e decision.Event) bool { _, ok := e.(decision.ClassesChanged); return ok })
@@ -165,19 +166,19 @@
 // A query before a change in the inbox is accepted under the settings before, also if the change lowers the limit.
 func TestConfigureAppliesAllFieldsTogether(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		cap  int
-		want broker.Outcome
-	}{{"larger cap", newCap, broker.Rejected}, {"smaller cap", 1, broker.DeadlineExceeded}} {
+		name  string
+		limit int
+		want  broker.Outcome
+	}{{"larger limit", newLimit, broker.Rejected}, {"smaller limit", 1, broker.DeadlineExceeded}} {
 		t.Run(c.name, func(t *testing.T) {
 			h := newPausableBroker(t)
 			resume := h.pause()
 			parts := 1
-			if c.cap > oldCap {
+			if c.limit > oldLimit {
 				parts = 2
 			}
 			query := h.submit("before", 0, parts)
-			wait := h.configureAsync(broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: c.cap})
+			wait := h.configureAsync(broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: c.limit})
 			resume()
 			require.NoError(t, wait())
 			from := time.Now()
@@ -213,7 +214,7 @@
 				}
 			}
 			require.NoError(t, h.broker.Configure(broker.Change{Classes: classes(c.new), ConcurrencyLimit: 20}))
-			require.Equal(t, newDeadline, h.broker.LongestDeadline().Seconds(), "the longest that is held or in force")
+			require.Equal(t, newDeadline, h.broker.LongestDeadline().Seconds(), "the longest in flight or in force")
 			h.pause()(decision.Send{ID: first, Server: "s0"})
 			call := <-h.sent
 			require.InDelta(t, c.old, call.Deadline.Sub(start).Seconds(), 0.2)
@@ -221,11 +222,11 @@
 			call.Finish(callResult(decision.OK))
 			h.pause()(decision.Respond{ID: name, Complete: true})
 			answered := h.awaitResult(half)
-			require.Equal(t, broker.Answered, answered.Outcome, "half of it is its floor")
+			require.Equal(t, broker.Answered, answered.Outcome, "half is its minimum completeness")
 			require.Len(t, answered.Values, 1)
 			require.Equal(t, broker.DeadlineExceeded, h.awaitResult(silent).Outcome)
 			require.InDelta(t, c.old, time.Since(start).Seconds(), 0.25)
-			require.Equal(t, c.new, h.broker.LongestDeadline().Seconds(), "nothing is held any more")
+			require.Equal(t, c.new, h.broker.LongestDeadline().Seconds(), "no query is in flight")
 		})
 	}
 }
@@ -236,16 +237,16 @@
 	spoil := func(f func(*decision.Class)) broker.Change {
 		c := classes(newDeadline)
 		f(&c[1])
-		return broker.Change{Classes: c, ConcurrencyLimit: newCap}
+		return broker.Change{Classes: c, ConcurrencyLimit: newLimit}
 	}
 	const immutable = "settings.classes[1]: differs"
 	for name, c := range map[string]struct {
 		change broker.Change
 		want   string // in the error
 	}{
-		"fewer classes": {broker.Change{Classes: classes(newDeadline)[:1], ConcurrencyLimit: newCap},
+		"fewer classes": {broker.Change{Classes: classes(newDeadline)[:1], ConcurrencyLimit: newLimit},
 			"settings.classes: has 1 entries instead of 2"},
-		"more classes": {broker.Change{Classes: append(classes(newDeadline), classes(newDeadline)[0]), ConcurrencyLimit: newCap},
+		"more classes": {broker.Change{Classes: append(classes(newDeadline), classes(newDeadline)[0]), ConcurrencyLimit: newLimit},
 			"settings.classes: has 3 entries instead of 2"},
 		"limit":          {broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: -1}, "settings.caps.openCap: -1"},
 		"idempotency":    {spoil(func(c *decision.Class) { c.Idempotency = decision.NonIdempotent }), immutable},
@@ -259,11 +260,11 @@
 	} {
 		require.ErrorContains(t, h.broker.Configure(c.change), c.want, name)
 	}
-	require.NoError(t, h.broker.Configure(broker.Change{Classes: classes(oldDeadline), ConcurrencyLimit: oldCap}))
+	require.NoError(t, h.broker.Configure(broker.Change{Classes: classes(oldDeadline), ConcurrencyLimit: oldLimit}))
 	require.Equal(t, oldDeadline, h.broker.LongestDeadline().Seconds())
 	require.Equal(t, broker.Rejected, h.awaitResult(h.submit("beyond", 0, 2)).Outcome)
 	h.pause()()
-	require.Empty(t, h.batches, "the Decider has heard of a change")
+	require.Empty(t, h.batches, "the Decider received a change")
 }
 
 // A change posted to a loop that has ended is an error and does not block.
@@ -276,17 +277,17 @@
 	require.Zero(t, b.LongestDeadline())
 }
 
-// Classes that a Decider or the caller may hold are not written to, by this change nor by the next one.
+// Neither a change nor the next one writes to classes that a Decider or the caller may still read.
 func TestConfigureDoesNotWriteToOldClasses(t *testing.T) {
 	h := newPausableBroker(t)
-	c := broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: newCap}
+	c := broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: newLimit}
 	require.NoError(t, h.broker.Configure(c))
 	received := h.nextBatch()[0].(decision.ClassesChanged).Classes
-	require.NoError(t, h.broker.Configure(broker.Change{Classes: classes(9), ConcurrencyLimit: newCap}))
+	require.NoError(t, h.broker.Configure(broker.Change{Classes: classes(9), ConcurrencyLimit: newLimit}))
 	require.Equal(t, classes(oldDeadline), h.start)
 	require.Equal(t, classes(newDeadline), received)
 	require.Equal(t, classes(newDeadline), c.Classes)
-	c.Classes[0].Deadline = 99 // the caller's affair
+	c.Classes[0].Deadline = 99 // the caller may write to its own slice
 	require.Equal(t, 9., h.broker.LongestDeadline().Seconds())
 	require.Equal(t, classes(newDeadline), received)
 }
--- a/internal/broker/endpoints_test.go
+++ b/internal/broker/endpoints_test.go
@@ -13,25 +13,25 @@
 func TestDrainStopsNewAttempts(t *testing.T) {
 	h := newHarness(t)
 	_, part, _, _ := h.submit("q", idempotent, 1, time.Second)
-	waiting := h.send(part, "s1") // no connection yet when the list speaks
+	waiting := h.send(part, "s1") // has no connection yet at the time of the update
 	h.updateEndpoints(decision.DeltaUpdate, "s1", 1, decision.Draining)
 	require.False(t, waiting.TryStart())
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	h.perform(decision.Send{ID: part, Server: "s1"})
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
-	h.updateEndpoints(decision.FullUpdate, "s1", 1, decision.Ready) // back; those that a full list lacks are gone
+	h.updateEndpoints(decision.FullUpdate, "s1", 1, decision.Ready) // ready again; servers missing from a full update are removed
 	h.perform(decision.Send{ID: part, Server: "s2"})
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	require.Empty(t, h.sent)
 }
 
-// A busy loop must not delay a drain: links see it at once.
+// A busy loop does not delay a drain: links observe it at once.
 func TestUpdateBindsLinksBeforeTheLoop(t *testing.T) {
 	h := newHarness(t)
 	_, part, _, req := h.submit("q", idempotent, 1, time.Second)
 	waiting := h.send(part, "s1")
 	loop := make(blockingClient)
-	h.broker.Submit(req, loop) // a second of its name
+	h.broker.Submit(req, loop) // a duplicate id, which the loop answers at once
 	<-loop
 	go h.broker.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Servers: []broker.Endpoint{{Addr: "s1",
 		Server: decision.Server{ID: "s1", ReplicaSet: 1, State: decision.Draining}}}})
--- a/internal/broker/harness_test.go
+++ b/internal/broker/harness_test.go
@@ -17,6 +17,7 @@
 	actions chan []decision.Action
 }
 
+// Handle records the events, and returns the next scripted actions if there is an endpoint update among them.
 func (s scriptedDecider) Handle(_ float64, events []decision.Event) []decision.Action {
 	updated := false
 	for _, e := range events {
@@ -30,7 +31,7 @@
 	return nil
 }
 
-// link records its calls.
+// link records the calls that are sent and cancelled, and answers each health check with OK.
 type link struct{ sent, cancelled chan *broker.Call }
 
 func (l link) Send(c *broker.Call) { l.sent <- c }
@@ -41,10 +42,12 @@
 	p.Finish(broker.ResultOf(decision.OK))
 }
 
+// client receives the result of its query.
 type client chan broker.Result
 
 func (c client) Finish(r broker.Result) { c <- r }
 
+// harness is a broker with a scripted Decider and a recording link, in the test that it embeds.
 type harness struct {
 	*testing.T
 	scriptedDecider
@@ -52,18 +55,21 @@
 	broker *broker.Broker
 }
 
+// The classes of the harness, by their index. All have a deadline of 4 s.
 const (
 	idempotent = iota
 	nonIdempotent
-	partial
-	idempotentWithKey
-	twoPhase
-	twoPhasePartial
+	partial           // minimum completeness 0.8
+	idempotentWithKey // idempotency window 0.2 s
+	twoPhase          // second-phase fan-out 2
+	twoPhasePartial   // and minimum completeness 0.5
 )
 
+// newHarness starts a core with default options.
 func newHarness(t *testing.T) *harness { return newHarnessWith(t, broker.Options{}) }
 
-// newHarnessWith starts a core with options whose Settings and ConcurrencyLimit are the harness's.
+// newHarnessWith starts a core with options, but with the Settings of the harness and a ConcurrencyLimit of 7. Servers s0, s1
+// and s2 are ready, one in each of the replica sets 0 to 2. The core ends with the test.
 func newHarnessWith(t *testing.T, options broker.Options) *harness {
 	h := &harness{T: t, scriptedDecider: scriptedDecider{make(chan decision.Event, 100), make(chan []decision.Action, 10)},
 		link: link{make(chan *broker.Call, 10), make(chan *broker.Call, 10)}}
@@ -96,7 +102,7 @@
 	awaitEvent[decision.EndpointUpdate](h)
 }
 
-// awaitEvent returns the next event of a type.
+// awaitEvent returns the next event of a type and drops those before it. It fails the test after 2 s.
 func awaitEvent[E decision.Event](h *harness) E {
 	h.Helper()
 	for timeout := time.After(2 * time.Second); ; {
@@ -106,7 +112,7 @@
 				return e
 			}
 		case <-timeout:
-			require.FailNow(h, "no such event came")
+			require.FailNow(h, "no such event within 2 s")
 		}
 	}
 }
@@ -134,11 +140,13 @@
 	h.updateEndpoints(decision.DeltaUpdate)
 }
 
+// send has the Decider send an attempt of a part to a server, and returns the call that the link gets.
 func (h *harness) send(id decision.RequestID, server string) *broker.Call {
 	h.perform(decision.Send{ID: id, Server: server})
 	return <-h.sent
 }
 
+// callResult returns the result of a call with a status and the value v.
 func callResult(status decision.Status) broker.CallResult {
 	return broker.CallResult{Status: status, LoadReport: decision.NoLoadReport, Value: []byte("v")}
 }
--- a/internal/broker/healthcheck_test.go
+++ b/internal/broker/healthcheck_test.go
@@ -24,6 +24,7 @@
 	require.Equal(t, decision.NotSent, awaitEvent[decision.HealthChecked](h).Status)
 }
 
+// healthCheckLink records health checks and leaves them unfinished.
 type healthCheckLink struct {
 	link
 	checks chan *broker.HealthCheck
--- a/internal/broker/phase_test.go
+++ b/internal/broker/phase_test.go
@@ -32,10 +32,10 @@
 // serverOf returns a server that holds a shard, of four replica sets.
 func serverOf(shard int) string { return []string{"s0", "s1", "s2", "s3"}[shard%4] }
 
-// wantSecondPhase is the second step by the slow and obvious rule: of the shards that are in, again and again the one with the
-// highest score, the lower shard first where scores are equal.
-func wantSecondPhase(scores map[int]int64, most int) (chosen []int) {
-	for len(chosen) < most && len(chosen) < len(scores) {
+// wantSecondPhase returns the shards of the second phase by a simple reference: of the answered shards, repeatedly the one
+// with the highest score, the lower shard first where scores are equal; at most fanout of them.
+func wantSecondPhase(scores map[int]int64, fanout int) (chosen []int) {
+	for len(chosen) < fanout && len(chosen) < len(scores) {
 		best := -1
 		for shard, score := range scores {
 			if !slices.Contains(chosen, shard) &&
@@ -64,7 +64,7 @@
 				missing++
 				continue
 			}
-			scores[i+1] = int64(rng.IntN(3)) // with equal ones among them
+			scores[i+1] = int64(rng.IntN(3)) // few values, so that some are equal
 			h.send(first+decision.RequestID(i), serverOf(i+1)).Finish(scoredResult(scores[i+1], "first"))
 			awaitEvent[decision.AttemptFinished](h)
 			from = append(from, i+1)
@@ -83,7 +83,7 @@
 			require.InDelta(t, 1/float64(len(want)), pt.Weight, 1e-9)
 			call := h.send(pt.ID, serverOf(pt.Shard))
 			require.Equal(t, &broker.FirstPhase{AnsweredShards: from, Complete: missing == 0}, call.FirstPhase)
-			call.Finish(broker.CallResult{Status: decision.OK, LoadReport: decision.NoLoadReport, Value: []byte("second")}) // scores are over
+			call.Finish(broker.CallResult{Status: decision.OK, LoadReport: decision.NoLoadReport, Value: []byte("second")}) // the second phase has no scores
 			awaitEvent[decision.AttemptFinished](h)
 			values = append(values, broker.Value{Shard: pt.Shard, Data: []byte("second")})
 		}
@@ -141,7 +141,7 @@
 	h.perform(decision.Send{ID: other, Server: "s2"}, decision.Respond{ID: q, Complete: true})
 	require.Empty(t, h.sent)
 	require.Empty(t, c)
-	h.submit("q", twoPhase, 6, time.Second) // its name and all its room are free again
+	h.submit("q", twoPhase, 6, time.Second) // its id and its slots are free again
 }
 
 func TestDrainBetweenPhases(t *testing.T) {
@@ -159,35 +159,35 @@
 	require.Equal(t, decision.OK, awaitEvent[decision.AttemptFinished](h).Status)
 }
 
-// What is held between the steps when the process ends is refused, since the first step's values are no answer; what
-// has the second step's is answered. A query whose steps may not run twice has failed: its first step has run.
+// At the shutdown deadline a query without a complete second phase is rejected, since the values of the first phase are no
+// answer; one with a complete second phase is answered.
 func TestShutdownBetweenPhases(t *testing.T) {
-	refused := broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}
-	for _, in := range []int{0, 1, 2} {
+	rejected := broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}
+	for _, answered := range []int{0, 1, 2} {
 		h := newHarness(t)
 		q, c, _ := h.firstPhase(twoPhase, 3)
 		h.perform(decision.Respond{ID: q, Complete: true})
 		second := []decision.Part{awaitEvent[decision.Part](h), awaitEvent[decision.Part](h)}
 		var values []broker.Value
-		for i := range in {
+		for i := range answered {
 			h.send(second[i].ID, serverOf(i+1)).Finish(scoredResult(0, "second"))
 			awaitEvent[decision.AttemptFinished](h)
 			values = append(values, broker.Value{Shard: i + 1, Data: []byte("second")})
 		}
 		h.broker.SetShutdownDeadline(time.Now().Add(50 * time.Millisecond))
-		want := refused
-		if in == 2 {
+		want := rejected
+		if answered == 2 {
 			want = broker.Result{Complete: true, Values: values}
 		}
 		require.Equal(t, want, <-c)
 	}
 	h := newHarness(t)
-	_, c, _ := h.firstPhase(twoPhase, 3) // all of the first step is in, the second has not begun
+	_, c, _ := h.firstPhase(twoPhase, 3) // the first phase is complete, the second has not started
 	h.broker.SetShutdownDeadline(time.Now().Add(50 * time.Millisecond))
-	require.Equal(t, refused, <-c)
+	require.Equal(t, rejected, <-c)
 }
 
-// The first phase's attempts in flight end with it: a late answer is dropped, and an attempt that has not started does not
+// The attempts in flight of the first phase end with it: a late result is ignored, and an attempt that has not started does not
 // start.
 func TestSecondPhaseEndsTheFirst(t *testing.T) {
 	h := newHarness(t)
--- a/internal/broker/query_test.go
+++ b/internal/broker/query_test.go
@@ -17,7 +17,7 @@
 	q, part, c, _ := h.submit("q", partial, 2, time.Second)
 	h.send(part, "s1").Finish(callResult(decision.OK))
 	awaitEvent[decision.AttemptFinished](h)
-	h.perform(decision.Respond{ID: q, Complete: true}) // half of it: the floor is 0.8
+	h.perform(decision.Respond{ID: q, Complete: true}) // completeness is 0.5, the minimum 0.8
 	require.Equal(t, broker.Result{Outcome: broker.Failed}, <-c)
 }
 
@@ -36,11 +36,11 @@
 
 func TestEachQueryEndsInTimeAndOnce(t *testing.T) {
 	h := newHarness(t)
-	const timeout, tries = 50 * time.Millisecond, 5 // of which a busy machine may delay some by more than the core's lead
+	const timeout, samples = 50 * time.Millisecond, 5 // a busy machine may delay some by more than the core's margin
 	var took []time.Duration
-	for n := range tries {
+	for n := range samples {
 		q, _, c, req := h.submit(fmt.Sprint("q", n), idempotent, 1, timeout)
-		require.Equal(t, broker.DeadlineExceeded, (<-c).Outcome) // the Decider has forgotten it
+		require.Equal(t, broker.DeadlineExceeded, (<-c).Outcome) // the Decider has not answered it
 		took = append(took, time.Since(req.ReceivedAt))
 		awaitEvent[decision.ClientDisconnected](h)
 		h.perform(decision.Fail{ID: q}, decision.Respond{ID: q}, decision.Reject{ID: q})
--- a/internal/broker/rejection_test.go
+++ b/internal/broker/rejection_test.go
@@ -10,8 +10,8 @@
 	"mothrouter/internal/decision"
 )
 
-// A call's end that the loop has not come to yet counts all the same: an attempt of an nonIdempotent part has begun, so that
-// its query has failed, whatever that end will say.
+// A call whose result the loop has not handled yet counts as started: a query with a non-idempotent part of such a call fails
+// instead of being rejected, whatever the result is.
 func TestNoRejectionWhileAStartedCallIsUnread(t *testing.T) {
 	h := newHarness(t)
 	other := make(blockingClient)
@@ -21,13 +21,13 @@
 	call := h.send(part, "s1")
 	require.True(t, call.TryStart())
 	h.perform(decision.Reject{ID: otherID}, decision.Reject{ID: id})
-	<-other // the loop waits here, between the two refusals
+	<-other // the loop waits here, between the two rejections
 	call.Finish(callResult(decision.Reset))
 	other <- struct{}{}
 	require.Equal(t, broker.Failed, (<-c).Outcome)
 }
 
-// A call that has not begun when its query is refused must not begin between the look at it and its end.
+// A call that has not started when its query is rejected must not start between the check and the end of the query.
 func TestNoAttemptStartsDuringRejection(t *testing.T) {
 	h := newHarness(t)
 	id, first, c, _ := h.submit("q", nonIdempotent, 2, 3*time.Second)
@@ -38,12 +38,12 @@
 	h.perform(decision.Reject{ID: id})
 	require.Eventually(t, calls[0].Finished, 2*time.Second, time.Millisecond)
 	require.False(t, calls[0].TryStart())
-	begun := calls[1].TryStart()
+	started := calls[1].TryStart()
 	for range cap(h.cancelled) {
 		<-h.cancelled
 	}
 	outcome := (<-c).Outcome
-	require.False(t, begun && outcome == broker.Rejected, "the client may send again what runs")
-	require.Equal(t, begun, outcome == broker.Failed)
-	require.Equal(t, !begun, outcome == broker.Rejected)
+	require.False(t, started && outcome == broker.Rejected, "a rejected client may retry a part that is running")
+	require.Equal(t, started, outcome == broker.Failed)
+	require.Equal(t, !started, outcome == broker.Rejected)
 }
--- a/internal/broker/request_test.go
+++ b/internal/broker/request_test.go
@@ -21,7 +21,7 @@
 	} {
 		r := &broker.Request{ID: "q", Timeout: time.Second, Parts: []broker.Part{{Shard: 1, Weight: 0.5}, {Shard: 2, Weight: 0.4999}}}
 		require.NoError(t, r.Normalize(24))
-		require.InDelta(t, 1, r.Parts[0].Weight+r.Parts[1].Weight, 1e-9) // rounded shares still make a whole
+		require.InDelta(t, 1, r.Parts[0].Weight+r.Parts[1].Weight, 1e-9) // weights are normalized to a sum of 1
 		change(r)
 		require.ErrorContains(t, r.Normalize(24), want)
 	}
--- a/internal/broker/rules_test.go
+++ b/internal/broker/rules_test.go
@@ -15,6 +15,7 @@
 // logBuffer collects what a broker logs.
 type logBuffer chan string
 
+// Write implements io.Writer.
 func (l logBuffer) Write(line []byte) (int, error) {
 	l <- string(line)
 	return len(line), nil
@@ -36,20 +37,20 @@
 func TestRulesStopForbiddenSends(t *testing.T) {
 	h := newHarness(t)
 	_, part, _, _ := h.submit("q", nonIdempotent, 1, time.Second)
-	stopped := func(server string) {
+	requireStopped := func(server string) {
 		t.Helper()
 		h.perform(decision.Send{ID: part, Server: server})
 		require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 		require.Empty(t, h.sent)
 	}
-	stopped("unheard-of")
-	stopped("s0") // shard 1 is held by cells 1 and 2
+	requireStopped("unknown")
+	requireStopped("s0") // shard 1 is held by replica sets 1 and 2
 	h.send(part, "s2").Finish(callResult(decision.OK))
 	require.Equal(t, decision.OK, awaitEvent[decision.AttemptFinished](h).Status)
 }
 
 func TestNonIdempotentPartsThatMayHaveRunAreNotRetried(t *testing.T) {
-	for status, again := range map[decision.Status]bool{
+	for status, retryAllowed := range map[decision.Status]bool{
 		decision.Overloaded: true, decision.Unreachable: true, decision.NotSent: true,
 		decision.Error: false, decision.Reset: false, decision.TimedOut: false,
 	} {
@@ -60,15 +61,15 @@
 		call.Finish(callResult(status))
 		awaitEvent[decision.AttemptFinished](h)
 		h.perform(decision.Send{ID: part, Server: "s2"})
-		if again {
+		if retryAllowed {
 			(<-h.sent).Finish(callResult(decision.Overloaded))
 		}
 		awaitEvent[decision.AttemptFinished](h)
 		require.Empty(t, h.sent)
-		// Nor is such a query refused: that would tell the client that a repeat is harmless.
+		// Nor is such a query rejected: a rejection states that a retry is safe.
 		h.perform(decision.Reject{ID: q, RetryAfter: 0.5})
 		want := broker.Result{Outcome: broker.Failed}
-		if again {
+		if retryAllowed {
 			want = broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}
 		}
 		require.Equal(t, want, <-c)
@@ -79,13 +80,13 @@
 	h := newHarness(t)
 	_, part, _, _ := h.submit("q", idempotent, 1, time.Second)
 	call := h.send(part, "s1")
-	h.perform(decision.Send{ID: part, Server: "s2"}) // while one is out
+	h.perform(decision.Send{ID: part, Server: "s2"}) // while an attempt is in flight
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	call.Finish(callResult(decision.Error))
 	awaitEvent[decision.AttemptFinished](h)
 	h.send(part, "s2").Finish(callResult(decision.Error))
 	awaitEvent[decision.AttemptFinished](h)
-	h.perform(decision.Send{ID: part, Server: "s1"}) // the fourth of three
+	h.perform(decision.Send{ID: part, Server: "s1"}) // beyond MaxAttempts
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	require.Empty(t, h.sent)
 }
--- a/internal/broker/shutdown_test.go
+++ b/internal/broker/shutdown_test.go
@@ -14,23 +14,23 @@
 // Every query in flight or accepted later has its answer before the process is killed: from the answered parts, rejected or
 // failed.
 func TestShutdownDeadlineAnswersEveryQuery(t *testing.T) {
-	// On a virtual clock: a busy machine is late by more than the test allows.
+	// On a virtual clock: a busy machine may exceed the bounds of the test.
 	synctest.Test(t, testShutdownDeadlineAnswersEveryQuery)
 }
 
 func testShutdownDeadlineAnswersEveryQuery(t *testing.T) {
 	h := newHarness(t)
-	_, part, in, _ := h.submit("q", partial, 1, 4*time.Second)
+	_, part, answered, _ := h.submit("q", partial, 1, 4*time.Second)
 	h.send(part, "s1").Finish(callResult(decision.OK))
 	awaitEvent[decision.AttemptFinished](h)
-	_, part, ran, _ := h.submit("q2", nonIdempotent, 1, 4*time.Second)
+	_, part, started, _ := h.submit("q2", nonIdempotent, 1, 4*time.Second)
 	require.True(t, h.send(part, "s1").TryStart())
 	end := time.Now().Add(100 * time.Millisecond)
 	h.broker.SetShutdownDeadline(end)
 	q, _, later, _ := h.submit("q3", idempotent, 1, 4*time.Second)
 	require.NotZero(t, q)
-	require.Equal(t, broker.Result{Complete: true, Values: []broker.Value{{1, []byte("v")}}}, <-in)
-	require.Equal(t, broker.Result{Outcome: broker.Failed}, <-ran)
+	require.Equal(t, broker.Result{Complete: true, Values: []broker.Value{{1, []byte("v")}}}, <-answered)
+	require.Equal(t, broker.Result{Outcome: broker.Failed}, <-started)
 	require.Equal(t, broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}, <-later)
 	require.WithinRange(t, time.Now(), end.Add(-50*time.Millisecond), end)
 	last := make(client, 1)
