--- a/internal/broker/attempt_test.go
+++ b/internal/broker/attempt_test.go
@@ -10,7 +10,7 @@
 	"mothrouter/internal/decision"
 )
 
-func TestLateResultEndsNothing(t *testing.T) {
+func TestLateResultOfCancelledAttemptIsIgnored(t *testing.T) {
 	h := newHarness(t)
 	q, part, c, _ := h.submit("q", idempotent, 1, time.Second)
 	cancelled := h.send(part, "s1")
--- a/internal/broker/call_test.go
+++ b/internal/broker/call_test.go
@@ -55,7 +55,7 @@
 }
 
 // A query is finished while an attempt waits for a connection; the Decider does not cancel it.
-func TestNoAttemptStartsAfterTheQueryEnded(t *testing.T) {
+func TestNoAttemptStartsAfterQueryEnded(t *testing.T) {
 	h := newHarness(t)
 	q, part, c, _ := h.submit("q", idempotent, 1, time.Second)
 	waiting := h.send(part, "s1")
--- a/internal/broker/configure_test.go
+++ b/internal/broker/configure_test.go
@@ -189,7 +189,7 @@
 }
 
 // A query in flight over a change keeps its deadline, minimum completeness and window.
-func TestQueryAcrossConfigureKeepsItsSettings(t *testing.T) {
+func TestConfigureKeepsSettingsOfQueriesInFlight(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		old, new float64
@@ -232,7 +232,7 @@
 }
 
 // An invalid change changes nothing and is not passed to the Decider; nor is one that leaves the classes as they are.
-func TestInvalidChangeChangesNothing(t *testing.T) {
+func TestConfigureRejectsInvalidChangeWithoutEffect(t *testing.T) {
 	h := newPausableBroker(t)
 	spoil := func(f func(*decision.Class)) broker.Change {
 		c := classes(newDeadline)
@@ -268,7 +268,7 @@
 }
 
 // A change posted to a loop that has ended is an error and does not block.
-func TestConfigureAfterTheLoopEnded(t *testing.T) {
+func TestConfigureAfterLoopEndedFails(t *testing.T) {
 	b := broker.New(broker.Options{Settings: decision.Settings{Classes: classes(oldDeadline)}}, &pausingDecider{}, link{})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
--- a/internal/broker/endpoints_test.go
+++ b/internal/broker/endpoints_test.go
@@ -26,7 +26,7 @@
 }
 
 // A busy loop does not delay a drain: links observe it at once.
-func TestUpdateBindsLinksBeforeTheLoop(t *testing.T) {
+func TestUpdateAppliesToLinksBeforeTheLoop(t *testing.T) {
 	h := newHarness(t)
 	_, part, _, req := h.submit("q", idempotent, 1, time.Second)
 	waiting := h.send(part, "s1")
--- a/internal/broker/healthcheck_test.go
+++ b/internal/broker/healthcheck_test.go
@@ -10,7 +10,7 @@
 )
 
 // A health check that has waited for a connection is checked again, like a call.
-func TestNoHealthCheckOfADrainingServer(t *testing.T) {
+func TestNoHealthCheckOfDrainingServer(t *testing.T) {
 	h := newHarness(t)
 	checks := make(chan *broker.HealthCheck, 1)
 	h.broker = broker.New(broker.Options{Settings: decision.Settings{ReplicaSets: 4, ReplicationFactor: 2}}, h.scriptedDecider, healthCheckLink{h.link, checks})
--- a/internal/broker/phase_test.go
+++ b/internal/broker/phase_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestAnswerWithoutScoreIsAFailedAttempt(t *testing.T) {
+func TestFirstPhaseResultWithoutScoreFailsAttempt(t *testing.T) {
 	h := newHarness(t)
 	_, part, _, _ := h.submit("q", twoPhase, 1, time.Second)
 	h.send(part, "s1").Finish(callResult(decision.OK))
@@ -113,7 +113,7 @@
 }
 
 // The second phase needs all its parts, or the class's minimum completeness; it is complete only if both phases are.
-func TestSecondPhaseNeedsEveryPart(t *testing.T) {
+func TestSecondPhaseCompleteness(t *testing.T) {
 	for class, want := range map[int]broker.Result{
 		twoPhase:        {Outcome: broker.Failed},
 		twoPhasePartial: {Values: []broker.Value{{Shard: 1, Data: []byte("second")}}},
@@ -189,7 +189,7 @@
 
 // The attempts in flight of the first phase end with it: a late result is ignored, and an attempt that has not started does not
 // start.
-func TestSecondPhaseEndsTheFirst(t *testing.T) {
+func TestSecondPhaseEndsFirstPhaseAttempts(t *testing.T) {
 	h := newHarness(t)
 	q, first, c, _ := h.submit("q", twoPhasePartial, 4, 2*time.Second)
 	h.updateEndpoints(decision.DeltaUpdate, "s3", 3, decision.Ready)
--- a/internal/broker/query_test.go
+++ b/internal/broker/query_test.go
@@ -34,7 +34,7 @@
 	require.Equal(t, broker.Result{Values: []broker.Value{{1, []byte("v")}}}, <-c)
 }
 
-func TestEachQueryEndsInTimeAndOnce(t *testing.T) {
+func TestQueryEndsOnceWithinItsDeadline(t *testing.T) {
 	h := newHarness(t)
 	const timeout, samples = 50 * time.Millisecond, 5 // a busy machine may delay some by more than the core's margin
 	var took []time.Duration
--- a/internal/broker/request_test.go
+++ b/internal/broker/request_test.go
@@ -9,7 +9,7 @@
 	"mothrouter/internal/broker"
 )
 
-func TestNormalizeNamesTheField(t *testing.T) {
+func TestNormalizeErrorNamesTheField(t *testing.T) {
 	for want, change := range map[string]func(*broker.Request){
 		"id":                   func(r *broker.Request) { r.ID = "a b" },
 		"deadline":             func(r *broker.Request) { r.Timeout = 0 },
--- a/internal/broker/rules_test.go
+++ b/internal/broker/rules_test.go
@@ -34,7 +34,7 @@
 	require.Contains(t, line, `server=s0 query=q`)
 }
 
-func TestRulesStopForbiddenSends(t *testing.T) {
+func TestRulesStopSendsToServersWithoutTheShard(t *testing.T) {
 	h := newHarness(t)
 	_, part, _, _ := h.submit("q", nonIdempotent, 1, time.Second)
 	requireStopped := func(server string) {
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestOneAttemptAtATimeAndNoMoreThanAllowed(t *testing.T) {
+func TestRulesLimitAttemptsOfAPart(t *testing.T) {
 	h := newHarness(t)
 	_, part, _, _ := h.submit("q", idempotent, 1, time.Second)
 	call := h.send(part, "s1")
