--- a/internal/controlplane/raftlog/load.go
+++ b/internal/controlplane/raftlog/load.go
@@ -25,7 +25,7 @@
 	})
 }
 
-// loadIdentity checks the identity record.
+// loadIdentity checks that the identity record names a member. Its error wraps ErrForeign, ErrVersion or ErrCorrupt.
 func loadIdentity(tx *bolt.Tx, identity Identity) error {
 	if tx.Bucket(identityBucket) == nil {
 		return fmt.Errorf("%w: no identity record", ErrForeign)
@@ -37,7 +37,7 @@
 	return checkIdentity(payload, identity)
 }
 
-// loadMemory reads hard state, snapshot and entries.
+// loadMemory reads hard state, snapshot and entries, and checks that they are consistent. Its error wraps ErrCorrupt.
 func loadMemory(tx *bolt.Tx) (logState, error) {
 	payload, err := getRecord(tx, stateBucket)
 	if err != nil {
@@ -63,7 +63,7 @@
 	return loaded, loaded.checkInvariants()
 }
 
-// loadSnapshot reads the snapshot.
+// loadSnapshot reads the snapshot record. Its error wraps ErrCorrupt.
 func loadSnapshot(tx *bolt.Tx) (*raftpb.Snapshot, error) {
 	payload, err := getRecord(tx, snapshotBucket)
 	if err != nil {
@@ -76,7 +76,8 @@
 	return snapshot, nil
 }
 
-// loadEntries reads the entries. It fails at the first one that does not have the index expected by the state record.
+// loadEntries reads the entries. It fails at the first one that does not have the index expected by the state
+// record. Its error wraps ErrCorrupt.
 func loadEntries(tx *bolt.Tx, stored stateRecord) ([]*raftpb.Entry, error) {
 	bucket := tx.Bucket(entriesBucket)
 	if bucket == nil {
--- a/internal/controlplane/raftlog/raftlog.go
+++ b/internal/controlplane/raftlog/raftlog.go
@@ -54,10 +54,16 @@
 	// shortly after its end.
 	lockTimeout = 500 * time.Millisecond
 
-	fileMode      = 0o600 // for its owner only
-	magic         = "mothrouter raft log\n"
+	fileMode = 0o600 // readable and writable by the owner alone
+
+	// magic is the start of every identity record. A bbolt file without it was not written by this package.
+	magic = "mothrouter raft log\n"
+
+	// formatVersion is the version of the records. Open rejects a file of any other version.
 	formatVersion = 1
-	identityBytes = len(magic) + 4 + 8 + 8 // magic, version, fleet, node
+
+	// identityBytes is the size of an identity record: magic, version, fleet and node.
+	identityBytes = len(magic) + 4 + 8 + 8
 )
 
 // Identity identifies the member whose log a file is.
@@ -69,7 +75,7 @@
 // Options are the options of a log.
 type Options struct {
 	Identity Identity
-	MaxBytes int // of the file; 0: DefaultMaxBytes
+	MaxBytes int // maximum size of the file; 0 or less: DefaultMaxBytes
 }
 
 // Log is an open log.
@@ -212,6 +218,7 @@
 	return err
 }
 
+// maxBytes returns the maximum size of the file in bytes, DefaultMaxBytes unless MaxBytes is positive.
 func (o Options) maxBytes() int {
 	if o.MaxBytes > 0 {
 		return o.MaxBytes
@@ -219,6 +226,7 @@
 	return DefaultMaxBytes
 }
 
+// encodeIdentity returns the payload of an identity record: the magic, then version, fleet and node in big endian.
 func encodeIdentity(identity Identity) []byte {
 	data := []byte(magic)
 	data = binary.BigEndian.AppendUint32(data, formatVersion)
@@ -226,6 +234,8 @@
 	return binary.BigEndian.AppendUint64(data, identity.Node)
 }
 
+// checkIdentity checks that the payload of an identity record names a member. Its error wraps ErrForeign if it is no identity
+// record or names another member, ErrVersion if its version is not formatVersion, or ErrCorrupt if its size is wrong.
 func checkIdentity(data []byte, want Identity) error {
 	if len(data) < len(magic)+4 || string(data[:len(magic)]) != magic {
 		return fmt.Errorf("%w: malformed identity record", ErrForeign)
--- a/internal/controlplane/raftlog/verify_tree.go
+++ b/internal/controlplane/raftlog/verify_tree.go
@@ -29,6 +29,7 @@
 	child     uint64 // page id, of a branch element
 }
 
+// decodeBranchElement decodes the header of a branch element, which has at least branchElementBytes.
 func decodeBranchElement(data []byte) elementHeader {
 	return elementHeader{
 		offset:  binary.LittleEndian.Uint32(data),
@@ -37,6 +38,7 @@
 	}
 }
 
+// decodeLeafElement decodes the header of a leaf element, which has at least leafElementBytes.
 func decodeLeafElement(data []byte) elementHeader {
 	return elementHeader{
 		flags:     binary.LittleEndian.Uint32(data),
@@ -46,6 +48,7 @@
 	}
 }
 
+// verifyBranch checks the elements of a branch page and the trees of its children.
 func (v *pageVerifier) verifyBranch(branch page, depth int) error {
 	if branch.count == 0 {
 		return corruptError("branch page %d is empty", branch.id)
@@ -55,6 +58,7 @@
 	})
 }
 
+// verifyLeaf checks the elements of a leaf page and the buckets among them.
 func (v *pageVerifier) verifyLeaf(leaf page, depth int) error {
 	return leaf.visitElements(leafElementBytes, decodeLeafElement, func(header elementHeader, value []byte) error {
 		switch header.flags {
--- a/internal/controlplane/revision/machine.go
+++ b/internal/controlplane/revision/machine.go
@@ -8,19 +8,19 @@
 
 // Machine is the state after the applied entries.
 type Machine struct {
-	applied     uint64
-	newest      uint64
-	history     []*configpb.Revision // ascending, without gaps; the last is the newest
-	bytes       int                  // of the documents in history
-	requests    []appliedRequest     // oldest first, at most MaxRequests
-	requestByID map[uint64]appliedRequest
+	applied     uint64                    // index of the last applied entry, 0 before the first
+	newest      uint64                    // number of the newest revision, 0 before the first
+	history     []*configpb.Revision      // ascending, without gaps; the last is the newest
+	bytes       int                       // of the documents in history
+	requests    []appliedRequest          // oldest first, at most MaxRequests
+	requestByID map[uint64]appliedRequest // the same requests by id
 }
 
 // appliedRequest is an accepted request, by which a retry is recognised.
 type appliedRequest struct {
-	request  uint64
-	number   uint64
-	checksum uint64
+	request  uint64 // id
+	number   uint64 // of the revision that it became
+	checksum uint64 // of its document
 }
 
 // NewMachine returns a machine without revisions.
@@ -118,7 +118,8 @@
 	return Result{Number: before.number, Repeated: true}
 }
 
-// append appends a revision to the history and removes the oldest ones beyond its limits.
+// append appends a revision to the history and removes the oldest ones beyond MaxHistory and MaxHistoryBytes, but never the
+// newest. It panics if the number does not follow the newest one.
 func (m *Machine) append(revision *configpb.Revision) {
 	if revision.GetNumber() != m.newest+1 {
 		panic(fmt.Sprintf("revision: number %d follows %d", revision.GetNumber(), m.newest))
--- a/internal/controlplane/revision/snapshot.go
+++ b/internal/controlplane/revision/snapshot.go
@@ -20,8 +20,8 @@
 //	8 bytes  length of the state
 //	8 bytes  xxhash of the state
 const (
-	snapshotMagic   = "mothrev\n"
-	snapshotVersion = 1
+	snapshotMagic   = "mothrev\n" // the start of every snapshot
+	snapshotVersion = 1           // Restore rejects any other version
 	headerBytes     = len(snapshotMagic) + 4 + 8 + 8
 
 	// MaxSnapshotBytes is the maximum size of a snapshot: 16 MiB of documents, 4,096 revisions of 48 bytes beside
@@ -83,7 +83,8 @@
 	return machine, nil
 }
 
-// decodeSnapshotBody checks the header of a snapshot and returns its encoded state.
+// decodeSnapshotBody checks the header of a snapshot and returns its encoded state, a slice of data. Its error wraps
+// ErrForeign, ErrVersion, ErrTorn or ErrCorrupt.
 func decodeSnapshotBody(data []byte) ([]byte, error) {
 	if !bytes.HasPrefix(data, []byte(snapshotMagic)) {
 		if len(data) < len(snapshotMagic) && bytes.HasPrefix([]byte(snapshotMagic), data) {
@@ -114,7 +115,7 @@
 	return body, nil
 }
 
-// restoreHistory checks and restores the revisions of a snapshot.
+// restoreHistory checks and restores the revisions of a snapshot. Its error wraps ErrCorrupt.
 func (m *Machine) restoreHistory(state *revisionpb.State) error {
 	history := state.GetHistory()
 	if uint64(len(history)) > state.GetNewest() {
@@ -136,7 +137,8 @@
 	return nil
 }
 
-// checkNextRevision checks the number, size and checksum of the next revision of a snapshot.
+// checkNextRevision checks the number, size and checksum of the next revision of a snapshot. Its error wraps
+// ErrCorrupt.
 func (m *Machine) checkNextRevision(revision *configpb.Revision) error {
 	number, document := revision.GetNumber(), revision.GetDocument()
 	if number != m.newest+1 {
@@ -148,7 +150,8 @@
 	return nil
 }
 
-// restoreRequests checks and restores the recorded requests of a snapshot, in ascending order of their revisions.
+// restoreRequests checks and restores the recorded requests of a snapshot, which have to be in ascending order of
+// their revisions. Its error wraps ErrCorrupt.
 func (m *Machine) restoreRequests(state *revisionpb.State) error {
 	var last uint64
 	for _, request := range state.GetRequests() {
