--- a/internal/controlplane/raftlog/corruption_test.go
+++ b/internal/controlplane/raftlog/corruption_test.go
@@ -15,7 +15,7 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// filledLog returns the content of a file with a snapshot, entries of several pages and free pages.
+// filledLog returns the content of a file with a snapshot, entries of several pages and free pages, and the state in it.
 func filledLog(t testing.TB) ([]byte, logState) {
 	t.Helper()
 	log, path := create(t)
@@ -23,14 +23,15 @@
 	for range 40 {
 		require.NoError(t, randomWrite(log, random).write(log))
 	}
-	kept := log.memory
-	require.NotEmpty(t, kept.entries)
+	state := log.memory
+	require.NotEmpty(t, state.entries)
 	require.NoError(t, log.Close())
 	content, err := os.ReadFile(path)
 	require.NoError(t, err)
-	return content, kept
+	return content, state
 }
 
+// openContent opens a log whose file has a content.
 func openContent(t testing.TB, content []byte) (*Log, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "log")
@@ -38,80 +39,82 @@
 	return Open(path, testOptions)
 }
 
+// isSentinel reports whether an error wraps one of the errors for a file that Open rejects.
 func isSentinel(err error) bool {
-	for _, named := range []error{ErrForeign, ErrVersion, ErrTorn, ErrCorrupt} {
-		if errors.Is(err, named) {
+	for _, sentinel := range []error{ErrForeign, ErrVersion, ErrTorn, ErrCorrupt} {
+		if errors.Is(err, sentinel) {
 			return true
 		}
 	}
 	return false
 }
 
-var corruptionTrials = flag.Int("changes", 250, "trials of TestChangedBytesAreDetected")
+// corruptionTrials is the number of files that TestOpenDetectsChangedBytes opens.
+var corruptionTrials = flag.Int("changes", 250, "trials of TestOpenDetectsChangedBytes")
 
-// TestOpenDetectsChangedBytes changes bytes anywhere: the log is refused with an error that has a name, or nothing
-// that it holds has changed.
+// TestOpenDetectsChangedBytes changes one to three bytes anywhere: Open returns a sentinel error, or its log is unchanged.
 func TestOpenDetectsChangedBytes(t *testing.T) {
 	t.Parallel()
-	content, kept := filledLog(t)
+	content, want := filledLog(t)
 	used := bytes.LastIndexFunc(content, func(r rune) bool { return r != 0 })
 	random := rand.New(rand.NewPCG(1, 2))
-	refused := 0
+	rejected := 0
 	changes := *corruptionTrials
 	for range changes {
-		damaged := bytes.Clone(content)
+		corrupt := bytes.Clone(content)
 		for range 1 + random.IntN(3) {
-			damaged[random.IntN(used+1)] ^= byte(1 + random.IntN(255))
+			corrupt[random.IntN(used+1)] ^= byte(1 + random.IntN(255))
 		}
-		log, err := openContent(t, damaged)
+		log, err := openContent(t, corrupt)
 		if err != nil {
 			require.True(t, isSentinel(err), "%v", err)
-			refused++
+			rejected++
 			continue
 		}
-		requireSame(t, kept, log.memory)
+		requireSame(t, want, log.memory)
 		require.NoError(t, log.Close())
 	}
-	t.Logf("%d of %d changes refused, the others hit free space", refused, changes)
-	require.Greater(t, refused, changes/10)
+	t.Logf("%d of %d changes rejected, the others hit free space", rejected, changes)
+	require.Greater(t, rejected, changes/10)
 }
 
 // TestOpenDetectsChangeInEveryRecord changes a byte within each record.
 func TestOpenDetectsChangeInEveryRecord(t *testing.T) {
-	content, kept := filledLog(t)
-	for _, stored := range kept.entries {
+	content, want := filledLog(t)
+	for _, stored := range want.entries {
 		payload, err := proto.Marshal(stored)
 		require.NoError(t, err)
 		record := encodeRecord(entriesBucket, entryKey(stored.GetIndex()), payload)
 		requireChangeDetected(t, content, record)
 	}
-	state := encodeRecord(stateBucket, singleKey, kept.state().encode())
+	state := encodeRecord(stateBucket, singleKey, want.state().encode())
 	requireChangeDetected(t, content, state)
-	snapshot, err := proto.Marshal(kept.snapshot)
+	snapshot, err := proto.Marshal(want.snapshot)
 	require.NoError(t, err)
 	requireChangeDetected(t, content, encodeRecord(snapshotBucket, singleKey, snapshot))
 	requireChangeDetected(t, content, encodeRecord(identityBucket, singleKey, encodeIdentity(testOptions.Identity)))
 }
 
+// requireChangeDetected changes a byte in each copy of a record in a file, and requires that Open returns ErrCorrupt.
 func requireChangeDetected(t *testing.T, content, record []byte) {
 	t.Helper()
-	damaged := bytes.Clone(content)
+	corrupt := bytes.Clone(content)
 	found := 0
-	for at := 0; ; found++ { // older pages may hold the same record
-		next := bytes.Index(damaged[at:], record)
+	for offset := 0; ; found++ { // free pages may have an earlier copy of the record
+		next := bytes.Index(corrupt[offset:], record)
 		if next < 0 {
 			break
 		}
-		at += next
-		damaged[at+len(record)/2] ^= 0x40
-		at++
+		offset += next
+		corrupt[offset+len(record)/2] ^= 0x40
+		offset++
 	}
 	require.Positive(t, found, "the record is in the file")
-	_, err := openContent(t, damaged)
+	_, err := openContent(t, corrupt)
 	require.ErrorIs(t, err, ErrCorrupt)
 }
 
-// TestOpenDetectsMissingEntry shortens the count of a page, which hides its last record from bbolt.
+// TestOpenDetectsMissingEntry deletes the record of the last entry, so that the state record names an entry that is missing.
 func TestOpenDetectsMissingEntry(t *testing.T) {
 	log, path := create(t)
 	require.NoError(t, log.Save(hardState(2, 0, 2), entries(2, 9, 2), nil))
@@ -125,12 +128,12 @@
 }
 
 func TestOpenRejectsTruncatedFile(t *testing.T) {
-	content, kept := filledLog(t)
+	content, want := filledLog(t)
 	random := rand.New(rand.NewPCG(3, 3))
 	for range 200 {
 		log, err := openContent(t, content[:random.IntN(len(content))])
-		if err == nil { // only unused room at the end is gone
-			requireSame(t, kept, log.memory)
+		if err == nil { // only unused bytes at the end are missing
+			requireSame(t, want, log.memory)
 			require.NoError(t, log.Close())
 			continue
 		}
@@ -143,7 +146,7 @@
 }
 
 func TestOpenRejectsForeignFile(t *testing.T) {
-	_, err := openContent(t, []byte(strings.Repeat("a letter to nobody\n", 1000)))
+	_, err := openContent(t, []byte(strings.Repeat("not a raft log\n", 1000)))
 	require.ErrorIs(t, err, ErrForeign)
 
 	path := filepath.Join(t.TempDir(), "log")
@@ -164,7 +167,7 @@
 	require.ErrorIs(t, err, ErrVersion)
 }
 
-// TestVerifyPagesAcceptsDeepTreesAndLongFreelists plays logs of many shapes, so that trees have depth and free lists many pages.
+// TestVerifyPagesAcceptsDeepTreesAndLongFreelists opens logs with thousands of entries and with thousands of free pages.
 func TestVerifyPagesAcceptsDeepTreesAndLongFreelists(t *testing.T) {
 	log, path := create(t)
 	require.NoError(t, log.Save(hardState(2, 0, 2), entries(2, 3000, 2), nil))
@@ -176,7 +179,7 @@
 	reopen(t, log, path)
 }
 
-// FuzzDecodeEntry reads records of any content: only what encodeRecord returns for its bucket and key is accepted.
+// FuzzDecodeEntry decodes records of any content: each is rejected with ErrCorrupt or has the index of its key.
 func FuzzDecodeEntry(f *testing.F) {
 	payload, err := proto.Marshal(entry(5, 2, "content"))
 	if err != nil {
@@ -194,11 +197,11 @@
 			return
 		}
 		require.ErrorIs(t, err, ErrCorrupt)
-		resealed, err := decodeEntry(key, encodeRecord(entriesBucket, key, record))
+		checksummed, err := decodeEntry(key, encodeRecord(entriesBucket, key, record))
 		if err != nil {
 			require.ErrorIs(t, err, ErrCorrupt)
 		} else {
-			require.Equal(t, index, resealed.GetIndex())
+			require.Equal(t, index, checksummed.GetIndex())
 		}
 		if _, err := decodeState(record); err != nil {
 			require.ErrorIs(t, err, ErrCorrupt)
--- a/internal/controlplane/raftlog/crash_test.go
+++ b/internal/controlplane/raftlog/crash_test.go
@@ -19,17 +19,18 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// The tests of crashes run this test binary again as a child that writes, and kill it.
+// The crash tests run this test binary again as a child process that writes to a log, and kill it. These environment variables
+// configure the child.
 const (
-	childPath  = "RAFTLOG_CHILD_PATH"
-	childSeed  = "RAFTLOG_CHILD_SEED"
-	childFault = "RAFTLOG_CHILD_FAULT"
-	childLimit = "RAFTLOG_CHILD_LIMIT" // bytes of a file, after which the disk counts as full
+	childPath  = "RAFTLOG_CHILD_PATH"  // of its log; unset: the process is no child
+	childSeed  = "RAFTLOG_CHILD_SEED"  // of its random writes
+	childFault = "RAFTLOG_CHILD_FAULT" // faultEarlyAcknowledgement or unset
+	childLimit = "RAFTLOG_CHILD_LIMIT" // maximum size of a file in bytes, as of a full disk
 
 	faultEarlyAcknowledgement = "early" // acknowledges a write before it is saved
 
-	killedFiles = 5
-	kills       = 20 // of the writers of each file
+	killedFiles = 5  // logs whose writers are killed
+	kills       = 20 // for each of them
 )
 
 func TestMain(m *testing.M) {
@@ -72,14 +73,14 @@
 	}
 }
 
-// randomSave is one write: a Save, and a Compact after it now and then.
+// randomSave is one write: a Save, followed by a Compact if compact is set.
 type randomSave struct {
 	hardState *raftpb.HardState
 	entries   []*raftpb.Entry
 	compact   bool
 }
 
-// randomWrite draws a write that fits the log. Its content depends on its indexes and terms alone.
+// randomWrite returns a random write that is valid after the log. The data of an entry depends on its index and term alone.
 func randomWrite(log *Log, random *rand.Rand) randomSave {
 	hard := log.memory.hardState
 	last := log.memory.last().index
@@ -94,15 +95,18 @@
 	return randomSave{hardState: hardState(term, 1+term%3, commit), entries: added, compact: random.IntN(10) == 0}
 }
 
+// contentOf returns the data of the entry with an index and a term.
 func contentOf(index, term uint64) string {
 	return strings.Repeat(fmt.Sprint(index, term, ";"), int(index*term%700))
 }
 
+// describe returns the term, vote, commit and last index of the write, in the order that killChild parses.
 func (w randomSave) describe() string {
 	last := w.entries[len(w.entries)-1]
 	return fmt.Sprint(w.hardState.GetTerm(), w.hardState.GetVote(), w.hardState.GetCommit(), last.GetIndex())
 }
 
+// write saves the write and compacts the log if it says so.
 func (w randomSave) write(log *Log) error {
 	if err := log.Save(w.hardState, w.entries, nil); err != nil {
 		return err
@@ -119,12 +123,12 @@
 	return log.Compact(snapshotAt(commit, term, contentOf(commit, 7)), first)
 }
 
-// acknowledged is the last acknowledgement of a child.
-type acknowledged struct {
+// acknowledgement is the last write that a child has acknowledged.
+type acknowledgement struct {
 	term, vote, commit, last uint64
 }
 
-// startChild starts a child and returns what it prints.
+// startChild starts a child with more environment settings and returns a scanner of the lines that it prints.
 func startChild(t *testing.T, path string, seed uint64, settings ...string) (*exec.Cmd, *bufio.Scanner) {
 	t.Helper()
 	command := exec.Command(os.Args[0])
@@ -136,8 +140,8 @@
 	return command, bufio.NewScanner(output)
 }
 
-// killChild lets a child write for a time after its first line and kills it. It returns the last complete line.
-func killChild(t *testing.T, path string, seed uint64, settings ...string) acknowledged {
+// killChild starts a child, kills it within 5 ms after its first line and returns its last acknowledgement.
+func killChild(t *testing.T, path string, seed uint64, settings ...string) acknowledgement {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 4))
 	command, lines := startChild(t, path, seed, settings...)
@@ -149,24 +153,25 @@
 		last = lines.Text()
 	}
 	_ = command.Wait() // it was killed
-	var acked acknowledged
+	var acked acknowledgement
 	_, err := fmt.Sscanf(last, "saved %d %d %d %d", &acked.term, &acked.vote, &acked.commit, &acked.last)
 	require.NoError(t, err, "last line %q", last)
 	return acked
 }
 
-// checkNothingLost returns what a log lacks of the acknowledged writes, or nil. One later write may be complete.
-func checkNothingLost(log *Log, acked acknowledged) error {
+// checkNothingLost returns an error that names what a log lacks of the acknowledged writes, or nil. One write after them may
+// be complete.
+func checkNothingLost(log *Log, acked acknowledgement) error {
 	hard, last := log.memory.hardState, log.memory.last()
 	switch {
 	case hard.GetTerm() < acked.term || hard.GetTerm() > acked.term+1:
-		return fmt.Errorf("term %d, acknowledged was %d", hard.GetTerm(), acked.term)
+		return fmt.Errorf("term %d, acknowledged %d", hard.GetTerm(), acked.term)
 	case hard.GetTerm() == acked.term && hard.GetVote() != acked.vote:
-		return fmt.Errorf("vote %d, acknowledged was %d", hard.GetVote(), acked.vote)
+		return fmt.Errorf("vote %d, acknowledged %d", hard.GetVote(), acked.vote)
 	case hard.GetCommit() < acked.commit || last.index < acked.commit:
-		return fmt.Errorf("commit %d of %d, acknowledged was %d", hard.GetCommit(), last.index, acked.commit)
+		return fmt.Errorf("commit %d of %d, acknowledged %d", hard.GetCommit(), last.index, acked.commit)
 	case hard.GetTerm() == acked.term && hard.GetCommit() == acked.commit && last.index < acked.last && last.term < acked.term:
-		return fmt.Errorf("last %d, acknowledged was %d", last.index, acked.last)
+		return fmt.Errorf("last %d, acknowledged %d", last.index, acked.last)
 	}
 	for _, entry := range log.memory.entries {
 		if string(entry.GetData()) != contentOf(entry.GetIndex(), entry.GetTerm()) {
@@ -176,8 +181,7 @@
 	return nil
 }
 
-// TestKilledWriterKeepsAcknowledgedWrites kills writers a hundred times, at random moments of their writes, over
-// five files.
+// TestKilledWriterKeepsAcknowledgedWrites kills a hundred writers of five files at random times.
 func TestKilledWriterKeepsAcknowledgedWrites(t *testing.T) {
 	for file := range uint64(killedFiles) {
 		t.Run(fmt.Sprint("file ", file), func(t *testing.T) {
@@ -195,7 +199,8 @@
 	}
 }
 
-// TestCrashCheckDetectsEarlyAcknowledgement plants a writer that acknowledges writes before they are saved: checkNothingLost has to detect it.
+// TestCrashCheckDetectsEarlyAcknowledgement kills writers that acknowledge writes before they are saved: checkNothingLost has
+// to detect it.
 func TestCrashCheckDetectsEarlyAcknowledgement(t *testing.T) {
 	t.Parallel()
 	for kill := range uint64(40) {
@@ -207,14 +212,14 @@
 		err = checkNothingLost(log, acked)
 		require.NoError(t, log.Close())
 		if err != nil {
-			t.Logf("seen after kill %d: %v", kill, err)
+			t.Logf("detected after kill %d: %v", kill, err)
 			return
 		}
 	}
-	t.Error("not seen")
+	t.Error("early acknowledgement not detected")
 }
 
-// TestFullDiskKeepsAcknowledgedWrites lets a writer run into a limit of its file, with an error of the system.
+// TestFullDiskKeepsAcknowledgedWrites has a writer fail at the file size limit of its process.
 func TestFullDiskKeepsAcknowledgedWrites(t *testing.T) {
 	log, path := create(t)
 	require.NoError(t, log.Close())
@@ -226,13 +231,13 @@
 	}
 	require.Error(t, command.Wait())
 	require.Contains(t, last, "error "+ErrNoSpace.Error())
-	var acked acknowledged
+	var acked acknowledgement
 	_, err := fmt.Sscanf(before, "saved %d %d %d %d", &acked.term, &acked.vote, &acked.commit, &acked.last)
 	require.NoError(t, err, "line before %q", before)
 	log, err = Open(path, testOptions)
 	require.NoError(t, err)
 	require.NoError(t, checkNothingLost(log, acked))
-	require.NoError(t, randomWrite(log, rand.New(rand.NewPCG(2, 2))).write(log), "there is room again")
+	require.NoError(t, randomWrite(log, rand.New(rand.NewPCG(2, 2))).write(log), "without the limit")
 	require.NoError(t, log.Close())
 }
 
@@ -249,11 +254,11 @@
 		err = log.Save(hardState(1, 0, 1), []*raftpb.Entry{entry(index, 1, large)}, nil)
 	}
 	require.ErrorIs(t, err, ErrNoSpace)
-	require.Equal(t, err, log.Save(hardState(2, 0, 1), nil, nil), "broken until it is opened anew")
+	require.Equal(t, err, log.Save(hardState(2, 0, 1), nil, nil), "every write fails until the log is opened again")
 }
 
-// TestOpenAfterPowerLossInSave mixes the file before a save with the file after it, sector by sector: what a disk may hold when
-// the power fails. bbolt syncs its pages before it writes the meta page, which lies within one sector.
+// TestOpenAfterPowerLossInSave mixes the sectors of the file before a save with those after it, as a power failure may.
+// bbolt syncs its pages before it writes the meta page, which lies within one sector.
 func TestOpenAfterPowerLossInSave(t *testing.T) {
 	t.Parallel()
 	const sector = 512
@@ -283,6 +288,7 @@
 	}
 }
 
+// readFile returns the content of a file.
 func readFile(t *testing.T, path string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(path)
@@ -290,9 +296,10 @@
 	return data
 }
 
+// requireOpensAs requires that a file with a content opens as a log with a state.
 func requireOpensAs(t *testing.T, content []byte, want logState, round int) {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), "cut")
+	path := filepath.Join(t.TempDir(), "log")
 	require.NoError(t, os.WriteFile(path, content, fileMode))
 	log, err := Open(path, testOptions)
 	require.NoError(t, err, "round %d", round)
--- a/internal/controlplane/raftlog/earlier_release_test.go
+++ b/internal/controlplane/raftlog/earlier_release_test.go
@@ -12,12 +12,12 @@
 
 // TestOpenReadsLogOfEarlierRelease opens a log written by an earlier release and requires all its content.
 func TestOpenReadsLogOfEarlierRelease(t *testing.T) {
-	packed, err := os.Open("testdata/as-found.log.gz")
+	archive, err := os.Open("testdata/as-found.log.gz")
 	require.NoError(t, err)
-	defer func() { _ = packed.Close() }() // it was only read
-	in, err := gzip.NewReader(packed)
+	defer func() { _ = archive.Close() }() // only read
+	decompressed, err := gzip.NewReader(archive)
 	require.NoError(t, err)
-	content, err := io.ReadAll(in)
+	content, err := io.ReadAll(decompressed)
 	require.NoError(t, err)
 	path := filepath.Join(t.TempDir(), "log")
 	require.NoError(t, os.WriteFile(path, content, 0o600))
@@ -33,11 +33,11 @@
 	last, err := log.LastIndex()
 	require.NoError(t, err)
 	require.Equal(t, []uint64{2, 5}, []uint64{first, last})
-	held, err := log.Entries(first, last+1, 1<<20)
+	stored, err := log.Entries(first, last+1, 1<<20)
 	require.NoError(t, err)
-	for i, e := range held {
-		require.Equal(t, first+uint64(i), e.GetIndex())
-		require.Equal(t, "entry", string(e.GetData()))
+	for i, entry := range stored {
+		require.Equal(t, first+uint64(i), entry.GetIndex())
+		require.Equal(t, "entry", string(entry.GetData()))
 	}
-	require.Len(t, held, 4)
+	require.Len(t, stored, 4)
 }
--- a/internal/controlplane/raftlog/raftlog_test.go
+++ b/internal/controlplane/raftlog/raftlog_test.go
@@ -15,6 +15,7 @@
 
 var testOptions = Options{Identity: Identity{Fleet: 7, Node: 2}, MaxBytes: 64 << 20}
 
+// snapshotAt returns a snapshot at an index and term, of voters 1 to 3 and the learner 4.
 func snapshotAt(index, term uint64, data string) *raftpb.Snapshot {
 	return &raftpb.Snapshot{
 		Data: []byte(data),
@@ -25,22 +26,26 @@
 	}
 }
 
+// hardState returns a hard state.
 func hardState(term, vote, commit uint64) *raftpb.HardState {
 	return &raftpb.HardState{Term: new(term), Vote: new(vote), Commit: new(commit)}
 }
 
+// entry returns an entry with data.
 func entry(index, term uint64, data string) *raftpb.Entry {
 	return &raftpb.Entry{Index: new(index), Term: new(term), Data: []byte(data)}
 }
 
+// entries returns the entries from index first to last, all of one term.
 func entries(first, last, term uint64) []*raftpb.Entry {
-	var made []*raftpb.Entry
+	var run []*raftpb.Entry
 	for index := first; index <= last; index++ {
-		made = append(made, entry(index, term, "entry"))
+		run = append(run, entry(index, term, "entry"))
 	}
-	return made
+	return run
 }
 
+// create returns a new log with a snapshot at index 1, and its path. It is closed at the end of the test.
 func create(t testing.TB) (*Log, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "log")
@@ -50,6 +55,7 @@
 	return log, path
 }
 
+// reopen closes a log and opens it again, and requires that its state is the same.
 func reopen(t testing.TB, log *Log, path string) *Log {
 	t.Helper()
 	require.NoError(t, log.Close())
@@ -60,6 +66,7 @@
 	return opened
 }
 
+// requireSame requires that two states are equal.
 func requireSame(t testing.TB, want, got logState) {
 	t.Helper()
 	require.Equal(t, want.state(), got.state())
@@ -112,8 +119,8 @@
 	require.Len(t, got, 3)
 	got, err = log.Entries(5, 10, 0)
 	require.NoError(t, err)
-	require.Len(t, got, 1, "one at least")
-	require.Equal(t, 1, cap(got), "what its caller appends must not reach the log")
+	require.Len(t, got, 1, "at least one entry, whatever the size")
+	require.Equal(t, 1, cap(got), "an append by the caller must not write into the log")
 	_, err = log.Entries(1, 3, size)
 	require.ErrorIs(t, err, raft.ErrCompacted)
 	_, err = log.Entries(2, 11, size)
@@ -161,27 +168,27 @@
 	require.NoError(t, log.Save(hardState(3, 2, 4), entries(2, 9, 3), nil))
 	gapWithin := []*raftpb.Entry{entry(10, 3, ""), entry(12, 3, "")}
 	for name, write := range map[string]func() error{
-		"gap":                    func() error { return log.Save(nil, entries(11, 12, 3), nil) },
-		"compacted entry":        func() error { return log.Save(nil, entries(1, 2, 3), nil) },
-		"gap within":             func() error { return log.Save(nil, gapWithin, nil) },
-		"entry of a later term":  func() error { return log.Save(nil, entries(10, 10, 4), nil) },
-		"entry of an early term": func() error { return log.Save(nil, entries(10, 10, 2), nil) },
-		"committed entry lost":   func() error { return log.Save(hardState(4, 0, 4), entries(4, 9, 4), nil) },
-		"term goes back":         func() error { return log.Save(hardState(2, 0, 4), nil, nil) },
-		"second vote":            func() error { return log.Save(hardState(3, 1, 4), nil, nil) },
-		"vote forgotten":         func() error { return log.Save(hardState(3, 0, 4), nil, nil) },
-		"commit goes back":       func() error { return log.Save(hardState(3, 2, 3), nil, nil) },
-		"commit beyond the end":  func() error { return log.Save(hardState(3, 2, 10), nil, nil) },
-		"old snapshot":           func() error { return log.Save(nil, nil, snapshotAt(1, 1, "")) },
-		"snapshot uncommitted":   func() error { return log.Compact(snapshotAt(5, 3, ""), 5) },
-		"snapshot of other term": func() error { return log.Compact(snapshotAt(4, 2, ""), 5) },
-		"snapshot not in log":    func() error { return log.Compact(snapshotAt(12, 3, ""), 5) },
-		"uncovered compaction":   func() error { return log.Compact(snapshotAt(4, 3, ""), 6) },
+		"gap":                         func() error { return log.Save(nil, entries(11, 12, 3), nil) },
+		"compacted entry":             func() error { return log.Save(nil, entries(1, 2, 3), nil) },
+		"gap within":                  func() error { return log.Save(nil, gapWithin, nil) },
+		"entry of a later term":       func() error { return log.Save(nil, entries(10, 10, 4), nil) },
+		"entry of an early term":      func() error { return log.Save(nil, entries(10, 10, 2), nil) },
+		"committed entry replaced":    func() error { return log.Save(hardState(4, 0, 4), entries(4, 9, 4), nil) },
+		"lower term":                  func() error { return log.Save(hardState(2, 0, 4), nil, nil) },
+		"second vote":                 func() error { return log.Save(hardState(3, 1, 4), nil, nil) },
+		"vote withdrawn":              func() error { return log.Save(hardState(3, 0, 4), nil, nil) },
+		"lower commit":                func() error { return log.Save(hardState(3, 2, 3), nil, nil) },
+		"commit after the last entry": func() error { return log.Save(hardState(3, 2, 10), nil, nil) },
+		"old snapshot":                func() error { return log.Save(nil, nil, snapshotAt(1, 1, "")) },
+		"snapshot uncommitted":        func() error { return log.Compact(snapshotAt(5, 3, ""), 5) },
+		"snapshot of other term":      func() error { return log.Compact(snapshotAt(4, 2, ""), 5) },
+		"snapshot not in log":         func() error { return log.Compact(snapshotAt(12, 3, ""), 5) },
+		"uncovered compaction":        func() error { return log.Compact(snapshotAt(4, 3, ""), 6) },
 	} {
 		require.ErrorIs(t, write(), ErrInvalidWrite, name)
 	}
 	log = reopen(t, log, path)
-	require.NoError(t, log.Save(hardState(3, 2, 9), entries(10, 10, 3), nil), "the log still works")
+	require.NoError(t, log.Save(hardState(3, 2, 9), entries(10, 10, 3), nil), "a valid write succeeds")
 }
 
 func TestCreateRejectsExistingAndReplacesUnfinishedFile(t *testing.T) {
@@ -190,7 +197,7 @@
 	require.ErrorIs(t, err, ErrExists)
 
 	other := filepath.Join(t.TempDir(), "log")
-	require.NoError(t, os.WriteFile(other+".new", []byte("half a file"), fileMode))
+	require.NoError(t, os.WriteFile(other+".new", []byte("partial file"), fileMode))
 	log, err := Create(other, testOptions, snapshotAt(1, 1, "start"))
 	require.NoError(t, err)
 	require.NoError(t, log.Close())
@@ -212,7 +219,7 @@
 	require.ErrorIs(t, log.Save(hardState(5, 0, 1), nil, nil), ErrClosed)
 }
 
-// TestRandomWritesMatchMemoryStorage holds a log against the storage in memory that raft brings with it.
+// TestRandomWritesMatchMemoryStorage compares a log after random writes with raft.MemoryStorage.
 func TestRandomWritesMatchMemoryStorage(t *testing.T) {
 	for seed := range uint64(8) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -237,6 +244,7 @@
 	}
 }
 
+// compactRandomly compacts a log and its model to the same index, in one of six calls.
 func compactRandomly(t *testing.T, random *rand.Rand, log *Log, model *raft.MemoryStorage) {
 	t.Helper()
 	hard, conf, _ := log.InitialState()
@@ -244,16 +252,17 @@
 	if random.IntN(6) > 0 || hard.GetCommit() <= snapshot.GetMetadata().GetIndex() {
 		return
 	}
-	made, err := model.CreateSnapshot(hard.GetCommit(), conf, []byte("made"))
+	snapshotOfModel, err := model.CreateSnapshot(hard.GetCommit(), conf, []byte("snapshot"))
 	require.NoError(t, err)
-	first, _ := log.FirstIndex()
-	keep := first + uint64(random.Int64N(int64(hard.GetCommit()+2-first)))
-	require.NoError(t, log.Compact(made, keep))
-	if keep > first {
-		require.NoError(t, model.Compact(keep-1))
+	before, _ := log.FirstIndex()
+	first := before + uint64(random.Int64N(int64(hard.GetCommit()+2-before)))
+	require.NoError(t, log.Compact(snapshotOfModel, first))
+	if first > before {
+		require.NoError(t, model.Compact(first-1))
 	}
 }
 
+// requireEqualsModel requires that a log returns what its model does.
 func requireEqualsModel(t *testing.T, model *raft.MemoryStorage, log *Log) {
 	t.Helper()
 	wantFirst, _ := model.FirstIndex()
--- a/internal/controlplane/revision/revision_test.go
+++ b/internal/controlplane/revision/revision_test.go
@@ -15,6 +15,7 @@
 	"mothrouter/internal/controlplane/revision/revisionpb"
 )
 
+// command returns a publication of a document; expected 0 accepts any newest revision.
 func command(request, expected uint64, document string) *configpb.Command {
 	return &configpb.Command{
 		Request: request, Expected: expected, Document: []byte(document), PublishedUnixMs: int64(1000 + request),
@@ -46,9 +47,9 @@
 		command *configpb.Command
 		want    Rejection
 	}{
-		{command(2, 2, "ahead"), NotNewest},
+		{command(2, 2, "expects a later revision"), NotNewest},
 		{command(3, 0, ""), NoDocument},
-		{command(0, 0, "nameless"), NoRequest},
+		{command(0, 0, "without a request id"), NoRequest},
 		{command(4, 0, string(make([]byte, MaxDocumentBytes+1))), Oversized},
 		{command(1, 0, "other"), RequestReused},
 		{nil, Undecodable},
@@ -57,11 +58,11 @@
 		require.Equal(t, Result{Rejection: bad.want, Number: 1}, result, bad.want)
 		require.NotContains(t, bad.want.String(), "rejection ")
 	}
-	require.Equal(t, uint64(7), machine.Applied(), "a rejected entry is applied all the same")
+	require.Equal(t, uint64(7), machine.Applied(), "a rejected entry counts as applied")
 	require.Equal(t, uint64(1), machine.Number())
 	largest := command(9, 1, string(make([]byte, MaxDocumentBytes)))
 	require.Equal(t, Result{Number: 2}, machine.Apply(8, largest))
-	require.Equal(t, NotNewest, machine.Apply(9, command(10, 1, "behind")).Rejection)
+	require.Equal(t, NotNewest, machine.Apply(9, command(10, 1, "expects an earlier revision")).Rejection)
 	require.Equal(t, "rejection 99", Rejection(99).String())
 }
 
@@ -70,14 +71,14 @@
 	machine.Apply(1, command(7, 0, "first"))
 	machine.Apply(2, command(8, 1, "second"))
 	require.Equal(t, Result{Number: 1, Repeated: true}, machine.Apply(3, command(7, 0, "first")))
-	require.Equal(t, Result{Number: 2, Repeated: true}, machine.Apply(4, command(8, 1, "second")), "expected is past")
+	require.Equal(t, Result{Number: 2, Repeated: true}, machine.Apply(4, command(8, 1, "second")), "whatever the expected number")
 	require.Equal(t, uint64(2), machine.Number())
 }
 
 func TestApplyAcceptsRejectedRequestLater(t *testing.T) {
 	machine := NewMachine()
-	require.Equal(t, NotNewest, machine.Apply(1, command(7, 3, "early")).Rejection)
-	require.Equal(t, Result{Number: 1}, machine.Apply(2, command(7, 0, "early")))
+	require.Equal(t, NotNewest, machine.Apply(1, command(7, 3, "document")).Rejection)
+	require.Equal(t, Result{Number: 1}, machine.Apply(2, command(7, 0, "document")))
 }
 
 func TestApplyLimitsRecordedRequests(t *testing.T) {
@@ -88,7 +89,7 @@
 	require.Len(t, machine.requests, MaxRequests)
 	require.Len(t, machine.requestByID, MaxRequests)
 	require.Equal(t, Result{Number: 2, Repeated: true}, machine.Apply(MaxRequests+2, command(2, 0, "2")))
-	require.Equal(t, Result{Number: MaxRequests + 2}, machine.Apply(MaxRequests+3, command(1, 0, "1")), "forgotten")
+	require.Equal(t, Result{Number: MaxRequests + 2}, machine.Apply(MaxRequests+3, command(1, 0, "1")), "no longer recorded")
 }
 
 func TestApplyLimitsHistory(t *testing.T) {
@@ -131,7 +132,8 @@
 	require.Panics(t, func() { machine.Skip(3) })
 }
 
-// TestRestoredMachineEqualsOriginal holds a machine that is saved and restored at any point against one that isn't.
+// TestRestoredMachineEqualsOriginal compares a machine that is restored from its snapshot at random points with one that is
+// not.
 func TestRestoredMachineEqualsOriginal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		original, restored := NewMachine(), NewMachine()
@@ -154,6 +156,7 @@
 	})
 }
 
+// someSnapshot returns the snapshot of a machine with two revisions.
 func someSnapshot() []byte {
 	machine := NewMachine()
 	machine.Apply(3, command(1, 0, "first"))
@@ -162,32 +165,32 @@
 	return machine.Snapshot()
 }
 
-func TestRestoreRejectsDamagedSnapshots(t *testing.T) {
-	whole := someSnapshot()
-	_, err := Restore(whole)
+func TestRestoreRejectsCorruptSnapshots(t *testing.T) {
+	complete := someSnapshot()
+	_, err := Restore(complete)
 	require.NoError(t, err)
-	for length := range whole {
-		_, err := Restore(whole[:length])
+	for length := range complete {
+		_, err := Restore(complete[:length])
 		require.ErrorIs(t, err, ErrTorn, "first %d bytes", length)
 	}
-	for at := range whole {
-		damaged := bytes.Clone(whole)
-		damaged[at] ^= 0x10
-		_, err := Restore(damaged)
-		require.Error(t, err, "byte %d", at)
+	for offset := range complete {
+		corrupt := bytes.Clone(complete)
+		corrupt[offset] ^= 0x10
+		_, err := Restore(corrupt)
+		require.Error(t, err, "byte %d", offset)
 	}
-	_, err = Restore([]byte("PNG of something else"))
+	_, err = Restore([]byte("not a snapshot"))
 	require.ErrorIs(t, err, ErrForeign)
-	_, err = Restore(append(bytes.Clone(whole), 0))
+	_, err = Restore(append(bytes.Clone(complete), 0))
 	require.ErrorIs(t, err, ErrCorrupt)
-	other := bytes.Clone(whole)
-	other[len(snapshotMagic)+3] = snapshotVersion + 1
-	_, err = Restore(other)
+	otherVersion := bytes.Clone(complete)
+	otherVersion[len(snapshotMagic)+3] = snapshotVersion + 1
+	_, err = Restore(otherVersion)
 	require.ErrorIs(t, err, ErrVersion)
 }
 
-// sealed makes a snapshot of any state, with a right checksum.
-func sealed(state *revisionpb.State) []byte {
+// snapshotOf returns a snapshot of any state, consistent or not, with a valid header and checksum.
+func snapshotOf(state *revisionpb.State) []byte {
 	body, err := proto.Marshal(state)
 	if err != nil {
 		panic(err)
@@ -208,21 +211,21 @@
 	with := func(requests ...*revisionpb.Request) *revisionpb.State {
 		return &revisionpb.State{Newest: 1, History: []*configpb.Revision{revision(1, "a")}, Requests: requests}
 	}
-	spoilt := revision(1, "a")
-	spoilt.Checksum++
+	wrongChecksum := revision(1, "a")
+	wrongChecksum.Checksum++
 	for name, state := range map[string]*revisionpb.State{
-		"gap":               {Newest: 3, History: []*configpb.Revision{revision(1, "a"), revision(3, "c")}},
-		"newest missing":    {Newest: 3},
-		"other newest":      {Newest: 3, History: []*configpb.Revision{revision(1, "a"), revision(2, "b")}},
-		"too many":          {Newest: 1, History: []*configpb.Revision{revision(0, "a"), revision(1, "b")}},
-		"checksum":          {Newest: 1, History: []*configpb.Revision{spoilt}},
-		"empty document":    {Newest: 1, History: []*configpb.Revision{revision(1, "")}},
-		"oversized":         {Newest: 1, History: []*configpb.Revision{revision(1, string(make([]byte, 1<<17)))}},
-		"request twice":     with(request(5, 1), request(5, 1)),
-		"request of future": with(request(5, 2)),
-		"request of none":   with(request(0, 1)),
+		"gap":            {Newest: 3, History: []*configpb.Revision{revision(1, "a"), revision(3, "c")}},
+		"newest missing": {Newest: 3},
+		"other newest":   {Newest: 3, History: []*configpb.Revision{revision(1, "a"), revision(2, "b")}},
+		"too many":       {Newest: 1, History: []*configpb.Revision{revision(0, "a"), revision(1, "b")}},
+		"checksum":       {Newest: 1, History: []*configpb.Revision{wrongChecksum}},
+		"empty document": {Newest: 1, History: []*configpb.Revision{revision(1, "")}},
+		"oversized":      {Newest: 1, History: []*configpb.Revision{revision(1, string(make([]byte, 1<<17)))}},
+		"request twice":  with(request(5, 1), request(5, 1)),
+		"later revision": with(request(5, 2)),
+		"no request id":  with(request(0, 1)),
 	} {
-		_, err := Restore(sealed(state))
+		_, err := Restore(snapshotOf(state))
 		require.ErrorIs(t, err, ErrCorrupt, name)
 	}
 }
@@ -243,7 +246,7 @@
 	require.ErrorIs(t, err, ErrInvalidCommand)
 }
 
-// FuzzCommand feeds entries of any content to two machines: they never panic and stay the same.
+// FuzzCommand applies entries of any content to two machines: they never panic and stay equal.
 func FuzzCommand(f *testing.F) {
 	for _, seed := range []*configpb.Command{command(1, 0, "first"), command(2, 1, "{}"), command(1, 9, ""), {}} {
 		data, err := Encode(seed)
@@ -277,10 +280,10 @@
 	})
 }
 
-// FuzzSnapshot restores anything: it is refused, or it is a snapshot that gives the same bytes again.
+// FuzzSnapshot restores any content: a machine that Restore accepts has a snapshot that restores to an equal machine.
 func FuzzSnapshot(f *testing.F) {
 	f.Add(someSnapshot())
-	f.Add(sealed(&revisionpb.State{Newest: 1}))
+	f.Add(snapshotOf(&revisionpb.State{Newest: 1}))
 	f.Add([]byte(snapshotMagic))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		machine, err := Restore(data)
