--- a/internal/broker/attempt_test.go
+++ b/internal/broker/attempt_test.go
@@ -12,7 +12,7 @@
 
 func TestLateResultOfCancelledAttemptIsIgnored(t *testing.T) {
 	h := newHarness(t)
-	q, part, c, _ := h.submit("q", idempotent, 1, time.Second)
+	query, part, answer, _ := h.submit("q", idempotent, 1, time.Second)
 	cancelled := h.send(part, "s1")
 	require.True(t, cancelled.TryStart())
 	h.perform(decision.Cancel{ID: part, Attempt: 0})
@@ -22,6 +22,6 @@
 	cancelled.Finish(broker.CallResult{Status: decision.OK, Value: []byte("old")})
 	current.Finish(broker.CallResult{Status: decision.OK, Value: []byte("new")})
 	require.Equal(t, 1, awaitEvent[decision.AttemptFinished](h).Attempt)
-	h.perform(decision.Respond{ID: q, Complete: true})
-	require.Equal(t, broker.Result{Complete: true, Values: []broker.Value{{1, []byte("new")}}}, <-c)
+	h.perform(decision.Respond{ID: query, Complete: true})
+	require.Equal(t, broker.Result{Complete: true, Values: []broker.Value{{1, []byte("new")}}}, <-answer)
 }
--- a/internal/broker/call_test.go
+++ b/internal/broker/call_test.go
@@ -25,42 +25,42 @@
 // none starts before the loop has handled the disconnect either.
 func TestNoAttemptStartsAfterDisconnect(t *testing.T) {
 	h := newHarness(t)
-	_, part, _, req := h.submit("q", nonIdempotent, 1, time.Second)
+	_, part, _, request := h.submit("q", nonIdempotent, 1, time.Second)
 	waiting := h.send(part, "s1")
-	h.broker.Disconnect(req)
+	h.broker.Disconnect(request)
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	awaitEvent[decision.ClientDisconnected](h)
 	require.False(t, waiting.TryStart())
 	require.Same(t, waiting, <-h.cancelled)
 
-	_, part, _, req = h.submit("q2", idempotent, 1, time.Second)
-	req.Disconnected = new(atomic.Bool)
+	_, part, _, request = h.submit("q2", idempotent, 1, time.Second)
+	request.Disconnected = new(atomic.Bool)
 	waiting = h.send(part, "s1")
-	req.Disconnected.Store(true) // the front has noticed; the loop has not been notified
+	request.Disconnected.Store(true) // the front has noticed; the loop has not been notified
 	require.False(t, waiting.TryStart())
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	h.perform(decision.Send{ID: part, Server: "s2"})
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	require.Empty(t, h.sent)
-	h.broker.Disconnect(req)
+	h.broker.Disconnect(request)
 	awaitEvent[decision.ClientDisconnected](h)
 
 	disconnected := &broker.Request{ID: "q3", ReceivedAt: time.Now(), Timeout: time.Second, Parts: []broker.Part{{Shard: 1, Weight: 1}}, Disconnected: new(atomic.Bool)}
 	disconnected.Disconnected.Store(true)
-	c := make(client, 1)
-	h.broker.Submit(disconnected, c)
+	answer := make(client, 1)
+	h.broker.Submit(disconnected, answer)
 	h.updateEndpoints(decision.DeltaUpdate)
-	require.Empty(t, c)
+	require.Empty(t, answer)
 	require.Empty(t, h.events, "the Decider gets no event of it")
 }
 
 // A query is finished while an attempt waits for a connection; the Decider does not cancel it.
 func TestNoAttemptStartsAfterQueryEnded(t *testing.T) {
 	h := newHarness(t)
-	q, part, c, _ := h.submit("q", idempotent, 1, time.Second)
+	query, part, answer, _ := h.submit("q", idempotent, 1, time.Second)
 	waiting := h.send(part, "s1")
-	h.perform(decision.Reject{ID: q, RetryAfter: 0.5})
-	require.Equal(t, broker.Rejected, (<-c).Outcome)
+	h.perform(decision.Reject{ID: query, RetryAfter: 0.5})
+	require.Equal(t, broker.Rejected, (<-answer).Outcome)
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	require.False(t, waiting.TryStart())
 }
--- a/internal/broker/endpoints_test.go
+++ b/internal/broker/endpoints_test.go
@@ -28,10 +28,10 @@
 // A busy loop does not delay a drain: links observe it at once.
 func TestUpdateAppliesToLinksBeforeTheLoop(t *testing.T) {
 	h := newHarness(t)
-	_, part, _, req := h.submit("q", idempotent, 1, time.Second)
+	_, part, _, request := h.submit("q", idempotent, 1, time.Second)
 	waiting := h.send(part, "s1")
 	loop := make(blockingClient)
-	h.broker.Submit(req, loop) // a duplicate id, which the loop answers at once
+	h.broker.Submit(request, loop) // a duplicate id, which the loop answers at once
 	<-loop
 	go h.broker.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Servers: []broker.Endpoint{{Addr: "s1",
 		Server: decision.Server{ID: "s1", ReplicaSet: 1, State: decision.Draining}}}})
--- a/internal/broker/harness_test.go
+++ b/internal/broker/harness_test.go
@@ -117,21 +117,23 @@
 	}
 }
 
-// submit submits a query of equal parts at shards 1, 2 and so on, and returns the ids of the query and of its first part.
-func (h *harness) submit(name string, class, parts int, timeout time.Duration) (decision.RequestID, decision.RequestID, client, *broker.Request) {
-	req := &broker.Request{ID: name, Class: class, ReceivedAt: time.Now(), Timeout: timeout, Payload: []byte("x")}
+// submit submits a query of equal parts at shards 1, 2 and so on, and returns the ids of the query and of its
+// first part, its client and its request.
+func (h *harness) submit(name string, class, parts int, timeout time.Duration) (
+	query, firstPart decision.RequestID, answer client, request *broker.Request) {
+	request = &broker.Request{ID: name, Class: class, ReceivedAt: time.Now(), Timeout: timeout, Payload: []byte("x")}
 	for i := range parts {
-		req.Parts = append(req.Parts, broker.Part{Shard: i + 1, Weight: 1 / float64(parts)})
+		request.Parts = append(request.Parts, broker.Part{Shard: i + 1, Weight: 1 / float64(parts)})
 	}
-	require.NoError(h, req.Normalize(24))
-	c := make(client, 1)
-	h.broker.Submit(req, c)
-	q := awaitEvent[decision.Query](h)
-	first := awaitEvent[decision.Part](h).ID
+	require.NoError(h, request.Normalize(24))
+	answer = make(client, 1)
+	h.broker.Submit(request, answer)
+	query = awaitEvent[decision.Query](h).ID
+	firstPart = awaitEvent[decision.Part](h).ID
 	for range parts - 1 {
 		awaitEvent[decision.Part](h)
 	}
-	return q.ID, first, c, req
+	return query, firstPart, answer, request
 }
 
 // perform has the Decider return actions, at an endpoint update that changes nothing.
--- a/internal/broker/phase_test.go
+++ b/internal/broker/phase_test.go
@@ -19,14 +19,14 @@
 }
 
 // firstPhase runs the first phase of query q: all parts are answered, with scores that fall with their shard.
-func (h *harness) firstPhase(class, parts int) (query decision.RequestID, c client, req *broker.Request) {
-	query, first, c, req := h.submit("q", class, parts, 2*time.Second)
+func (h *harness) firstPhase(class, parts int) (query decision.RequestID, answer client, request *broker.Request) {
+	query, first, answer, request := h.submit("q", class, parts, 2*time.Second)
 	h.updateEndpoints(decision.DeltaUpdate, "s1", 1, decision.Ready, "s2", 2, decision.Ready, "s3", 3, decision.Ready, "s0", 0, decision.Ready)
 	for i := range parts {
 		h.send(first+decision.RequestID(i), serverOf(i+1)).Finish(scoredResult(int64(-i), "first"))
 		awaitEvent[decision.AttemptFinished](h)
 	}
-	return query, c, req
+	return query, answer, request
 }
 
 // serverOf returns a server that holds a shard, of four replica sets.
@@ -57,7 +57,7 @@
 		if seed%2 == 1 {
 			class = twoPhasePartial
 		}
-		q, first, c, _ := h.submit("q", class, parts, 2*time.Second)
+		query, first, answer, _ := h.submit("q", class, parts, 2*time.Second)
 		scores, from, missing := map[int]int64{}, []int(nil), 0
 		for _, i := range rng.Perm(parts) {
 			if class == twoPhasePartial && missing < parts/2 && rng.IntN(3) == 0 {
@@ -70,7 +70,7 @@
 			from = append(from, i+1)
 		}
 		slices.Sort(from)
-		h.perform(decision.Respond{ID: q, Complete: true})
+		h.perform(decision.Respond{ID: query, Complete: true})
 		want := wantSecondPhase(scores, 2)
 		var second []decision.Part
 		for range want {
@@ -87,8 +87,8 @@
 			awaitEvent[decision.AttemptFinished](h)
 			values = append(values, broker.Value{Shard: pt.Shard, Data: []byte("second")})
 		}
-		h.perform(decision.Respond{ID: q, Complete: true})
-		require.Equal(t, broker.Result{Complete: missing == 0, Values: values}, <-c, "seed %d", seed)
+		h.perform(decision.Respond{ID: query, Complete: true})
+		require.Equal(t, broker.Result{Complete: missing == 0, Values: values}, <-answer, "seed %d", seed)
 	}
 }
 
@@ -104,11 +104,11 @@
 func TestNoSecondPhaseBelowMinCompleteness(t *testing.T) {
 	for class, want := range map[int]broker.Outcome{twoPhase: broker.Failed, twoPhasePartial: broker.Failed} {
 		h := newHarness(t)
-		q, part, c, _ := h.submit("q", class, 3, time.Second)
+		query, part, answer, _ := h.submit("q", class, 3, time.Second)
 		h.send(part, "s1").Finish(scoredResult(1, "v"))
 		awaitEvent[decision.AttemptFinished](h)
-		h.perform(decision.Respond{ID: q, Complete: true})
-		require.Equal(t, broker.Result{Outcome: want}, <-c)
+		h.perform(decision.Respond{ID: query, Complete: true})
+		require.Equal(t, broker.Result{Outcome: want}, <-answer)
 	}
 }
 
@@ -119,35 +119,35 @@
 		twoPhasePartial: {Values: []broker.Value{{Shard: 1, Data: []byte("second")}}},
 	} {
 		h := newHarness(t)
-		q, c, _ := h.firstPhase(class, 3)
-		h.perform(decision.Respond{ID: q, Complete: true})
+		query, answer, _ := h.firstPhase(class, 3)
+		h.perform(decision.Respond{ID: query, Complete: true})
 		h.send(awaitEvent[decision.Part](h).ID, "s1").Finish(scoredResult(0, "second")) // one of two
 		awaitEvent[decision.AttemptFinished](h)
-		h.perform(decision.Respond{ID: q, Complete: true})
-		require.Equal(t, want, <-c)
+		h.perform(decision.Respond{ID: query, Complete: true})
+		require.Equal(t, want, <-answer)
 	}
 }
 
 func TestDisconnectBetweenPhases(t *testing.T) {
 	h := newHarness(t)
-	q, c, req := h.firstPhase(twoPhase, 3)
-	h.perform(decision.Respond{ID: q, Complete: true})
+	query, answer, request := h.firstPhase(twoPhase, 3)
+	h.perform(decision.Respond{ID: query, Complete: true})
 	second, other := awaitEvent[decision.Part](h).ID, awaitEvent[decision.Part](h).ID
 	waiting := h.send(second, "s1")
-	h.broker.Disconnect(req)
+	h.broker.Disconnect(request)
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
-	require.Equal(t, q, awaitEvent[decision.ClientDisconnected](h).ID)
+	require.Equal(t, query, awaitEvent[decision.ClientDisconnected](h).ID)
 	require.False(t, waiting.TryStart())
-	h.perform(decision.Send{ID: other, Server: "s2"}, decision.Respond{ID: q, Complete: true})
+	h.perform(decision.Send{ID: other, Server: "s2"}, decision.Respond{ID: query, Complete: true})
 	require.Empty(t, h.sent)
-	require.Empty(t, c)
+	require.Empty(t, answer)
 	h.submit("q", twoPhase, 6, time.Second) // its id and its slots are free again
 }
 
 func TestDrainBetweenPhases(t *testing.T) {
 	h := newHarness(t)
-	q, _, _ := h.firstPhase(twoPhase, 3)
-	h.perform(decision.Respond{ID: q, Complete: true})
+	query, _, _ := h.firstPhase(twoPhase, 3)
+	h.perform(decision.Respond{ID: query, Complete: true})
 	second := awaitEvent[decision.Part](h).ID
 	waiting := h.send(second, "s1")
 	h.updateEndpoints(decision.DeltaUpdate, "s1", 1, decision.Draining)
@@ -165,8 +165,8 @@
 	rejected := broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}
 	for _, answered := range []int{0, 1, 2} {
 		h := newHarness(t)
-		q, c, _ := h.firstPhase(twoPhase, 3)
-		h.perform(decision.Respond{ID: q, Complete: true})
+		query, answer, _ := h.firstPhase(twoPhase, 3)
+		h.perform(decision.Respond{ID: query, Complete: true})
 		second := []decision.Part{awaitEvent[decision.Part](h), awaitEvent[decision.Part](h)}
 		var values []broker.Value
 		for i := range answered {
@@ -179,19 +179,19 @@
 		if answered == 2 {
 			want = broker.Result{Complete: true, Values: values}
 		}
-		require.Equal(t, want, <-c)
+		require.Equal(t, want, <-answer)
 	}
 	h := newHarness(t)
-	_, c, _ := h.firstPhase(twoPhase, 3) // the first phase is complete, the second has not started
+	_, answer, _ := h.firstPhase(twoPhase, 3) // the first phase is complete, the second has not started
 	h.broker.SetShutdownDeadline(time.Now().Add(50 * time.Millisecond))
-	require.Equal(t, rejected, <-c)
+	require.Equal(t, rejected, <-answer)
 }
 
 // The attempts in flight of the first phase end with it: a late result is ignored, and an attempt that has not started does not
 // start.
 func TestSecondPhaseEndsFirstPhaseAttempts(t *testing.T) {
 	h := newHarness(t)
-	q, first, c, _ := h.submit("q", twoPhasePartial, 4, 2*time.Second)
+	query, first, answer, _ := h.submit("q", twoPhasePartial, 4, 2*time.Second)
 	h.updateEndpoints(decision.DeltaUpdate, "s3", 3, decision.Ready)
 	for i := range 2 {
 		h.send(first+decision.RequestID(i), serverOf(i+1)).Finish(scoredResult(int64(i), "first"))
@@ -200,7 +200,7 @@
 	late := h.send(first+2, "s3")
 	require.True(t, late.TryStart())
 	waiting := h.send(first+3, "s0")
-	h.perform(decision.Respond{ID: q})
+	h.perform(decision.Respond{ID: query})
 	require.Equal(t, first+3, awaitEvent[decision.AttemptFinished](h).ID)
 	require.False(t, waiting.TryStart())
 	a, b := awaitEvent[decision.Part](h), awaitEvent[decision.Part](h)
@@ -213,8 +213,8 @@
 		h.send(pt.ID, serverOf(pt.Shard)).Finish(scoredResult(0, "second"))
 		awaitEvent[decision.AttemptFinished](h)
 	}
-	h.perform(decision.Respond{ID: q, Complete: true})
-	got := <-c
+	h.perform(decision.Respond{ID: query, Complete: true})
+	got := <-answer
 	require.False(t, got.Complete)
 	slices.SortFunc(got.Values, func(a, b broker.Value) int { return cmp.Compare(a.Shard, b.Shard) })
 	require.Equal(t, []broker.Value{{1, []byte("second")}, {2, []byte("second")}}, got.Values)
@@ -223,15 +223,15 @@
 // Of 7 slots a query of six parts uses all, and three once its second phase has begun.
 func TestSlotsBetweenPhases(t *testing.T) {
 	h := newHarness(t)
-	q, c, _ := h.firstPhase(twoPhase, 6)
+	query, answer, _ := h.firstPhase(twoPhase, 6)
 	full := make(client, 1)
 	h.broker.Submit(&broker.Request{ID: "q2", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, full)
 	require.Equal(t, broker.Rejected, (<-full).Outcome)
-	h.perform(decision.Respond{ID: q, Complete: true})
+	h.perform(decision.Respond{ID: query, Complete: true})
 	h.submit("q3", idempotent, 3, time.Second)
 	h.broker.Submit(&broker.Request{ID: "q4", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, full)
 	require.Equal(t, broker.Rejected, (<-full).Outcome)
-	h.perform(decision.Reject{ID: q})
-	require.Equal(t, broker.Rejected, (<-c).Outcome)
+	h.perform(decision.Reject{ID: query})
+	require.Equal(t, broker.Rejected, (<-answer).Outcome)
 	h.submit("q5", idempotent, 2, time.Second)
 }
--- a/internal/broker/rejection_test.go
+++ b/internal/broker/rejection_test.go
@@ -17,20 +17,20 @@
 	other := make(blockingClient)
 	h.broker.Submit(&broker.Request{ID: "other", Class: idempotent, ReceivedAt: time.Now(), Timeout: 3 * time.Second}, other)
 	otherID := awaitEvent[decision.Query](h).ID
-	id, part, c, _ := h.submit("q", nonIdempotent, 1, 3*time.Second)
+	id, part, answer, _ := h.submit("q", nonIdempotent, 1, 3*time.Second)
 	call := h.send(part, "s1")
 	require.True(t, call.TryStart())
 	h.perform(decision.Reject{ID: otherID}, decision.Reject{ID: id})
 	<-other // the loop waits here, between the two rejections
 	call.Finish(callResult(decision.Reset))
 	other <- struct{}{}
-	require.Equal(t, broker.Failed, (<-c).Outcome)
+	require.Equal(t, broker.Failed, (<-answer).Outcome)
 }
 
 // A call that has not started when its query is rejected must not start between the check and the end of the query.
 func TestNoAttemptStartsDuringRejection(t *testing.T) {
 	h := newHarness(t)
-	id, first, c, _ := h.submit("q", nonIdempotent, 2, 3*time.Second)
+	id, first, answer, _ := h.submit("q", nonIdempotent, 2, 3*time.Second)
 	calls := []*broker.Call{h.send(first, "s1"), h.send(first+1, "s2")}
 	for range cap(h.cancelled) {
 		h.cancelled <- nil // so that the loop waits where it cancels the first call
@@ -42,7 +42,7 @@
 	for range cap(h.cancelled) {
 		<-h.cancelled
 	}
-	outcome := (<-c).Outcome
+	outcome := (<-answer).Outcome
 	require.False(t, started && outcome == broker.Rejected, "a rejected client may retry a part that is running")
 	require.Equal(t, started, outcome == broker.Failed)
 	require.Equal(t, !started, outcome == broker.Rejected)
--- a/internal/broker/rules_test.go
+++ b/internal/broker/rules_test.go
@@ -55,7 +55,7 @@
 		decision.Error: false, decision.Reset: false, decision.TimedOut: false,
 	} {
 		h := newHarness(t)
-		q, part, c, _ := h.submit("q", nonIdempotent, 1, time.Second)
+		query, part, answer, _ := h.submit("q", nonIdempotent, 1, time.Second)
 		call := h.send(part, "s1")
 		require.True(t, call.TryStart())
 		call.Finish(callResult(status))
@@ -67,12 +67,12 @@
 		awaitEvent[decision.AttemptFinished](h)
 		require.Empty(t, h.sent)
 		// Nor is such a query rejected: a rejection states that a retry is safe.
-		h.perform(decision.Reject{ID: q, RetryAfter: 0.5})
+		h.perform(decision.Reject{ID: query, RetryAfter: 0.5})
 		want := broker.Result{Outcome: broker.Failed}
 		if retryAllowed {
 			want = broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}
 		}
-		require.Equal(t, want, <-c)
+		require.Equal(t, want, <-answer)
 	}
 }
 
--- a/internal/broker/slots_test.go
+++ b/internal/broker/slots_test.go
@@ -12,13 +12,13 @@
 
 func TestConcurrencyLimitAndDuplicateNames(t *testing.T) {
 	h := newHarness(t) // 7 slots, one for each query and each part
-	_, _, first, req := h.submit("q", idempotent, 4, time.Second)
+	_, _, first, request := h.submit("q", idempotent, 4, time.Second)
 	rejected := make(client, 1)
 	h.broker.Submit(&broker.Request{ID: "q", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, rejected)
 	require.Equal(t, broker.Duplicate, (<-rejected).Outcome)
 	h.broker.Submit(&broker.Request{ID: "q2", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 2)}, rejected)
 	require.Equal(t, broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}, <-rejected)
-	h.broker.Disconnect(req)
+	h.broker.Disconnect(request)
 	awaitEvent[decision.ClientDisconnected](h)
 	h.submit("q", idempotent, 5, time.Second)
 	require.Empty(t, first)
