--- a/internal/broker/healthcheck_test.go
+++ b/internal/broker/healthcheck_test.go
@@ -30,4 +30,5 @@
 	checks chan *broker.HealthCheck
 }
 
+// CheckHealth implements broker.Link.
 func (l healthCheckLink) CheckHealth(check *broker.HealthCheck) { l.checks <- check }
