--- a/internal/harness/controlplanetest/cluster_test.go
+++ b/internal/harness/controlplanetest/cluster_test.go
@@ -133,12 +133,22 @@
 		acknowledgedCount(cluster), newest, len(history.Applied), len(history.Followers))
 }
 
-func TestLeaderRestart(t *testing.T) {
+// playLeaderFaults plays a fault of the leader in each round, while revisions are published before, during and after it,
+// and checks the history.
+func playLeaderFaults(t *testing.T, fault func(*controlplanetest.Cluster, *controlplanetest.Machine)) {
 	cluster := startCluster(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
 	stop := startPublishing(t, cluster, cluster.Addresses())
 	for range *rounds {
 		waitForMore(t, cluster, 3)
-		leader := waitForLeader(t, cluster)
+		fault(cluster, waitForLeader(t, cluster))
+		waitForMore(t, cluster, 3)
+	}
+	stop()
+	checkHistory(t, cluster)
+}
+
+func TestLeaderRestart(t *testing.T) {
+	playLeaderFaults(t, func(cluster *controlplanetest.Cluster, leader *controlplanetest.Machine) {
 		leader.Kill()
 		waitForMore(t, cluster, 3)
 		require.NoError(t, leader.Start())
@@ -146,25 +156,15 @@
 		leader = waitForLeader(t, cluster)
 		require.Zero(t, leader.Terminate(), "exit status")
 		require.NoError(t, leader.Start())
-		waitForMore(t, cluster, 3)
-	}
-	stop()
-	checkHistory(t, cluster)
+	})
 }
 
 func TestLeaderPause(t *testing.T) {
-	cluster := startCluster(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
-	stop := startPublishing(t, cluster, cluster.Addresses())
-	for range *rounds {
-		waitForMore(t, cluster, 3)
-		leader := waitForLeader(t, cluster)
+	playLeaderFaults(t, func(cluster *controlplanetest.Cluster, leader *controlplanetest.Machine) {
 		leader.Pause()
 		waitForMore(t, cluster, 3)
 		leader.Continue()
-		waitForMore(t, cluster, 3)
-	}
-	stop()
-	checkHistory(t, cluster)
+	})
 }
 
 // A machine, at times the leader, is killed at random times while revisions are written. Its log is intact each time and
