--- a/internal/cluster/membership/fuzz_test.go
+++ b/internal/cluster/membership/fuzz_test.go
@@ -23,7 +23,7 @@
 		v := membership.New(membership.Options{Self: membership.Instance{Name: "self", Start: 1, Addr: addr(1)},
 			Fleet: fleet, Seed: 1, Seeds: []netip.AddrPort{addr(2)}})
 		now, bytes, seq := time.Duration(0), 0, uint64(0)
-		spend := func(out []membership.Send) {
+		countBytes := func(out []membership.Send) {
 			for _, s := range out {
 				require.LessOrEqual(t, plane.WireSize(s.Data), plane.MaxDatagramSize+plane.Overhead)
 				bytes += plane.WireSize(s.Data)
@@ -34,7 +34,7 @@
 			op := script[:8]
 			now += time.Duration(op[0]) * time.Millisecond
 			if op[1]&1 == 0 {
-				spend(v.Tick(now))
+				countBytes(v.Tick(now))
 			}
 			peer := membership.Instance{Name: string('a' + op[2]%5), Start: 1 + uint64(op[2]>>7), Addr: addr(3)}
 			b, _ := peer.Addr.MarshalBinary()
@@ -52,7 +52,7 @@
 			if op[1]&8 != 0 {
 				d.Vector, d.Roster = op[2:min(2+len(v.Members()), 8)], uint32(v.Fingerprint()>>32)
 			}
-			spend(v.Receive(now, peer.Addr, d))
+			countBytes(v.Receive(now, peer.Addr, d))
 			received++
 		}
 		members := v.Members()
--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -249,14 +249,14 @@
 }
 
 // maxSendRate returns the mean bytes a second, while f runs, of the node that sent the most.
-func (w *network) maxSendRate(f func()) (most float64) {
+func (w *network) maxSendRate(f func()) (rate float64) {
 	from, sent := w.now, map[*node]int{}
 	for _, x := range w.nodes {
 		sent[x] = x.sentBytes
 	}
 	f()
 	for _, x := range w.nodes {
-		most = max(most, float64(x.sentBytes-sent[x])/(w.now-from).Seconds())
+		rate = max(rate, float64(x.sentBytes-sent[x])/(w.now-from).Seconds())
 	}
-	return most
+	return rate
 }
--- a/internal/controlplane/distribution/checkers_test.go
+++ b/internal/controlplane/distribution/checkers_test.go
@@ -217,20 +217,20 @@
 }
 
 // checkStorms checks how many brokers connected to a hub within any second, and returns the largest number.
-func (c *checkers) checkStorms() (worst int) {
+func (c *checkers) checkStorms() (maxConnects int) {
 	for _, h := range c.sim.hubs {
 		first := 0
 		for i, at := range h.connectedAt {
 			for h.connectedAt[first] <= at-time.Second {
 				first++
 			}
-			worst = max(worst, i-first+1)
+			maxConnects = max(maxConnects, i-first+1)
 		}
 	}
-	if bound := maxStormRatio*float64(len(c.sim.fleet)) + 10; float64(worst) > bound {
-		c.addFinding("storm", "%d of %d brokers connected to one hub within a second", worst, len(c.sim.fleet))
+	if bound := maxStormRatio*float64(len(c.sim.fleet)) + 10; float64(maxConnects) > bound {
+		c.addFinding("storm", "%d of %d brokers connected to one hub within a second", maxConnects, len(c.sim.fleet))
 	}
-	return worst
+	return maxConnects
 }
 
 // checkStreamsOpened checks that no broker of a region opened more streams than the limit.
@@ -242,9 +242,10 @@
 	}
 }
 
-// checkFollowing counts the brokers of a region that follow no hub at this moment. A few may: each fails over every few
+// checkFollowing checks how many brokers of a region follow no hub at this moment, and counts these checks by broker in
+// checksWithoutHub. A few may follow none: each fails over every few
 // minutes, which takes some seconds.
-func (c *checkers) checkFollowing(region int, without map[*simBroker]int) {
+func (c *checkers) checkFollowing(region int, checksWithoutHub map[*simBroker]int) {
 	all, idle := 0, 0
 	for _, b := range c.sim.fleet {
 		if regionOfZone(b.zone) != region {
@@ -253,7 +254,7 @@
 		all++
 		if b.follower.Status(c.sim.time()).Control == "" {
 			idle++
-			without[b]++
+			checksWithoutHub[b]++
 		}
 	}
 	if idle > all/20+2 {
--- a/internal/controlplane/distribution/fuzz_test.go
+++ b/internal/controlplane/distribution/fuzz_test.go
@@ -30,11 +30,11 @@
 	if b := r.byte(); b < 250 {
 		return uint64(b % 8)
 	}
-	var word [8]byte
-	for i := range word {
-		word[i] = r.byte()
+	var encoded [8]byte
+	for i := range encoded {
+		encoded[i] = r.byte()
 	}
-	return binary.LittleEndian.Uint64(word[:])
+	return binary.LittleEndian.Uint64(encoded[:])
 }
 
 // fuzzedUpdate returns an update that is often valid and often almost valid.
--- a/internal/controlplane/distribution/network_test.go
+++ b/internal/controlplane/distribution/network_test.go
@@ -76,11 +76,11 @@
 	for at := start; at < end; at += 10 * time.Second {
 		s.after(at, s.checks.checkStaleness)
 	}
-	idleLooks := map[*simBroker]int{}
-	const looks = 3
-	for i := range looks {
-		s.runUntil(end - time.Second - time.Duration(looks-1-i)*10*time.Second)
-		s.checks.checkFollowing(0, idleLooks)
+	checksWithoutHub := map[*simBroker]int{}
+	const followChecks = 3
+	for i := range followChecks {
+		s.runUntil(end - time.Second - time.Duration(followChecks-1-i)*10*time.Second)
+		s.checks.checkFollowing(0, checksWithoutHub)
 	}
 	s.checks.checkStreamsOpened(0, maxStreamsPerHour)
 	for _, b := range s.fleet {
@@ -89,7 +89,7 @@
 		if partitioned && (!status.StalenessKnown || status.Staleness < end-start-10*time.Second) {
 			s.checks.addFinding("staleness", "%s is partitioned and reports a staleness of %v", b.name(), status.Staleness)
 		}
-		if idleLooks[b] == looks {
+		if checksWithoutHub[b] == followChecks {
 			s.checks.addFinding("flapping", "%s follows no hub for 20 s though it reaches one", b.name())
 		}
 	}
@@ -121,9 +121,9 @@
 	for _, brokers := range []int{60, *simStorm} {
 		t.Run(fmt.Sprint("brokers=", brokers), func(t *testing.T) {
 			s := runSimulation(t, simOptions{seed: *simFirst, brokers: brokers}, playConnectStorm)
-			most := s.checks.checkStorms()
+			maxConnects := s.checks.checkStorms()
 			requireClean(t, s)
-			t.Logf("%d connections to one hub within a second at most", most)
+			t.Logf("%d connections to one hub within a second at most", maxConnects)
 		})
 	}
 }
--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -22,7 +22,7 @@
 	"mothrouter/internal/state/snapshot"
 )
 
-// TestMain is also the process that is killed: one that does nothing but save, as fast as it can.
+// TestMain also runs the process that TestKillsWhileSavingLeaveAValidFile kills, which saves without a pause.
 func TestMain(m *testing.M) {
 	if folder := os.Getenv("CHECKPOINT_TEST_FOLDER"); folder != "" {
 		k := Open(Options{Folder: folder, Interval: time.Hour, Instance: "n1", Settings: 7, Log: slog.New(slog.DiscardHandler)})
@@ -34,7 +34,7 @@
 	os.Exit(m.Run())
 }
 
-// recordOutcomes has a saver learn of so many servers.
+// recordOutcomes records an endpoint list of a number of servers and an outcome of each.
 func recordOutcomes(k *Saver, servers int) {
 	w := k.Watch(idleDecider{})
 	now := float64(time.Now().UnixNano()) / 1e9
@@ -97,12 +97,12 @@
 	return nil
 }
 
-// Kill -9 while it saves, a thousand times: no start reads a torn file, and none finds nothing once one was there.
+// A process is killed a thousand times while it saves: the file is never torn, and never missing once it was written.
 func TestKillsWhileSavingLeaveAValidFile(t *testing.T) {
 	folder := t.TempDir()
 	rng := rand.New(rand.NewPCG(1, 2))
 	deadline := time.Now().Add(40 * time.Second)
-	kills, whole := 0, 0
+	kills, validFiles := 0, 0
 	for ; kills < 1000 && time.Now().Before(deadline); kills++ {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "CHECKPOINT_TEST_FOLDER="+folder, "GOMAXPROCS=1")
@@ -112,16 +112,16 @@
 		cmd.Wait()
 		b, err := Disk{}.Read(filepath.Join(folder, FileName))
 		if errors.Is(err, os.ErrNotExist) {
-			require.Zero(t, whole, "a file that was there is gone")
+			require.Zero(t, validFiles, "the file was written and is missing")
 			continue
 		}
 		require.NoError(t, err)
 		_, err = snapshot.Decode(b)
 		require.NoError(t, err, "after %d kills", kills)
-		whole++
+		validFiles++
 	}
-	t.Logf("%d kills, a whole file after %d of them", kills, whole)
-	require.Greater(t, whole, kills/2)
+	t.Logf("%d kills, a valid file after %d of them", kills, validFiles)
+	require.Greater(t, validFiles, kills/2)
 	k, _ := openSaver(folder, nil)
 	require.NotNil(t, k.restored)
 	left, err := os.ReadDir(folder)
@@ -129,15 +129,16 @@
 	require.Len(t, left, 2, "the file and the lock: what was half written is swept up")
 }
 
-// powerLossFiles is a file layer that loses power: a replacement reaches the disk in steps, and stops after some.
+// powerLossFiles are files that lose power: Replace writes stepsLeft bytes at most, and fails unless one more step is left
+// for the rename.
 type powerLossFiles struct {
 	Disk
 	stepsLeft int  // what still reaches the disk: bytes of the new file, then the rename
 	complete  bool // all bytes did
-	reorders  bool // the layer renames before the bytes are there, as one without a sync may
+	reorders  bool // the rename precedes the bytes, as it may without a sync
 }
 
-var errPowerLoss = errors.New("the power is gone")
+var errPowerLoss = errors.New("power loss")
 
 func (c *powerLossFiles) Replace(path string, b []byte) error {
 	n := min(c.stepsLeft, len(b))
@@ -155,8 +156,8 @@
 	return os.Rename(temp, path)
 }
 
-// Every boundary of a write is cut. With a layer that keeps the order of things the old file is still there; with one
-// that does not, the torn file is found out, set aside, and the start is blank.
+// A write is cut at each byte and before the rename. With files that keep the order of write and rename the old file is
+// kept; with files that do not, the torn file is detected and quarantined, and the state starts blank.
 func TestPowerLossAtEachStepOfASave(t *testing.T) {
 	for _, torn := range []bool{false, true} {
 		for steps := 0; ; steps++ {
@@ -167,8 +168,8 @@
 			old, err := os.ReadFile(filepath.Join(folder, FileName))
 			require.NoError(t, err)
 			k.lockFile.Close()
-			layer := &powerLossFiles{stepsLeft: steps, reorders: torn}
-			k, _ = openSaver(folder, layer)
+			files := &powerLossFiles{stepsLeft: steps, reorders: torn}
+			k, _ = openSaver(folder, files)
 			recordOutcomes(k, 2)
 			err = k.Save()
 			k.lockFile.Close()
@@ -176,7 +177,7 @@
 				break
 			}
 			k, out := openSaver(folder, nil)
-			if torn && layer.complete {
+			if torn && files.complete {
 				require.Len(t, k.restored.Servers, 2)
 			} else if torn {
 				require.Nil(t, k.restored, "cut at %d", steps)
@@ -215,7 +216,7 @@
 	}
 }
 
-// failingFiles is a file layer on which nothing can be written for a while.
+// failingFiles are files on which Replace fails with err while it is set.
 type failingFiles struct {
 	Disk
 	mu  sync.Mutex
@@ -233,14 +234,14 @@
 
 func TestSaveLogsAFailureOnce(t *testing.T) {
 	for _, err := range []error{syscall.ENOSPC, syscall.EROFS} {
-		layer := &failingFiles{err: err}
-		k, out := openSaver(t.TempDir(), layer)
+		files := &failingFiles{err: err}
+		k, out := openSaver(t.TempDir(), files)
 		recordOutcomes(k, 3)
 		for range 20 {
 			require.ErrorIs(t, k.Save(), err)
 		}
 		require.Equal(t, 1, strings.Count(out.String(), "state not saved"))
-		layer.err = nil
+		files.err = nil
 		require.NoError(t, k.Save())
 		require.NoError(t, k.Save())
 		require.Equal(t, 1, strings.Count(out.String(), "state saved again"))
@@ -252,7 +253,7 @@
 	first, _ := openSaver(folder, nil)
 	recordOutcomes(first, 3)
 	require.NoError(t, first.Save())
-	second, out := openSaver(folder, nil) // takes over while the first still runs: it reads, and does not write
+	second, out := openSaver(folder, nil) // starts while the first still runs: it reads and does not write
 	require.NotNil(t, second.restored)
 	require.Equal(t, 1, strings.Count(out.String(), "locked by another process"))
 	recordOutcomes(second, 9)
@@ -262,7 +263,7 @@
 	require.Equal(t, 1, strings.Count(out.String(), "locked by another process"))
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	first.Run(ctx) // its clean end
+	first.Run(ctx) // a graceful end, which releases the lock
 	require.NoError(t, second.Save())
 	require.Equal(t, 1, strings.Count(out.String(), "state saved again"))
 	third, _ := openSaver(folder, nil)
@@ -271,7 +272,7 @@
 
 func TestSaveSurvivesFolderReplacement(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "state")
-	k, out := openSaver(folder, nil) // not there yet
+	k, out := openSaver(folder, nil) // the folder does not exist yet
 	recordOutcomes(k, 3)
 	require.Error(t, k.Save())
 	require.NoError(t, os.Mkdir(folder, 0o700))
@@ -280,11 +281,11 @@
 	for range 5 {
 		require.Error(t, k.Save())
 	}
-	require.Equal(t, 2, strings.Count(out.String(), "state folder unusable"), "once for each time")
+	require.Equal(t, 2, strings.Count(out.String(), "state folder unusable"), "once for each period of failure")
 	require.NoError(t, os.Mkdir(folder, 0o700))
 	other, _ := openSaver(folder, nil)
 	require.NotNil(t, other.lockFile)
-	require.Error(t, k.Save(), "the new folder has a writer: the old lock guards nothing")
+	require.Error(t, k.Save(), "another writer has locked the new folder")
 	other.lockFile.Close()
 	require.NoError(t, k.Save())
 }
@@ -302,17 +303,17 @@
 }
 
 func TestHangingDiskDoesNotBlockDecider(t *testing.T) {
-	layer := &hangingFiles{entered: make(chan struct{}), free: make(chan struct{})}
-	k, _ := openSaver(t.TempDir(), layer)
+	files := &hangingFiles{entered: make(chan struct{}), free: make(chan struct{})}
+	k, _ := openSaver(t.TempDir(), files)
 	recordOutcomes(k, 200)
 	go func() { _ = k.Save() }() // the disk hangs, so it has no result
-	<-layer.entered
+	<-files.entered
 	began := time.Now()
 	for range 100 {
 		recordOutcomes(k, 200)
 	}
 	require.Less(t, time.Since(began), 2*time.Second)
-	close(layer.free)
+	close(files.free)
 }
 
 func BenchmarkCollectOutcome(b *testing.B) {
