--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -234,7 +234,7 @@
 	})
 }
 
-// hasDuplicateKey tells whether two keys of an object are alike but for the case of letters.
+// hasDuplicateKey reports whether two keys of an object differ at most in the case of letters.
 func hasDuplicateKey(tree any) bool {
 	switch tree := tree.(type) {
 	case map[string]any:
--- a/internal/controlplane/configpb/bounds.go
+++ b/internal/controlplane/configpb/bounds.go
@@ -23,11 +23,11 @@
 	return &Refusal{Number: number, Key: cut(key, MaxRejectionKey), Reason: cut(reason, MaxRejectionReason)}
 }
 
-// cut returns a text of at most so many bytes that is valid UTF-8.
-func cut(s string, most int) string {
+// cut replaces invalid UTF-8 of s and shortens it to at most maxSize bytes, between two characters.
+func cut(s string, maxSize int) string {
 	s = strings.ToValidUTF8(s, "?")
-	if len(s) > most {
-		s = strings.ToValidUTF8(s[:most], "")
+	if len(s) > maxSize {
+		s = strings.ToValidUTF8(s[:maxSize], "")
 	}
 	return s
 }
--- a/internal/decision/canary_test.go
+++ b/internal/decision/canary_test.go
@@ -113,10 +113,10 @@
 		_, r := a.(decision.Reject)
 		rejected = rejected || r
 	}
-	require.True(t, rejected, "at once, not at its aim")
+	require.True(t, rejected, "not rejected at once")
 
 	p, query = newFleetBroker(t, n)
-	require.Len(t, sends(p.Handle(101, query(101, 31))), 31, "a narrow query goes as a whole")
+	require.Len(t, sends(p.Handle(101, query(101, 31))), 31, "a query of small fan-out has no canary parts")
 	p, query = newFleetBroker(t, 40)
 	for now := 101.; now < 106; now += 0.03 { // this broker observes each server all the time
 		served(now+0.02, p, sends(p.Handle(now, query(now, 31))))
--- a/internal/decision/health_test.go
+++ b/internal/decision/health_test.go
@@ -253,22 +253,22 @@
 		}
 		return n
 	}
-	heard := func(r *runner, at, failed, weight float64) {
+	receiveObservation := func(r *runner, at, failed, weight float64) {
 		r.handle(decision.PeerObservation{Server: "s0", At: at, FailureRatio: failed, Weight: weight, LoadReport: decision.NoLoadReport})
 	}
 	r := newRunner(t, settings(), servers(2)...)
 	require.InDelta(t, 50, share(r), 20)
-	heard(r, r.now-0.05, 1, 0.75) // older than what was seen here
+	receiveObservation(r, r.now-0.05, 1, 0.75) // older than what was seen here
 	require.InDelta(t, 50, share(r), 20)
 	r.now += 3
-	heard(r, r.now, 1, 0.75)
+	receiveObservation(r, r.now, 1, 0.75)
 	require.Less(t, share(r), 10)
-	heard(r, r.now+0.001, 0, 1)
+	receiveObservation(r, r.now+0.001, 0, 1)
 	require.Greater(t, share(r), 30)
-	heard(r, r.now, 1, 1)
+	receiveObservation(r, r.now, 1, 1)
 	r.handle(decision.PeerObservation{Server: "unheard-of", At: r.now, FailureRatio: 1, Weight: 1, LoadReport: decision.NoLoadReport})
 	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now + 1}}})
-	heard(r, r.now, 1, 0.75) // of the process before
-	r.now += 30              // warm again
+	receiveObservation(r, r.now, 1, 0.75) // of the process before
+	r.now += 30                           // warm again
 	require.Greater(t, share(r), 30)
 }
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -28,7 +28,7 @@
 	// Each warm server answered a quarter of some 50 parts a second; the restarted one has a quarter of that.
 	limit := s.SlowStart.OverloadFactor * (s.SlowStart.InitialFraction + 0.75*1/s.SlowStart.Duration) * 50 / 4
 	if float64(toCold) > limit {
-		t.Errorf("%d of %d parts went to the cold server in its first second, limit %g", toCold, toAll, limit)
+		t.Errorf("%d of %d parts went to the server in slow start in its first second, limit %g", toCold, toAll, limit)
 	}
 }
 
@@ -62,7 +62,7 @@
 	}
 	limit := s.SlowStart.OverloadFactor * (s.SlowStart.InitialFraction + 0.75*4/s.SlowStart.Duration) * warmRate
 	if got := float64(toCold) / float64(windows); got > limit || got < limit/4 {
-		t.Errorf("%g parts in a fall window to a cold server, want %g to %g", got, limit/4, limit)
+		t.Errorf("%g parts in an overload window to a server in slow start, want %g to %g", got, limit/4, limit)
 	}
 }
 
@@ -71,7 +71,7 @@
 	r := newRunner(t, settings(), s0, s1)
 	_, ev := r.query(0, 8)
 	if n := len(sends(r.handle(ev...))); n > 4 {
-		t.Errorf("%d parts sent at once to two cold servers of unknown capacity", n)
+		t.Errorf("%d parts sent at once to two servers in slow start of unknown capacity", n)
 	}
 	r.handleAt(r.now + 0.9)
 	if got := finalAnswers(r.handleAt(r.now + 0.5)); len(got) != 1 {
--- a/internal/estimate/serverstats/serverstats_test.go
+++ b/internal/estimate/serverstats/serverstats_test.go
@@ -30,7 +30,7 @@
 	s.InFlight--
 	require.Equal(t, 1, s.QueueDepth(11))
 	f.RecordAnswer(&s.Stats, attempt(9, 2), 1, true)
-	require.Equal(t, 1, s.QueueDepth(11), "one that was sent before it tells nothing")
+	require.Equal(t, 1, s.QueueDepth(11), "an attempt sent earlier has no effect")
 	f.RecordAnswer(&s.Stats, attempt(10.1, 0.9), 1, true)
 	require.Zero(t, s.QueueDepth(11))
 	f.RecordTimeout(&s.Stats, attempt(10, 0.5), 1)
--- a/internal/estimate/servicetime/servicetime_test.go
+++ b/internal/estimate/servicetime/servicetime_test.go
@@ -19,7 +19,7 @@
 
 func TestRareObservationsWeighMore(t *testing.T) {
 	require.InDelta(t, 0.5, servicetime.ObservationWeight(2), 1e-12)
-	require.Equal(t, 0.9, servicetime.ObservationWeight(100), "the last one never tells all")
+	require.Equal(t, 0.9, servicetime.ObservationWeight(100), "the latest observation never has full weight")
 	f := servicetime.Fleet{Mean: 0.1, HalfLife: 2}
 	s := servicetime.Server{Mean: 0.1, At: 10}
 	f.ObserveServer(&s, 0.3, 12)
