--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -64,27 +64,35 @@
 		imports:  map[string][]string{},
 		commands: map[string]bool{},
 	}
+	parseGoFiles(t, func(path string) bool { return !strings.HasSuffix(path, "_test.go") }, s.readFile)
+	return s
+}
+
+// parseGoFiles parses the Go files of the programs and packages that are wanted, by path, and hands each to visit with its
+// folder.
+func parseGoFiles(t *testing.T, wanted func(path string) bool, visit func(folder string, file *ast.File)) {
+	t.Helper()
 	for _, top := range []string{"cmd", "internal"} {
 		err := filepath.WalkDir(filepath.Join(root, top), func(path string, entry fs.DirEntry, err error) error {
-			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || !wanted(path) {
+				return err
+			}
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+			if err != nil {
 				return err
 			}
-			return s.readFile(path)
+			folder, err := filepath.Rel(root, filepath.Dir(path))
+			if err != nil {
+				return err
+			}
+			visit(folder, file)
+			return nil
 		})
 		require.NoError(t, err)
 	}
-	return s
 }
 
-func (s *source) readFile(path string) error {
-	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
-	if err != nil {
-		return err
-	}
-	folder, err := filepath.Rel(root, filepath.Dir(path))
-	if err != nil {
-		return err
-	}
+func (s *source) readFile(folder string, file *ast.File) {
 	for f := folder; f != "."; f = filepath.Dir(f) {
 		s.folders[f] = true
 		s.folders[filepath.Base(f)] = true
@@ -97,7 +105,6 @@
 		s.readNode(file.Name.Name, node)
 		return true
 	})
-	return nil
 }
 
 func (s *source) declare(owner, name string) {
@@ -267,24 +274,15 @@
 
 func TestNamedTestsExist(t *testing.T) {
 	declared := map[string]bool{}
-	for _, top := range []string{"cmd", "internal"} {
-		err := filepath.WalkDir(filepath.Join(root, top), func(path string, entry fs.DirEntry, err error) error {
-			if err != nil || entry.IsDir() || !strings.HasSuffix(path, "_test.go") {
-				return err
-			}
-			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
-			if err != nil {
-				return err
+	isTest := func(path string) bool { return strings.HasSuffix(path, "_test.go") }
+	parseGoFiles(t, isTest, func(_ string, file *ast.File) {
+		for _, declaration := range file.Decls {
+			if f, ok := declaration.(*ast.FuncDecl); ok {
+				declared[f.Name.Name] = true
 			}
-			for _, declaration := range file.Decls {
-				if f, ok := declaration.(*ast.FuncDecl); ok {
-					declared[f.Name.Name] = true
-				}
-			}
-			return nil
-		})
-		require.NoError(t, err)
-	}
+		}
+	})
+	names := slices.Collect(maps.Keys(declared))
 	pages, err := filepath.Glob("*.md")
 	require.NoError(t, err)
 	for _, page := range pages {
@@ -297,7 +295,7 @@
 			name := match[2]
 			isPattern := match[1] != ""
 			begins := func(test string) bool { return isPattern && strings.HasPrefix(test, name) }
-			if !declared[name] && !slices.ContainsFunc(slices.Collect(maps.Keys(declared)), begins) {
+			if !declared[name] && !slices.ContainsFunc(names, begins) {
 				t.Errorf("%s names the test %s, which is not there", page, name)
 			}
 		}
