--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -134,7 +134,7 @@
 // the loop has ended.
 func (b *Broker) Ready() bool {
 	ready := make(chan bool, 1)
-	b.post(func() { ready <- b.endpoints.Known() })
+	b.post(func() { ready <- b.endpoints.EverAvailable() })
 	select {
 	case r := <-ready:
 		return r
@@ -152,6 +152,6 @@
 
 // Gauges returns the present values. It may be called on any goroutine.
 func (b *Broker) Gauges() Gauges {
-	listed, avoided := b.endpoints.Size()
+	listed, avoided := b.endpoints.Counts()
 	return Gauges{Queries: int(b.inFlightQueries.Load()), Endpoints: listed, Avoided: avoided}
 }
--- a/internal/broker/configure_test.go
+++ b/internal/broker/configure_test.go
@@ -99,7 +99,7 @@
 // submit submits a query that states no timeout and has parts at shards 0, 1 ... .
 func (h *pausableBroker) submit(name string, class, parts int) client {
 	c := make(client, 1)
-	r := &broker.Request{ID: name, Class: class, TimeoutUnstated: true, ReceivedAt: time.Now(), Payload: []byte("x")}
+	r := &broker.Request{ID: name, Class: class, TimeoutUnset: true, ReceivedAt: time.Now(), Payload: []byte("x")}
 	for i := range parts {
 		r.Parts = append(r.Parts, broker.Part{Shard: i, Weight: 1 / float64(parts)})
 	}
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -97,8 +97,8 @@
 	return e.byID[id]
 }
 
-// Size returns how many servers are listed, and how many of them are avoided: draining, or failing again and again.
-func (e *Endpoints) Size() (listed, avoided int) {
+// Counts returns how many servers are listed, and how many of them are avoided: draining, or failing again and again.
+func (e *Endpoints) Counts() (listed, avoided int) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	now := time.Now()
@@ -112,8 +112,8 @@
 	return listed, avoided
 }
 
-// Known reports whether a server has been available since the start.
-func (e *Endpoints) Known() bool {
+// EverAvailable reports whether a server has been available since the start.
+func (e *Endpoints) EverAvailable() bool {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return e.known
--- a/internal/broker/query.go
+++ b/internal/broker/query.go
@@ -120,7 +120,7 @@
 
 // timeout returns how long a query's client waits.
 func (b *Broker) timeout(r *Request) time.Duration {
-	if r.TimeoutUnstated {
+	if r.TimeoutUnset {
 		return min(secondsToDuration(b.options.Settings.Classes[r.Class].Deadline), maxTimeout)
 	}
 	return r.Timeout
--- a/internal/broker/request.go
+++ b/internal/broker/request.go
@@ -10,15 +10,15 @@
 
 // Request is a query as a front received it. The core keeps Payload and Parts, so they must not be written to afterwards.
 type Request struct {
-	ID              string // the client's name for the query
-	Class           int    // index into decision.Settings.Classes
-	Key             uint64 // identifies what the query is about; keys are only compared; 0: none
-	Retry           bool   // the client has sent the query before
-	ReceivedAt      time.Time
-	Timeout         time.Duration // how long the client waits from ReceivedAt on
-	TimeoutUnstated bool          // Timeout is not set: the deadline of the class in force at acceptance applies
-	Parts           []Part
-	Payload         []byte // sent with each part
+	ID           string // the client's name for the query
+	Class        int    // index into decision.Settings.Classes
+	Key          uint64 // identifies what the query is about; keys are only compared; 0: none
+	Retry        bool   // the client has sent the query before
+	ReceivedAt   time.Time
+	Timeout      time.Duration // how long the client waits from ReceivedAt on
+	TimeoutUnset bool          // Timeout is not set: the deadline of the class in force at acceptance applies
+	Parts        []Part
+	Payload      []byte // sent with each part
 	// Disconnected is set by the front, on any goroutine, as soon as it detects that the client has disconnected. No attempt
 	// starts from then on, even before the loop has processed Disconnect. Nil: the front cannot detect it.
 	Disconnected *atomic.Bool
@@ -48,7 +48,7 @@
 	if !validID(r.ID) {
 		return fmt.Errorf("id: cannot use %q", r.ID)
 	}
-	if !r.TimeoutUnstated && (r.Timeout <= 0 || r.Timeout > maxTimeout) {
+	if !r.TimeoutUnset && (r.Timeout <= 0 || r.Timeout > maxTimeout) {
 		return fmt.Errorf("deadline: %v is no time to wait", r.Timeout)
 	}
 	if len(r.Parts) == 0 {
--- a/internal/harness/scale/list.go
+++ b/internal/harness/scale/list.go
@@ -96,7 +96,7 @@
 		}
 	}
 	changeCost := meter.Stop()
-	entries, _ := known.Size()
+	entries, _ := known.Counts()
 	if entries != servers {
 		return nil, fmt.Errorf("scale: %d servers are known of %d", entries, servers)
 	}
--- a/internal/transport/flight/front.go
+++ b/internal/transport/flight/front.go
@@ -107,16 +107,16 @@
 		return nil, nil, status.Errorf(codes.NotFound, "class: no class of query is named %q", t.Class)
 	}
 	r := &broker.Request{
-		ID:              t.ID,
-		Class:           class,
-		Retry:           t.Retry,
-		ReceivedAt:      now,
-		TimeoutUnstated: true,
-		Payload:         []byte(t.Query),
+		ID:           t.ID,
+		Class:        class,
+		Retry:        t.Retry,
+		ReceivedAt:   now,
+		TimeoutUnset: true,
+		Payload:      []byte(t.Query),
 	}
 	if d, ok := ctx.Deadline(); ok {
 		r.Timeout = d.Sub(now)
-		r.TimeoutUnstated = false
+		r.TimeoutUnset = false
 	}
 	r.Parts, err = t.Parts()
 	if err == nil {
--- a/internal/workers/cores/configure_test.go
+++ b/internal/workers/cores/configure_test.go
@@ -109,7 +109,7 @@
 // query submits a query of a number of parts, with its class's deadline.
 func (r *recordingGroup) query(parts int) answer {
 	a := make(answer, 1)
-	q := &broker.Request{ID: fmt.Sprint("q", r.next.Add(1)), TimeoutUnstated: true, ReceivedAt: time.Now()}
+	q := &broker.Request{ID: fmt.Sprint("q", r.next.Add(1)), TimeoutUnset: true, ReceivedAt: time.Now()}
 	for i := range parts {
 		q.Parts = append(q.Parts, broker.Part{Shard: i, Weight: 1 / float64(parts)})
 	}
--- a/internal/workers/cores/cores.go
+++ b/internal/workers/cores/cores.go
@@ -167,7 +167,7 @@
 func (g *Group) Ready() bool {
 	for _, w := range g.workers {
 		if !w.dead.Load() {
-			return g.servers.Known()
+			return g.servers.EverAvailable()
 		}
 	}
 	return false
@@ -234,7 +234,7 @@
 
 // Gauges returns the present gauges of all workers together.
 func (g *Group) Gauges() broker.Gauges {
-	listed, avoided := g.servers.Size()
+	listed, avoided := g.servers.Counts()
 	return broker.Gauges{Queries: g.InFlight(), Endpoints: listed, Avoided: avoided}
 }
 
