--- a/internal/broker/attempt.go
+++ b/internal/broker/attempt.go
@@ -6,21 +6,21 @@
 	"mothrouter/internal/decision"
 )
 
-// idempotencyMargin, in seconds, is for a retry's transmission to its server: the idempotency window ends with its last
-// byte. Within a data center 5 ms is ample.
+// idempotencyMargin, in seconds, is subtracted from the idempotency window of retries. It allows for transmission, since the
+// last byte of a retry must arrive within the window. Within a data center 5 ms is ample.
 const idempotencyMargin = 0.005
 
 // send starts an attempt, if the rules allow it.
 func (b *Broker) send(a decision.Send) {
 	pt := b.parts[a.ID]
 	if pt == nil {
-		return // its query has ended and nothing of it is in flight
+		return // the query has ended and the part has no attempt in flight
 	}
 	attempt := pt.attempts
 	pt.attempts++
 	server := b.endpoints.get(a.Server)
 	if err := b.checkRules(pt, a.Server, server); err != nil {
-		b.log.Warn("attempt stopped by a rule", "error", err, "server", a.Server, "query", pt.query.request.ID)
+		b.log.Warn("attempt blocked by a safety rule", "error", err, "server", a.Server, "query", pt.query.request.ID)
 		b.enqueueEvent(decision.AttemptFinished{
 			ID:            pt.id,
 			Attempt:       attempt,
@@ -37,7 +37,8 @@
 	b.link.Send(c)
 }
 
-// newCall returns the call of an attempt that times out after timeout seconds; 0: at its query's deadline.
+// newCall returns the call of an attempt. It times out after timeout seconds, or at the query's deadline if that is earlier or
+// timeout is 0.
 func (b *Broker) newCall(pt *part, attempt int, server *Server, timeout float64) *Call {
 	q := pt.query
 	deadline := q.deadline
@@ -66,7 +67,7 @@
 	}
 }
 
-// cancel ends the attempt that the Decider names, if it is in flight.
+// cancel ends the attempt that the Decider cancels, if it is in flight.
 func (b *Broker) cancel(a decision.Cancel) {
 	pt := b.parts[a.ID]
 	if pt == nil || pt.call == nil || pt.call.attempt != a.Attempt {
@@ -75,11 +76,12 @@
 	b.abandonCall(pt.call, decision.Cancelled)
 }
 
-// abandonCall finishes a call without its result. A call that has not started cannot have run and finishes as not sent.
+// abandonCall finishes a call with a status, without waiting for a result of the link. A call that has not started cannot
+// have run and finishes as NotSent.
 func (b *Broker) abandonCall(c *Call, status decision.Status) {
 	before := c.state.Or(callFinished)
 	if before&callFinished != 0 {
-		return // its result is in the inbox
+		return // the result is already in the inbox
 	}
 	if before == callQueued {
 		status = decision.NotSent
@@ -119,8 +121,8 @@
 	})
 }
 
-// recordMayHaveRun records that an attempt of a part may have run. Servers that know idempotency keys drop duplicates for a
-// window that begins with the first such attempt; later retries could run again.
+// recordMayHaveRun records that an attempt of a part may have run. Servers that support idempotency keys drop duplicates within
+// a window that begins with the first such attempt. A retry after the window could execute the part a second time.
 func (b *Broker) recordMayHaveRun(pt *part, c *Call) {
 	class := &pt.query.class
 	if !pt.mayHaveRun && class.Idempotency == decision.IdempotentWithKey {
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -1,7 +1,7 @@
-// Package broker is the core of mothrouter. It handles queries, their attempts and the results of these, and knows no wire
-// protocol. One goroutine, the loop, owns the Decider and all state; fronts, links and the endpoint list post functions to
-// its inbox. The Decider decides; this package carries out its actions and enforces the rules of service, whatever the
-// Decider asks for.
+// Package broker is the core of mothrouter. It tracks queries, their attempts and results, and is independent of the wire
+// protocols. One goroutine, the loop, owns the Decider and all state; fronts, links and the endpoint watch post functions to
+// its inbox. The Decider decides; this package carries out its actions and enforces the safety rules of rules.go, whatever
+// the Decider asks for.
 package broker
 
 import (
@@ -24,21 +24,21 @@
 	stopped chan struct{} // closed when Run returns
 
 	// Owned by the loop.
-	batch            []decision.Event // events that the Decider has not handled yet
+	batch            []decision.Event // events not yet passed to the Decider
 	lastID           decision.RequestID
-	usedSlots        int // of the concurrency limit: queries and parts in flight
-	queries          map[decision.RequestID]*query
-	parts            map[decision.RequestID]*part // of queries in flight, and of ended ones while an attempt is in flight
-	byName           map[string]*query            // by the client's name for the query
+	usedSlots        int                           // slots of the concurrency limit in use: one per query and per part
+	queries          map[decision.RequestID]*query // in flight
+	parts            map[decision.RequestID]*part  // of queries in flight, and finished parts with an attempt in flight
+	byExternalID     map[string]*query             // queries in flight by Request.ID
 	endpoints        *Endpoints
-	timers           map[*time.Timer]struct{} // those of after that have neither run nor been stopped
+	timers           map[*time.Timer]struct{} // pending timers of after: neither fired nor stopped
 	idleWaiters      []chan struct{}          // closed once no query is in flight
-	shutdownDeadline time.Time                // when every query must have its answer, as the process ends; zero: it does not
+	shutdownDeadline time.Time                // by when all queries must be answered; zero: not shutting down
 
 	inFlightQueries atomic.Int64 // len(queries) after the latest batch, for other goroutines
 }
 
-// New returns a broker that decides with decider and sends through link.
+// New returns a broker that takes its decisions from decider and sends calls through link.
 func New(options Options, decider decision.Decider, link Link) *Broker {
 	options = options.withDefaults()
 	endpoints := options.Endpoints
@@ -46,22 +46,22 @@
 		endpoints = NewEndpoints()
 	}
 	return &Broker{
-		options:   options,
-		decider:   decider,
-		link:      link,
-		clock:     newClock(),
-		log:       options.Log,
-		inbox:     inbox{wake: make(chan struct{}, 1)},
-		stopped:   make(chan struct{}),
-		queries:   map[decision.RequestID]*query{},
-		parts:     map[decision.RequestID]*part{},
-		byName:    map[string]*query{},
-		endpoints: endpoints,
-		timers:    map[*time.Timer]struct{}{},
+		options:      options,
+		decider:      decider,
+		link:         link,
+		clock:        newClock(),
+		log:          options.Log,
+		inbox:        inbox{wake: make(chan struct{}, 1)},
+		stopped:      make(chan struct{}),
+		queries:      map[decision.RequestID]*query{},
+		parts:        map[decision.RequestID]*part{},
+		byExternalID: map[string]*query{},
+		endpoints:    endpoints,
+		timers:       map[*time.Timer]struct{}{},
 	}
 }
 
-// Run runs the loop until ctx ends. Queries in flight get no answer then, so call Drain first, or Abort afterwards.
+// Run runs the loop until ctx is done. Queries still in flight then get no answer, so call Drain before, or Abort afterwards.
 func (b *Broker) Run(ctx context.Context) {
 	defer close(b.stopped)
 	defer b.stopTimers()
@@ -78,7 +78,7 @@
 	}
 }
 
-// decide hands the batch to the Decider and carries out its actions. Events that an action causes at once form the next
+// decide passes the batch to the Decider and carries out its actions. Events that the actions cause immediately form the next
 // batch.
 func (b *Broker) decide() {
 	for len(b.batch) > 0 {
@@ -97,10 +97,10 @@
 // enqueueEvent adds an event to the batch. Only the loop may call it.
 func (b *Broker) enqueueEvent(e decision.Event) { b.batch = append(b.batch, e) }
 
-// Notify posts an event for the Decider from a component beside the loop. It does not wait.
+// Notify posts an event for the Decider. It may be called on any goroutine and does not block.
 func (b *Broker) Notify(e decision.Event) { b.post(func() { b.enqueueEvent(e) }) }
 
-// perform carries out one action, unless the rules of service forbid it.
+// perform carries out one action, unless a safety rule forbids it.
 func (b *Broker) perform(action decision.Action) {
 	switch a := action.(type) {
 	case decision.Send:
@@ -126,11 +126,11 @@
 	case decision.Log:
 		b.log.Info(a.Line)
 	case decision.WatchEndpoints, decision.FetchEndpoints:
-		// Only the simulator needs these: a broker's endpoint watch is always on and pushes its updates.
+		// Used by the simulator only: the endpoint watch of a broker is always on and pushes updates.
 	}
 }
 
-// Ready reports whether a record server has been listed since the start, so that the broker can serve. It is false once
+// Ready reports whether a record server has been available since startup, so that the broker can serve. It returns false once
 // the loop has ended.
 func (b *Broker) Ready() bool {
 	ready := make(chan bool, 1)
@@ -143,14 +143,14 @@
 	}
 }
 
-// Gauges are values of the present moment, for metrics.
+// Gauges holds the current values of the broker's gauge metrics.
 type Gauges struct {
 	Queries   int // in flight
 	Endpoints int // listed record servers
-	Avoided   int // those of them that get no work: draining, or failing again and again
+	Avoided   int // listed record servers that get no work: draining, or with several consecutive failures
 }
 
-// Gauges returns the present values. It may be called on any goroutine.
+// Gauges returns the current values. It may be called on any goroutine.
 func (b *Broker) Gauges() Gauges {
 	listed, avoided := b.endpoints.Counts()
 	return Gauges{Queries: int(b.inFlightQueries.Load()), Endpoints: listed, Avoided: avoided}
--- a/internal/broker/call.go
+++ b/internal/broker/call.go
@@ -7,51 +7,52 @@
 	"mothrouter/internal/decision"
 )
 
-// CallResult is the result of a call or health check, as the link received it.
+// CallResult is the result of a call or a health check, reported by the link.
 type CallResult struct {
 	Status     decision.Status
-	Score      int64 // of an answered part: the shards with the highest scores get the second phase
+	Score      int64 // of an answered part: the second phase goes to the shards with the highest scores
 	Scored     bool  // the server has sent a score
 	LoadReport decision.LoadReport
-	Value      []byte // of an answered part; the core keeps it, so it must not be written to afterwards
+	Value      []byte // of an answered part; the core retains it, so it must not be modified afterwards
 }
 
-// ResultOf returns a result that has nothing but a status.
+// ResultOf returns a result with only a status: no score, load report or value.
 func ResultOf(status decision.Status) CallResult {
 	return CallResult{Status: status, LoadReport: decision.NoLoadReport}
 }
 
-// Call is one attempt of a part at a record server. Its exported fields do not change.
+// Call is one attempt of a part at a record server. Its exported fields are read-only.
 type Call struct {
-	Query         string // the client's name for the query
+	Query         string // Request.ID, assigned by the client
 	Shard         int
 	Class         int  // index into decision.Settings.Classes
-	NonIdempotent bool // it must not run twice
+	NonIdempotent bool // the part must not run twice
 	Payload       []byte
-	FirstPhase    *FirstPhase // the result of the first phase, for a part of the second; nil: a part of the first
+	FirstPhase    *FirstPhase // result of the first phase, for a part of the second; nil for a part of the first
 	Server        *Server
-	Addr          string    // the server's address when the call was created, HOST:PORT
-	Deadline      time.Time // end of the attempt's timeout, at most the query's deadline
+	Addr          string    // HOST:PORT of the server when the call was created
+	Deadline      time.Time // when the attempt times out; not after the query's deadline
 
 	broker    *Broker
 	part      *part
-	attempt   int          // of the part, from 0
-	sentAt    float64      // when the link got it, Unix seconds
+	attempt   int          // index among the part's attempts, from 0
+	sentAt    float64      // when the call was passed to the link, Unix seconds
 	startBy   time.Time    // latest time of the first byte: Deadline, or the end of the idempotency window if earlier
-	state     atomic.Int32 // of the bits below
+	state     atomic.Int32 // bit set of callStarted and callFinished
 	stopTimer func()       // stops the timeout; owned by the loop
 }
 
-// The state of a call: bits that are set once and never cleared, so that a finished call still has its started bit.
+// Bits of a call's state. They are never cleared, so a finished call still shows whether it had started.
 const (
 	callQueued  int32 = 0
-	callStarted int32 = 1 << iota // its first byte is being written, or was
+	callStarted int32 = 1 << iota // the first byte is being or has been written
 	callFinished
 )
 
-// TryStart marks the call as started and reports whether its first byte may be written. The link calls it just before. If it
-// returns false, nothing may be sent: the call has finished, or MayStart forbids it, and then it finishes as not sent. So a
-// call that has waited for a connection longer than the rules allow is never sent.
+// TryStart marks the call as started and reports whether its first byte may be written. The link calls it immediately before
+// the write. If it returns false, nothing may be sent: either the call had already finished, or MayStart returned false and the
+// call finishes as NotSent. A call that has waited for a connection longer than the rules
+// allow is therefore never sent.
 func (c *Call) TryStart() bool {
 	if !c.MayStart() {
 		c.Finish(ResultOf(decision.NotSent))
@@ -60,9 +61,9 @@
 	return c.state.CompareAndSwap(callQueued, callStarted)
 }
 
-// MayStart reports whether the rules still allow the call's first byte, whatever its state: its deadline and idempotency
-// window have not passed, its client is connected and its server is available. A link checks again if TryStart has returned
-// true and the server then accepted none of its bytes for a while.
+// MayStart reports whether the rules still allow the first byte, regardless of the call's state: the deadline and the
+// idempotency window have not passed, the client is connected and the server is available. A link checks it again if TryStart
+// has returned true but the server has not accepted any byte for a while.
 func (c *Call) MayStart() bool {
 	if c.Server.Unavailable() || c.part.query.request.disconnected() {
 		return false
@@ -70,14 +71,14 @@
 	return time.Now().Before(c.startBy)
 }
 
-// Finished reports whether the call has a result, or none is wanted any more.
+// Finished reports whether the call has a result or was abandoned.
 func (c *Call) Finished() bool { return c.state.Load()&callFinished != 0 }
 
-// started reports whether the call may have run, whether or not its result is known.
+// started reports whether the call has started and thus may have run, even if its result is not known yet.
 func (c *Call) started() bool { return c.state.Load()&callStarted != 0 }
 
-// Finish reports the call's result to the core. Only the first call of Finish counts: a late answer to an attempt that has
-// timed out or was cancelled must not end another attempt.
+// Finish reports the call's result to the core. Only the first Finish has an effect: a late answer to an attempt that has
+// timed out or been cancelled must not end a later attempt.
 func (c *Call) Finish(r CallResult) {
 	if c.state.Or(callFinished)&callFinished != 0 {
 		return
--- a/internal/broker/configure.go
+++ b/internal/broker/configure.go
@@ -9,15 +9,15 @@
 	"mothrouter/internal/decision"
 )
 
-// Change is what a configuration revision changes in a core in service. The core and the caller do not write to it after it
-// is posted.
+// Change holds the settings that a configuration revision can change in a running core. Neither the core nor the caller may
+// modify it once it is posted.
 type Change struct {
-	Classes          []decision.Class // all of them; LatencyObjective, Deadline, PriorityWeight and LateValue may differ
-	ConcurrencyLimit int              // queries and parts in flight, of all loops together; 0: no limit
+	Classes          []decision.Class // all classes; only LatencyObjective, Deadline, PriorityWeight and LateValue may differ
+	ConcurrencyLimit int              // queries and parts in flight, over all loops; 0: no limit
 }
 
-// validate returns why the change cannot be applied while classes are in force, or nil. Its errors name the key of the
-// settings, the value and what is allowed.
+// validate returns an error if the change cannot be applied while classes are in force. The error names the settings key, the
+// value and what is allowed.
 func (c Change) validate(classes []decision.Class) error {
 	if len(c.Classes) != len(classes) {
 		return fmt.Errorf("settings.classes: has %d entries instead of %d, which needs a restart", len(c.Classes), len(classes))
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// immutableFields returns the class with the fields zeroed that can change in service.
+// immutableFields returns the class with those fields zeroed that a running core can change.
 func immutableFields(class decision.Class) decision.Class {
 	class.LatencyObjective = 0
 	class.Deadline = 0
@@ -49,16 +49,17 @@
 	return class
 }
 
-// ErrEnded is the error of a change that is posted to a loop that has ended.
-var ErrEnded = errors.New("the loop has ended")
+// ErrEnded is returned for a change that is posted after the loop has ended.
+var ErrEnded = errors.New("the broker's loop has ended")
 
-// Configure applies a change and returns once it is in force. It is applied at one point of the loop: a query accepted
-// before keeps the settings before, to its end; one accepted after has the new ones. Queries in flight beyond a lower limit
-// stay. After an error the settings before are in force. It returns ErrEnded if the loop has ended.
+// Configure applies a change and returns once it is in force. The loop applies it atomically: a query accepted before the
+// change keeps the old settings until it ends, a query accepted after it uses the new ones. Queries in flight that exceed a
+// lowered limit are not ended. On an error the old settings remain in force. It returns ErrEnded if the loop has ended.
 func (b *Broker) Configure(c Change) error { return b.ConfigureAsync(c, func() {})() }
 
-// ConfigureAsync is Configure in two steps, for several loops: it does not wait; wait does, and may be called once. The loop
-// calls applied at the point where the change comes into force, so that the owner of a shared limit can resize it there.
+// ConfigureAsync posts a change without waiting; the returned function waits for the result and may be called once. It allows a
+// change to be posted to several loops before waiting for any. The loop calls applied when the change comes into force, so that
+// the owner of a shared limiter can resize it at that point.
 func (b *Broker) ConfigureAsync(c Change, applied func()) (wait func() error) {
 	result := make(chan error, 1)
 	b.post(func() {
@@ -88,15 +89,15 @@
 		b.options.ConcurrencyLimit = c.ConcurrencyLimit
 	}
 	if slices.Equal(c.Classes, settings.Classes) {
-		return nil // nothing changes for the Decider
+		return nil // the Decider needs no event
 	}
-	settings.Classes = slices.Clone(c.Classes) // a copy: queries and the Decider may refer to the old slice
+	settings.Classes = slices.Clone(c.Classes) // replaced, not modified: queries and the Decider may still refer to the old slice
 	b.enqueueEvent(decision.ClassesChanged{Classes: settings.Classes})
 	return nil
 }
 
-// LongestDeadline returns the longest deadline of the classes in force and of those of queries in flight. A process that
-// shuts down plans by it. It is 0 if the loop has ended.
+// LongestDeadline returns the longest deadline among the classes in force and the classes of queries in flight. The shutdown
+// plan of the process depends on it. It is 0 if the loop has ended.
 func (b *Broker) LongestDeadline() time.Duration {
 	longest := make(chan float64, 1)
 	b.post(func() { longest <- b.longestDeadline() })
@@ -108,7 +109,7 @@
 	}
 }
 
-// longestDeadline is LongestDeadline on the loop, in seconds.
+// longestDeadline implements LongestDeadline on the loop. It returns seconds.
 func (b *Broker) longestDeadline() float64 {
 	longest := 0.0
 	for _, class := range b.options.Settings.Classes {
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -7,20 +7,20 @@
 	"mothrouter/internal/decision"
 )
 
-// Endpoint is a record server of the endpoint list.
+// Endpoint is an entry of the endpoint list: a record server and its address.
 type Endpoint struct {
 	decision.Server
 	Addr string // HOST:PORT
 }
 
-// EndpointUpdate is a watch event of the endpoint list.
+// EndpointUpdate is an update of the endpoint list, received from its watch.
 type EndpointUpdate struct {
 	Mode    decision.UpdateMode
 	Version int64
 	Servers []Endpoint
 }
 
-// Event returns the update as an event of the Decider.
+// Event returns the update as an event for the Decider.
 func (u EndpointUpdate) Event() decision.EndpointUpdate {
 	e := decision.EndpointUpdate{Mode: u.Mode, Version: u.Version}
 	for _, endpoint := range u.Servers {
@@ -29,27 +29,27 @@
 	return e
 }
 
-// replacesAll reports whether servers that the update lacks are removed.
+// replacesAll reports whether servers that are missing from the update are removed.
 func (u *EndpointUpdate) replacesAll() bool {
 	return u.Mode == decision.FullUpdate || u.Mode == decision.CachedUpdate
 }
 
-// Endpoints are the listed record servers, with one Server object each that links and loops share. A process with one loop
-// has its own Endpoints. Several loops share one, which is updated before any of them, so that a busy loop does not delay a
-// drain. It is safe for concurrent use.
+// Endpoints holds the listed record servers. Links and loops share its Server objects, one per server. In a process with a
+// single loop the loop owns its Endpoints. Several loops share one, which is updated before any of them, so that a busy loop
+// does not delay a drain. It is safe for concurrent use.
 type Endpoints struct {
-	mu       sync.RWMutex
-	byID     map[string]*Server // available servers
-	draining map[string]bool    // by id; in none of byID
-	known    bool               // a server has been available since the start
+	mu            sync.RWMutex
+	byID          map[string]*Server // available servers
+	draining      map[string]bool    // ids of draining servers, which are not in byID
+	everAvailable bool               // whether any server has been available since startup
 }
 
-// NewEndpoints returns an empty list.
+// NewEndpoints returns Endpoints without servers.
 func NewEndpoints() *Endpoints {
 	return &Endpoints{byID: map[string]*Server{}, draining: map[string]bool{}}
 }
 
-// Apply applies an update. After it returns, no attempt starts at a server that the update drains or removes.
+// Apply applies an update. Once it has returned, no attempt starts at a server that the update drains or removes.
 func (e *Endpoints) Apply(u EndpointUpdate) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -67,7 +67,7 @@
 	for id, server := range e.byID {
 		server.unavailable.Store(!ready[id])
 		if ready[id] {
-			e.known = true
+			e.everAvailable = true
 		} else {
 			delete(e.byID, id)
 		}
@@ -79,7 +79,7 @@
 	server := e.byID[endpoint.ID]
 	changed := server != nil && (server.Addr != endpoint.Addr || server.ReplicaSet != endpoint.ReplicaSet)
 	if changed {
-		server.unavailable.Store(true) // calls that are queued for the old address must not start
+		server.unavailable.Store(true) // calls queued for the old address or replica set must not start
 	}
 	if server == nil || changed {
 		e.byID[endpoint.ID] = &Server{ID: endpoint.ID, Addr: endpoint.Addr, ReplicaSet: endpoint.ReplicaSet}
@@ -90,14 +90,15 @@
 	}
 }
 
-// get returns the available server with an id, or nil.
+// get returns the server with the id, or nil if it is not available.
 func (e *Endpoints) get(id string) *Server {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return e.byID[id]
 }
 
-// Counts returns how many servers are listed, and how many of them are avoided: draining, or failing again and again.
+// Counts returns the number of listed servers, and how many of them are avoided: draining, or with several consecutive
+// failures.
 func (e *Endpoints) Counts() (listed, avoided int) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
@@ -112,16 +113,16 @@
 	return listed, avoided
 }
 
-// EverAvailable reports whether a server has been available since the start.
+// EverAvailable reports whether any server has been available since startup.
 func (e *Endpoints) EverAvailable() bool {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
-	return e.known
+	return e.everAvailable
 }
 
-// Update applies an update and returns once the loop has it. The endpoints change first, so that no attempt starts at a
-// server that drains or is removed, however busy the loop is. Where loops share Endpoints, their owner has applied the update
-// already.
+// Update applies an update and returns once the loop has received it or has ended. The Endpoints are updated first, so that no
+// attempt starts at a draining or removed server, however busy the loop is. Shared Endpoints are not updated: their owner must
+// have applied the update already.
 func (b *Broker) Update(u EndpointUpdate) {
 	if b.options.Endpoints == nil {
 		b.endpoints.Apply(u)
@@ -132,8 +133,8 @@
 	}
 }
 
-// UpdateAsync passes an update to the loop without waiting. The channel is closed once the loop has it. It does not change
-// the endpoints.
+// UpdateAsync passes an update to the loop without waiting. The channel is closed once the loop has received it. It does not
+// change the Endpoints.
 func (b *Broker) UpdateAsync(u EndpointUpdate) <-chan struct{} {
 	received := make(chan struct{})
 	b.post(func() {
--- a/internal/broker/healthcheck.go
+++ b/internal/broker/healthcheck.go
@@ -10,8 +10,8 @@
 // HealthCheck is one health check of a record server.
 type HealthCheck struct {
 	Server          *Server
-	Addr            string // the server's address when the check was created, HOST:PORT
-	WantsLoadReport bool   // the server is to add its load report
+	Addr            string // HOST:PORT of the server when the check was created
+	WantsLoadReport bool   // the server shall include its load report
 	Deadline        time.Time
 
 	broker    *Broker
@@ -20,15 +20,15 @@
 	stopTimer func() // stops the timeout; owned by the loop
 }
 
-// Finish reports the check's result to the core. Only the first call counts.
+// Finish reports the check's result to the core. Only the first Finish has an effect.
 func (h *HealthCheck) Finish(r CallResult) {
 	if !h.finished.Swap(true) {
 		h.broker.post(func() { h.broker.onHealthChecked(h, r) })
 	}
 }
 
-// TryStart reports whether the check's first byte may be written. The link calls it just before, as for a call. If the
-// server has become unavailable or the deadline has passed, the check finishes as not sent.
+// TryStart reports whether the check's first byte may be written. The link calls it immediately before the write, as for a
+// call. If the server has become unavailable or the deadline has passed, the check finishes as NotSent.
 func (h *HealthCheck) TryStart() bool {
 	if h.Server.Unavailable() || !time.Now().Before(h.Deadline) {
 		h.Finish(ResultOf(decision.NotSent))
@@ -36,7 +36,7 @@
 	return !h.finished.Load()
 }
 
-// checkHealth starts a health check of the server with an id, if it is available.
+// checkHealth starts a health check of the server with the id, if it is available.
 func (b *Broker) checkHealth(id string) {
 	s := b.endpoints.get(id)
 	if s == nil || s.Unavailable() {
@@ -58,7 +58,7 @@
 	b.link.CheckHealth(h)
 }
 
-// onHealthChecked passes the result of a check to the Decider.
+// onHealthChecked passes the result of a health check to the Decider.
 func (b *Broker) onHealthChecked(h *HealthCheck, r CallResult) {
 	h.stopTimer()
 	b.enqueueEvent(decision.HealthChecked{
--- a/internal/broker/inbox.go
+++ b/internal/broker/inbox.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// inbox holds the functions that the loop has to run. Posting never waits, so that neither the loop nor a link that holds a
-// lock can block the other. Its length is bounded by those who post: each call, timer, health check, endpoint update and
-// client connection has at most one function in it.
+// inbox is the queue of functions that the loop has to run. Posting never blocks, so that the loop and a link that holds a
+// lock cannot block each other. The queue itself has no limit, but each call, timer, health check, endpoint update and client
+// connection has at most one function in it.
 type inbox struct {
 	mu     sync.Mutex
 	funcs  []func()
-	closed bool          // by Abort, after a panic of the loop
+	closed bool          // set by Abort after the loop has panicked
 	wake   chan struct{} // of capacity 1; full while functions may be pending
 }
 
-// drain returns the pending functions, in the order in which they were posted, and empties the inbox.
+// drain removes and returns the pending functions, in the order in which they were posted.
 func (i *inbox) drain() []func() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -21,14 +21,14 @@
 	return funcs
 }
 
-// close makes the inbox take no more functions. Pending ones stay.
+// close makes the inbox reject further functions. Pending ones stay.
 func (i *inbox) close() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.closed = true
 }
 
-// post has the loop run f, and reports whether the inbox took it: after Abort it takes none.
+// post queues f to run on the loop and reports whether the inbox accepted it. After Abort it accepts none.
 func (b *Broker) post(f func()) bool {
 	b.inbox.mu.Lock()
 	closed := b.inbox.closed
@@ -43,7 +43,7 @@
 	return !closed
 }
 
-// Backlog returns how many functions the loop has pending.
+// Backlog returns the number of functions that are waiting for the loop.
 func (b *Broker) Backlog() int {
 	b.inbox.mu.Lock()
 	defer b.inbox.mu.Unlock()
--- a/internal/broker/options.go
+++ b/internal/broker/options.go
@@ -7,29 +7,29 @@
 	"mothrouter/internal/decision"
 )
 
-// defaultHealthCheckTimeout ends a health check that has no result yet. It is far above the round trip of a healthy server,
-// and short enough for several checks within the time that a client waits.
+// defaultHealthCheckTimeout is the default of Options.HealthCheckTimeout. It is far above the round-trip time of a healthy
+// server, and short enough for several checks within the time that a client waits.
 const defaultHealthCheckTimeout = 250 * time.Millisecond
 
-// Options are the broker's own part of a deployment's configuration.
+// Options configure a Broker.
 type Options struct {
 	Settings           decision.Settings
 	ConcurrencyLimit   int                // queries and parts in flight; 0: no limit
-	SharedLimiter      ConcurrencyLimiter // limits queries and parts of several loops together; nil: none does
+	SharedLimiter      ConcurrencyLimiter // limits the queries and parts in flight over several loops; nil: no shared limit
 	HealthCheckTimeout time.Duration      // 0: 250 ms
-	Endpoints          *Endpoints         // shared by several loops and updated by its owner; nil: the broker makes its own
+	Endpoints          *Endpoints         // shared by several loops and updated by its owner; nil: the broker creates its own
 	Log                *slog.Logger       // nil: slog.Default
 }
 
-// ConcurrencyLimiter limits what several loops have in flight.
+// ConcurrencyLimiter limits the queries and parts that several loops have in flight together.
 type ConcurrencyLimiter interface {
-	// TryAcquire acquires n slots without waiting and reports whether it has; if not, it holds none of them.
+	// TryAcquire acquires n slots without waiting, or none, and reports whether it has acquired them.
 	TryAcquire(n int) bool
-	// Release returns n slots.
+	// Release releases n slots.
 	Release(n int)
 }
 
-// withDefaults returns the options with their defaults filled in. Endpoints stays as it is.
+// withDefaults returns the options with defaults for Log and HealthCheckTimeout. Endpoints may stay nil.
 func (o Options) withDefaults() Options {
 	if o.Log == nil {
 		o.Log = slog.Default()
--- a/internal/broker/phase.go
+++ b/internal/broker/phase.go
@@ -5,24 +5,24 @@
 	"slices"
 )
 
-// FirstPhase is the result of a query's first phase, as the parts of its second phase carry it.
+// FirstPhase is the result of a query's first phase. It is sent with each part of the second phase.
 type FirstPhase struct {
 	AnsweredShards []int // ascending
 	Complete       bool  // the answered parts reach the class's completeness threshold
 }
 
-// awaitsSecondPhase reports whether the query's class has a second phase that has not begun. Until then there is no answer,
-// since an answer has the second phase's values.
+// awaitsSecondPhase reports whether the query has a second phase that has not begun. Until it has, there is no answer to give,
+// since an answer consists of the second phase's values.
 func (q *query) awaitsSecondPhase() bool {
 	return q.class.SecondPhaseFanout > 0 && q.firstPhase == nil
 }
 
-// selectsSecondPhase reports whether the part's score takes part in the selection of a second phase.
+// selectsSecondPhase reports whether the part's score is used to select the shards of a second phase.
 func (p *part) selectsSecondPhase() bool {
 	return p.firstPhase == nil && p.query.class.SecondPhaseFanout > 0
 }
 
-// respond ends the present phase of a query: the second phase begins, or the query gets its final answer.
+// respond ends the current phase of a query: it starts the second phase or gives the query its final answer.
 func (b *Broker) respond(q *query, complete bool) {
 	if q.awaitsSecondPhase() {
 		tally := q.tally()
@@ -35,8 +35,8 @@
 	b.finish(q, q.result(complete))
 }
 
-// startSecondPhase ends the first phase, with any of its attempts in flight, and passes the parts of the second to the
-// Decider. They go to the answered shards with the highest scores. Class, client, deadline and name of the query stay.
+// startSecondPhase ends the first phase, including its attempts in flight, and passes the parts of the second phase to the
+// Decider. These go to the answered shards with the highest scores. The query keeps its class, client, deadline and id.
 func (b *Broker) startSecondPhase(q *query, complete bool) {
 	answered := q.answeredParts()
 	first := &FirstPhase{Complete: complete}
@@ -61,7 +61,7 @@
 	}
 }
 
-// answeredParts returns the answered parts of the present phase.
+// answeredParts returns the answered parts of the current phase.
 func (q *query) answeredParts() []*part {
 	answered := make([]*part, 0, len(q.parts))
 	for _, pt := range q.parts {
@@ -72,7 +72,8 @@
 	return answered
 }
 
-// highestScores returns at most n parts, those with the highest scores first, equal ones by their shards. It sorts parts.
+// highestScores returns the n parts with the highest scores, or all if there are fewer, in descending order of score. Equal
+// scores are ordered by shard. It sorts parts in place.
 func highestScores(parts []*part, n int) []*part {
 	slices.SortFunc(parts, func(a, b *part) int {
 		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.Shard, b.Shard))
--- a/internal/broker/query.go
+++ b/internal/broker/query.go
@@ -7,56 +7,56 @@
 	"mothrouter/internal/decision"
 )
 
-// answerLead is how long before its deadline a query without an answer is ended by the core: enough to write an answer,
-// also on a busy machine.
-const answerLead = 8 * time.Millisecond
+// deadlineMargin is how long before its deadline the core ends an unanswered query. It leaves time to write the response,
+// even on a busy machine.
+const deadlineMargin = 8 * time.Millisecond
 
 // query is a query in flight.
 type query struct {
 	request    *Request
 	client     Client
 	id         decision.RequestID
-	class      decision.Class // as it was when the query was accepted
-	parts      []*part        // of the present phase
-	firstPhase *FirstPhase    // the first phase's result; nil: the first is the present phase
-	deadline   time.Time      // of the client, or of the shutdown if earlier
-	stopTimer  func()         // stops the deadline's timer
+	class      decision.Class // as configured when the query was accepted
+	parts      []*part        // of the current phase
+	firstPhase *FirstPhase    // result of the first phase; nil while that is the current phase
+	deadline   time.Time      // the client's deadline, or the shutdown deadline if earlier
+	stopTimer  func()         // stops the deadline timer
 }
 
-// part is a part of a query in its present phase, or one that has finished with an attempt in flight.
+// part is a part of a query's current phase, or a finished part that still has an attempt in flight.
 type part struct {
 	Part
 	id         decision.RequestID
 	query      *query
-	attempts   int       // so far, also those that a rule stopped
+	attempts   int       // so far, including those blocked by a rule
 	call       *Call     // the attempt in flight; nil: none
-	mayHaveRun bool      // an attempt that ended may have run
-	retryUntil time.Time // end of the idempotency window; zero: retries are not limited by one
+	mayHaveRun bool      // a finished attempt may have run at its server
+	retryUntil time.Time // end of the idempotency window for retries; zero: no window
 	answered   bool
-	finished   bool // its phase or its query has ended
+	finished   bool // the phase or the query has ended
 	value      []byte
 	score      int64       // of the answer
-	firstPhase *FirstPhase // for a part of a second phase; nil: a part of the first
+	firstPhase *FirstPhase // result of the first phase, for a part of the second; nil for a part of the first
 }
 
 // concluded reports whether the part gets no further attempt.
 func (p *part) concluded() bool { return p.answered || p.finished }
 
-// Submit posts a query to the core. The client gets its final answer once, unless it disconnects first.
+// Submit posts a query to the core. The client gets exactly one final answer, unless it disconnects first.
 func (b *Broker) Submit(r *Request, c Client) {
 	if !b.post(func() { b.accept(r, c) }) {
 		c.Finish(Result{Outcome: Failed})
 	}
 }
 
-// Disconnect reports that the client of a query has disconnected. It does not wait.
+// Disconnect reports that the client of a query has disconnected. It does not block.
 func (b *Broker) Disconnect(r *Request) {
 	b.post(func() {
-		q := b.byName[r.ID]
+		q := b.byExternalID[r.ID]
 		if q == nil || q.request != r {
-			return // it has ended; a query of the same name may have followed
+			return // r has ended; the query found, if any, is a later one with the same id
 		}
-		b.forget(q)
+		b.removeQuery(q)
 		notifyDisconnected(q.client)
 		b.enqueueEvent(decision.ClientDisconnected{ID: q.id})
 	})
@@ -69,15 +69,15 @@
 	}
 }
 
-// accept admits a query, or answers it at once: its client has disconnected, its name is in flight, the process ends or the
-// concurrency limit is reached.
+// accept admits a query. It ends the query at once if its client has disconnected, a query with the same id is in flight, the
+// process is about to exit or the concurrency limit is reached.
 func (b *Broker) accept(r *Request, c Client) {
 	if r.disconnected() {
 		notifyDisconnected(c)
 		return
 	}
-	// Part ids on the wire are derived from the query's name: two queries of one name could not be distinguished.
-	if b.byName[r.ID] != nil {
+	// Part ids on the wire are derived from the query's id, so parts of two queries with the same id would be indistinguishable.
+	if b.byExternalID[r.ID] != nil {
 		c.Finish(Result{Outcome: Duplicate})
 		return
 	}
@@ -87,7 +87,7 @@
 	}
 	q := b.newQuery(r, c)
 	b.queries[q.id] = q
-	b.byName[r.ID] = q
+	b.byExternalID[r.ID] = q
 	for _, p := range r.Parts {
 		b.addPart(q, &part{Part: p})
 	}
@@ -95,7 +95,7 @@
 	b.enqueueQuery(q)
 }
 
-// newQuery returns a query without parts, under the classes and the shutdown deadline in force.
+// newQuery returns a query without parts. It uses the class settings and the shutdown deadline in force.
 func (b *Broker) newQuery(r *Request, c Client) *query {
 	deadline := r.ReceivedAt.Add(b.timeout(r))
 	if !b.shutdownDeadline.IsZero() && deadline.After(b.shutdownDeadline) {
@@ -110,7 +110,7 @@
 	}
 }
 
-// addPart gives a part its id and adds it to the present phase of a query.
+// addPart assigns an id to a part and adds it to the current phase of a query.
 func (b *Broker) addPart(q *query, pt *part) {
 	pt.id = b.nextID()
 	pt.query = q
@@ -118,7 +118,7 @@
 	b.parts[pt.id] = pt
 }
 
-// timeout returns how long a query's client waits.
+// timeout returns how long the client of a query waits for the answer.
 func (b *Broker) timeout(r *Request) time.Duration {
 	if r.TimeoutUnset {
 		return min(secondsToDuration(b.options.Settings.Classes[r.Class].Deadline), maxTimeout)
@@ -126,7 +126,7 @@
 	return r.Timeout
 }
 
-// nextID returns an id that no other query or part of the broker has.
+// nextID returns an id that is unique among the queries and parts of the broker.
 func (b *Broker) nextID() decision.RequestID {
 	b.lastID++
 	return b.lastID
@@ -167,41 +167,41 @@
 	})
 }
 
-// armDeadline sets the timer that ends a query before its deadline, if the Decider has not ended it by then.
+// armDeadline starts the timer that ends a query shortly before its deadline if the Decider has not ended it by then.
 func (b *Broker) armDeadline(q *query) {
-	q.stopTimer = b.after(time.Until(q.deadline)-answerLead, func() {
-		b.forget(q) // first, so that no call can start after a rejection
-		last := Result{Outcome: DeadlineExceeded}
-		if q.deadline.Equal(b.shutdownDeadline) { // the client still waits
-			last = q.bestEffortResult(b.retryAfter())
+	q.stopTimer = b.after(time.Until(q.deadline)-deadlineMargin, func() {
+		b.removeQuery(q) // first, so that no call can start after a rejection
+		final := Result{Outcome: DeadlineExceeded}
+		if q.deadline.Equal(b.shutdownDeadline) { // the client is still waiting
+			final = q.bestEffortResult(b.retryAfter())
 		}
-		q.client.Finish(last)
+		q.client.Finish(final)
 		b.enqueueEvent(decision.ClientDisconnected{ID: q.id})
 	})
 }
 
-// finish gives a query its final answer and forgets it.
+// finish removes a query and gives its client the final answer.
 func (b *Broker) finish(q *query, r Result) {
-	b.forget(q)
+	b.removeQuery(q)
 	q.client.Finish(r)
 }
 
-// reject ends a query with a rejection, or a failure if a rejection is not allowed.
+// reject ends a query with a rejection, or with a failure if a retry by the client would not be safe.
 func (b *Broker) reject(q *query, retryAfter float64) {
-	b.forget(q) // first, so that no call can start after the rejection
+	b.removeQuery(q) // first, so that no call can start after the rejection
 	q.client.Finish(q.rejection(retryAfter))
 }
 
-// forget removes a query and releases its slots. A part with an attempt in flight is kept until that has finished.
-func (b *Broker) forget(q *query) {
+// removeQuery removes a query and releases its slots. A part with an attempt in flight is kept until the attempt finishes.
+func (b *Broker) removeQuery(q *query) {
 	q.stopTimer()
 	delete(b.queries, q.id)
-	delete(b.byName, q.request.ID)
+	delete(b.byExternalID, q.request.ID)
 	b.releaseSlots(1 + len(q.parts))
 	b.finishPhase(q)
 }
 
-// finishPhase finishes the parts of the present phase.
+// finishPhase finishes the parts of the current phase.
 func (b *Broker) finishPhase(q *query) {
 	for _, pt := range q.parts {
 		pt.finished = true
@@ -209,8 +209,8 @@
 			delete(b.parts, pt.id)
 			continue
 		}
-		// An attempt that still waits for a connection must not start any more. Nothing of it was sent, so this is no
-		// cancellation that the settings could forbid.
+		// An attempt that is still waiting for a connection must not start any more. None of it has been sent, so this is
+		// allowed even where the settings forbid cancellation.
 		if pt.call.state.CompareAndSwap(callQueued, callFinished) {
 			b.link.Cancel(pt.call)
 			b.onCallFinished(pt.call, ResultOf(decision.NotSent))
@@ -218,10 +218,10 @@
 	}
 }
 
-// thresholds returns the completeness thresholds of the present phase.
+// thresholds returns the completeness thresholds of the current phase.
 func (q *query) thresholds() completeness.Thresholds { return q.class.Thresholds(q.firstPhase != nil) }
 
-// tally sums the parts of the present phase.
+// tally sums the weights of the parts of the current phase.
 func (q *query) tally() completeness.Tally {
 	var tally completeness.Tally
 	for _, pt := range q.parts {
--- a/internal/broker/request.go
+++ b/internal/broker/request.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Request is a query as a front received it. The core keeps Payload and Parts, so they must not be written to afterwards.
+// Request is a query as received by a front. The core retains Payload and Parts, so they must not be modified after Submit.
 type Request struct {
-	ID           string // the client's name for the query
+	ID           string // assigned by the client
 	Class        int    // index into decision.Settings.Classes
-	Key          uint64 // identifies what the query is about; keys are only compared; 0: none
+	Key          uint64 // identifies the subject of the query; compared only for equality; 0: none
 	Retry        bool   // the client has sent the query before
 	ReceivedAt   time.Time
-	Timeout      time.Duration // how long the client waits from ReceivedAt on
-	TimeoutUnset bool          // Timeout is not set: the deadline of the class in force at acceptance applies
+	Timeout      time.Duration // how long the client waits, from ReceivedAt
+	TimeoutUnset bool          // ignore Timeout and use the class's deadline in force when the query is accepted
 	Parts        []Part
 	Payload      []byte // sent with each part
 	// Disconnected is set by the front, on any goroutine, as soon as it detects that the client has disconnected. No attempt
-	// starts from then on, even before the loop has processed Disconnect. Nil: the front cannot detect it.
+	// starts from then on, even before the loop has processed Disconnect. It is nil if the front cannot detect a disconnect.
 	Disconnected *atomic.Bool
 }
 
@@ -32,18 +32,18 @@
 	Shard    int     // from 0
 	Weight   float64 // fraction of the complete answer; those of a request sum to 1
 	Work     float64 // estimated service time in seconds; 0: unknown
-	RouteKey uint64  // identifies what the part reads; keys are only compared; 0: none
+	RouteKey uint64  // identifies the data that the part reads; compared only for equality; 0: none
 }
 
 const (
-	maxIDLength = 64        // bytes; a name must fit into a line of the record servers' protocol
-	weightSlack = 0.05      // clients round weights
-	maxTimeout  = time.Hour // longer timeouts are errors of the client
+	maxIDLength = 64        // bytes; an id must fit into a line of the record servers' protocol
+	weightSlack = 0.05      // tolerance for the sum of the weights, which clients round
+	maxTimeout  = time.Hour // longer timeouts are client errors
 )
 
-// Normalize checks a request and scales its weights to a sum of 1: clients round them, and rounding must not make a complete
-// answer look incomplete. A partition must be below shards; 0: their number is unknown. Its errors name the field as clients
-// know it; fronts send their texts to clients, so they are part of the wire format.
+// Normalize validates a request and scales its weights to a sum of 1: clients round them, and rounding must not make a complete
+// answer look incomplete. Each Part.Shard must be below shards, unless shards is 0 because their number is unknown. Errors name
+// the field of the client's protocol. Fronts send the error texts to clients, so they are part of the wire format.
 func (r *Request) Normalize(shards int) error {
 	if !validID(r.ID) {
 		return fmt.Errorf("id: cannot use %q", r.ID)
@@ -72,7 +72,8 @@
 	return nil
 }
 
-// validate checks the part at an index of a request. Its conditions are written so that NaN fails them.
+// validate checks the part at index in Request.Parts; duplicate is whether an earlier part has the same shard. The conditions
+// are written so that NaN fails them.
 func (p Part) validate(index, shards int, duplicate bool) error {
 	switch {
 	case p.Shard < 0 || duplicate || shards > 0 && p.Shard >= shards:
@@ -85,8 +86,8 @@
 	return nil
 }
 
-// validID reports whether a query's name can be part of a line of the record servers' protocol: printable ASCII without
-// spaces.
+// validID reports whether a query's id can be used in a line of the record servers' protocol: printable ASCII without spaces,
+// of 1 to maxIDLength bytes.
 func validID(id string) bool {
 	if id == "" || len(id) > maxIDLength {
 		return false
--- a/internal/broker/result.go
+++ b/internal/broker/result.go
@@ -6,24 +6,24 @@
 	"mothrouter/internal/decision"
 )
 
-// Outcome is how a query ended.
+// Outcome is the way in which a query ended.
 type Outcome int
 
-// The outcomes.
+// The outcomes of a query.
 const (
 	Answered         Outcome = iota
-	Rejected                 // no non-idempotent part of it can have run: the client may retry
-	Failed                   // parts of it may have run
+	Rejected                 // no non-idempotent part can have run, so the client may retry
+	Failed                   // parts may have run
 	DeadlineExceeded         // the client's deadline was reached without an answer
-	Duplicate                // a query of the same name is in flight; this one was not accepted
+	Duplicate                // not accepted because a query with the same id is in flight
 )
 
 // Result is a query's final answer.
 type Result struct {
 	Outcome    Outcome
 	Complete   bool    // Answered: the values reach the class's completeness threshold
-	Values     []Value // Answered: of the answered parts
-	RetryAfter float64 // Rejected: seconds; 0: none is advised
+	Values     []Value // Answered: the values of the answered parts
+	RetryAfter float64 // Rejected: advised delay before a retry, in seconds; 0: none
 }
 
 // Value is a record server's answer to a part.
@@ -32,8 +32,8 @@
 	Data  []byte
 }
 
-// result returns the answer from the parts that are answered. Below the class's minimum completeness it is a failure, and it
-// is complete only if the parts are, whatever the Decider says.
+// result returns the answer from the answered parts. It is a failure if they are below the class's minimum completeness, and
+// is complete only if the parts are, even if the Decider requests a complete answer.
 func (q *query) result(complete bool) Result {
 	tally := q.tally()
 	thresholds := q.thresholds()
@@ -50,8 +50,8 @@
 	return r
 }
 
-// bestEffortResult returns the answer of a query that ends early: from the parts that are answered if they are enough, else
-// a rejection.
+// bestEffortResult returns the final answer of a query that ends early: an answer from the answered parts if they suffice, or
+// else a rejection or failure.
 func (q *query) bestEffortResult(retryAfter float64) Result {
 	r := q.result(true)
 	if r.Outcome == Answered && len(r.Values) > 0 {
@@ -60,8 +60,8 @@
 	return q.rejection(retryAfter)
 }
 
-// rejection returns a rejection, or a failure if a non-idempotent part may have run. The query must have been forgotten, so
-// that none of its calls can start any more.
+// rejection returns a rejection, or a failure if an attempt may have run and the query's class is not decision.Idempotent.
+// removeQuery must have been called before, so that no further call can start.
 func (q *query) rejection(retryAfter float64) Result {
 	if q.class.Idempotency != decision.Idempotent && q.mayHaveRun() {
 		return Result{Outcome: Failed}
@@ -69,7 +69,7 @@
 	return Result{Outcome: Rejected, RetryAfter: retryAfter}
 }
 
-// mayHaveRun reports whether an attempt of the query may have run.
+// mayHaveRun reports whether any attempt of the query may have run.
 func (q *query) mayHaveRun() bool {
 	if q.firstPhase != nil {
 		return true
--- a/internal/broker/rules.go
+++ b/internal/broker/rules.go
@@ -8,12 +8,12 @@
 	"mothrouter/internal/decision"
 )
 
-// ruleViolationError is the error of an attempt that a rule of service forbids.
+// ruleViolationError describes an attempt that a safety rule forbids.
 type ruleViolationError struct {
 	rule     error // one of the errors below, a maxAttemptsError or a wrongShardError
 	query    string
 	shard    int
-	server   string    // id
+	server   string    // id of the server that the Decider chose
 	deadline time.Time // of the query
 }
 
@@ -24,7 +24,7 @@
 
 func (e *ruleViolationError) Unwrap() error { return e.rule }
 
-// The rules of service for attempts.
+// Violations of the safety rules for attempts, which hold whatever the Decider asks for.
 var (
 	errPartFinished      = errors.New("the part has finished")
 	errAttemptInFlight   = errors.New("an attempt of the part is in flight")
@@ -35,22 +35,25 @@
 	errDeadlineExceeded  = errors.New("the deadline is exceeded")
 )
 
-// maxAttemptsError is the violation of a part's maximum number of attempts.
+// maxAttemptsError reports an attempt beyond Settings.MaxAttempts, which is its value.
 type maxAttemptsError int
 
 func (e maxAttemptsError) Error() string {
 	return fmt.Sprintf("the part has had its maximum of %d attempts", int(e))
 }
 
-// wrongShardError is an attempt at a server whose replica set does not hold the part's shard.
-type wrongShardError struct{ shard, replicaSet int }
+// wrongShardError reports an attempt at a server whose replica set does not hold the part's shard.
+type wrongShardError struct {
+	shard      int
+	replicaSet int
+}
 
 func (e wrongShardError) Error() string {
 	return fmt.Sprintf("replica set %d does not hold shard %d", e.replicaSet, e.shard)
 }
 
-// checkRules returns nil if an attempt of a part at a server may be sent, and a *ruleViolationError otherwise. The server has
-// the id that the Decider chose and is nil if it is not available.
+// checkRules returns nil if an attempt of a part may be sent to a server, and a *ruleViolationError otherwise. The server is
+// the one with serverID, or nil if that is not available.
 func (b *Broker) checkRules(pt *part, serverID string, server *Server) error {
 	rule := b.violatedRule(pt, server)
 	if rule == nil {
@@ -65,7 +68,7 @@
 	}
 }
 
-// violatedRule returns the first rule that an attempt would violate, or nil.
+// violatedRule returns an error for the first rule that an attempt would violate, or nil.
 func (b *Broker) violatedRule(pt *part, server *Server) error {
 	settings := &b.options.Settings
 	switch {
@@ -91,8 +94,8 @@
 	return nil
 }
 
-// holdsShard reports whether the servers of a replica set hold a shard. Shard s is held by ReplicationFactor replica sets
-// from s modulo ReplicaSets on; without replica sets every server holds every shard.
+// holdsShard reports whether the servers of a replica set hold a shard. Shard s is held by ReplicationFactor consecutive
+// replica sets, starting with set s modulo ReplicaSets. Without replica sets every server holds every shard.
 func holdsShard(settings *decision.Settings, replicaSet, shard int) bool {
 	sets := settings.ReplicaSets
 	if sets <= 0 {
@@ -102,7 +105,7 @@
 	return offset < max(settings.ReplicationFactor, 1)
 }
 
-// mayHaveRun reports whether an attempt that ended with a status may have run at its server.
+// mayHaveRun reports whether an attempt that finished with a status may have run at its server.
 func mayHaveRun(status decision.Status) bool {
 	switch status {
 	case decision.Overloaded, decision.Unreachable, decision.NotSent:
--- a/internal/broker/rules_test.go
+++ b/internal/broker/rules_test.go
@@ -12,7 +12,7 @@
 	"mothrouter/internal/decision"
 )
 
-// logBuffer collects what a broker logs.
+// logBuffer collects the log lines of a broker.
 type logBuffer chan string
 
 // Write implements io.Writer.
@@ -21,30 +21,30 @@
 	return len(line), nil
 }
 
-func TestRuleViolationNamesPartServerAndDeadline(t *testing.T) {
+func TestRuleViolationIsLoggedWithDetails(t *testing.T) {
 	lines := make(logBuffer, 10)
 	h := newHarnessWith(t, broker.Options{Log: slog.New(slog.NewTextHandler(lines, nil))})
 	_, part, _, request := h.submit("q", nonIdempotent, 1, time.Second)
 	h.perform(decision.Send{ID: part, Server: "s0"}) // shard 1 is held by replica sets 1 and 2
 	awaitEvent[decision.AttemptFinished](h)
 	line := strings.ReplaceAll(<-lines, `\"`, `"`)
-	require.Contains(t, line, `msg="attempt stopped by a rule"`)
+	require.Contains(t, line, `msg="attempt blocked by a safety rule"`)
 	require.Contains(t, line, `query "q", shard 1, server "s0", deadline `+
 		request.ReceivedAt.Add(time.Second).Format(time.RFC3339Nano)+`: replica set 0 does not hold shard 1`)
 	require.Contains(t, line, `server=s0 query=q`)
 }
 
-func TestRulesStopSendsToServersWithoutTheShard(t *testing.T) {
+func TestRulesBlockAttemptsAtServersWithoutTheShard(t *testing.T) {
 	h := newHarness(t)
 	_, part, _, _ := h.submit("q", nonIdempotent, 1, time.Second)
-	requireStopped := func(server string) {
+	requireBlocked := func(server string) {
 		t.Helper()
 		h.perform(decision.Send{ID: part, Server: server})
 		require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 		require.Empty(t, h.sent)
 	}
-	requireStopped("unknown")
-	requireStopped("s0") // shard 1 is held by replica sets 1 and 2
+	requireBlocked("unknown")
+	requireBlocked("s0") // shard 1 is held by replica sets 1 and 2
 	h.send(part, "s2").Finish(callResult(decision.OK))
 	require.Equal(t, decision.OK, awaitEvent[decision.AttemptFinished](h).Status)
 }
@@ -66,7 +66,7 @@
 		}
 		awaitEvent[decision.AttemptFinished](h)
 		require.Empty(t, h.sent)
-		// Nor is such a query rejected: a rejection states that a retry is safe.
+		// A rejection tells the client that a retry is safe, so a query that may have run is not rejected.
 		h.perform(decision.Reject{ID: query, RetryAfter: 0.5})
 		want := broker.Result{Outcome: broker.Failed}
 		if retryAllowed {
--- a/internal/broker/shutdown.go
+++ b/internal/broker/shutdown.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// SetShutdownDeadline sets the time by which every query, in flight or accepted later, must have its answer, as the process
-// is killed then. A query with a later deadline is answered from the parts that are answered, rejected or failed.
+// SetShutdownDeadline sets the time by which every query, in flight or accepted later, must have its final answer, because the
+// process is killed then. A query with a later deadline is answered from its answered parts, rejected or failed at that time.
 func (b *Broker) SetShutdownDeadline(t time.Time) {
 	b.post(func() {
 		b.shutdownDeadline = t
@@ -20,12 +20,12 @@
 	})
 }
 
-// shuttingDownSoon reports whether the process ends too soon to answer one more query.
+// shuttingDownSoon reports whether the shutdown deadline is too close to answer another query.
 func (b *Broker) shuttingDownSoon() bool {
-	return !b.shutdownDeadline.IsZero() && time.Until(b.shutdownDeadline) <= answerLead
+	return !b.shutdownDeadline.IsZero() && time.Until(b.shutdownDeadline) <= deadlineMargin
 }
 
-// Drain waits until no query is in flight, ctx ends or the loop ends. It does not stop new queries.
+// Drain waits until no query is in flight, ctx is done or the loop has ended. It does not stop new queries.
 func (b *Broker) Drain(ctx context.Context) {
 	idle := make(chan struct{})
 	b.post(func() {
@@ -42,7 +42,7 @@
 	}
 }
 
-// releaseIdleWaiters ends the waits of Drain.
+// releaseIdleWaiters unblocks pending calls of Drain.
 func (b *Broker) releaseIdleWaiters() {
 	for _, idle := range b.idleWaiters {
 		close(idle)
@@ -50,8 +50,8 @@
 	b.idleWaiters = nil
 }
 
-// Abort fails every query in flight after a panic has ended the loop, so that no client waits in vain. It blocks until Run
-// has returned.
+// Abort fails every query in flight after a panic has ended the loop, so that no client waits for an answer that cannot come.
+// It blocks until Run has returned.
 func (b *Broker) Abort() {
 	<-b.stopped
 	b.inbox.close()
@@ -64,7 +64,7 @@
 	b.releaseIdleWaiters()
 }
 
-// runRecovered runs f and drops its panic: what made the loop panic may be in the inbox again.
+// runRecovered runs f and discards a panic: the inbox may hold another function that panics as the one that ended the loop did.
 func runRecovered(f func()) {
 	defer func() { _ = recover() }()
 	f()
--- a/internal/broker/slots.go
+++ b/internal/broker/slots.go
@@ -1,6 +1,6 @@
 package broker
 
-// acquireSlots acquires n slots of the concurrency limits and reports whether it has; if not, it holds none of them.
+// acquireSlots acquires n slots of the concurrency limits, or none, and reports whether it has acquired them.
 func (b *Broker) acquireSlots(n int) bool {
 	limit := b.options.ConcurrencyLimit
 	if limit > 0 && b.usedSlots+n > limit {
@@ -14,7 +14,7 @@
 	return true
 }
 
-// releaseSlots returns n slots.
+// releaseSlots returns n slots to the concurrency limits.
 func (b *Broker) releaseSlots(n int) {
 	b.usedSlots -= n
 	if b.options.SharedLimiter != nil {
@@ -22,7 +22,8 @@
 	}
 }
 
-// retryAfter returns the Retry-After of a query that is rejected for lack of capacity, in seconds; 0: none.
+// retryAfter returns the Retry-After of a query that the core rejects for lack of capacity or because of a shutdown,
+// in seconds; 0: none.
 func (b *Broker) retryAfter() float64 {
 	if b.options.Settings.RetryAfterSupported {
 		return b.options.Settings.MaxRetryAfter
--- a/internal/broker/timer.go
+++ b/internal/broker/timer.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// after runs f on the loop once d has passed, unless stop is called first. Only the loop may call after and stop.
+// after runs f on the loop once d has elapsed, unless stop is called first. Only the loop may call after and stop.
 func (b *Broker) after(d time.Duration, f func()) (stop func()) {
 	var timer *time.Timer
 	timer = time.AfterFunc(max(d, 0), func() {
@@ -20,7 +20,7 @@
 	}
 }
 
-// stopTimers stops every pending timer as the loop ends.
+// stopTimers stops all pending timers when the loop ends.
 func (b *Broker) stopTimers() {
 	for timer := range b.timers {
 		timer.Stop()
