--- a/internal/broker/call_test.go
+++ b/internal/broker/call_test.go
@@ -11,33 +11,33 @@
 	"mothrouter/internal/decision"
 )
 
-func TestCallThatNeverStartedCannotHaveRun(t *testing.T) {
+func TestUnstartedCallTimesOutAsNotSent(t *testing.T) {
 	h := newHarness(t)
 	_, part, _, _ := h.submit("q", nonIdempotent, 1, time.Second)
 	h.perform(decision.Send{ID: part, Server: "s1", Timeout: 0.02})
-	waiting := <-h.sent
+	queued := <-h.sent
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
-	require.False(t, waiting.TryStart())
+	require.False(t, queued.TryStart())
 	h.send(part, "s2")
 }
 
-// The client disconnects while an attempt waits for its connection. The core ends the attempt, whatever the Decider does, and
-// none starts before the loop has handled the disconnect either.
+// When a client disconnects while an attempt is queued for a connection, the core ends the attempt without an action of the
+// Decider. No attempt starts between the front's detection of the disconnect and its handling by the loop either.
 func TestNoAttemptStartsAfterDisconnect(t *testing.T) {
 	h := newHarness(t)
 	_, part, _, request := h.submit("q", nonIdempotent, 1, time.Second)
-	waiting := h.send(part, "s1")
+	queued := h.send(part, "s1")
 	h.broker.Disconnect(request)
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	awaitEvent[decision.ClientDisconnected](h)
-	require.False(t, waiting.TryStart())
-	require.Same(t, waiting, <-h.cancelled)
+	require.False(t, queued.TryStart())
+	require.Same(t, queued, <-h.cancelled)
 
 	_, part, _, request = h.submit("q2", idempotent, 1, time.Second)
 	request.Disconnected = new(atomic.Bool)
-	waiting = h.send(part, "s1")
-	request.Disconnected.Store(true) // the front has noticed; the loop has not been notified
-	require.False(t, waiting.TryStart())
+	queued = h.send(part, "s1")
+	request.Disconnected.Store(true) // detected by the front, but Disconnect not called yet
+	require.False(t, queued.TryStart())
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	h.perform(decision.Send{ID: part, Server: "s2"})
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
@@ -51,21 +51,22 @@
 	h.broker.Submit(disconnected, answer)
 	h.updateEndpoints(decision.DeltaUpdate)
 	require.Empty(t, answer)
-	require.Empty(t, h.events, "the Decider gets no event of it")
+	require.Empty(t, h.events, "the Decider received an event for a query whose client had disconnected")
 }
 
-// A query is finished while an attempt waits for a connection; the Decider does not cancel it.
+// A query ends while an attempt is queued for a connection and the Decider does not cancel the attempt.
 func TestNoAttemptStartsAfterQueryEnded(t *testing.T) {
 	h := newHarness(t)
 	query, part, answer, _ := h.submit("q", idempotent, 1, time.Second)
-	waiting := h.send(part, "s1")
+	queued := h.send(part, "s1")
 	h.perform(decision.Reject{ID: query, RetryAfter: 0.5})
 	require.Equal(t, broker.Rejected, (<-answer).Outcome)
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
-	require.False(t, waiting.TryStart())
+	require.False(t, queued.TryStart())
 }
 
-// Servers drop duplicates within the window only. A retry that has waited for its connection beyond it must not start.
+// Servers drop duplicates only within the idempotency window. A retry that is still queued for a connection when the window
+// ends must not start.
 func TestNoRetryAfterIdempotencyWindow(t *testing.T) {
 	h := newHarness(t)
 	_, part, _, _ := h.submit("q", idempotentWithKey, 1, 2*time.Second)
@@ -82,7 +83,7 @@
 	require.Empty(t, h.sent)
 
 	_, part, _, _ = h.submit("q2", idempotentWithKey, 1, 2*time.Second)
-	h.send(part, "s1").Finish(callResult(decision.Unreachable)) // cannot have run: no window
+	h.send(part, "s1").Finish(callResult(decision.Unreachable)) // cannot have run, so no window begins
 	awaitEvent[decision.AttemptFinished](h)
 	time.Sleep(220 * time.Millisecond)
 	require.True(t, h.send(part, "s2").TryStart())
--- a/internal/broker/harness_test.go
+++ b/internal/broker/harness_test.go
@@ -11,43 +11,43 @@
 	"mothrouter/internal/decision"
 )
 
-// scriptedDecider returns the actions that the test gives it, whether or not the rules allow them.
+// scriptedDecider is a Decider that returns the actions set by the test, whether or not the rules allow them.
 type scriptedDecider struct {
 	events  chan decision.Event
 	actions chan []decision.Action
 }
 
-// Handle records the events, and returns the next scripted actions if there is an endpoint update among them.
-func (s scriptedDecider) Handle(_ float64, events []decision.Event) []decision.Action {
+// Handle records the events. If there is an endpoint update among them, it returns the next scripted actions.
+func (d scriptedDecider) Handle(_ float64, events []decision.Event) []decision.Action {
 	updated := false
 	for _, e := range events {
-		s.events <- e
+		d.events <- e
 		_, isUpdate := e.(decision.EndpointUpdate)
 		updated = updated || isUpdate
 	}
-	if updated && len(s.actions) > 0 {
-		return <-s.actions
+	if updated && len(d.actions) > 0 {
+		return <-d.actions
 	}
 	return nil
 }
 
-// link records the calls that are sent and cancelled, and answers each health check with OK.
+// link is a fake Link. It records sent and cancelled calls, and answers each health check with OK.
 type link struct{ sent, cancelled chan *broker.Call }
 
 func (l link) Send(c *broker.Call) { l.sent <- c }
 
 func (l link) Cancel(c *broker.Call) { l.cancelled <- c }
 
-func (l link) CheckHealth(p *broker.HealthCheck) {
-	p.Finish(broker.ResultOf(decision.OK))
+func (l link) CheckHealth(check *broker.HealthCheck) {
+	check.Finish(broker.ResultOf(decision.OK))
 }
 
-// client receives the result of its query.
+// client is a Client that passes the final result of its query to the test.
 type client chan broker.Result
 
 func (c client) Finish(r broker.Result) { c <- r }
 
-// harness is a broker with a scripted Decider and a recording link, in the test that it embeds.
+// harness is a core with a scripted Decider and a fake link, for the test that it embeds.
 type harness struct {
 	*testing.T
 	scriptedDecider
@@ -55,21 +55,21 @@
 	broker *broker.Broker
 }
 
-// The classes of the harness, by their index. All have a deadline of 4 s.
+// Class indexes of the harness. All classes have a deadline of 4 s.
 const (
 	idempotent = iota
 	nonIdempotent
 	partial           // minimum completeness 0.8
 	idempotentWithKey // idempotency window 0.2 s
 	twoPhase          // second-phase fan-out 2
-	twoPhasePartial   // and minimum completeness 0.5
+	twoPhasePartial   // second-phase fan-out 2, minimum completeness 0.5
 )
 
-// newHarness starts a core with default options.
+// newHarness starts a core with the default options of the harness.
 func newHarness(t *testing.T) *harness { return newHarnessWith(t, broker.Options{}) }
 
-// newHarnessWith starts a core with options, but with the Settings of the harness and a ConcurrencyLimit of 7. Servers s0, s1
-// and s2 are ready, one in each of the replica sets 0 to 2. The core ends with the test.
+// newHarnessWith starts a core with options, except that Settings are those of the harness and ConcurrencyLimit is 7. Servers
+// s0, s1 and s2 are ready, in replica sets 0, 1 and 2. The core stops when the test ends.
 func newHarnessWith(t *testing.T, options broker.Options) *harness {
 	h := &harness{T: t, scriptedDecider: scriptedDecider{make(chan decision.Event, 100), make(chan []decision.Action, 10)},
 		link: link{make(chan *broker.Call, 10), make(chan *broker.Call, 10)}}
@@ -91,7 +91,8 @@
 	return h
 }
 
-// updateEndpoints posts an endpoint update; entries are id, replica set and state of each server.
+// updateEndpoints posts an endpoint update and waits until the Decider has received it. The entries are the id, replica set and
+// state of each server.
 func (h *harness) updateEndpoints(mode decision.UpdateMode, entries ...any) {
 	update := broker.EndpointUpdate{Mode: mode}
 	for i := 0; i < len(entries); i += 3 {
@@ -102,7 +103,7 @@
 	awaitEvent[decision.EndpointUpdate](h)
 }
 
-// awaitEvent returns the next event of a type and drops those before it. It fails the test after 2 s.
+// awaitEvent returns the next event of type E and discards events before it. It fails the test after 2 s.
 func awaitEvent[E decision.Event](h *harness) E {
 	h.Helper()
 	for timeout := time.After(2 * time.Second); ; {
@@ -112,13 +113,13 @@
 				return e
 			}
 		case <-timeout:
-			require.FailNow(h, "no such event within 2 s")
+			require.FailNowf(h, "event is missing", "the Decider received no %T within 2 s", *new(E))
 		}
 	}
 }
 
-// submit submits a query of equal parts at shards 1, 2 and so on, and returns the ids of the query and of its
-// first part, its client and its request.
+// submit submits a query of equal parts at the shards from 1. It returns the ids of the query and of its first part, the
+// client and the request.
 func (h *harness) submit(name string, class, parts int, timeout time.Duration) (
 	query, firstPart decision.RequestID, answer client, request *broker.Request) {
 	request = &broker.Request{ID: name, Class: class, ReceivedAt: time.Now(), Timeout: timeout, Payload: []byte("x")}
@@ -136,24 +137,25 @@
 	return query, firstPart, answer, request
 }
 
-// perform has the Decider return actions, at an endpoint update that changes nothing.
+// perform makes the Decider return actions. It triggers the Decider with an empty endpoint update.
 func (h *harness) perform(actions ...decision.Action) {
 	h.actions <- actions
 	h.updateEndpoints(decision.DeltaUpdate)
 }
 
-// send has the Decider send an attempt of a part to a server, and returns the call that the link gets.
+// send makes the Decider send an attempt of a part to a server, and returns the call that the link receives.
 func (h *harness) send(id decision.RequestID, server string) *broker.Call {
 	h.perform(decision.Send{ID: id, Server: server})
 	return <-h.sent
 }
 
-// callResult returns the result of a call with a status and the value v.
+// callResult returns a call result with a status, the value "v" and no score.
 func callResult(status decision.Status) broker.CallResult {
 	return broker.CallResult{Status: status, LoadReport: decision.NoLoadReport, Value: []byte("v")}
 }
 
-// blockingClient blocks the loop in Finish: the test receives once to wait for that, and sends once to release it.
+// blockingClient is a Client that blocks the loop in Finish. The test receives once to wait for Finish, and sends once to
+// unblock it.
 type blockingClient chan struct{}
 
-func (s blockingClient) Finish(broker.Result) { s <- struct{}{}; <-s }
+func (c blockingClient) Finish(broker.Result) { c <- struct{}{}; <-c }
--- a/internal/broker/healthcheck_test.go
+++ b/internal/broker/healthcheck_test.go
@@ -9,7 +9,7 @@
 	"mothrouter/internal/decision"
 )
 
-// A health check that has waited for a connection is checked again, like a call.
+// A health check that is queued for a connection while its server starts draining must not start, like a call.
 func TestNoHealthCheckOfDrainingServer(t *testing.T) {
 	h := newHarness(t)
 	checks := make(chan *broker.HealthCheck, 1)
@@ -24,7 +24,7 @@
 	require.Equal(t, decision.NotSent, awaitEvent[decision.HealthChecked](h).Status)
 }
 
-// healthCheckLink records health checks and leaves them unfinished.
+// healthCheckLink is a link that records health checks and does not finish them.
 type healthCheckLink struct {
 	link
 	checks chan *broker.HealthCheck
--- a/internal/broker/phase_test.go
+++ b/internal/broker/phase_test.go
@@ -13,12 +13,12 @@
 	"mothrouter/internal/decision"
 )
 
-// scoredResult returns the result of an answered part with a score.
+// scoredResult returns the result of an answered part, with a score.
 func scoredResult(score int64, value string) broker.CallResult {
 	return broker.CallResult{Status: decision.OK, Score: score, Scored: true, LoadReport: decision.NoLoadReport, Value: []byte(value)}
 }
 
-// firstPhase runs the first phase of query q: all parts are answered, with scores that fall with their shard.
+// firstPhase submits a query with the id q and answers all parts of its first phase. Lower shards get higher scores.
 func (h *harness) firstPhase(class, parts int) (query decision.RequestID, answer client, request *broker.Request) {
 	query, first, answer, request := h.submit("q", class, parts, 2*time.Second)
 	h.updateEndpoints(decision.DeltaUpdate, "s1", 1, decision.Ready, "s2", 2, decision.Ready, "s3", 3, decision.Ready, "s0", 0, decision.Ready)
@@ -29,11 +29,11 @@
 	return query, answer, request
 }
 
-// serverOf returns a server that holds a shard, of four replica sets.
+// serverOf returns a server that holds a shard, with one server in each of four replica sets.
 func serverOf(shard int) string { return []string{"s0", "s1", "s2", "s3"}[shard%4] }
 
-// wantSecondPhase returns the shards of the second phase by a simple reference: of the answered shards, repeatedly the one
-// with the highest score, the lower shard first where scores are equal; at most fanout of them.
+// wantSecondPhase is a simple reference implementation of the selection of shards for the second phase. It returns at most
+// fanout of the answered shards, in descending order of score and by shard where scores are equal.
 func wantSecondPhase(scores map[int]int64, fanout int) (chosen []int) {
 	for len(chosen) < fanout && len(chosen) < len(scores) {
 		best := -1
@@ -48,28 +48,31 @@
 	return chosen
 }
 
-func TestSecondPhaseGoesToTheHighestScores(t *testing.T) {
+func TestSecondPhaseSelectsHighestScores(t *testing.T) {
 	for seed := range uint64(40) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		h := newHarness(t)
 		h.updateEndpoints(decision.DeltaUpdate, "s3", 3, decision.Ready)
-		class, parts := twoPhase, 1+rng.IntN(6)
+		class := twoPhase
+		parts := 1 + rng.IntN(6)
 		if seed%2 == 1 {
 			class = twoPhasePartial
 		}
 		query, first, answer, _ := h.submit("q", class, parts, 2*time.Second)
-		scores, from, missing := map[int]int64{}, []int(nil), 0
+		scores := map[int]int64{}
+		var answered []int
+		missing := 0
 		for _, i := range rng.Perm(parts) {
 			if class == twoPhasePartial && missing < parts/2 && rng.IntN(3) == 0 {
 				missing++
 				continue
 			}
-			scores[i+1] = int64(rng.IntN(3)) // few values, so that some are equal
+			scores[i+1] = int64(rng.IntN(3)) // of three values, so that some are equal
 			h.send(first+decision.RequestID(i), serverOf(i+1)).Finish(scoredResult(scores[i+1], "first"))
 			awaitEvent[decision.AttemptFinished](h)
-			from = append(from, i+1)
+			answered = append(answered, i+1)
 		}
-		slices.Sort(from)
+		slices.Sort(answered)
 		h.perform(decision.Respond{ID: query, Complete: true})
 		want := wantSecondPhase(scores, 2)
 		var second []decision.Part
@@ -82,8 +85,8 @@
 			require.Equal(t, want[i], pt.Shard)
 			require.InDelta(t, 1/float64(len(want)), pt.Weight, 1e-9)
 			call := h.send(pt.ID, serverOf(pt.Shard))
-			require.Equal(t, &broker.FirstPhase{AnsweredShards: from, Complete: missing == 0}, call.FirstPhase)
-			call.Finish(broker.CallResult{Status: decision.OK, LoadReport: decision.NoLoadReport, Value: []byte("second")}) // the second phase has no scores
+			require.Equal(t, &broker.FirstPhase{AnsweredShards: answered, Complete: missing == 0}, call.FirstPhase)
+			call.Finish(broker.CallResult{Status: decision.OK, LoadReport: decision.NoLoadReport, Value: []byte("second")}) // no score in the second phase
 			awaitEvent[decision.AttemptFinished](h)
 			values = append(values, broker.Value{Shard: pt.Shard, Data: []byte("second")})
 		}
@@ -112,7 +115,8 @@
 	}
 }
 
-// The second phase needs all its parts, or the class's minimum completeness; it is complete only if both phases are.
+// The second phase needs all its parts, or the class's minimum completeness for a partial answer. The answer is complete only
+// if both phases are. Here one of the two parts of the second phase is answered.
 func TestSecondPhaseCompleteness(t *testing.T) {
 	for class, want := range map[int]broker.Result{
 		twoPhase:        {Outcome: broker.Failed},
@@ -133,15 +137,15 @@
 	query, answer, request := h.firstPhase(twoPhase, 3)
 	h.perform(decision.Respond{ID: query, Complete: true})
 	second, other := awaitEvent[decision.Part](h).ID, awaitEvent[decision.Part](h).ID
-	waiting := h.send(second, "s1")
+	queued := h.send(second, "s1")
 	h.broker.Disconnect(request)
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	require.Equal(t, query, awaitEvent[decision.ClientDisconnected](h).ID)
-	require.False(t, waiting.TryStart())
+	require.False(t, queued.TryStart())
 	h.perform(decision.Send{ID: other, Server: "s2"}, decision.Respond{ID: query, Complete: true})
 	require.Empty(t, h.sent)
 	require.Empty(t, answer)
-	h.submit("q", twoPhase, 6, time.Second) // its id and its slots are free again
+	h.submit("q", twoPhase, 6, time.Second) // the id and the slots have been released
 }
 
 func TestDrainBetweenPhases(t *testing.T) {
@@ -149,9 +153,9 @@
 	query, _, _ := h.firstPhase(twoPhase, 3)
 	h.perform(decision.Respond{ID: query, Complete: true})
 	second := awaitEvent[decision.Part](h).ID
-	waiting := h.send(second, "s1")
+	queued := h.send(second, "s1")
 	h.updateEndpoints(decision.DeltaUpdate, "s1", 1, decision.Draining)
-	require.False(t, waiting.TryStart())
+	require.False(t, queued.TryStart())
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	h.perform(decision.Send{ID: second, Server: "s1"})
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
@@ -159,8 +163,8 @@
 	require.Equal(t, decision.OK, awaitEvent[decision.AttemptFinished](h).Status)
 }
 
-// At the shutdown deadline a query without a complete second phase is rejected, since the values of the first phase are no
-// answer; one with a complete second phase is answered.
+// At the shutdown deadline a query whose second phase is incomplete is rejected, since values of the first phase are not an
+// answer. A query whose second phase is complete is answered.
 func TestShutdownBetweenPhases(t *testing.T) {
 	rejected := broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}
 	for _, answered := range []int{0, 1, 2} {
@@ -187,8 +191,8 @@
 	require.Equal(t, rejected, <-answer)
 }
 
-// The attempts in flight of the first phase end with it: a late result is ignored, and an attempt that has not started does not
-// start.
+// Attempts of the first phase that are in flight end with it: the late result of a started attempt is ignored, and a queued
+// attempt does not start.
 func TestSecondPhaseEndsFirstPhaseAttempts(t *testing.T) {
 	h := newHarness(t)
 	query, first, answer, _ := h.submit("q", twoPhasePartial, 4, 2*time.Second)
@@ -199,10 +203,10 @@
 	}
 	late := h.send(first+2, "s3")
 	require.True(t, late.TryStart())
-	waiting := h.send(first+3, "s0")
+	queued := h.send(first+3, "s0")
 	h.perform(decision.Respond{ID: query})
 	require.Equal(t, first+3, awaitEvent[decision.AttemptFinished](h).ID)
-	require.False(t, waiting.TryStart())
+	require.False(t, queued.TryStart())
 	a, b := awaitEvent[decision.Part](h), awaitEvent[decision.Part](h)
 	require.Equal(t, []int{2, 1}, []int{a.Shard, b.Shard})
 	late.Finish(scoredResult(9, "late"))
@@ -220,8 +224,8 @@
 	require.Equal(t, []broker.Value{{1, []byte("second")}, {2, []byte("second")}}, got.Values)
 }
 
-// Of 7 slots a query of six parts uses all, and three once its second phase has begun.
-func TestSlotsBetweenPhases(t *testing.T) {
+// Of the 7 slots a query with six parts uses all in its first phase, and three in its second phase, which has two parts.
+func TestSecondPhaseReleasesSlots(t *testing.T) {
 	h := newHarness(t)
 	query, answer, _ := h.firstPhase(twoPhase, 6)
 	full := make(client, 1)
--- a/internal/broker/query_test.go
+++ b/internal/broker/query_test.go
@@ -17,7 +17,7 @@
 	query, part, answer, _ := h.submit("q", partial, 2, time.Second)
 	h.send(part, "s1").Finish(callResult(decision.OK))
 	awaitEvent[decision.AttemptFinished](h)
-	h.perform(decision.Respond{ID: query, Complete: true}) // completeness is 0.5, the minimum 0.8
+	h.perform(decision.Respond{ID: query, Complete: true}) // completeness is 0.5, below the minimum of 0.8
 	require.Equal(t, broker.Result{Outcome: broker.Failed}, <-answer)
 }
 
@@ -36,15 +36,16 @@
 
 func TestQueryEndsOnceWithinItsDeadline(t *testing.T) {
 	h := newHarness(t)
-	const timeout, samples = 50 * time.Millisecond, 5 // a busy machine may delay some by more than the core's margin
-	var took []time.Duration
+	const timeout = 50 * time.Millisecond
+	const samples = 5 // a busy machine may delay some answers by more than deadlineMargin
+	var latencies []time.Duration
 	for n := range samples {
 		query, _, answer, request := h.submit(fmt.Sprint("q", n), idempotent, 1, timeout)
-		require.Equal(t, broker.DeadlineExceeded, (<-answer).Outcome) // the Decider has not answered it
-		took = append(took, time.Since(request.ReceivedAt))
+		require.Equal(t, broker.DeadlineExceeded, (<-answer).Outcome) // without an action of the Decider
+		latencies = append(latencies, time.Since(request.ReceivedAt))
 		awaitEvent[decision.ClientDisconnected](h)
 		h.perform(decision.Fail{ID: query}, decision.Respond{ID: query}, decision.Reject{ID: query})
 		require.Empty(t, answer)
 	}
-	require.Less(t, slices.Min(took), timeout, "%v", took)
+	require.Less(t, slices.Min(latencies), timeout, "latencies: %v", latencies)
 }
--- a/internal/broker/request_test.go
+++ b/internal/broker/request_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestNormalizeErrorNamesTheField(t *testing.T) {
-	for want, change := range map[string]func(*broker.Request){
+	for want, makeInvalid := range map[string]func(*broker.Request){
 		"id":                   func(r *broker.Request) { r.ID = "a b" },
 		"deadline":             func(r *broker.Request) { r.Timeout = 0 },
 		"targets: a":           func(r *broker.Request) { r.Parts = nil },
@@ -21,8 +21,8 @@
 	} {
 		r := &broker.Request{ID: "q", Timeout: time.Second, Parts: []broker.Part{{Shard: 1, Weight: 0.5}, {Shard: 2, Weight: 0.4999}}}
 		require.NoError(t, r.Normalize(24))
-		require.InDelta(t, 1, r.Parts[0].Weight+r.Parts[1].Weight, 1e-9) // weights are normalized to a sum of 1
-		change(r)
+		require.InDelta(t, 1, r.Parts[0].Weight+r.Parts[1].Weight, 1e-9) // weights are scaled to a sum of 1
+		makeInvalid(r)
 		require.ErrorContains(t, r.Normalize(24), want)
 	}
 }
--- a/internal/broker/shutdown_test.go
+++ b/internal/broker/shutdown_test.go
@@ -11,10 +11,10 @@
 	"mothrouter/internal/decision"
 )
 
-// Every query in flight or accepted later has its answer before the process is killed: from the answered parts, rejected or
-// failed.
+// Every query, in flight or accepted after SetShutdownDeadline, gets a final answer before that deadline: an answer from its
+// answered parts, a rejection or a failure.
 func TestShutdownDeadlineAnswersEveryQuery(t *testing.T) {
-	// On a virtual clock: a busy machine may exceed the bounds of the test.
+	// The virtual clock is needed because a busy machine may exceed the time bounds of the test.
 	synctest.Test(t, testShutdownDeadlineAnswersEveryQuery)
 }
 
@@ -35,5 +35,5 @@
 	require.WithinRange(t, time.Now(), end.Add(-50*time.Millisecond), end)
 	last := make(client, 1)
 	h.broker.Submit(&broker.Request{ID: "q4", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, last)
-	require.Equal(t, broker.Rejected, (<-last).Outcome, "at once")
+	require.Equal(t, broker.Rejected, (<-last).Outcome, "a query submitted too close to the shutdown deadline")
 }
--- a/internal/broker/slots_test.go
+++ b/internal/broker/slots_test.go
@@ -10,7 +10,7 @@
 	"mothrouter/internal/decision"
 )
 
-func TestConcurrencyLimitAndDuplicateNames(t *testing.T) {
+func TestConcurrencyLimitAndDuplicateIDs(t *testing.T) {
 	h := newHarness(t) // 7 slots, one for each query and each part
 	_, _, first, request := h.submit("q", idempotent, 4, time.Second)
 	rejected := make(client, 1)
