--- a/internal/completeness/completeness.go
+++ b/internal/completeness/completeness.go
@@ -1,30 +1,30 @@
-// Package completeness compares the weights of a query's answered parts with the thresholds of an answer. It decides nothing
-// and does no I/O.
+// Package completeness compares the weights of a query's answered parts with the thresholds for an answer. It makes no
+// decisions and does no I/O.
 package completeness
 
-// Slack allows for the rounding of sums of weights. The platform's rules tolerate more.
-const Slack = 1e-6
+// Epsilon is the tolerance for rounding errors in sums of weights. It is smaller than the tolerance of the platform's rules.
+const Epsilon = 1e-6
 
-// Thresholds are the weights of answered parts that an answer needs. The weights of a query's parts sum to 1.
+// Thresholds are the weights of answered parts that an answer needs. The weights of all parts sum to 1.
 type Thresholds struct {
-	Complete  float64 // for a complete answer
-	Min       float64 // for any answer; if it is not below Complete, there are no partial answers
-	EveryPart bool    // a complete answer needs every part, whatever its weight
+	Complete float64 // for a complete answer
+	Min      float64 // for any answer; if it is not below Complete, there are no partial answers
+	AllParts bool    // a complete answer needs every part, even parts of weight 0
 }
 
-// OfEveryPart returns thresholds whose complete answer needs every part. The minimum for a partial answer stays.
-func (t Thresholds) OfEveryPart() Thresholds {
+// RequireAllParts returns thresholds for which a complete answer needs every part. It keeps the minimum for a partial answer.
+func (t Thresholds) RequireAllParts() Thresholds {
 	if t.Min >= t.Complete {
 		t.Min = 1
 	}
-	return Thresholds{Complete: 1, Min: t.Min, EveryPart: true}
+	return Thresholds{Complete: 1, Min: t.Min, AllParts: true}
 }
 
-// Tally sums the weights of a query's parts. Its zero value has none.
+// Tally sums the weights of a query's parts. The zero value has no parts.
 type Tally struct {
 	Answered   float64 // weight of the answered parts
 	pending    float64 // weight of the parts that may still be answered
-	unanswered int     // parts, pending or lost
+	unanswered int     // number of pending and lost parts
 }
 
 // AddAnswered adds an answered part.
@@ -39,34 +39,34 @@
 // AddLost adds a part that will not be answered.
 func (t *Tally) AddLost() { t.unanswered++ }
 
-// Complete reports whether the answered parts make a complete answer.
-func (t *Tally) Complete(at Thresholds) bool {
-	if at.EveryPart {
+// Complete reports whether the answered parts suffice for a complete answer.
+func (t *Tally) Complete(thresholds Thresholds) bool {
+	if thresholds.AllParts {
 		return t.unanswered == 0
 	}
-	return t.Answered >= at.Complete-Slack
+	return t.Answered >= thresholds.Complete-Epsilon
 }
 
-// Enough reports whether the answered parts make an answer, complete or partial.
-func (t *Tally) Enough(at Thresholds) bool {
-	if t.Complete(at) {
+// Enough reports whether the answered parts suffice for a complete or partial answer.
+func (t *Tally) Enough(thresholds Thresholds) bool {
+	if t.Complete(thresholds) {
 		return true
 	}
-	return at.Min < at.Complete && t.Answered >= at.Min-Slack
+	return thresholds.Min < thresholds.Complete && t.Answered >= thresholds.Min-Epsilon
 }
 
 // CannotComplete reports whether too many parts are lost for a complete answer.
-func (t *Tally) CannotComplete(at Thresholds) bool {
-	if at.EveryPart && t.unanswered == 0 {
+func (t *Tally) CannotComplete(thresholds Thresholds) bool {
+	if thresholds.AllParts && t.unanswered == 0 {
 		return false
 	}
-	return t.Answered+t.pending < at.Complete-Slack
+	return t.Answered+t.pending < thresholds.Complete-Epsilon
 }
 
 // CannotAnswer reports whether too many parts are lost for any answer.
-func (t *Tally) CannotAnswer(at Thresholds) bool {
-	if !t.CannotComplete(at) {
+func (t *Tally) CannotAnswer(thresholds Thresholds) bool {
+	if !t.CannotComplete(thresholds) {
 		return false
 	}
-	return at.Min >= at.Complete || t.Answered+t.pending < at.Min-Slack
+	return thresholds.Min >= thresholds.Complete || t.Answered+t.pending < thresholds.Min-Epsilon
 }
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -1,6 +1,6 @@
 package decision
 
-// Deadline admission: queries that would miss their objective are rejected at arrival, before they cost work.
+// Admission control: queries that would miss their objective are rejected on receipt, before they cause work.
 
 import (
 	"math"
@@ -12,33 +12,33 @@
 )
 
 const (
-	// blindDelayRatio is the fraction of the time to the objective that the expected delay may take where
-	// service times have a long half-life: little is seen of each server, and the estimate is often too high
-	// or too low.
-	blindDelayRatio = 0.4
-	// informedDelayRatio is added to blindDelayRatio, divided by the half-life in seconds: with the shortest
-	// one of 1 s the limit is 0.8 of the time to the objective.
-	informedDelayRatio = 0.4
-	// minWeightFactor bounds from below how far a small priority weight narrows the limit: less would reject
-	// what an idle fleet serves at once.
+	// baseDelayRatio is the fraction of the time to the objective that the expected delay may take if the
+	// half-life of service times is long. Then each server is rarely observed, and the expected delay is
+	// often too high or too low.
+	baseDelayRatio = 0.4
+	// freshDelayRatio is divided by the half-life in seconds and added to baseDelayRatio. With the shortest
+	// half-life of 1 s, the limit is 0.8 of the time to the objective.
+	freshDelayRatio = 0.4
+	// minWeightFactor is the strongest reduction of the limit by a small priority weight. A smaller factor
+	// would reject queries that an idle fleet could serve immediately.
 	minWeightFactor = 0.7
-	// missedDelayRatio narrows the limit of queries past their objective where the half-life is long: a
-	// client's retry reaches another broker, which cannot know that it was rejected before.
+	// missedDelayRatio reduces the limit of queries past their objective if the half-life is long. In a large
+	// fleet a client's retry reaches another broker, which does not know of the earlier rejection.
 	missedDelayRatio = 0.3
-	// trialProbability is the probability that a part which would be late is admitted, so that the end of an
-	// overload is noticed at a cost of 3 % of its parts.
+	// trialProbability is the probability of admitting a part that is expected to be late. These trials
+	// detect the end of an overload, at a cost of 3 % of the parts during it.
 	trialProbability = 0.03
 )
 
-// admission is what the admission of a query takes from those before it.
-type admission struct {
+// admissionStats holds statistics of earlier queries and clients that admission uses.
+type admissionStats struct {
 	patience    clientpatience.Estimate // how long clients wait before they disconnect
-	waits       clientpatience.Waits    // longest waits by class, from which retries are recognized
+	waits       clientpatience.Waits    // longest waits by class, used to recognize retries
 	totalWeight float64                 // sum of the priority weights of the queries so far
-	totalParts  float64                 // sum of the parts that complete answers to these need
+	totalParts  float64                 // sum of the parts that complete answers to these queries need
 }
 
-// expectedDelay returns the expected time in seconds until one more part of a shard is answered.
+// expectedDelay returns the expected time in seconds until an additional part of a shard would be answered.
 func (p *Policy) expectedDelay(shard int) float64 {
 	var delay queueing.Delay
 	p.replicaSets.Replicas(shard, func(s *server) {
@@ -52,12 +52,12 @@
 	return delay.Expected()
 }
 
-// delayLimit returns the expected delay in seconds up to which the parts of a query are admitted. A long
-// half-life of service times narrows it, as do a small priority weight and a missed objective.
+// delayLimit returns the maximum expected delay in seconds with which parts of a query are admitted. It is
+// reduced by a long half-life of service times, a small priority weight or a missed objective.
 func (p *Policy) delayLimit(q *query) float64 {
 	left := q.objectiveAt - p.now
 	halfLife := p.fleet.ServiceTime.HalfLife
-	limit := (blindDelayRatio + informedDelayRatio/halfLife) * left
+	limit := (baseDelayRatio + freshDelayRatio/halfLife) * left
 	if !p.settings.WeightByWork && q.class.PriorityWeight > 0 {
 		limit = min(limit*p.weightFactor(q), left)
 	}
@@ -65,14 +65,14 @@
 		return limit * math.Pow(missedDelayRatio, 1-servicetime.MinHalfLife/halfLife)
 	}
 	if p.needsCanary(q) {
-		return left // the canary parts show better whether the others would be late
+		return left // canary parts predict better whether the others would be late
 	}
 	return limit
 }
 
-// weightFactor counts a query's priority weight and returns the factor by which its weight for each part,
-// relative to that of all queries so far, widens or narrows the limit. The square root keeps queries of a
-// small weight from being rejected altogether.
+// weightFactor adds a query's priority weight to the totals and returns a factor for its delay limit: the
+// square root of its weight per part, relative to that of all queries so far. The square root ensures that
+// not all queries of a small weight are rejected.
 func (p *Policy) weightFactor(q *query) float64 {
 	weight := q.class.PriorityWeight
 	parts := q.class.CompletenessThreshold * float64(len(q.parts))
@@ -82,9 +82,9 @@
 	return max(math.Sqrt(relative), minWeightFactor)
 }
 
-// admissionRejects reports, at the arrival of a query, whether it would miss its objective. Parts that would
-// be late are given up, except for a few trials. If the others are enough for an answer, the query is
-// admitted.
+// admissionRejects reports, on receipt of a query, whether to reject it because it would miss its objective.
+// It gives up parts that are expected to be late, except for a few trials, and admits the query if the
+// remaining parts suffice for an answer.
 func (p *Policy) admissionRejects(q *query) bool {
 	limit := p.delayLimit(q)
 	admitted := 0.0
@@ -96,5 +96,5 @@
 		}
 	}
 	needed := min(q.class.MinCompleteness, q.class.CompletenessThreshold)
-	return admitted < needed-completeness.Slack
+	return admitted < needed-completeness.Epsilon
 }
--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -9,53 +9,53 @@
 	"mothrouter/internal/decision"
 )
 
-// All replicas of a shard are slow, by the load of other brokers: few of its queries are admitted, on trial.
+// All replicas of a shard are slow because of the load from other brokers: its queries are rejected, except for a few trials.
 func TestSlowShardIsRejectedDespiteIdleBroker(t *testing.T) {
-	s := settings()
-	s.ReplicaSets = 2
+	cfg := settings()
+	cfg.ReplicaSets = 2
 	list := servers(4)
 	list[2].ReplicaSet, list[3].ReplicaSet = 1, 1
-	r := newRunner(t, s, list...)
+	r := newRunner(t, cfg, list...)
 	rejected := 0
 	for i := range 120 {
 		_, ev := r.query(0, 1)
-		took := 0.05
+		latency := 0.05
 		if i%2 == 1 {
 			pt := ev[1].(decision.Part)
-			pt.Shard, took = 1, 0.9
+			pt.Shard, latency = 1, 0.9
 			ev[1] = pt
 		}
 		out := sends(r.handleAt(r.now+0.5, ev...))
 		if len(out) == 0 && i >= 40 {
 			rejected++
 			if i%2 == 0 {
-				t.Fatal("a query of the quick shard was rejected")
+				t.Fatalf("query %d, of the fast shard, was rejected", i)
 			}
 		}
-		for _, snd := range out {
-			r.handleAt(r.now+took, finished(snd.ID, 0, snd.Server, decision.OK, took))
+		for _, send := range out {
+			r.handleAt(r.now+latency, finished(send.ID, 0, send.Server, decision.OK, latency))
 		}
 	}
 	if rejected < 20 || rejected == 40 {
-		t.Errorf("%d of 40 queries of the slow shard rejected, want most and not all", rejected)
+		t.Errorf("%d of 40 queries of the slow shard rejected, want 20 to 39", rejected)
 	}
 }
 
-// An overload has the queries of all shards rejected. Once it is over only time shows that, since queries of many parts
-// are never admitted part by part on trial.
+// In an overload, queries of all shards are rejected. Its end can only be inferred from the age of the observations, since
+// trials of single parts do not suffice to admit a query of many parts.
 func TestRejectionEndsAfterOverload(t *testing.T) {
 	r := newRunner(t, settings(), servers(120)...)
-	sendAll := func(took float64) (sent bool) { // all of its parts
+	sendAll := func(latency float64) (sent bool) { // reports whether all parts of a query were sent
 		_, ev := r.query(0, 40)
 		out := sends(r.handleAt(r.now+0.5, ev...))
 		n := 0
-		for len(out) > 0 { // those that go ahead, then the others
-			var back []decision.Event
-			for _, snd := range out {
-				back = append(back, finished(snd.ID, 0, snd.Server, decision.OK, took))
+		for len(out) > 0 { // the canary parts, then the others
+			var outcomes []decision.Event
+			for _, send := range out {
+				outcomes = append(outcomes, finished(send.ID, 0, send.Server, decision.OK, latency))
 			}
 			n += len(out)
-			out = sends(r.handleAt(r.now+took, back...))
+			out = sends(r.handleAt(r.now+latency, outcomes...))
 		}
 		return n >= 40
 	}
@@ -64,7 +64,7 @@
 		overloaded = !sendAll(0.95) || overloaded
 	}
 	if !overloaded {
-		t.Fatal("nothing was rejected in the overload")
+		t.Fatal("no query was rejected during the overload")
 	}
 	r.now += 30
 	for range 3 {
@@ -74,49 +74,54 @@
 	}
 }
 
-// Not all queries can be served: those of a larger priority weight for each part have a wider margin. Where the value
-// goes by work, no class comes first.
-func TestPriorityWidensAdmissionMargin(t *testing.T) {
+// If not all queries can be served, queries with a larger priority weight per part have a larger delay limit. With
+// WeightByWork, no class is preferred.
+func TestPriorityWeightRaisesDelayLimit(t *testing.T) {
 	for _, byWork := range []bool{false, true} {
-		s := settings()
-		s.WeightByWork = byWork
-		s.Classes = []decision.Class{
-			{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 1}, {LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 3},
+		cfg := settings()
+		cfg.WeightByWork = byWork
+		cfg.Classes = []decision.Class{
+			{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 1},
+			{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 3},
 		}
-		r := newRunner(t, s, servers(3)...)
+		r := newRunner(t, cfg, servers(3)...)
 		rejected := [2]int{}
 		for i := range 200 {
 			class, parts := i%2, 4-3*(i%2)
 			_, ev := r.query(class, parts)
 			actions := r.handleAt(r.now+0.05, ev...)
-			var done []decision.Event
-			for _, snd := range sends(actions) {
-				done = append(done, finished(snd.ID, 0, snd.Server, decision.OK, 0.9))
+			var outcomes []decision.Event
+			for _, send := range sends(actions) {
+				outcomes = append(outcomes, finished(send.ID, 0, send.Server, decision.OK, 0.9))
 			}
 			if i >= 100 {
 				rejected[class] += len(finalAnswers(actions))
 			}
-			r.handleAt(r.now+0.9, done...)
+			r.handleAt(r.now+0.9, outcomes...)
 		}
 		if byWork && (rejected[0] < 25 || rejected[1] < 25) || !byWork && (rejected[0] < 25 || rejected[1] > rejected[0]/2) {
-			t.Errorf("by work %v: %d of 50 cheap and %d of 50 preferred queries rejected", byWork, rejected[0], rejected[1])
+			t.Errorf("WeightByWork %v: %d of 50 queries of weight 1 and %d of 50 of weight 3 rejected",
+				byWork, rejected[0], rejected[1])
 		}
 	}
 }
 
-// A client that was rejected retries at a broker that does not know of it, after its objective. Served, it earns
-// nothing and takes the capacity for a first try, which kept overloads of hundreds of brokers going. It is recognized by
-// its wait, shorter than that of first tries. It is served where capacity is left, and by a broker that sees much of each
-// server: of few brokers, the one that rejected it meets it again, with a good estimate of the capacity.
-func TestLateRetriesGetNarrowerMargin(t *testing.T) {
-	s := settings()
-	s.Classes[0] = decision.Class{LatencyObjective: 0.4, Deadline: 1.4, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 1}
+// A rejected client retries after its objective, at a broker that does not know of the rejection. To serve the retry has no
+// value and takes capacity from first requests, which prolonged overloads in fleets of hundreds of brokers. Retries are
+// recognized by their remaining wait, which is shorter than that of first requests. They are still served if there is spare
+// capacity, or if the broker observes each server often: with few brokers, the one that rejected the client also receives the
+// retry, and its estimate of the capacity is good.
+func TestLateRetriesGetLowerDelayLimit(t *testing.T) {
+	cfg := settings()
+	cfg.Classes[0] = decision.Class{
+		LatencyObjective: 0.4, Deadline: 1.4, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 1,
+	}
 	for _, c := range []struct {
 		servers               int
 		serviceTime, patience float64
 		served                bool
 	}{{20, 0.12, 1.1, true}, {20, 0.12, 0.5, false}, {20, 0.01, 0.5, true}, {2, 0.12, 0.5, true}} {
-		r := newRunner(t, s, servers(c.servers)...)
+		r := newRunner(t, cfg, servers(c.servers)...)
 		served := 0
 		for i := range 200 {
 			_, ev := r.query(0, 1)
@@ -125,9 +130,9 @@
 				q.Deadline = r.now + c.patience
 			}
 			ev[0] = q
-			for _, snd := range sends(r.handleAt(r.now+0.1, ev...)) {
+			for _, send := range sends(r.handleAt(r.now+0.1, ev...)) {
 				r.now += c.serviceTime
-				r.handle(finished(snd.ID, 0, snd.Server, decision.OK, c.serviceTime))
+				r.handle(finished(send.ID, 0, send.Server, decision.OK, c.serviceTime))
 				if i >= 100 {
 					served++
 				}
@@ -140,53 +145,54 @@
 	}
 }
 
-// Clients that disconnect sooner than parts take cannot be served, and the others must not be rejected for them.
-func TestImmediateDisconnectsSetNoObjective(t *testing.T) {
+// Clients that disconnect before parts can be answered cannot be served. They must not cause queries of other clients to be
+// rejected.
+func TestImmediateDisconnectsDoNotShortenObjective(t *testing.T) {
 	r := newRunner(t, settings(), servers(3)...)
 	r.answerQueries(40, 0.05)
 	for range 12 {
 		id, ev := r.query(0, 1)
 		out := sends(r.handle(ev...))
 		if len(out) != 1 {
-			t.Fatal("a query was rejected for the clients that left before")
+			t.Fatalf("%d parts sent after immediate disconnects of earlier clients, want 1", len(out))
 		}
 		r.handleAt(r.now+0.001, decision.ClientDisconnected{ID: id}, finished(out[0].ID, 0, out[0].Server, decision.Cancelled, 0.001))
 		r.now += 4
 	}
 	_, ev := r.query(0, 1)
 	if out := r.handle(ev...); len(finalAnswers(out)) != 0 || len(sends(out)) != 1 {
-		t.Errorf("%v, want the part sent", out)
+		t.Errorf("actions %v, want one Send and no final answer", out)
 	}
 }
 
-// rejectedAt sends a query at the rig's time, answers none of its parts and returns when it was given up, to the
-// millisecond, by the clock of the runner. Other events may come in between.
+// rejectedAt advances the time in steps of 1 ms until the Policy rejects a query, and returns that time. It passes no events.
+// The test fails if the query is still open at until.
 func (r *runner) rejectedAt(id decision.RequestID, until float64) (ended float64) {
 	for ; r.now < until; r.now += 0.001 {
 		for _, a := range finalAnswers(r.handle()) {
-			if f, ok := a.(decision.Reject); ok && f.ID == id {
+			if reject, ok := a.(decision.Reject); ok && reject.ID == id {
 				return r.now
 			}
 		}
 	}
-	r.t.Fatalf("query %d is open at %g", id, r.now)
+	r.t.Fatalf("query %d is still open at %g s, want it rejected", id, r.now)
 	return 0
 }
 
-// A change of the latency objective holds for queries received from then on. An open query keeps its own.
+// A changed latency objective applies to queries received from then on. An open query keeps its objective.
 func TestClassesChangedKeepsOpenQueriesObjectives(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		old, new float64
-	}{{"a shorter aim", 1, 0.4}, {"a longer aim", 0.4, 1}} {
+	}{{"shorter objective", 1, 0.4}, {"longer objective", 0.4, 1}} {
 		t.Run(c.name, func(t *testing.T) {
-			s := settings()
-			s.Classes[0].LatencyObjective = c.old
-			r := newRunner(t, s, servers(3)...)
+			cfg := settings()
+			cfg.Classes[0].LatencyObjective = c.old
+			r := newRunner(t, cfg, servers(3)...)
 			start := r.now
 			before, events := r.query(0, 1)
 			require.Len(t, sends(r.handle(events...)), 1)
-			classes := slices.Clone(s.Classes)
+			classes := slices.Clone(cfg.Classes)
 			classes[0].LatencyObjective = c.new
 			after, events := r.query(0, 1)
 			events = append([]decision.Event{decision.ClassesChanged{Classes: classes}}, events...)
@@ -200,18 +206,18 @@
 			ends[second] = r.rejectedAt(second, start+2)
 			require.InDelta(t, start+c.old, ends[before], 0.03)
 			require.InDelta(t, start+c.new, ends[after], 0.03)
-			require.Equal(t, c.old, s.Classes[0].LatencyObjective, "the classes of the start were written to")
+			require.Equal(t, c.old, cfg.Classes[0].LatencyObjective, "the classes passed to New were modified")
 		})
 	}
 }
 
-// Waits of clients under a long deadline do not count under a short one: each query would otherwise pass for a retry,
-// of which a broker that sees little rejects more.
-func TestClassesChangedMakesNoQueryARetry(t *testing.T) {
-	taken := func(configured bool) (sent int) {
-		s := settings()
-		s.Classes[0] = decision.Class{LatencyObjective: 0.1, Deadline: 8, CompletenessThreshold: 1, MinCompleteness: 1}
-		r := newRunner(t, s, servers(3)...)
+// Client waits that were observed under a long deadline are discarded when a shorter deadline is configured. Otherwise every
+// query would be taken for a retry, and a broker that rarely observes its servers rejects many retries.
+func TestClassesChangedDiscardsClientWaits(t *testing.T) {
+	sendsOf200 := func(changed bool) (sent int) {
+		cfg := settings()
+		cfg.Classes[0] = decision.Class{LatencyObjective: 0.1, Deadline: 8, CompletenessThreshold: 1, MinCompleteness: 1}
+		r := newRunner(t, cfg, servers(3)...)
 		id, events := r.query(0, 1)
 		q := events[0].(decision.Query)
 		q.Deadline = r.now + 8
@@ -220,24 +226,26 @@
 		r.now += 0.04
 		r.handle(finished(id+1, 0, out[0].Server, decision.OK, 0.04))
 		r.now += 20
-		if configured {
-			r.handle(decision.ClassesChanged{Classes: []decision.Class{{LatencyObjective: 0.1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}}})
+		if changed {
+			r.handle(decision.ClassesChanged{Classes: []decision.Class{
+				{LatencyObjective: 0.1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1},
+			}})
 		}
 		for range 200 {
-			r.now += 2 // so that little is seen of the fleet
+			r.now += 2 // so that observations are rare
 			id, events := r.query(0, 1)
 			q := events[0].(decision.Query)
 			q.Deadline = r.now + 1
 			events[0] = q
 			out := sends(r.handle(events...))
 			sent += len(out)
-			for _, s := range out {
+			for _, send := range out {
 				r.now += 0.04
-				r.handle(finished(id+1, 0, s.Server, decision.OK, 0.04))
+				r.handle(finished(id+1, 0, send.Server, decision.OK, 0.04))
 			}
 		}
 		return sent
 	}
-	require.Greater(t, taken(true), 190)
-	require.Less(t, taken(false), 150, "the case does not show the difference")
+	require.Greater(t, sendsOf200(true), 190)
+	require.Less(t, sendsOf200(false), 150, "the scenario does not distinguish discarded from kept waits")
 }
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -1,14 +1,15 @@
 package decision
 
-// Attempts of parts: when one is allowed, sent and cancelled.
+// Attempts of parts: whether one is allowed, and how attempts are sent and cancelled.
 
 import "mothrouter/internal/completeness"
 
-// slowStartPoll is in seconds: a part that no replica may take yet is drawn again after that time, four
-// ticks. A server that rejected an attempt is not drawn again for the same part sooner either.
+// slowStartPoll is in seconds. If no replica may take a part, selection is repeated after this time, which is
+// four ticks. It is also the minimum time between two attempts of a part at the same server, which may have
+// rejected the first one.
 const slowStartPoll = 0.02
 
-// mayAttempt reports whether the settings and the class allow one more attempt of a part now.
+// mayAttempt reports whether the settings and the class allow another attempt of a part now.
 func (p *Policy) mayAttempt(pt *part) bool {
 	if pt.answered || pt.givenUp {
 		return false
@@ -28,29 +29,30 @@
 	return true
 }
 
-// mayExecuteAgain reports whether a part may be executed again after an attempt that may have run.
+// mayExecuteAgain reports whether a part may be executed again after an attempt that may have been executed.
 func (p *Policy) mayExecuteAgain(class *Class, a *attempt) bool {
 	switch class.Idempotency {
 	case NonIdempotent:
 		return false
 	case IdempotentWithKey:
-		return p.now <= a.sentAt+class.IdempotencyWindow-edgeSlack
+		return p.now <= a.sentAt+class.IdempotencyWindow-windowMargin
 	default:
 		return true
 	}
 }
 
-// sendParts sends the parts that are due, until those answered and in flight would make a complete answer.
+// sendParts sends the parts that are due, until answered parts and parts in flight suffice for a complete
+// answer.
 func (p *Policy) sendParts(q *query, answered float64) {
 	p.drawRound++
 	stride := p.canaryStride(q, answered)
-	if stride == sendNoPart {
+	if stride == rejectStride {
 		p.rejectOrFail(q)
 		return
 	}
 	expected := answered
-	usual := p.fleet.Latencies[q.Class].Quantile(usualQuantile)
-	needed := q.class.CompletenessThreshold - completeness.Slack
+	tailLatency := p.fleet.Latencies[q.Class].Quantile(tailQuantile)
+	needed := q.class.CompletenessThreshold - completeness.Epsilon
 	for i := 0; i < len(q.parts); i += stride {
 		pt := q.parts[i]
 		if pt.answered || pt.givenUp {
@@ -59,29 +61,29 @@
 		if q.phase == firstPhase && expected >= needed {
 			return
 		}
-		if p.sendPart(pt, usual) {
+		if p.sendPart(pt, tailLatency) {
 			expected += pt.Weight
 		}
 	}
 }
 
 // sendPart sends an attempt of a part if one is due, and reports whether the part is expected to be answered
-// without a further one. The usual latency of the class is in seconds.
-func (p *Policy) sendPart(pt *part, usual float64) bool {
-	stalled := pt.live > 0 && p.isStalled(pt, usual)
+// without a further attempt. tailLatency is that of the class, in seconds.
+func (p *Policy) sendPart(pt *part, tailLatency float64) bool {
+	stalled := pt.live > 0 && p.isStalled(pt, tailLatency)
 	if stalled && !p.settings.HedgingAllowed {
-		p.cancelAttempts(pt) // the next attempt is sent when this one has ended
+		p.cancelAttempts(pt) // the retry is sent once the outcome of this attempt is known
 	}
-	hedges := stalled && p.settings.HedgingAllowed
-	if pt.live > 0 && !hedges {
-		return p.isAwaited(pt, usual)
+	shouldHedge := stalled && p.settings.HedgingAllowed
+	if pt.live > 0 && !shouldHedge {
+		return p.isAwaited(pt, tailLatency)
 	}
 	if !p.mayAttempt(pt) {
 		return false
 	}
 	isFirstInFlight := pt.live == 0
 	if p.settings.MaxPartsPerCall <= 1 || len(pt.attempts) > 0 {
-		p.drawRound++ // the part shares no call: its draw is independent of the others
+		p.drawRound++ // this part shares no call, so its draw is independent
 	}
 	s := p.drawReplica(pt)
 	if s == nil {
@@ -92,17 +94,17 @@
 	return isFirstInFlight
 }
 
-// isAwaited reports whether a part in flight is expected to be answered without another part in its place.
-// Where every part is needed, there is none.
-func (p *Policy) isAwaited(pt *part, usual float64) bool {
-	needsAll := pt.query.class.CompletenessThreshold > 1-completeness.Slack
+// isAwaited reports whether a part in flight is expected to be answered in time, so that no other part needs
+// to be sent as a substitute. If every part is needed, there are no substitutes.
+func (p *Policy) isAwaited(pt *part, tailLatency float64) bool {
+	needsAll := pt.query.class.CompletenessThreshold > 1-completeness.Epsilon
 	if needsAll || pt.query.phase == secondPhase {
 		return true
 	}
-	return !p.isSlow(pt, usual)
+	return !p.isSlow(pt, tailLatency)
 }
 
-// send starts an attempt of a part and adds it to those in flight at the server.
+// send starts an attempt of a part at a server.
 func (p *Policy) send(pt *part, s *server) {
 	if len(pt.attempts) > 0 {
 		p.retryBudget.Retry(p.now)
@@ -122,7 +124,7 @@
 	p.emit(Send{ID: pt.ID, Server: s.ID, Timeout: pt.query.expiresAt - p.now})
 }
 
-// cancelAttempts cancels the attempts of a part that are in flight, if the settings allow it.
+// cancelAttempts cancels the attempts of a part in flight, if the settings allow cancellation.
 func (p *Policy) cancelAttempts(pt *part) {
 	if !p.settings.CancelAllowed {
 		return
--- a/internal/decision/attempts_test.go
+++ b/internal/decision/attempts_test.go
@@ -6,59 +6,59 @@
 	"mothrouter/internal/decision"
 )
 
-func TestRetriesFollowIdempotency(t *testing.T) {
+func TestRetriesRespectIdempotency(t *testing.T) {
 	cases := []struct {
 		name        string
 		idempotency decision.Idempotency
 		status      decision.Status
 		after       float64 // time from the send to the outcome
 		retried     bool
-		rejects     bool // the final answer may be a rejection
+		rejects     bool // the final answer is a Reject, else a Fail
 	}{
-		{"unsafe, never ran", decision.NonIdempotent, decision.Overloaded, 0.1, true, true},
-		{"unsafe, no connection", decision.NonIdempotent, decision.Unreachable, 0.1, true, true},
-		{"unsafe, not sent", decision.NonIdempotent, decision.NotSent, 0.1, true, true},
-		{"unsafe, error", decision.NonIdempotent, decision.Error, 0.1, false, false},
-		{"unsafe, reset", decision.NonIdempotent, decision.Reset, 0.1, false, false},
-		{"unsafe, timed out", decision.NonIdempotent, decision.TimedOut, 0.1, false, false},
-		{"unsafe, cancelled", decision.NonIdempotent, decision.Cancelled, 0.1, false, false},
-		{"keyed, within its window", decision.IdempotentWithKey, decision.Error, 0.29, true, false},
-		{"keyed, past its window", decision.IdempotentWithKey, decision.Error, 0.31, false, false},
-		{"keyed, never ran", decision.IdempotentWithKey, decision.Unreachable, 0.31, true, true},
-		{"safe", decision.Idempotent, decision.Error, 0.31, true, true},
+		{"non-idempotent, overloaded", decision.NonIdempotent, decision.Overloaded, 0.1, true, true},
+		{"non-idempotent, unreachable", decision.NonIdempotent, decision.Unreachable, 0.1, true, true},
+		{"non-idempotent, not sent", decision.NonIdempotent, decision.NotSent, 0.1, true, true},
+		{"non-idempotent, error", decision.NonIdempotent, decision.Error, 0.1, false, false},
+		{"non-idempotent, reset", decision.NonIdempotent, decision.Reset, 0.1, false, false},
+		{"non-idempotent, timed out", decision.NonIdempotent, decision.TimedOut, 0.1, false, false},
+		{"non-idempotent, cancelled", decision.NonIdempotent, decision.Cancelled, 0.1, false, false},
+		{"idempotent with key, error within the window", decision.IdempotentWithKey, decision.Error, 0.29, true, false},
+		{"idempotent with key, error after the window", decision.IdempotentWithKey, decision.Error, 0.31, false, false},
+		{"idempotent with key, unreachable after the window", decision.IdempotentWithKey, decision.Unreachable, 0.31, true, true},
+		{"idempotent, error", decision.Idempotent, decision.Error, 0.31, true, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := settings()
-			s.Classes[0].Idempotency, s.Classes[0].IdempotencyWindow = c.idempotency, 0.3
-			r := newRunner(t, s, servers(2)...)
+			cfg := settings()
+			cfg.Classes[0].Idempotency, cfg.Classes[0].IdempotencyWindow = c.idempotency, 0.3
+			r := newRunner(t, cfg, servers(2)...)
 			_, ev := r.query(0, 1)
 			first := sends(r.handle(ev...))[0]
 			got := r.handleAt(r.now+c.after, finished(first.ID, 0, first.Server, c.status, c.after))
-			if again := len(sends(got)) == 1; again != c.retried {
-				t.Fatalf("sent again: %v, want %v", again, c.retried)
+			if retried := len(sends(got)) == 1; retried != c.retried {
+				t.Fatalf("retried: %v, want %v", retried, c.retried)
 			}
 			n := 1
 			for len(finalAnswers(got)) == 0 {
-				again := sends(got)
-				if len(again) != 1 || n > 3 {
-					t.Fatalf("neither a send nor a final answer: %v", got)
+				retries := sends(got)
+				if len(retries) != 1 || n > 3 {
+					t.Fatalf("actions %v after attempt %d, want one Send or a final answer", got, n)
 				}
-				got = r.handleAt(r.now+0.01, finished(again[0].ID, n, again[0].Server, c.status, 0.01))
+				got = r.handleAt(r.now+0.01, finished(retries[0].ID, n, retries[0].Server, c.status, 0.01))
 				n++
 			}
 			_, rejected := finalAnswers(got)[0].(decision.Reject)
 			if rejected != c.rejects {
-				t.Errorf("final answer %v, want a rejection: %v", finalAnswers(got)[0], c.rejects)
+				t.Errorf("final answer %v, want Reject: %v", finalAnswers(got)[0], c.rejects)
 			}
 		})
 	}
 }
 
-func TestNonIdempotentQueryInFlightFailsAtItsEnd(t *testing.T) {
-	s := settings()
-	s.Classes[0].Idempotency = decision.NonIdempotent
-	r := newRunner(t, s, servers(2)...)
+func TestNonIdempotentQueryInFlightFailsAtObjective(t *testing.T) {
+	cfg := settings()
+	cfg.Classes[0].Idempotency = decision.NonIdempotent
+	r := newRunner(t, cfg, servers(2)...)
 	_, ev := r.query(0, 1)
 	r.handle(ev...)
 	got := finalAnswers(r.handleAt(r.now + 1.5))
@@ -66,14 +66,14 @@
 		t.Fatalf("final answers %v, want one", got)
 	}
 	if _, ok := got[0].(decision.Fail); !ok {
-		t.Errorf("final answer %T, want Fail: the part may have run", got[0])
+		t.Errorf("final answer %T, want Fail, since the part may have been executed", got[0])
 	}
 }
 
 func TestRetryBudgetHoldsInEveryWindow(t *testing.T) {
-	s := settings()
-	s.RetryBudget.Enabled, s.RetryBudget.Min, s.RetryBudget.Ratio, s.RetryBudget.Window = true, 2, 0.25, 1
-	r := newRunner(t, s, servers(3)...)
+	cfg := settings()
+	cfg.RetryBudget.Enabled, cfg.RetryBudget.Min, cfg.RetryBudget.Ratio, cfg.RetryBudget.Window = true, 2, 0.25, 1
+	r := newRunner(t, cfg, servers(3)...)
 	var requests, retries []float64
 	var queue []decision.Send
 	for range 400 {
@@ -81,31 +81,32 @@
 		requests = append(requests, r.now, r.now)
 		queue = append(queue, sends(r.handle(ev...))...)
 		for len(queue) > 0 {
-			snd := queue[0]
-			if r.attempts[snd.ID] > 0 {
+			send := queue[0]
+			if r.attempts[send.ID] > 0 {
 				retries = append(retries, r.now)
 			}
-			r.attempts[snd.ID]++
+			r.attempts[send.ID]++
 			queue = append(queue[1:],
-				sends(r.handle(finished(snd.ID, r.attempts[snd.ID]-1, snd.Server, decision.Error, 0)))...)
+				sends(r.handle(finished(send.ID, r.attempts[send.ID]-1, send.Server, decision.Error, 0)))...)
 		}
-		queue = sends(r.handleAt(r.now + 0.0625)) // a sixteenth: sixteen steps are exactly one window
+		queue = sends(r.handleAt(r.now + 0.0625)) // 1/16 s, so that 16 steps are exactly one window
 	}
 	if len(retries) < 50 {
-		t.Fatalf("only %d retries: the budget is not used", len(retries))
+		t.Fatalf("%d retries, want at least 50, so that the budget limits them", len(retries))
 	}
 	for i, at := range retries {
-		in := func(list []float64) (n int) {
-			for _, x := range list {
-				if x > at-s.RetryBudget.Window && x <= at {
+		countInWindow := func(times []float64) (n int) {
+			for _, sentAt := range times {
+				if sentAt > at-cfg.RetryBudget.Window && sentAt <= at {
 					n++
 				}
 			}
 			return n
 		}
-		used := in(retries[:i+1])
-		if allowed := float64(s.RetryBudget.Min) + s.RetryBudget.Ratio*float64(in(requests)); float64(used) > allowed {
-			t.Fatalf("at %g: %d retries in the window, allowed %g", at, used, allowed)
+		used := countInWindow(retries[:i+1])
+		allowed := float64(cfg.RetryBudget.Min) + cfg.RetryBudget.Ratio*float64(countInWindow(requests))
+		if float64(used) > allowed {
+			t.Fatalf("at %g s: %d retries in the window, want at most %g", at, used, allowed)
 		}
 	}
 }
--- a/internal/decision/bench_test.go
+++ b/internal/decision/bench_test.go
@@ -8,37 +8,39 @@
 	"mothrouter/internal/decision"
 )
 
-// The sizes of the benchmarks, up to the 4,600 record servers of the operators' target.
+// benchmarkSizes are numbers of record servers, up to the operators' target of 4,600.
 var benchmarkSizes = []int{200, 500, 1000, 2300, 4600}
 
 const (
 	benchmarkZones  = 10
-	benchmarkParts  = 300   // parts of a query at the target
+	benchmarkParts  = 300   // parts of a query at the target size
 	benchmarkGap    = 0.003 // seconds between batches
-	benchmarkReply  = 0.02  // seconds that a part takes
+	benchmarkReply  = 0.02  // latency of a part in seconds
 	benchmarkWarmUp = 40    // queries before the measurement
 )
 
-// benchmarkFleet is a broker that knows a fleet of the target's shape.
+// benchmarkFleet is the Policy of a broker, and a fleet with the zones and replica sets of the operators' target.
 type benchmarkFleet struct {
 	policy       *decision.Policy
 	list         []decision.Server
 	now          float64
-	next         decision.RequestID
+	lastID       decision.RequestID // ID of the latest query
 	random       *rand.Rand
-	failureRatio float64 // share of the parts that a server answers with an error
-	failure      decision.Status
-	send         []decision.Event
+	failureRatio float64          // fraction of attempts that fail
+	failure      decision.Status  // status of failed attempts
+	events       []decision.Event // buffer for the events of a query, reused
 }
 
 func newBenchmarkFleet(size int, failureRatio float64, change func(*decision.Settings)) *benchmarkFleet {
-	s := settings()
-	s.Brokers, s.ReplicaSets, s.ReplicationFactor, s.ReportMode = 590, size, 3, decision.ReportPiggyback
-	s.Classes = []decision.Class{{LatencyObjective: 0.24, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 0.8, PriorityWeight: 1}}
+	cfg := settings()
+	cfg.Brokers, cfg.ReplicaSets, cfg.ReplicationFactor, cfg.ReportMode = 590, size, 3, decision.ReportPiggyback
+	cfg.Classes = []decision.Class{
+		{LatencyObjective: 0.24, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 0.8, PriorityWeight: 1},
+	}
 	if change != nil {
-		change(&s)
+		change(&cfg)
 	}
-	f := &benchmarkFleet{policy: decision.New(s, 7), now: 1000, random: rand.New(rand.NewPCG(uint64(size), 1)),
+	f := &benchmarkFleet{policy: decision.New(cfg, 7), now: 1000, random: rand.New(rand.NewPCG(uint64(size), 1)),
 		failureRatio: failureRatio, failure: decision.Error}
 	for i := range size {
 		f.list = append(f.list, decision.Server{ID: fmt.Sprint("server-", i), ReplicaSet: i, Zone: i % benchmarkZones})
@@ -50,30 +52,32 @@
 	return f
 }
 
-// query takes a query of 300 parts and hands in its answers one a batch, as they come from different connections.
+// query runs a query of 300 parts and passes each outcome in a batch of its own, as outcomes arrive on different connections.
 func (f *benchmarkFleet) query() {
 	size := len(f.list)
-	f.next += 1000
+	f.lastID += 1000
 	f.now += benchmarkGap
-	events := append(f.send[:0], decision.Query{ID: f.next, Number: int64(f.next), Parts: benchmarkParts,
+	events := append(f.events[:0], decision.Query{ID: f.lastID, Number: int64(f.lastID), Parts: benchmarkParts,
 		Deadline: f.now + 2})
 	for i := range benchmarkParts {
-		events = append(events, decision.Part{ID: f.next + 1 + decision.RequestID(i), QueryNumber: int64(f.next),
+		events = append(events, decision.Part{ID: f.lastID + 1 + decision.RequestID(i), QueryNumber: int64(f.lastID),
 			Shard: f.random.IntN(size), Weight: 1.0 / benchmarkParts})
 	}
-	f.send = events
+	f.events = events
 	out := sends(f.policy.Handle(f.now, events))
 	f.now += benchmarkReply
 	for len(out) > 0 {
 		send := out[0]
 		f.now += 0.00002
-		end := decision.AttemptFinished{ID: send.ID, Server: send.Server, Status: decision.OK, Latency: benchmarkReply, PartConcluded: true,
-			LoadReport: decision.LoadReport{InFlight: 1, QueueLength: 1, Utilization: 0.5, Latency: 0.02, Rate: 10}}
+		outcome := decision.AttemptFinished{
+			ID: send.ID, Server: send.Server, Status: decision.OK, Latency: benchmarkReply, PartConcluded: true,
+			LoadReport: decision.LoadReport{InFlight: 1, QueueLength: 1, Utilization: 0.5, Latency: 0.02, Rate: 10},
+		}
 		if f.random.Float64() < f.failureRatio {
-			end.Status, end.PartConcluded = f.failure, false
+			outcome.Status, outcome.PartConcluded = f.failure, false
 		}
-		for _, more := range sends(f.policy.Handle(f.now, []decision.Event{end})) {
-			if more.ID == send.ID { // its next attempt is not answered
+		for _, more := range sends(f.policy.Handle(f.now, []decision.Event{outcome})) {
+			if more.ID == send.ID { // retries get no outcome
 				continue
 			}
 			out = append(out, more)
@@ -82,6 +86,7 @@
 	}
 }
 
+// benchmarkEach runs a benchmark for each fleet size.
 func benchmarkEach(b *testing.B, run func(b *testing.B, size int)) {
 	for _, size := range benchmarkSizes {
 		b.Run(fmt.Sprintf("servers=%d", size), func(b *testing.B) {
@@ -91,8 +96,8 @@
 	}
 }
 
-// idle measures batches without events.
-func idle(f *benchmarkFleet) func(b *testing.B) {
+// benchmarkIdle measures batches without events.
+func benchmarkIdle(f *benchmarkFleet) func(b *testing.B) {
 	return func(b *testing.B) {
 		for b.Loop() {
 			f.now += benchmarkGap
@@ -101,23 +106,23 @@
 	}
 }
 
-// A batch without events where no attempt has ever failed.
+// Batches without events while no attempt has failed.
 func BenchmarkBatchHealthy(b *testing.B) {
-	benchmarkEach(b, func(b *testing.B, size int) { idle(newBenchmarkFleet(size, 0, nil))(b) })
+	benchmarkEach(b, func(b *testing.B, size int) { benchmarkIdle(newBenchmarkFleet(size, 0, nil))(b) })
 }
 
-// A batch without events after one attempt in a thousand failed: all servers have marks.
+// Batches without events after 0.1 % of the attempts failed, so that servers have nonzero failure ratios.
 func BenchmarkBatchFewErrors(b *testing.B) {
-	benchmarkEach(b, func(b *testing.B, size int) { idle(newBenchmarkFleet(size, 1e-3, nil))(b) })
+	benchmarkEach(b, func(b *testing.B, size int) { benchmarkIdle(newBenchmarkFleet(size, 1e-3, nil))(b) })
 }
 
-// A query of 300 parts and its answers, each in a batch of its own: 301 batches.
+// Queries of 300 parts, with each outcome in a batch of its own: 301 batches per query.
 func BenchmarkQueryHealthy(b *testing.B) { benchmarkQuery(b, 0) }
 
-// The same where one attempt in a thousand fails.
+// Queries of which 0.1 % of the attempts fail.
 func BenchmarkQueryFewErrors(b *testing.B) { benchmarkQuery(b, 1e-3) }
 
-// The same where one attempt in a hundred fails.
+// Queries of which 1 % of the attempts fail.
 func BenchmarkQueryManyErrors(b *testing.B) { benchmarkQuery(b, 1e-2) }
 
 func benchmarkQuery(b *testing.B, failureRatio float64) {
@@ -130,23 +135,23 @@
 	})
 }
 
-// An endpoint update of one entry.
-func BenchmarkListEntry(b *testing.B) {
+// Endpoint updates of one entry.
+func BenchmarkEndpointUpdate(b *testing.B) {
 	benchmarkEach(b, func(b *testing.B, size int) {
 		f := newBenchmarkFleet(size, 0, nil)
 		for b.Loop() {
-			e := &f.list[f.random.IntN(size)]
-			e.State = decision.Draining - e.State
+			entry := &f.list[f.random.IntN(size)]
+			entry.State = decision.Draining - entry.State
 			f.now += benchmarkGap
-			f.policy.Handle(f.now, []decision.Event{decision.EndpointUpdate{Servers: []decision.Server{*e}}})
+			f.policy.Handle(f.now, []decision.Event{decision.EndpointUpdate{Servers: []decision.Server{*entry}}})
 		}
 	})
 }
 
-// A query while half of the attempts are rejected and servers are checked.
-func BenchmarkQueryWhileProbing(b *testing.B) {
+// Queries while half of the attempts are refused, so that idle servers are health-checked.
+func BenchmarkQueryDuringHealthChecks(b *testing.B) {
 	benchmarkEach(b, func(b *testing.B, size int) {
-		f := newBenchmarkFleet(size, 0, func(s *decision.Settings) { s.HealthChecksAllowed = true })
+		f := newBenchmarkFleet(size, 0, func(cfg *decision.Settings) { cfg.HealthChecksAllowed = true })
 		f.failureRatio, f.failure = 0.5, decision.Unreachable
 		for range 5 {
 			f.query()
@@ -158,15 +163,15 @@
 	})
 }
 
-// A query where retries are limited by a ratio of the requests of 10 s, at 41,700 parts a second.
-func BenchmarkQueryWithBudget(b *testing.B) {
+// Queries with a retry budget in proportion to the requests of the last 10 s, at 41,700 parts per second.
+func BenchmarkQueryWithRetryBudget(b *testing.B) {
 	benchmarkEach(b, func(b *testing.B, size int) {
-		f := newBenchmarkFleet(size, 0, func(s *decision.Settings) {
-			s.RetryBudget.Enabled, s.RetryBudget.Min, s.RetryBudget.Ratio, s.RetryBudget.Window = true, 10, 0.1, 10
+		f := newBenchmarkFleet(size, 0, func(cfg *decision.Settings) {
+			cfg.RetryBudget.Enabled, cfg.RetryBudget.Min, cfg.RetryBudget.Ratio, cfg.RetryBudget.Window = true, 10, 0.1, 10
 		})
 		f.now += 20
 		const entries = 41_700 * 10
-		for i := range entries / benchmarkParts { // fills the window
+		for i := range entries / benchmarkParts { // fill the window of the budget
 			f.policy.Handle(f.now+float64(i)*benchmarkParts/41_700, rejectedQuery(benchmarkParts))
 		}
 		f.now += 10 - 0.001
@@ -178,7 +183,7 @@
 	})
 }
 
-// rejectedQuery is a query that is rejected at once, with parts that count as requests of the retry budget.
+// rejectedQuery returns a query of an unknown class, which is rejected. Its parts still count as requests for the retry budget.
 func rejectedQuery(parts int) []decision.Event {
 	events := []decision.Event{decision.Query{ID: 1, Number: 1, Class: -1}}
 	for range parts {
@@ -187,8 +192,8 @@
 	return events
 }
 
-// The batch that computes the fitness of all servers, each 10 s.
-func BenchmarkRebuild(b *testing.B) {
+// Batches that compute the fitness of all servers, which are due every 10 s.
+func BenchmarkComputeFitness(b *testing.B) {
 	benchmarkEach(b, func(b *testing.B, size int) {
 		f := newBenchmarkFleet(size, 0, nil)
 		for b.Loop() {
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -1,6 +1,6 @@
 package decision
 
-// The endpoint list: which servers are known, which of them hold a shard, and when the list is polled.
+// The endpoint list: the known servers, the replicas of each shard, and the polling of the list.
 
 import (
 	"maps"
@@ -12,28 +12,29 @@
 )
 
 const (
-	// pollBackoff is in seconds and doubles with each failed poll in a row: 1 s after the first one, so that
-	// a single lost reply costs little.
+	// pollBackoff is in seconds and doubles with each consecutive failed poll: to 1 s after the first one, so
+	// that a single lost reply causes little delay.
 	pollBackoff = 0.5
-	// maxPollDoublings bounds the backoff at 0.5 s * 2^5 = 16 s.
+	// maxPollDoublings limits the backoff to 0.5 s * 2^5 = 16 s.
 	maxPollDoublings = 5
-	// maxBackoffsPerInterval is how many of the longest backoffs fit into Settings.PollInterval: three polls
-	// may fail before the list is older than the operators allow.
+	// maxBackoffsPerInterval further limits the backoff to a third of Settings.PollInterval: three polls may
+	// fail before the list is older than the operator allows.
 	maxBackoffsPerInterval = 3
-	// minPollInterval is in seconds: a poll without any reply, not even a failure, is repeated no sooner.
+	// minPollInterval is in seconds. A poll that receives no reply at all, not even a failure, is repeated no
+	// sooner than that.
 	minPollInterval = 1.0
 )
 
-// endpoints holds the servers on the endpoint list, and those off it whose attempts are still in flight.
+// endpoints holds the servers on the endpoint list, and removed servers with attempts still in flight.
 type endpoints struct {
 	servers     []*server                  // in the order in which they were first listed
-	byID        map[string]*server         // looked up, never iterated: its order is random
-	replicaSets replicasets.Index[*server] // servers that are ready or draining, by replica set
-	removed     []*server                  // off the list, with attempts in flight
-	warmingUp   []*server                  // those with slowStart.warming set
-	lastNumber  int                        // number of the newest server
-	pollAt      float64                    // time of the next poll; +Inf: subscribed, or not polled
-	failedPolls int                        // failed polls in a row
+	serversByID map[string]*server         // for lookup only, since iteration order is random
+	replicaSets replicasets.Index[*server] // ready and draining servers, by replica set
+	removed     []*server                  // removed from the list, with attempts in flight
+	warmingUp   []*server                  // servers with slowStart.warming set
+	lastOrdinal int                        // ordinal of the most recently added server
+	pollAt      float64                    // time of the next poll; +Inf: subscribed, or polling is off
+	failedPolls int                        // consecutive failed polls
 }
 
 func (p *Policy) onEndpointUpdate(update EndpointUpdate) {
@@ -58,7 +59,8 @@
 	p.forgetRemoved()
 }
 
-// markAllRemoved marks all servers removed before a complete list is applied, which names those that stay.
+// markAllRemoved marks all servers as removed before a complete list is applied, which sets the state of
+// those that remain.
 func (p *Policy) markAllRemoved() {
 	for _, s := range p.servers {
 		s.State = Removed
@@ -66,7 +68,7 @@
 	p.replicaSets.Clear()
 }
 
-// indexRemoved indexes the servers that a complete list did not name.
+// indexRemoved indexes the servers that a complete list did not contain.
 func (p *Policy) indexRemoved() {
 	for _, s := range p.servers {
 		if s.State == Removed {
@@ -75,8 +77,8 @@
 	}
 }
 
-// backOffPolls schedules the next poll after a failed one, later after each further failure, so that polls do
-// not add to the load of a failing directory.
+// backOffPolls schedules the next poll after a failed one, with exponential backoff, so that polls do not add
+// to the load on a failing discovery service.
 func (p *Policy) backOffPolls() {
 	p.failedPolls++
 	if !p.settings.PollEndpoints {
@@ -87,10 +89,10 @@
 	p.pollAt = p.now + min(backoff, p.settings.PollInterval/maxBackoffsPerInterval)
 }
 
-// updateServer applies one entry of the list.
+// updateServer applies one entry of an endpoint update.
 func (p *Policy) updateServer(entry Server) {
-	entry.Zone = max(entry.Zone, 0) // zones index the failure ratios by zone
-	s := p.byID[entry.ID]
+	entry.Zone = max(entry.Zone, 0) // failure ratios are indexed by zone
+	s := p.serversByID[entry.ID]
 	if s == nil {
 		s = p.addServer(entry.ID)
 	}
@@ -103,17 +105,17 @@
 	p.index(s)
 }
 
-// addServer returns a new server without history, which counts as started long ago.
+// addServer adds a server without statistics, which is assumed to have started long ago.
 func (p *Policy) addServer(id string) *server {
-	p.lastNumber++
-	s := &server{number: p.lastNumber, Stats: serverstats.NewStats()}
+	p.lastOrdinal++
+	s := &server{ordinal: p.lastOrdinal, Stats: serverstats.NewStats()}
 	s.warmingSince = math.Inf(-1)
-	p.byID[id] = s
+	p.serversByID[id] = s
 	p.servers = append(p.servers, s)
 	return s
 }
 
-// restartServer discards what was known of a server's previous process and begins its slow start.
+// restartServer discards the statistics of a server's previous process and begins its slow start.
 func (p *Policy) restartServer(s *server, started float64) {
 	s.Restarted()
 	s.warmingSince = started
@@ -123,7 +125,8 @@
 	}
 }
 
-// index files a server by its state and replica set.
+// index updates the replica-set index, the list of removed servers, the fleet's failure ratios and the health
+// check queue after a change of a server's state.
 func (p *Policy) index(s *server) {
 	if s.State != Removed {
 		p.replicaSets.Insert(s.ReplicaSet, s)
@@ -139,26 +142,26 @@
 	p.queueHealthCheck(s)
 }
 
-// forgetRemoved deletes servers off the list once they have no attempt in flight: kept longer, they would
-// count as servers that are down.
+// forgetRemoved deletes removed servers that have no attempt in flight. If kept longer, they would count as
+// unavailable servers.
 func (p *Policy) forgetRemoved() {
-	forgets := slices.ContainsFunc(p.removed, isForgettable)
-	p.removed = slices.DeleteFunc(p.removed, leavesRemoved)
-	if !forgets {
+	anyForgettable := slices.ContainsFunc(p.removed, isForgettable)
+	p.removed = slices.DeleteFunc(p.removed, updateRemoved)
+	if !anyForgettable {
 		return
 	}
-	maps.DeleteFunc(p.byID, func(_ string, s *server) bool { return isForgettable(s) })
+	maps.DeleteFunc(p.serversByID, func(_ string, s *server) bool { return isForgettable(s) })
 	p.servers = slices.DeleteFunc(p.servers, isForgettable)
 	p.warmingUp = slices.DeleteFunc(p.warmingUp, isForgettable)
-	p.stalest.Remove(isForgettable)
+	p.healthCheckQueue.Remove(isForgettable)
 }
 
-// isForgettable reports whether a server is off the list and has no attempt in flight.
+// isForgettable reports whether a server has been removed from the list and has no attempt in flight.
 func isForgettable(s *server) bool { return s.State == Removed && s.InFlight == 0 }
 
-// leavesRemoved updates server.removed and reports whether the server is no longer off the list with attempts
-// in flight.
-func leavesRemoved(s *server) bool {
+// updateRemoved updates server.removed and reports whether the server must be deleted from endpoints.removed:
+// it is listed again or has no attempt in flight.
+func updateRemoved(s *server) bool {
 	s.removed = s.State == Removed && s.InFlight > 0
 	return !s.removed
 }
--- a/internal/decision/endpoints_test.go
+++ b/internal/decision/endpoints_test.go
@@ -12,7 +12,7 @@
 		update decision.EndpointUpdate
 	}{
 		{"draining", decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", State: decision.Draining}}}},
-		{"gone", decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", State: decision.Removed}}}},
+		{"removed", decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", State: decision.Removed}}}},
 		{"missing from a full list", decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers(2)[1:]}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -20,21 +20,21 @@
 			r.handle(c.update)
 			for range 50 {
 				_, ev := r.query(0, 1)
-				for _, snd := range sends(r.handle(ev...)) {
-					if snd.Server != "s1" {
-						t.Fatalf("sent to %s", snd.Server)
+				for _, send := range sends(r.handle(ev...)) {
+					if send.Server != "s1" {
+						t.Fatalf("part sent to %s, want s1", send.Server)
 					}
-					r.handleAt(r.now+0.01, finished(snd.ID, 0, snd.Server, decision.OK, 0.01))
+					r.handleAt(r.now+0.01, finished(send.ID, 0, send.Server, decision.OK, 0.01))
 				}
 			}
 		})
 	}
 }
 
-func TestPolledListIsPolledAgain(t *testing.T) {
-	s := settings()
-	s.PollEndpoints, s.PollInterval = true, 10
-	p := decision.New(s, 1)
+func TestEndpointPollingIsRepeatedAfterFailures(t *testing.T) {
+	cfg := settings()
+	cfg.PollEndpoints, cfg.PollInterval = true, 10
+	p := decision.New(cfg, 1)
 	watches := func(now float64, e ...decision.Event) (n int) {
 		for _, a := range p.Handle(now, e) {
 			if w, ok := a.(decision.WatchEndpoints); ok && w.On {
@@ -44,18 +44,18 @@
 		return n
 	}
 	if watches(5, decision.EndpointUpdate{Mode: decision.CachedUpdate, Servers: servers(2)}) != 1 {
-		t.Fatal("no subscription at the start")
+		t.Fatal("want one WatchEndpoints at the start")
 	}
 	if watches(5.1, decision.EndpointUpdate{Mode: decision.FailedUpdate}) != 0 {
-		t.Error("polled again at once after a failure")
+		t.Error("WatchEndpoints repeated without backoff after a failure")
 	}
 	if watches(8.5) != 1 {
-		t.Error("not polled again within a third of the time allowed")
+		t.Error("no WatchEndpoints within a third of PollInterval after a failure")
 	}
 	if watches(8.6, decision.EndpointUpdate{Mode: decision.DeltaUpdate})+watches(60) != 0 {
-		t.Error("polled again although subscribed")
+		t.Error("WatchEndpoints repeated although updates arrive")
 	}
 	if watches(61, decision.EndpointUpdate{Mode: decision.FailedUpdate})+watches(65) != 1 {
-		t.Error("not polled again after the subscription broke")
+		t.Error("want one WatchEndpoints after the subscription failed")
 	}
 }
--- a/internal/decision/example_test.go
+++ b/internal/decision/example_test.go
@@ -6,7 +6,7 @@
 	"mothrouter/internal/decision"
 )
 
-// A broker hands in events with their time and carries out the actions.
+// A broker passes events and the current time to a Policy and carries out the returned actions.
 func Example() {
 	settings := decision.Settings{
 		Classes: []decision.Class{{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}},
--- a/internal/decision/health.go
+++ b/internal/decision/health.go
@@ -1,6 +1,6 @@
 package decision
 
-// Health of servers, from the outcomes of their attempts.
+// Server health, estimated from the outcomes of attempts.
 
 import (
 	"math"
@@ -9,19 +9,19 @@
 )
 
 const (
-	// failureExponent gives a server that fails a third of its parts (2/3)^4, a fifth of its weight.
+	// failureExponent reduces the weight of a server that fails a third of its parts to (2/3)^4, a fifth.
 	failureExponent = 4.0
-	// minHealthWeight is below the weight of a healthy server with up to 20 parts in flight (21^-3), and
-	// above 0 so that a failing server still gets the few parts that show its recovery.
+	// minHealthWeight is below the weight of a healthy server with up to 20 parts in flight (21^-3). It is
+	// above 0 so that a failing server still gets a few parts, which detect its recovery.
 	minHealthWeight = 1e-4
-	// stallPatience is in mean service times: a server without an answer for longer is penalized.
-	stallPatience = 2.0
-	// minStall is in seconds: shorter silences occur by chance.
-	minStall = 0.01
+	// stallFactor is in mean service times. A server that has not answered for longer is penalized.
+	stallFactor = 2.0
+	// minStallTimeout is in seconds. Healthy servers may occasionally take that long to answer.
+	minStallTimeout = 0.01
 )
 
-// recordOutcome counts the outcome of an attempt or a health check for or against a server. Outcomes that do
-// not depend on its health count for neither.
+// recordOutcome records the outcome of an attempt or a health check as a success or failure of a server. It
+// ignores outcomes that do not depend on the server's health.
 func (p *Policy) recordOutcome(s *server, status Status) {
 	switch status {
 	case OK:
@@ -33,9 +33,9 @@
 	}
 }
 
-// learnFromAttempt updates the service times and answer rates of the server and the fleet from the outcome of
-// an attempt, which recordOutcome has counted.
-func (p *Policy) learnFromAttempt(a *attempt, q *query, outcome AttemptFinished) {
+// recordAttempt updates the service times and answer rates of the server and the fleet from the outcome of
+// an attempt. It must be called after recordOutcome.
+func (p *Policy) recordAttempt(a *attempt, q *query, outcome AttemptFinished) {
 	s := a.server
 	finished := serverstats.Attempt{
 		Class:       q.Class,
@@ -56,27 +56,27 @@
 	}
 }
 
-// healthWeight returns a factor that falls with a server's recent failure ratio above a baseline: a server
-// that fails fast has a short queue and would attract parts. Draws pass 0, since the fleet's median is itself
-// high where half of the servers fail. Estimates of capacity pass the median, so that failures of one class
-// at all servers do not count as a loss of capacity.
+// healthWeight returns a factor that decreases as a server's recent failure ratio exceeds a baseline. Without
+// it, a server that fails fast would attract parts, since its queue is short. Replica selection passes 0,
+// since the fleet's median is itself high if half of the servers fail. Capacity estimates pass the median, so
+// that failures of one class at all servers do not count as a loss of capacity.
 func (p *Policy) healthWeight(s *server, baseline float64) float64 {
 	excess := p.fleet.Failures.Of(&s.Failures) - baseline
 	return max(math.Pow(1-max(excess, 0), failureExponent), minHealthWeight)
 }
 
-// stallPenalty returns a factor that falls while a server has attempts in flight and answers none for longer
-// than stallPatience.
+// stallPenalty returns a factor that decreases once a server with attempts in flight has answered none for
+// longer than the stall timeout.
 func (p *Policy) stallPenalty(s *server) float64 {
 	if p.fleet.ServiceTime.Mean == 0 {
 		return 1
 	}
-	patience := max(stallPatience*p.fleet.ServiceTime.Mean, minStall)
-	silence := s.Silence(p.now) / patience
-	return min(1, math.Pow(max(silence, 1), -concurrencyExponent))
+	timeout := max(stallFactor*p.fleet.ServiceTime.Mean, minStallTimeout)
+	ratio := s.Silence(p.now) / timeout
+	return min(1, math.Pow(max(ratio, 1), -concurrencyExponent))
 }
 
-// usableFraction returns the fraction of a server's work that succeeds, estimated from its health.
+// usableFraction returns the estimated fraction of a server's work that succeeds, given its health.
 func (p *Policy) usableFraction(s *server) float64 {
 	return p.healthWeight(s, p.fleet.MedianFailureRatio) * p.stallPenalty(s)
 }
--- a/internal/decision/healthchecks.go
+++ b/internal/decision/healthchecks.go
@@ -1,6 +1,6 @@
 package decision
 
-// Health checks, the load reports that they bring, and the fitness of servers computed from these.
+// Health checks, the load reports that they return, and the fitness of servers computed from load reports.
 
 import (
 	"cmp"
@@ -11,35 +11,35 @@
 )
 
 const (
-	// fitnessInterval is in seconds, between two computations of fitness: the refresh period of the thesis
-	// that docs/design.md names.
+	// fitnessInterval is the time in seconds between two computations of fitness. It is the refresh period
+	// of the thesis that docs/design.md cites.
 	fitnessInterval = 10.0
-	// healthCheckTimeout is in seconds: the replies to the health checks that precede a computation of
-	// fitness are awaited this long. Later replies count in the next one.
+	// healthCheckTimeout is in seconds: a computation of fitness waits this long for the replies to the
+	// preceding health checks. Later replies count in the next computation.
 	healthCheckTimeout = 0.3
-	// healthCheckThreshold is the fraction of attempts refused or reset from which servers are also checked
-	// one by one, since attempts alone then find the recovered ones too late.
+	// healthCheckThreshold is the fraction of attempts refused or reset above which idle servers are also
+	// checked one by one, since attempts alone would detect recovered servers too late.
 	healthCheckThreshold = 0.2
 )
 
 // healthChecks schedules health checks and the computation of fitness.
 type healthChecks struct {
-	healthCheckAt float64                 // time of the next round of checks of all servers
-	fitnessAt     float64                 // time of the next computation of fitness; +Inf: not scheduled
-	meanFitness   float64                 // fitness assumed for a server without a load report
-	stalest       *lazyheap.Heap[*server] // servers that may be checked, the one observed longest ago first
+	healthCheckAt    float64                 // time of the next check of all servers
+	fitnessAt        float64                 // time of the next computation of fitness; +Inf: not scheduled
+	meanFitness      float64                 // fitness assumed for servers without a load report
+	healthCheckQueue *lazyheap.Heap[*server] // candidates for a check, least recently observed first
 }
 
-// observedAt returns the time of the latest outcome or health check at a server.
+// observedAt returns the time of a server's latest outcome or health check.
 func observedAt(s *server) float64 { return s.ObservedAt }
 
 func (p *Policy) onHealthChecked(check HealthChecked) {
-	s := p.byID[check.Server]
+	s := p.serversByID[check.Server]
 	if s == nil {
 		return
 	}
-	// A successful check proves the connection, not that parts succeed: it clears refused and reset
-	// connections alone.
+	// A successful check shows that the server can be reached, not that parts succeed. So it only offsets
+	// refused and reset connections.
 	if check.Status != OK || s.Failures.Slow {
 		p.recordOutcome(s, check.Status)
 	}
@@ -47,7 +47,7 @@
 }
 
 func (p *Policy) onPeerObservation(peer PeerObservation) {
-	s := p.byID[peer.Server]
+	s := p.serversByID[peer.Server]
 	if s == nil || peer.At < s.Started {
 		return
 	}
@@ -55,12 +55,12 @@
 	s.RecordLoadReport(peer.LoadReport, cmp.Or(peer.LoadReportedAt, peer.At))
 }
 
-// checkStalestHealth checks, while attempts are often refused or reset, the idle server observed longest ago.
-func (p *Policy) checkStalestHealth() {
+// checkStalestServer checks the least recently observed idle server if many attempts are refused or reset.
+func (p *Policy) checkStalestServer() {
 	if !p.settings.HealthChecksAllowed || p.fleet.DisconnectRatio < healthCheckThreshold {
 		return
 	}
-	stalest, found := p.stalest.Min(isCheckable)
+	stalest, found := p.healthCheckQueue.Min(isCheckable)
 	if !found {
 		return
 	}
@@ -68,19 +68,19 @@
 	p.emit(CheckHealth{stalest.ID})
 }
 
-// isCheckable reports whether only a health check can bring news of a server. One with attempts in flight is
-// queued again when these finish.
+// isCheckable reports whether a server needs a health check to be observed. A server with attempts in flight
+// does not; it is queued again when these finish.
 func isCheckable(s *server) bool { return s.IsReady() && s.InFlight == 0 }
 
-// queueHealthCheck queues a server for checkStalestHealth.
+// queueHealthCheck adds a server to the queue of checkStalestServer, if it may be checked.
 func (p *Policy) queueHealthCheck(s *server) {
 	if p.settings.HealthChecksAllowed && isCheckable(s) {
-		p.stalest.Push(s)
+		p.healthCheckQueue.Push(s)
 	}
 }
 
-// runPeriodicWork polls the endpoint list, checks the health of all servers and computes their fitness, each
-// when it is due.
+// runPeriodicWork polls the endpoint list, checks the health of all servers and computes their fitness, if
+// due.
 func (p *Policy) runPeriodicWork() {
 	p.pollIfDue()
 	p.checkAllIfDue()
@@ -96,7 +96,7 @@
 	p.pollAt = p.now + max(p.settings.PollInterval/2, minPollInterval)
 }
 
-// checkAllIfDue schedules the next fitness computation. Where load reports arrive with health checks only, it
+// checkAllIfDue schedules the next fitness computation. If load reports arrive only with health checks, it
 // checks all ready servers first.
 func (p *Policy) checkAllIfDue() {
 	if p.now < p.healthCheckAt {
--- a/internal/decision/healthchecks_test.go
+++ b/internal/decision/healthchecks_test.go
@@ -6,12 +6,12 @@
 	"mothrouter/internal/decision"
 )
 
-// Health checks look for healthy servers while attempts fail often, and only then; they count like attempts.
+// Idle servers are health-checked while many attempts fail, and only then. The results count like those of attempts.
 func TestDisconnectsTriggerHealthChecks(t *testing.T) {
-	s := settings()
-	s.MaxAttempts, s.HealthChecksAllowed = 1, true
-	for _, st := range []decision.Status{decision.OK, decision.Reset} {
-		r := newRunner(t, s, servers(100)...)
+	cfg := settings()
+	cfg.MaxAttempts, cfg.HealthChecksAllowed = 1, true
+	for _, statusOfMost := range []decision.Status{decision.OK, decision.Reset} {
+		r := newRunner(t, cfg, servers(100)...)
 		checked := map[string]bool{}
 		parts := map[string]int{}
 		for i := range 200 {
@@ -22,14 +22,14 @@
 				case decision.CheckHealth:
 					checked[a.Server] = true
 					status := decision.OK
-					if a.Server < "s7" { // seven in ten
-						status = st
+					if a.Server < "s7" { // 70 % of the servers
+						status = statusOfMost
 					}
 					r.handle(decision.HealthChecked{Server: a.Server, Status: status, LoadReport: decision.NoLoadReport})
 				case decision.Send:
 					status := decision.OK
 					if a.Server < "s7" {
-						status = st
+						status = statusOfMost
 					}
 					if i >= 100 {
 						parts[a.Server]++
@@ -38,10 +38,10 @@
 				}
 			}
 		}
-		if st == decision.OK && len(checked) > 0 {
-			t.Errorf("%d servers checked while all is well, want none", len(checked))
+		if statusOfMost == decision.OK && len(checked) > 0 {
+			t.Errorf("%d servers checked while no attempt fails, want none", len(checked))
 		}
-		if st != decision.OK && len(checked) < 20 {
+		if statusOfMost != decision.OK && len(checked) < 20 {
 			t.Errorf("%d servers checked while most of them fail, want at least 20", len(checked))
 		}
 		failed := 0
@@ -50,16 +50,16 @@
 				failed += n
 			}
 		}
-		if st != decision.OK && failed > 20 {
+		if statusOfMost != decision.OK && failed > 20 {
 			t.Errorf("%d of 100 parts went to failing servers, want at most 20", failed)
 		}
 	}
 }
 
-func TestPulledReportsAreRequestedEveryTenSeconds(t *testing.T) {
-	s := settings()
-	s.ReportMode, s.HealthChecksAllowed = decision.ReportPull, true
-	p := decision.New(s, 1)
+func TestLoadReportsArePulledEveryTenSeconds(t *testing.T) {
+	cfg := settings()
+	cfg.ReportMode, cfg.HealthChecksAllowed = decision.ReportPull, true
+	p := decision.New(cfg, 1)
 	checks := func(now float64, e ...decision.Event) (n int) {
 		for _, a := range p.Handle(now, e) {
 			if _, ok := a.(decision.CheckHealth); ok {
@@ -69,12 +69,12 @@
 		return n
 	}
 	if n := checks(0, decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers(4)}); n != 4 {
-		t.Errorf("%d checks at the start, want 4", n)
+		t.Errorf("%d health checks at the start, want 4", n)
 	}
 	if n := checks(9.9); n != 0 {
-		t.Errorf("%d checks before ten seconds, want none", n)
+		t.Errorf("%d health checks before ten seconds, want none", n)
 	}
 	if n := checks(10); n != 4 {
-		t.Errorf("%d checks after ten seconds, want 4", n)
+		t.Errorf("%d health checks after ten seconds, want 4", n)
 	}
 }
--- a/internal/decision/hedging.go
+++ b/internal/decision/hedging.go
@@ -1,42 +1,45 @@
 package decision
 
-// Slow and stalled attempts: when another part, a hedge or a retry takes their place.
+// Detection of slow and stalled attempts, and their replacement by another part, a hedge or a retry.
 
-// The patiences are in usual latencies: the 95th percentile of the class.
+// hedgeFactor, cancelFactor and overtakenFactor are multiples of the class's tail latency (tailQuantile).
 const (
-	// hedgePatience is the time after which an attempt without an answer may be hedged. Fewer than one part
-	// in twenty takes even the usual latency, so that hedges stay rare.
-	hedgePatience = 1.5
-	// cancelPatience is the time after which an attempt may be cancelled for a retry. It is longer than
-	// hedgePatience since the server may go on with the cancelled attempt, whose work is then lost.
-	cancelPatience = 3.0
-	// overtakenPatience is the distance between the sends of an attempt and of a later one which the same
-	// server answered, from which the first one's answer counts as lost. Requests often overtake each other
-	// by less on servers with several cores.
-	overtakenPatience = 2.0
-	// minHealthAdvantage is the ratio of the usable fraction of another replica to the present server's from
-	// which a hedge or retry pays: smaller differences occur by chance.
+	// hedgeFactor is the time after which an attempt without an answer may be hedged. Hedges stay rare, since
+	// fewer than one part in twenty exceeds even the tail latency itself.
+	hedgeFactor = 1.5
+	// cancelFactor is the time after which an attempt may be cancelled and retried. It is longer than
+	// hedgeFactor, since the server may continue to execute the cancelled attempt, which wastes its work.
+	cancelFactor = 3.0
+	// overtakenFactor is the time between the sends of two attempts to a server from which, once the later
+	// one is answered, the answer to the earlier one is assumed lost. Servers with several cores often answer
+	// out of order by less than that.
+	overtakenFactor = 2.0
+	// minHealthAdvantage is the minimum ratio between the usable fractions of another replica and the current
+	// server for a hedge or retry. Smaller differences occur by chance.
 	minHealthAdvantage = 4.0
-	// medianQuantile is the quantile of a class's latencies within which a hedge or retry must fit.
+	// medianQuantile is the quantile of a class's latencies that a hedge or retry is expected to take. It
+	// must fit into the time left until the objective.
 	medianQuantile = 0.5
 )
 
-// isSlow reports whether the latest attempt of a part takes longer than usual, so that a spare part, if there
-// is one, is sent in its place. Until then it requests a batch for that time.
-func (p *Policy) isSlow(pt *part, usual float64) bool {
-	due := pt.latestAttempt().sentAt + usual
+// isSlow reports whether the latest attempt of a part has taken longer than the tail latency, so that another
+// part, if there is one, should be sent as a substitute. Otherwise it requests a batch for the time at which
+// that is due.
+func (p *Policy) isSlow(pt *part, tailLatency float64) bool {
+	due := pt.latestAttempt().sentAt + tailLatency
 	if p.now < due {
 		p.wakeAt(due)
 	}
-	return usual > 0 && p.now >= due
+	return tailLatency > 0 && p.now >= due
 }
 
-// isStalled reports whether the one attempt in flight of a part should be cancelled for a retry or, where
-// hedging is allowed, be hedged: its server has for long answered nothing, or only what was sent later, so
-// that this answer is lost. A slow server that answers in order is left alone, since its work would go on.
-func (p *Policy) isStalled(pt *part, usual float64) bool {
+// isStalled reports whether the only attempt in flight of a part should be hedged or, if hedging is not
+// allowed, cancelled and retried. This is so if its server has answered nothing for long, or only attempts
+// sent later, so that the answer is assumed lost. Attempts at a slow server that answers in order are kept,
+// since it would continue to execute them.
+func (p *Policy) isStalled(pt *part, tailLatency float64) bool {
 	a := pt.latestAttempt()
-	if usual == 0 || pt.live != 1 || !a.live || a.cancelled {
+	if tailLatency == 0 || pt.live != 1 || !a.live || a.cancelled {
 		return false
 	}
 	if p.now >= pt.query.objectiveAt {
@@ -45,11 +48,11 @@
 	if !p.settings.HedgingAllowed && !p.mayCancelForRetry(pt) {
 		return false
 	}
-	patience := p.stallTimeout(usual)
-	due := a.sentAt + patience
-	overtaken := a.server.NewestAnsweredAt > a.sentAt+overtakenPatience*usual
+	timeout := p.stallTimeout(tailLatency)
+	due := a.sentAt + timeout
+	overtaken := a.server.NewestAnsweredAt > a.sentAt+overtakenFactor*tailLatency
 	if !overtaken {
-		due = max(due, a.server.AnsweredAt+patience)
+		due = max(due, a.server.AnsweredAt+timeout)
 	}
 	if p.now < due {
 		p.wakeAt(due)
@@ -62,32 +65,32 @@
 	return overtaken || p.hasHealthierReplica(pt, a.server)
 }
 
-// stallTimeout returns the time in seconds after which an attempt counts as stalled.
-func (p *Policy) stallTimeout(usual float64) float64 {
+// stallTimeout returns the time in seconds after which an attempt is considered stalled.
+func (p *Policy) stallTimeout(tailLatency float64) float64 {
 	if p.settings.HedgingAllowed {
-		return hedgePatience * usual
+		return hedgeFactor * tailLatency
 	}
-	return cancelPatience * usual
+	return cancelFactor * tailLatency
 }
 
-// mayCancelForRetry reports whether an attempt of a part may be cancelled and the part sent again.
+// mayCancelForRetry reports whether an attempt of a part may be cancelled and retried.
 func (p *Policy) mayCancelForRetry(pt *part) bool {
 	return pt.query.class.Idempotency == Idempotent && p.settings.CancelAllowed &&
 		len(pt.attempts) < p.settings.MaxAttempts
 }
 
-// hasHealthierReplica reports whether another replica of a part's shard is much healthier than a server.
-// Where all of them are silent, more attempts would only add to the overload.
-func (p *Policy) hasHealthierReplica(pt *part, than *server) bool {
+// hasHealthierReplica reports whether another replica of a part's shard is much healthier than the current
+// server. If all replicas are stalled, more attempts would only add to the overload.
+func (p *Policy) hasHealthierReplica(pt *part, current *server) bool {
 	found := false
 	p.replicaSets.Replicas(pt.Shard, func(s *server) {
-		if found || s == than || !s.IsReady() {
+		if found || s == current || !s.IsReady() {
 			return
 		}
-		found = p.usableFraction(s) > minHealthAdvantage*p.usableFraction(than)
+		found = p.usableFraction(s) > minHealthAdvantage*p.usableFraction(current)
 	})
 	return found
 }
 
-// latestAttempt returns the attempt of a part that was sent last. The part has one.
+// latestAttempt returns the most recently sent attempt of a part, which must have at least one.
 func (pt *part) latestAttempt() *attempt { return &pt.attempts[len(pt.attempts)-1] }
--- a/internal/decision/hedging_test.go
+++ b/internal/decision/hedging_test.go
@@ -6,35 +6,35 @@
 	"mothrouter/internal/decision"
 )
 
-func TestHedgesOnlyWhereAllowed(t *testing.T) {
+func TestHedgesOnlyIfAllowed(t *testing.T) {
 	for _, hedging := range []bool{false, true} {
-		s := settings()
-		s.HedgingAllowed = hedging
-		r := newRunner(t, s, servers(3)...)
+		cfg := settings()
+		cfg.HedgingAllowed = hedging
+		r := newRunner(t, cfg, servers(3)...)
 		r.answerQueries(40, 0.05)
 		_, ev := r.query(0, 1)
 		first := sends(r.handle(ev...))[0]
-		got := r.handleAt(r.now + 0.5) // ten times the usual, and the server is silent
-		if !hedging {                  // the attempt is given up first, and only its end lets another go
+		got := r.handleAt(r.now + 0.5) // ten times the latency of other attempts
+		if !hedging {                  // the attempt is cancelled, and retried only once its outcome is known
 			if len(got) != 1 || got[0] != (decision.Cancel{ID: first.ID}) {
-				t.Fatalf("%v, want the running attempt cancelled", got)
+				t.Fatalf("actions %v, want the attempt in flight cancelled", got)
 			}
-			if again := r.handleAt(r.now + 0.01); len(again) != 0 {
-				t.Errorf("%v before the cancelled attempt has ended", again)
+			if early := r.handleAt(r.now + 0.01); len(early) != 0 {
+				t.Errorf("actions %v before the outcome of the cancelled attempt, want none", early)
 			}
 			got = r.handle(finished(first.ID, 0, first.Server, decision.Cancelled, 0.5))
 		}
 		if n := len(sends(got)); n != 1 {
-			t.Fatalf("hedging allowed %v: %v, want one more attempt", hedging, got)
+			t.Fatalf("HedgingAllowed %v: actions %v, want one Send", hedging, got)
 		}
 		if sends(got)[0].Server == first.Server {
-			t.Error("the other attempt went to the server that is silent")
+			t.Errorf("HedgingAllowed %v: second attempt sent to %s again, which has not answered", hedging, first.Server)
 		}
 	}
 }
 
-// All servers of a replica set stall: retries must not add to their load, and queries are rejected until they answer.
-func TestNoRetriesIntoASilentReplicaSet(t *testing.T) {
+// If all servers of a replica set stall, retries must not add to their load, and queries are rejected until they answer.
+func TestNoRetriesToStalledReplicaSet(t *testing.T) {
 	r := newRunner(t, settings(), servers(3)...)
 	r.answerQueries(60, 0.05)
 	attempts, rejected := 0, 0
@@ -50,8 +50,8 @@
 					attempts++
 					out = append(out, a)
 				case decision.Cancel:
-					srv := serverOf(out, a.ID, a.Attempt)
-					next = append(next, finished(a.ID, a.Attempt, srv, decision.Cancelled, 0.3))
+					server := serverOf(out, a.ID, a.Attempt)
+					next = append(next, finished(a.ID, a.Attempt, server, decision.Cancelled, 0.3))
 				case decision.Reject:
 					rejected++
 				}
@@ -63,13 +63,14 @@
 		}
 	}
 	if attempts > 33 {
-		t.Errorf("%d parts sent to a group that answers nothing in 4 s, want at most 33 of 120", attempts)
+		t.Errorf("%d attempts sent to a stalled replica set in 4 s, want at most 33 for 120 parts", attempts)
 	}
 	if rejected < 20 {
 		t.Errorf("%d of 40 queries rejected, want at least 20", rejected)
 	}
 }
 
+// serverOf returns the server to which an attempt of a part was sent.
 func serverOf(out []decision.Send, id decision.RequestID, attempt int) string {
 	for _, s := range out {
 		if s.ID == id {
@@ -82,13 +83,13 @@
 	return ""
 }
 
-// An attempt that its server has long overtaken is lost: it is cancelled for another, once, where the class is idempotent,
-// and left alone where it is not.
+// If a server answers much later attempts first, an attempt is assumed lost. It is cancelled once, to be retried, if the class
+// is idempotent, and is not cancelled otherwise.
 func TestOvertakenAttemptIsCancelled(t *testing.T) {
 	for _, idempotency := range []decision.Idempotency{decision.Idempotent, decision.NonIdempotent} {
-		s := settings()
-		s.Classes[0].Idempotency = idempotency
-		r := newRunner(t, s, servers(1)...) // one server: it answers everything else
+		cfg := settings()
+		cfg.Classes[0].Idempotency = idempotency
+		r := newRunner(t, cfg, servers(1)...) // the only server answers all attempts except the first
 		r.answerQueries(40, 0.02)
 		_, ev := r.query(0, 1)
 		first := sends(r.handle(ev...))[0]
@@ -107,17 +108,17 @@
 			}
 		}
 		if want := map[decision.Idempotency]int{decision.Idempotent: 1}[idempotency]; cancelled != want {
-			t.Errorf("idempotency %v: cancelled %d times, want %d", idempotency, cancelled, want)
+			t.Errorf("idempotency %v: %d Cancel actions, want %d", idempotency, cancelled, want)
 		}
 	}
 }
 
-// Where some of the parts make a complete answer, a spare part replaces one whose server stays silent.
-func TestSparePartsReplaceSilentOnes(t *testing.T) {
-	s := settings()
-	s.Classes[0].CompletenessThreshold, s.Classes[0].MinCompleteness = 0.5, 0.5
-	s.HedgingAllowed = false
-	r := newRunner(t, s, servers(12)...)
+// If a complete answer does not need all parts, a part that has not been sent replaces one that is late.
+func TestUnsentPartReplacesLatePart(t *testing.T) {
+	cfg := settings()
+	cfg.Classes[0].CompletenessThreshold, cfg.Classes[0].MinCompleteness = 0.5, 0.5
+	cfg.HedgingAllowed = false
+	r := newRunner(t, cfg, servers(12)...)
 	r.answerQueries(60, 0.05)
 	_, ev := r.query(0, 4)
 	out := sends(r.handle(ev...))
@@ -125,26 +126,26 @@
 		t.Fatalf("%d parts sent, want 2 of 4", len(out))
 	}
 	if n := len(sends(r.handleAt(r.now+0.04, finished(out[0].ID, 0, out[0].Server, decision.OK, 0.04)))); n != 0 {
-		t.Fatalf("%d spare parts sent while the other may come in time, want 0", n)
+		t.Fatalf("%d more parts sent before the other part is late, want 0", n)
 	}
-	spare := sends(r.handleAt(r.now + 0.02))
-	if len(spare) != 1 || spare[0].ID == out[1].ID {
-		t.Fatalf("the other is late: %v sent, want one spare part", spare)
+	substitutes := sends(r.handleAt(r.now + 0.02))
+	if len(substitutes) != 1 || substitutes[0].ID == out[1].ID {
+		t.Fatalf("sent %v when part %d was late, want one other part", substitutes, out[1].ID)
 	}
 }
 
-// While too few answers are known to say when a hedge is due, a part in flight requests no timers in between.
+// As long as there are too few latencies to determine when a hedge is due, a part in flight must not request immediate timers.
 func TestNoTimerStormBeforeFirstAnswer(t *testing.T) {
-	s := settings()
-	s.HedgingAllowed = true
-	r := newRunner(t, s, servers(3)...)
+	cfg := settings()
+	cfg.HedgingAllowed = true
+	r := newRunner(t, cfg, servers(3)...)
 	_, ev := r.query(0, 1)
 	r.handle(ev...)
 	for range 20 {
-		r.now += s.Tick
+		r.now += cfg.Tick
 		for _, a := range r.p.Handle(r.now, []decision.Event{decision.TimerFired{Token: 1}}) {
 			if timer, ok := a.(decision.SetTimer); ok && timer.At <= r.now {
-				t.Fatal("a timer for at once, though nothing is due")
+				t.Fatalf("timer set for %g s at %g s, although nothing is due", timer.At, r.now)
 			}
 		}
 	}
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -8,17 +8,17 @@
 	"mothrouter/internal/estimate/slowstart"
 )
 
-// runner drives one Policy with events and keeps the time, IDs and attempts.
+// runner passes events to a Policy and keeps track of the time, request IDs and attempts.
 type runner struct {
 	t        *testing.T
 	p        *decision.Policy
 	now      float64
-	attempts map[decision.RequestID]int
+	attempts map[decision.RequestID]int // attempts sent so far, by part
 	nextID   decision.RequestID
-	number   int64
+	number   int64 // Query.Number of the latest query
 }
 
-// settings are those of a plain deployment: one replica set, idempotent queries that need every part.
+// settings returns the settings of a simple deployment: one replica set and idempotent queries that need every part.
 func settings() decision.Settings {
 	return decision.Settings{
 		Classes: []decision.Class{{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}},
@@ -27,8 +27,8 @@
 	}
 }
 
-func newRunner(t *testing.T, s decision.Settings, servers ...decision.Server) *runner {
-	r := &runner{t: t, p: decision.New(s, 7), attempts: map[decision.RequestID]int{}, nextID: 100, now: 100}
+func newRunner(t *testing.T, cfg decision.Settings, servers ...decision.Server) *runner {
+	r := &runner{t: t, p: decision.New(cfg, 7), attempts: map[decision.RequestID]int{}, nextID: 100, now: 100}
 	r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers})
 	return r
 }
@@ -41,7 +41,7 @@
 	return list
 }
 
-// handle passes events and returns the actions, without timers.
+// handle passes events to the Policy and returns its actions except for timers.
 func (r *runner) handle(events ...decision.Event) []decision.Action {
 	var actions []decision.Action
 	for _, a := range r.p.Handle(r.now, events) {
@@ -52,13 +52,13 @@
 	return actions
 }
 
-// handleAt moves the clock and passes events.
+// handleAt advances the time to now and passes events to the Policy.
 func (r *runner) handleAt(now float64, events ...decision.Event) []decision.Action {
 	r.now = now
 	return r.handle(events...)
 }
 
-// query makes a query with n parts of equal weight, all at the given shard.
+// query returns the events of a query with n parts of equal weight, all of shard 0, and its ID.
 func (r *runner) query(class, n int) (decision.RequestID, []decision.Event) {
 	r.number++
 	r.nextID += 100
@@ -75,12 +75,13 @@
 	return id, events
 }
 
-func finished(id decision.RequestID, n int, server string, st decision.Status, lat float64,
+func finished(id decision.RequestID, attempt int, server string, status decision.Status, latency float64,
 ) decision.AttemptFinished {
-	return decision.AttemptFinished{ID: id, Attempt: n, Server: server, Status: st, Latency: lat,
-		PartConcluded: st == decision.OK, LoadReport: decision.NoLoadReport}
+	return decision.AttemptFinished{ID: id, Attempt: attempt, Server: server, Status: status, Latency: latency,
+		PartConcluded: status == decision.OK, LoadReport: decision.NoLoadReport}
 }
 
+// sends returns the Send actions among actions.
 func sends(actions []decision.Action) []decision.Send {
 	var list []decision.Send
 	for _, a := range actions {
@@ -103,14 +104,14 @@
 	return list
 }
 
-// answerQueries sends and answers n queries one by one, so that latencies are known.
+// answerQueries runs n queries of one part, one after the other, so that the Policy has latency statistics.
 func (r *runner) answerQueries(n int, latency float64) {
 	for range n {
 		_, ev := r.query(0, 1)
 		out := sends(r.handle(ev...))
 		r.now += latency
-		for _, s := range out {
-			r.handle(finished(s.ID, 0, s.Server, decision.OK, latency))
+		for _, send := range out {
+			r.handle(finished(send.ID, 0, send.Server, decision.OK, latency))
 		}
 	}
 }
--- a/internal/decision/poison.go
+++ b/internal/decision/poison.go
@@ -1,6 +1,6 @@
 package decision
 
-// Poison queries: those that crash the servers which execute them.
+// Poison queries: queries that crash the servers which execute them.
 
 import (
 	"maps"
@@ -8,40 +8,40 @@
 )
 
 const (
-	// poisonProbability is the probability below which resets of all attempts of a query do not count as
-	// chance.
+	// poisonProbability is the significance level: if the probability that all attempts of a query were reset
+	// by chance is lower, the query is considered poison.
 	poisonProbability = 0.05
-	// quarantineDuration is in seconds. In a fleet of hundreds of brokers each one meets such a query only
-	// once in about that time.
+	// quarantineDuration is in seconds. In a fleet of hundreds of brokers, each broker receives such a query
+	// only about once in that time.
 	quarantineDuration = 30.0
 )
 
-// poison is what is known of queries that crash servers.
-type poison struct {
-	poisonQueries   map[uint64]float64 // by fingerprint: until when retries of the query are rejected
-	quarantineUntil []float64          // by class: until then a query sends one part ahead of the others
+// quarantineTable holds the poison queries and the classes in quarantine.
+type quarantineTable struct {
+	poisonQueries   map[uint64]float64 // by fingerprint: time until which retries of the query are rejected
+	quarantineUntil []float64          // by class: time until which queries send one part before the others
 }
 
-// crashesServers reports whether all attempts of a query were reset, more than the fleet's disconnect ratio
-// explains.
-func (p *Policy) crashesServers(q *query, g progress) bool {
+// crashesServers reports whether all attempts of a query were reset and the fleet's disconnect ratio does not
+// explain that.
+func (p *Policy) crashesServers(q *query, current progress) bool {
 	if q.resets <= 1 || q.phase != firstPhase {
 		return false
 	}
-	if g.Answered != 0 || g.live != 0 {
+	if current.Answered != 0 || current.live != 0 {
 		return false
 	}
 	return math.Pow(p.fleet.DisconnectRatio, float64(q.resets)) < poisonProbability
 }
 
-// quarantine rejects retries of a query until its client's deadline, and has other queries of its class send
-// one part first for quarantineDuration.
+// quarantine causes retries of a query to be rejected until its client's deadline and, for
+// quarantineDuration, other queries of its class to send one part before the others.
 func (p *Policy) quarantine(q *query) {
 	p.quarantineUntil[q.Class] = p.now + quarantineDuration
 	p.poisonQueries[q.fingerprint] = q.receivedAt + q.class.Deadline
 }
 
-// isPoison reports whether a query like this one is in quarantine.
+// isPoison reports whether a query with the same fingerprint is in quarantine.
 func (p *Policy) isPoison(q *query) bool {
 	maps.DeleteFunc(p.poisonQueries, func(_ uint64, until float64) bool { return p.now > until })
 	return p.poisonQueries[q.fingerprint] > 0
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -1,7 +1,7 @@
 package decision
 
-// Policy, its settings and its loop over events. The interface (settings, events, actions) is in api.go;
-// docs/design.md describes how the decisions fit together.
+// Policy and its event handling. The interface (settings, events, actions) is in api.go; docs/design.md
+// describes how the decisions fit together.
 
 import (
 	"math"
@@ -16,14 +16,14 @@
 )
 
 const (
-	// edgeSlack is in seconds: times are compared with a window's edge this far on the safe side, since
-	// servers count windows in microseconds.
-	edgeSlack = 1e-6
-	// seedStream is the second half of the generator's seed, the same in all brokers: 2^64 divided by the
-	// golden ratio, as is usual for a constant without structure.
-	seedStream = 0x9e3779b97f4a7c15
-	// wakeToken is the token of the one timer that a Policy keeps.
-	wakeToken = 1
+	// windowMargin is in seconds. Comparisons with the end of a time window are conservative by this margin,
+	// because servers measure windows in microseconds.
+	windowMargin = 1e-6
+	// pcgStream is the second half of the PCG seed, the same in all brokers: 2^64 divided by the golden
+	// ratio, a common choice for a constant without structure.
+	pcgStream = 0x9e3779b97f4a7c15
+	// timerToken identifies the only timer that a Policy sets.
+	timerToken = 1
 )
 
 // Policy decides for one broker. It is not safe for concurrent use.
@@ -32,49 +32,50 @@
 	rng      *rand.Rand
 	now      float64  // time of the current batch
 	actions  []Action // of the current batch, in order
-	wakeTime float64  // earliest time at which the current batch requests another one; +Inf: none
+	wakeTime float64  // earliest time for which this batch has requested another batch; +Inf: none
 	timerAt  float64  // earliest timer that was set and has not fired; +Inf: none
 
 	endpoints
 	healthChecks
 	queryTable
-	admission
-	poison
+	admissionStats
+	quarantineTable
 
 	fleet       serverstats.Fleet
-	retryBudget retrybudget.Budget // queries and parts are its requests
-	drawRound   int                // replica draws of one round share a variate for each server
+	retryBudget retrybudget.Budget // queries and parts count as requests
+	drawRound   int                // replica draws of the same round share one random variate per server
 }
 
-// New returns the Policy of one broker. Equal settings, seeds and events give equal actions.
+// New returns a Policy for one broker. It is deterministic: equal settings, seeds and events give equal
+// actions.
 func New(settings Settings, seed uint64) *Policy {
 	if !settings.RetryAfterSupported {
 		settings.MaxRetryAfter = 0 // clients would ignore it
 	}
 	p := &Policy{
 		settings: settings,
-		rng:      rand.New(rand.NewPCG(seed, seedStream)),
+		rng:      rand.New(rand.NewPCG(seed, pcgStream)),
 		timerAt:  math.Inf(1),
 		fleet:    serverstats.NewFleet(len(settings.Classes)),
 	}
 	p.retryBudget.Settings = settings.RetryBudget
-	p.byID = map[string]*server{}
-	p.replicaSets = replicasets.New(settings.ReplicaSets, settings.ReplicationFactor, number)
+	p.serversByID = map[string]*server{}
+	p.replicaSets = replicasets.New(settings.ReplicaSets, settings.ReplicationFactor, ordinal)
 	if !settings.PollEndpoints {
 		p.pollAt = math.Inf(1)
 	}
 	p.meanFitness = 1
-	p.stalest = lazyheap.New(observedAt, number)
-	p.queries = map[int64]*query{}
-	p.byQuery = map[RequestID]*query{}
-	p.parts = map[RequestID]*part{}
+	p.healthCheckQueue = lazyheap.New(observedAt, ordinal)
+	p.queriesByNumber = map[int64]*query{}
+	p.queriesByID = map[RequestID]*query{}
+	p.partsByID = map[RequestID]*part{}
 	p.poisonQueries = map[uint64]float64{}
 	p.quarantineUntil = make([]float64, len(settings.Classes))
 	return p
 }
 
-// Handle takes the events of one batch at a time in seconds, which never decreases, and returns the actions
-// to carry out. Events are handled, and actions listed, in order.
+// Handle processes a batch of events, in order, and returns the actions to carry out, in order. now is in
+// seconds and must not decrease from one call to the next.
 func (p *Policy) Handle(now float64, events []Event) []Action {
 	p.now = now
 	p.actions = nil
@@ -121,16 +122,16 @@
 	}
 }
 
-// onClassesChanged replaces the classes of queries to come. The waits of clients so far were for the previous
-// deadlines.
+// onClassesChanged replaces the classes of future queries. It discards the observed client waits, which
+// reflect the previous deadlines.
 func (p *Policy) onClassesChanged(changed ClassesChanged) {
 	p.settings.Classes = changed.Classes
 	p.waits = clientpatience.Waits{}
 }
 
-// onSlowStartLease replaces a server's lease: the sends under the previous one no longer count.
+// onSlowStartLease replaces a server's lease. Attempts sent under the previous lease no longer count.
 func (p *Policy) onSlowStartLease(lease SlowStartLease) {
-	s := p.byID[lease.Server]
+	s := p.serversByID[lease.Server]
 	if s == nil {
 		return
 	}
@@ -139,22 +140,23 @@
 }
 
 func (p *Policy) onTimerFired() {
-	if p.timerAt <= p.now+edgeSlack {
+	if p.timerAt <= p.now+windowMargin {
 		p.timerAt = math.Inf(1)
 	}
 }
 
-// setTimer sets a timer for the earliest request of the batch, unless one is set that fires no later.
+// setTimer sets a timer for the earliest wake-up that the batch requested, unless a pending timer fires no
+// later.
 func (p *Policy) setTimer() {
 	if p.wakeTime >= p.timerAt {
 		return
 	}
 	p.timerAt = p.wakeTime
-	p.emit(SetTimer{Token: wakeToken, At: max(p.wakeTime, p.now)})
+	p.emit(SetTimer{Token: timerToken, At: max(p.wakeTime, p.now)})
 }
 
-// emit adds an action to those of the current batch.
+// emit appends an action to the result of the current batch.
 func (p *Policy) emit(a Action) { p.actions = append(p.actions, a) }
 
-// wakeAt requests a further batch at a time, at the latest.
+// wakeAt requests another batch no later than t.
 func (p *Policy) wakeAt(t float64) { p.wakeTime = min(p.wakeTime, t) }
--- a/internal/decision/progress.go
+++ b/internal/decision/progress.go
@@ -1,17 +1,17 @@
 package decision
 
-// The progress of a query: when it is answered, rejected, or its parts are sent.
+// The progress of a query: whether to respond, reject it or send its parts.
 
 import "mothrouter/internal/completeness"
 
-// progress is the state of a query's phase.
+// progress is the state of a query's current phase.
 type progress struct {
-	completeness.Tally          // weights of the parts that are answered, pending and lost
-	completeness.Thresholds     // weights that an answer needs
+	completeness.Tally          // weights of answered, pending and lost parts
+	completeness.Thresholds     // weights of answered parts that an answer needs
 	live                    int // attempts in flight
 }
 
-// progressOf returns the progress of the phase in progress.
+// progressOf returns the progress of a query's current phase.
 func (p *Policy) progressOf(q *query) progress {
 	var tally completeness.Tally
 	live := 0
@@ -38,35 +38,35 @@
 	return pt.live > 0 || p.mayAttempt(pt)
 }
 
-// advance takes the next step of a query: it responds, rejects or fails it, or sends parts.
+// advance performs the next step of a query: it answers, rejects or fails the query, or sends parts.
 func (p *Policy) advance(q *query) {
 	awaitsParts := len(q.parts) == 0 && q.phase == secondPhase && p.now < q.expiresAt
 	if q.ended || awaitsParts {
 		p.wakeAt(q.expiresAt)
 		return
 	}
-	g := p.progressOf(q)
-	complete := g.Tally.Complete(g.Thresholds)
-	enough := g.Enough(g.Thresholds)
+	current := p.progressOf(q)
+	complete := current.Tally.Complete(current.Thresholds)
+	enough := current.Enough(current.Thresholds)
 	late := p.now >= q.expiresAt || p.now >= q.objectiveAt && enough
 	switch {
-	case complete || enough && (late || g.CannotComplete(g.Thresholds)):
-		p.respond(q, complete, g.Answered)
-	case late || g.CannotAnswer(g.Thresholds):
+	case complete || enough && (late || current.CannotComplete(current.Thresholds)):
+		p.respond(q, complete, current.Answered)
+	case late || current.CannotAnswer(current.Thresholds):
 		p.rejectOrFail(q)
-	case p.crashesServers(q, g):
+	case p.crashesServers(q, current):
 		p.quarantine(q)
 		p.rejectOrFail(q)
 	case !q.admitted && (p.isPoison(q) || p.admissionRejects(q)):
 		p.rejectOrFail(q)
 	default:
 		q.admitted = true
-		p.sendParts(q, g.Answered)
+		p.sendParts(q, current.Answered)
 		p.wakeForDeadlines(q)
 	}
 }
 
-// wakeForDeadlines requests batches at the times after which a query may be answered or given up.
+// wakeForDeadlines requests batches for the times at which a query may be answered in part or must end.
 func (p *Policy) wakeForDeadlines(q *query) {
 	p.wakeAt(q.expiresAt)
 	if p.now < q.objectiveAt {
@@ -74,8 +74,8 @@
 	}
 }
 
-// respond answers a query from its answered parts, which sum to a weight of answered. If that ends the first
-// of two phases, the query stays open for the parts of the second.
+// respond answers a query from its answered parts, whose total weight is answered. If this ends the first of
+// two phases, the query remains open for the parts of the second phase.
 func (p *Policy) respond(q *query, complete bool, answered float64) {
 	hasSecondPhase := q.class.SecondPhaseFanout != 0 && answered != 0
 	if q.phase == secondPhase || !hasSecondPhase {
--- a/internal/decision/queries.go
+++ b/internal/decision/queries.go
@@ -1,6 +1,6 @@
 package decision
 
-// The events of queries, parts and attempts, and the end of a query.
+// Handling of query, part and attempt events, and the end of a query.
 
 import (
 	"cmp"
@@ -8,15 +8,15 @@
 )
 
 const (
-	// respondLeadTicks is in ticks: the last answer leaves that long before the objective or deadline, since
-	// a batch may be a tick late and the answer takes time to reach the client.
+	// respondLeadTicks is in ticks. Answers are sent at least this long before the objective or deadline,
+	// since a batch may be a tick late and the answer takes time to reach the client.
 	respondLeadTicks = 3
-	// minTick is in seconds: a shorter Settings.Tick gives no shorter lead than 3 * 5 ms.
+	// minTick is in seconds. A shorter Settings.Tick does not reduce the lead below 3 * 5 ms.
 	minTick = 0.005
-	// fingerprintPrime is the prime of the 64-bit FNV hash.
-	fingerprintPrime = 1099511628211
-	// usualQuantile is the quantile of a class's latencies that counts as its usual latency.
-	usualQuantile = 0.95
+	// fnvPrime is the multiplier of the 64-bit FNV hash.
+	fnvPrime = 1099511628211
+	// tailQuantile is the quantile that defines the tail latency of a class.
+	tailQuantile = 0.95
 )
 
 func (p *Policy) onQuery(received Query) {
@@ -34,18 +34,18 @@
 		receivedAt:  cmp.Or(received.ReceivedAt, p.now),
 	}
 	p.setTimes(q)
-	// A client that waits for less than others do has tried before: what it has left is the rest of its
-	// patience.
+	// A client that waits for less than others is assumed to be retrying: its remaining time is the rest of
+	// the class's deadline.
 	wait := min(received.Deadline-p.now, class.Deadline)
 	isRetry := p.waits.IsRetry(received.Class, wait)
 	q.objectiveMissed = isRetry && class.Deadline-wait > class.LatencyObjective
-	p.queries[received.Number] = q
-	p.byQuery[received.ID] = q
+	p.queriesByNumber[received.Number] = q
+	p.queriesByID[received.ID] = q
 	p.openQueries = append(p.openQueries, q)
 }
 
-// setTimes sets a query's objectiveAt and expiresAt. Both are earlier by the time that the answer takes to
-// the client: respondLeadTicks, and as long as the request took from its last byte to this module.
+// setTimes sets a query's objectiveAt and expiresAt. Both are earlier by the time that the answer is expected
+// to take to the client: respondLeadTicks, and as long as the request took from its last byte until now.
 func (p *Policy) setTimes(q *query) {
 	class := q.class
 	lead := respondLeadTicks*max(p.settings.Tick, minTick) + p.now - q.receivedAt
@@ -55,30 +55,30 @@
 	if class.LateValue > 0 {
 		q.expiresAt = q.Deadline - lead
 	}
-	// While many clients disconnect before their deadlines, the objective is the time that most of them wait,
-	// unless parts usually take longer.
+	// If many clients disconnect before their deadlines, the objective is at most the time for which most of
+	// them wait, unless the tail latency of parts is longer.
 	patience := p.patience.Short()
-	if patience > p.fleet.Latencies[q.Class].Quantile(usualQuantile) {
+	if patience > p.fleet.Latencies[q.Class].Quantile(tailQuantile) {
 		q.objectiveAt = min(q.objectiveAt, q.receivedAt+patience-lead)
 	}
 }
 
 func (p *Policy) onPart(received Part) {
 	p.retryBudget.Request(p.now)
-	q := p.queries[received.QueryNumber]
+	q := p.queriesByNumber[received.QueryNumber]
 	if q == nil || q.ended {
 		return
 	}
 	pt := &part{Part: received, query: q}
 	q.parts = append(q.parts, pt)
-	shardMixed := (q.fingerprint ^ uint64(received.Shard+1)) * fingerprintPrime
-	q.fingerprint = shardMixed ^ math.Float64bits(received.Weight)
-	p.parts[received.ID] = pt
-	p.checkStalestHealth()
+	mixed := (q.fingerprint ^ uint64(received.Shard+1)) * fnvPrime
+	q.fingerprint = mixed ^ math.Float64bits(received.Weight)
+	p.partsByID[received.ID] = pt
+	p.checkStalestServer()
 }
 
 func (p *Policy) onClientDisconnected(disconnected ClientDisconnected) {
-	q := p.byQuery[disconnected.ID]
+	q := p.queriesByID[disconnected.ID]
 	if q == nil {
 		return
 	}
@@ -96,16 +96,16 @@
 	pt.live--
 	a.server.RecordLoadReport(outcome.LoadReport, p.now)
 	p.recordOutcome(a.server, outcome.Status)
-	p.learnFromAttempt(a, pt.query, outcome)
+	p.recordAttempt(a, pt.query, outcome)
 	a.server.InFlight--
 	p.queueHealthCheck(a.server)
 	p.updatePart(pt, outcome)
 }
 
-// attemptInFlight returns the attempt that an outcome belongs to, and its part, or nil if it is not in
-// flight.
+// attemptInFlight returns the part and the attempt that an outcome belongs to. Both are nil if the attempt is
+// not in flight.
 func (p *Policy) attemptInFlight(outcome AttemptFinished) (*part, *attempt) {
-	pt := p.parts[outcome.ID]
+	pt := p.partsByID[outcome.ID]
 	if pt == nil || outcome.Attempt < 0 || outcome.Attempt >= len(pt.attempts) {
 		return nil, nil
 	}
@@ -116,16 +116,16 @@
 	return pt, a
 }
 
-// mayHaveRun reports whether a server may have executed an attempt that ended with a status.
+// mayHaveRun reports whether a server may have executed an attempt that ended with the given status.
 func mayHaveRun(status Status) bool {
 	return status != Overloaded && status != Unreachable && status != NotSent
 }
 
-// updatePart brings the outcome of an attempt into the state of its part.
+// updatePart updates the state of a part from the outcome of one of its attempts.
 func (p *Policy) updatePart(pt *part, outcome AttemptFinished) {
 	if pt.finished {
 		if pt.live == 0 {
-			delete(p.parts, outcome.ID)
+			delete(p.partsByID, outcome.ID)
 		}
 		return
 	}
@@ -140,7 +140,7 @@
 	}
 }
 
-// finish ends a query: it cancels the attempts in flight, emits the final answer unless that is nil, and
+// finish ends a query: it cancels the attempts in flight, emits the final answer unless it is nil, and
 // removes the query from the table.
 func (p *Policy) finish(q *query, final Action) {
 	q.ended = true
@@ -149,23 +149,22 @@
 		p.emit(final)
 		p.patience.Finished()
 	}
-	delete(p.queries, q.Number)
-	delete(p.byQuery, q.ID)
+	delete(p.queriesByNumber, q.Number)
+	delete(p.queriesByID, q.ID)
 }
 
-// finishParts ends a phase: its parts get no further attempt and no further answer.
+// finishParts ends a phase: its parts get no more attempts, and later outcomes are not counted as answers.
 func (p *Policy) finishParts(q *query) {
 	for _, pt := range q.parts {
 		pt.finished = true
 		p.cancelAttempts(pt)
 		if pt.live == 0 {
-			delete(p.parts, pt.ID)
+			delete(p.partsByID, pt.ID)
 		}
 	}
 }
 
-// rejectOrFail ends a query without an answer: with a Reject where the client may safely retry, else with a
-// Fail.
+// rejectOrFail ends a query without an answer: with Reject if the client may safely retry it, else with Fail.
 func (p *Policy) rejectOrFail(q *query) {
 	if q.mayHaveRun() && q.class.Idempotency != Idempotent {
 		p.finish(q, Fail{ID: q.ID})
@@ -174,8 +173,8 @@
 	p.finish(q, Reject{ID: q.ID, RetryAfter: p.settings.MaxRetryAfter})
 }
 
-// mayHaveRun reports whether a server may have executed any attempt of a query. The first phase has run once
-// the second is in progress.
+// mayHaveRun reports whether a server may have executed any attempt of a query. In the second phase that is
+// always so, since the first phase has been executed.
 func (q *query) mayHaveRun() bool {
 	if q.phase == secondPhase {
 		return true
--- a/internal/decision/query.go
+++ b/internal/decision/query.go
@@ -1,58 +1,58 @@
 package decision
 
-// The state of queries and of their parts, from arrival to final answer.
+// The state of queries and their parts, from receipt to final answer.
 
-// phase is the step of a query that is in progress.
+// phase is the current phase of a query.
 type phase int
 
 const (
-	firstPhase  phase = iota + 1 // the parts that the query names
-	secondPhase                  // the Class.SecondPhaseFanout parts that follow
+	firstPhase  phase = iota + 1 // the Query.Parts parts received with the query
+	secondPhase                  // the Class.SecondPhaseFanout parts received after the first response
 )
 
 // queryTable holds the queries without a final answer, and the parts that may still have attempts in flight.
 type queryTable struct {
-	openQueries []*query             // in order of arrival
-	queries     map[int64]*query     // by Query.Number; looked up, never iterated
-	byQuery     map[RequestID]*query // by Query.ID; looked up, never iterated
-	parts       map[RequestID]*part  // looked up, never iterated
+	openQueries     []*query             // in order of receipt
+	queriesByNumber map[int64]*query     // by Query.Number; never iterated
+	queriesByID     map[RequestID]*query // by Query.ID; never iterated
+	partsByID       map[RequestID]*part  // by Part.ID; never iterated
 }
 
-// query is a query that this broker has received and not yet answered.
+// query is the state of a query that has no final answer yet.
 type query struct {
 	Query
-	class           *Class  // as it was when the query was received
-	parts           []*part // of the phase in progress
+	class           *Class  // as of receipt of the query
+	parts           []*part // of the current phase
 	phase           phase
-	firstComplete   bool    // the first phase was answered completely
-	receivedAt      float64 // when its last byte was received
-	objectiveAt     float64 // until then an answer earns its full value
-	expiresAt       float64 // until then an answer earns any value, and the client waits for it
-	objectiveMissed bool    // the latency objective has passed since the client's first try
-	admitted        bool    // it passed admission, and its parts may be sent
-	ended           bool    // it has its final answer, or its client has disconnected
+	firstComplete   bool    // the response to the first phase was complete
+	receivedAt      float64 // when the last byte was received
+	objectiveAt     float64 // time until which an answer has its full value
+	expiresAt       float64 // time until which an answer has any value and the client waits for it
+	objectiveMissed bool    // the latency objective has passed since the client's first request
+	admitted        bool    // admission has accepted the query, so its parts may be sent
+	ended           bool    // the query has its final answer, or its client has disconnected
 	fannedOut       bool    // enough canary parts were answered in time to send the others
 	resets          int     // attempts that ended with Reset
-	fingerprint     uint64  // hash of class, shards and weights, the same for a client's retry
+	fingerprint     uint64  // hash of class, shards and weights; retries by a client have the same
 }
 
-// part is one part of a query.
+// part is the state of one part of a query.
 type part struct {
 	Part
 	query    *query
-	attempts []attempt // in the order of their sends
+	attempts []attempt // in the order in which they were sent
 	live     int       // attempts in flight
 	answered bool      // an attempt has succeeded
-	finished bool      // its phase or its query has ended
-	givenUp  bool      // it gets no further attempt
+	finished bool      // the phase or the query has ended
+	givenUp  bool      // no further attempt may be sent
 }
 
 // attempt is one send of a part to a server.
 type attempt struct {
 	server      *server
 	sentAt      float64
-	live        bool    // in flight: its outcome is not known
+	live        bool    // in flight: the outcome is not known yet
 	mayRun      bool    // the server may have executed it, or may still do so
 	cancelled   bool    // a Cancel was emitted
-	concurrency float64 // this broker's parts at the server when it was sent, itself included
+	concurrency float64 // number of this broker's parts at the server when it was sent, including itself
 }
--- a/internal/decision/recorded_test.go
+++ b/internal/decision/recorded_test.go
@@ -13,47 +13,47 @@
 	"github.com/stretchr/testify/require"
 )
 
-// recordedDays holds a digest of all actions of each random day, a line a day. It was recorded where the module and a
-// complete second form of it, by walks over all servers, took the same actions.
-const recordedDays = "testdata/days.sha256"
+// recordedDigestsFile holds one digest per line, of all actions in one random scenario. It was recorded when the package and a
+// complete second implementation of it, which iterated over all servers, gave the same actions.
+const recordedDigestsFile = "testdata/days.sha256"
 
-var recordDays = flag.Bool("record", false, "record the random days' actions, after a decision was changed on purpose")
+var recordDigests = flag.Bool("record", false, "record the digests of the scenarios, after an intentional change of decisions")
 
-// digestOfDay returns a digest of all that the module does on a random day, to the bit of every time.
-func digestOfDay(seed uint64) string {
-	d := newRandomDay(seed)
-	policy := New(d.settings, seed)
+// scenarioDigest returns a digest of all actions of a Policy in a random scenario, with times at full precision.
+func scenarioDigest(seed uint64) string {
+	sc := newRandomScenario(seed)
+	policy := New(sc.settings, seed)
 	digest := sha256.New()
-	events := []Event{EndpointUpdate{Mode: FullUpdate, Servers: d.servers}}
+	events := []Event{EndpointUpdate{Mode: FullUpdate, Servers: sc.servers}}
 	for batch := range differentialBatches {
 		if batch > 0 {
-			events = d.nextEvents()
+			events = sc.nextEvents()
 		}
-		actions := policy.Handle(d.now, events)
+		actions := policy.Handle(sc.now, events)
 		for _, action := range actions {
 			fmt.Fprintf(digest, "%d %T %+v\n", batch, action, action)
 		}
-		d.perform(actions)
+		sc.perform(actions)
 	}
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// The module decides as recorded, also where the plain form shares its code.
+// The actions of a Policy must equal the recorded ones. This also covers code that the reference implementation shares.
 func TestDecisionsEqualTheRecordedPlainForm(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("the last bit of a power differs between architectures")
+		t.Skip("the last bit of math.Pow results differs between architectures; digests were recorded on amd64")
 	}
 	var digests []string
-	for seed := range uint64(*differentialDays) {
-		digests = append(digests, digestOfDay(seed))
+	for seed := range uint64(*differentialScenarios) {
+		digests = append(digests, scenarioDigest(seed))
 	}
-	if *recordDays {
-		require.NoError(t, os.WriteFile(recordedDays, []byte(strings.Join(digests, "\n")+"\n"), 0o644))
+	if *recordDigests {
+		require.NoError(t, os.WriteFile(recordedDigestsFile, []byte(strings.Join(digests, "\n")+"\n"), 0o644))
 	}
-	text, err := os.ReadFile(recordedDays)
+	text, err := os.ReadFile(recordedDigestsFile)
 	require.NoError(t, err)
 	recorded := strings.Fields(string(text))
 	compared := min(len(recorded), len(digests))
 	require.Positive(t, compared)
-	require.Equal(t, recorded[:compared], digests[:compared], "the actions of a day differ from the recorded ones")
+	require.Equal(t, recorded[:compared], digests[:compared], "the actions in a scenario differ from the recorded ones")
 }
--- a/internal/decision/reference_test.go
+++ b/internal/decision/reference_test.go
@@ -1,19 +1,19 @@
 package decision
 
-// plainPolicy is the oracle of the random days: Policy with all that it keeps up to date replaced by what walks over
-// all servers and attempts, or over logs of what was sent and received, give at the moment of use. The decisions
-// themselves (which weight, which limit, which timeout) are Policy's own: recorded_test.go holds these to what was
-// recorded, and the tests of each unit to what they are for.
+// referencePolicy is the reference implementation ("plain form") with which Policy is compared in random scenarios. State that
+// Policy updates incrementally is recomputed when it is used, by iterating over all servers and attempts or over logs of events
+// and actions. The decisions based on that state (weights, limits, timeouts) are made by Policy's own code. They are checked
+// against recorded actions (recorded_test.go) and by the other tests.
 //
-//	what Policy keeps up to date                what plainPolicy does
-//	failure ratios by zone, bounds, median      fades each ratio at its use and sorts all of them
-//	replica sets, changed entry by entry        builds the index from the list after each update
-//	removed servers, servers that warm up       looks at each server
-//	heap of servers to check                    looks for the one observed longest ago
+//	incremental state of Policy                 recomputation by referencePolicy
+//	failure ratios by zone, bounds, median      decays each ratio on use and sorts all ratios
+//	replica sets, updated by entry              rebuilds the index from the list after each update
+//	removed servers, servers warming up         iterates over all servers
+//	heap of servers to check                    searches for the least recently observed server
 //	window of the retry budget                  filters a log of requests and retries
 //	attempts in flight at a server              counts the live attempts of all parts
 //	sends in a slow-start window                filters a log of sends
-//	canary parts without an answer              counts them from a list of canary parts
+//	unanswered canary parts                     counts them in a list of canary parts
 
 import (
 	"fmt"
@@ -26,50 +26,50 @@
 	"mothrouter/internal/estimate/servicetime"
 )
 
-// plainRatio is a failure ratio at a time, which fades afterwards.
-type plainRatio struct {
-	value  float64
-	at     float64
-	slowly bool // the latest outcome was refused or reset: it fades with the half-life of service times
+// decayedRatio is a failure ratio at a point in time, after which it decays.
+type decayedRatio struct {
+	value     float64
+	at        float64
+	slowDecay bool // the latest outcome was Unreachable or Reset: it decays with the half-life of service times
 }
 
-// The constants of package serverstats that are used here, and those of package retrybudget.
+// Copies of unexported constants of the packages serverstats and retrybudget.
 const (
 	outcomeZoneWeight      = 0.05  // weight of one outcome in a zone's failure ratio and in the disconnect ratio
-	outcomeServerWeight    = 0.25  // least weight of one outcome in a server's failure ratio
+	outcomeServerWeight    = 0.25  // minimum weight of one outcome in a server's failure ratio
 	failureRatioHalfLife   = 5.0   // seconds
-	negligibleFailureRatio = 1e-33 // Policy takes such a median for 0
-	budgetSlack            = 1e-6  // seconds, and retries
+	negligibleFailureRatio = 1e-33 // Policy reports a smaller median as 0
+	budgetSlack            = 1e-6  // tolerance, in seconds and in retries
 )
 
-// plainPolicy decides for one broker.
-type plainPolicy struct {
+// referencePolicy implements Decider.
+type referencePolicy struct {
 	*Policy
-	zones        []plainRatio
-	ratios       map[*server]plainRatio
-	placeholders []*failures.Server // as many as servers are ready, so that the fleet has that size
+	zones        []decayedRatio
+	ratios       map[*server]decayedRatio
+	placeholders []*failures.Server // one per ready server, so that the fleet's size is right
 	requests     []float64          // times of queries and parts, for the retry budget
 	retries      []float64          // times of retries, for the retry budget
 	sends        map[*server][]float64
 }
 
-func newPlain(settings Settings, seed uint64) *plainPolicy {
-	return &plainPolicy{
+func newReference(settings Settings, seed uint64) *referencePolicy {
+	return &referencePolicy{
 		Policy: New(settings, seed),
-		ratios: map[*server]plainRatio{},
+		ratios: map[*server]decayedRatio{},
 		sends:  map[*server][]float64{},
 	}
 }
 
-func (p *plainPolicy) Handle(now float64, events []Event) []Action {
+func (p *referencePolicy) Handle(now float64, events []Event) []Action {
 	p.now = now
 	p.actions = nil
 	p.wakeTime = math.Inf(1)
-	p.survey()
+	p.updateFleetStats()
 	for _, event := range events {
 		p.handleEvent(event)
 	}
-	p.recount()
+	p.recomputeInputs()
 	p.runPeriodicWork()
 	for _, q := range p.openQueries {
 		fannedOut := q.fannedOut
@@ -84,39 +84,39 @@
 	return p.actions
 }
 
-func (p *plainPolicy) handleEvent(event Event) {
+func (p *referencePolicy) handleEvent(event Event) {
 	switch e := event.(type) {
 	case Query:
 		p.requests = append(p.requests, p.now)
 		p.Policy.handleEvent(e)
 	case Part:
 		p.requests = append(p.requests, p.now)
-		p.Policy.handleEvent(e) // its heap of servers to check is empty
-		if q := p.queries[e.QueryNumber]; q != nil && !q.ended {
-			p.checkStalestHealth()
+		p.Policy.handleEvent(e) // checks no server, since its heap is empty
+		if q := p.queriesByNumber[e.QueryNumber]; q != nil && !q.ended {
+			p.checkStalestServer()
 		}
 	case SlowStartLease:
 		p.Policy.handleEvent(e)
-		delete(p.sends, p.byID[e.Server])
+		delete(p.sends, p.serversByID[e.Server])
 	case HealthChecked:
-		if s := p.byID[e.Server]; s != nil {
-			p.learnFromCheck(s, e)
+		if s := p.serversByID[e.Server]; s != nil {
+			p.recordHealthCheck(s, e)
 		}
 	case EndpointUpdate:
 		p.onEndpointUpdate(e)
 	case AttemptFinished:
 		p.onAttemptFinished(e)
 	case PeerObservation:
-		if s := p.byID[e.Server]; s != nil && e.At >= s.Started {
-			p.learnFromPeer(s, e)
+		if s := p.serversByID[e.Server]; s != nil && e.At >= s.Started {
+			p.recordPeerObservation(s, e)
 		}
 	default:
 		p.Policy.handleEvent(e)
 	}
 }
 
-// survey brings the figures of the fleet to the time of the batch.
-func (p *plainPolicy) survey() {
+// updateFleetStats advances the fleet statistics to the time of the batch.
+func (p *referencePolicy) updateFleetStats() {
 	var ratios []float64
 	warming := 0
 	for _, s := range p.servers {
@@ -143,8 +143,8 @@
 	p.fleet.MedianFailureRatio = median
 }
 
-// failureRatio returns a server's failure ratio, which fades towards that of its zone if there are several.
-func (p *plainPolicy) failureRatio(s *server) float64 {
+// failureRatio returns a server's failure ratio, which decays to that of its zone if there are several zones, else to 0.
+func (p *referencePolicy) failureRatio(s *server) float64 {
 	zone := 0.0
 	if len(p.zones) > 1 {
 		z := p.zones[s.Zone]
@@ -155,14 +155,14 @@
 		return zone
 	}
 	halfLife := failureRatioHalfLife
-	if own.slowly {
+	if own.slowDecay {
 		halfLife = max(halfLife, p.fleet.ServiceTime.HalfLife)
 	}
 	return zone + (own.value-zone)*math.Exp2(-(p.now-own.at)/halfLife)
 }
 
-// recordOutcome counts an outcome for or against a server, its zone and this broker's connections.
-func (p *plainPolicy) recordOutcome(s *server, status Status) {
+// recordOutcome updates the failure ratios of a server and its zone, and the disconnect ratio, with an outcome.
+func (p *referencePolicy) recordOutcome(s *server, status Status) {
 	failed, disconnected := 0.0, 0.0
 	switch status {
 	case TimedOut, Cancelled, NotSent:
@@ -174,21 +174,21 @@
 	}
 	ratio := p.failureRatio(s)
 	weight := max(outcomeServerWeight, servicetime.ObservationWeight(p.now-p.ratios[s].at))
-	p.ratios[s] = plainRatio{value: ratio + weight*(failed-ratio), at: p.now, slowly: disconnected > 0}
+	p.ratios[s] = decayedRatio{value: ratio + weight*(failed-ratio), at: p.now, slowDecay: disconnected > 0}
 	z := &p.zones[s.Zone]
-	faded := (1 - outcomeZoneWeight) * z.value * math.Exp2(-(p.now-z.at)/failureRatioHalfLife)
-	*z = plainRatio{value: outcomeZoneWeight*failed + faded, at: p.now}
+	decayed := (1 - outcomeZoneWeight) * z.value * math.Exp2(-(p.now-z.at)/failureRatioHalfLife)
+	*z = decayedRatio{value: outcomeZoneWeight*failed + decayed, at: p.now}
 	p.fleet.DisconnectRatio += outcomeZoneWeight * (disconnected - p.fleet.DisconnectRatio)
 	s.ObservedAt = p.now
 }
 
-// exposeRatio lets Policy's own decisions read a server's failure ratio: one of this moment, in a fleet of one zone.
-func (p *plainPolicy) exposeRatio(s *server) {
+// setFailureRatio sets the failure ratio that Policy's code reads, as of now, so that it does not decay further.
+func (p *referencePolicy) setFailureRatio(s *server) {
 	s.Failures.Ratio = p.failureRatio(s)
 	s.Failures.At = p.now
 }
 
-func (p *plainPolicy) onEndpointUpdate(update EndpointUpdate) {
+func (p *referencePolicy) onEndpointUpdate(update EndpointUpdate) {
 	if update.Mode == FailedUpdate {
 		p.backOffPolls()
 		return
@@ -206,15 +206,15 @@
 	}
 	p.countInFlight()
 	p.servers = slices.DeleteFunc(p.servers, func(s *server) bool {
-		forgotten := s.State == Removed && s.InFlight == 0
-		if forgotten {
-			delete(p.byID, s.ID)
+		deleted := s.State == Removed && s.InFlight == 0
+		if deleted {
+			delete(p.serversByID, s.ID)
 			delete(p.ratios, s)
 			delete(p.sends, s)
 		}
-		return forgotten
+		return deleted
 	})
-	p.replicaSets = replicasets.New(p.settings.ReplicaSets, p.settings.ReplicationFactor, number)
+	p.replicaSets = replicasets.New(p.settings.ReplicaSets, p.settings.ReplicationFactor, ordinal)
 	for _, s := range p.servers {
 		if s.State != Removed {
 			p.replicaSets.Insert(s.ReplicaSet, s)
@@ -222,12 +222,12 @@
 	}
 }
 
-func (p *plainPolicy) updateServer(entry Server) {
+func (p *referencePolicy) updateServer(entry Server) {
 	entry.Zone = max(entry.Zone, 0)
 	for len(p.zones) <= entry.Zone {
-		p.zones = append(p.zones, plainRatio{})
+		p.zones = append(p.zones, decayedRatio{})
 	}
-	s := p.byID[entry.ID]
+	s := p.serversByID[entry.ID]
 	if s == nil {
 		s = p.addServer(entry.ID)
 	}
@@ -241,7 +241,7 @@
 	s.Server = entry
 }
 
-func (p *plainPolicy) onAttemptFinished(outcome AttemptFinished) {
+func (p *referencePolicy) onAttemptFinished(outcome AttemptFinished) {
 	pt, a := p.attemptInFlight(outcome)
 	if a == nil {
 		return
@@ -250,27 +250,27 @@
 	s.InFlight = p.inFlightAt(s)
 	s.RecordLoadReport(outcome.LoadReport, p.now)
 	p.recordOutcome(s, outcome.Status)
-	p.exposeRatio(s)
-	p.learnFromAttempt(a, pt.query, outcome)
+	p.setFailureRatio(s)
+	p.recordAttempt(a, pt.query, outcome)
 	a.live = false
 	a.mayRun = mayHaveRun(outcome.Status)
 	pt.live--
 	p.updatePart(pt, outcome)
 }
 
-func (p *plainPolicy) learnFromCheck(s *server, check HealthChecked) {
-	if check.Status != OK || p.ratios[s].slowly {
+func (p *referencePolicy) recordHealthCheck(s *server, check HealthChecked) {
+	if check.Status != OK || p.ratios[s].slowDecay {
 		p.recordOutcome(s, check.Status)
 	}
 	s.RecordLoadReport(check.LoadReport, p.now)
 }
 
-func (p *plainPolicy) learnFromPeer(s *server, peer PeerObservation) {
+func (p *referencePolicy) recordPeerObservation(s *server, peer PeerObservation) {
 	own := p.ratios[s]
 	if peer.Weight > 0 && peer.At > own.at {
 		ratio := p.failureRatio(s)
-		p.ratios[s] = plainRatio{
-			value: ratio + peer.Weight*(peer.FailureRatio-ratio), at: peer.At, slowly: own.slowly,
+		p.ratios[s] = decayedRatio{
+			value: ratio + peer.Weight*(peer.FailureRatio-ratio), at: peer.At, slowDecay: own.slowDecay,
 		}
 	}
 	p.fleet.RecordPeer(&s.Stats, peer.At, 0, 0, peer.ServiceTime)
@@ -281,8 +281,8 @@
 	s.RecordLoadReport(peer.LoadReport, reportedAt)
 }
 
-// checkStalestHealth checks, while attempts are often refused or reset, the idle server observed longest ago.
-func (p *plainPolicy) checkStalestHealth() {
+// checkStalestServer checks the least recently observed idle server if many attempts are refused or reset.
+func (p *referencePolicy) checkStalestServer() {
 	if !p.settings.HealthChecksAllowed || p.fleet.DisconnectRatio < healthCheckThreshold {
 		return
 	}
@@ -299,11 +299,11 @@
 	}
 }
 
-// recount renews all that Policy's decisions on open queries read.
-func (p *plainPolicy) recount() {
+// recomputeInputs recomputes all state that Policy's code reads to decide on open queries.
+func (p *referencePolicy) recomputeInputs() {
 	p.countInFlight()
 	for _, s := range p.servers {
-		p.exposeRatio(s)
+		p.setFailureRatio(s)
 		s.slowStartSends = p.sendsInWindow(s)
 	}
 	p.retryBudget = retrybudget.Budget{Settings: p.settings.RetryBudget}
@@ -312,11 +312,11 @@
 }
 
 // countInFlight counts the attempts in flight at each server.
-func (p *plainPolicy) countInFlight() {
+func (p *referencePolicy) countInFlight() {
 	for _, s := range p.servers {
 		s.InFlight = 0
 	}
-	for _, pt := range p.parts {
+	for _, pt := range p.partsByID {
 		for _, a := range pt.attempts {
 			if a.live {
 				a.server.InFlight++
@@ -326,13 +326,14 @@
 }
 
 // inFlightAt returns the number of attempts in flight at a server.
-func (p *plainPolicy) inFlightAt(s *server) int {
+func (p *referencePolicy) inFlightAt(s *server) int {
 	p.countInFlight()
 	return s.InFlight
 }
 
-// sendsInWindow returns the attempts sent to a server while it warmed up, since its lease or in the overload window.
-func (p *plainPolicy) sendsInWindow(s *server) []float64 {
+// sendsInWindow returns the send times of attempts to a server during its slow start, since its lease or within the overload
+// window.
+func (p *referencePolicy) sendsInWindow(s *server) []float64 {
 	var times []float64
 	for _, t := range p.sends[s] {
 		if s.lease != nil || t >= p.now-p.settings.SlowStart.OverloadWindow {
@@ -342,8 +343,8 @@
 	return times
 }
 
-// retriesLeft returns how many further retries the budget allows now.
-func (p *plainPolicy) retriesLeft() int {
+// retriesLeft returns how many more retries the budget allows now.
+func (p *referencePolicy) retriesLeft() int {
 	start := p.now - p.settings.RetryBudget.Window
 	p.requests = slices.DeleteFunc(p.requests, func(t float64) bool { return t < start+budgetSlack })
 	p.retries = slices.DeleteFunc(p.retries, func(t float64) bool { return t < start-budgetSlack })
@@ -355,44 +356,44 @@
 	return left
 }
 
-// logSends adds the attempts of the batch to the logs.
-func (p *plainPolicy) logSends() {
+// logSends adds the attempts sent in the batch to the logs.
+func (p *referencePolicy) logSends() {
 	for _, action := range p.actions {
 		send, isSend := action.(Send)
 		if !isSend {
 			continue
 		}
-		if len(p.parts[send.ID].attempts) > 1 {
+		if len(p.partsByID[send.ID].attempts) > 1 {
 			p.retries = append(p.retries, p.now)
 		}
-		s := p.byID[send.Server]
+		s := p.serversByID[send.Server]
 		if p.capacityFraction(s) < 1 {
 			p.sends[s] = append(p.sends[s], p.now)
 		}
 	}
 }
 
-// checkCanaries adds an action, which Policy does not have, where a query has not kept to its canary parts: the others
-// were sent too early, or too late, or it was not rejected in time.
-func (p *plainPolicy) checkCanaries(q *query) {
+// checkCanaries emits a Log action, so that the comparison with Policy fails, if a query violates the rules for canary parts:
+// the other parts were sent too early or too late, or the query was not rejected in time.
+func (p *referencePolicy) checkCanaries(q *query) {
 	if q.ended || !q.admitted || !p.needsCanary(q) {
 		return
 	}
 	canaries := max(len(q.parts)/partsPerCanary, minCanaryParts)
 	stride := len(q.parts) / canaries
 	unanswered := 0
-	early := 0
+	othersSent := 0
 	for i, pt := range q.parts {
 		switch {
 		case i%stride == 0 && !pt.answered && !pt.givenUp:
 			unanswered++
 		case i%stride > 0 && len(pt.attempts) > 0 && pt.attempts[len(pt.attempts)-1].sentAt == p.now:
-			early++
+			othersSent++
 		}
 	}
 	inTime := p.now < q.receivedAt+canaryTimeFraction*(q.objectiveAt-q.receivedAt)
 	fansOut := inTime && float64(unanswered) <= maxCanaryMissing*float64(canaries)
-	if q.fannedOut != fansOut || !fansOut && (!inTime || early > 0) {
-		p.emit(Log{Line: fmt.Sprint("canary parts of query ", q.ID, ": ", unanswered, " unanswered, others sent: ", early)})
+	if q.fannedOut != fansOut || !fansOut && (!inTime || othersSent > 0) {
+		p.emit(Log{Line: fmt.Sprint("canary parts of query ", q.ID, ": ", unanswered, " unanswered, others sent: ", othersSent)})
 	}
 }
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -9,16 +9,16 @@
 )
 
 func TestDrawIsProportionalToFitness(t *testing.T) {
-	s := settings()
-	s.ReportMode = decision.ReportPiggyback
-	busy := []float64{0, 0.2, 0.5}
-	for _, batch := range []int{1, 8} {
-		s.MaxPartsPerCall = batch
-		r := newRunner(t, s, servers(3)...)
+	cfg := settings()
+	cfg.ReportMode = decision.ReportPiggyback
+	utilization := []float64{0, 0.2, 0.5} // by server
+	for _, partsPerCall := range []int{1, 8} {
+		cfg.MaxPartsPerCall = partsPerCall
+		r := newRunner(t, cfg, servers(3)...)
 		load := func(server string) decision.LoadReport {
-			l := decision.NoLoadReport
-			l.Utilization, l.QueueLength = busy[server[1]-'0'], 0
-			return l
+			report := decision.NoLoadReport
+			report.Utilization, report.QueueLength = utilization[server[1]-'0'], 0
+			return report
 		}
 		count, together, n := map[string]float64{}, 0, 4000
 		for i := range n {
@@ -33,79 +33,79 @@
 			if out[0].Server == out[1].Server {
 				together++
 			}
-			for _, snd := range out {
-				count[snd.Server]++
-				e := finished(snd.ID, 0, snd.Server, decision.OK, 0)
-				e.LoadReport = load(snd.Server)
-				r.handle(e)
+			for _, send := range out {
+				count[send.Server]++
+				outcome := finished(send.ID, 0, send.Server, decision.OK, 0)
+				outcome.LoadReport = load(send.Server)
+				r.handle(outcome)
 			}
 		}
-		if batch == 1 {
-			continue // parts of one turn see each other in flight: only the first is plain
+		if partsPerCall == 1 {
+			continue // the weights of the second part depend on where the first part is in flight
 		}
 		sum := 0.0
-		for _, b := range busy {
-			sum += math.Pow(1.02, -100*b)
+		for _, u := range utilization {
+			sum += math.Pow(1.02, -100*u)
 		}
-		for i, b := range busy {
-			want := math.Pow(1.02, -100*b) / sum
+		for i, u := range utilization {
+			want := math.Pow(1.02, -100*u) / sum
 			got := count[servers(3)[i].ID] / float64(2*(n-500))
 			if math.Abs(got-want) > 0.03 {
-				t.Errorf("busy %g: share %.3f, want %.3f", b, got, want)
+				t.Errorf("utilization %g: fraction of parts %.3f, want %.3f", u, got, want)
 			}
 		}
 		if together != n-500 {
-			t.Errorf("%d of %d pairs of one shard shared a call, want all", together, n-500)
+			t.Errorf("%d of %d pairs of parts of one shard were sent to the same server, want all", together, n-500)
 		}
 	}
 }
 
-func TestTriedReplicasWaitForTheOthers(t *testing.T) {
-	s := settings()
-	s.MaxAttempts = 5
-	r := newRunner(t, s, servers(3)...)
+func TestUntriedReplicasAreTriedFirst(t *testing.T) {
+	cfg := settings()
+	cfg.MaxAttempts = 5
+	r := newRunner(t, cfg, servers(3)...)
 	for range 30 {
 		_, ev := r.query(0, 1)
 		queue := sends(r.handle(ev...))
 		var order []string
-		asked := map[string]float64{}
+		sentAt := map[string]float64{} // by server
 		for n := 0; len(queue) > 0; n++ {
 			last := queue[0]
-			// A replica that failed at once is not tried again at once: that would use up the attempts in a moment.
-			if r.now < asked[last.Server]+0.02 {
-				t.Fatalf("attempt %d goes to a replica that was asked just now", n)
+			// A replica that failed immediately is not retried immediately, since that would quickly use up all attempts.
+			if r.now < sentAt[last.Server]+0.02 {
+				t.Fatalf("attempt %d sent to %s less than 0.02 s after the previous one", n, last.Server)
 			}
-			order, asked[last.Server] = append(order, last.Server), r.now
+			order, sentAt[last.Server] = append(order, last.Server), r.now
 			queue = sends(r.handleAt(r.now+0.001, finished(last.ID, n, last.Server, decision.Error, 0)))
 			if len(queue) == 0 {
 				queue = sends(r.handleAt(r.now + 0.02))
 			}
 		}
 		if len(order) != 5 {
-			t.Fatalf("%d attempts, want the limit of 5", len(order))
+			t.Fatalf("%d attempts, want 5, the value of MaxAttempts", len(order))
 		}
 		if order[0] == order[1] || order[1] == order[2] || order[0] == order[2] {
-			t.Fatalf("a tried replica was drawn before all were tried: %v", order)
+			t.Fatalf("servers of the attempts %v, want three different ones first", order)
 		}
 		r.now += 10
 	}
 }
 
-// Where crossing zones has a cost, parts stay in the zone; where it has none, zones do not matter.
-func TestPartsStayInZoneWhereCrossingCosts(t *testing.T) {
+// Parts stay in the broker's zone if crossing zones has a cost. Otherwise zones do not matter.
+func TestPartsStayInZoneIfCrossingHasCost(t *testing.T) {
 	for _, c := range []struct {
-		price    float64
+		cost     float64
 		min, max int
 	}{{0, 120, 180}, {0.04, 8, 50}} {
-		s := settings()
-		s.CrossZoneCost = c.price
+		cfg := settings()
+		cfg.CrossZoneCost = c.cost
 		list := servers(2)
 		list[1].Zone = 1
-		got := countSends(newRunner(t, s, list...), 300, func(snd decision.Send) decision.Event {
-			return finished(snd.ID, 0, snd.Server, decision.OK, 0.01)
+		got := countSends(newRunner(t, cfg, list...), 300, func(send decision.Send) decision.Event {
+			return finished(send.ID, 0, send.Server, decision.OK, 0.01)
 		})["s1"]
 		if got < c.min || got > c.max {
-			t.Errorf("price %g: %d of 300 parts crossed zones, want %d to %d", c.price, got, c.min, c.max)
+			t.Errorf("CrossZoneCost %g: %d of 300 parts crossed zones, want %d to %d", c.cost, got, c.min, c.max)
 		}
 	}
 }
@@ -119,16 +119,16 @@
 			_, ev := r.query(0, 4)
 			got := r.handle(ev...)
 			all = append(all, got...)
-			for _, snd := range sends(got) {
-				all = append(all, r.handleAt(r.now+0.01, finished(snd.ID, 0, snd.Server, decision.OK, 0.01))...)
+			for _, send := range sends(got) {
+				all = append(all, r.handleAt(r.now+0.01, finished(send.ID, 0, send.Server, decision.OK, 0.01))...)
 			}
 		}
 		return all
 	}
 	if !reflect.DeepEqual(run(3), run(3)) {
-		t.Error("equal seeds and events gave different actions")
+		t.Error("two runs with seed 3 and equal events gave different actions, want equal ones")
 	}
 	if reflect.DeepEqual(run(3), run(4)) {
-		t.Error("the seed has no effect")
+		t.Error("runs with seeds 3 and 4 gave equal actions, want different ones")
 	}
 }
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -1,27 +1,28 @@
 package decision
 
-// Slow start: how many parts a server that warms up may get.
+// Slow start: the limit on the parts sent to a server that is warming up.
 
 import "slices"
 
-// slowStart is the state of a server's slow start as this broker sees it.
+// slowStart is the slow-start state of a server.
 type slowStart struct {
 	warming         bool            // the server is in endpoints.warmingUp
-	warmingSince    float64         // start of its process; -Inf: long ago
-	slowStartSends  []float64       // times of attempts within the overload window, in order
-	roundingVariate float64         // in [0, 1): rounds the budget of the current window at random
-	roundedUntil    float64         // end of the window that roundingVariate belongs to
-	lease           *SlowStartLease // share of a budget in common with other brokers; nil: there is none
+	warmingSince    float64         // start of the server's process; -Inf: long ago
+	slowStartSends  []float64       // send times since the lease or in the overload window, in order
+	roundingVariate float64         // in [0, 1), for random rounding of the current window's budget
+	roundedUntil    float64         // end of the window for which roundingVariate was drawn
+	lease           *SlowStartLease // share of a common budget; nil: none
 }
 
-// capacityFraction returns the fraction of its capacity that a server certainly has, 1 once it is warm.
+// capacityFraction returns the fraction of its full capacity that a server is guaranteed to have: 1 once it
+// is warm.
 func (p *Policy) capacityFraction(s *server) float64 {
 	return p.settings.SlowStart.CapacityFraction(p.now - s.warmingSince)
 }
 
-// hasSlowStartBudget reports whether a server may get one more part, which is always so once it is warm.
-// A server that warms up takes at most the parts of its lease, if there is one, else of this broker's share
-// of the capacity estimated from the throughput of warm servers.
+// hasSlowStartBudget reports whether a server may get one more part. A warm server always may. A server that
+// is warming up is limited to the parts of its lease if there is one, else to this broker's share of its
+// capacity, estimated from the throughput of warm servers.
 func (p *Policy) hasSlowStartBudget(s *server) bool {
 	capacity := p.capacityFraction(s)
 	window := p.settings.SlowStart.OverloadWindow
@@ -34,15 +35,15 @@
 	s.slowStartSends = slices.DeleteFunc(s.slowStartSends, func(t float64) bool { return t < p.now-window })
 	p.renewRounding(s, window)
 	budget := p.settings.SlowStart.Budget(capacity, p.fleet.PeakRate.Value, p.settings.Brokers)
-	// A broker that rarely has a part for such a server leaves most windows unused, and may use more of the
+	// A broker that rarely has a part for such a server leaves most windows unused, and may send more in the
 	// others.
 	budget /= p.fleet.SlowStartWindows.Fraction()
 	parts := max(len(s.slowStartSends), s.InFlight) + 1
 	return float64(parts) <= budget+s.roundingVariate
 }
 
-// renewRounding draws a new variate at the start of each overload window. A budget of less than one part is
-// rounded at random: rounded up by each of hundreds of brokers, it would add up to an overload.
+// renewRounding draws a new variate at the start of each overload window. Budgets are rounded at random: if
+// each of hundreds of brokers rounded a budget of less than one part up, the sum would overload the server.
 func (p *Policy) renewRounding(s *server, window float64) {
 	if p.now < s.roundedUntil {
 		return
@@ -52,15 +53,15 @@
 	p.fleet.SlowStartWindows.Used()
 }
 
-// warmingServers returns the number of ready servers with less than their full capacity, and removes from
-// warmingUp those whose slow start has ended.
+// warmingServers returns the number of ready servers with less than their full capacity, and removes servers
+// whose slow start has ended from warmingUp.
 func (p *Policy) warmingServers() int {
 	duration := p.settings.SlowStart.Duration
 	warming := 0
 	p.warmingUp = slices.DeleteFunc(p.warmingUp, func(s *server) bool {
 		s.warming = duration > 0 && p.now-s.warmingSince < duration
 		if s.warming && s.IsReady() {
-			// Settings may give a server its full capacity, or more, from its start.
+			// InitialFraction may be 1 or more: such a server has its full capacity from the start.
 			warming += 1 - int(p.capacityFraction(s))
 		}
 		return !s.warming
--- a/internal/decision/slowstart_fleet_test.go
+++ b/internal/decision/slowstart_fleet_test.go
@@ -16,34 +16,34 @@
 	"mothrouter/internal/estimate/slowstart"
 )
 
-// CI simulates one seed; more take longer.
-var slowStartSeeds = flag.Int("cold", 1, "seeds of each fleet in slow start")
+// slowStartSeeds is 1 in CI, since more seeds take longer.
+var slowStartSeeds = flag.Int("cold", 1, "number of random seeds with which each slow-start scenario is simulated")
 
 const (
-	restartAt         = 12.0 // seconds until the first server restarts
-	restartSpan       = 7.0  // seconds within which further servers restart
+	restartAt         = 12.0 // time in seconds at which the first server restarts
+	restartSpan       = 7.0  // seconds after restartAt within which the other servers restart
 	simulatedDuration = restartAt + 8.5
 )
 
-// slowStartScenario is a fleet of brokers and servers on virtual time. At restartAt a server starts anew, and every
-// broker receives the list that says so.
+// slowStartScenario describes a fleet of brokers and servers that is simulated in virtual time. At restartAt a server restarts,
+// and every broker receives an endpoint update that says so.
 type slowStartScenario struct {
 	brokers, servers int
 	load             float64 // fraction of the servers' capacity
-	burst            float64 // traffic from restartAt on, as a multiple of that before
-	killed           float64 // fraction of the brokers that restart at restartAt with nothing but the list
-	alone            bool    // no other server holds the shards of the one that restarts
-	replaced         float64 // fraction of the servers that restart within restartSpan; 0: one does
-	rolling          bool    // a tenth of the brokers after the other restarts: for a second two processes serve
-	capacity         float64 // parts a second that a server takes; 0: 50
+	burst            float64 // traffic after restartAt, relative to the traffic before
+	restartedBrokers float64 // fraction of the brokers that restart at restartAt without restored state
+	singleReplica    bool    // no other server holds the shards of the restarted server
+	restartedServers float64 // fraction of the servers that restart within restartSpan; 0: only one
+	rollingRestart   bool    // brokers restart one tenth at a time, with 1 s in which both processes serve
+	capacity         float64 // parts per second of a warm server; 0: 50
 }
 
-func (c slowStartScenario) settings() decision.Settings {
+func (s slowStartScenario) settings() decision.Settings {
 	return decision.Settings{
 		Classes: []decision.Class{{
 			LatencyObjective: 1.5, Deadline: 4, CompletenessThreshold: 1, MinCompleteness: 1, PriorityWeight: 1,
 		}},
-		Brokers: c.brokers, ReplicaSets: c.servers, ReplicationFactor: 2, MaxPartsPerCall: 1, MaxAttempts: 4,
+		Brokers: s.brokers, ReplicaSets: s.servers, ReplicationFactor: 2, MaxPartsPerCall: 1, MaxAttempts: 4,
 		Tick: 0.001, CancelAllowed: true, RetryAfterSupported: true, MaxRetryAfter: 0.5,
 		ReportMode: decision.ReportPiggyback,
 		SlowStart: slowstart.Settings{
@@ -52,14 +52,14 @@
 	}
 }
 
-// pendingOutcome is the outcome of an attempt on its way to a broker.
+// pendingOutcome is the outcome of an attempt that a broker receives later.
 type pendingOutcome struct {
 	at      float64
 	broker  *decision.Policy
 	outcome decision.AttemptFinished
 }
 
-// outcomeQueue is a heap.Interface, the earliest outcome first.
+// outcomeQueue implements heap.Interface, with the earliest outcome first.
 type outcomeQueue []pendingOutcome
 
 func (q outcomeQueue) Len() int           { return len(q) }
@@ -79,7 +79,7 @@
 	apply func(now float64)
 }
 
-// simulatedFleet is a slowStartScenario in progress.
+// simulatedFleet is the state of a running slowStartScenario.
 type simulatedFleet struct {
 	slowStartScenario
 	settings    decision.Settings
@@ -88,9 +88,9 @@
 	processes   [][]*decision.Policy // by broker
 	outcomes    outcomeQueue
 	changes     []scheduledChange
-	sentAt      map[string][]float64 // attempts sent to servers that have restarted
-	restartedAt map[string]float64
-	freeAt      map[string]float64 // when each server has finished what it holds
+	sentAt      map[string][]float64 // send times of attempts to restarted servers, by server
+	restartedAt map[string]float64   // by server
+	freeAt      map[string]float64   // time at which a server has finished its queue, by server
 }
 
 func newSimulatedFleet(scenario slowStartScenario, seed uint64) *simulatedFleet {
@@ -111,14 +111,14 @@
 		f.processes[i] = []*decision.Policy{f.newProcess(0)}
 	}
 	f.scheduleServerRestarts()
-	if f.rolling {
+	if f.rollingRestart {
 		f.scheduleBrokerRestarts()
 	}
 	slices.SortStableFunc(f.changes, func(a, b scheduledChange) int { return cmp.Compare(a.at, b.at) })
 	return f
 }
 
-// newProcess returns a broker process that knows the list alone.
+// newProcess returns the Policy of a new broker process, which has received only the endpoint list.
 func (f *simulatedFleet) newProcess(now float64) *decision.Policy {
 	p := decision.New(f.settings, f.random.Uint64())
 	p.Handle(now, []decision.Event{decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: f.list}})
@@ -133,19 +133,19 @@
 	f.schedule(restartAt, func(now float64) {
 		f.restartServer(0, now)
 		for i := range f.processes {
-			if f.random.Float64() < f.killed {
+			if f.random.Float64() < f.restartedBrokers {
 				f.processes[i] = []*decision.Policy{f.newProcess(now)}
 			}
 		}
 	})
-	restarts := int(f.replaced * float64(f.servers))
+	restarts := int(f.restartedServers * float64(f.servers))
 	for n := 1; n < restarts; n++ {
 		at := restartAt + restartSpan*float64(n)/float64(restarts)
 		f.schedule(at, func(now float64) { f.restartServer(n, now) })
 	}
 }
 
-// scheduleBrokerRestarts replaces a tenth of the brokers every half second from a second before restartAt on.
+// scheduleBrokerRestarts schedules the restart of a tenth of the brokers every 0.5 s, starting 1 s before restartAt.
 func (f *simulatedFleet) scheduleBrokerRestarts() {
 	for tenth := range 10 {
 		from, to := tenth*f.brokers/10, (tenth+1)*f.brokers/10
@@ -167,7 +167,7 @@
 	f.list[n].Started = now
 	f.restartedAt[f.list[n].ID] = now
 	f.freeAt[f.list[n].ID] = now
-	if f.alone {
+	if f.singleReplica {
 		f.list[(n+1)%f.servers].State = decision.Removed
 		f.list[(n+f.servers-1)%f.servers].State = decision.Removed
 	}
@@ -179,7 +179,7 @@
 	}
 }
 
-// perform lets the servers answer what a broker sends. A server with more than a second of work rejects.
+// perform schedules the outcomes of the attempts that a broker sends. A server rejects attempts if its queue exceeds 1 s.
 func (f *simulatedFleet) perform(now float64, p *decision.Policy, actions []decision.Action) {
 	for _, s := range sends(actions) {
 		capacity := f.capacity
@@ -199,7 +199,7 @@
 	}
 }
 
-// run simulates queries of one to five parts, three on average, that arrive at random brokers.
+// run simulates queries of 1 to 5 parts, 3 on average, which random brokers receive.
 func (f *simulatedFleet) run() {
 	now := 0.0
 	for id := decision.RequestID(100); now < simulatedDuration; id += 100 {
@@ -208,8 +208,8 @@
 			f.changes = f.changes[1:]
 		}
 		for len(f.outcomes) > 0 && f.outcomes[0].at <= now {
-			x := heap.Pop(&f.outcomes).(pendingOutcome)
-			f.perform(x.at, x.broker, x.broker.Handle(x.at, []decision.Event{x.outcome}))
+			next := heap.Pop(&f.outcomes).(pendingOutcome)
+			f.perform(next.at, next.broker, next.broker.Handle(next.at, []decision.Event{next.outcome}))
 		}
 		f.query(id, now)
 		rate := f.load * float64(f.servers) * f.capacity / 3
@@ -235,9 +235,10 @@
 	f.perform(now, p, p.Handle(now, events))
 }
 
-// fullestWindow returns the most attempts that a restarted server got in any overload window, as a fraction of the
-// N that the settings allow there, and of N + 2 root N + 2, beyond which it is not chance.
-func (f *simulatedFleet) fullestWindow() (ofAllowed, ofChance float64) {
+// maxWindowUsage returns the maximum number of attempts sent to a restarted server in any overload window: ofAllowed relative
+// to the number N that the settings allow in that window, and ofTolerated relative to N + 2*sqrt(N) + 2, which random variation
+// does not exceed.
+func (f *simulatedFleet) maxWindowUsage() (ofAllowed, ofTolerated float64) {
 	slowStart := f.settings.SlowStart
 	for id, sentAt := range f.sentAt {
 		first := 0
@@ -250,24 +251,24 @@
 			allowed := slowStart.OverloadFactor * fraction * slowStart.OverloadWindow * f.capacity
 			n := float64(i - first + 1)
 			ofAllowed = max(ofAllowed, n/allowed)
-			ofChance = max(ofChance, n/(allowed+2*math.Sqrt(allowed)+2))
+			ofTolerated = max(ofTolerated, n/(allowed+2*math.Sqrt(allowed)+2))
 		}
 	}
-	return ofAllowed, ofChance
+	return ofAllowed, ofTolerated
 }
 
-// A server in slow start takes a limited number of parts from all brokers together, whether they are two, which see
-// much of it, or hundreds that see little each, and whichever of them are killed or replaced meanwhile.
+// All brokers together must send only a limited number of parts to a server in slow start, whether there are few brokers, each
+// of which observes it often, or hundreds that rarely do, and also if brokers or servers restart in the meantime.
 func TestSlowStartBudgetHoldsForAFleet(t *testing.T) {
 	scenarios := map[string]slowStartScenario{
 		"brokers with few observations":      {load: 0.6, burst: 1},
-		"nine tenths of the capacity":        {load: 0.9, burst: 1},
-		"new brokers, burst":                 {load: 0.6, burst: 1.9, killed: 1},
-		"single replica, burst":              {load: 0.6, burst: 1.9, alone: true},
-		"single replica, new brokers, burst": {load: 0.6, burst: 1.9, killed: 0.7, alone: true},
-		"six in ten servers replaced, burst": {load: 0.6, burst: 1.5, replaced: 0.6},
-		"rolling restart, servers replaced":  {load: 0.6, burst: 1.5, rolling: true, replaced: 0.5},
-		"rolling restart, single replica":    {load: 0.6, burst: 1.5, rolling: true, alone: true},
+		"90 % load":                          {load: 0.9, burst: 1},
+		"new brokers, burst":                 {load: 0.6, burst: 1.9, restartedBrokers: 1},
+		"single replica, burst":              {load: 0.6, burst: 1.9, singleReplica: true},
+		"single replica, new brokers, burst": {load: 0.6, burst: 1.9, restartedBrokers: 0.7, singleReplica: true},
+		"60 % of servers restarted, burst":   {load: 0.6, burst: 1.5, restartedServers: 0.6},
+		"rolling restart, servers restarted": {load: 0.6, burst: 1.5, rollingRestart: true, restartedServers: 0.5},
+		"rolling restart, single replica":    {load: 0.6, burst: 1.5, rollingRestart: true, singleReplica: true},
 	}
 	for _, brokers := range []int{1, 2, 5, 20, 30, 300} {
 		servers := 12
@@ -277,16 +278,16 @@
 		for name, scenario := range scenarios {
 			scenario.brokers, scenario.servers = brokers, servers
 			t.Run(fmt.Sprint(brokers, " brokers, ", name), func(t *testing.T) {
-				most, worst := 0.0, 0.0
+				maxOfAllowed, maxOfTolerated := 0.0, 0.0
 				for seed := range uint64(*slowStartSeeds) {
 					f := newSimulatedFleet(scenario, seed)
 					f.run()
-					ofAllowed, ofChance := f.fullestWindow()
-					most, worst = max(most, ofAllowed), max(worst, ofChance)
-					require.Greater(t, ofAllowed, 0.02, "the server gets parts")
+					ofAllowed, ofTolerated := f.maxWindowUsage()
+					maxOfAllowed, maxOfTolerated = max(maxOfAllowed, ofAllowed), max(maxOfTolerated, ofTolerated)
+					require.Greater(t, ofAllowed, 0.02, "a restarted server must get some parts")
 				}
-				t.Logf("the fullest window holds %.2f of N, %.2f of N + 2 root N + 2", most, worst)
-				require.LessOrEqual(t, worst, 1.0)
+				t.Logf("maximum attempts in an overload window: %.2f N, %.2f (N + 2 sqrt N + 2)", maxOfAllowed, maxOfTolerated)
+				require.LessOrEqual(t, maxOfTolerated, 1.0)
 			})
 		}
 	}
