--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// In an overload, queries of all shards are rejected. Its end can only be inferred from the age of the observations, since
-// trials of single parts do not suffice to admit a query of many parts.
+// In an overload, queries of all shards are rejected. Rejections end only when the observations have aged, since trials of
+// single parts do not suffice to admit a query of many parts.
 func TestRejectionEndsAfterOverload(t *testing.T) {
 	r := newRunner(t, settings(), servers(120)...)
 	sendAll := func(latency float64) (sent bool) { // reports whether all parts of a query were sent
@@ -106,7 +106,7 @@
 	}
 }
 
-// A rejected client retries after its objective, at a broker that does not know of the rejection. To serve the retry has no
+// A rejected client retries after its objective, at a broker that does not know of the rejection. Serving the retry has no
 // value and takes capacity from first requests, which prolonged overloads in fleets of hundreds of brokers. Retries are
 // recognized by their remaining wait, which is shorter than that of first requests. They are still served if there is spare
 // capacity, or if the broker observes each server often: with few brokers, the one that rejected the client also receives the
--- a/internal/decision/bench_test.go
+++ b/internal/decision/bench_test.go
@@ -12,11 +12,11 @@
 var benchmarkSizes = []int{200, 500, 1000, 2300, 4600}
 
 const (
-	benchmarkZones  = 10
-	benchmarkParts  = 300   // parts of a query at the target size
-	benchmarkGap    = 0.003 // seconds between batches
-	benchmarkReply  = 0.02  // latency of a part in seconds
-	benchmarkWarmUp = 40    // queries before the measurement
+	benchmarkZones   = 10
+	benchmarkParts   = 300   // parts of a query at the target size
+	benchmarkGap     = 0.003 // seconds between batches
+	benchmarkLatency = 0.02  // latency of a part in seconds
+	benchmarkWarmUp  = 40    // queries before the measurement
 )
 
 // benchmarkFleet is the Policy of a broker, and a fleet with the zones and replica sets of the operators' target.
@@ -65,12 +65,12 @@
 	}
 	f.events = events
 	out := sends(f.policy.Handle(f.now, events))
-	f.now += benchmarkReply
+	f.now += benchmarkLatency
 	for len(out) > 0 {
 		send := out[0]
 		f.now += 0.00002
 		outcome := decision.AttemptFinished{
-			ID: send.ID, Server: send.Server, Status: decision.OK, Latency: benchmarkReply, PartConcluded: true,
+			ID: send.ID, Server: send.Server, Status: decision.OK, Latency: benchmarkLatency, PartConcluded: true,
 			LoadReport: decision.LoadReport{InFlight: 1, QueueLength: 1, Utilization: 0.5, Latency: 0.02, Rate: 10},
 		}
 		if f.random.Float64() < f.failureRatio {
@@ -119,10 +119,10 @@
 // Queries of 300 parts, with each outcome in a batch of its own: 301 batches per query.
 func BenchmarkQueryHealthy(b *testing.B) { benchmarkQuery(b, 0) }
 
-// Queries of which 0.1 % of the attempts fail.
+// Queries while 0.1 % of all attempts fail.
 func BenchmarkQueryFewErrors(b *testing.B) { benchmarkQuery(b, 1e-3) }
 
-// Queries of which 1 % of the attempts fail.
+// Queries while 1 % of all attempts fail.
 func BenchmarkQueryManyErrors(b *testing.B) { benchmarkQuery(b, 1e-2) }
 
 func benchmarkQuery(b *testing.B, failureRatio float64) {
--- a/internal/decision/differential_test.go
+++ b/internal/decision/differential_test.go
@@ -163,21 +163,22 @@
 func (sc *randomScenario) changeFaults() {
 	f := fault{status: Status(sc.random.IntN(int(NotSent) + 1)), ratio: []float64{0, 0.002, 0.1, 0.5, 1}[sc.random.IntN(5)],
 		slowdown: []float64{1, 1, 5}[sc.random.IntN(3)]}
-	zone, kind := sc.servers[sc.random.IntN(len(sc.servers))].Zone, sc.random.IntN(4)
-	one := sc.servers[sc.random.IntN(len(sc.servers))].ID
-	if kind == 3 {
+	zone := sc.servers[sc.random.IntN(len(sc.servers))].Zone
+	scope := sc.random.IntN(4) // 0: one server, 1: a zone, 2: clear all faults, 3: all servers
+	serverID := sc.servers[sc.random.IntN(len(sc.servers))].ID
+	if scope == 3 {
 		f.ratio = min(f.ratio, 0.02)
 	}
 	for _, s := range sc.servers {
-		if kind == 0 && s.ID == one || kind == 1 && s.Zone == zone || kind == 3 {
+		if scope == 0 && s.ID == serverID || scope == 1 && s.Zone == zone || scope == 3 {
 			sc.faults[s.ID] = f
-		} else if kind == 2 {
+		} else if scope == 2 {
 			delete(sc.faults, s.ID)
 		}
 	}
 }
 
-// otherEvent returns an event that does not belong to the query path, such as an endpoint update.
+// otherEvent returns a random event other than queries, parts and outcomes, such as an endpoint update.
 func (sc *randomScenario) otherEvent() Event {
 	random := sc.random
 	s := &sc.servers[random.IntN(len(sc.servers))]
--- a/internal/decision/helpers_test.go
+++ b/internal/decision/helpers_test.go
@@ -33,6 +33,7 @@
 	return r
 }
 
+// servers returns n ready servers of replica set 0, with the IDs s0, s1 and so on.
 func servers(n int) []decision.Server {
 	var list []decision.Server
 	for i := range n {
@@ -75,6 +76,7 @@
 	return id, events
 }
 
+// finished returns the outcome of an attempt, without a load report.
 func finished(id decision.RequestID, attempt int, server string, status decision.Status, latency float64,
 ) decision.AttemptFinished {
 	return decision.AttemptFinished{ID: id, Attempt: attempt, Server: server, Status: status, Latency: latency,
--- a/internal/decision/reference_test.go
+++ b/internal/decision/reference_test.go
@@ -29,8 +29,8 @@
 // decayedRatio is a failure ratio at a point in time, after which it decays.
 type decayedRatio struct {
 	value     float64
-	at        float64
-	slowDecay bool // the latest outcome was Unreachable or Reset: it decays with the half-life of service times
+	at        float64 // time at which the ratio had this value
+	slowDecay bool    // the latest outcome was Unreachable or Reset: it decays with the half-life of service times
 }
 
 // Copies of unexported constants of the packages serverstats and retrybudget.
@@ -47,10 +47,10 @@
 	*Policy
 	zones        []decayedRatio
 	ratios       map[*server]decayedRatio
-	placeholders []*failures.Server // one per ready server, so that the fleet's size is right
-	requests     []float64          // times of queries and parts, for the retry budget
-	retries      []float64          // times of retries, for the retry budget
-	sends        map[*server][]float64
+	placeholders []*failures.Server    // one per ready server, so that fleet.Failures has the right size
+	requests     []float64             // times of queries and parts, for the retry budget
+	retries      []float64             // times of retries, for the retry budget
+	sends        map[*server][]float64 // times of attempts during slow start, by server
 }
 
 func newReference(settings Settings, seed uint64) *referencePolicy {
@@ -182,7 +182,8 @@
 	s.ObservedAt = p.now
 }
 
-// setFailureRatio sets the failure ratio that Policy's code reads, as of now, so that it does not decay further.
+// setFailureRatio sets the failure ratio that Policy's code reads. Its time is now and fleet.Failures, which holds placeholders
+// only, has a single zone, so that Policy's code neither decays the ratio nor moves it towards that of a zone.
 func (p *referencePolicy) setFailureRatio(s *server) {
 	s.Failures.Ratio = p.failureRatio(s)
 	s.Failures.At = p.now
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -15,28 +15,30 @@
 	for _, partsPerCall := range []int{1, 8} {
 		cfg.MaxPartsPerCall = partsPerCall
 		r := newRunner(t, cfg, servers(3)...)
-		load := func(server string) decision.LoadReport {
+		loadReport := func(server string) decision.LoadReport {
 			report := decision.NoLoadReport
 			report.Utilization, report.QueueLength = utilization[server[1]-'0'], 0
 			return report
 		}
-		count, together, n := map[string]float64{}, 0, 4000
+		const n = 4000                // queries; the first 500 precede the computation of fitness
+		count := map[string]float64{} // parts by server
+		sameServer := 0               // queries whose two parts were sent to the same server
 		for i := range n {
 			if i == 500 {
 				r.now += 11 // fitness is computed from the reports so far
 				r.handle()
 				clear(count)
-				together = 0
+				sameServer = 0
 			}
 			_, ev := r.query(0, 2)
 			out := sends(r.handle(ev...))
 			if out[0].Server == out[1].Server {
-				together++
+				sameServer++
 			}
 			for _, send := range out {
 				count[send.Server]++
 				outcome := finished(send.ID, 0, send.Server, decision.OK, 0)
-				outcome.LoadReport = load(send.Server)
+				outcome.LoadReport = loadReport(send.Server)
 				r.handle(outcome)
 			}
 		}
@@ -54,8 +56,8 @@
 				t.Errorf("utilization %g: fraction of parts %.3f, want %.3f", u, got, want)
 			}
 		}
-		if together != n-500 {
-			t.Errorf("%d of %d pairs of parts of one shard were sent to the same server, want all", together, n-500)
+		if sameServer != n-500 {
+			t.Errorf("%d of %d pairs of parts of one shard were sent to the same server, want all", sameServer, n-500)
 		}
 	}
 }
@@ -75,7 +77,8 @@
 			if r.now < sentAt[last.Server]+0.02 {
 				t.Fatalf("attempt %d sent to %s less than 0.02 s after the previous one", n, last.Server)
 			}
-			order, sentAt[last.Server] = append(order, last.Server), r.now
+			order = append(order, last.Server)
+			sentAt[last.Server] = r.now
 			queue = sends(r.handleAt(r.now+0.001, finished(last.ID, n, last.Server, decision.Error, 0)))
 			if len(queue) == 0 {
 				queue = sends(r.handleAt(r.now + 0.02))
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -14,7 +14,8 @@
 	r.answerQueries(200, 0.02)
 	cold := decision.Server{ID: "s0", Started: r.now}
 	r.handle(decision.EndpointUpdate{Servers: []decision.Server{cold}})
-	start, toCold, toAll := r.now, 0, 0
+	start := r.now
+	toCold, toAll := 0, 0
 	for r.now < start+1 {
 		_, ev := r.query(0, 1)
 		for _, send := range sends(r.handle(ev...)) {
