--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -139,7 +139,7 @@
 			}
 		}
 		if got := served > 50; got != c.served {
-			t.Errorf("%d servers, parts take %g s, clients wait %g s: %d of 100 served, want most: %v", c.servers, c.serviceTime,
+			t.Errorf("%d servers, parts take %g s, clients wait %g s: %d of 100 served, want over 50: %v", c.servers, c.serviceTime,
 				c.patience, served, c.served)
 		}
 	}
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -150,7 +150,7 @@
 )
 
 type (
-	// EndpointUpdate is a change of the endpoint list.
+	// EndpointUpdate reports a change of the endpoint list.
 	EndpointUpdate struct {
 		Mode    UpdateMode
 		Version int64
@@ -213,7 +213,7 @@
 		Weight         float64 // weight of FailureRatio in the average with the worker's own ratio, 0 to 1
 		ServiceTime    float64 // of one part; 0: unknown
 		LoadReport     LoadReport
-		LoadReportedAt float64 // 0: At
+		LoadReportedAt float64 // when the load report was made; 0: At
 	}
 	// RestoredState holds the previous process's estimates for the fleet. They apply until the new process has observations
 	// of its own.
@@ -236,7 +236,7 @@
 	FleetResized struct{ Brokers int }
 	// TimerFired reports that the time of a SetTimer has been reached.
 	TimerFired struct{ Token uint64 }
-	// PeerMessage is a message from another broker.
+	// PeerMessage delivers a message from another broker.
 	PeerMessage struct {
 		From int
 		Data []byte
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -26,7 +26,7 @@
 	timerToken = 1
 )
 
-// Policy decides for one broker. It is not safe for concurrent use.
+// Policy implements Decider for one broker. It is not safe for concurrent use.
 type Policy struct {
 	settings Settings
 	rng      *rand.Rand
--- a/internal/decision/query.go
+++ b/internal/decision/query.go
@@ -47,7 +47,7 @@
 	givenUp  bool      // no further attempt may be sent
 }
 
-// attempt is one send of a part to a server.
+// attempt is the state of one attempt of a part at a server.
 type attempt struct {
 	server      *server
 	sentAt      float64
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -29,7 +29,7 @@
 	// Each of the four servers answered about 50/4 parts per second, and InitialFraction of that after the restart.
 	limit := cfg.SlowStart.OverloadFactor * (cfg.SlowStart.InitialFraction + 0.75*1/cfg.SlowStart.Duration) * 50 / 4
 	if float64(toCold) > limit {
-		t.Errorf("%d of %d parts went to the server in slow start in its first second, limit %g", toCold, toAll, limit)
+		t.Errorf("%d of %d parts went to the server in slow start in its first second, want at most %g", toCold, toAll, limit)
 	}
 }
 
