--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -8,10 +8,10 @@
 
 // Follower is the operator file that has a broker follow the revisions of the control machines.
 type Follower struct {
-	Name            string                 // of the broker, in its status reports
-	Zone            string                 // of the broker; "": unknown
-	Region          string                 // of the broker; "": unknown
-	ControlMachines []distribution.Machine // 1 to distribution.MaxMachines, each address once
+	Name            string                        // of the broker, in its status reports
+	Zone            string                        // of the broker; "": unknown
+	Region          string                        // of the broker; "": unknown
+	ControlMachines []distribution.ControlMachine // 1 to distribution.MaxControlMachines, each address once
 }
 
 // maxNameLength is the limit of control machines for names of brokers, zones and regions, in bytes.
@@ -55,11 +55,11 @@
 }
 
 // parseMachines checks the control machines that a broker may follow.
-func parseMachines(rows []followerFileMachine) ([]distribution.Machine, error) {
-	if n := len(rows); n == 0 || n > distribution.MaxMachines {
-		return nil, notAllowed("configuration.control", entryCount(n), "1 to %d entries", distribution.MaxMachines)
+func parseMachines(rows []followerFileMachine) ([]distribution.ControlMachine, error) {
+	if n := len(rows); n == 0 || n > distribution.MaxControlMachines {
+		return nil, notAllowed("configuration.control", entryCount(n), "1 to %d entries", distribution.MaxControlMachines)
 	}
-	var machines []distribution.Machine
+	var machines []distribution.ControlMachine
 	seen := map[string]bool{}
 	for i, row := range rows {
 		key := fmt.Sprintf("configuration.control[%d].address", i)
@@ -70,7 +70,7 @@
 			return nil, notAllowed(key, row.Address, allowedOnce)
 		}
 		seen[row.Address] = true
-		machines = append(machines, distribution.Machine{Address: row.Address, Zone: row.Zone, Region: row.Region})
+		machines = append(machines, distribution.ControlMachine{Address: row.Address, Zone: row.Zone, Region: row.Region})
 	}
 	return machines, nil
 }
--- a/internal/config/follower_test.go
+++ b/internal/config/follower_test.go
@@ -16,13 +16,13 @@
 	machines, err := config.LoadFollower("../../deploy/configuration.toml", loadValid(t))
 	require.NoError(t, err)
 	require.Equal(t, &config.Follower{Name: "n3", Zone: "bern-1", Region: "bern",
-		ControlMachines: []distribution.Machine{{Address: "127.0.0.1:7950", Zone: "bern-1", Region: "bern"}}}, machines)
+		ControlMachines: []distribution.ControlMachine{{Address: "127.0.0.1:7950", Zone: "bern-1", Region: "bern"}}}, machines)
 }
 
 func TestLoadFollowerErrorsNameTheKey(t *testing.T) {
 	one := "[[control]]\naddress = \"127.0.0.1:%d\"\n"
 	many := ""
-	for i := range distribution.MaxMachines {
+	for i := range distribution.MaxControlMachines {
 		many += fmt.Sprintf(one, 1+i)
 	}
 	for text, want := range map[string]string{
--- a/internal/controlplane/configfollower/client.go
+++ b/internal/controlplane/configfollower/client.go
@@ -18,7 +18,7 @@
 	StartedAt time.Time // start of this process: with Name, it identifies the instance
 	Zone      string    // "": not configured
 	Region    string    // "": not configured
-	Machines  []distribution.Machine
+	Machines  []distribution.ControlMachine
 	FleetSize int    // brokers in the fleet; scales the backoff, see package backoff
 	Seed      uint64 // of the random delays; different for each broker
 	Log       *slog.Logger
@@ -44,13 +44,13 @@
 // New returns a client, to be started with Run. Errors: those of distribution.NewFollower.
 func New(options Options) (*Client, error) {
 	follower, err := distribution.NewFollower(time.Now(), distribution.FollowerOptions{
-		Name:      options.Name,
-		StartedAt: options.StartedAt,
-		Zone:      options.Zone,
-		Region:    options.Region,
-		Machines:  options.Machines,
-		FleetSize: options.FleetSize,
-		Seed:      options.Seed,
+		Name:            options.Name,
+		StartedAt:       options.StartedAt,
+		Zone:            options.Zone,
+		Region:          options.Region,
+		ControlMachines: options.Machines,
+		FleetSize:       options.FleetSize,
+		Seed:            options.Seed,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/controlplane/configfollower/client_test.go
+++ b/internal/controlplane/configfollower/client_test.go
@@ -94,9 +94,9 @@
 // startBroker runs the broker b1 until the test ends.
 func startBroker(t testing.TB, rejections map[uint64]*configpb.Refusal, addresses ...string) *broker {
 	b := &broker{rejections: rejections}
-	var machines []distribution.Machine
+	var machines []distribution.ControlMachine
 	for _, address := range addresses {
-		machines = append(machines, distribution.Machine{Address: address})
+		machines = append(machines, distribution.ControlMachine{Address: address})
 	}
 	client, err := configfollower.New(configfollower.Options{
 		Name:      "b1",
--- a/internal/controlplane/configfollower/cost_test.go
+++ b/internal/controlplane/configfollower/cost_test.go
@@ -255,11 +255,11 @@
 }
 
 // readAddresses returns the addresses that the process prints at its start.
-func (c *hubCommand) readAddresses(t *testing.T) []distribution.Machine {
-	var machines []distribution.Machine
+func (c *hubCommand) readAddresses(t *testing.T) []distribution.ControlMachine {
+	var machines []distribution.ControlMachine
 	for len(machines) < costHubs && c.output.Scan() {
 		if address, ok := strings.CutPrefix(c.output.Text(), "address "); ok {
-			machines = append(machines, distribution.Machine{Address: address})
+			machines = append(machines, distribution.ControlMachine{Address: address})
 		}
 	}
 	require.Len(t, machines, costHubs)
@@ -287,7 +287,7 @@
 	running sync.WaitGroup
 }
 
-func startCostFleet(t *testing.T, brokers int, machines []distribution.Machine) *costFleet {
+func startCostFleet(t *testing.T, brokers int, machines []distribution.ControlMachine) *costFleet {
 	f := &costFleet{}
 	var ctx context.Context
 	ctx, f.cancel = context.WithCancel(context.Background())
--- a/internal/controlplane/consensus/invariants_test.go
+++ b/internal/controlplane/consensus/invariants_test.go
@@ -102,14 +102,14 @@
 }
 
 // checkRestarted checks a member that was restarted from its disk.
-func (c *invariantChecker) checkRestarted(id uint64, machine *revision.Machine) {
+func (c *invariantChecker) checkRestarted(id uint64, machine *revision.StateMachine) {
 	c.checkApplied(id, machine)
 	c.checkHistory(id, machine)
 	c.lastNumber[id] = machine.Number()
 }
 
 // checkApplied checks that the applied index does not decrease.
-func (c *invariantChecker) checkApplied(id uint64, machine *revision.Machine) {
+func (c *invariantChecker) checkApplied(id uint64, machine *revision.StateMachine) {
 	if machine.Applied() < c.lastApplied[id] {
 		c.addViolation(monotonic, "member %d applied %d after %d", id, machine.Applied(), c.lastApplied[id])
 	}
@@ -117,7 +117,7 @@
 }
 
 // checkHistory checks the contents of all revisions of a member.
-func (c *invariantChecker) checkHistory(id uint64, machine *revision.Machine) {
+func (c *invariantChecker) checkHistory(id uint64, machine *revision.StateMachine) {
 	for number := max(machine.Oldest(), 1); number <= machine.Number(); number++ {
 		c.checkContent(id, machine.Get(number))
 	}
@@ -134,7 +134,7 @@
 }
 
 // checkAdvance checks the result of an Advance.
-func (c *invariantChecker) checkAdvance(id uint64, applied Applied, machine *revision.Machine) {
+func (c *invariantChecker) checkAdvance(id uint64, applied Applied, machine *revision.StateMachine) {
 	c.checkApplied(id, machine)
 	if applied.Restored {
 		c.checkHistory(id, machine)
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -16,7 +16,7 @@
 	options   Options
 	raw       *raft.RawNode
 	storage   raft.Storage
-	machine   *revision.Machine
+	machine   *revision.StateMachine
 	confState *raftpb.ConfState // configuration as of the last applied entry
 	stopErr   error             // if not nil, the node has stopped and every call returns it
 
@@ -154,7 +154,7 @@
 
 // Machine returns the state machine. It is read-only, must not be used while a method of the node runs, and is replaced
 // by an Advance with Restored.
-func (n *Node) Machine() *revision.Machine { return n.machine }
+func (n *Node) Machine() *revision.StateMachine { return n.machine }
 
 // Leader returns the id of the leader, 0 if none is known.
 func (n *Node) Leader() uint64 { return n.raw.BasicStatus().Lead }
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -18,7 +18,7 @@
 
 // BootstrapSnapshot returns the snapshot that the log of every member starts with: no revision, and this configuration.
 func BootstrapSnapshot(voters, learners []uint64) *raftpb.Snapshot {
-	machine := revision.NewMachine()
+	machine := revision.NewStateMachine()
 	machine.Skip(bootstrapIndex)
 	return &raftpb.Snapshot{
 		Data: machine.Snapshot(),
@@ -31,7 +31,7 @@
 }
 
 // restoreMachine restores the state machine of a snapshot and checks its configuration against the members.
-func restoreMachine(snapshot *raftpb.Snapshot, members []uint64) (*revision.Machine, error) {
+func restoreMachine(snapshot *raftpb.Snapshot, members []uint64) (*revision.StateMachine, error) {
 	if raft.IsEmptySnap(snapshot) {
 		return nil, fmt.Errorf("%w: empty snapshot", ErrMalformedMessage)
 	}
--- a/internal/controlplane/distribution/follower.go
+++ b/internal/controlplane/distribution/follower.go
@@ -22,9 +22,9 @@
 
 // Errors of NewFollower.
 var (
-	ErrNoMachines      = errors.New("no control machine is configured")
-	ErrTooManyMachines = fmt.Errorf("more than %d control machines are configured", MaxMachines)
-	ErrInvalidName     = fmt.Errorf("the broker's name is missing, or its name or zone is not UTF-8 of at most %d bytes",
+	ErrNoControlMachines      = errors.New("no control machine is configured")
+	ErrTooManyControlMachines = fmt.Errorf("more than %d control machines are configured", MaxControlMachines)
+	ErrInvalidName            = fmt.Errorf("the broker's name is missing, or its name or zone is not UTF-8 of at most %d bytes",
 		maxNameLength)
 )
 
@@ -33,13 +33,13 @@
 
 // FollowerOptions are the options of NewFollower.
 type FollowerOptions struct {
-	Name      string    // of the broker, 1 to 128 bytes
-	StartedAt time.Time // start of this process: with Name, it identifies the instance
-	Zone      string    // 128 bytes at most; "": not configured
-	Region    string    // "": not configured
-	Machines  []Machine // 1 to MaxMachines
-	FleetSize int       // brokers in the fleet; scales the backoff, see package backoff
-	Seed      uint64    // of the random delays; different for each broker
+	Name            string           // of the broker, 1 to 128 bytes
+	StartedAt       time.Time        // start of this process: with Name, it identifies the instance
+	Zone            string           // 128 bytes at most; "": not configured
+	Region          string           // "": not configured
+	ControlMachines []ControlMachine // 1 to MaxControlMachines
+	FleetSize       int              // brokers in the fleet; scales the backoff, see package backoff
+	Seed            uint64           // of the random delays; different for each broker
 }
 
 // StreamTarget is a stream to open.
@@ -93,7 +93,7 @@
 }
 
 // NewFollower returns a follower without a revision in force, which opens its first stream after a random delay.
-// Errors: ErrNoMachines, ErrTooManyMachines, ErrInvalidName.
+// Errors: ErrNoControlMachines, ErrTooManyControlMachines, ErrInvalidName.
 func NewFollower(now time.Time, options FollowerOptions) (*Follower, error) {
 	if err := options.check(); err != nil {
 		return nil, err
@@ -103,7 +103,7 @@
 		options:            options,
 		rng:                rng,
 		backoff:            backoff.New(options.FleetSize, options.Seed),
-		machines:           newMachines(options.Machines, options.Zone, options.Region, rng),
+		machines:           newMachines(options.ControlMachines, options.Zone, options.Region, rng),
 		reconsiderInterval: minReconsiderInterval,
 		revisions:          revisionState{inForceSince: now},
 	}
@@ -117,10 +117,10 @@
 
 func (o *FollowerOptions) check() error {
 	switch {
-	case len(o.Machines) == 0:
-		return ErrNoMachines
-	case len(o.Machines) > MaxMachines:
-		return ErrTooManyMachines
+	case len(o.ControlMachines) == 0:
+		return ErrNoControlMachines
+	case len(o.ControlMachines) > MaxControlMachines:
+		return ErrTooManyControlMachines
 	case o.Name == "", !isValidString(o.Name, maxNameLength), !isValidString(o.Zone, maxNameLength):
 		return ErrInvalidName
 	}
--- a/internal/controlplane/distribution/follower_test.go
+++ b/internal/controlplane/distribution/follower_test.go
@@ -13,12 +13,12 @@
 
 // newFollower returns a follower of a number of machines, its first stream, and the time when it was opened.
 func newFollower(t testing.TB, machines int) (*distribution.Follower, distribution.StreamID, time.Time) {
-	control := make([]distribution.Machine, machines)
+	control := make([]distribution.ControlMachine, machines)
 	for i := range control {
 		control[i].Address = string(rune('a' + i))
 	}
 	f, err := distribution.NewFollower(epoch, distribution.FollowerOptions{
-		Name: "b", StartedAt: epoch, Machines: control, FleetSize: 100, Seed: 1,
+		Name: "b", StartedAt: epoch, ControlMachines: control, FleetSize: 100, Seed: 1,
 	})
 	require.NoError(t, err)
 	now := f.NextTick()
@@ -195,7 +195,7 @@
 	for seed := range uint64(200) {
 		f, err := distribution.NewFollower(epoch, distribution.FollowerOptions{
 			Name: "b", StartedAt: epoch, Zone: "a1", Region: "a", FleetSize: 100, Seed: seed,
-			Machines: []distribution.Machine{
+			ControlMachines: []distribution.ControlMachine{
 				{Address: "1", Zone: "c1", Region: "c"}, {Address: "2", Zone: "a2", Region: "a"},
 				{Address: "3", Zone: "b1", Region: "b"}, {Address: "4", Zone: "a3", Region: "a"},
 			},
@@ -215,7 +215,7 @@
 	require.Len(t, first, 4, "machines at the same distance are in random order")
 	f, err := distribution.NewFollower(epoch, distribution.FollowerOptions{
 		Name: "b", Zone: "a3", Region: "a",
-		Machines: []distribution.Machine{{Address: "2", Region: "a"}, {Address: "4", Zone: "a3", Region: "a"}},
+		ControlMachines: []distribution.ControlMachine{{Address: "2", Region: "a"}, {Address: "4", Zone: "a3", Region: "a"}},
 	})
 	require.NoError(t, err)
 	f.Tick(f.NextTick())
@@ -233,11 +233,11 @@
 }
 
 func TestNewFollowerChecksOptions(t *testing.T) {
-	one := []distribution.Machine{{Address: "a"}}
+	one := []distribution.ControlMachine{{Address: "a"}}
 	for want, opt := range map[error]distribution.FollowerOptions{
-		distribution.ErrNoMachines:      {Name: "b"},
-		distribution.ErrTooManyMachines: {Name: "b", Machines: make([]distribution.Machine, distribution.MaxMachines+1)},
-		distribution.ErrInvalidName:     {Machines: one},
+		distribution.ErrNoControlMachines:      {Name: "b"},
+		distribution.ErrTooManyControlMachines: {Name: "b", ControlMachines: make([]distribution.ControlMachine, distribution.MaxControlMachines+1)},
+		distribution.ErrInvalidName:            {ControlMachines: one},
 	} {
 		_, err := distribution.NewFollower(epoch, opt)
 		require.ErrorIs(t, err, want)
--- a/internal/controlplane/distribution/machines.go
+++ b/internal/controlplane/distribution/machines.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// MaxMachines is how many control machines a follower may be configured with: four in service, and four that may
+// MaxControlMachines is how many control machines a follower may be configured with: four in service, and four that may
 // replace them.
-const MaxMachines = 8
+const MaxControlMachines = 8
 
-// Machine is a control machine in a broker's configuration.
-type Machine struct {
+// ControlMachine is a control machine in a broker's configuration.
+type ControlMachine struct {
 	Address string // host:port
 	Zone    string // "": not configured
 	Region  string // "": not configured
@@ -20,7 +20,7 @@
 
 // candidate is a control machine that a follower may choose.
 type candidate struct {
-	Machine
+	ControlMachine
 	confirmedAt time.Time // when a quorum last confirmed its newest revision, by its latest update; zero: never
 	tried       bool      // in this round
 	reached     bool      // in this round: it has sent an update
@@ -32,10 +32,10 @@
 
 // newMachines orders the configured machines by locality: the follower's zone first, then its region, then the others.
 // Within one locality the order is random, so that the brokers of a region spread over its machines.
-func newMachines(list []Machine, zone, region string, rng *rand.Rand) machines {
+func newMachines(list []ControlMachine, zone, region string, rng *rand.Rand) machines {
 	result := make(machines, len(list))
 	for i, position := range rng.Perm(len(list)) {
-		result[position] = candidate{Machine: list[i]}
+		result[position] = candidate{ControlMachine: list[i]}
 	}
 	distance := func(c candidate) int {
 		switch {
--- a/internal/controlplane/distribution/simulation_test.go
+++ b/internal/controlplane/distribution/simulation_test.go
@@ -338,9 +338,9 @@
 func (b *simBroker) start() {
 	b.instance++
 	b.up, b.paused, b.deferred, b.stream, b.tickAt = true, false, nil, nil, 0
-	var control []distribution.Machine
+	var control []distribution.ControlMachine
 	for _, h := range b.sim.hubs {
-		control = append(control, distribution.Machine{
+		control = append(control, distribution.ControlMachine{
 			Address: fmt.Sprint(h.index),
 			Zone:    fmt.Sprint("z", h.zone),
 			Region:  fmt.Sprint("r", regionOfZone(h.zone)),
@@ -351,13 +351,13 @@
 		callers = 1
 	}
 	follower, err := distribution.NewFollower(b.sim.time(), distribution.FollowerOptions{
-		Name:      b.name(),
-		StartedAt: b.sim.time(),
-		Zone:      fmt.Sprint("z", b.zone),
-		Region:    fmt.Sprint("r", regionOfZone(b.zone)),
-		Machines:  control,
-		FleetSize: callers,
-		Seed:      b.sim.seed<<32 + uint64(b.index)<<12 + uint64(b.instance),
+		Name:            b.name(),
+		StartedAt:       b.sim.time(),
+		Zone:            fmt.Sprint("z", b.zone),
+		Region:          fmt.Sprint("r", regionOfZone(b.zone)),
+		ControlMachines: control,
+		FleetSize:       callers,
+		Seed:            b.sim.seed<<32 + uint64(b.index)<<12 + uint64(b.instance),
 	})
 	if err != nil {
 		panic(err)
--- a/internal/controlplane/revision/machine.go
+++ b/internal/controlplane/revision/machine.go
@@ -6,8 +6,8 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// Machine is the state after the applied entries.
-type Machine struct {
+// StateMachine is the state after the applied entries.
+type StateMachine struct {
 	applied     uint64                    // index of the last applied entry, 0 before the first
 	newest      uint64                    // number of the newest revision, 0 before the first
 	history     []*configpb.Revision      // ascending, without gaps; the last is the newest
@@ -23,19 +23,19 @@
 	checksum uint64 // of its document
 }
 
-// NewMachine returns a machine without revisions.
-func NewMachine() *Machine {
-	return &Machine{requestByID: make(map[uint64]appliedRequest)}
+// NewStateMachine returns a machine without revisions.
+func NewStateMachine() *StateMachine {
+	return &StateMachine{requestByID: make(map[uint64]appliedRequest)}
 }
 
 // Applied returns the index of the last entry applied, 0 before the first.
-func (m *Machine) Applied() uint64 { return m.applied }
+func (m *StateMachine) Applied() uint64 { return m.applied }
 
 // Number returns the number of the newest revision, 0 before the first.
-func (m *Machine) Number() uint64 { return m.newest }
+func (m *StateMachine) Number() uint64 { return m.newest }
 
 // Newest returns the newest revision, or nil before the first.
-func (m *Machine) Newest() *configpb.Revision {
+func (m *StateMachine) Newest() *configpb.Revision {
 	if len(m.history) == 0 {
 		return nil
 	}
@@ -43,7 +43,7 @@
 }
 
 // Get returns the revision with a number, the newest for 0. It returns nil if the history does not have it.
-func (m *Machine) Get(number uint64) *configpb.Revision {
+func (m *StateMachine) Get(number uint64) *configpb.Revision {
 	if number == 0 {
 		return m.Newest()
 	}
@@ -55,7 +55,7 @@
 }
 
 // Oldest returns the number of the oldest revision in the history, 0 if it is empty.
-func (m *Machine) Oldest() uint64 {
+func (m *StateMachine) Oldest() uint64 {
 	if len(m.history) == 0 {
 		return 0
 	}
@@ -64,7 +64,7 @@
 
 // Apply applies the command of the entry at an index. Indexes have to ascend and may have gaps, since raft has entries of
 // its own. A nil command stands for an entry that does not decode. It panics like Skip.
-func (m *Machine) Apply(index uint64, command *configpb.Command) Result {
+func (m *StateMachine) Apply(index uint64, command *configpb.Command) Result {
 	m.Skip(index)
 	if rejection := checkCommand(command); rejection != Accepted {
 		return Result{Rejection: rejection, Number: m.newest}
@@ -88,7 +88,7 @@
 
 // Skip records the index of an entry without a command. It panics if the index does not ascend: an entry applied twice
 // would make this machine diverge from the others.
-func (m *Machine) Skip(index uint64) {
+func (m *StateMachine) Skip(index uint64) {
 	if index <= m.applied {
 		panic(fmt.Sprintf("revision: entry %d applied after entry %d", index, m.applied))
 	}
@@ -111,7 +111,7 @@
 }
 
 // resultOfRetry returns the result of a request id that was accepted before.
-func (m *Machine) resultOfRetry(before appliedRequest, checksum uint64) Result {
+func (m *StateMachine) resultOfRetry(before appliedRequest, checksum uint64) Result {
 	if before.checksum != checksum {
 		return Result{Rejection: RequestReused, Number: m.newest}
 	}
@@ -120,7 +120,7 @@
 
 // append appends a revision to the history and removes the oldest ones beyond MaxHistory and MaxHistoryBytes, but never the
 // newest. It panics if the number does not follow the newest one.
-func (m *Machine) append(revision *configpb.Revision) {
+func (m *StateMachine) append(revision *configpb.Revision) {
 	if revision.GetNumber() != m.newest+1 {
 		panic(fmt.Sprintf("revision: number %d follows %d", revision.GetNumber(), m.newest))
 	}
@@ -135,7 +135,7 @@
 }
 
 // recordRequest records an accepted request and removes the oldest one beyond MaxRequests.
-func (m *Machine) recordRequest(request appliedRequest) {
+func (m *StateMachine) recordRequest(request appliedRequest) {
 	m.requests = append(m.requests, request)
 	m.requestByID[request.request] = request
 	if len(m.requests) > MaxRequests {
--- a/internal/controlplane/revision/machine_test.go
+++ b/internal/controlplane/revision/machine_test.go
@@ -18,7 +18,7 @@
 }
 
 func TestApplyNumbersRevisions(t *testing.T) {
-	machine := NewMachine()
+	machine := NewStateMachine()
 	require.Nil(t, machine.Newest())
 	require.Zero(t, machine.Number())
 	for number := uint64(1); number <= 3; number++ {
@@ -36,7 +36,7 @@
 }
 
 func TestApplyRejectsInvalidCommands(t *testing.T) {
-	machine := NewMachine()
+	machine := NewStateMachine()
 	require.Equal(t, Accepted, machine.Apply(1, command(1, 0, "first")).Rejection)
 	for index, bad := range []struct {
 		command *configpb.Command
@@ -62,7 +62,7 @@
 }
 
 func TestApplyRetryReturnsFirstNumber(t *testing.T) {
-	machine := NewMachine()
+	machine := NewStateMachine()
 	machine.Apply(1, command(7, 0, "first"))
 	machine.Apply(2, command(8, 1, "second"))
 	require.Equal(t, Result{Number: 1, Repeated: true}, machine.Apply(3, command(7, 0, "first")))
@@ -71,13 +71,13 @@
 }
 
 func TestApplyAcceptsRejectedRequestLater(t *testing.T) {
-	machine := NewMachine()
+	machine := NewStateMachine()
 	require.Equal(t, NotNewest, machine.Apply(1, command(7, 3, "document")).Rejection)
 	require.Equal(t, Result{Number: 1}, machine.Apply(2, command(7, 0, "document")))
 }
 
 func TestApplyLimitsRecordedRequests(t *testing.T) {
-	machine := NewMachine()
+	machine := NewStateMachine()
 	for request := uint64(1); request <= MaxRequests+1; request++ {
 		machine.Apply(request, command(request, 0, fmt.Sprint(request)))
 	}
@@ -88,7 +88,7 @@
 }
 
 func TestApplyLimitsHistory(t *testing.T) {
-	machine := NewMachine()
+	machine := NewStateMachine()
 	for number := uint64(1); number <= MaxHistory+5; number++ {
 		machine.Apply(number, command(number, 0, "small"))
 	}
@@ -96,7 +96,7 @@
 	require.Nil(t, machine.Get(5))
 	require.Equal(t, uint64(6), machine.Get(6).GetNumber())
 
-	machine = NewMachine()
+	machine = NewStateMachine()
 	document := string(make([]byte, MaxDocumentBytes))
 	for number := uint64(1); number <= 300; number++ {
 		machine.Apply(number, command(number, 0, document))
@@ -108,7 +108,7 @@
 }
 
 func TestApplyPanicsOnRepeatedIndex(t *testing.T) {
-	machine := NewMachine()
+	machine := NewStateMachine()
 	machine.Skip(4)
 	require.Panics(t, func() { machine.Apply(4, command(1, 0, "again")) })
 	require.Panics(t, func() { machine.Skip(3) })
--- a/internal/controlplane/revision/revision.go
+++ b/internal/controlplane/revision/revision.go
@@ -2,7 +2,7 @@
 // raft log, to numbered, checksummed, immutable revisions. It does no I/O, starts no goroutine and reads no clock: the
 // same entries give the same state on every control machine.
 //
-// A Machine is not safe for concurrent use. The revisions that it hands out are immutable and may be shared.
+// A StateMachine is not safe for concurrent use. The revisions that it hands out are immutable and may be shared.
 package revision
 
 import (
--- a/internal/controlplane/revision/revision_test.go
+++ b/internal/controlplane/revision/revision_test.go
@@ -36,7 +36,7 @@
 	}
 	f.Add([]byte{0xff, 0x01}, []byte(nil))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		one, other := NewMachine(), NewMachine()
+		one, other := NewStateMachine(), NewStateMachine()
 		for index, data := range [][]byte{first, second, first} {
 			before := one.Number()
 			entry, err := Decode(data)
--- a/internal/controlplane/revision/snapshot.go
+++ b/internal/controlplane/revision/snapshot.go
@@ -39,7 +39,7 @@
 
 // Snapshot returns the encoded state, at most MaxSnapshotBytes. Machines that applied the same entries return the same
 // bytes.
-func (m *Machine) Snapshot() []byte {
+func (m *StateMachine) Snapshot() []byte {
 	state := &revisionpb.State{Applied: m.applied, Newest: m.newest, History: m.history}
 	for _, request := range m.requests {
 		state.Requests = append(state.Requests, &revisionpb.Request{
@@ -63,7 +63,7 @@
 }
 
 // Restore returns a machine with the state of a snapshot. Its error wraps ErrForeign, ErrVersion, ErrTorn or ErrCorrupt.
-func Restore(data []byte) (*Machine, error) {
+func Restore(data []byte) (*StateMachine, error) {
 	body, err := decodeSnapshotBody(data)
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 	if err := proto.Unmarshal(body, state); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
 	}
-	machine := NewMachine()
+	machine := NewStateMachine()
 	if err := machine.restoreHistory(state); err != nil {
 		return nil, err
 	}
@@ -116,7 +116,7 @@
 }
 
 // restoreHistory checks and restores the revisions of a snapshot. Its error wraps ErrCorrupt.
-func (m *Machine) restoreHistory(state *revisionpb.State) error {
+func (m *StateMachine) restoreHistory(state *revisionpb.State) error {
 	history := state.GetHistory()
 	if uint64(len(history)) > state.GetNewest() {
 		return fmt.Errorf("%w: %d revisions up to number %d", ErrCorrupt, len(history), state.GetNewest())
@@ -139,7 +139,7 @@
 
 // checkNextRevision checks the number, size and checksum of the next revision of a snapshot. Its error wraps
 // ErrCorrupt.
-func (m *Machine) checkNextRevision(revision *configpb.Revision) error {
+func (m *StateMachine) checkNextRevision(revision *configpb.Revision) error {
 	number, document := revision.GetNumber(), revision.GetDocument()
 	if number != m.newest+1 {
 		return fmt.Errorf("%w: revision %d follows %d", ErrCorrupt, number, m.newest)
@@ -152,7 +152,7 @@
 
 // restoreRequests checks and restores the recorded requests of a snapshot, which have to be in ascending order of
 // their revisions. Its error wraps ErrCorrupt.
-func (m *Machine) restoreRequests(state *revisionpb.State) error {
+func (m *StateMachine) restoreRequests(state *revisionpb.State) error {
 	var last uint64
 	for _, request := range state.GetRequests() {
 		_, twice := m.requestByID[request.GetRequest()]
--- a/internal/controlplane/revision/snapshot_test.go
+++ b/internal/controlplane/revision/snapshot_test.go
@@ -15,7 +15,7 @@
 )
 
 func TestSnapshotOfLargestStateWithinLimit(t *testing.T) {
-	machine := NewMachine()
+	machine := NewStateMachine()
 	document := bytes.Repeat([]byte{'x'}, MaxHistoryBytes/MaxHistory)
 	for number := uint64(1); number <= MaxHistory; number++ {
 		machine.Apply(number, &configpb.Command{Request: ^number, Document: document, PublishedUnixMs: -1})
@@ -31,7 +31,7 @@
 // not.
 func TestRestoredMachineEqualsOriginal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		original, restored := NewMachine(), NewMachine()
+		original, restored := NewStateMachine(), NewStateMachine()
 		for index := uint64(1); index <= 60; index++ {
 			next := command(
 				rapid.Uint64Range(0, 30).Draw(t, "request"), rapid.Uint64Range(0, 12).Draw(t, "expected"),
@@ -53,7 +53,7 @@
 
 // someSnapshot returns the snapshot of a machine with two revisions.
 func someSnapshot() []byte {
-	machine := NewMachine()
+	machine := NewStateMachine()
 	machine.Apply(3, command(1, 0, "first"))
 	machine.Apply(4, command(2, 0, "second"))
 	machine.Skip(9)
--- a/internal/harness/controlplanetest/follower.go
+++ b/internal/harness/controlplanetest/follower.go
@@ -24,13 +24,13 @@
 // StartFollowers starts a number of followers in each region. They reach the machines through relays of their region.
 func (c *Cluster) StartFollowers(perRegion int) error {
 	for _, region := range Regions {
-		var control []distribution.Machine
+		var control []distribution.ControlMachine
 		for _, m := range c.Machines {
 			address, err := c.Network.Relay(region, m.Name, m.Address)
 			if err != nil {
 				return err
 			}
-			control = append(control, distribution.Machine{Address: address, Zone: m.Region, Region: m.Region})
+			control = append(control, distribution.ControlMachine{Address: address, Zone: m.Region, Region: m.Region})
 		}
 		for i := range perRegion {
 			if err := c.startFollower(fmt.Sprintf("%s-%d", region, i), region, control); err != nil {
@@ -41,7 +41,7 @@
 	return nil
 }
 
-func (c *Cluster) startFollower(name, region string, control []distribution.Machine) error {
+func (c *Cluster) startFollower(name, region string, control []distribution.ControlMachine) error {
 	f := &follower{name: name, region: region}
 	var err error
 	f.client, err = configfollower.New(configfollower.Options{
--- a/internal/harness/scale/configuration.go
+++ b/internal/harness/scale/configuration.go
@@ -142,9 +142,9 @@
 	if err != nil {
 		return nil, err
 	}
-	machines := make([]distribution.Machine, len(d.hubs))
+	machines := make([]distribution.ControlMachine, len(d.hubs))
 	for i, hub := range d.hubs {
-		machines[i] = distribution.Machine{Address: hub.startLines[0], Region: regionName(i)}
+		machines[i] = distribution.ControlMachine{Address: hub.startLines[0], Region: regionName(i)}
 	}
 	started, err := d.requestFollowers(followersCommand{Start: machines, Bytes: d.documentBytes, Seed: seed})
 	if err != nil {
--- a/internal/harness/scale/configuration_followers.go
+++ b/internal/harness/scale/configuration_followers.go
@@ -18,12 +18,12 @@
 
 // followersCommand is a command to the followers. At most one of Start, InForce and Lost is set.
 type followersCommand struct {
-	Start   []distribution.Machine // start all at once at these machines, then wait as for InForce 1
-	Bytes   int                    // of the document of the start
-	Seed    uint64                 // of the start
-	InForce uint64                 // wait until this revision is in force at all followers
-	Lost    string                 // wait until all follow another machine than that at this address
-	Memory  bool                   // measure the memory in use
+	Start   []distribution.ControlMachine // start all at once at these machines, then wait as for InForce 1
+	Bytes   int                           // of the document of the start
+	Seed    uint64                        // of the start
+	InForce uint64                        // wait until this revision is in force at all followers
+	Lost    string                        // wait until all follow another machine than that at this address
+	Memory  bool                          // measure the memory in use
 }
 
 // followersAnswer is the answer to a followersCommand.
