--- a/internal/controlplane/revision/machine.go
+++ b/internal/controlplane/revision/machine.go
@@ -6,24 +6,24 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// StateMachine is the state after the applied entries.
+// StateMachine holds the newest revisions and the recently accepted request ids, as of the last applied log entry.
 type StateMachine struct {
-	applied     uint64                    // index of the last applied entry, 0 before the first
-	newest      uint64                    // number of the newest revision, 0 before the first
-	history     []*configpb.Revision      // ascending, without gaps; the last is the newest
-	bytes       int                       // of the documents in history
-	requests    []appliedRequest          // oldest first, at most MaxRequests
-	requestByID map[uint64]appliedRequest // the same requests by id
+	applied      uint64                    // index of the last applied entry, 0 before the first
+	newest       uint64                    // number of the newest revision, 0 before the first
+	history      []*configpb.Revision      // in ascending order without gaps; the last is the newest
+	historyBytes int                       // total size of the documents in history
+	requests     []appliedRequest          // oldest first, at most MaxRequests
+	requestByID  map[uint64]appliedRequest // the same requests by id
 }
 
-// appliedRequest is an accepted request, by which a retry is recognised.
+// appliedRequest records an accepted request so that a retry of it can be recognized.
 type appliedRequest struct {
-	request  uint64 // id
-	number   uint64 // of the revision that it became
-	checksum uint64 // of its document
+	id       uint64
+	revision uint64 // number of the revision created by the request
+	checksum uint64 // of the revision's document
 }
 
-// NewStateMachine returns a machine without revisions.
+// NewStateMachine returns a state machine without revisions.
 func NewStateMachine() *StateMachine {
 	return &StateMachine{requestByID: make(map[uint64]appliedRequest)}
 }
@@ -42,7 +42,8 @@
 	return m.history[len(m.history)-1]
 }
 
-// Get returns the revision with a number, the newest for 0. It returns nil if the history does not have it.
+// Get returns the revision with the given number, or the newest one for 0. It returns nil if the revision is not in the
+// history.
 func (m *StateMachine) Get(number uint64) *configpb.Revision {
 	if number == 0 {
 		return m.Newest()
@@ -62,16 +63,17 @@
 	return m.history[0].GetNumber()
 }
 
-// Apply applies the command of the entry at an index. Indexes have to ascend and may have gaps, since raft has entries of
-// its own. A nil command stands for an entry that does not decode. It panics like Skip.
+// Apply applies the command of the log entry at the given index. Indexes must increase and may have gaps, because raft adds
+// entries of its own. A nil command represents an entry that could not be decoded. Apply panics if the index does not
+// increase, like Skip.
 func (m *StateMachine) Apply(index uint64, command *configpb.Command) Result {
 	m.Skip(index)
 	if rejection := checkCommand(command); rejection != Accepted {
 		return Result{Rejection: rejection, Number: m.newest}
 	}
 	checksum := configpb.Checksum(command.GetDocument())
-	if before, found := m.requestByID[command.GetRequest()]; found {
-		return m.resultOfRetry(before, checksum)
+	if previous, found := m.requestByID[command.GetRequest()]; found {
+		return m.resultOfRetry(previous, checksum)
 	}
 	if expected := command.GetExpected(); expected != 0 && expected != m.newest {
 		return Result{Rejection: NotNewest, Number: m.newest}
@@ -82,20 +84,20 @@
 		Document:        command.GetDocument(),
 		PublishedUnixMs: command.GetPublishedUnixMs(),
 	})
-	m.recordRequest(appliedRequest{request: command.GetRequest(), number: m.newest, checksum: checksum})
+	m.recordRequest(appliedRequest{id: command.GetRequest(), revision: m.newest, checksum: checksum})
 	return Result{Number: m.newest}
 }
 
-// Skip records the index of an entry without a command. It panics if the index does not ascend: an entry applied twice
-// would make this machine diverge from the others.
+// Skip records the index of an entry without a command. It panics if the index does not increase: applying an entry twice
+// would make this replica diverge from the others.
 func (m *StateMachine) Skip(index uint64) {
 	if index <= m.applied {
-		panic(fmt.Sprintf("revision: entry %d applied after entry %d", index, m.applied))
+		panic(fmt.Sprintf("revision: log entry %d applied after entry %d", index, m.applied))
 	}
 	m.applied = index
 }
 
-// checkCommand returns the rejection of a command that is invalid in any state, or Accepted.
+// checkCommand returns why a command is invalid regardless of the state, or Accepted.
 func checkCommand(command *configpb.Command) Rejection {
 	switch {
 	case command == nil:
@@ -110,36 +112,36 @@
 	return Accepted
 }
 
-// resultOfRetry returns the result of a request id that was accepted before.
-func (m *StateMachine) resultOfRetry(before appliedRequest, checksum uint64) Result {
-	if before.checksum != checksum {
+// resultOfRetry returns the result of a command whose request id was accepted before.
+func (m *StateMachine) resultOfRetry(previous appliedRequest, checksum uint64) Result {
+	if previous.checksum != checksum {
 		return Result{Rejection: RequestReused, Number: m.newest}
 	}
-	return Result{Number: before.number, Repeated: true}
+	return Result{Number: previous.revision, Repeated: true}
 }
 
-// append appends a revision to the history and removes the oldest ones beyond MaxHistory and MaxHistoryBytes, but never the
-// newest. It panics if the number does not follow the newest one.
+// append appends a revision to the history and removes the oldest revisions beyond MaxHistory and MaxHistoryBytes, but never
+// the newest. It panics unless the revision's number is that of the newest revision plus one.
 func (m *StateMachine) append(revision *configpb.Revision) {
 	if revision.GetNumber() != m.newest+1 {
-		panic(fmt.Sprintf("revision: number %d follows %d", revision.GetNumber(), m.newest))
+		panic(fmt.Sprintf("revision: appended revision %d after revision %d", revision.GetNumber(), m.newest))
 	}
 	m.newest = revision.GetNumber()
 	m.history = append(m.history, revision)
-	m.bytes += len(revision.GetDocument())
-	for len(m.history) > MaxHistory || m.bytes > MaxHistoryBytes && len(m.history) > 1 {
-		m.bytes -= len(m.history[0].GetDocument())
+	m.historyBytes += len(revision.GetDocument())
+	for len(m.history) > MaxHistory || m.historyBytes > MaxHistoryBytes && len(m.history) > 1 {
+		m.historyBytes -= len(m.history[0].GetDocument())
 		m.history[0] = nil
 		m.history = m.history[1:]
 	}
 }
 
-// recordRequest records an accepted request and removes the oldest one beyond MaxRequests.
+// recordRequest records an accepted request and removes the oldest one if there are more than MaxRequests.
 func (m *StateMachine) recordRequest(request appliedRequest) {
 	m.requests = append(m.requests, request)
-	m.requestByID[request.request] = request
+	m.requestByID[request.id] = request
 	if len(m.requests) > MaxRequests {
-		delete(m.requestByID, m.requests[0].request)
+		delete(m.requestByID, m.requests[0].id)
 		m.requests = m.requests[1:]
 	}
 }
--- a/internal/controlplane/revision/machine_test.go
+++ b/internal/controlplane/revision/machine_test.go
@@ -10,7 +10,7 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// command returns a publication of a document; expected 0 accepts any newest revision.
+// command returns a command that publishes a document; it is accepted after any newest revision if expected is 0.
 func command(request, expected uint64, document string) *configpb.Command {
 	return &configpb.Command{
 		Request: request, Expected: expected, Document: []byte(document), PublishedUnixMs: int64(1000 + request),
@@ -38,7 +38,7 @@
 func TestApplyRejectsInvalidCommands(t *testing.T) {
 	machine := NewStateMachine()
 	require.Equal(t, Accepted, machine.Apply(1, command(1, 0, "first")).Rejection)
-	for index, bad := range []struct {
+	for index, test := range []struct {
 		command *configpb.Command
 		want    Rejection
 	}{
@@ -49,11 +49,11 @@
 		{command(1, 0, "other"), RequestReused},
 		{nil, Undecodable},
 	} {
-		result := machine.Apply(uint64(index+2), bad.command)
-		require.Equal(t, Result{Rejection: bad.want, Number: 1}, result, bad.want)
-		require.NotContains(t, bad.want.String(), "rejection ")
+		result := machine.Apply(uint64(index+2), test.command)
+		require.Equal(t, Result{Rejection: test.want, Number: 1}, result, test.want)
+		require.NotContains(t, test.want.String(), "rejection ")
 	}
-	require.Equal(t, uint64(7), machine.Applied(), "a rejected entry counts as applied")
+	require.Equal(t, uint64(7), machine.Applied(), "rejected entries count as applied")
 	require.Equal(t, uint64(1), machine.Number())
 	largest := command(9, 1, string(make([]byte, MaxDocumentBytes)))
 	require.Equal(t, Result{Number: 2}, machine.Apply(8, largest))
@@ -66,11 +66,11 @@
 	machine.Apply(1, command(7, 0, "first"))
 	machine.Apply(2, command(8, 1, "second"))
 	require.Equal(t, Result{Number: 1, Repeated: true}, machine.Apply(3, command(7, 0, "first")))
-	require.Equal(t, Result{Number: 2, Repeated: true}, machine.Apply(4, command(8, 1, "second")), "whatever the expected number")
+	require.Equal(t, Result{Number: 2, Repeated: true}, machine.Apply(4, command(8, 1, "second")), "retries ignore expected")
 	require.Equal(t, uint64(2), machine.Number())
 }
 
-func TestApplyAcceptsRejectedRequestLater(t *testing.T) {
+func TestApplyAcceptsRequestIDOfRejectedCommand(t *testing.T) {
 	machine := NewStateMachine()
 	require.Equal(t, NotNewest, machine.Apply(1, command(7, 3, "document")).Rejection)
 	require.Equal(t, Result{Number: 1}, machine.Apply(2, command(7, 0, "document")))
@@ -84,7 +84,7 @@
 	require.Len(t, machine.requests, MaxRequests)
 	require.Len(t, machine.requestByID, MaxRequests)
 	require.Equal(t, Result{Number: 2, Repeated: true}, machine.Apply(MaxRequests+2, command(2, 0, "2")))
-	require.Equal(t, Result{Number: MaxRequests + 2}, machine.Apply(MaxRequests+3, command(1, 0, "1")), "no longer recorded")
+	require.Equal(t, Result{Number: MaxRequests + 2}, machine.Apply(MaxRequests+3, command(1, 0, "1")), "dropped request")
 }
 
 func TestApplyLimitsHistory(t *testing.T) {
--- a/internal/controlplane/revision/revision_test.go
+++ b/internal/controlplane/revision/revision_test.go
@@ -13,7 +13,7 @@
 	largest := command(^uint64(0), ^uint64(0), string(make([]byte, MaxDocumentBytes)))
 	largest.PublishedUnixMs = -1
 	data, err := Encode(largest)
-	require.NoError(t, err, "the largest document fits an entry")
+	require.NoError(t, err, "a document of the maximum size fits into a command")
 	decoded, err := Decode(data)
 	require.NoError(t, err)
 	require.True(t, proto.Equal(largest, decoded))
@@ -25,7 +25,7 @@
 	require.ErrorIs(t, err, ErrInvalidCommand)
 }
 
-// FuzzCommand applies entries of any content to two machines: they never panic and stay equal.
+// FuzzCommand applies arbitrary log entries to two state machines, which must not panic and must stay equal.
 func FuzzCommand(f *testing.F) {
 	for _, seed := range []*configpb.Command{command(1, 0, "first"), command(2, 1, "{}"), command(1, 9, ""), {}} {
 		data, err := Encode(seed)
@@ -36,25 +36,25 @@
 	}
 	f.Add([]byte{0xff, 0x01}, []byte(nil))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		one, other := NewStateMachine(), NewStateMachine()
+		machine, replica := NewStateMachine(), NewStateMachine()
 		for index, data := range [][]byte{first, second, first} {
-			before := one.Number()
+			previous := machine.Number()
 			entry, err := Decode(data)
 			if err != nil {
 				entry = nil
 			}
-			result := one.Apply(uint64(index+1), entry)
-			require.Equal(t, result, other.Apply(uint64(index+1), entry))
+			result := machine.Apply(uint64(index+1), entry)
+			require.Equal(t, result, replica.Apply(uint64(index+1), entry))
 			switch {
 			case result.Rejection == Accepted && !result.Repeated:
-				require.Equal(t, before+1, one.Number())
-				require.Equal(t, entry.GetDocument(), one.Newest().GetDocument())
+				require.Equal(t, previous+1, machine.Number())
+				require.Equal(t, entry.GetDocument(), machine.Newest().GetDocument())
 			default:
-				require.Equal(t, before, one.Number())
+				require.Equal(t, previous, machine.Number())
 			}
 		}
-		restored, err := Restore(one.Snapshot())
+		restored, err := Restore(machine.Snapshot())
 		require.NoError(t, err)
-		require.Equal(t, other.Snapshot(), restored.Snapshot())
+		require.Equal(t, replica.Snapshot(), restored.Snapshot())
 	})
 }
--- a/internal/controlplane/revision/snapshot.go
+++ b/internal/controlplane/revision/snapshot.go
@@ -13,42 +13,42 @@
 	"mothrouter/internal/controlplane/revision/revisionpb"
 )
 
-// A snapshot is a header of 28 bytes and a revisionpb.State:
+// A snapshot consists of a header of 28 bytes and an encoded revisionpb.State. The integers of the header are big endian:
 //
 //	8 bytes  magic
-//	4 bytes  version, big endian like all that follow
-//	8 bytes  length of the state
-//	8 bytes  xxhash of the state
+//	4 bytes  version
+//	8 bytes  length of the encoded state
+//	8 bytes  xxhash of the encoded state
 const (
-	snapshotMagic   = "mothrev\n" // the start of every snapshot
+	snapshotMagic   = "mothrev\n" // first bytes of every snapshot
 	snapshotVersion = 1           // Restore rejects any other version
 	headerBytes     = len(snapshotMagic) + 4 + 8 + 8
 
-	// MaxSnapshotBytes is the maximum size of a snapshot: 16 MiB of documents, 4,096 revisions of 48 bytes beside
-	// their documents and 4,096 requests of 36 bytes, which are 336 KiB, rounded up to 17 MiB.
+	// MaxSnapshotBytes is the maximum size of a snapshot, rounded up to 17 MiB: 16 MiB of documents and 336 KiB for 4,096
+	// revisions (48 bytes each without the document) and 4,096 requests (36 bytes each).
 	MaxSnapshotBytes = MaxHistoryBytes + 1<<20
 )
 
 // Errors of Restore.
 var (
-	ErrForeign = errors.New("revision: not a snapshot of revisions")
-	ErrVersion = errors.New("revision: snapshot of another version")
-	ErrTorn    = errors.New("revision: snapshot torn")
-	ErrCorrupt = errors.New("revision: snapshot corrupt")
+	ErrNotSnapshot = errors.New("revision: not a snapshot of revisions")
+	ErrVersion     = errors.New("revision: unsupported snapshot version")
+	ErrTruncated   = errors.New("revision: truncated snapshot")
+	ErrCorrupt     = errors.New("revision: corrupt snapshot")
 )
 
-// Snapshot returns the encoded state, at most MaxSnapshotBytes. Machines that applied the same entries return the same
-// bytes.
+// Snapshot returns the encoded state, at most MaxSnapshotBytes. State machines that have applied the same entries return the
+// same bytes.
 func (m *StateMachine) Snapshot() []byte {
 	state := &revisionpb.State{Applied: m.applied, Newest: m.newest, History: m.history}
 	for _, request := range m.requests {
 		state.Requests = append(state.Requests, &revisionpb.Request{
-			Request: request.request, Number: request.number, Checksum: request.checksum,
+			Request: request.id, Number: request.revision, Checksum: request.checksum,
 		})
 	}
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(state)
 	if err != nil {
-		panic(fmt.Sprintf("revision: encoding the state: %v", err))
+		panic(fmt.Sprintf("revision: encode the snapshot's state: %v", err))
 	}
 	data := make([]byte, 0, headerBytes+len(body))
 	data = append(data, snapshotMagic...)
@@ -57,12 +57,13 @@
 	data = binary.BigEndian.AppendUint64(data, xxhash.Sum64(body))
 	data = append(data, body...)
 	if len(data) > MaxSnapshotBytes {
-		panic(fmt.Sprintf("revision: snapshot of %d bytes, the limit is %d", len(data), MaxSnapshotBytes))
+		panic(fmt.Sprintf("revision: snapshot size of %d bytes exceeds the limit of %d", len(data), MaxSnapshotBytes))
 	}
 	return data
 }
 
-// Restore returns a machine with the state of a snapshot. Its error wraps ErrForeign, ErrVersion, ErrTorn or ErrCorrupt.
+// Restore returns a state machine with the state of a snapshot. Its error wraps ErrNotSnapshot, ErrVersion, ErrTruncated or
+// ErrCorrupt.
 func Restore(data []byte) (*StateMachine, error) {
 	body, err := decodeSnapshotBody(data)
 	if err != nil {
@@ -84,19 +85,19 @@
 }
 
 // decodeSnapshotBody checks the header of a snapshot and returns its encoded state, a slice of data. Its error wraps
-// ErrForeign, ErrVersion, ErrTorn or ErrCorrupt.
+// ErrNotSnapshot, ErrVersion, ErrTruncated or ErrCorrupt.
 func decodeSnapshotBody(data []byte) ([]byte, error) {
 	if !bytes.HasPrefix(data, []byte(snapshotMagic)) {
 		if len(data) < len(snapshotMagic) && bytes.HasPrefix([]byte(snapshotMagic), data) {
-			return nil, fmt.Errorf("%w: %d bytes", ErrTorn, len(data))
+			return nil, fmt.Errorf("%w: %d bytes, the header has %d", ErrTruncated, len(data), headerBytes)
 		}
-		return nil, ErrForeign
+		return nil, ErrNotSnapshot
 	}
 	if len(data) < headerBytes {
-		return nil, fmt.Errorf("%w: %d bytes", ErrTorn, len(data))
+		return nil, fmt.Errorf("%w: %d bytes, the header has %d", ErrTruncated, len(data), headerBytes)
 	}
 	if len(data) > MaxSnapshotBytes {
-		return nil, fmt.Errorf("%w: %d bytes, the limit is %d", ErrCorrupt, len(data), MaxSnapshotBytes)
+		return nil, fmt.Errorf("%w: size of %d bytes exceeds the limit of %d", ErrCorrupt, len(data), MaxSnapshotBytes)
 	}
 	header, body := data[len(snapshotMagic):headerBytes], data[headerBytes:]
 	version := binary.BigEndian.Uint32(header)
@@ -104,13 +105,13 @@
 	checksum := binary.BigEndian.Uint64(header[12:])
 	switch {
 	case version != snapshotVersion:
-		return nil, fmt.Errorf("%w: %d, not %d", ErrVersion, version, snapshotVersion)
+		return nil, fmt.Errorf("%w: %d, want %d", ErrVersion, version, snapshotVersion)
 	case uint64(len(body)) < length:
-		return nil, fmt.Errorf("%w: %d bytes of %d", ErrTorn, len(body), length)
+		return nil, fmt.Errorf("%w: the state has %d bytes, want %d", ErrTruncated, len(body), length)
 	case uint64(len(body)) > length:
-		return nil, fmt.Errorf("%w: %d bytes follow its end", ErrCorrupt, uint64(len(body))-length)
+		return nil, fmt.Errorf("%w: %d bytes after the end of the state", ErrCorrupt, uint64(len(body))-length)
 	case xxhash.Sum64(body) != checksum:
-		return nil, fmt.Errorf("%w: checksum of %d bytes", ErrCorrupt, len(body))
+		return nil, fmt.Errorf("%w: checksum mismatch in a state of %d bytes", ErrCorrupt, len(body))
 	}
 	return body, nil
 }
@@ -119,10 +120,11 @@
 func (m *StateMachine) restoreHistory(state *revisionpb.State) error {
 	history := state.GetHistory()
 	if uint64(len(history)) > state.GetNewest() {
-		return fmt.Errorf("%w: %d revisions up to number %d", ErrCorrupt, len(history), state.GetNewest())
+		return fmt.Errorf("%w: the history has %d revisions, but the newest number is %d", ErrCorrupt, len(history),
+			state.GetNewest())
 	}
 	if state.GetNewest() > 0 && len(history) == 0 {
-		return fmt.Errorf("%w: the newest revision is missing", ErrCorrupt)
+		return fmt.Errorf("%w: the newest revision %d is missing", ErrCorrupt, state.GetNewest())
 	}
 	m.newest = state.GetNewest() - uint64(len(history))
 	for _, revision := range history {
@@ -132,7 +134,7 @@
 		m.append(revision)
 	}
 	if len(m.history) != len(history) {
-		return fmt.Errorf("%w: history of %d revisions is beyond its limits", ErrCorrupt, len(history))
+		return fmt.Errorf("%w: the history of %d revisions exceeds its limits", ErrCorrupt, len(history))
 	}
 	return nil
 }
@@ -142,31 +144,32 @@
 func (m *StateMachine) checkNextRevision(revision *configpb.Revision) error {
 	number, document := revision.GetNumber(), revision.GetDocument()
 	if number != m.newest+1 {
-		return fmt.Errorf("%w: revision %d follows %d", ErrCorrupt, number, m.newest)
+		return fmt.Errorf("%w: revision %d follows revision %d", ErrCorrupt, number, m.newest)
 	}
 	if len(document) == 0 || len(document) > MaxDocumentBytes || configpb.Checksum(document) != revision.GetChecksum() {
-		return fmt.Errorf("%w: document of revision %d", ErrCorrupt, number)
+		return fmt.Errorf("%w: revision %d has a document of invalid size (%d bytes) or checksum", ErrCorrupt, number, len(document))
 	}
 	return nil
 }
 
-// restoreRequests checks and restores the recorded requests of a snapshot, which have to be in ascending order of
-// their revisions. Its error wraps ErrCorrupt.
+// restoreRequests checks and restores the recorded requests of a snapshot, which must be in ascending order of their
+// revisions. Its error wraps ErrCorrupt.
 func (m *StateMachine) restoreRequests(state *revisionpb.State) error {
 	var last uint64
 	for _, request := range state.GetRequests() {
-		_, twice := m.requestByID[request.GetRequest()]
+		_, duplicate := m.requestByID[request.GetRequest()]
 		inOrder := request.GetNumber() > last && request.GetNumber() <= m.newest
-		if twice || !inOrder || request.GetRequest() == 0 {
-			return fmt.Errorf("%w: request of revision %d", ErrCorrupt, request.GetNumber())
+		if duplicate || !inOrder || request.GetRequest() == 0 {
+			return fmt.Errorf("%w: the request of revision %d has no id, is a duplicate or is out of order", ErrCorrupt,
+				request.GetNumber())
 		}
 		last = request.GetNumber()
 		m.recordRequest(appliedRequest{
-			request: request.GetRequest(), number: request.GetNumber(), checksum: request.GetChecksum(),
+			id: request.GetRequest(), revision: request.GetNumber(), checksum: request.GetChecksum(),
 		})
 	}
 	if len(m.requests) != len(state.GetRequests()) {
-		return fmt.Errorf("%w: %d requests, the limit is %d", ErrCorrupt, len(state.GetRequests()), MaxRequests)
+		return fmt.Errorf("%w: %d requests exceed the limit of %d", ErrCorrupt, len(state.GetRequests()), MaxRequests)
 	}
 	return nil
 }
--- a/internal/controlplane/revision/snapshot_test.go
+++ b/internal/controlplane/revision/snapshot_test.go
@@ -14,7 +14,7 @@
 	"mothrouter/internal/controlplane/revision/revisionpb"
 )
 
-func TestSnapshotOfLargestStateWithinLimit(t *testing.T) {
+func TestSnapshotOfLargestStateIsWithinLimit(t *testing.T) {
 	machine := NewStateMachine()
 	document := bytes.Repeat([]byte{'x'}, MaxHistoryBytes/MaxHistory)
 	for number := uint64(1); number <= MaxHistory; number++ {
@@ -27,9 +27,9 @@
 	require.NoError(t, err)
 }
 
-// TestRestoredMachineEqualsOriginal compares a machine that is restored from its snapshot at random points with one that is
-// not.
-func TestRestoredMachineEqualsOriginal(t *testing.T) {
+// TestRestoredStateMachineEqualsOriginal applies the same commands to two state machines, one of which is restored from its
+// own snapshot at random points, and checks that both give the same results.
+func TestRestoredStateMachineEqualsOriginal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		original, restored := NewStateMachine(), NewStateMachine()
 		for index := uint64(1); index <= 60; index++ {
@@ -51,8 +51,8 @@
 	})
 }
 
-// someSnapshot returns the snapshot of a machine with two revisions.
-func someSnapshot() []byte {
+// sampleSnapshot returns the snapshot of a state machine with two revisions.
+func sampleSnapshot() []byte {
 	machine := NewStateMachine()
 	machine.Apply(3, command(1, 0, "first"))
 	machine.Apply(4, command(2, 0, "second"))
@@ -61,12 +61,12 @@
 }
 
 func TestRestoreRejectsCorruptSnapshots(t *testing.T) {
-	complete := someSnapshot()
+	complete := sampleSnapshot()
 	_, err := Restore(complete)
 	require.NoError(t, err)
 	for length := range complete {
 		_, err := Restore(complete[:length])
-		require.ErrorIs(t, err, ErrTorn, "first %d bytes", length)
+		require.ErrorIs(t, err, ErrTruncated, "first %d bytes", length)
 	}
 	for offset := range complete {
 		corrupt := bytes.Clone(complete)
@@ -75,7 +75,7 @@
 		require.Error(t, err, "byte %d", offset)
 	}
 	_, err = Restore([]byte("not a snapshot"))
-	require.ErrorIs(t, err, ErrForeign)
+	require.ErrorIs(t, err, ErrNotSnapshot)
 	_, err = Restore(append(bytes.Clone(complete), 0))
 	require.ErrorIs(t, err, ErrCorrupt)
 	otherVersion := bytes.Clone(complete)
@@ -84,7 +84,7 @@
 	require.ErrorIs(t, err, ErrVersion)
 }
 
-// snapshotOf returns a snapshot of any state, consistent or not, with a valid header and checksum.
+// snapshotOf returns a snapshot with a valid header and checksum. The state may be inconsistent.
 func snapshotOf(state *revisionpb.State) []byte {
 	body, err := proto.Marshal(state)
 	if err != nil {
@@ -103,31 +103,32 @@
 	request := func(id, number uint64) *revisionpb.Request {
 		return &revisionpb.Request{Request: id, Number: number}
 	}
-	with := func(requests ...*revisionpb.Request) *revisionpb.State {
+	stateWithRequests := func(requests ...*revisionpb.Request) *revisionpb.State {
 		return &revisionpb.State{Newest: 1, History: []*configpb.Revision{revision(1, "a")}, Requests: requests}
 	}
 	wrongChecksum := revision(1, "a")
 	wrongChecksum.Checksum++
 	for name, state := range map[string]*revisionpb.State{
-		"gap":            {Newest: 3, History: []*configpb.Revision{revision(1, "a"), revision(3, "c")}},
-		"newest missing": {Newest: 3},
-		"other newest":   {Newest: 3, History: []*configpb.Revision{revision(1, "a"), revision(2, "b")}},
-		"too many":       {Newest: 1, History: []*configpb.Revision{revision(0, "a"), revision(1, "b")}},
-		"checksum":       {Newest: 1, History: []*configpb.Revision{wrongChecksum}},
-		"empty document": {Newest: 1, History: []*configpb.Revision{revision(1, "")}},
-		"oversized":      {Newest: 1, History: []*configpb.Revision{revision(1, string(make([]byte, 1<<17)))}},
-		"request twice":  with(request(5, 1), request(5, 1)),
-		"later revision": with(request(5, 2)),
-		"no request id":  with(request(0, 1)),
+		"gap between revisions": {Newest: 3, History: []*configpb.Revision{revision(1, "a"), revision(3, "c")}},
+		"empty history":         {Newest: 3},
+		"newest not in history": {Newest: 3, History: []*configpb.Revision{revision(1, "a"), revision(2, "b")}},
+		"more than newest":      {Newest: 1, History: []*configpb.Revision{revision(0, "a"), revision(1, "b")}},
+		"wrong checksum":        {Newest: 1, History: []*configpb.Revision{wrongChecksum}},
+		"empty document":        {Newest: 1, History: []*configpb.Revision{revision(1, "")}},
+		"oversized document":    {Newest: 1, History: []*configpb.Revision{revision(1, string(make([]byte, 1<<17)))}},
+		"duplicate request":     stateWithRequests(request(5, 1), request(5, 1)),
+		"request of revision 2": stateWithRequests(request(5, 2)),
+		"request without an id": stateWithRequests(request(0, 1)),
 	} {
 		_, err := Restore(snapshotOf(state))
 		require.ErrorIs(t, err, ErrCorrupt, name)
 	}
 }
 
-// FuzzSnapshot restores any content: a machine that Restore accepts has a snapshot that restores to an equal machine.
+// FuzzSnapshot calls Restore with arbitrary bytes: if it accepts them, the snapshot of the restored state machine restores to
+// an equal state machine.
 func FuzzSnapshot(f *testing.F) {
-	f.Add(someSnapshot())
+	f.Add(sampleSnapshot())
 	f.Add(snapshotOf(&revisionpb.State{Newest: 1}))
 	f.Add([]byte(snapshotMagic))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -135,9 +136,9 @@
 		if err != nil {
 			return
 		}
-		again, err := Restore(machine.Snapshot())
+		restored, err := Restore(machine.Snapshot())
 		require.NoError(t, err)
-		require.Equal(t, machine.Snapshot(), again.Snapshot())
-		require.Equal(t, machine.Number(), again.Number())
+		require.Equal(t, machine.Snapshot(), restored.Snapshot())
+		require.Equal(t, machine.Number(), restored.Number())
 	})
 }
