--- a/internal/controlplane/confighub/confighub.go
+++ b/internal/controlplane/confighub/confighub.go
@@ -16,14 +16,14 @@
 const (
 	// keepaliveTime is how long a connection is idle before the server pings the peer.
 	keepaliveTime = 10 * time.Second
-	// keepaliveTimeout is how long the peer may take to answer a ping, or to complete the handshake of a connection.
+	// keepaliveTimeout is how long the peer may take to answer a keepalive ping, or to complete the connection handshake.
 	keepaliveTimeout = 5 * time.Second
-	// flowControlWindow is the HTTP/2 window of a stream and of a connection, in bytes: one document. gRPC does not
-	// enlarge a window that is set.
+	// flowControlWindow is the HTTP/2 flow-control window of each stream and connection, in bytes. It holds one document.
+	// gRPC does not grow a window whose size is set explicitly.
 	flowControlWindow = 64 << 10
-	// connectionBuffer is the size of a connection's read buffer and of its write buffer, in bytes: small, as there are up
-	// to distribution.MaxSessions connections.
-	connectionBuffer = 4 << 10
+	// connectionBufferSize is the size of each connection's read and write buffer, in bytes. It is small because there are
+	// up to distribution.MaxSessions connections.
+	connectionBufferSize = 4 << 10
 )
 
 // ServerOptions returns the options of a gRPC server that serves Follow. It accepts messages up to
@@ -34,22 +34,22 @@
 		grpc.InitialWindowSize(flowControlWindow),
 		grpc.InitialConnWindowSize(flowControlWindow),
 		grpc.MaxRecvMsgSize(distribution.MaxMessage),
-		grpc.ReadBufferSize(connectionBuffer),
-		grpc.WriteBufferSize(connectionBuffer),
+		grpc.ReadBufferSize(connectionBufferSize),
+		grpc.WriteBufferSize(connectionBufferSize),
 		grpc.ConnectionTimeout(keepaliveTimeout),
 	}
 }
 
-// Hub serves brokers. Make it with New. It is safe for concurrent use.
+// Hub serves Follow streams with the newest revision. Create it with New. It is safe for concurrent use.
 type Hub struct {
 	log *slog.Logger
 
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards the fields below
 	hub     *distribution.Hub
-	wakeups map[distribution.SessionID]chan struct{} // of capacity 1: wakes the session's sender
+	wakeups map[distribution.SessionID]chan struct{} // wake the sender of each session; capacity 1
 }
 
-// New returns a hub without revisions.
+// New returns a hub without a revision.
 func New(log *slog.Logger) *Hub {
 	return &Hub{
 		log:     log,
@@ -58,9 +58,9 @@
 	}
 }
 
-// SetNewest sets the newest revision of the log that this control machine has applied, and when a quorum last confirmed
-// that it is the newest. The revision must not be modified afterwards; nil sets the time only. Errors: those of
-// distribution.Hub.SetNewest; then the time is not set either.
+// SetNewest sets the newest revision that this control machine has applied from the log, and when a quorum last confirmed
+// that it is the newest. The revision must not be modified afterwards; if it is nil, only the time is set. SetNewest returns
+// the errors of distribution.Hub.SetNewest; on an error the time is not set either.
 func (h *Hub) SetNewest(revision *configpb.Revision, confirmedAt time.Time) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// Status returns a snapshot of the brokers and of the tracked revisions.
+// Status returns a snapshot of the state of the brokers and of the tracked revisions.
 func (h *Hub) Status() distribution.Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -97,7 +97,7 @@
 	return h.hub.Lagging(time.Now())
 }
 
-// openSession opens a session, and returns the channel that wakes its sender.
+// openSession opens a session and returns the channel that wakes its sender.
 func (h *Hub) openSession() (distribution.SessionID, chan struct{}, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -136,7 +136,7 @@
 	return h.hub.NextUpdate(time.Now(), id)
 }
 
-// notify wakes a sender. It does not block if the sender has a wakeup pending.
+// notify wakes a sender. It does nothing if a wakeup is already pending.
 func notify(wake chan struct{}) {
 	select {
 	case wake <- struct{}{}:
--- a/internal/controlplane/confighub/follow.go
+++ b/internal/controlplane/confighub/follow.go
@@ -12,21 +12,22 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// checkInterval is how often a session is checked whose sender is blocked by flow control.
+// checkInterval is how often each session is checked for a timeout. The sender cannot do this while it is blocked by flow
+// control.
 const checkInterval = 5 * time.Second
 
-// followStream is the server's side of a Follow call.
+// followStream is the server side of a Follow call.
 type followStream = grpc.BidiStreamingServer[configpb.Report, configpb.Update]
 
-// Follow serves one broker until its stream ends. Errors: RESOURCE_EXHAUSTED if there are too many sessions or brokers;
-// UNAVAILABLE if the session has timed out or another one has superseded it.
+// Follow serves one broker until its stream ends. It returns RESOURCE_EXHAUSTED if there are too many sessions or brokers,
+// and UNAVAILABLE if the session has timed out or has been superseded by another one.
 func (h *Hub) Follow(stream followStream) error {
 	id, wake, err := h.openSession()
 	if err != nil {
 		return grpcError(err)
 	}
 	defer h.closeSession(id)
-	ended := make(chan error, 2) // one value of each goroutine; both end with the stream, which ends when Follow returns
+	ended := make(chan error, 2) // one result per goroutine; the stream ends when Follow returns, which ends both goroutines
 	go func() { ended <- h.receive(stream, id, wake) }()
 	go func() { ended <- h.send(stream, id, wake) }()
 	check := time.NewTicker(checkInterval)
@@ -43,7 +44,7 @@
 	}
 }
 
-// receive receives status reports until the stream ends, and wakes the sender after each.
+// receive receives status reports until the stream ends and wakes the sender after each report.
 func (h *Hub) receive(stream followStream, id distribution.SessionID, wake chan struct{}) error {
 	for {
 		report, err := stream.Recv()
@@ -57,7 +58,8 @@
 	}
 }
 
-// send sends updates until the stream ends: when it is woken, and when the hub has asked for it.
+// send sends the hub's updates until the stream ends. It asks the hub for the next update when it is woken and at the time
+// returned by the previous call of NextUpdate.
 func (h *Hub) send(stream followStream, id distribution.SessionID, wake <-chan struct{}) error {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -81,7 +83,7 @@
 	}
 }
 
-// grpcError returns the gRPC status of an error of the hub; any other error is returned unchanged.
+// grpcError converts an error of the hub to a gRPC status error; it returns any other error unchanged.
 func grpcError(err error) error {
 	switch {
 	case errors.Is(err, distribution.ErrTooManySessions),
--- a/internal/controlplane/simulationtest/event_queue.go
+++ b/internal/controlplane/simulationtest/event_queue.go
@@ -1,4 +1,4 @@
-// Package simulationtest holds what the simulations of the control plane's packages share.
+// Package simulationtest provides the event queue that the simulations of the control plane's packages share.
 package simulationtest
 
 import (
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Event is a function that runs at a time of a simulation.
+// Event is a function that is scheduled for a time of the simulation.
 type Event struct {
-	At    time.Duration // since the start of the simulation
-	Run   func()
-	order int // number of events scheduled before it and itself; breaks ties of At
+	At       time.Duration // since the start of the simulation
+	Run      func()
+	sequence int // in the order of scheduling, from 1; breaks ties of At
 }
 
-// EventQueue holds the events of a simulation that are yet to run, in the order of their times. Events of one time
-// are in the order in which they were scheduled. The zero value is empty and ready to use.
+// EventQueue is a priority queue of the pending events of a simulation, ordered by time. Events at the same time are in the
+// order in which they were scheduled. The zero value is empty and ready to use.
 type EventQueue struct {
-	events    eventHeap
-	lastOrder int
+	events       eventHeap
+	lastSequence int
 }
 
-// Schedule adds an event.
+// Schedule adds an event that runs at the given time since the start of the simulation.
 func (q *EventQueue) Schedule(at time.Duration, run func()) {
-	q.lastOrder++
-	heap.Push(&q.events, Event{At: at, Run: run, order: q.lastOrder})
+	q.lastSequence++
+	heap.Push(&q.events, Event{At: at, Run: run, sequence: q.lastSequence})
 }
 
 // NextAt returns the time of the earliest event, and false if the queue is empty.
@@ -43,7 +43,7 @@
 func (h eventHeap) Len() int { return len(h) }
 
 func (h eventHeap) Less(i, j int) bool {
-	return h[i].At < h[j].At || h[i].At == h[j].At && h[i].order < h[j].order
+	return h[i].At < h[j].At || h[i].At == h[j].At && h[i].sequence < h[j].sequence
 }
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
--- a/internal/controlplane/simulationtest/event_queue_test.go
+++ b/internal/controlplane/simulationtest/event_queue_test.go
@@ -9,7 +9,7 @@
 	"mothrouter/internal/controlplane/simulationtest"
 )
 
-func TestEventQueueOrdersByTimeThenByScheduling(t *testing.T) {
+func TestEventQueueOrdersByTimeThenScheduling(t *testing.T) {
 	var queue simulationtest.EventQueue
 	var ran []int
 	for i, at := range []time.Duration{3, 1, 3, 2, 1, 1} {
@@ -26,7 +26,7 @@
 	require.Equal(t, []int{1, 4, 5, 3, 0, 2}, ran)
 }
 
-func TestEventQueueIsEmptyAtStart(t *testing.T) {
+func TestEventQueueZeroValueIsEmpty(t *testing.T) {
 	var queue simulationtest.EventQueue
 	_, ok := queue.NextAt()
 	require.False(t, ok)
