--- a/internal/controlplane/distribution/distribution.go
+++ b/internal/controlplane/distribution/distribution.go
@@ -1,13 +1,13 @@
-// Package distribution decides how revisions of the configuration reach the brokers. Hub is the control machine's
-// side: what it sends on each broker's session, and which revisions the brokers report. Follower is the broker's side:
-// which control machine it follows, when a stream has timed out, which revision it applies, and how stale its
-// configuration may be.
+// Package distribution implements the protocol that distributes revisions of the configuration to the brokers, without I/O.
+// Hub is the side of a control machine: it decides what to send on each broker's session and tracks which revisions the
+// brokers report. Follower is the side of a broker: it decides which control machine to follow, when a stream has timed out
+// and which revision to apply, and calculates how stale the configuration may be.
 //
-// The protocol resembles xDS over one bidirectional stream (configpb.Control.Follow): a control machine sends updates,
-// a broker answers with status reports that acknowledge (ACK) or reject (NACK) a revision.
+// The protocol resembles xDS over a bidirectional stream (configpb.Control.Follow): the control machine sends updates, and
+// the broker answers with status reports that acknowledge (ACK) or reject (NACK) a revision.
 //
-// Neither type does I/O, starts a goroutine or reads a clock: a driver passes in the time and the events. The times
-// given to one Hub or Follower must not decrease. Neither is safe for concurrent use.
+// Neither type does I/O, starts goroutines or reads a clock: a driver passes in the time and the events. The times passed to
+// one Hub or Follower must not decrease. Neither is safe for concurrent use.
 package distribution
 
 import (
@@ -20,18 +20,18 @@
 )
 
 const (
-	// Heartbeat is the longest interval between two updates of a session.
-	Heartbeat = time.Second
-	// ReportInterval is the longest interval between two status reports of a broker, with or without a change.
+	// HeartbeatInterval is the maximum interval between two updates on a session.
+	HeartbeatInterval = time.Second
+	// ReportInterval is the maximum interval between two status reports of a broker, with or without a change.
 	ReportInterval = 10 * time.Second
-	// MaxDocument is the largest document of a revision, in bytes.
+	// MaxDocument is the maximum size of a revision's document, in bytes.
 	MaxDocument = configpb.MaxDocument
-	// MaxMessage is the largest message on the wire, in bytes: a document and 4 KiB for all other fields.
+	// MaxMessage is the maximum size of a message on the wire, in bytes: a document and 4 KiB for all other fields.
 	MaxMessage = MaxDocument + 4<<10
-	// NeverConfirmed is the value of Update.confirmed_ms of a control machine that no quorum has confirmed yet.
+	// NeverConfirmed is the value of Update.confirmed_ms if no quorum has confirmed the control machine's newest revision yet.
 	NeverConfirmed = 1<<32 - 1
 
-	maxNameLength = 128 // bytes of the name of a broker or of a zone
+	maxNameLength = 128 // of the name of a broker or zone, in bytes
 )
 
 // Errors of CheckRevision.
@@ -42,8 +42,8 @@
 	ErrChecksumMismatch = errors.New("the document does not match its checksum")
 )
 
-// CheckRevision checks that a revision is intact. Errors: ErrNoRevisionNumber, ErrEmptyDocument, ErrDocumentTooLarge
-// and ErrChecksumMismatch; all but the first are wrapped with the revision's number.
+// CheckRevision checks that a revision is intact. It returns ErrNoRevisionNumber, or an error with the revision's number that
+// wraps ErrEmptyDocument, ErrDocumentTooLarge or ErrChecksumMismatch.
 func CheckRevision(revision *configpb.Revision) error {
 	number := revision.GetNumber()
 	if number == 0 {
@@ -68,10 +68,10 @@
 	return nil
 }
 
-// isValidString reports whether s is UTF-8 of at most maxLength bytes.
+// isValidString reports whether s is valid UTF-8 and has at most maxLength bytes.
 func isValidString(s string, maxLength int) bool { return len(s) <= maxLength && utf8.ValidString(s) }
 
-// isValidReport reports whether each field of a status report is within its bounds and consistent with the others.
+// isValidReport reports whether the fields of a status report are within their bounds and consistent with each other.
 func isValidReport(report *configpb.Report) bool {
 	if report.GetName() == "" || !isValidString(report.GetName(), maxNameLength) {
 		return false
--- a/internal/controlplane/distribution/follower.go
+++ b/internal/controlplane/distribution/follower.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	// reportHistory is how many reports of a stream have their time kept, for the updates that acknowledge them.
+	// reportHistory is how many of a stream's latest reports have their send times kept, to date the updates that acknowledge
+	// them.
 	reportHistory = 16
-	// pauseThreshold is how late a tick is after a pause of the process: updates may then wait to be read, so the
-	// timeouts of the stream are extended by one heartbeat.
+	// pauseThreshold is the delay of a tick from which the process is assumed to have been paused. Updates may then be waiting
+	// to be read, so the stream's timeouts are extended by one heartbeat interval.
 	pauseThreshold = 500 * time.Millisecond
-	// seedStream separates a follower's random numbers from others that are drawn from the same seed.
+	// seedStream separates a follower's random numbers from others that are drawn with the same seed.
 	seedStream = 0x9b05688c2b3e6c1f
 )
 
@@ -28,87 +29,87 @@
 		maxNameLength)
 )
 
-// StreamID identifies one stream of a follower, from 1. A follower never reuses one.
+// StreamID identifies a stream of a follower. IDs start at 1 and are never reused.
 type StreamID uint64
 
 // FollowerOptions are the options of NewFollower.
 type FollowerOptions struct {
-	Name            string           // of the broker, 1 to 128 bytes
-	StartedAt       time.Time        // start of this process: with Name, it identifies the instance
-	Zone            string           // 128 bytes at most; "": not configured
-	Region          string           // "": not configured
+	Name            string           // name of the broker, 1 to 128 bytes
+	StartedAt       time.Time        // start time of this process; identifies the instance together with Name
+	Zone            string           // zone of the broker, at most 128 bytes; "": not configured
+	Region          string           // region of the broker; "": not configured
 	ControlMachines []ControlMachine // 1 to MaxControlMachines
-	FleetSize       int              // brokers in the fleet; scales the backoff, see package backoff
-	Seed            uint64           // of the random delays; different for each broker
+	FleetSize       int              // number of brokers in the fleet; scales the backoff, see package backoff
+	Seed            uint64           // for random delays; must differ between brokers
 }
 
 // StreamTarget is a stream to open.
 type StreamTarget struct {
 	Stream  StreamID
-	Address string // of the control machine, host:port
+	Address string // host:port of the control machine
 }
 
-// Ready is the work for the driver, to be done in the order of the fields.
+// Ready is the work for the driver, which must do it in the order of the fields.
 type Ready struct {
 	Close  StreamID           // stream to close; 0: none
 	Open   *StreamTarget      // stream to open; nil: none
-	Report *configpb.Report   // to send on Stream, replacing one that is not sent yet; nil: none
+	Report *configpb.Report   // report to send on Stream, instead of any report not sent yet; nil: none
 	Stream StreamID           // the current stream; 0: none
-	Apply  *configpb.Revision // to apply, then call RevisionApplied or RevisionRejected; nil: none
+	Apply  *configpb.Revision // revision to apply, followed by RevisionApplied or RevisionRejected; nil: none
 }
 
-// Follower is a broker's side of the distribution. Make it with NewFollower.
+// Follower is the side of a broker: the configuration follower. Create it with NewFollower.
 //
-// The driver calls Ready after every other call, and Tick at NextTick.
+// The driver calls Ready after every other call, and Tick no later than NextTick.
 type Follower struct {
 	options FollowerOptions
 	rng     *rand.Rand
 	backoff *backoff.Backoff
 
-	machines           machines
-	current            int       // index of the machine of the current stream, or of the next one if preselected
-	preselected        bool      // current is the machine of the next stream
-	connectAt          time.Time // when the next stream is opened, if there is no current one
-	keepsBest          bool      // a round found no confirmed machine: current, the best of them, is kept
-	reconsiderAt       time.Time // until when it is kept
-	reconsiderInterval time.Duration
+	candidates       candidates
+	current          int           // index of the candidate of the current stream, or of the next one if preselected
+	preselected      bool          // current is the candidate of the next stream
+	connectAt        time.Time     // when to open the next stream, if there is no current one
+	inFallback       bool          // no reached candidate has a recent confirmation; the least stale one is used
+	fallbackUntil    time.Time     // when to try the other candidates again
+	fallbackInterval time.Duration // minimum duration of the next fallback
 
 	stream       StreamID // the current stream; 0: none
-	lastStream   StreamID // the last one assigned
+	lastStream   StreamID // the last ID assigned
 	openedAt     time.Time
 	lastUpdateAt time.Time                // zero: no update on the current stream yet
-	graceUntil   time.Time                // timeouts of the current stream are extended to it; zero: they are not
-	lastReportAt time.Time                // or the opening of the current stream, before its first report
-	lastSequence uint64                   // of the last report on the current stream; 0: none
-	reportedAt   [reportHistory]time.Time // when each report was returned by Ready; index: sequence % reportHistory
+	graceUntil   time.Time                // the current stream's timeouts do not expire before; zero: no extension
+	lastReportAt time.Time                // before the first report on the current stream: openedAt
+	lastSequence uint64                   // sequence number of the last report on the current stream; 0: none
+	reportedAt   [reportHistory]time.Time // when Ready returned each report; index: sequence % reportHistory
 
 	revisions   revisionState
-	newest      uint64    // highest number in any update
-	confirmedAt time.Time // when a quorum last confirmed the newest revision of any machine; zero: unknown
+	newest      uint64    // highest revision number in any update
+	confirmedAt time.Time // when a quorum last confirmed the newest revision, according to any update; zero: unknown
 
-	pendingClose StreamID // for Ready; 0: none
-	pendingOpen  bool     // the current stream is for Ready to open
+	pendingClose StreamID // stream for Ready to close; 0: none
+	pendingOpen  bool     // Ready has to open the current stream
 	reportDue    bool
 	counts       UpdateCounts
 }
 
-// NewFollower returns a follower without a revision in force, which opens its first stream after a random delay.
-// Errors: ErrNoControlMachines, ErrTooManyControlMachines, ErrInvalidName.
+// NewFollower returns a follower without a revision in force, which opens its first stream after a random delay. It returns
+// ErrNoControlMachines, ErrTooManyControlMachines or ErrInvalidName if the options are invalid.
 func NewFollower(now time.Time, options FollowerOptions) (*Follower, error) {
 	if err := options.check(); err != nil {
 		return nil, err
 	}
 	rng := rand.New(rand.NewPCG(options.Seed, seedStream))
 	f := &Follower{
-		options:            options,
-		rng:                rng,
-		backoff:            backoff.New(options.FleetSize, options.Seed),
-		machines:           newMachines(options.ControlMachines, options.Zone, options.Region, rng),
-		reconsiderInterval: minReconsiderInterval,
-		revisions:          revisionState{inForceSince: now},
+		options:          options,
+		rng:              rng,
+		backoff:          backoff.New(options.FleetSize, options.Seed),
+		candidates:       newCandidates(options.ControlMachines, options.Zone, options.Region, rng),
+		fallbackInterval: minFallbackInterval,
+		revisions:        revisionState{inForceSince: now},
 	}
-	// The first delay is meant for processes that cannot serve without an answer. A broker serves by its configuration
-	// file meanwhile, so it begins with the longer, second one.
+	// The backoff's first delay is short, for processes that cannot serve without an answer. A broker can serve with its
+	// startup configuration in the meantime, so it skips to the second, longer delay.
 	f.backoff.Next(0)
 	f.backoff.Succeeded()
 	f.connectAt = now.Add(f.backoff.Next(0))
@@ -127,10 +128,10 @@
 	return nil
 }
 
-// SetFleetSize sets how many brokers are in the fleet. It scales the next backoff.
+// SetFleetSize sets the number of brokers in the fleet, which scales the next backoff.
 func (f *Follower) SetFleetSize(brokers int) { f.backoff.Resize(brokers) }
 
-// NextTick returns when Tick has to be called at the latest.
+// NextTick returns the latest time for the next call of Tick.
 func (f *Follower) NextTick() time.Time {
 	if f.stream == 0 {
 		return f.connectAt
@@ -138,7 +139,7 @@
 	return earliest(f.streamTimeoutAt(), f.failoverAt(), f.lastReportAt.Add(ReportInterval))
 }
 
-// Tick handles what is due: opening a stream, its timeout, a failover, a status report.
+// Tick opens a stream, times it out, fails over or schedules a status report if one of these is due.
 func (f *Follower) Tick(now time.Time) {
 	if f.stream == 0 {
 		if !now.Before(f.connectAt) {
@@ -160,32 +161,32 @@
 	}
 }
 
-// extendAfterPause extends the timeouts of the current stream if this tick is late, once until the next update.
+// extendAfterPause extends the timeouts of the current stream if this tick is late, at most once between two updates.
 func (f *Follower) extendAfterPause(now time.Time) {
 	late := now.Sub(f.NextTick()) > pauseThreshold
 	extended := f.graceUntil.After(latest(f.openedAt, f.lastUpdateAt))
 	if late && !extended {
-		f.graceUntil = now.Add(Heartbeat)
+		f.graceUntil = now.Add(HeartbeatInterval)
 	}
 }
 
-// StreamEnded handles the end of a stream, or the failure to open it. Any stream but the current one is ignored.
+// StreamEnded handles the end of a stream, or a failure to open it. It ignores streams other than the current one.
 func (f *Follower) StreamEnded(now time.Time, stream StreamID) {
 	if stream == 0 || stream != f.stream {
 		return
 	}
 	f.counts.StreamsEnded++
 	f.abandonStream(now)
-	f.pendingClose = 0 // it is closed already
+	f.pendingClose = 0 // the stream is closed already
 }
 
-// Ready returns the work that has accumulated since the last call.
+// Ready returns the work that has become due since the last call.
 func (f *Follower) Ready(now time.Time) Ready {
 	ready := Ready{Close: f.pendingClose, Stream: f.stream}
 	f.pendingClose = 0
 	if f.pendingOpen {
 		f.pendingOpen = false
-		ready.Open = &StreamTarget{Stream: f.stream, Address: f.machines[f.current].Address}
+		ready.Open = &StreamTarget{Stream: f.stream, Address: f.candidates[f.current].Address}
 	}
 	if f.reportDue && f.stream != 0 {
 		f.reportDue = false
--- a/internal/controlplane/distribution/follower_failover.go
+++ b/internal/controlplane/distribution/follower_failover.go
@@ -3,25 +3,25 @@
 import "time"
 
 const (
-	// StreamTimeout is how long a stream may be without an update: three heartbeats, and 0.2 s of network latency.
-	StreamTimeout = 3*Heartbeat + 200*time.Millisecond
+	// StreamTimeout is how long a stream may go without an update: three heartbeat intervals and 0.2 s of network latency.
+	StreamTimeout = 3*HeartbeatInterval + 200*time.Millisecond
 	// ConnectTimeout is how long the first update of a stream may take: three round trips of 150 ms between regions, and
-	// twice as long for a control machine that has many streams to open. A follower that finds the longest backoff and
-	// three machines that do not answer reaches the fourth within PropagationDeadline: 3 s + 3 * 1.5 s.
+	// twice that time for a control machine that has many streams to open. With the longest backoff and three control
+	// machines that do not answer, a follower still reaches the fourth within PropagationDeadline: 3 s + 3 * 1.5 s.
 	ConnectTimeout = 1500 * time.Millisecond
-	// ConfirmationTimeout is how old the confirmation of a control machine may be before the follower fails over: longer
-	// than an election takes, and short enough to reach another machine within PropagationDeadline.
+	// ConfirmationTimeout is how old a control machine's last confirmation by a quorum may be before the follower fails over.
+	// It is longer than an election, and short enough to reach another control machine within PropagationDeadline.
 	ConfirmationTimeout = 5 * time.Second
 
-	// failoverSpread is the time over which the brokers of a fleet spread when they fail over together.
-	failoverSpread = 1500 * time.Millisecond
-	// maxNextMachineDelay is the longest delay before the next machine of a round, if the last one sent no update.
-	maxNextMachineDelay = 100 * time.Millisecond
-	// minReconsiderInterval and maxReconsiderInterval bound how long an unconfirmed machine is kept if no machine is
-	// confirmed: one to two intervals, doubled each time. A follower that is partitioned from the quorum for an hour
-	// tries the other machines about ten times.
-	minReconsiderInterval = 30 * time.Second
-	maxReconsiderInterval = 5 * time.Minute
+	// maxFailoverDelay is the maximum delay of a failover. It spreads the brokers of a fleet that fail over together.
+	maxFailoverDelay = 1500 * time.Millisecond
+	// maxNextCandidateDelay is the maximum delay before the next candidate of a round if the previous one sent no update.
+	maxNextCandidateDelay = 100 * time.Millisecond
+	// minFallbackInterval and maxFallbackInterval bound the fallback interval. If no candidate has a recent confirmation, the
+	// follower stays with the best one for one to two intervals before it tries the others again; the interval doubles each
+	// time. A follower that is partitioned from the quorum for an hour tries the other candidates about ten times.
+	minFallbackInterval = 30 * time.Second
+	maxFallbackInterval = 5 * time.Minute
 )
 
 // streamTimeoutAt returns when the current stream times out.
@@ -32,23 +32,24 @@
 	return latest(f.lastUpdateAt.Add(StreamTimeout), f.graceUntil)
 }
 
-// failoverAt returns when the follower leaves the current machine because its confirmation is too old; zero: never.
+// failoverAt returns when the follower leaves the current control machine because its confirmation is too old. It returns the
+// zero time if there is no other candidate, or no update on the current stream yet.
 func (f *Follower) failoverAt() time.Time {
-	if f.lastUpdateAt.IsZero() || len(f.machines) < 2 {
+	if f.lastUpdateAt.IsZero() || len(f.candidates) < 2 {
 		return time.Time{}
 	}
-	expiresAt := f.machines[f.current].confirmedAt.Add(ConfirmationTimeout)
+	expiresAt := f.candidates[f.current].confirmedAt.Add(ConfirmationTimeout)
 	at := latest(expiresAt, f.lastUpdateAt, f.graceUntil)
-	if f.keepsBest {
-		return latest(at, f.reconsiderAt)
+	if f.inFallback {
+		return latest(at, f.fallbackUntil)
 	}
 	return at
 }
 
-// openStream opens a stream to the preselected machine, or to the first untried one.
+// openStream opens a stream to the preselected candidate, or otherwise to the first untried one.
 func (f *Follower) openStream(now time.Time) {
 	if !f.preselected {
-		f.current = f.machines.firstUntried()
+		f.current = f.candidates.firstUntried()
 	}
 	f.preselected = false
 	f.lastStream++
@@ -63,7 +64,7 @@
 	f.counts.StreamsOpened++
 }
 
-// closeStream leaves the current stream. It is for Ready to close, unless Ready has not opened it yet.
+// closeStream leaves the current stream. Ready will close the stream if it has opened it.
 func (f *Follower) closeStream() {
 	if !f.pendingOpen {
 		f.pendingClose = f.stream
@@ -72,70 +73,71 @@
 	f.pendingOpen = false
 }
 
-// abandonStream leaves a stream that has timed out or ended, and schedules the next one: after a backoff if the
-// machine was in use, else within maxNextMachineDelay.
+// abandonStream leaves a stream that has timed out or ended and schedules the next one: after a backoff if the stream had
+// received an update or was a fallback, otherwise within maxNextCandidateDelay.
 func (f *Follower) abandonStream(now time.Time) {
-	wasInUse := f.keepsBest || !f.lastUpdateAt.IsZero()
+	wasInUse := f.inFallback || !f.lastUpdateAt.IsZero()
 	f.closeStream()
-	f.endKeepingBest()
-	f.machines[f.current].tried = true
+	f.leaveFallback()
+	f.candidates[f.current].tried = true
 	if wasInUse {
 		f.scheduleConnect(now, f.backoff.Next(0))
 	} else {
-		f.scheduleConnect(now, f.nextMachineDelay())
+		f.scheduleConnect(now, f.nextCandidateDelay())
 	}
 }
 
-// failOver leaves a machine that answers but is unconfirmed, unless the round has found no better one.
+// failOver leaves a control machine that sends updates but whose confirmation is too old, unless all candidates have been
+// tried in this round and none was better.
 func (f *Follower) failOver(now time.Time) {
-	f.endKeepingBest()
-	machine := &f.machines[f.current]
-	machine.tried = true
-	machine.reached = true
-	if f.machines.firstUntried() < 0 && f.machines.lastConfirmed() == f.current {
-		f.keepBest(now)
+	f.leaveFallback()
+	current := &f.candidates[f.current]
+	current.tried = true
+	current.reached = true
+	if f.candidates.firstUntried() < 0 && f.candidates.mostRecentlyConfirmed() == f.current {
+		f.enterFallback(now)
 		return
 	}
 	f.counts.Failovers++
 	f.closeStream()
-	f.scheduleConnect(now, f.backoff.Next(failoverSpread))
+	f.scheduleConnect(now, f.backoff.Next(maxFailoverDelay))
 }
 
-// scheduleConnect schedules a stream to the next untried machine after a delay. At the end of a round it preselects
-// the best machine that was reached; if none was, it starts a new round after a backoff.
+// scheduleConnect schedules a stream to the next untried candidate after a delay. At the end of a round it enters fallback
+// with the best candidate reached; if none was reached, it starts a new round after a backoff.
 func (f *Follower) scheduleConnect(now time.Time, delay time.Duration) {
-	if f.machines.firstUntried() >= 0 {
+	if f.candidates.firstUntried() >= 0 {
 		f.connectAt = now.Add(delay)
 		return
 	}
-	if best := f.machines.lastConfirmed(); best >= 0 {
-		f.keepBest(now)
+	if best := f.candidates.mostRecentlyConfirmed(); best >= 0 {
+		f.enterFallback(now)
 		f.current = best
 		f.preselected = true
 	} else {
-		f.machines.startRound()
+		f.candidates.startRound()
 		delay = f.backoff.Next(0)
 	}
 	f.connectAt = now.Add(delay)
 }
 
-// keepBest begins to keep an unconfirmed machine, for one to two reconsider intervals.
-func (f *Follower) keepBest(now time.Time) {
-	jitter := time.Duration(f.rng.Int64N(int64(f.reconsiderInterval)))
-	f.keepsBest = true
-	f.reconsiderAt = now.Add(f.reconsiderInterval + jitter)
-	f.reconsiderInterval = min(2*f.reconsiderInterval, maxReconsiderInterval)
+// enterFallback starts to use an unconfirmed candidate, for one to two fallback intervals.
+func (f *Follower) enterFallback(now time.Time) {
+	jitter := time.Duration(f.rng.Int64N(int64(f.fallbackInterval)))
+	f.inFallback = true
+	f.fallbackUntil = now.Add(f.fallbackInterval + jitter)
+	f.fallbackInterval = min(2*f.fallbackInterval, maxFallbackInterval)
 }
 
-// endKeepingBest ends the keeping of an unconfirmed machine, if one is kept, and starts a new round.
-func (f *Follower) endKeepingBest() {
-	if f.keepsBest {
-		f.keepsBest = false
-		f.machines.startRound()
+// leaveFallback ends the fallback, if the follower is in one, and starts a new round.
+func (f *Follower) leaveFallback() {
+	if f.inFallback {
+		f.inFallback = false
+		f.candidates.startRound()
 	}
 }
 
-// nextMachineDelay returns a random delay before the next machine of a round.
-func (f *Follower) nextMachineDelay() time.Duration {
-	return time.Duration(f.rng.Int64N(int64(maxNextMachineDelay)))
+// nextCandidateDelay returns a random delay before the next candidate of a round.
+func (f *Follower) nextCandidateDelay() time.Duration {
+	return time.Duration(f.rng.Int64N(int64(maxNextCandidateDelay)))
 }
--- a/internal/controlplane/distribution/follower_receive.go
+++ b/internal/controlplane/distribution/follower_receive.go
@@ -7,28 +7,28 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// UpdateCounts are a follower's counters of updates, of the revisions in them and of streams.
+// UpdateCounts holds a follower's counters of updates, of the revisions in them and of streams.
 type UpdateCounts struct {
-	Updates     uint64 // valid ones on the current stream, with or without a revision
-	Accepted    uint64 // revisions
+	Updates     uint64 // valid updates on the current stream, with or without a revision
+	Accepted    uint64 // revisions accepted
 	Skipped     uint64 // revisions accepted, but replaced by a newer one before they were applied
-	WrongStream uint64 // updates on another stream than the current one
-	Malformed   uint64 // updates that are nil, or whose fields contradict each other
+	WrongStream uint64 // updates on a stream other than the current one
+	Malformed   uint64 // updates that are nil or have inconsistent fields
 	Oversized   uint64 // revisions with a document larger than MaxDocument
-	Corrupt     uint64 // revisions with an empty document, or one that does not match its checksum
-	Stale       uint64 // revisions below the latest one accepted
-	Duplicate   uint64 // revisions equal to the latest one accepted
-	Conflicts   uint64 // updates with the number of the latest revision accepted, but another checksum
-	Lagging     uint64 // updates of a control machine whose newest revision is below the latest one accepted
+	Corrupt     uint64 // revisions whose document is empty or does not match its checksum
+	Stale       uint64 // revisions with a lower number than the latest accepted one
+	Duplicate   uint64 // revisions equal to the latest accepted one
+	Conflicts   uint64 // updates with the number of the latest accepted revision, but a different checksum
+	Lagging     uint64 // updates from a control machine whose newest revision is below the latest accepted one
 
 	StreamsOpened   uint64
-	StreamsEnded    uint64 // by the control machine or the network
-	StreamsTimedOut uint64 // left by the follower: no update within StreamTimeout, or ConnectTimeout for the first one
-	Failovers       uint64 // streams left by the follower: the control machine's confirmation was too old
+	StreamsEnded    uint64 // streams ended by the control machine or the network
+	StreamsTimedOut uint64 // streams without an update for StreamTimeout, or without a first update for ConnectTimeout
+	Failovers       uint64 // streams left because the control machine's confirmation was too old
 }
 
-// UpdateReceived handles an update on a stream. An update on another stream than the current one, or one that is not
-// valid, is counted and dropped; it does not extend the stream's timeout.
+// UpdateReceived handles an update on a stream. An invalid update, or one on a stream other than the current one, is counted
+// and dropped; it does not extend the stream's timeout.
 func (f *Follower) UpdateReceived(now time.Time, stream StreamID, update *configpb.Update) {
 	if stream == 0 || stream != f.stream {
 		f.counts.WrongStream++
@@ -39,7 +39,7 @@
 	}
 	if f.lastUpdateAt.IsZero() {
 		f.backoff.Succeeded()
-		f.machines[f.current].confirmedAt = f.openedAt
+		f.candidates[f.current].confirmedAt = f.openedAt
 	}
 	f.lastUpdateAt = now
 	f.counts.Updates++
@@ -53,7 +53,7 @@
 	f.recordConfirmation(now, update)
 }
 
-// validateUpdate reports whether an update is valid, and counts one that is not.
+// validateUpdate reports whether an update is valid, and counts it if it is not.
 func (f *Follower) validateUpdate(update *configpb.Update) bool {
 	if update == nil || !f.acknowledgesReport(update) {
 		f.counts.Malformed++
@@ -78,7 +78,7 @@
 	return true
 }
 
-// countInvalidRevision counts an error of CheckRevision.
+// countInvalidRevision counts a revision for which CheckRevision returned an error.
 func (f *Follower) countInvalidRevision(err error) {
 	switch {
 	case errors.Is(err, ErrDocumentTooLarge):
@@ -95,7 +95,7 @@
 	return update.GetReport() > 0 && update.GetReport() <= f.lastSequence
 }
 
-// acceptRevision accepts a valid revision if its number is above the latest one, and counts it.
+// acceptRevision accepts a valid revision if its number is above that of the latest one, and counts it.
 func (f *Follower) acceptRevision(revision *configpb.Revision) {
 	r := &f.revisions
 	switch number := revision.GetNumber(); {
@@ -111,19 +111,19 @@
 	}
 }
 
-// conflictsWithLatest reports whether an update has the number of the latest revision, but another checksum.
+// conflictsWithLatest reports whether an update has the number of the latest revision but a different checksum.
 func (f *Follower) conflictsWithLatest(update *configpb.Update) bool {
 	r := &f.revisions
 	return r.latest != 0 && update.GetNewest() == r.latest && update.GetNewestChecksum() != r.latestChecksum
 }
 
-// recordConfirmation records when a quorum last confirmed the current machine. An update that lags behind the latest
-// revision or conflicts with it confirms nothing, so that a machine which keeps sending such updates is left like an
-// unconfirmed one. The age in the update counts from the earliest time at which the update can have been sent, since
-// the network or a pause of this process may have delayed it.
+// recordConfirmation records when a quorum last confirmed the newest revision of the current control machine. An update that
+// lags behind the latest revision or conflicts with it does not count as a confirmation, so that the follower leaves a control
+// machine that keeps sending such updates like an unconfirmed one. The confirmation's age is subtracted from the earliest time
+// at which the update can have been sent, because the network or a pause of this process may have delayed the update.
 func (f *Follower) recordConfirmation(now time.Time, update *configpb.Update) {
-	machine := &f.machines[f.current]
-	machine.reached = true
+	current := &f.candidates[f.current]
+	current.reached = true
 	if update.GetNewest() < f.revisions.latest {
 		f.counts.Lagging++
 		return
@@ -132,27 +132,28 @@
 		return
 	}
 	if update.GetConfirmedMs() == NeverConfirmed {
-		machine.confirmedAt = time.Time{}
+		current.confirmedAt = time.Time{}
 		return
 	}
 	age := time.Duration(update.GetConfirmedMs()) * time.Millisecond
-	machine.confirmedAt = earliest(now, f.earliestSentAt(update)).Add(-age)
-	f.confirmedAt = latest(f.confirmedAt, machine.confirmedAt)
-	if now.Sub(machine.confirmedAt) <= ConfirmationTimeout {
-		f.keepsBest = false
-		f.reconsiderInterval = minReconsiderInterval
-		f.machines.startRound()
+	current.confirmedAt = earliest(now, f.earliestSentAt(update)).Add(-age)
+	f.confirmedAt = latest(f.confirmedAt, current.confirmedAt)
+	if now.Sub(current.confirmedAt) <= ConfirmationTimeout {
+		f.inFallback = false
+		f.fallbackInterval = minFallbackInterval
+		f.candidates.startRound()
 	}
 }
 
-// RevisionApplied handles the success of applying the revision that Ready returned. It panics on any other number.
+// RevisionApplied records that the revision returned by Ready has been applied. It panics if number is that of another
+// revision.
 func (f *Follower) RevisionApplied(now time.Time, number uint64) {
 	f.revisions.applied(now, number)
 	f.reportDue = true
 }
 
-// RevisionRejected handles the rejection of the revision that Ready returned, by the key of the document at fault. The
-// revision before stays in force. It panics on any other number.
+// RevisionRejected records that the revision returned by Ready has been rejected because of the value of key in its document.
+// The previous revision stays in force. It panics if number is that of another revision.
 func (f *Follower) RevisionRejected(_ time.Time, number uint64, key, reason string) {
 	f.revisions.rejected(number, key, reason)
 	f.reportDue = true
--- a/internal/controlplane/distribution/follower_status.go
+++ b/internal/controlplane/distribution/follower_status.go
@@ -8,15 +8,15 @@
 
 // FollowerStatus is a snapshot of a follower's state.
 type FollowerStatus struct {
-	Control        string    // address of the control machine that is followed; "": no stream at present
+	Control        string    // address of the current control machine; "": no current stream
 	LastUpdateAt   time.Time // on the current stream; zero: none yet
-	InForce        uint64    // number of the revision in force; 0: the configuration file of the start
+	InForce        uint64    // number of the revision in force; 0: the startup configuration file
 	InForceSince   time.Time
 	Applying       uint64            // number of the revision that is being applied; 0: none
-	Newest         uint64            // highest number that any control machine has sent; 0: none
-	Rejection      *configpb.Refusal // NACK of a revision above InForce; nil: none
-	Staleness      time.Duration     // as returned by Follower.Staleness
-	StalenessKnown bool
+	Newest         uint64            // highest revision number that any control machine has sent; 0: none
+	Rejection      *configpb.Refusal // rejection (NACK) of a revision above InForce; nil: none
+	Staleness      time.Duration     // result of Follower.Staleness
+	StalenessKnown bool              // result of Follower.Staleness
 	Counts         UpdateCounts
 }
 
@@ -31,16 +31,16 @@
 		Counts:       f.counts,
 	}
 	if f.stream != 0 {
-		status.Control = f.machines[f.current].Address
+		status.Control = f.candidates[f.current].Address
 		status.LastUpdateAt = f.lastUpdateAt
 	}
 	status.Staleness, status.StalenessKnown = f.Staleness(now)
 	return status
 }
 
-// Staleness returns for how long a newer revision may exist without the follower knowing it: the time since a quorum
-// last confirmed that the newest revision known to the follower was the newest. known is false if none ever did: then
-// the staleness of the configuration file is unknown.
+// Staleness returns for how long a newer revision may have existed that the follower does not know of: the time since a
+// quorum last confirmed that the newest revision known to the follower was the newest. known is false if no quorum ever has;
+// then the staleness of the startup configuration file is unknown.
 func (f *Follower) Staleness(now time.Time) (staleness time.Duration, known bool) {
 	if f.confirmedAt.IsZero() {
 		return 0, false
@@ -48,7 +48,7 @@
 	return max(now.Sub(f.confirmedAt), 0), true
 }
 
-// currentReport returns the broker's status report: an ACK of the revision in force, and a NACK of a rejected one.
+// currentReport returns the broker's status report: the ACK of the revision in force, and the NACK of a rejected one.
 func (f *Follower) currentReport() *configpb.Report {
 	return &configpb.Report{
 		Name:               f.options.Name,
@@ -61,16 +61,16 @@
 	}
 }
 
-// recordReport assigns the next sequence number to a report that is sent now.
+// recordReport assigns the next sequence number to a report and records its send time.
 func (f *Follower) recordReport(now time.Time) {
 	f.lastReportAt = now
 	f.lastSequence++
 	f.reportedAt[f.lastSequence%reportHistory] = now
 }
 
-// earliestSentAt returns the earliest time at which an update can have been sent. The control machine sent it
-// report_ms after it received the report that the update acknowledges, which was sent at a known time; the opening of
-// the stream stands in for a report that is no longer in the history.
+// earliestSentAt returns the earliest time at which an update can have been sent. The control machine sent it report_ms after
+// it received the report that the update acknowledges, and reportedAt has the time at which that report was sent. If the
+// report is no longer in reportedAt, the time at which the stream was opened is used instead.
 func (f *Follower) earliestSentAt(update *configpb.Update) time.Time {
 	reportedAt := f.openedAt
 	if sequence := update.GetReport(); sequence+reportHistory > f.lastSequence {
--- a/internal/controlplane/distribution/follower_test.go
+++ b/internal/controlplane/distribution/follower_test.go
@@ -160,7 +160,7 @@
 	f, stream, now := newFollower(t, 2)
 	f.UpdateReceived(now, stream, updateOf(5))
 	for i := range 20 {
-		now = now.Add(distribution.Heartbeat)
+		now = now.Add(distribution.HeartbeatInterval)
 		update := heartbeat(5, 0)
 		update.ReportMs = uint32((i + 1) * 1000)
 		f.UpdateReceived(now, stream, update)
@@ -184,8 +184,8 @@
 		f.UpdateReceived(now, stream, updateOf(4))
 		f.Tick(now)
 		require.Nil(t, f.Ready(now).Apply)
-		now = now.Add(distribution.Heartbeat)
-		require.LessOrEqual(t, now.Sub(opened), distribution.ConfirmationTimeout+2*distribution.Heartbeat)
+		now = now.Add(distribution.HeartbeatInterval)
+		require.LessOrEqual(t, now.Sub(opened), distribution.ConfirmationTimeout+2*distribution.HeartbeatInterval)
 	}
 	require.EqualValues(t, 5, f.Status(now).InForce)
 }
@@ -228,8 +228,8 @@
 	now = now.Add(time.Minute)
 	f.Tick(now)
 	require.Zero(t, f.Ready(now).Close)
-	f.Tick(now.Add(distribution.Heartbeat))
-	require.Equal(t, stream, f.Ready(now.Add(distribution.Heartbeat)).Close, "only once")
+	f.Tick(now.Add(distribution.HeartbeatInterval))
+	require.Equal(t, stream, f.Ready(now.Add(distribution.HeartbeatInterval)).Close, "only once")
 }
 
 func TestNewFollowerChecksOptions(t *testing.T) {
--- a/internal/controlplane/distribution/hub_report.go
+++ b/internal/controlplane/distribution/hub_report.go
@@ -1,6 +1,7 @@
 package distribution
 
 import (
+	"fmt"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -8,17 +9,17 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// ReportCounts are a hub's counters of status reports.
+// ReportCounts holds a hub's counters of status reports.
 type ReportCounts struct {
 	Accepted      uint64
-	Malformed     uint64 // a field is missing, too long or contradicts another
-	WrongInstance uint64 // of another broker process than the session's, or of one that has restarted since
-	OutOfOrder    uint64 // older than the session's last report, by its sequence or its revisions
+	Malformed     uint64 // a field is missing, too long or inconsistent with another
+	WrongInstance uint64 // from a broker process other than the session's, or from one that has since restarted
+	OutOfOrder    uint64 // older than the session's last report, by sequence number or revisions
 }
 
-// ReportReceived handles a status report on a session. A report that is malformed, of another instance or out of order
-// is counted and dropped without an error. Errors: ErrNoSession; ErrSuperseded if a later session of the same broker,
-// or a later start of it, is connected; ErrTooManyBrokers.
+// ReportReceived handles a status report on a session. A report that is malformed, from another instance or out of order is
+// counted and dropped without an error. Errors: ErrNoSession; ErrSuperseded if a later session of the same broker, or a later
+// instance of it, is connected; ErrTooManyBrokers.
 func (h *Hub) ReportReceived(now time.Time, id SessionID, report *configpb.Report) error {
 	s, ok := h.sessions[id]
 	if !ok {
@@ -43,13 +44,13 @@
 		h.counts.OutOfOrder++
 		return nil
 	}
-	h.dropInForce(previous.GetInForce())
+	h.decrementInForce(previous.GetInForce())
 	h.applyReport(now, s, report)
 	return nil
 }
 
-// attachBroker handles the first report of a session: it joins the session to its broker, and supersedes the broker's
-// session before.
+// attachBroker handles the first report of a session: it associates the session with its broker and supersedes the broker's
+// previous session. It returns ErrSuperseded if a later instance of the broker is connected, or ErrTooManyBrokers.
 func (h *Hub) attachBroker(now time.Time, id SessionID, s *session, report *configpb.Report) error {
 	b := h.brokers[report.GetName()]
 	if b != nil && b.session != 0 && report.GetStartedUnixMs() < b.lastReport.GetStartedUnixMs() {
@@ -57,7 +58,7 @@
 		return ErrSuperseded
 	}
 	if b == nil {
-		if len(h.brokers) >= MaxBrokers && !h.forgetLongestDisconnected() {
+		if len(h.brokers) >= MaxBrokers && !h.evictLongestDisconnected() {
 			return ErrTooManyBrokers
 		}
 		b = &broker{}
@@ -65,7 +66,7 @@
 	}
 	if b.session != 0 {
 		h.sessions[b.session].superseded = true
-		h.dropInForce(b.lastReport.GetInForce())
+		h.decrementInForce(b.lastReport.GetInForce())
 	}
 	b.session = id
 	b.connectedAt = s.openedAt
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// applyReport makes a report the last one of its session and its broker.
+// applyReport records a report as the latest one of its session and its broker.
 func (h *Hub) applyReport(now time.Time, s *session, report *configpb.Report) {
 	h.counts.Accepted++
 	s.lastReportAt = now
@@ -82,13 +83,13 @@
 	s.broker.lastSeenAt = now
 	s.broker.lastReport = proto.CloneOf(report)
 	h.inForceCounts[report.GetInForce()]++
-	h.recordEverywhere(now)
+	h.recordInForceEverywhere(now)
 }
 
-// dropInForce removes one connected broker from the count of those that have a revision in force.
-func (h *Hub) dropInForce(number uint64) {
+// decrementInForce decrements the number of connected brokers that have a revision in force.
+func (h *Hub) decrementInForce(number uint64) {
 	if h.inForceCounts[number] <= 0 {
-		panic("distribution: the count of brokers that have a revision in force would be negative")
+		panic(fmt.Sprintf("distribution: the count of brokers with revision %d in force would become negative", number))
 	}
 	h.inForceCounts[number]--
 	if h.inForceCounts[number] == 0 {
@@ -96,21 +97,21 @@
 	}
 }
 
-// sameInstance reports whether two reports are of the same broker process.
+// sameInstance reports whether two reports are from the same broker process.
 func sameInstance(a, b *configpb.Report) bool {
 	return a.GetName() == b.GetName() && a.GetStartedUnixMs() == b.GetStartedUnixMs() && a.GetZone() == b.GetZone()
 }
 
-// regresses reports whether a report goes back behind the previous one of the same instance, by the revision in force
-// or by the highest one tried.
+// regresses reports whether a report is older than the previous one of the same instance, judging by the revision in force or
+// the highest revision processed.
 func regresses(previous, report *configpb.Report) bool {
 	if report.GetInForce() < previous.GetInForce() {
 		return true
 	}
-	return highestTried(report) < highestTried(previous)
+	return highestProcessed(report) < highestProcessed(previous)
 }
 
-// highestTried returns the highest revision that a broker has acknowledged or rejected; 0: none.
-func highestTried(report *configpb.Report) uint64 {
+// highestProcessed returns the highest revision number that a broker has acknowledged or rejected, or 0 if there is none.
+func highestProcessed(report *configpb.Report) uint64 {
 	return max(report.GetInForce(), report.GetRefusal().GetNumber())
 }
--- a/internal/controlplane/distribution/hub_session.go
+++ b/internal/controlplane/distribution/hub_session.go
@@ -11,17 +11,17 @@
 const (
 	// FirstReportTimeout is how long a session may be open before its first status report.
 	FirstReportTimeout = 5 * time.Second
-	// SessionTimeout is how long a session may be without a status report: three report intervals and 5 s of slack.
+	// SessionTimeout is how long a session may go without a status report: three report intervals and 5 s of slack.
 	SessionTimeout = 3*ReportInterval + 5*time.Second
 
-	// minResendBackoff and maxResendBackoff bound the doubling interval at which a revision is sent again until the
-	// broker acknowledges or rejects it: a document of 16 KiB costs 5 KB/s at first and 0.7 KB/s at last.
+	// minResendBackoff and maxResendBackoff bound the doubling interval at which a revision is resent until the broker
+	// acknowledges or rejects it. A document of 16 KiB costs 5 KB/s at the minimum and 0.7 KB/s at the maximum.
 	minResendBackoff = 3 * time.Second
 	maxResendBackoff = 24 * time.Second
 )
 
-// Errors of a Hub's sessions. The driver has to close a session for which CheckSession, NextUpdate or ReportReceived
-// returns an error.
+// Errors of a hub's sessions. The driver must close a session for which CheckSession, NextUpdate or ReportReceived returns an
+// error.
 var (
 	ErrTooManySessions = fmt.Errorf("more than %d sessions", MaxSessions)
 	ErrTooManyBrokers  = fmt.Errorf("more than %d connected brokers", MaxBrokers)
@@ -30,24 +30,24 @@
 	ErrSuperseded      = errors.New("another session of this broker has superseded this one")
 )
 
-// SessionID identifies one session of a hub, from 1. A hub never reuses one.
+// SessionID identifies a session of a hub. IDs start at 1 and are never reused.
 type SessionID uint64
 
-// session is one stream of a broker.
+// session is a stream of a broker.
 type session struct {
 	openedAt     time.Time
 	lastReportAt time.Time // zero: no report yet
-	lastSequence uint64    // of the last report accepted
+	lastSequence uint64    // sequence number of the last accepted report
 	broker       *broker   // nil: no report yet
-	superseded   bool      // by a later session of the same broker
+	superseded   bool      // a later session of the same broker is connected
 
 	lastUpdateAt     time.Time     // zero: no update yet
-	lastSentRevision uint64        // number; 0: none
-	resendAt         time.Time     // when lastSentRevision is sent again
-	resendBackoff    time.Duration // before resendAt
+	lastSentRevision uint64        // number of the last revision sent; 0: none
+	resendAt         time.Time     // when to send lastSentRevision again
+	resendBackoff    time.Duration // delay between the last send and resendAt
 }
 
-// OpenSession opens a session. Errors: ErrTooManySessions.
+// OpenSession opens a session. It returns ErrTooManySessions if there are MaxSessions.
 func (h *Hub) OpenSession(now time.Time) (SessionID, error) {
 	if len(h.sessions) >= MaxSessions {
 		return 0, ErrTooManySessions
@@ -57,7 +57,7 @@
 	return h.lastID, nil
 }
 
-// CloseSession closes a session, if it exists.
+// CloseSession closes a session. It does nothing if the session does not exist.
 func (h *Hub) CloseSession(now time.Time, id SessionID) {
 	s, ok := h.sessions[id]
 	if !ok {
@@ -69,15 +69,15 @@
 	}
 }
 
-// brokerDisconnected handles the end of a broker's only session.
+// brokerDisconnected handles the end of a broker's current session.
 func (h *Hub) brokerDisconnected(now time.Time, b *broker) {
 	b.session = 0
 	b.lastSeenAt = now
-	h.dropInForce(b.lastReport.GetInForce())
-	h.recordEverywhere(now)
+	h.decrementInForce(b.lastReport.GetInForce())
+	h.recordInForceEverywhere(now)
 }
 
-// CheckSession returns why a session has to be closed, or nil. Errors: ErrNoSession, ErrSuperseded, ErrSessionTimeout.
+// CheckSession returns why a session must be closed (ErrNoSession, ErrSuperseded or ErrSessionTimeout), or nil.
 func (h *Hub) CheckSession(now time.Time, id SessionID) error {
 	s, ok := h.sessions[id]
 	switch {
@@ -91,9 +91,9 @@
 	return nil
 }
 
-// NextUpdate returns the update to send on a session now, or nil, and the latest time for the next call; an earlier
-// call is only useful after SetNewest or ReportReceived. The driver calls it after it has sent the update before, so a
-// slow session skips revisions instead of queueing them. Errors: those of CheckSession.
+// NextUpdate returns the update to send on a session now, or nil, and the latest time for the next call. An earlier call is
+// only useful after SetNewest or ReportReceived. The driver calls NextUpdate when it has sent the previous update, so a slow
+// session skips revisions instead of queueing them. NextUpdate returns the errors of CheckSession.
 func (h *Hub) NextUpdate(now time.Time, id SessionID) (update *configpb.Update, wakeAt time.Time, err error) {
 	if err := h.CheckSession(now, id); err != nil {
 		return nil, time.Time{}, err
@@ -103,7 +103,7 @@
 		return nil, s.timeoutAt(), nil
 	}
 	revisionDue := h.revisionDue(now, s)
-	heartbeatDue := s.lastUpdateAt.IsZero() || !now.Before(s.lastUpdateAt.Add(Heartbeat))
+	heartbeatDue := s.lastUpdateAt.IsZero() || !now.Before(s.lastUpdateAt.Add(HeartbeatInterval))
 	if !revisionDue && !heartbeatDue {
 		return nil, s.nextUpdateAt(), nil
 	}
@@ -127,18 +127,18 @@
 	}
 }
 
-// revisionDue reports whether the newest revision is to be sent on a session: it is not sent yet or its resend is due,
-// and the broker has neither acknowledged nor rejected it.
+// revisionDue reports whether to send the newest revision on a session: the broker has neither acknowledged nor rejected it,
+// and it has not been sent yet or its resend is due.
 func (h *Hub) revisionDue(now time.Time, s *session) bool {
 	newest := h.newest.GetNumber()
-	if newest <= highestTried(s.broker.lastReport) {
+	if newest <= highestProcessed(s.broker.lastReport) {
 		s.resendAt = time.Time{}
 		return false
 	}
 	return newest > s.lastSentRevision || !now.Before(s.resendAt)
 }
 
-// recordSend records that a revision is sent, and schedules its resend.
+// recordSend records that a revision is being sent, and schedules its resend.
 func (s *session) recordSend(now time.Time, number uint64) {
 	if number != s.lastSentRevision {
 		s.lastSentRevision = number
@@ -149,12 +149,12 @@
 	s.resendAt = now.Add(s.resendBackoff)
 }
 
-// nextUpdateAt returns when the next heartbeat or resend is due, or the session times out.
+// nextUpdateAt returns the earliest time at which a heartbeat or resend is due or the session times out.
 func (s *session) nextUpdateAt() time.Time {
-	return earliest(s.lastUpdateAt.Add(Heartbeat), s.resendAt, s.timeoutAt())
+	return earliest(s.lastUpdateAt.Add(HeartbeatInterval), s.resendAt, s.timeoutAt())
 }
 
-// timeoutAt returns when the session times out unless a status report arrives before.
+// timeoutAt returns when the session times out unless a status report arrives earlier.
 func (s *session) timeoutAt() time.Time {
 	if s.lastReportAt.IsZero() {
 		return s.openedAt.Add(FirstReportTimeout)
--- a/internal/controlplane/distribution/hub_status.go
+++ b/internal/controlplane/distribution/hub_status.go
@@ -16,18 +16,18 @@
 // Counts returns the counters of status reports.
 func (h *Hub) Counts() ReportCounts { return h.counts }
 
-// Status is a snapshot of a hub's state, in the terms of configpb.StatusResponse.
+// Status is a snapshot of a hub's state. Its fields correspond to those of configpb.StatusResponse.
 type Status struct {
 	Newest      uint64              // number of the newest revision; 0: none
-	ConfirmedMS uint32              // milliseconds since a quorum last confirmed Newest; NeverConfirmed: none has
-	Brokers     []*configpb.Broker  // connected and disconnected, by name
-	InForce     []*configpb.InForce // of the tracked revisions, newest first
+	ConfirmedMS uint32              // milliseconds since a quorum last confirmed Newest; NeverConfirmed: no quorum has
+	Brokers     []*configpb.Broker  // connected and disconnected brokers, sorted by name
+	InForce     []*configpb.InForce // propagation of the tracked revisions, newest first
 }
 
-// Status returns a snapshot of the hub's state. It forgets brokers that have been disconnected for longer than
+// Status returns a snapshot of the hub's state. It first removes brokers that have been disconnected for longer than
 // DisconnectedRetention.
 func (h *Hub) Status(now time.Time) Status {
-	h.forgetDisconnected(now)
+	h.removeExpiredBrokers(now)
 	status := Status{Newest: h.newest.GetNumber(), ConfirmedMS: ageMilliseconds(now, h.confirmedAt)}
 	for _, b := range h.brokers {
 		status.Brokers = append(status.Brokers, &configpb.Broker{
@@ -45,8 +45,8 @@
 	return status
 }
 
-// forgetDisconnected forgets brokers that have been disconnected for longer than DisconnectedRetention.
-func (h *Hub) forgetDisconnected(now time.Time) {
+// removeExpiredBrokers removes brokers that have been disconnected for longer than DisconnectedRetention.
+func (h *Hub) removeExpiredBrokers(now time.Time) {
 	for name, b := range h.brokers {
 		if b.session == 0 && now.Sub(b.lastSeenAt) > DisconnectedRetention {
 			delete(h.brokers, name)
@@ -54,9 +54,9 @@
 	}
 }
 
-// forgetLongestDisconnected forgets the broker that has been disconnected for the longest time, the first by name if
-// there are several. It reports whether there was one.
-func (h *Hub) forgetLongestDisconnected() bool {
+// evictLongestDisconnected removes the broker that has been disconnected for the longest time, or the first by name of
+// several. It returns false if no broker is disconnected.
+func (h *Hub) evictLongestDisconnected() bool {
 	oldest := ""
 	for name, b := range h.brokers {
 		if b.session == 0 && (oldest == "" || h.disconnectedBefore(name, oldest)) {
@@ -70,7 +70,7 @@
 	return true
 }
 
-// disconnectedBefore reports whether broker a was last seen before broker b; at equal times, the order is by name.
+// disconnectedBefore reports whether broker a was last seen before broker b; names break ties.
 func (h *Hub) disconnectedBefore(a, b string) bool {
 	order := h.brokers[a].lastSeenAt.Compare(h.brokers[b].lastSeenAt)
 	return order < 0 || order == 0 && a < b
--- a/internal/controlplane/distribution/hub_tracking.go
+++ b/internal/controlplane/distribution/hub_tracking.go
@@ -8,15 +8,15 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// trackedRevision is the propagation of one of the latest revisions.
+// trackedRevision records the propagation of one of the latest revisions.
 type trackedRevision struct {
-	number       uint64
-	publishedMS  int64     // Unix time in milliseconds, by the clock of the leader that published it
-	receivedAt   time.Time // by this hub
-	everywhereAt time.Time // when it was first in force at all connected brokers; zero: not yet
+	number              uint64
+	publishedMS         int64     // Unix time in milliseconds, by the clock of the leader that published it
+	receivedAt          time.Time // when this hub received it
+	inForceEverywhereAt time.Time // when it was first in force at all connected brokers; zero: not yet
 }
 
-// track begins to track a revision, in place of the oldest one if TrackedRevisions are tracked.
+// track starts to track a revision. It replaces the oldest tracked one if there are already TrackedRevisions.
 func (h *Hub) track(now time.Time, revision *configpb.Revision) {
 	if len(h.tracked) == TrackedRevisions {
 		h.tracked = slices.Delete(h.tracked, 0, 1)
@@ -28,8 +28,9 @@
 	})
 }
 
-// recordEverywhere records which tracked revisions are in force at all connected brokers since now.
-func (h *Hub) recordEverywhere(now time.Time) {
+// recordInForceEverywhere records the present time for tracked revisions that all connected brokers now have in force for the
+// first time.
+func (h *Hub) recordInForceEverywhere(now time.Time) {
 	if len(h.inForceCounts) == 0 {
 		return
 	}
@@ -39,13 +40,13 @@
 	}
 	for i := range h.tracked {
 		revision := &h.tracked[i]
-		if revision.number <= lowest && revision.everywhereAt.IsZero() {
-			revision.everywhereAt = now
+		if revision.number <= lowest && revision.inForceEverywhereAt.IsZero() {
+			revision.inForceEverywhereAt = now
 		}
 	}
 }
 
-// Lagging returns the names of the lagging brokers in alphabetical order: those that are connected and have neither
+// Lagging returns the names of the lagging brokers in alphabetical order. A connected broker is lagging if it has neither
 // acknowledged nor rejected some tracked revision within PropagationDeadline.
 func (h *Hub) Lagging(now time.Time) []string {
 	var lagging []string
@@ -53,7 +54,7 @@
 		if b.session == 0 {
 			continue
 		}
-		if untried, ok := h.firstUntried(b); ok && overdue(now, b, untried) {
+		if unprocessed, ok := h.firstUnprocessed(b); ok && overdue(now, b, unprocessed) {
 			lagging = append(lagging, name)
 		}
 	}
@@ -61,34 +62,36 @@
 	return lagging
 }
 
-// firstUntried returns the first tracked revision that a broker has neither acknowledged nor rejected, and whether
-// there is one.
-func (h *Hub) firstUntried(b *broker) (trackedRevision, bool) {
+// firstUnprocessed returns the first tracked revision that a broker has neither acknowledged nor rejected, and false if there
+// is none.
+func (h *Hub) firstUnprocessed(b *broker) (trackedRevision, bool) {
 	for _, revision := range h.tracked {
-		if revision.number > highestTried(b.lastReport) {
+		if revision.number > highestProcessed(b.lastReport) {
 			return revision, true
 		}
 	}
 	return trackedRevision{}, false
 }
 
-// overdue reports whether a broker has been connected without trying a revision for longer than PropagationDeadline.
+// overdue reports whether more than PropagationDeadline has passed since a broker was connected and this hub had received a
+// revision.
 func overdue(now time.Time, b *broker, revision trackedRevision) bool {
 	return now.Sub(latest(revision.receivedAt, b.connectedAt)) > PropagationDeadline
 }
 
-// propagation returns how far a revision has reached the connected brokers.
+// propagation returns how many connected brokers have a revision in force or are lagging behind it, and when it was first in
+// force at all of them.
 func (h *Hub) propagation(now time.Time, revision trackedRevision) *configpb.InForce {
 	result := &configpb.InForce{Number: revision.number, PublishedUnixMs: revision.publishedMS}
-	if !revision.everywhereAt.IsZero() {
-		result.EverywhereUnixMs = revision.everywhereAt.UnixMilli()
+	if !revision.inForceEverywhereAt.IsZero() {
+		result.EverywhereUnixMs = revision.inForceEverywhereAt.UnixMilli()
 	}
 	for _, b := range h.brokers {
 		switch {
 		case b.session == 0:
 		case b.lastReport.GetInForce() >= revision.number:
 			result.Brokers++
-		case highestTried(b.lastReport) < revision.number && overdue(now, b, revision):
+		case highestProcessed(b.lastReport) < revision.number && overdue(now, b, revision):
 			result.Lagging++
 		}
 	}
--- a/internal/controlplane/distribution/machines.go
+++ b/internal/controlplane/distribution/machines.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// MaxControlMachines is how many control machines a follower may be configured with: four in service, and four that may
-// replace them.
+// MaxControlMachines is the maximum number of control machines in a broker's configuration: four in service, and four that
+// may replace them.
 const MaxControlMachines = 8
 
 // ControlMachine is a control machine in a broker's configuration.
@@ -18,24 +18,24 @@
 	Region  string // "": not configured
 }
 
-// candidate is a control machine that a follower may choose.
+// candidate is a control machine that the follower may connect to.
 type candidate struct {
 	ControlMachine
 	confirmedAt time.Time // when a quorum last confirmed its newest revision, by its latest update; zero: never
-	tried       bool      // in this round
-	reached     bool      // in this round: it has sent an update
+	tried       bool      // the follower has connected to it in this round
+	reached     bool      // it has sent an update in this round
 }
 
-// machines are the candidates of a follower, in order of preference. A follower tries them in rounds: each at most
-// once, followed by a backoff.
-type machines []candidate
+// candidates are a follower's control machines in order of preference. The follower tries them in rounds: each candidate at
+// most once per round, and a backoff after the round.
+type candidates []candidate
 
-// newMachines orders the configured machines by locality: the follower's zone first, then its region, then the others.
-// Within one locality the order is random, so that the brokers of a region spread over its machines.
-func newMachines(list []ControlMachine, zone, region string, rng *rand.Rand) machines {
-	result := make(machines, len(list))
-	for i, position := range rng.Perm(len(list)) {
-		result[position] = candidate{ControlMachine: list[i]}
+// newCandidates orders the configured control machines by locality: the follower's zone first, then its region, then the
+// others. The order within one locality is random, to spread the brokers of a region over its control machines.
+func newCandidates(controlMachines []ControlMachine, zone, region string, rng *rand.Rand) candidates {
+	result := make(candidates, len(controlMachines))
+	for i, position := range rng.Perm(len(controlMachines)) {
+		result[position] = candidate{ControlMachine: controlMachines[i]}
 	}
 	distance := func(c candidate) int {
 		switch {
@@ -50,26 +50,26 @@
 	return result
 }
 
-// firstUntried returns the index of the first machine that has not been tried in this round; -1: all have.
-func (m machines) firstUntried() int {
-	return slices.IndexFunc(m, func(c candidate) bool { return !c.tried })
+// firstUntried returns the index of the first candidate that has not been tried in this round, or -1 if all have been.
+func (c candidates) firstUntried() int {
+	return slices.IndexFunc(c, func(each candidate) bool { return !each.tried })
 }
 
-// lastConfirmed returns the index of the machine with the latest confirmation among those reached in this round; -1:
-// none was reached.
-func (m machines) lastConfirmed() int {
+// mostRecentlyConfirmed returns the index of the candidate with the latest confirmation among those reached in this round, or
+// -1 if none was reached.
+func (c candidates) mostRecentlyConfirmed() int {
 	best := -1
-	for i, c := range m {
-		if c.reached && (best < 0 || c.confirmedAt.After(m[best].confirmedAt)) {
+	for i, each := range c {
+		if each.reached && (best < 0 || each.confirmedAt.After(c[best].confirmedAt)) {
 			best = i
 		}
 	}
 	return best
 }
 
-// startRound makes every machine untried.
-func (m machines) startRound() {
-	for i := range m {
-		m[i].tried, m[i].reached = false, false
+// startRound marks every candidate as untried and not reached.
+func (c candidates) startRound() {
+	for i := range c {
+		c[i].tried, c[i].reached = false, false
 	}
 }
--- a/internal/controlplane/distribution/times.go
+++ b/internal/controlplane/distribution/times.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// earliest returns the earliest of the times that are not zero; zero if all are.
+// earliest returns the earliest of the times that are not zero, or the zero time if all are zero.
 func earliest(times ...time.Time) time.Time {
 	first := time.Time{}
 	for _, t := range times {
@@ -13,7 +13,7 @@
 	return first
 }
 
-// latest returns the latest of the times, of which there is at least one.
+// latest returns the latest of one or more times.
 func latest(times ...time.Time) time.Time {
 	last := times[0]
 	for _, t := range times[1:] {
@@ -24,7 +24,7 @@
 	return last
 }
 
-// ageMilliseconds returns the time since at in milliseconds, below NeverConfirmed; NeverConfirmed if at is zero.
+// ageMilliseconds returns the milliseconds since at, limited to a value below NeverConfirmed, or NeverConfirmed if at is zero.
 func ageMilliseconds(now, at time.Time) uint32 {
 	if at.IsZero() {
 		return NeverConfirmed
