--- a/internal/controlplane/distribution/checkers_test.go
+++ b/internal/controlplane/distribution/checkers_test.go
@@ -10,56 +10,58 @@
 )
 
 const (
-	propagationDeadline = 8 * time.Second // stated apart from the package's own, so that a change there fails the tests
-	// maxStormRatio is the largest part of the fleet that may connect to one hub within a second: package backoff spreads
-	// a fleet that has one hub left over 2 s, with 50 % above the mean as chance.
-	maxStormRatio = 0.75
-	// maxStreamsPerHour bounds the streams of a broker that reaches unconfirmed hubs only: it fails over 12 times, to
-	// three other hubs and back.
+	// propagationDeadline repeats distribution.PropagationDeadline, so that the tests fail if that is changed.
+	propagationDeadline = 8 * time.Second
+	// maxConnectRatio is the maximum fraction of the fleet that may connect to one hub within a second. If only one hub is
+	// left, package backoff spreads the fleet over 2 s, which averages half of it per second; 50 % more is allowed for
+	// randomness.
+	maxConnectRatio = 0.75
+	// maxStreamsPerHour is the maximum number of streams of a broker that reaches only unconfirmed hubs: it fails over 12
+	// times, each time to the three other hubs and back.
 	maxStreamsPerHour = 60
 )
 
-// finding is a violation that a checker found.
+// finding is a violation reported by a checker.
 type finding struct {
 	checker string
 	detail  string
 }
 
-// expectedRevision is a revision that a broker has to put in force.
+// expectedRevision is a revision that a broker has yet to put in force.
 type expectedRevision struct {
-	number uint64
-	since  time.Duration
-	heal   bool // since counts from when the broker reached a hub again, not from the publication
+	number   uint64
+	since    time.Duration // time of publication or, if recovery is set, when the broker could reach a hub again
+	recovery bool
 }
 
-// brokerHistory is the checkers' record of one broker.
-type brokerHistory struct {
+// brokerRecord is what the checkers record about one broker.
+type brokerRecord struct {
 	instance       int
-	inForce        uint64 // highest number of this instance
-	connectable    bool   // it runs, and reaches a hub that has a quorum
+	inForce        uint64 // highest revision number applied by this instance
+	connectable    bool   // the broker is running and reaches a hub that has a quorum
 	reachableSince [hubs]time.Duration
 	reachableHubs  [hubs]bool
 	expected       []expectedRevision
-	disconnectedAt time.Duration // when it was last not connectable
+	disconnectedAt time.Duration // when it last ceased to be connectable
 	catchUpTo      uint64        // newest revision when it became connectable; 0: it has caught up
-	replayed       int           // revisions below catchUpTo that were applied since
+	replayed       int           // revisions below catchUpTo that it has applied since
 }
 
-// checkers observe a simulation from outside and collect findings.
+// checkers observes a simulation and collects findings.
 type checkers struct {
 	sim              *simulation
-	brokers          []*brokerHistory
+	brokers          []*brokerRecord
 	findings         []finding
-	propagationTimes []time.Duration // from publication to in force
-	recoveryTimes    []time.Duration // from connectable again to in force
-	recoveries       int             // revisions applied while a broker caught up
-	maxInFlight      int             // revisions that may be buffered on a stream when a fault begins
+	propagationTimes []time.Duration // from publication until in force
+	recoveryTimes    []time.Duration // from when a broker became connectable again until in force
+	recoveries       int             // revisions applied by brokers that were catching up
+	maxInFlight      int             // maximum number of revisions buffered on a stream when a fault starts
 }
 
 func newCheckers(s *simulation) *checkers {
 	c := &checkers{sim: s}
 	for range s.brokers {
-		c.brokers = append(c.brokers, &brokerHistory{})
+		c.brokers = append(c.brokers, &brokerRecord{})
 	}
 	return c
 }
@@ -72,63 +74,63 @@
 }
 
 func (c *checkers) brokerStarted(b *simBroker) {
-	w := c.brokers[b.index]
-	w.instance, w.inForce = b.instance, 0
-	w.expected, w.connectable = nil, false
-	w.reachableHubs = [hubs]bool{}
-	w.catchUpTo = 0
+	record := c.brokers[b.index]
+	record.instance, record.inForce = b.instance, 0
+	record.expected, record.connectable = nil, false
+	record.reachableHubs = [hubs]bool{}
+	record.catchUpTo = 0
 }
 
-// revisionApplied checks that numbers increase, that documents are intact, and that a broker skips to the newest
-// revision when it catches up.
+// revisionApplied checks that numbers increase, that documents are intact, and that a broker skips to the newest revision when
+// it catches up.
 func (c *checkers) revisionApplied(b *simBroker, revision *configpb.Revision) {
-	w, number := c.brokers[b.index], revision.GetNumber()
+	record, number := c.brokers[b.index], revision.GetNumber()
 	switch {
-	case number < w.inForce:
-		c.addFinding("regression", "%s applies %d after %d", b.name(), number, w.inForce)
-	case number == w.inForce:
-		c.addFinding("duplicate", "%s applies %d twice", b.name(), number)
+	case number < record.inForce:
+		c.addFinding("regression", "%s applied revision %d after revision %d", b.name(), number, record.inForce)
+	case number == record.inForce:
+		c.addFinding("duplicate", "%s applied revision %d twice", b.name(), number)
 	}
 	if number == 0 || number > uint64(len(c.sim.log)) ||
 		string(revision.GetDocument()) != string(c.sim.log[number-1].GetDocument()) {
-		c.addFinding("corrupt", "%s applies %d with another document than was published", b.name(), number)
+		c.addFinding("corrupt", "%s applied revision %d with a document other than the published one", b.name(), number)
 	}
-	if w.catchUpTo != 0 {
+	if record.catchUpTo != 0 {
 		c.recoveries++
-		if number < w.catchUpTo {
-			w.replayed++
+		if number < record.catchUpTo {
+			record.replayed++
 		}
-		if w.replayed > c.maxInFlight {
-			c.addFinding("replay", "%s applies %d while it catches up to %d", b.name(), number, w.catchUpTo)
+		if record.replayed > c.maxInFlight {
+			c.addFinding("replay", "%s applied revision %d while catching up to revision %d", b.name(), number, record.catchUpTo)
 		}
-		if number >= w.catchUpTo {
-			w.catchUpTo = 0
+		if number >= record.catchUpTo {
+			record.catchUpTo = 0
 		}
 	}
-	w.inForce = max(w.inForce, number)
-	w.expected = slices.DeleteFunc(w.expected, func(x expectedRevision) bool {
-		if x.number <= number {
-			c.recordLatency(b, x)
+	record.inForce = max(record.inForce, number)
+	record.expected = slices.DeleteFunc(record.expected, func(expected expectedRevision) bool {
+		if expected.number <= number {
+			c.recordLatency(b, expected)
 		}
-		return x.number <= number
+		return expected.number <= number
 	})
 }
 
-// revisionRejected removes a revision from the expected ones: this broker rejects it.
+// revisionRejected removes a revision that the broker has rejected, and earlier ones, from the expected revisions.
 func (c *checkers) revisionRejected(b *simBroker, number uint64) {
-	w := c.brokers[b.index]
-	w.expected = slices.DeleteFunc(w.expected, func(x expectedRevision) bool { return x.number <= number })
-	if w.catchUpTo != 0 && number >= w.catchUpTo {
-		w.catchUpTo = 0
+	record := c.brokers[b.index]
+	record.expected = slices.DeleteFunc(record.expected, func(expected expectedRevision) bool { return expected.number <= number })
+	if record.catchUpTo != 0 && number >= record.catchUpTo {
+		record.catchUpTo = 0
 	}
 }
 
-func (c *checkers) recordLatency(b *simBroker, x expectedRevision) {
-	took := c.sim.now - x.since
-	if x.heal {
+func (c *checkers) recordLatency(b *simBroker, expected expectedRevision) {
+	took := c.sim.now - expected.since
+	if expected.recovery {
 		c.recoveryTimes = append(c.recoveryTimes, took)
 		if took > propagationDeadline {
-			c.addFinding("recovery", "%s has %d in force %v after it reached a hub again", b.name(), x.number, took)
+			c.addFinding("recovery", "%s put revision %d in force %v after it could reach a hub again", b.name(), expected.number, took)
 		}
 		return
 	}
@@ -136,14 +138,14 @@
 }
 
 func (c *checkers) revisionPublished(number uint64) {
-	for _, w := range c.brokers {
-		if w.connectable {
-			w.expected = append(w.expected, expectedRevision{number: number, since: c.sim.now})
+	for _, record := range c.brokers {
+		if record.connectable {
+			record.expected = append(record.expected, expectedRevision{number: number, since: c.sim.now})
 		}
 	}
 }
 
-// faultsChanged determines anew which brokers reach a hub that has a quorum.
+// faultsChanged updates which brokers reach a hub that has a quorum.
 func (c *checkers) faultsChanged() {
 	var quorum [hubs]bool
 	for i, h := range c.sim.hubs {
@@ -154,53 +156,53 @@
 	}
 }
 
-func (c *checkers) updateReachability(b *simBroker, w *brokerHistory, quorum [hubs]bool) {
+func (c *checkers) updateReachability(b *simBroker, record *brokerRecord, quorum [hubs]bool) {
 	s := c.sim
-	good, since := false, time.Duration(0)
+	connectable, since := false, time.Duration(0)
 	for i, h := range s.hubs {
-		ok := quorum[i] && b.up && !b.paused && s.reachable(b, h, toHub) && s.reachable(b, h, toBroker)
-		if ok && !w.reachableHubs[i] {
-			w.reachableSince[i] = s.now
+		reachable := quorum[i] && b.up && !b.paused && s.reachable(b, h, toHub) && s.reachable(b, h, toBroker)
+		if reachable && !record.reachableHubs[i] {
+			record.reachableSince[i] = s.now
 		}
-		w.reachableHubs[i] = ok
-		if ok && (!good || w.reachableSince[i] < since) {
-			good, since = true, w.reachableSince[i]
+		record.reachableHubs[i] = reachable
+		if reachable && (!connectable || record.reachableSince[i] < since) {
+			connectable, since = true, record.reachableSince[i]
 		}
 	}
 	newest := uint64(len(s.log))
 	switch {
-	case good && !w.connectable:
-		if newest > w.inForce {
-			w.expected = append(w.expected, expectedRevision{number: newest, since: s.now, heal: true})
+	case connectable && !record.connectable:
+		if newest > record.inForce {
+			record.expected = append(record.expected, expectedRevision{number: newest, since: s.now, recovery: true})
 		}
-		if s.now-w.disconnectedAt > time.Minute && newest > 0 {
-			w.catchUpTo, w.replayed = newest, 0
+		if s.now-record.disconnectedAt > time.Minute && newest > 0 {
+			record.catchUpTo, record.replayed = newest, 0
 		}
-	case good:
-		// The latency counts from when the broker last had no reachable hub.
-		for i := range w.expected {
-			w.expected[i].since = max(w.expected[i].since, since)
+	case connectable:
+		// The latency is measured from the last time at which the broker could not reach any hub.
+		for i := range record.expected {
+			record.expected[i].since = max(record.expected[i].since, since)
 		}
-	case w.connectable:
-		w.disconnectedAt = s.now
-		c.dropExpected(b, w)
+	case record.connectable:
+		record.disconnectedAt = s.now
+		c.dropExpected(b, record)
 	}
-	w.connectable = good
+	record.connectable = connectable
 }
 
-// dropExpected removes the expected revisions of a broker that reaches no hub any more. Only those past the deadline
-// are recorded.
-func (c *checkers) dropExpected(b *simBroker, w *brokerHistory) {
-	for _, x := range w.expected {
-		if c.sim.now-x.since > propagationDeadline {
-			c.recordLatency(b, x)
+// dropExpected removes the expected revisions of a broker that no longer reaches a hub. It records the latency of those that
+// are past the deadline.
+func (c *checkers) dropExpected(b *simBroker, record *brokerRecord) {
+	for _, expected := range record.expected {
+		if c.sim.now-expected.since > propagationDeadline {
+			c.recordLatency(b, expected)
 		}
 	}
-	w.expected = nil
+	record.expected = nil
 }
 
-// checkStaleness checks that no broker understates its staleness: it knows every revision that was published before
-// its last confirmation.
+// checkStaleness checks that no broker understates its staleness: it must know every revision that was published before its
+// last confirmation.
 func (c *checkers) checkStaleness() {
 	s := c.sim
 	for _, b := range s.fleet {
@@ -208,16 +210,16 @@
 		if !b.up || !status.StalenessKnown || status.Newest >= uint64(len(s.log)) {
 			continue
 		}
-		missed := s.publishedAt[status.Newest] // publication of the first revision that it does not know
-		if confirmed := s.now - status.Staleness; confirmed > missed+time.Millisecond {
-			c.addFinding("staleness", "%s knows %d and reports a staleness of %v; it is %v",
-				b.name(), status.Newest, status.Staleness, s.now-missed)
+		missedAt := s.publishedAt[status.Newest] // when the first revision was published that the broker does not know
+		if confirmedAt := s.now - status.Staleness; confirmedAt > missedAt+time.Millisecond {
+			c.addFinding("staleness", "%s knows revision %d and reports a staleness of %v, want at least %v",
+				b.name(), status.Newest, status.Staleness, s.now-missedAt)
 		}
 	}
 }
 
-// checkStorms checks how many brokers connected to a hub within any second, and returns the largest number.
-func (c *checkers) checkStorms() (maxConnects int) {
+// checkConnectStorms checks how many brokers connected to each hub within any second, and returns the maximum.
+func (c *checkers) checkConnectStorms() (maxConnects int) {
 	for _, h := range c.sim.hubs {
 		first := 0
 		for i, at := range h.connectedAt {
@@ -227,42 +229,43 @@
 			maxConnects = max(maxConnects, i-first+1)
 		}
 	}
-	if bound := maxStormRatio*float64(len(c.sim.fleet)) + 10; float64(maxConnects) > bound {
-		c.addFinding("storm", "%d of %d brokers connected to one hub within a second", maxConnects, len(c.sim.fleet))
+	if bound := maxConnectRatio*float64(len(c.sim.fleet)) + 10; float64(maxConnects) > bound {
+		c.addFinding("storm", "%d of %d brokers connected to one hub within a second, want at most %v", maxConnects,
+			len(c.sim.fleet), bound)
 	}
 	return maxConnects
 }
 
-// checkStreamsOpened checks that no broker of a region opened more streams than the limit.
+// checkStreamsOpened checks that no broker of a region has opened more streams than the limit.
 func (c *checkers) checkStreamsOpened(region, limit int) {
 	for _, b := range c.sim.fleet {
 		if regionOfZone(b.zone) == region && b.streamsOpened > limit {
-			c.addFinding("flapping", "%s opened %d streams", b.name(), b.streamsOpened)
+			c.addFinding("flapping", "%s opened %d streams, want at most %d", b.name(), b.streamsOpened, limit)
 		}
 	}
 }
 
-// checkFollowing checks how many brokers of a region follow no hub at this moment, and counts these checks by broker in
-// checksWithoutHub. A few may follow none: each fails over every few
+// checkFollowing checks that at most a few brokers of a region follow no hub at this moment, and counts for each broker in
+// checksWithoutHub the checks that found it without a hub. A few brokers may follow none, because each fails over every few
 // minutes, which takes some seconds.
 func (c *checkers) checkFollowing(region int, checksWithoutHub map[*simBroker]int) {
-	all, idle := 0, 0
+	total, withoutHub := 0, 0
 	for _, b := range c.sim.fleet {
 		if regionOfZone(b.zone) != region {
 			continue
 		}
-		all++
+		total++
 		if b.follower.Status(c.sim.time()).Control == "" {
-			idle++
+			withoutHub++
 			checksWithoutHub[b]++
 		}
 	}
-	if idle > all/20+2 {
-		c.addFinding("flapping", "%d of %d brokers follow no hub though they reach one", idle, all)
+	if withoutHub > total/20+2 {
+		c.addFinding("flapping", "%d of %d brokers follow no hub although they can reach one", withoutHub, total)
 	}
 }
 
-// checkStatus checks, after a time without faults, that the hubs' status matches the brokers.
+// checkStatus checks that the hubs' status matches the brokers. It is called after a period without faults.
 func (c *checkers) checkStatus() {
 	s := c.sim
 	connected := map[string]*configpb.Report{}
@@ -274,32 +277,34 @@
 			}
 		}
 		if lagging := h.hub.Lagging(s.time()); len(lagging) > 0 {
-			c.addFinding("status", "hub %d: lagging: %v", h.index, lagging)
+			c.addFinding("status", "hub %d reports lagging brokers: %v", h.index, lagging)
 		}
 	}
 	for i, b := range s.fleet {
 		report := connected[b.name()]
 		if report == nil {
-			c.addFinding("status", "%s is connected to no hub", b.name())
+			c.addFinding("status", "%s is not connected to any hub", b.name())
 			continue
 		}
 		if report.GetInForce() != c.brokers[i].inForce {
-			c.addFinding("status", "%s has %d in force, and %d by the hub's status", b.name(), c.brokers[i].inForce, report.GetInForce())
+			c.addFinding("status", "%s has revision %d in force, but the hub's status has %d", b.name(), c.brokers[i].inForce,
+				report.GetInForce())
 		}
 		rejection := report.GetRefusal()
 		if n := rejection.GetNumber(); n != 0 && (!rejects(i, n) || rejection.GetKey() != "settings.port") {
-			c.addFinding("status", "%s did not reject %d", b.name(), n)
+			c.addFinding("status", "unexpected rejection of revision %d by %s with key %q", n, b.name(), rejection.GetKey())
 		}
 	}
 }
 
-// finish checks the latencies, with the revisions that are still expected.
+// finish checks the staleness and the latencies, including those of revisions that are not in force yet.
 func (c *checkers) finish() {
 	for i, b := range c.sim.fleet {
 		c.dropExpected(b, c.brokers[i])
 	}
 	if p99 := percentile(c.propagationTimes, 0.99); p99 > propagationDeadline {
-		c.addFinding("late", "revisions are in force after %v at the 99th percentile", p99)
+		c.addFinding("late", "revisions are in force %v after publication at the 99th percentile, want at most %v", p99,
+			propagationDeadline)
 	}
 	c.checkStaleness()
 }
@@ -321,7 +326,7 @@
 	return sorted[min(int(p*float64(len(sorted))), len(sorted)-1)]
 }
 
-// updateCounts returns the sums of the followers' counters.
+// updateCounts returns the sums of the counters of all followers.
 func (c *checkers) updateCounts() (sum distribution.UpdateCounts) {
 	for _, b := range c.sim.fleet {
 		counts := b.follower.Status(c.sim.time()).Counts
--- a/internal/controlplane/distribution/faults_test.go
+++ b/internal/controlplane/distribution/faults_test.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// injectFaults injects a random fault every 2 to 20 s until end.
+// injectFaults injects a random fault every 2 to 20 s until the given time.
 func (s *simulation) injectFaults(end time.Duration) {
 	s.after(s.uniform(2*time.Second, 20*time.Second), func() {
 		if s.now >= end {
@@ -41,17 +41,17 @@
 		s.partitionRegion(s.rng.IntN(regions), duration)
 	case 9:
 		if s.chance(0.5) {
-			s.stopBrokers(func(b *simBroker) bool { return b.index%20 == 3 }, duration) // a rack
+			s.stopBrokers(func(b *simBroker) bool { return b.index%20 == 3 }, duration) // the brokers of one rack
 		} else {
 			s.stopZone(s.rng.IntN(zones), duration)
 		}
 	}
 }
 
-// heal ends a fault after a delay.
-func (s *simulation) heal(wait time.Duration, run func()) {
-	s.after(wait, func() {
-		run()
+// healAfter ends a fault after its duration by calling undo.
+func (s *simulation) healAfter(duration time.Duration, undo func()) {
+	s.after(duration, func() {
+		undo()
 		s.checks.faultsChanged()
 	})
 }
@@ -88,12 +88,12 @@
 	}
 }
 
-func (s *simulation) stopBroker(b *simBroker, machineLost bool, duration time.Duration) {
+func (s *simulation) stopBroker(b *simBroker, hostLost bool, duration time.Duration) {
 	if !b.up {
 		return
 	}
-	b.stop(machineLost)
-	s.heal(duration, b.start)
+	b.stop(hostLost)
+	s.healAfter(duration, b.start)
 }
 
 func (s *simulation) stopBrokers(which func(*simBroker) bool, duration time.Duration) {
@@ -104,13 +104,13 @@
 	}
 }
 
-func (s *simulation) stopHub(i int, machineLost bool, duration time.Duration) {
+func (s *simulation) stopHub(i int, hostLost bool, duration time.Duration) {
 	h := s.hubs[i]
 	if !h.up {
 		return
 	}
-	h.stop(machineLost)
-	s.heal(duration, h.start)
+	h.stop(hostLost)
+	s.healAfter(duration, h.start)
 }
 
 func (s *simulation) stopZone(zone int, duration time.Duration) {
@@ -122,22 +122,22 @@
 	}
 }
 
-// blockOneWay blocks one direction between some brokers and a hub.
+// blockOneWay blocks messages in one direction between a random part of the brokers and one hub.
 func (s *simulation) blockOneWay(duration time.Duration) {
 	hub := s.rng.IntN(hubs)
-	way := toHub
+	dir := toHub
 	if s.chance(0.5) {
-		way = toBroker
+		dir = toBroker
 	}
 	var pairs [][2]int
 	for _, b := range s.fleet {
 		pair := [2]int{b.index, hub}
 		if s.blocked[pair] == 0 && s.chance(0.3) {
-			s.blocked[pair] = way
+			s.blocked[pair] = dir
 			pairs = append(pairs, pair)
 		}
 	}
-	s.heal(duration, func() {
+	s.healAfter(duration, func() {
 		for _, pair := range pairs {
 			delete(s.blocked, pair)
 		}
@@ -149,5 +149,5 @@
 		return
 	}
 	s.partitioned[region] = true
-	s.heal(duration, func() { s.partitioned[region] = false })
+	s.healAfter(duration, func() { s.partitioned[region] = false })
 }
--- a/internal/controlplane/distribution/follower_test.go
+++ b/internal/controlplane/distribution/follower_test.go
@@ -11,14 +11,14 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// newFollower returns a follower of a number of machines, its first stream, and the time when it was opened.
-func newFollower(t testing.TB, machines int) (*distribution.Follower, distribution.StreamID, time.Time) {
-	control := make([]distribution.ControlMachine, machines)
-	for i := range control {
-		control[i].Address = string(rune('a' + i))
+// newFollower returns a follower of a number of control machines, its first stream, and the time when that was opened.
+func newFollower(t testing.TB, count int) (*distribution.Follower, distribution.StreamID, time.Time) {
+	controlMachines := make([]distribution.ControlMachine, count)
+	for i := range controlMachines {
+		controlMachines[i].Address = string(rune('a' + i))
 	}
 	f, err := distribution.NewFollower(epoch, distribution.FollowerOptions{
-		Name: "b", StartedAt: epoch, ControlMachines: control, FleetSize: 100, Seed: 1,
+		Name: "b", StartedAt: epoch, ControlMachines: controlMachines, FleetSize: 100, Seed: 1,
 	})
 	require.NoError(t, err)
 	now := f.NextTick()
@@ -26,7 +26,7 @@
 	return f, stream, now
 }
 
-// openStream opens the follower's next stream, which is due.
+// openStream opens the follower's next stream, which must be due.
 func openStream(t testing.TB, f *distribution.Follower, now time.Time) distribution.StreamID {
 	f.Tick(now)
 	ready := f.Ready(now)
@@ -36,6 +36,7 @@
 	return ready.Stream
 }
 
+// heartbeat returns an update without a revision.
 func heartbeat(newest, confirmedMS uint32) *configpb.Update {
 	update := &configpb.Update{Newest: uint64(newest), ConfirmedMs: confirmedMS, Report: 1}
 	if newest > 0 {
@@ -44,6 +45,7 @@
 	return update
 }
 
+// updateOf returns an update with a revision that was confirmed just now.
 func updateOf(number uint64) *configpb.Update {
 	update := heartbeat(uint32(number), 0)
 	update.Revision = revisionOf(number)
@@ -57,7 +59,7 @@
 		if number == 1 {
 			require.EqualValues(t, 1, f.Ready(now).Apply.GetNumber())
 		}
-		require.Nil(t, f.Ready(now).Apply, "one is being applied")
+		require.Nil(t, f.Ready(now).Apply, "revision 1 is being applied")
 	}
 	f.RevisionApplied(now, 1)
 	ready := f.Ready(now)
@@ -70,7 +72,7 @@
 	require.EqualValues(t, 4, report.GetRefusal().GetNumber())
 	require.Len(t, report.GetRefusal().GetReason(), 1024)
 	f.UpdateReceived(now, stream, updateOf(4))
-	require.Nil(t, f.Ready(now).Apply, "it was rejected")
+	require.Nil(t, f.Ready(now).Apply, "revision 4 was rejected")
 	f.UpdateReceived(now, stream, updateOf(5))
 	require.EqualValues(t, 5, f.Ready(now).Apply.GetNumber())
 	f.RevisionApplied(now, 5)
@@ -89,7 +91,7 @@
 		change(update)
 		return update
 	}
-	for name, x := range map[string]struct {
+	for name, test := range map[string]struct {
 		update *configpb.Update
 		count  func(distribution.UpdateCounts) uint64
 	}{
@@ -105,14 +107,14 @@
 			func(c distribution.UpdateCounts) uint64 { return c.Corrupt }},
 		"oversized": {modified(6, func(u *configpb.Update) { setDocument(u, strings.Repeat("x", distribution.MaxDocument+1)) }),
 			func(c distribution.UpdateCounts) uint64 { return c.Oversized }},
-		"another number": {modified(6, func(u *configpb.Update) { u.Newest = 7 }),
+		"other newest number": {modified(6, func(u *configpb.Update) { u.Newest = 7 }),
 			func(c distribution.UpdateCounts) uint64 { return c.Malformed }},
-		"another report": {modified(6, func(u *configpb.Update) { u.Report = 9 }),
+		"unsent report acknowledged": {modified(6, func(u *configpb.Update) { u.Report = 9 }),
 			func(c distribution.UpdateCounts) uint64 { return c.Malformed }},
 	} {
-		before := x.count(f.Status(now).Counts)
-		f.UpdateReceived(now, stream, x.update)
-		require.Equal(t, before+1, x.count(f.Status(now).Counts), name)
+		before := test.count(f.Status(now).Counts)
+		f.UpdateReceived(now, stream, test.update)
+		require.Equal(t, before+1, test.count(f.Status(now).Counts), name)
 	}
 	f.UpdateReceived(now, stream+1, updateOf(6))
 	require.EqualValues(t, 1, f.Status(now).Counts.WrongStream)
@@ -126,7 +128,7 @@
 	u.NewestChecksum = u.Revision.Checksum
 }
 
-func TestFollowerLeavesTimedOutStreamForAnotherMachine(t *testing.T) {
+func TestFollowerTriesAnotherControlMachineAfterStreamTimeout(t *testing.T) {
 	f, stream, now := newFollower(t, 2)
 	first := f.Status(now).Control
 	f.UpdateReceived(now, stream, heartbeat(0, 0))
@@ -141,11 +143,12 @@
 	require.NotEqual(t, first, f.Ready(now).Open.Address)
 }
 
-// Seed 1 of the simulation found this: an update that a partition or a pause had delayed counted as new.
+// Guards against treating an update that was delayed by a partition or a pause as a fresh one, which understated the staleness.
+// Seed 1 of the simulation found this.
 func TestStalenessIncludesDelayOfUpdate(t *testing.T) {
 	f, stream, opened := newFollower(t, 2)
 	_, known := f.Staleness(opened)
-	require.False(t, known, "no control machine has confirmed anything")
+	require.False(t, known, "no update has been received")
 	update := heartbeat(0, 100)
 	update.ReportMs = 50
 	now := opened.Add(4 * time.Second)
@@ -155,7 +158,7 @@
 	require.Equal(t, 5*time.Second+50*time.Millisecond, staleness)
 }
 
-// Seed 9 of the simulation found this: one lagging update ended a stream to a healthy control machine.
+// Guards against leaving a healthy control machine because of a single lagging update. Seed 9 of the simulation found this.
 func TestFollowerKeepsStreamAfterOneLaggingUpdate(t *testing.T) {
 	f, stream, now := newFollower(t, 2)
 	f.UpdateReceived(now, stream, updateOf(5))
@@ -171,7 +174,7 @@
 	require.Zero(t, f.Ready(now).Close)
 }
 
-func TestFollowerFailsOverFromLaggingMachineAndKeepsItsRevision(t *testing.T) {
+func TestFollowerFailsOverFromLaggingControlMachineAndKeepsItsRevision(t *testing.T) {
 	f, stream, now := newFollower(t, 3)
 	f.UpdateReceived(now, stream, updateOf(5))
 	require.NotNil(t, f.Ready(now).Apply)
@@ -191,7 +194,7 @@
 }
 
 func TestFollowerPrefersItsZoneThenItsRegion(t *testing.T) {
-	first := map[string]int{}
+	orders := map[string]int{}
 	for seed := range uint64(200) {
 		f, err := distribution.NewFollower(epoch, distribution.FollowerOptions{
 			Name: "b", StartedAt: epoch, Zone: "a1", Region: "a", FleetSize: 100, Seed: seed,
@@ -210,9 +213,9 @@
 			f.StreamEnded(now, ready.Stream)
 		}
 		require.Contains(t, []string{"24", "42"}, order[:2])
-		first[order]++
+		orders[order]++
 	}
-	require.Len(t, first, 4, "machines at the same distance are in random order")
+	require.Len(t, orders, 4, "control machines of the same locality are in random order")
 	f, err := distribution.NewFollower(epoch, distribution.FollowerOptions{
 		Name: "b", Zone: "a3", Region: "a",
 		ControlMachines: []distribution.ControlMachine{{Address: "2", Region: "a"}, {Address: "4", Zone: "a3", Region: "a"}},
@@ -229,17 +232,18 @@
 	f.Tick(now)
 	require.Zero(t, f.Ready(now).Close)
 	f.Tick(now.Add(distribution.HeartbeatInterval))
-	require.Equal(t, stream, f.Ready(now.Add(distribution.HeartbeatInterval)).Close, "only once")
+	require.Equal(t, stream, f.Ready(now.Add(distribution.HeartbeatInterval)).Close, "the timeout is extended only once")
 }
 
 func TestNewFollowerChecksOptions(t *testing.T) {
 	one := []distribution.ControlMachine{{Address: "a"}}
-	for want, opt := range map[error]distribution.FollowerOptions{
+	tooMany := make([]distribution.ControlMachine, distribution.MaxControlMachines+1)
+	for want, options := range map[error]distribution.FollowerOptions{
 		distribution.ErrNoControlMachines:      {Name: "b"},
-		distribution.ErrTooManyControlMachines: {Name: "b", ControlMachines: make([]distribution.ControlMachine, distribution.MaxControlMachines+1)},
+		distribution.ErrTooManyControlMachines: {Name: "b", ControlMachines: tooMany},
 		distribution.ErrInvalidName:            {ControlMachines: one},
 	} {
-		_, err := distribution.NewFollower(epoch, opt)
+		_, err := distribution.NewFollower(epoch, options)
 		require.ErrorIs(t, err, want)
 	}
 }
--- a/internal/controlplane/distribution/fuzz_test.go
+++ b/internal/controlplane/distribution/fuzz_test.go
@@ -11,43 +11,44 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// maxFuzzEvents bounds the events of one input.
+// maxFuzzEvents is the maximum number of events read from one input.
 const maxFuzzEvents = 300
 
-// fuzzInput reads a fuzz input piece by piece, and zeros after its end.
+// fuzzInput reads values from a fuzz input, and zeros after its end.
 type fuzzInput struct{ data []byte }
 
-func (r *fuzzInput) byte() byte {
-	if len(r.data) == 0 {
+func (in *fuzzInput) byte() byte {
+	if len(in.data) == 0 {
 		return 0
 	}
-	b := r.data[0]
-	r.data = r.data[1:]
+	b := in.data[0]
+	in.data = in.data[1:]
 	return b
 }
 
-func (r *fuzzInput) number() uint64 {
-	if b := r.byte(); b < 250 {
+// number returns a number below 8 in most cases, otherwise an arbitrary one.
+func (in *fuzzInput) number() uint64 {
+	if b := in.byte(); b < 250 {
 		return uint64(b % 8)
 	}
 	var encoded [8]byte
 	for i := range encoded {
-		encoded[i] = r.byte()
+		encoded[i] = in.byte()
 	}
 	return binary.LittleEndian.Uint64(encoded[:])
 }
 
-// fuzzedUpdate returns an update that is often valid and often almost valid.
-func fuzzedUpdate(r *fuzzInput, sequence uint64) *configpb.Update {
-	kind := r.byte()
+// fuzzedUpdate returns an update that is valid for some inputs and almost valid for others.
+func fuzzedUpdate(in *fuzzInput, sequence uint64) *configpb.Update {
+	kind := in.byte()
 	if kind == 255 {
 		return nil
 	}
-	update := &configpb.Update{Newest: r.number(), ConfirmedMs: uint32(r.number()), Report: sequence}
-	update.ReportMs = uint32(r.byte())
-	document := []byte{r.byte() % 3, byte(update.Newest)}
+	update := &configpb.Update{Newest: in.number(), ConfirmedMs: uint32(in.number()), Report: sequence}
+	update.ReportMs = uint32(in.byte())
+	document := []byte{in.byte() % 3, byte(update.Newest)}
 	if kind&1 != 0 {
-		document = make([]byte, distribution.MaxDocument+int(r.byte()%3))
+		document = make([]byte, distribution.MaxDocument+int(in.byte()%3))
 	}
 	if update.Newest != 0 {
 		update.NewestChecksum = configpb.Checksum(document)
@@ -56,29 +57,31 @@
 		update.Revision = &configpb.Revision{Number: update.Newest, Document: document, Checksum: update.NewestChecksum}
 	}
 	if kind&4 != 0 {
-		update.NewestChecksum += r.number()
+		update.NewestChecksum += in.number()
 	}
 	if kind&8 != 0 && update.Revision != nil {
-		update.Revision.Checksum += r.number()
-		update.Revision.Number += r.number()
+		update.Revision.Checksum += in.number()
+		update.Revision.Number += in.number()
 	}
 	if kind&16 != 0 {
-		update.Report = r.number()
+		update.Report = in.number()
 	}
 	return update
 }
 
-// followerOracle is a plain model of a Follower's revisions: it keeps every acceptable one in a list.
+// followerOracle is a simple model of how a Follower handles revisions. It keeps every acceptable revision in a list.
 type followerOracle struct {
 	accepted []*configpb.Revision
-	applied  []uint64
+	started  []uint64 // numbers of the revisions returned by startNext
 	applying bool
 	inForce  uint64
-	rejected uint64
+	rejected uint64 // number of the last rejected revision
 }
 
-func (o *followerOracle) receive(update *configpb.Update, sequence uint64, present bool) {
-	if !present || update == nil || update.Revision == nil {
+// receive handles an update on the current stream. sequence is that of the last report sent; hasStream is false if there is no
+// current stream.
+func (o *followerOracle) receive(update *configpb.Update, sequence uint64, hasStream bool) {
+	if !hasStream || update == nil || update.Revision == nil {
 		return
 	}
 	revision := update.Revision
@@ -94,8 +97,8 @@
 	if configpb.Checksum(revision.Document) != revision.Checksum {
 		return
 	}
-	for _, old := range o.accepted {
-		if old.Number >= revision.Number {
+	for _, earlier := range o.accepted {
+		if earlier.Number >= revision.Number {
 			return
 		}
 	}
@@ -108,25 +111,25 @@
 		return 0
 	}
 	newest := o.accepted[len(o.accepted)-1].Number
-	for _, old := range o.applied {
-		if old == newest {
+	for _, number := range o.started {
+		if number == newest {
 			return 0
 		}
 	}
-	o.applied = append(o.applied, newest)
+	o.started = append(o.started, newest)
 	o.applying = true
 	return newest
 }
 
-// FuzzFollowerReceive feeds a follower updates, ends of streams and passing time, and compares what it hands out and
-// reports with the oracle.
+// FuzzFollowerReceive passes updates, ends of streams and the progress of time to a follower, and compares the revisions that
+// it returns and its reports with the oracle.
 func FuzzFollowerReceive(f *testing.F) {
 	f.Add([]byte{0, 2, 1, 0, 0, 0, 5, 0, 2, 2, 0, 0, 0})
 	f.Add([]byte{0, 255, 0, 3, 3, 0, 1, 0, 1, 1, 9, 1, 3, 4, 5, 6})
 	f.Add([]byte{0, 2, 5, 0, 0, 0, 6, 0, 6, 5, 0, 0, 1, 3, 0, 2, 4, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		follower, stream, now := newFollower(t, 3)
-		z := &followerFuzz{
+		run := &followerFuzzRun{
 			input:    &fuzzInput{data},
 			oracle:   &followerOracle{},
 			follower: follower,
@@ -134,122 +137,123 @@
 			now:      now,
 			sequence: 1,
 		}
-		for events := 0; len(z.input.data) > 0 && events < maxFuzzEvents; events++ {
-			z.playEvent()
-			z.requireReady(t)
-			z.requireStatus(t)
+		for events := 0; len(run.input.data) > 0 && events < maxFuzzEvents; events++ {
+			run.runEvent()
+			run.requireReady(t)
+			run.requireStatus(t)
 		}
 	})
 }
 
-// followerFuzz is one run of FuzzFollowerReceive.
-type followerFuzz struct {
+// followerFuzzRun is one run of FuzzFollowerReceive.
+type followerFuzzRun struct {
 	input    *fuzzInput
 	oracle   *followerOracle
 	follower *distribution.Follower
 	stream   distribution.StreamID // 0: none
 	now      time.Time
-	sequence uint64 // of the last report on the stream
+	sequence uint64 // sequence number of the last report on the stream
 	applying uint64 // number of the revision that is being applied; 0: none
 }
 
-// playEvent passes the next event of the input to the follower and to the oracle.
-func (z *followerFuzz) playEvent() {
-	switch z.input.byte() % 8 {
+// runEvent passes the next event of the input to the follower and to the oracle.
+func (r *followerFuzzRun) runEvent() {
+	switch r.input.byte() % 8 {
 	case 0, 1, 2:
-		update := fuzzedUpdate(z.input, z.sequence)
-		z.follower.UpdateReceived(z.now, z.stream, update)
-		z.oracle.receive(update, z.sequence, z.stream != 0)
+		update := fuzzedUpdate(r.input, r.sequence)
+		r.follower.UpdateReceived(r.now, r.stream, update)
+		r.oracle.receive(update, r.sequence, r.stream != 0)
 	case 3:
-		update := fuzzedUpdate(z.input, z.sequence)
-		z.follower.UpdateReceived(z.now, z.stream+1, update) // of another stream
+		update := fuzzedUpdate(r.input, r.sequence)
+		r.follower.UpdateReceived(r.now, r.stream+1, update) // on a stream other than the current one
 	case 4:
-		z.now = z.now.Add(time.Duration(z.input.byte()) * 20 * time.Millisecond)
-		z.follower.Tick(z.now)
+		r.now = r.now.Add(time.Duration(r.input.byte()) * 20 * time.Millisecond)
+		r.follower.Tick(r.now)
 	case 5:
-		if z.applying != 0 {
-			z.follower.RevisionApplied(z.now, z.applying)
-			z.oracle.inForce, z.oracle.applying, z.applying = z.applying, false, 0
+		if r.applying != 0 {
+			r.follower.RevisionApplied(r.now, r.applying)
+			r.oracle.inForce, r.oracle.applying, r.applying = r.applying, false, 0
 		}
 	case 6:
-		if z.applying != 0 {
-			z.follower.RevisionRejected(z.now, z.applying, "key", string(z.input.byte()))
-			z.oracle.rejected, z.oracle.applying, z.applying = z.applying, false, 0
+		if r.applying != 0 {
+			r.follower.RevisionRejected(r.now, r.applying, "key", string(r.input.byte()))
+			r.oracle.rejected, r.oracle.applying, r.applying = r.applying, false, 0
 		}
 	case 7:
-		z.follower.StreamEnded(z.now, z.stream)
+		r.follower.StreamEnded(r.now, r.stream)
 	}
 }
 
-// requireReady compares the work for the driver with the oracle, and takes it up.
-func (z *followerFuzz) requireReady(t *testing.T) {
-	ready := z.follower.Ready(z.now)
+// requireReady compares the work that Ready returns with the oracle, and starts to apply the revision that it contains.
+func (r *followerFuzzRun) requireReady(t *testing.T) {
+	ready := r.follower.Ready(r.now)
 	if ready.Open != nil {
-		z.sequence = 0
+		r.sequence = 0
 	}
 	if ready.Report != nil {
-		z.sequence++
-		require.Equal(t, z.sequence, ready.Report.GetSequence())
-		require.Equal(t, z.oracle.inForce, ready.Report.GetInForce())
+		r.sequence++
+		require.Equal(t, r.sequence, ready.Report.GetSequence())
+		require.Equal(t, r.oracle.inForce, ready.Report.GetInForce())
 	}
-	z.stream = ready.Stream
-	want := z.oracle.startNext()
+	r.stream = ready.Stream
+	want := r.oracle.startNext()
 	require.Equal(t, want, ready.Apply.GetNumber())
 	if want != 0 {
-		z.applying = want
+		r.applying = want
 	}
 }
 
-// requireStatus compares the follower's status with the oracle, and checks the bounds of its times.
-func (z *followerFuzz) requireStatus(t *testing.T) {
-	status := z.follower.Status(z.now)
-	require.Equal(t, z.oracle.inForce, status.InForce)
-	if z.oracle.rejected > z.oracle.inForce {
-		require.Equal(t, z.oracle.rejected, status.Rejection.GetNumber())
+// requireStatus compares the follower's status with the oracle, and checks the bounds of its staleness and its next tick.
+func (r *followerFuzzRun) requireStatus(t *testing.T) {
+	status := r.follower.Status(r.now)
+	require.Equal(t, r.oracle.inForce, status.InForce)
+	if r.oracle.rejected > r.oracle.inForce {
+		require.Equal(t, r.oracle.rejected, status.Rejection.GetNumber())
 	} else {
 		require.Nil(t, status.Rejection)
 	}
 	require.GreaterOrEqual(t, status.Staleness, time.Duration(0))
-	require.Less(t, z.follower.NextTick().Sub(z.now), 11*time.Second)
+	require.Less(t, r.follower.NextTick().Sub(r.now), 11*time.Second)
 }
 
-// FuzzHubReport feeds a hub reports of a few brokers over a few sessions, and compares the propagation of its revisions
-// with counts over all brokers.
+// FuzzHubReport passes reports of a few brokers on a few sessions to a hub, and compares the propagation of revisions in the
+// hub's status with the brokers in the same status.
 func FuzzHubReport(f *testing.F) {
 	f.Add([]byte{0, 1, 0, 0, 1, 1, 1, 1, 0, 1, 1, 1, 2, 1, 2, 0})
 	f.Add([]byte{0, 0, 1, 0, 1, 1, 1, 1, 1, 1, 1, 2, 1, 2, 2, 0, 3, 0, 4, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		r, h, now := &fuzzInput{data}, distribution.NewHub(), epoch
+		in, h, now := &fuzzInput{data}, distribution.NewHub(), epoch
 		newest := uint64(0)
 		var sessions []distribution.SessionID
-		for events := 0; len(r.data) > 0 && events < maxFuzzEvents; events++ {
-			switch r.byte() % 5 {
+		for events := 0; len(in.data) > 0 && events < maxFuzzEvents; events++ {
+			switch in.byte() % 5 {
 			case 0:
 				if id, err := h.OpenSession(now); err == nil {
 					sessions = append(sessions, id)
 				}
 			case 1:
 				if len(sessions) > 0 {
-					id := sessions[int(r.byte())%len(sessions)]
-					report := fuzzedReport(r)
+					id := sessions[int(in.byte())%len(sessions)]
+					report := fuzzedReport(in)
 					before := h.Counts()
 					err := h.ReportReceived(now, id, report)
 					after := h.Counts()
-					dropped := after.Malformed + after.WrongInstance + after.OutOfOrder - before.Malformed - before.WrongInstance - before.OutOfOrder
+					dropped := after.Malformed + after.WrongInstance + after.OutOfOrder -
+						before.Malformed - before.WrongInstance - before.OutOfOrder
 					if err == nil {
 						require.EqualValues(t, 1, after.Accepted-before.Accepted+dropped)
 					}
 					require.LessOrEqual(t, after.Accepted-before.Accepted+dropped, uint64(1))
 				}
 			case 2:
-				newest += uint64(r.byte()%3) + 1
+				newest += uint64(in.byte()%3) + 1
 				require.NoError(t, h.SetNewest(now, revisionOf(newest)))
 			case 3:
 				if len(sessions) > 0 {
-					h.CloseSession(now, sessions[int(r.byte())%len(sessions)])
+					h.CloseSession(now, sessions[int(in.byte())%len(sessions)])
 				}
 			case 4:
-				now = now.Add(time.Duration(r.byte()) * 100 * time.Millisecond)
+				now = now.Add(time.Duration(in.byte()) * 100 * time.Millisecond)
 				for _, id := range sessions {
 					update, _, err := h.NextUpdate(now, id)
 					if err == nil && update.GetRevision() != nil {
@@ -262,43 +266,44 @@
 	})
 }
 
-func fuzzedReport(r *fuzzInput) *configpb.Report {
+// fuzzedReport returns a report that is valid for some inputs and almost valid for others.
+func fuzzedReport(in *fuzzInput) *configpb.Report {
 	report := &configpb.Report{
-		Name:          string(rune('a' + r.byte()%3)),
-		StartedUnixMs: int64(r.number()),
-		InForce:       r.number(),
-		Sequence:      r.number(),
+		Name:          string(rune('a' + in.byte()%3)),
+		StartedUnixMs: int64(in.number()),
+		InForce:       in.number(),
+		Sequence:      in.number(),
 	}
-	switch r.byte() % 8 {
+	switch in.byte() % 8 {
 	case 1:
-		report.Refusal = &configpb.Refusal{Number: r.number()}
+		report.Refusal = &configpb.Refusal{Number: in.number()}
 	case 2:
-		report.Zone = string([]byte{r.byte()})
+		report.Zone = string([]byte{in.byte()})
 	case 3:
 		return nil
 	}
 	return report
 }
 
-// requirePropagation compares each tracked revision's counts with the brokers' reports.
+// requirePropagation compares the broker counts of each tracked revision with the brokers' reports.
 func requirePropagation(t *testing.T, status distribution.Status) {
-	for i, x := range status.InForce {
-		have, connected := 0, 0
+	for i, propagation := range status.InForce {
+		inForce, connected := 0, 0
 		for _, broker := range status.Brokers {
 			if broker.GetConnected() {
 				connected++
-				if broker.GetReport().GetInForce() >= x.GetNumber() {
-					have++
+				if broker.GetReport().GetInForce() >= propagation.GetNumber() {
+					inForce++
 				}
 			}
 		}
-		require.EqualValues(t, have, x.GetBrokers())
-		require.LessOrEqual(t, int(x.GetLagging())+have, connected)
-		if connected > 0 && have == connected {
-			require.NotZero(t, x.GetEverywhereUnixMs(), "revision %d", x.GetNumber())
+		require.EqualValues(t, inForce, propagation.GetBrokers())
+		require.LessOrEqual(t, int(propagation.GetLagging())+inForce, connected)
+		if connected > 0 && inForce == connected {
+			require.NotZero(t, propagation.GetEverywhereUnixMs(), "revision %d", propagation.GetNumber())
 		}
 		if i > 0 {
-			require.Less(t, x.GetNumber(), status.InForce[i-1].GetNumber())
+			require.Less(t, propagation.GetNumber(), status.InForce[i-1].GetNumber())
 		}
 	}
 }
--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -26,7 +26,7 @@
 	return &configpb.Report{Name: name, StartedUnixMs: 1000, Zone: "a", InForce: inForce, Sequence: sequence}
 }
 
-// openSession opens a session and sends its first report.
+// openSession opens a session of a broker and delivers the broker's first report.
 func openSession(t testing.TB, h *distribution.Hub, now time.Time, name string, inForce uint64) distribution.SessionID {
 	id, err := h.OpenSession(now)
 	require.NoError(t, err)
@@ -35,9 +35,9 @@
 }
 
 func nextUpdate(t testing.TB, h *distribution.Hub, now time.Time, id distribution.SessionID) *configpb.Update {
-	update, wake, err := h.NextUpdate(now, id)
+	update, wakeAt, err := h.NextUpdate(now, id)
 	require.NoError(t, err)
-	require.True(t, wake.After(now))
+	require.True(t, wakeAt.After(now))
 	return update
 }
 
@@ -79,7 +79,7 @@
 	rejecting := reportOf("b", 100, 0)
 	rejecting.Refusal = &configpb.Refusal{Number: 1, Key: "settings.port"}
 	require.NoError(t, h.ReportReceived(epoch.Add(time.Minute), id, rejecting))
-	require.Empty(t, h.Lagging(epoch.Add(time.Minute)), "it has rejected the revision")
+	require.Empty(t, h.Lagging(epoch.Add(time.Minute)), "the broker has rejected the revision")
 	for at := time.Minute; at < 90*time.Second; at += 100 * time.Millisecond {
 		require.Nil(t, nextUpdate(t, h, epoch.Add(at), id).GetRevision())
 	}
@@ -94,7 +94,7 @@
 		change(report)
 		return report
 	}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		report *configpb.Report
 		count  func(distribution.ReportCounts) uint64
 	}{
@@ -113,9 +113,9 @@
 		{modified(func(r *configpb.Report) { r.InForce = 4 }), outOfOrderReports},
 		{modified(func(r *configpb.Report) { r.Sequence = 1 }), outOfOrderReports},
 	} {
-		before := x.count(h.Counts())
-		require.NoError(t, h.ReportReceived(epoch, id, x.report))
-		require.Equal(t, before+1, x.count(h.Counts()), "%v", x.report)
+		before := test.count(h.Counts())
+		require.NoError(t, h.ReportReceived(epoch, id, test.report))
+		require.Equal(t, before+1, test.count(h.Counts()), "%v", test.report)
 		require.EqualValues(t, 5, h.Status(epoch).Brokers[0].GetReport().GetInForce())
 	}
 	require.EqualValues(t, 1, h.Counts().Accepted)
@@ -137,9 +137,9 @@
 	h.CloseSession(epoch, old)
 	require.True(t, h.Status(epoch).Brokers[0].GetConnected())
 
-	late, err := h.OpenSession(epoch)
+	earlierInstance, err := h.OpenSession(epoch)
 	require.NoError(t, err)
-	require.ErrorIs(t, h.ReportReceived(epoch, late, reportOf("b", 1, 3)), distribution.ErrSuperseded)
+	require.ErrorIs(t, h.ReportReceived(epoch, earlierInstance, reportOf("b", 1, 3)), distribution.ErrSuperseded)
 	require.EqualValues(t, 2000, h.Status(epoch).Brokers[0].GetReport().GetStartedUnixMs())
 }
 
@@ -157,7 +157,7 @@
 	require.ErrorIs(t, h.CheckSession(epoch, id), distribution.ErrNoSession)
 }
 
-func TestHubTracksWhenRevisionIsInForceEverywhere(t *testing.T) {
+func TestHubTracksPropagationOfRevisions(t *testing.T) {
 	h := distribution.NewHub()
 	a, b := openSession(t, h, epoch, "a", 0), openSession(t, h, epoch, "b", 0)
 	for number := uint64(1); number <= 70; number++ {
@@ -191,7 +191,7 @@
 	require.Empty(t, h.Status(epoch.Add(2*time.Second+distribution.DisconnectedRetention)).Brokers)
 }
 
-func TestHubBoundsSessionsAndBrokers(t *testing.T) {
+func TestHubLimitsSessionsAndBrokers(t *testing.T) {
 	h := distribution.NewHub()
 	for i := range distribution.MaxBrokers + 50 {
 		id := openSession(t, h, epoch.Add(time.Duration(i)), fmt.Sprint("b", i), 0)
@@ -200,7 +200,7 @@
 	status := h.Status(epoch.Add(time.Second))
 	require.Len(t, status.Brokers, distribution.MaxBrokers)
 	for _, broker := range status.Brokers {
-		require.NotEqual(t, "b0", broker.GetReport().GetName(), "the one that disconnected first is forgotten first")
+		require.NotEqual(t, "b0", broker.GetReport().GetName(), "the broker that disconnected first is evicted first")
 	}
 	for range distribution.MaxSessions {
 		_, err := h.OpenSession(epoch)
--- a/internal/controlplane/distribution/simulation_stream_test.go
+++ b/internal/controlplane/distribution/simulation_stream_test.go
@@ -10,7 +10,7 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// simStream is one Follow call between a broker and a hub.
+// simStream is a Follow call of a simulated broker to a simulated hub.
 type simStream struct {
 	sim     *simulation
 	broker  *simBroker
@@ -18,32 +18,33 @@
 	id      distribution.StreamID
 	session distribution.SessionID // 0: the hub has not accepted the call yet
 
-	brokerClosed     bool // by the broker, or by the end of its process
-	hubClosed        bool // by the hub, or by the end of its process
-	stalled          bool // a fault: the hub keeps it open and sends nothing
-	unreachableSince time.Duration
+	brokerClosed     bool          // the broker has closed its end, or its process has ended
+	hubClosed        bool          // the hub has closed its end, or its process has ended
+	stalled          bool          // injected by stallStreams: the hub keeps the stream open but sends nothing
+	unreachableSince time.Duration // 0: the broker is reachable
 
-	down, up      pipe // down to the broker, up to the hub
-	pumpAt        time.Duration
-	pendingReport *configpb.Report // the latest report that is not sent yet; nil: none
+	down          pipe             // from the hub to the broker
+	up            pipe             // from the broker to the hub
+	nextSendAt    time.Duration    // time of the scheduled call of sendNext; 0: none
+	pendingReport *configpb.Report // the latest report, if it has not been sent yet; nil: none
 }
 
-// pipe is one direction of a stream. It delivers in order, and waits while it is blocked or the receiver is paused.
+// pipe is one direction of a stream. It delivers in order, and waits while the direction is blocked or the receiver is paused.
 type pipe struct {
 	queue   []func()
 	running bool
 }
 
-func newStream(b *simBroker, open distribution.StreamTarget) *simStream {
-	hub, err := strconv.Atoi(open.Address)
+func newStream(b *simBroker, target distribution.StreamTarget) *simStream {
+	hub, err := strconv.Atoi(target.Address)
 	if err != nil {
 		panic(err)
 	}
-	return &simStream{sim: b.sim, broker: b, hub: b.sim.hubs[hub], id: open.Stream}
+	return &simStream{sim: b.sim, broker: b, hub: b.sim.hubs[hub], id: target.Stream}
 }
 
-// connect opens the stream within three round trips. Without an answer TCP retries every connectRetryDelay; a machine
-// without the process refuses the connection.
+// connect opens the stream after three round trips. If there is no answer, the connection is retried every connectRetryDelay;
+// a host whose process is not running refuses it.
 func (st *simStream) connect() {
 	st.sim.after(6*st.sim.latency(st.broker.zone, st.hub.zone), st.attemptConnect)
 }
@@ -53,9 +54,9 @@
 		return
 	}
 	s := st.sim
-	lost := st.hub.machineLost || !s.reachable(st.broker, st.hub, toHub) || !s.reachable(st.broker, st.hub, toBroker)
+	noAnswer := st.hub.hostLost || !s.reachable(st.broker, st.hub, toHub) || !s.reachable(st.broker, st.hub, toBroker)
 	switch {
-	case lost:
+	case noAnswer:
 		s.after(connectRetryDelay, st.attemptConnect)
 	case !st.hub.up:
 		st.hub.connectedAt = append(st.hub.connectedAt, s.now)
@@ -67,24 +68,24 @@
 }
 
 // send queues a message on a pipe.
-func (st *simStream) send(p *pipe, way direction, deliver func()) {
+func (st *simStream) send(p *pipe, dir direction, deliver func()) {
 	p.queue = append(p.queue, deliver)
 	if !p.running {
 		p.running = true
-		st.deliverNext(p, way, st.sim.latency(st.broker.zone, st.hub.zone))
+		st.deliverNext(p, dir, st.sim.latency(st.broker.zone, st.hub.zone))
 	}
 }
 
-// deliverNext delivers the first message of a pipe after a delay, then the others.
-func (st *simStream) deliverNext(p *pipe, way direction, wait time.Duration) {
-	st.sim.after(wait, func() {
-		closed := way == toBroker && st.brokerClosed || way == toHub && st.hubClosed
+// deliverNext delivers the first message of a pipe after a delay, followed by the other messages.
+func (st *simStream) deliverNext(p *pipe, dir direction, delay time.Duration) {
+	st.sim.after(delay, func() {
+		closed := dir == toBroker && st.brokerClosed || dir == toHub && st.hubClosed
 		switch {
 		case closed:
 			p.queue, p.running = nil, false
 			return
-		case !st.sim.reachable(st.broker, st.hub, way), way == toBroker && st.broker.paused:
-			st.deliverNext(p, way, retransmitDelay)
+		case !st.sim.reachable(st.broker, st.hub, dir), dir == toBroker && st.broker.paused:
+			st.deliverNext(p, dir, retransmitDelay)
 			return
 		}
 		deliver := p.queue[0]
@@ -94,12 +95,12 @@
 			p.running = false
 			return
 		}
-		st.deliverNext(p, way, 50*time.Microsecond)
+		st.deliverNext(p, dir, 50*time.Microsecond)
 	})
 }
 
-// pump sends the hub's next update, and schedules the next call of NextUpdate.
-func (st *simStream) pump() {
+// sendNext sends the hub's next update, if one is due, and schedules the next call of sendNext.
+func (st *simStream) sendNext() {
 	s := st.sim
 	if st.hubClosed || st.session == 0 || !st.hub.up {
 		return
@@ -109,10 +110,10 @@
 		return
 	}
 	if st.stalled || len(st.down.queue) >= streamWindow {
-		st.schedulePump(s.now + retransmitDelay)
+		st.scheduleSend(s.now + retransmitDelay)
 		return
 	}
-	update, wake, err := st.hub.hub.NextUpdate(s.time(), st.session)
+	update, wakeAt, err := st.hub.hub.NextUpdate(s.time(), st.session)
 	if err != nil {
 		st.close()
 		return
@@ -120,11 +121,11 @@
 	if update != nil {
 		st.sendUpdate(update)
 	}
-	if s.plant == plantFlapping && !s.hasQuorum(st.hub) && s.chance(0.3) {
+	if s.injected == faultFlapping && !s.hasQuorum(st.hub) && s.chance(0.3) {
 		st.close()
 		return
 	}
-	st.schedulePump(max(wake.Sub(epoch), s.now+time.Millisecond))
+	st.scheduleSend(max(wakeAt.Sub(epoch), s.now+time.Millisecond))
 }
 
 // unreachable reports whether the broker has been unreachable for longer than the hub's keepalive timeout.
@@ -140,81 +141,82 @@
 	return s.now-st.unreachableSince > keepaliveTimeout
 }
 
-func (st *simStream) schedulePump(at time.Duration) {
-	if st.pumpAt > st.sim.now && st.pumpAt <= at {
+func (st *simStream) scheduleSend(at time.Duration) {
+	if st.nextSendAt > st.sim.now && st.nextSendAt <= at {
 		return
 	}
-	st.pumpAt = at
+	st.nextSendAt = at
 	st.sim.after(at-st.sim.now, func() {
-		if st.pumpAt == at {
-			st.pumpAt = 0
-			st.pump()
+		if st.nextSendAt == at {
+			st.nextSendAt = 0
+			st.sendNext()
 		}
 	})
 }
 
-// sendUpdate sends an update, at the noise ratio with a corrupt, duplicate or stale one beside it or in its place.
+// sendUpdate sends an update. A fraction noiseRatio of the updates goes through sendNoise instead.
 func (st *simStream) sendUpdate(update *configpb.Update) {
 	s := st.sim
-	if s.plant == plantWithheldRevisions && st.broker.index%10 == 0 {
+	if s.injected == faultWithheldRevisions && st.broker.index%10 == 0 {
 		update.Revision = nil
 	}
 	if s.noiseRatio > 0 && s.chance(s.noiseRatio) {
 		st.sendNoise(update)
 		return
 	}
-	st.deliver(update)
+	st.deliverUpdate(update)
 }
 
-func (st *simStream) deliver(update *configpb.Update) {
+func (st *simStream) deliverUpdate(update *configpb.Update) {
 	b := st.broker
 	st.send(&st.down, toBroker, func() {
-		b.whenAwake(func() {
+		b.runUnlessPaused(func() {
 			b.follower.UpdateReceived(st.sim.time(), st.id, update)
 			b.step()
 		})
 	})
 }
 
-// sendNoise sends an update that the follower has to drop, and at times the valid one.
+// sendNoise sends a corrupt, duplicate or stale update, which the follower has to drop. It may send the valid update before it
+// or after it, or not at all.
 func (st *simStream) sendNoise(update *configpb.Update) {
 	s := st.sim
 	if len(s.log) == 0 {
-		st.deliver(nil)
+		st.deliverUpdate(nil)
 		return
 	}
 	noise := proto.CloneOf(update)
 	noise.Revision = proto.CloneOf(s.log[s.rng.IntN(len(s.log))])
 	noise.Newest, noise.NewestChecksum = noise.Revision.Number, noise.Revision.Checksum
 	switch s.rng.IntN(6) {
-	case 0: // a stale or a duplicate revision
-		st.deliver(update)
-	case 1:
-		st.deliver(update)
+	case 0: // a stale or duplicate revision
+		st.deliverUpdate(update)
+	case 1: // a document with an extra byte
+		st.deliverUpdate(update)
 		noise.Revision.Document = append(noise.Revision.Document, ' ')
-	case 2:
+	case 2: // a truncated document
 		noise.Revision.Document = noise.Revision.Document[:len(noise.Revision.Document)/2]
-	case 3:
+	case 3: // an oversized document
 		noise.Revision.Document = make([]byte, distribution.MaxDocument+1)
 		noise.Revision.Checksum = configpb.Checksum(noise.Revision.Document)
 		noise.NewestChecksum = noise.Revision.Checksum
 		noise.Newest += 1000
 		noise.Revision.Number = noise.Newest
-	case 4: // a corrupt revision with a number that is not published yet
+	case 4: // a corrupt revision with a number that has not been published yet
 		noise.Newest++
 		noise.Revision.Number = noise.Newest
 		noise.Revision.Checksum++
 		noise.NewestChecksum++
-	case 5:
+	case 5: // a nil update
 		noise = nil
 	}
-	st.deliver(noise)
+	st.deliverUpdate(noise)
 	if s.chance(0.5) {
-		st.deliver(update)
+		st.deliverUpdate(update)
 	}
 }
 
-// queueReport sends a report once the call is accepted, replacing one that is not sent yet.
+// queueReport sends a report as soon as the hub has accepted the call. It replaces a report that has not been sent yet.
 func (st *simStream) queueReport(report *configpb.Report) {
 	st.pendingReport = report
 	if st.session != 0 {
@@ -228,13 +230,13 @@
 	}
 	report := st.pendingReport
 	st.pendingReport = nil
-	if st.sim.plant == plantMissingReports && st.broker.index%10 == 0 {
+	if st.sim.injected == faultMissingReports && st.broker.index%10 == 0 {
 		report.InForce, report.Refusal = 0, nil
 	}
-	st.send(&st.up, toHub, func() { st.reportArrived(report) })
+	st.send(&st.up, toHub, func() { st.deliverReport(report) })
 }
 
-func (st *simStream) reportArrived(report *configpb.Report) {
+func (st *simStream) deliverReport(report *configpb.Report) {
 	if st.hubClosed || !st.hub.up {
 		return
 	}
@@ -242,10 +244,10 @@
 		st.close()
 		return
 	}
-	st.pump()
+	st.sendNext()
 }
 
-// close closes the stream at the hub.
+// close closes the hub's end of the stream and notifies the broker.
 func (st *simStream) close() {
 	st.hub.hub.CloseSession(st.sim.time(), st.session)
 	for i, other := range st.hub.streams {
@@ -256,30 +258,30 @@
 			break
 		}
 	}
-	st.hubEnded(true)
+	st.closeHubEnd(true)
 }
 
-// hubEnded records that the hub's end is closed, and notifies the broker if notify is set.
-func (st *simStream) hubEnded(notify bool) {
+// closeHubEnd marks the hub's end as closed, and notifies the broker if notify is set.
+func (st *simStream) closeHubEnd(notify bool) {
 	st.hubClosed = true
 	if notify {
 		st.notifyBroker()
 	}
 }
 
-// notifyBroker sends the end of the stream to the broker.
+// notifyBroker sends the broker a message that ends the stream.
 func (st *simStream) notifyBroker() {
 	b := st.broker
 	st.send(&st.down, toBroker, func() {
-		b.whenAwake(func() {
+		b.runUnlessPaused(func() {
 			b.follower.StreamEnded(st.sim.time(), st.id)
 			b.step()
 		})
 	})
 }
 
-// brokerEnded records that the broker's end is closed, and notifies the hub if notify is set.
-func (st *simStream) brokerEnded(notify bool) {
+// closeBrokerEnd marks the broker's end as closed, and notifies the hub if notify is set.
+func (st *simStream) closeBrokerEnd(notify bool) {
 	st.brokerClosed = true
 	if notify && st.session != 0 {
 		st.send(&st.up, toHub, func() {
--- a/internal/controlplane/distribution/simulation_test.go
+++ b/internal/controlplane/distribution/simulation_test.go
@@ -15,52 +15,52 @@
 	"mothrouter/internal/controlplane/simulationtest"
 )
 
-// The simulation runs brokers and four control machines in virtual time. Its streams behave like TCP connections: in
-// order, delayed by a network partition until it heals or one end closes, and blocked while the receiver does not read.
+// The simulation runs brokers and four control machines in virtual time. Its streams behave like TCP connections: they deliver
+// in order, are delayed by a network partition until it heals or one end closes, and block while the receiver does not read.
 const (
 	regions = 3
 	zones   = 10
 	hubs    = 4
 
-	streamWindow      = 4 // updates in flight on one stream
+	streamWindow      = 4 // maximum number of updates in flight on one stream
 	retransmitDelay   = 200 * time.Millisecond
-	connectRetryDelay = time.Second      // between two connection attempts of TCP
-	keepaliveTimeout  = 15 * time.Second // a hub closes a stream whose peer is unreachable for longer
+	connectRetryDelay = time.Second      // between two TCP connection attempts
+	keepaliveTimeout  = 15 * time.Second // a hub closes a stream whose peer has been unreachable for longer
 	confirmInterval   = 250 * time.Millisecond
-	publishInterval   = 3200 * time.Millisecond // ten times 2,700 a day
+	publishInterval   = 3200 * time.Millisecond // ten times the rate of 2,700 revisions a day
 )
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// regionOfZone returns a zone's region: the first and the second have three zones, the third has four.
+// regionOfZone returns the region of a zone. The first two regions have three zones, the third has four.
 func regionOfZone(zone int) int { return min(zone/3, regions-1) }
 
-// zoneOfHub is each hub's zone. Hubs 0 to 2 are the voters, one in each region; hub 3 is the spare, in the first one.
+// zoneOfHub has the zone of each hub. Hubs 0 to 2 are the voters, one per region; hub 3 is the spare, in the first region.
 var zoneOfHub = [hubs]int{0, 3, 6, 1}
 
-// plantedFault is a fault of the system under test that a checker has to find.
-type plantedFault string
+// injectedFault is a fault that is injected into the system under test and that a checker has to find.
+type injectedFault string
 
 const (
-	plantNone              plantedFault = ""
-	plantRegression        plantedFault = "a broker applies an earlier revision again"
-	plantDuplicate         plantedFault = "a broker applies a revision twice"
-	plantTruncation        plantedFault = "a broker applies a truncated document"
-	plantWithheldRevisions plantedFault = "hubs never send revisions to some brokers"
-	plantReplay            plantedFault = "a hub sends every revision that it missed during a partition"
-	plantConnectStorm      plantedFault = "followers assume a fleet of one"
-	plantFlapping          plantedFault = "hubs without a quorum close their streams every few seconds"
-	plantFalseConfirmation plantedFault = "hubs without a quorum claim a confirmation"
-	plantMissingReports    plantedFault = "some brokers never report the revision in force"
-	plantSlowCatchUp       plantedFault = "a hub applies the newest revision 12 s late after a partition"
+	noFault                injectedFault = ""
+	faultRegression        injectedFault = "a broker applies an earlier revision again"
+	faultDuplicate         injectedFault = "a broker applies a revision twice"
+	faultTruncation        injectedFault = "a broker applies a truncated document"
+	faultWithheldRevisions injectedFault = "hubs never send revisions to some brokers"
+	faultReplay            injectedFault = "a hub sends every revision that it missed during a partition"
+	faultConnectStorm      injectedFault = "followers are configured with a fleet size of one"
+	faultFlapping          injectedFault = "hubs without a quorum close their streams every few seconds"
+	faultFalseConfirmation injectedFault = "hubs without a quorum claim to be confirmed"
+	faultMissingReports    injectedFault = "some brokers never report the revision in force"
+	faultSlowCatchUp       injectedFault = "a hub applies the newest revision 12 s late after a partition"
 )
 
 type simOptions struct {
 	seed       uint64
 	brokers    int
-	fleetSize  int // as configured at the followers; 0: brokers
-	noiseRatio float64
-	plant      plantedFault
+	fleetSize  int     // as configured at the followers; 0: brokers
+	noiseRatio float64 // fraction of updates that sendNoise replaces or supplements
+	injected   injectedFault
 }
 
 type simulation struct {
@@ -68,14 +68,14 @@
 	rng         *rand.Rand
 	now         time.Duration
 	queue       simulationtest.EventQueue
-	events      int
-	trace       uint64
+	events      int    // number of events run
+	trace       uint64 // hash of the recorded events, see record
 	hubs        [hubs]*simHub
 	fleet       []*simBroker
 	log         []*configpb.Revision // revision n is at index n-1
-	publishedAt []time.Duration      // by index of log
+	publishedAt []time.Duration      // when each revision of log was published, by the same index
 	partitioned [regions]bool        // regions partitioned from the others
-	blocked     map[[2]int]direction // directions blocked, by broker and hub
+	blocked     map[[2]int]direction // blocked directions, by broker and hub
 	checks      *checkers
 }
 
@@ -126,38 +126,39 @@
 	s.now = end
 }
 
-// record adds an event to the trace, a hash by which two runs are compared.
-func (s *simulation) record(what string, numbers ...any) {
-	h := fnv.New64a()
-	fmt.Fprint(h, s.trace, s.now, what, numbers)
-	s.trace = h.Sum64()
+// record adds an event to the trace, a hash that identifies a run.
+func (s *simulation) record(event string, details ...any) {
+	hash := fnv.New64a()
+	fmt.Fprint(hash, s.trace, s.now, event, details)
+	s.trace = hash.Sum64()
 }
 
 func (s *simulation) chance(p float64) bool { return s.rng.Float64() < p }
 
+// uniform returns a random duration of at least from and below to.
 func (s *simulation) uniform(from, to time.Duration) time.Duration {
 	return from + time.Duration(s.rng.Int64N(int64(to-from)))
 }
 
-// connected reports whether two zones are in one region, or in regions that no partition separates.
-func (s *simulation) connected(a, b int) bool {
-	ra, rb := regionOfZone(a), regionOfZone(b)
-	return ra == rb || !s.partitioned[ra] && !s.partitioned[rb]
+// connected reports whether two zones are in the same region, or in regions that no partition separates.
+func (s *simulation) connected(zoneA, zoneB int) bool {
+	regionA, regionB := regionOfZone(zoneA), regionOfZone(zoneB)
+	return regionA == regionB || !s.partitioned[regionA] && !s.partitioned[regionB]
 }
 
-// reachable reports whether messages pass between a broker and a hub in a direction.
-func (s *simulation) reachable(b *simBroker, h *simHub, way direction) bool {
-	return s.connected(b.zone, h.zone) && s.blocked[[2]int{b.index, h.index}] != way
+// reachable reports whether the network passes messages between a broker and a hub in the given direction.
+func (s *simulation) reachable(b *simBroker, h *simHub, dir direction) bool {
+	return s.connected(b.zone, h.zone) && s.blocked[[2]int{b.index, h.index}] != dir
 }
 
-func (s *simulation) latency(a, b int) time.Duration {
-	if regionOfZone(a) == regionOfZone(b) {
+func (s *simulation) latency(zoneA, zoneB int) time.Duration {
+	if regionOfZone(zoneA) == regionOfZone(zoneB) {
 		return s.uniform(500*time.Microsecond, 3*time.Millisecond)
 	}
 	return s.uniform(20*time.Millisecond, 60*time.Millisecond)
 }
 
-// hasQuorum reports whether a hub reaches two of the three voters.
+// hasQuorum reports whether a hub is running and reaches two of the three voters.
 func (s *simulation) hasQuorum(h *simHub) bool {
 	if !h.up {
 		return false
@@ -171,13 +172,13 @@
 	return reached >= 2
 }
 
-// publish commits a revision if some hub has a quorum.
+// publish commits a revision if at least one hub has a quorum.
 func (s *simulation) publish() {
-	ok := false
+	quorum := false
 	for _, h := range s.hubs {
-		ok = ok || s.hasQuorum(h)
+		quorum = quorum || s.hasQuorum(h)
 	}
-	if !ok {
+	if !quorum {
 		return
 	}
 	number := uint64(len(s.log) + 1)
@@ -197,69 +198,69 @@
 	}
 }
 
-// publishPeriodically publishes at fixed intervals until a time.
-func (s *simulation) publishPeriodically(every, end time.Duration) {
-	s.after(every, func() {
+// publishPeriodically publishes a revision at every interval until end.
+func (s *simulation) publishPeriodically(interval, end time.Duration) {
+	s.after(interval, func() {
 		if s.now < end {
 			s.publish()
-			s.publishPeriodically(every, end)
+			s.publishPeriodically(interval, end)
 		}
 	})
 }
 
-// confirm has hubs with a quorum catch up and records their confirmation, like a linearizable read.
+// confirm lets all hubs with a quorum catch up and records their confirmation, as a linearizable read would.
 func (s *simulation) confirm() {
 	for _, h := range s.hubs {
 		if s.hasQuorum(h) {
 			h.catchUp()
 			h.hub.SetConfirmed(s.time())
-		} else if h.up && s.plant == plantFalseConfirmation {
+		} else if h.up && s.injected == faultFalseConfirmation {
 			h.hub.SetConfirmed(s.time())
 		}
 	}
 	s.after(confirmInterval, s.confirm)
 }
 
-// simHub is a control machine: a Hub and its driver.
+// simHub is a simulated control machine: a Hub and its driver.
 type simHub struct {
 	sim          *simulation
 	index        int
 	zone         int
 	hub          *distribution.Hub
 	up           bool
-	machineLost  bool // with the machine, so that connections get no answer
+	hostLost     bool // the host has failed as well, so that connection attempts get no answer
 	streams      []*simStream
-	connectedAt  []time.Duration // of the brokers' connections
-	newest       uint64
-	laggingSince time.Duration // since when it delays catching up, by plantSlowCatchUp; 0: it does not
+	connectedAt  []time.Duration // times of the brokers' connection attempts that reached the host
+	newest       uint64          // number of the newest revision; 0: none
+	laggingSince time.Duration   // when faultSlowCatchUp started to delay catching up; 0: no delay
 }
 
 func (h *simHub) start() {
-	h.up, h.machineLost = true, false
+	h.up, h.hostLost = true, false
 	h.hub = distribution.NewHub()
 	h.streams, h.newest = nil, 0
 	h.sim.record("hub starts", h.index)
 }
 
-// stop ends the process. Its streams end, unless the machine is lost.
-func (h *simHub) stop(machineLost bool) {
-	h.up, h.machineLost = false, machineLost
+// stop ends the process. Its streams end too, unless the host is lost with it: then the brokers are not notified.
+func (h *simHub) stop(hostLost bool) {
+	h.up, h.hostLost = false, hostLost
 	h.sim.record("hub stops", h.index)
 	for _, st := range h.streams {
-		st.hubEnded(!machineLost)
+		st.closeHubEnd(!hostLost)
 	}
 	h.streams = nil
 }
 
-// catchUp sets the hub's newest revision to the log's, if it has a quorum.
+// catchUp sets the hub's newest revision to the newest one of the log if the hub has a quorum.
 func (h *simHub) catchUp() {
 	if !h.up || !h.sim.hasQuorum(h) || len(h.sim.log) == 0 {
 		return
 	}
-	if h.sim.plant == plantReplay && h.replay() {
+	if h.sim.injected == faultReplay && h.replay() {
 		return
 	}
-	if h.sim.plant == plantSlowCatchUp && h.delayCatchUp() {
+	if h.sim.injected == faultSlowCatchUp && h.delayCatchUp() {
 		return
 	}
 	newest := h.sim.log[len(h.sim.log)-1]
@@ -267,33 +268,34 @@
 	if err := h.hub.SetNewest(h.sim.time(), newest); err != nil {
 		panic(err)
 	}
-	h.pumpAll()
+	h.sendAll()
 }
 
-func (h *simHub) pumpAll() {
+func (h *simHub) sendAll() {
 	for _, st := range h.streams {
-		st.pump()
+		st.sendNext()
 	}
 }
 
-// replay is plantReplay: it sets each of the missed revisions in turn. It reports whether there are ten or more.
+// replay implements faultReplay: if the hub has missed ten revisions or more, it sets each of them in turn. It reports whether
+// that is so.
 func (h *simHub) replay() bool {
-	have, newest := h.newest, uint64(len(h.sim.log))
-	if have == 0 || newest < have+10 {
+	oldNewest, newest := h.newest, uint64(len(h.sim.log))
+	if oldNewest == 0 || newest < oldNewest+10 {
 		return false
 	}
-	for i, revision := range h.sim.log[have:newest] {
+	for i, revision := range h.sim.log[oldNewest:newest] {
 		h.sim.after(time.Duration(i)*10*time.Millisecond, func() {
 			if h.hub.SetNewest(h.sim.time(), revision) == nil {
 				h.newest = revision.GetNumber()
-				h.pumpAll()
+				h.sendAll()
 			}
 		})
 	}
 	return true
 }
 
-// delayCatchUp is plantSlowCatchUp: it reports whether the hub delays catching up now.
+// delayCatchUp implements faultSlowCatchUp: it reports whether the hub has to delay catching up at this time.
 func (h *simHub) delayCatchUp() bool {
 	if uint64(len(h.sim.log)) < h.newest+10 {
 		h.laggingSince = 0
@@ -315,10 +317,10 @@
 	}
 	st.session = id
 	h.streams = append(h.streams, st)
-	st.pump()
+	st.sendNext()
 }
 
-// simBroker is a broker: a Follower and its driver.
+// simBroker is a simulated broker: a Follower and its driver.
 type simBroker struct {
 	sim           *simulation
 	index         int
@@ -328,8 +330,8 @@
 	up            bool
 	paused        bool
 	stream        *simStream
-	tickAt        time.Duration // of the scheduled tick; 0: none
-	deferred      []func()      // events during a pause
+	tickAt        time.Duration // time of the scheduled tick; 0: none
+	deferred      []func()      // events that arrived during the current pause
 	streamsOpened int
 }
 
@@ -346,9 +348,9 @@
 			Region:  fmt.Sprint("r", regionOfZone(h.zone)),
 		})
 	}
-	callers := b.sim.fleetSize
-	if b.sim.plant == plantConnectStorm {
-		callers = 1
+	fleetSize := b.sim.fleetSize
+	if b.sim.injected == faultConnectStorm {
+		fleetSize = 1
 	}
 	follower, err := distribution.NewFollower(b.sim.time(), distribution.FollowerOptions{
 		Name:            b.name(),
@@ -356,7 +358,7 @@
 		Zone:            fmt.Sprint("z", b.zone),
 		Region:          fmt.Sprint("r", regionOfZone(b.zone)),
 		ControlMachines: control,
-		FleetSize:       callers,
+		FleetSize:       fleetSize,
 		Seed:            b.sim.seed<<32 + uint64(b.index)<<12 + uint64(b.instance),
 	})
 	if err != nil {
@@ -367,25 +369,25 @@
 	b.step()
 }
 
-// stop ends the process. Its stream ends, unless the machine is lost.
-func (b *simBroker) stop(machineLost bool) {
+// stop ends the process. Its stream ends too, unless the host is lost with it: then the hub is not notified.
+func (b *simBroker) stop(hostLost bool) {
 	if !b.up {
 		return
 	}
 	b.up = false
 	if b.stream != nil {
-		b.stream.brokerEnded(!machineLost)
+		b.stream.closeBrokerEnd(!hostLost)
 		b.stream = nil
 	}
 }
 
-func (b *simBroker) pause(wait time.Duration) {
+func (b *simBroker) pause(duration time.Duration) {
 	if !b.up || b.paused {
 		return
 	}
 	b.paused = true
 	instance := b.instance
-	b.sim.after(wait, func() {
+	b.sim.after(duration, func() {
 		if b.instance != instance || !b.up {
 			return
 		}
@@ -400,26 +402,27 @@
 	})
 }
 
-// whenAwake runs an event in the present process: after a pause if it is paused, never once it has ended.
-func (b *simBroker) whenAwake(run func()) {
+// runUnlessPaused runs an event of the current process instance now or, if the process is paused, when it resumes. The event
+// is dropped if the process has ended by then.
+func (b *simBroker) runUnlessPaused(run func()) {
 	instance := b.instance
-	do := func() {
+	runIfAlive := func() {
 		if b.up && b.instance == instance {
 			run()
 		}
 	}
 	if b.paused {
-		b.deferred = append(b.deferred, do)
+		b.deferred = append(b.deferred, runIfAlive)
 		return
 	}
-	do()
+	runIfAlive()
 }
 
-// step is one turn of the driver's loop: it does what the follower has ready, and schedules the next tick.
+// step is one iteration of the driver's loop: it does the work that the follower has ready and schedules the next tick.
 func (b *simBroker) step() {
 	ready := b.follower.Ready(b.sim.time())
 	if ready.Close != 0 && b.stream != nil && b.stream.id == ready.Close {
-		b.stream.brokerEnded(true)
+		b.stream.closeBrokerEnd(true)
 		b.stream = nil
 	}
 	if ready.Open != nil {
@@ -433,18 +436,18 @@
 	if ready.Apply != nil {
 		b.apply(ready.Apply)
 	}
-	wake := b.follower.NextTick().Sub(epoch)
-	if b.tickAt > b.sim.now && b.tickAt <= wake {
+	nextTickAt := b.follower.NextTick().Sub(epoch)
+	if b.tickAt > b.sim.now && b.tickAt <= nextTickAt {
 		return
 	}
-	b.tickAt = max(wake, b.sim.now)
+	b.tickAt = max(nextTickAt, b.sim.now)
 	at, instance := b.tickAt, b.instance
 	b.sim.after(at-b.sim.now, func() {
 		if b.instance != instance || b.tickAt != at {
 			return
 		}
 		b.tickAt = 0
-		b.whenAwake(func() {
+		b.runUnlessPaused(func() {
 			if !b.sim.time().Before(b.follower.NextTick()) {
 				b.follower.Tick(b.sim.time())
 			}
@@ -455,7 +458,7 @@
 
 func (b *simBroker) apply(revision *configpb.Revision) {
 	b.sim.after(b.sim.uniform(time.Millisecond, 50*time.Millisecond), func() {
-		b.whenAwake(func() {
+		b.runUnlessPaused(func() {
 			number := revision.GetNumber()
 			if rejects(b.index, number) {
 				b.sim.checks.revisionRejected(b, number)
@@ -465,28 +468,28 @@
 			}
 			b.sim.record("applied", b.index, number)
 			b.sim.checks.revisionApplied(b, revision)
-			b.playPlantedFault(revision)
+			b.injectApplyFault(revision)
 			b.follower.RevisionApplied(b.sim.time(), number)
 			b.step()
 		})
 	})
 }
 
-// rejects reports whether a broker rejects a revision.
+// rejects reports whether a simulated broker rejects a revision.
 func rejects(broker int, number uint64) bool { return number%9 == 4 && broker%4 == 1 }
 
-// playPlantedFault applies revisions wrongly, by the planted faults of a broker's driver.
-func (b *simBroker) playPlantedFault(revision *configpb.Revision) {
+// injectApplyFault applies revisions incorrectly if one of the faults of a broker's driver is injected.
+func (b *simBroker) injectApplyFault(revision *configpb.Revision) {
 	number := revision.GetNumber()
 	if number%7 != 0 || b.index%5 != 0 {
 		return
 	}
-	switch b.sim.plant {
-	case plantRegression:
+	switch b.sim.injected {
+	case faultRegression:
 		b.sim.checks.revisionApplied(b, b.sim.log[number-2])
-	case plantDuplicate:
+	case faultDuplicate:
 		b.sim.checks.revisionApplied(b, revision)
-	case plantTruncation:
+	case faultTruncation:
 		truncated := proto.CloneOf(revision)
 		truncated.Document = truncated.Document[:len(truncated.Document)/2]
 		truncated.Number++
@@ -494,9 +497,9 @@
 	}
 }
 
-func runSimulation(t testing.TB, opt simOptions, play func(*simulation)) *simulation {
+func runSimulation(t testing.TB, opt simOptions, scenario func(*simulation)) *simulation {
 	s := newSimulation(opt)
-	play(s)
+	scenario(s)
 	s.checks.finish()
 	require.NotZero(t, s.events)
 	return s
