--- a/internal/controlplane/distribution/distribution.go
+++ b/internal/controlplane/distribution/distribution.go
@@ -1,7 +1,7 @@
 // Package distribution implements the protocol that distributes revisions of the configuration to the brokers, without I/O.
-// Hub is the side of a control machine: it decides what to send on each broker's session and tracks which revisions the
-// brokers report. Follower is the side of a broker: it decides which control machine to follow, when a stream has timed out
-// and which revision to apply, and calculates how stale the configuration may be.
+// Hub implements the control machine's side: it decides what to send on each broker's session and tracks which revisions the
+// brokers report. Follower implements the broker's side: it decides which control machine to follow, when a stream has timed
+// out and which revision to apply, and calculates how stale the configuration may be.
 //
 // The protocol resembles xDS over a bidirectional stream (configpb.Control.Follow): the control machine sends updates, and
 // the broker answers with status reports that acknowledge (ACK) or reject (NACK) a revision.
--- a/internal/controlplane/distribution/follower.go
+++ b/internal/controlplane/distribution/follower.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// reportHistory is how many of a stream's latest reports have their send times kept, to date the updates that acknowledge
-	// them.
+	// reportHistory is the number of latest reports whose send times are kept, to determine when the updates that acknowledge
+	// them can have been sent.
 	reportHistory = 16
-	// pauseThreshold is the delay of a tick from which the process is assumed to have been paused. Updates may then be waiting
-	// to be read, so the stream's timeouts are extended by one heartbeat interval.
+	// pauseThreshold is how late a tick must be for the process to count as paused. After a pause, updates may be waiting to be
+	// read, so the stream's timeouts are extended by one heartbeat interval.
 	pauseThreshold = 500 * time.Millisecond
 	// seedStream separates a follower's random numbers from others that are drawn with the same seed.
 	seedStream = 0x9b05688c2b3e6c1f
@@ -58,7 +58,7 @@
 	Apply  *configpb.Revision // revision to apply, followed by RevisionApplied or RevisionRejected; nil: none
 }
 
-// Follower is the side of a broker: the configuration follower. Create it with NewFollower.
+// Follower implements the broker's side of the protocol, the configuration follower. Create it with NewFollower.
 //
 // The driver calls Ready after every other call, and Tick no later than NextTick.
 type Follower struct {
@@ -78,8 +78,8 @@
 	lastStream   StreamID // the last ID assigned
 	openedAt     time.Time
 	lastUpdateAt time.Time                // zero: no update on the current stream yet
-	graceUntil   time.Time                // the current stream's timeouts do not expire before; zero: no extension
-	lastReportAt time.Time                // before the first report on the current stream: openedAt
+	graceUntil   time.Time                // the current stream's timeouts are extended until then; zero: not extended
+	lastReportAt time.Time                // last report on the current stream; openedAt before the first one
 	lastSequence uint64                   // sequence number of the last report on the current stream; 0: none
 	reportedAt   [reportHistory]time.Time // when Ready returned each report; index: sequence % reportHistory
 
--- a/internal/controlplane/distribution/follower_failover.go
+++ b/internal/controlplane/distribution/follower_failover.go
@@ -64,7 +64,8 @@
 	f.counts.StreamsOpened++
 }
 
-// closeStream leaves the current stream. Ready will close the stream if it has opened it.
+// closeStream leaves the current stream. The next call of Ready returns it as the stream to close, unless no call of Ready has
+// returned it as the stream to open.
 func (f *Follower) closeStream() {
 	if !f.pendingOpen {
 		f.pendingClose = f.stream
--- a/internal/controlplane/distribution/hub.go
+++ b/internal/controlplane/distribution/hub.go
@@ -29,7 +29,7 @@
 	ErrRevisionConflict = errors.New("the revision has the same number as the newest one but a different checksum")
 )
 
-// Hub is the side of a control machine. Create it with NewHub.
+// Hub implements the control machine's side of the protocol. Create it with NewHub.
 type Hub struct {
 	newest        *configpb.Revision // nil: none yet
 	confirmedAt   time.Time          // when a quorum last confirmed that newest is the newest; zero: never
@@ -60,7 +60,7 @@
 
 // SetNewest sets the newest revision that this control machine has applied from the log. The hub keeps the revision, so the
 // caller must not modify it afterwards. Numbers may be skipped. Setting the same revision again has no effect, and neither
-// does a call that returns an error. The error wraps ErrStaleRevision, ErrRevisionConflict or one of those of CheckRevision.
+// does a call that returns an error. Errors: those of CheckRevision, ErrStaleRevision and ErrRevisionConflict.
 func (h *Hub) SetNewest(now time.Time, revision *configpb.Revision) error {
 	if err := CheckRevision(revision); err != nil {
 		return err
--- a/internal/controlplane/distribution/hub_tracking.go
+++ b/internal/controlplane/distribution/hub_tracking.go
@@ -28,7 +28,7 @@
 	})
 }
 
-// recordInForceEverywhere records the present time for tracked revisions that all connected brokers now have in force for the
+// recordInForceEverywhere records the current time for each tracked revision that all connected brokers have in force for the
 // first time.
 func (h *Hub) recordInForceEverywhere(now time.Time) {
 	if len(h.inForceCounts) == 0 {
--- a/internal/controlplane/distribution/machines.go
+++ b/internal/controlplane/distribution/machines.go
@@ -22,7 +22,7 @@
 type candidate struct {
 	ControlMachine
 	confirmedAt time.Time // when a quorum last confirmed its newest revision, by its latest update; zero: never
-	tried       bool      // the follower has connected to it in this round
+	tried       bool      // it has been tried in this round
 	reached     bool      // it has sent an update in this round
 }
 
--- a/internal/controlplane/distribution/network_test.go
+++ b/internal/controlplane/distribution/network_test.go
@@ -87,7 +87,8 @@
 		status := b.follower.Status(s.time())
 		partitioned := regionOfZone(b.zone) == 0
 		if partitioned && (!status.StalenessKnown || status.Staleness < end-start-10*time.Second) {
-			s.checks.addFinding("staleness", "%s is partitioned and reports a staleness of %v", b.name(), status.Staleness)
+			s.checks.addFinding("staleness", "%s is partitioned and reports a staleness of %v, want at least %v", b.name(),
+				status.Staleness, end-start-10*time.Second)
 		}
 		if checksWithoutHub[b] == followChecks {
 			s.checks.addFinding("flapping", "%s follows no hub for 20 s although it can reach one", b.name())
@@ -142,7 +143,7 @@
 func TestCheckersFindInjectedFaults(t *testing.T) {
 	for _, test := range []struct {
 		fault    injectedFault
-		checker  string // or a name for the subtest, with noFault
+		checker  string // that has to find the fault; with noFault, a name for the subtest
 		brokers  int
 		scenario func(*simulation)
 	}{
--- a/internal/controlplane/distribution/simulation_stream_test.go
+++ b/internal/controlplane/distribution/simulation_stream_test.go
@@ -10,7 +10,7 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// simStream is a Follow call of a simulated broker to a simulated hub.
+// simStream is a Follow call between a simulated broker and a simulated hub.
 type simStream struct {
 	sim     *simulation
 	broker  *simBroker
@@ -31,8 +31,8 @@
 
 // pipe is one direction of a stream. It delivers in order, and waits while the direction is blocked or the receiver is paused.
 type pipe struct {
-	queue   []func()
-	running bool
+	queue   []func() // each delivers one message
+	running bool     // the next delivery is scheduled
 }
 
 func newStream(b *simBroker, target distribution.StreamTarget) *simStream {
@@ -177,8 +177,8 @@
 	})
 }
 
-// sendNoise sends a corrupt, duplicate or stale update, which the follower has to drop. It may send the valid update before it
-// or after it, or not at all.
+// sendNoise sends a corrupt, duplicate or stale update, which the follower has to drop. The valid update may be sent before it,
+// after it, both before and after it, or not at all.
 func (st *simStream) sendNoise(update *configpb.Update) {
 	s := st.sim
 	if len(s.log) == 0 {
--- a/internal/controlplane/distribution/simulation_test.go
+++ b/internal/controlplane/distribution/simulation_test.go
@@ -59,7 +59,7 @@
 	seed       uint64
 	brokers    int
 	fleetSize  int     // as configured at the followers; 0: brokers
-	noiseRatio float64 // fraction of updates that sendNoise replaces or supplements
+	noiseRatio float64 // fraction of updates that are passed to sendNoise
 	injected   injectedFault
 }
 
@@ -277,8 +277,8 @@
 	}
 }
 
-// replay implements faultReplay: if the hub has missed ten revisions or more, it sets each of them in turn. It reports whether
-// that is so.
+// replay implements faultReplay: a hub that has missed ten revisions or more sets each of them in turn. It reports whether the
+// hub does so.
 func (h *simHub) replay() bool {
 	oldNewest, newest := h.newest, uint64(len(h.sim.log))
 	if oldNewest == 0 || newest < oldNewest+10 {
@@ -295,7 +295,8 @@
 	return true
 }
 
-// delayCatchUp implements faultSlowCatchUp: it reports whether the hub has to delay catching up at this time.
+// delayCatchUp implements faultSlowCatchUp: a hub that has missed ten revisions or more delays catching up for 12 s. It reports
+// whether the hub is within that delay.
 func (h *simHub) delayCatchUp() bool {
 	if uint64(len(h.sim.log)) < h.newest+10 {
 		h.laggingSince = 0
@@ -340,9 +341,9 @@
 func (b *simBroker) start() {
 	b.instance++
 	b.up, b.paused, b.deferred, b.stream, b.tickAt = true, false, nil, nil, 0
-	var control []distribution.ControlMachine
+	var controlMachines []distribution.ControlMachine
 	for _, h := range b.sim.hubs {
-		control = append(control, distribution.ControlMachine{
+		controlMachines = append(controlMachines, distribution.ControlMachine{
 			Address: fmt.Sprint(h.index),
 			Zone:    fmt.Sprint("z", h.zone),
 			Region:  fmt.Sprint("r", regionOfZone(h.zone)),
@@ -357,7 +358,7 @@
 		StartedAt:       b.sim.time(),
 		Zone:            fmt.Sprint("z", b.zone),
 		Region:          fmt.Sprint("r", regionOfZone(b.zone)),
-		ControlMachines: control,
+		ControlMachines: controlMachines,
 		FleetSize:       fleetSize,
 		Seed:            b.sim.seed<<32 + uint64(b.index)<<12 + uint64(b.instance),
 	})
