--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -105,7 +105,7 @@
 	if err != nil {
 		return err
 	}
-	plane, err := joinFleet(fleetConfig, p.startConfig, p.log, func(n int) {
+	agent, err := joinFleet(fleetConfig, p.startConfig, p.log, func(n int) {
 		p.backoff.Resize(n)
 		p.core.Notify(decision.FleetResized{Brokers: n})
 		if p.configFollower != nil {
@@ -115,14 +115,14 @@
 	if err != nil {
 		return err
 	}
-	p.components.Add(assembly.Component{Name: "fleet", Run: plane.Run})
+	p.components.Add(assembly.Component{Name: "fleet", Run: agent.Run})
 	return nil
 }
 
 // joinFleet opens the process's membership socket. Whenever the fleet's size changes, it calls onResize with the number
 // of brokers that share slow-start budgets and the discovery service: at least the number by the settings. A fenced
 // broker, which a majority may have removed, takes the smallest share (backoff.MaxCallers).
-func joinFleet(fleetConfig *config.Fleet, cfg *config.Config, log *slog.Logger, onResize func(n int)) (*fleet.Plane, error) {
+func joinFleet(fleetConfig *config.Fleet, cfg *config.Config, log *slog.Logger, onResize func(n int)) (*fleet.Agent, error) {
 	return fleet.Listen(fleet.Options{
 		Listen: fleetConfig.Listen, Advertise: fleetConfig.Advertise, Fleet: fleetConfig.Fleet, Name: fleetConfig.Name,
 		Seeds: fleetConfig.Seeds, Seed: cfg.Seed, Log: log,
--- a/internal/cluster/fleet/fleet.go
+++ b/internal/cluster/fleet/fleet.go
@@ -36,7 +36,7 @@
 	leaveRepeatDelay = 100 * time.Millisecond
 )
 
-// Options configure a Plane.
+// Options configure an Agent.
 type Options struct {
 	Listen    netip.AddrPort
 	Advertise netip.AddrPort // address at which others reach this process; zero: Listen
@@ -49,8 +49,8 @@
 	Changed func(membership.FleetSize)
 }
 
-// Plane is this process's endpoint of the gossip plane. Make it with Listen, then call Run.
-type Plane struct {
+// Agent is this process's endpoint of the gossip plane. Make it with Listen, then call Run.
+type Agent struct {
 	options     Options
 	conn        *net.UDPConn
 	fingerprint uint64 // of the fleet
@@ -73,7 +73,7 @@
 }
 
 // Listen opens the socket. Its error names the key fleet.listen.
-func Listen(options Options) (*Plane, error) {
+func Listen(options Options) (*Agent, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(options.Listen))
 	if err != nil {
 		return nil, fmt.Errorf("fleet.listen: %w", err)
@@ -81,7 +81,7 @@
 	if !options.Advertise.IsValid() {
 		options.Advertise = conn.LocalAddr().(*net.UDPAddr).AddrPort()
 	}
-	p := &Plane{
+	a := &Agent{
 		options:       options,
 		conn:          conn,
 		fingerprint:   plane.FleetFingerprint(options.Fleet),
@@ -90,110 +90,110 @@
 		drops:         map[string]int{},
 		dropsLoggedAt: time.Now(),
 	}
-	p.view = p.newView()
-	size := p.view.FleetSize()
-	p.fleetSize.Store(&size)
-	return p, nil
+	a.view = a.newView()
+	size := a.view.FleetSize()
+	a.fleetSize.Store(&size)
+	return a, nil
 }
 
 // newView returns the membership of this process, an instance that starts now.
-func (p *Plane) newView() *membership.View {
-	start := uint64(p.startedAt.UnixNano())
-	isSelf := func(a netip.AddrPort) bool { return a == p.options.Advertise }
+func (a *Agent) newView() *membership.View {
+	start := uint64(a.startedAt.UnixNano())
+	isSelf := func(addr netip.AddrPort) bool { return addr == a.options.Advertise }
 	return membership.New(membership.Options{
-		Self:    membership.Instance{Name: p.options.Name, Start: start, Addr: p.options.Advertise},
-		Fleet:   p.fingerprint,
-		Seeds:   slices.DeleteFunc(slices.Clone(p.options.Seeds), isSelf),
-		Seed:    p.options.Seed ^ start,
-		Changed: p.logMember,
+		Self:    membership.Instance{Name: a.options.Name, Start: start, Addr: a.options.Advertise},
+		Fleet:   a.fingerprint,
+		Seeds:   slices.DeleteFunc(slices.Clone(a.options.Seeds), isSelf),
+		Seed:    a.options.Seed ^ start,
+		Changed: a.logMember,
 	})
 }
 
 // logMember logs a member's new status.
-func (p *Plane) logMember(m membership.Member) {
-	p.options.Log.Info("fleet member changed", "member", m.Name, "start", m.Start, "addr", m.Addr, "is", m.Status)
+func (a *Agent) logMember(m membership.Member) {
+	a.options.Log.Info("fleet member changed", "member", m.Name, "start", m.Start, "addr", m.Addr, "is", m.Status)
 }
 
 // FleetSize returns the size of the fleet as of the last tick. It may be called by any goroutine.
-func (p *Plane) FleetSize() membership.FleetSize { return *p.fleetSize.Load() }
+func (a *Agent) FleetSize() membership.FleetSize { return *a.fleetSize.Load() }
 
 // Run runs the loop until ctx ends, then announces that this process leaves, closes the socket and returns.
-func (p *Plane) Run(ctx context.Context) {
+func (a *Agent) Run(ctx context.Context) {
 	readerDone := make(chan struct{})
 	go func() {
 		defer close(readerDone)
-		p.read()
+		a.read()
 	}()
 	tick := time.NewTimer(0)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			p.leave()
-			_ = p.conn.Close() // nothing is sent after the leave announcement
+			a.leave()
+			_ = a.conn.Close() // nothing is sent after the leave announcement
 			<-readerDone
 			return
-		case d := <-p.inbox:
-			p.receive(d)
+		case d := <-a.inbox:
+			a.receive(d)
 		case <-tick.C:
 			tick.Reset(membership.TickInterval)
-			p.send(p.view.Tick(time.Since(p.startedAt)))
-			p.publishFleetSize()
-			p.logDrops()
+			a.send(a.view.Tick(time.Since(a.startedAt)))
+			a.publishFleetSize()
+			a.logDrops()
 		}
 	}
 }
 
 // leave sends the leave announcement twice, leaveRepeatDelay apart.
-func (p *Plane) leave() {
-	p.send(p.view.Leave(time.Since(p.startedAt)))
+func (a *Agent) leave() {
+	a.send(a.view.Leave(time.Since(a.startedAt)))
 	time.Sleep(leaveRepeatDelay)
-	p.send(p.view.Leave(time.Since(p.startedAt)))
+	a.send(a.view.Leave(time.Since(a.startedAt)))
 }
 
 // receive passes a datagram to the view, or counts it if it is invalid.
-func (p *Plane) receive(d datagram) {
+func (a *Agent) receive(d datagram) {
 	if d.err != nil {
-		p.drops[d.err.Error()]++
+		a.drops[d.err.Error()]++
 		return
 	}
-	p.send(p.view.Receive(time.Since(p.startedAt), d.from, d.data))
+	a.send(a.view.Receive(time.Since(a.startedAt), d.from, d.data))
 }
 
 // publishFleetSize stores the fleet's size for FleetSize and, if it has changed, logs it and calls Options.Changed.
-func (p *Plane) publishFleetSize() {
-	size := p.view.FleetSize()
-	if previous := p.fleetSize.Swap(&size); *previous == size {
+func (a *Agent) publishFleetSize() {
+	size := a.view.FleetSize()
+	if previous := a.fleetSize.Swap(&size); *previous == size {
 		return
 	}
-	p.options.Log.Info("fleet size changed",
+	a.options.Log.Info("fleet size changed",
 		"alive", size.Alive, "known", size.Known, "sharing", size.Sharing, "fenced", size.Fenced)
-	if p.options.Changed != nil {
-		p.options.Changed(size)
+	if a.options.Changed != nil {
+		a.options.Changed(size)
 	}
 }
 
 // logDrops logs, each dropLogInterval, the datagrams dropped since the last time, a line for each reason.
-func (p *Plane) logDrops() {
+func (a *Agent) logDrops() {
 	now := time.Now()
-	if now.Sub(p.dropsLoggedAt) < dropLogInterval {
+	if now.Sub(a.dropsLoggedAt) < dropLogInterval {
 		return
 	}
-	p.dropsLoggedAt = now
-	if n := p.inboxOverflows.Swap(0); n > 0 {
-		p.drops["crowded out"] += int(n)
+	a.dropsLoggedAt = now
+	if n := a.inboxOverflows.Swap(0); n > 0 {
+		a.drops["crowded out"] += int(n)
 	}
-	for _, reason := range slices.Sorted(maps.Keys(p.drops)) {
-		p.options.Log.Warn("fleet datagrams dropped", "why", reason, "count", p.drops[reason])
+	for _, reason := range slices.Sorted(maps.Keys(a.drops)) {
+		a.options.Log.Warn("fleet datagrams dropped", "why", reason, "count", a.drops[reason])
 	}
-	clear(p.drops)
+	clear(a.drops)
 }
 
 // read parses datagrams into the inbox until the socket is closed. It never waits for the loop.
-func (p *Plane) read() {
+func (a *Agent) read() {
 	buf := make([]byte, plane.MaxDatagramSize+1) // one byte more, so that Parse sees an oversized datagram as such
 	for {
-		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
+		n, from, err := a.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -201,30 +201,30 @@
 			continue // such as ECONNREFUSED, the ICMP answer to an earlier send
 		}
 		d := datagram{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port())}
-		d.data, d.err = plane.Parse(buf[:n], p.fingerprint)
+		d.data, d.err = plane.Parse(buf[:n], a.fingerprint)
 		select {
-		case p.inbox <- d:
+		case a.inbox <- d:
 		default:
-			p.inboxOverflows.Add(1)
+			a.inboxOverflows.Add(1)
 		}
 	}
 }
 
 // send sends datagrams, and counts those that cannot be sent.
-func (p *Plane) send(out []membership.Send) {
+func (a *Agent) send(out []membership.Send) {
 	if len(out) == 0 {
 		return
 	}
-	_ = p.conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // on a closed socket the writes below fail, too
+	_ = a.conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // on a closed socket the writes below fail, too
 	for _, s := range out {
-		b, err := plane.Append(p.sendBuffer[:0], s.Data)
+		b, err := plane.Append(a.sendBuffer[:0], s.Data)
 		if err != nil {
-			p.drops["sent: "+err.Error()]++
+			a.drops["sent: "+err.Error()]++
 			continue
 		}
-		p.sendBuffer = b
-		if _, err := p.conn.WriteToUDPAddrPort(b, s.Addr); err != nil {
-			p.drops["not sent"]++
+		a.sendBuffer = b
+		if _, err := a.conn.WriteToUDPAddrPort(b, s.Addr); err != nil {
+			a.drops["not sent"]++
 		}
 	}
 }
--- a/internal/cluster/fleet/fleet_test.go
+++ b/internal/cluster/fleet/fleet_test.go
@@ -20,29 +20,29 @@
 	"mothrouter/internal/harness/logtest"
 )
 
-func startPlane(t *testing.T, log io.Writer, name string, seeds ...netip.AddrPort) (p *fleet.Plane, addr netip.AddrPort, end func()) {
+func startAgent(t *testing.T, log io.Writer, name string, seeds ...netip.AddrPort) (agent *fleet.Agent, addr netip.AddrPort, end func()) {
 	addr = netip.MustParseAddrPort("127.79.0." + name + ":7946")
-	p, err := fleet.Listen(fleet.Options{Listen: addr, Fleet: "f", Name: name, Seeds: append(seeds, addr),
+	agent, err := fleet.Listen(fleet.Options{Listen: addr, Fleet: "f", Name: name, Seeds: append(seeds, addr),
 		Log: slog.New(slog.NewTextHandler(log, nil))})
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		p.Run(ctx)
+		agent.Run(ctx)
 	}()
-	return p, addr, func() { cancel(); <-done }
+	return agent, addr, func() { cancel(); <-done }
 }
 
-func TestPlanesJoinAndLeave(t *testing.T) {
+func TestAgentsJoinAndLeave(t *testing.T) {
 	defer goleak.VerifyNone(t)
-	a, seed, endA := startPlane(t, io.Discard, "1")
+	a, seed, endA := startAgent(t, io.Discard, "1")
 	defer endA()
-	b, _, endB := startPlane(t, io.Discard, "2", seed)
-	c, _, endC := startPlane(t, io.Discard, "3", seed)
+	b, _, endB := startAgent(t, io.Discard, "2", seed)
+	c, _, endC := startAgent(t, io.Discard, "3", seed)
 	defer endC()
-	for _, p := range []*fleet.Plane{a, b, c} {
-		require.Eventually(t, func() bool { return p.FleetSize().Alive == 3 }, 10*time.Second, 20*time.Millisecond)
+	for _, agent := range []*fleet.Agent{a, b, c} {
+		require.Eventually(t, func() bool { return agent.FleetSize().Alive == 3 }, 10*time.Second, 20*time.Millisecond)
 	}
 	endB()
 	require.Eventually(t, func() bool {
@@ -53,7 +53,7 @@
 // TestInvalidDatagramsAreDroppedAndCounted sends datagrams of another fleet, truncated, oversized and empty ones, and a flood.
 func TestInvalidDatagramsAreDroppedAndCounted(t *testing.T) {
 	log := &logtest.Buffer{}
-	p, addr, end := startPlane(t, log, "9")
+	agent, addr, end := startAgent(t, log, "9")
 	defer end()
 	conn, err := net.Dial("udp", addr.String())
 	require.NoError(t, err)
@@ -71,5 +71,5 @@
 		s := log.String()
 		return strings.Contains(s, "of another fleet") && strings.Contains(s, "torn") && strings.Contains(s, "oversized")
 	}, 15*time.Second, 50*time.Millisecond)
-	require.Equal(t, 1, p.FleetSize().Alive)
+	require.Equal(t, 1, agent.FleetSize().Alive)
 }
--- a/internal/harness/scale/membership_processes.go
+++ b/internal/harness/scale/membership_processes.go
@@ -44,7 +44,7 @@
 
 // hollowFleet runs the membership and the endpoint watch of brokers without clients.
 type hollowFleet struct {
-	planes  []*fleet.Plane
+	agents  []*fleet.Agent
 	updates updateCounter
 	running sync.WaitGroup
 }
@@ -56,15 +56,15 @@
 		return err
 	}
 	for i, addr := range addrs {
-		p, err := fleet.Listen(fleet.Options{
+		agent, err := fleet.Listen(fleet.Options{
 			Listen: addr, Fleet: "scale", Name: fmt.Sprint("n", i), Seeds: addrs[:min(seedsOfFleet, brokers)],
 			Seed: seed + uint64(i), Log: discardLog,
 		})
 		if err != nil {
 			return err
 		}
-		f.planes = append(f.planes, p)
-		f.running.Go(func() { p.Run(ctx) })
+		f.agents = append(f.agents, agent)
+		f.running.Go(func() { agent.Run(ctx) })
 		w := newWatcher(discoveryAddr, f.updates.update, brokers, seed+uint64(i)*watcherSeedStep)
 		f.running.Go(func() { w.Run(ctx) })
 		time.Sleep(hollowStartInterval)
@@ -122,13 +122,13 @@
 func (f *hollowFleet) waitUntilAllAlive(timeout time.Duration) error {
 	alive := 0
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		alive = len(f.planes)
-		for _, p := range f.planes {
-			alive = min(alive, p.FleetSize().Alive)
+		alive = len(f.agents)
+		for _, agent := range f.agents {
+			alive = min(alive, agent.FleetSize().Alive)
 		}
-		if alive == len(f.planes) {
+		if alive == len(f.agents) {
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: a broker sees %d of %d", errTimeout, alive, len(f.planes))
+	return fmt.Errorf("%w: a broker sees %d of %d", errTimeout, alive, len(f.agents))
 }
