--- a/internal/cluster/fleet/fleet.go
+++ b/internal/cluster/fleet/fleet.go
@@ -1,5 +1,5 @@
-// Package fleet drives the gossip plane of a broker process: one UDP socket, and one goroutine that owns the
-// membership.View and runs its timers. Mailboxes on both sides are bounded, so that neither the plane nor the broker's core
+// Package fleet runs the membership protocol of a broker process: one UDP socket, and one goroutine that owns the
+// membership.View and runs its timers. The queues in both directions are bounded, so neither the agent nor the broker's core
 // ever waits for the other.
 package fleet
 
@@ -21,58 +21,58 @@
 )
 
 const (
-	// inboxCapacity is the maximum number of parsed datagrams that wait for the loop; more are dropped and counted. The
-	// heartbeats that a member receives, 24 a second, fill it in 20 s.
+	// inboxCapacity is the maximum number of parsed datagrams queued for the loop; further ones are dropped and counted. The
+	// heartbeats that a member receives, 24 per second, fill it in 20 s.
 	inboxCapacity = 512
 
-	// sendTimeout bounds the sends of one step. A datagram that the system does not accept by then is dropped: the plane
-	// tolerates loss.
+	// sendTimeout bounds the socket writes of one loop iteration. Datagrams that the kernel has not accepted by then are
+	// dropped: the protocol tolerates loss.
 	sendTimeout = 5 * time.Millisecond
 
 	// dropLogInterval is the interval at which dropped datagrams are logged.
 	dropLogInterval = 10 * time.Second
 
-	// leaveRepeatDelay is the delay after which the leave announcement is repeated, since the first may be lost.
+	// leaveRepeatDelay is the delay before the leave announcement is repeated, since the first one may be lost.
 	leaveRepeatDelay = 100 * time.Millisecond
 )
 
 // Options configure an Agent.
 type Options struct {
 	Listen    netip.AddrPort
-	Advertise netip.AddrPort // address at which others reach this process; zero: Listen
-	Fleet     string         // name of the fleet, the same at all of its brokers
-	Name      string         // of the broker, the same after a restart
-	Seeds     []netip.AddrPort
-	Seed      uint64 // of random numbers
+	Advertise netip.AddrPort   // address at which other brokers reach this process; zero: the address listened on
+	Fleet     string           // name of the fleet, the same for all of its brokers
+	Name      string           // name of the broker, the same after a restart
+	Seeds     []netip.AddrPort // brokers to contact to join the fleet
+	Seed      uint64           // seed of the random number generator
 	Log       *slog.Logger
-	// Changed is called by the loop with the fleet's size each time that it has changed. It must not block. It may be nil.
+	// Changed is called from the loop with the new fleet size whenever it changes. It must not block. It may be nil.
 	Changed func(membership.FleetSize)
 }
 
-// Agent is this process's endpoint of the gossip plane. Make it with Listen, then call Run.
+// Agent runs the membership protocol for this process. Create it with Listen, then call Run.
 type Agent struct {
 	options     Options
 	conn        *net.UDPConn
-	fingerprint uint64 // of the fleet
+	fingerprint uint64 // fingerprint of the fleet's name
 	view        *membership.View
 	startedAt   time.Time // origin of the view's clock, which is monotonic
 	inbox       chan datagram
 	fleetSize   atomic.Pointer[membership.FleetSize]
 
 	inboxOverflows atomic.Int64   // datagrams dropped since the last drop log because the inbox was full
-	drops          map[string]int // other datagrams dropped since then, by reason
+	drops          map[string]int // other datagrams dropped since the last drop log, by reason
 	dropsLoggedAt  time.Time
 	sendBuffer     []byte
 }
 
-// datagram is a datagram received: its sender's address, and its content or the error of plane.Parse.
+// datagram is a received datagram: the sender's address, and the content or the error of plane.Parse.
 type datagram struct {
 	from netip.AddrPort
 	data *planepb.Datagram
 	err  error
 }
 
-// Listen opens the socket. Its error names the key fleet.listen.
+// Listen opens the socket. An error names the configuration key fleet.listen.
 func Listen(options Options) (*Agent, error) {
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(options.Listen))
 	if err != nil {
@@ -96,7 +96,7 @@
 	return a, nil
 }
 
-// newView returns the membership of this process, an instance that starts now.
+// newView returns the membership view of this process, as a new instance that starts at startedAt.
 func (a *Agent) newView() *membership.View {
 	start := uint64(a.startedAt.UnixNano())
 	isSelf := func(addr netip.AddrPort) bool { return addr == a.options.Advertise }
@@ -114,10 +114,10 @@
 	a.options.Log.Info("fleet member changed", "member", m.Name, "start", m.Start, "addr", m.Addr, "is", m.Status)
 }
 
-// FleetSize returns the size of the fleet as of the last tick. It may be called by any goroutine.
+// FleetSize returns the size of the fleet as of the last tick. It is safe for concurrent use.
 func (a *Agent) FleetSize() membership.FleetSize { return *a.fleetSize.Load() }
 
-// Run runs the loop until ctx ends, then announces that this process leaves, closes the socket and returns.
+// Run runs the loop until ctx is done, then announces that this process leaves, closes the socket and returns.
 func (a *Agent) Run(ctx context.Context) {
 	readerDone := make(chan struct{})
 	go func() {
@@ -173,7 +173,7 @@
 	}
 }
 
-// logDrops logs, each dropLogInterval, the datagrams dropped since the last time, a line for each reason.
+// logDrops logs the datagrams dropped since the last call that logged, one line per reason, every dropLogInterval.
 func (a *Agent) logDrops() {
 	now := time.Now()
 	if now.Sub(a.dropsLoggedAt) < dropLogInterval {
@@ -181,7 +181,7 @@
 	}
 	a.dropsLoggedAt = now
 	if n := a.inboxOverflows.Swap(0); n > 0 {
-		a.drops["crowded out"] += int(n)
+		a.drops["inbox full"] += int(n)
 	}
 	for _, reason := range slices.Sorted(maps.Keys(a.drops)) {
 		a.options.Log.Warn("fleet datagrams dropped", "why", reason, "count", a.drops[reason])
@@ -191,14 +191,14 @@
 
 // read parses datagrams into the inbox until the socket is closed. It never waits for the loop.
 func (a *Agent) read() {
-	buf := make([]byte, plane.MaxDatagramSize+1) // one byte more, so that Parse sees an oversized datagram as such
+	buf := make([]byte, plane.MaxDatagramSize+1) // one extra byte, so that Parse detects oversized datagrams
 	for {
 		n, from, err := a.conn.ReadFromUDPAddrPort(buf)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // such as ECONNREFUSED, the ICMP answer to an earlier send
+			continue // for example ECONNREFUSED, caused by an ICMP response to an earlier send
 		}
 		d := datagram{from: netip.AddrPortFrom(from.Addr().Unmap(), from.Port())}
 		d.data, d.err = plane.Parse(buf[:n], a.fingerprint)
@@ -210,21 +210,21 @@
 	}
 }
 
-// send sends datagrams, and counts those that cannot be sent.
+// send sends datagrams and counts those that could not be sent.
 func (a *Agent) send(out []membership.Send) {
 	if len(out) == 0 {
 		return
 	}
-	_ = a.conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // on a closed socket the writes below fail, too
+	_ = a.conn.SetWriteDeadline(time.Now().Add(sendTimeout)) // an error means a closed socket: the writes below fail as well
 	for _, s := range out {
 		b, err := plane.Append(a.sendBuffer[:0], s.Data)
 		if err != nil {
-			a.drops["sent: "+err.Error()]++
+			a.drops["encoding failed: "+err.Error()]++
 			continue
 		}
 		a.sendBuffer = b
 		if _, err := a.conn.WriteToUDPAddrPort(b, s.Addr); err != nil {
-			a.drops["not sent"]++
+			a.drops["write failed"]++
 		}
 	}
 }
--- a/internal/cluster/fleet/fleet_test.go
+++ b/internal/cluster/fleet/fleet_test.go
@@ -50,7 +50,8 @@
 	}, 3*time.Second, 20*time.Millisecond)
 }
 
-// TestInvalidDatagramsAreDroppedAndCounted sends datagrams of another fleet, truncated, oversized and empty ones, and a flood.
+// TestInvalidDatagramsAreDroppedAndCounted sends a datagram of another fleet, truncated, oversized and empty datagrams, and
+// then a burst of 5,000. The drops are logged by reason, and the fleet size does not change.
 func TestInvalidDatagramsAreDroppedAndCounted(t *testing.T) {
 	log := &logtest.Buffer{}
 	agent, addr, end := startAgent(t, log, "9")
@@ -69,7 +70,7 @@
 	}
 	require.Eventually(t, func() bool {
 		s := log.String()
-		return strings.Contains(s, "of another fleet") && strings.Contains(s, "torn") && strings.Contains(s, "oversized")
+		return strings.Contains(s, "from another fleet") && strings.Contains(s, "torn") && strings.Contains(s, "oversized")
 	}, 15*time.Second, 50*time.Millisecond)
 	require.Equal(t, 1, agent.FleetSize().Alive)
 }
--- a/internal/cluster/plane/plane_test.go
+++ b/internal/cluster/plane/plane_test.go
@@ -33,24 +33,24 @@
 	require.Equal(t, netip.MustParseAddrPort("[::1]:7946"), plane.EntryAddr(d.Entries[0]))
 }
 
-// TestParseRejectsInvalidDatagrams checks that each invalid datagram yields the error that it is counted by.
+// TestParseRejectsInvalidDatagrams checks that each kind of invalid datagram yields its own error, by which it is counted.
 func TestParseRejectsInvalidDatagrams(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*planepb.Datagram)
 		want   error
 	}{
-		"another version":        {func(d *planepb.Datagram) { d.Version++ }, plane.ErrUnsupportedVersion},
-		"another fleet":          {func(d *planepb.Datagram) { d.Fleet++ }, plane.ErrOtherFleet},
-		"no sender":              {func(d *planepb.Datagram) { d.From = 0 }, plane.ErrInvalidContent},
-		"no sequence number":     {func(d *planepb.Datagram) { d.Seq = 0 }, plane.ErrInvalidContent},
-		"another's self":         {func(d *planepb.Datagram) { d.From++ }, plane.ErrInvalidContent},
-		"half a hash":            {func(d *planepb.Datagram) { d.Have = d.Have[:1] }, plane.ErrInvalidContent},
-		"no name":                {func(d *planepb.Datagram) { d.Entries[0].Name = "" }, plane.ErrInvalidContent},
-		"a name of 65 bytes":     {func(d *planepb.Datagram) { d.Entries[0].Name = string(make([]byte, 65)) }, plane.ErrInvalidContent},
-		"no address":             {func(d *planepb.Datagram) { d.Entries[0].Addr = nil }, plane.ErrInvalidContent},
-		"an unspecified address": {func(d *planepb.Datagram) { d.Entries[0] = entry("n2", "0.0.0.0:1") }, plane.ErrInvalidContent},
-		"a state of two bytes":   {func(d *planepb.Datagram) { d.Entries[0].State = 256 }, plane.ErrInvalidContent},
-		"no start":               {func(d *planepb.Datagram) { d.Entries[0].Start = 0 }, plane.ErrInvalidContent},
+		"another version":     {func(d *planepb.Datagram) { d.Version++ }, plane.ErrUnsupportedVersion},
+		"another fleet":       {func(d *planepb.Datagram) { d.Fleet++ }, plane.ErrOtherFleet},
+		"no sender":           {func(d *planepb.Datagram) { d.From = 0 }, plane.ErrInvalidContent},
+		"no sequence number":  {func(d *planepb.Datagram) { d.Seq = 0 }, plane.ErrInvalidContent},
+		"sender ID mismatch":  {func(d *planepb.Datagram) { d.From++ }, plane.ErrInvalidContent},
+		"incomplete hash":     {func(d *planepb.Datagram) { d.Have = d.Have[:1] }, plane.ErrInvalidContent},
+		"no name":             {func(d *planepb.Datagram) { d.Entries[0].Name = "" }, plane.ErrInvalidContent},
+		"name of 65 bytes":    {func(d *planepb.Datagram) { d.Entries[0].Name = string(make([]byte, 65)) }, plane.ErrInvalidContent},
+		"no address":          {func(d *planepb.Datagram) { d.Entries[0].Addr = nil }, plane.ErrInvalidContent},
+		"unspecified address": {func(d *planepb.Datagram) { d.Entries[0] = entry("n2", "0.0.0.0:1") }, plane.ErrInvalidContent},
+		"state of two bytes":  {func(d *planepb.Datagram) { d.Entries[0].State = 256 }, plane.ErrInvalidContent},
+		"no start time":       {func(d *planepb.Datagram) { d.Entries[0].Start = 0 }, plane.ErrInvalidContent},
 	} {
 		d := validDatagram()
 		c.change(d)
@@ -71,7 +71,7 @@
 	require.ErrorIs(t, err, plane.ErrOversized)
 }
 
-// FuzzParse checks that Parse accepts no datagram that Append and Parse do not reproduce.
+// FuzzParse checks that each datagram accepted by Parse survives a round trip through Append and Parse.
 func FuzzParse(f *testing.F) {
 	b, _ := plane.Append(nil, validDatagram())
 	f.Add(b)
@@ -85,7 +85,7 @@
 		}
 		again, err := plane.Append(nil, d)
 		if err != nil {
-			require.ErrorIs(t, err, plane.ErrOversized) // the same message in a longer encoding
+			require.ErrorIs(t, err, plane.ErrOversized) // Append can encode the same message in more bytes
 			return
 		}
 		same, err := plane.Parse(again, fleet)
--- a/internal/cluster/plane/recording_test.go
+++ b/internal/cluster/plane/recording_test.go
@@ -14,11 +14,11 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// recordingPath is a recording of one datagram of each kind, written by the program at commit ff70e8f: a line is the kind,
-// a space and the datagram in hexadecimal digits.
+// recordingPath is a recording of one datagram of each kind, written by the program at commit ff70e8f. Each line has the
+// kind, a space and the datagram in hexadecimal digits.
 const recordingPath = "testdata/as-found.hex"
 
-// recordedDatagrams are the contents of the recording by kind, without what all datagrams have (recordedHeader).
+// recordedDatagrams returns the expected contents of the recording by kind, without the common header (withRecordedHeader).
 func recordedDatagrams() map[string]*planepb.Datagram {
 	lost := entry("n3", "10.0.0.3:7946")
 	lost.State, lost.Age = 5, 61
@@ -39,15 +39,15 @@
 	}
 }
 
-// recordedHeader sets what all datagrams of the recording have.
-func recordedHeader(d *planepb.Datagram) *planepb.Datagram {
+// withRecordedHeader sets the header fields that all recorded datagrams share.
+func withRecordedHeader(d *planepb.Datagram) *planepb.Datagram {
 	d.Version, d.Fleet, d.From, d.Seq = plane.Version, fleet, plane.InstanceID("n1", 5), 1<<40+3
 	d.Roster, d.States = 0xdeadbeef, 0x01020304
 	return d
 }
 
-// TestAppendAndParseKeepTheRecordedForm checks that brokers of the recorded program and of this one understand each other.
-func TestAppendAndParseKeepTheRecordedForm(t *testing.T) {
+// TestWireFormatMatchesRecording checks that this program and the one that wrote the recording can exchange datagrams.
+func TestWireFormatMatchesRecording(t *testing.T) {
 	want := recordedDatagrams()
 	f, err := os.Open(recordingPath)
 	require.NoError(t, err)
@@ -60,12 +60,12 @@
 		require.NoError(t, err, kind)
 		d, err := plane.Parse(recorded, fleet)
 		require.NoError(t, err, kind)
-		require.True(t, proto.Equal(recordedHeader(want[kind]), d), "%s: %v", kind, d)
+		require.True(t, proto.Equal(withRecordedHeader(want[kind]), d), "%s: %v", kind, d)
 		again, err := plane.Append(nil, d)
 		require.NoError(t, err, kind)
 		require.Equal(t, recorded, again, kind)
 		delete(want, kind)
 	}
 	require.NoError(t, lines.Err())
-	require.Empty(t, want, "kinds that the recording lacks")
+	require.Empty(t, want, "kinds of datagrams missing from the recording")
 }
