--- a/internal/cluster/membership/fleetsize.go
+++ b/internal/cluster/membership/fleetsize.go
@@ -5,16 +5,16 @@
 // FleetSize is the size of a fleet as one broker sees it. It counts brokers by name: the two instances of a rolling
 // replacement are one broker.
 type FleetSize struct {
-	Alive   int  // brokers with a live instance, this one included
-	Known   int  // brokers that are alive or lost; those that have left do not count
+	Alive   int  // brokers with a live instance, including this one
+	Known   int  // brokers that are alive or lost, but not those that have left
 	Sharing int  // brokers among which a shared budget is divided
-	Fenced  bool // this broker must not use any part of a shared budget
+	Fenced  bool // this broker must not use any share of a shared budget
 }
 
-// FleetSize returns the size of the fleet. A partitioned broker looks like a dead one, so lost brokers keep their part of a
-// shared budget. Only a majority, a side that sees more than half of all known brokers, divides it among those that it sees,
-// and only after twice fenceDelay, by which the minority has fenced itself. A fleet that really has lost most of its brokers
-// is fenced as well, until they return or their tombstones are reaped.
+// FleetSize returns the size of the fleet. A partitioned broker cannot be told from a dead one, so lost brokers keep their
+// share of a shared budget. Only a majority, a side of a partition that sees more than half of all known brokers alive,
+// divides the budget among those alive, and only after twice fenceDelay, when the minority has fenced itself. A fleet that has
+// actually lost most of its brokers is fenced as well, until they return or their tombstones are reaped.
 func (v *View) FleetSize() FleetSize {
 	if v.brokersStale {
 		v.brokers = v.countBrokers()
@@ -35,18 +35,18 @@
 	return size
 }
 
-// brokerCounts counts the brokers of a roster. The counts are cached until the roster or a state changes, since drivers call
-// FleetSize at each tick.
+// brokerCounts holds the counts of the brokers in a member list. They are cached until the member list or a state changes,
+// since drivers call FleetSize at each tick.
 type brokerCounts struct {
 	alive  int
-	lostAt []time.Duration // for each lost broker, when its latest instance was declared lost
+	lostAt []time.Duration // for each lost broker, when the last of its instances was declared lost
 }
 
-// countBrokers counts the brokers of the roster. A broker is alive if one of its instances is.
+// countBrokers counts the brokers of the member list. A broker is alive if one of its instances is.
 func (v *View) countBrokers() brokerCounts {
 	alive := map[string]bool{}
 	lostAt := map[string]time.Duration{}
-	for _, m := range v.roster {
+	for _, m := range v.memberList {
 		switch {
 		case m == v.self || v.isAlive(m):
 			alive[m.Name] = true
--- a/internal/cluster/membership/fleetsize_test.go
+++ b/internal/cluster/membership/fleetsize_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// newViewOfBrokers returns a view of n brokers, itself included, all alive.
+// newViewOfBrokers returns a view of n live brokers, including self.
 func newViewOfBrokers(n int) *View {
 	v := New(Options{Self: Instance{Name: "self", Start: 1, Addr: netip.MustParseAddrPort("127.0.0.1:1")}, Seed: 1})
 	for i := range n - 1 {
@@ -19,10 +19,11 @@
 	return v
 }
 
-// countByName counts the brokers of a roster that are alive, known and lost within twice fenceDelay, without any cache.
-func countByName(v *View) (alive, known, lately int) {
+// countByName returns the numbers of brokers of a member list that are alive, that are known, and that were lost within twice
+// fenceDelay. It recounts them at each call.
+func countByName(v *View) (alive, known, recentlyLost int) {
 	best, latest := map[string]Status{}, map[string]time.Duration{}
-	for _, m := range v.roster {
+	for _, m := range v.memberList {
 		s := m.state.status()
 		if m == v.self {
 			s = Alive
@@ -39,27 +40,27 @@
 		if s == Alive {
 			alive++
 		} else if v.now-latest[name] < 2*fenceDelay {
-			lately++
+			recentlyLost++
 		}
 	}
-	return alive, len(best), lately
+	return alive, len(best), recentlyLost
 }
 
-// TestFleetSizeFollowsRosterChanges checks the cached counts against a recount after each of many random changes.
-func TestFleetSizeFollowsRosterChanges(t *testing.T) {
+// TestFleetSizeFollowsMemberListChanges compares the cached counts with a recount after each of many random changes.
+func TestFleetSizeFollowsMemberListChanges(t *testing.T) {
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		v := newViewOfBrokers(20)
 		for step := range 2000 {
 			v.now += time.Duration(rng.Int64N(int64(time.Second)))
-			m := v.roster[rng.IntN(len(v.roster))]
+			m := v.memberList[rng.IntN(len(v.memberList))]
 			switch rng.IntN(6) {
 			case 0:
-				if len(v.roster) < 60 {
+				if len(v.memberList) < 60 {
 					v.add(Instance{Name: m.Name, Start: uint64(step) + 2, Addr: m.Addr}, state(rng.IntN(3)))
 				}
 			case 1:
-				if m != v.self && len(v.roster) > 10 {
+				if m != v.self && len(v.memberList) > 10 {
 					v.remove(m)
 				}
 			case 2:
@@ -69,11 +70,11 @@
 			case 4:
 				v.reapTombstones()
 			}
-			alive, known, lately := countByName(v)
-			c := v.FleetSize()
-			require.Equal(t, [2]int{alive, known}, [2]int{c.Alive, c.Known}, "seed %d, step %d", seed, step)
-			require.Contains(t, []int{alive + lately, known}, c.Sharing)
-			require.Equal(t, lately, v.brokers.countLostWithin(2*fenceDelay, v.now))
+			alive, known, recentlyLost := countByName(v)
+			size := v.FleetSize()
+			require.Equal(t, [2]int{alive, known}, [2]int{size.Alive, size.Known}, "seed %d, step %d", seed, step)
+			require.Contains(t, []int{alive + recentlyLost, known}, size.Sharing)
+			require.Equal(t, recentlyLost, v.brokers.countLostWithin(2*fenceDelay, v.now))
 		}
 	}
 }
--- a/internal/cluster/membership/fuzz_test.go
+++ b/internal/cluster/membership/fuzz_test.go
@@ -13,8 +13,8 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// FuzzReceive feeds a view any datagrams that plane.Parse would accept. Whatever they are, nothing panics, the roster and
-// the traffic stay bounded, and the view never reports itself as lost.
+// FuzzReceive passes arbitrary datagrams that plane.Parse would accept to a view, and checks that it does not panic, that the
+// member list and the traffic stay bounded, and that the view never reports self as lost.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24})
 	f.Add(make([]byte, 400))
@@ -62,9 +62,10 @@
 				require.Equal(t, membership.Alive, m.Status)
 			}
 		}
-		c := v.FleetSize()
-		require.LessOrEqual(t, c.Alive, c.Known)
-		require.GreaterOrEqual(t, c.Sharing, c.Alive)
-		require.Less(t, float64(bytes), 4000*now.Seconds()+10_000+100*float64(received)) // with an ack for each datagram
+		size := v.FleetSize()
+		require.LessOrEqual(t, size.Alive, size.Known)
+		require.GreaterOrEqual(t, size.Sharing, size.Alive)
+		// The last term allows for an ack of each datagram received.
+		require.Less(t, float64(bytes), 4000*now.Seconds()+10_000+100*float64(received))
 	})
 }
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -6,11 +6,11 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// pushUpdates gossips what has changed to random members: to gossipFanout of them the state vector, which is complete for
-// all members with the same roster. While rosters differ a vector is of no use, and one member receives the changed entries
-// alone; what else is missing is requested by those that miss it (requestSync).
+// pushUpdates gossips changes to random members. Normally gossipFanout members receive the state vector, which has all states
+// for a receiver with the same member list. While member lists differ, a vector cannot be interpreted: one member receives
+// the changed entries only, and members request the other entries that they lack (requestSync).
 func (v *View) pushUpdates() {
-	diverged := v.now-v.rosterDivergedAt < divergenceWindow
+	diverged := v.now-v.divergedAt < divergenceWindow
 	fanout := gossipFanout
 	if diverged {
 		fanout = 1
@@ -28,10 +28,10 @@
 	}
 }
 
-// collectPendingUpdates returns the instances whose entries are due with this push.
+// collectPendingUpdates returns the instances whose entries have to be pushed, and clears their pending flags.
 func (v *View) collectPendingUpdates() []*member {
 	var updates []*member
-	for _, m := range v.roster {
+	for _, m := range v.memberList {
 		if m.gossipPending {
 			updates = append(updates, m)
 			m.gossipPending = false
@@ -40,7 +40,7 @@
 	return updates
 }
 
-// appendEntries appends the entries of instances to a datagram, as many as fit.
+// appendEntries appends the entries of instances to a datagram, as many as fit into it.
 func (v *View) appendEntries(d *planepb.Datagram, instances []*member) {
 	for _, m := range instances {
 		if !v.appendEntry(d, m) {
@@ -49,9 +49,9 @@
 	}
 }
 
-// mergeGossip merges the entries and the state vector of a member's datagram, and sends that member what it lacks. A vector
-// refers to the sender's roster and is ignored if the digests show that the rosters differ. A sender whose states differ, and
-// who has sent no vector, is sent one.
+// mergeGossip merges the entries and the state vector of a member's datagram, and sends that member the entries and states it
+// lacks. A vector refers to the sender's member list and is ignored if the digests show that the member lists differ. A
+// sender whose states differ and that has sent no vector receives one.
 func (v *View) mergeGossip(m *member, d *planepb.Datagram) {
 	for _, e := range d.Entries {
 		v.mergeEntry(e)
@@ -59,15 +59,15 @@
 	if d.Sync {
 		v.sendMissingEntries(m, d)
 	}
-	if d.Roster != v.digest.roster {
-		v.rosterDivergedAt = v.now
+	if d.Roster != v.digest.instances {
+		v.divergedAt = v.now
 		return
 	}
 	if d.States == v.digest.states {
 		return
 	}
 	senderIsBehind := len(d.Vector) == 0
-	if len(d.Vector) == len(v.roster) {
+	if len(d.Vector) == len(v.memberList) {
 		senderIsBehind = v.mergeVector(d.Vector)
 	}
 	if senderIsBehind {
@@ -75,11 +75,11 @@
 	}
 }
 
-// mergeVector merges a state vector of the same roster. It reports whether self holds a later state of any instance.
+// mergeVector merges a state vector of the same member list. It reports whether self has a later state for any instance.
 func (v *View) mergeVector(vector []byte) bool {
 	senderIsBehind := false
 	for i, b := range vector {
-		m := v.roster[i]
+		m := v.memberList[i]
 		if m == v.self {
 			v.adoptOwnState(state(b))
 			continue
@@ -90,17 +90,17 @@
 	return senderIsBehind
 }
 
-// stateVector returns the states of the roster, a byte an instance.
+// stateVector returns the states of the member list, one byte per instance.
 func (v *View) stateVector() []byte {
-	vector := make([]byte, len(v.roster))
-	for i, m := range v.roster {
+	vector := make([]byte, len(v.memberList))
+	for i, m := range v.memberList {
 		vector[i] = byte(m.state)
 	}
 	return vector
 }
 
-// adoptOwnState adopts a later state that others hold of self, so that the digests agree, until one of them refutes it.
-// Members reports self as Alive all the same.
+// adoptOwnState adopts a later state that other members have for self, so that the digests agree until one of them refutes
+// it. Members still reports self as Alive.
 func (v *View) adoptOwnState(s state) {
 	if s.supersedes(v.self.state) && s.status() != Left && !v.leaving {
 		v.updateDigest(v.self, -1)
@@ -110,7 +110,7 @@
 	}
 }
 
-// mergeEntry merges an entry. An unknown instance is added, within the bounds of the roster.
+// mergeEntry merges an entry. It adds an unknown instance unless maxInstances or MaxMembers has been reached.
 func (v *View) mergeEntry(e *planepb.Entry) {
 	i := instanceFromEntry(e)
 	s := state(e.State)
@@ -120,12 +120,12 @@
 		v.adoptOwnState(s)
 	case m != nil:
 		v.applyState(m, s)
-	case len(v.roster) >= maxRoster || s.status() == Alive && v.aliveCount >= MaxMembers:
+	case len(v.memberList) >= maxInstances || s.status() == Alive && v.aliveCount >= MaxMembers:
 	default:
 		m = v.add(i, s)
 		m.stateSince -= time.Duration(min(e.Age, maxEntryAge)) * time.Second
 	}
 }
 
-// maxEntryAge bounds the age that an entry may claim, in seconds: no tombstone is older.
+// maxEntryAge is the upper bound applied to the age in an entry, in seconds: no tombstone is retained for longer.
 const maxEntryAge = uint32(tombstoneRetention / time.Second)
--- a/internal/cluster/membership/instance.go
+++ b/internal/cluster/membership/instance.go
@@ -11,24 +11,24 @@
 // Status is the status of a member in a view.
 type Status uint8
 
-// Statuses, ordered so that the greater one wins within an incarnation.
+// Statuses, in ascending precedence: within an incarnation the greater status wins.
 const (
 	Alive Status = iota
-	Lost         // declared failed by an observer: dead, or partitioned from it
-	Left         // announced its own shutdown
+	Lost         // declared failed by an observer: dead, or partitioned from the observer
+	Left         // has announced its own shutdown
 )
 
-// String returns the status as it is logged.
+// String returns the status as it appears in the log.
 func (s Status) String() string { return [...]string{"alive", "lost", "left", "unknown"}[min(s, 3)] }
 
 // Instance is one process of a broker.
 type Instance struct {
-	Name  string // of the broker, the same for all of its processes
-	Start uint64 // start of the process, in Unix nanoseconds
+	Name  string // name of the broker, the same for all of its processes
+	Start uint64 // start time of the process, in Unix nanoseconds
 	Addr  netip.AddrPort
 }
 
-// ID returns the instance's identifier, a hash of its name and start.
+// ID returns the instance's identifier, a hash of its name and start time.
 func (i Instance) ID() uint64 { return plane.InstanceID(i.Name, i.Start) }
 
 // instanceFromEntry returns the instance that an entry describes.
@@ -42,7 +42,7 @@
 	Status Status
 }
 
-// member is an instance with all that a view holds of it.
+// member is an instance with the data that a view has about it.
 type member struct {
 	Instance
 	id          uint64
@@ -55,17 +55,18 @@
 
 	observed           bool
 	adopted            bool          // observed because it did not ack a ping, although no ring assigns it to this view
-	unackedSince       time.Duration // when the first ping since its last contact was sent that expired; 0: none expired
-	silentSince        time.Duration // the start of the suspicion timer: its last contact, or when the timer was last restarted
+	unackedSince       time.Duration // send time of the first ping since its last contact that expired unacked; 0: none
+	silentSince        time.Duration // start of the suspicion timer: its last contact or the last restart of the timer
 	indirectPingSentAt time.Duration // when the latest indirect ping requests were sent; 0: none during this suspicion
 
-	// confirmations holds, by the relay's ID, when a relay's negative ack arrived during the present suspicion.
+	// confirmations holds, by relay ID, when a relay's negative ack arrived during the current suspicion.
 	confirmations map[uint64]time.Duration
 
-	gossipPending bool // its entry has to be sent with the next push
+	gossipPending bool // its entry must be sent with the next push
 }
 
-// state is an incarnation, in the upper bits, with a status. The later incarnation wins, and within it the greater status.
+// state has an incarnation in the upper bits and a status in the lower bits. The later incarnation wins, and within an
+// incarnation the greater status.
 type state uint8
 
 const (
@@ -82,24 +83,24 @@
 // refuted returns the state that refutes s: the next incarnation, alive.
 func (s state) refuted() state { return state((s.incarnation()+1)<<statusBits) | state(Alive) }
 
-// supersedes reports whether s is later than o. Left is final. Incarnations wrap around and are compared as serial numbers
-// (RFC 1982): states in circulation are never half of the range apart.
-func (s state) supersedes(o state) bool {
-	if o.status() == Left || s.status() == Left {
-		return s.status() == Left && o.status() != Left
+// supersedes reports whether s is later than another state. Left is final. Incarnations wrap around and are compared as serial
+// numbers (RFC 1982), since states in circulation are never half of the range apart.
+func (s state) supersedes(other state) bool {
+	if other.status() == Left || s.status() == Left {
+		return s.status() == Left && other.status() != Left
 	}
-	if ahead := (s.incarnation() - o.incarnation()) & (1<<incarnationBits - 1); ahead != 0 {
+	if ahead := (s.incarnation() - other.incarnation()) & (1<<incarnationBits - 1); ahead != 0 {
 		return ahead < 1<<(incarnationBits-1)
 	}
-	return s.status() > o.status()
+	return s.status() > other.status()
 }
 
-// seqWindowSize is how far behind the highest sequence number a datagram may arrive, in sequence numbers: the bits of
+// seqWindowSize is how far a datagram's sequence number may be behind the highest one accepted: the number of bits of
 // seqWindow.
 const seqWindowSize = 64
 
-// acceptSeq reports whether a sequence number is new, and marks it as accepted. A number that lies behind the window counts
-// as replayed.
+// acceptSeq reports whether a sequence number is new, and marks it as accepted. A number before the window is treated as
+// replayed.
 func (m *member) acceptSeq(seq uint64) bool {
 	if seq > m.seq {
 		m.seqWindow = m.seqWindow<<min(seq-m.seq, seqWindowSize) | 1
--- a/internal/cluster/membership/roster.go
+++ b/internal/cluster/membership/memberlist.go
@@ -8,7 +8,7 @@
 	"mothrouter/internal/cluster/plane"
 )
 
-// add adds an instance to the roster, which must not contain it.
+// add adds an instance to the member list, which must not contain it.
 func (v *View) add(i Instance, s state) *member {
 	m := &member{
 		Instance:      i,
@@ -19,30 +19,31 @@
 		gossipPending: true,
 	}
 	v.byID[m.id] = m
-	at, _ := slices.BinarySearchFunc(v.roster, m.id, func(o *member, id uint64) int { return cmp.Compare(o.id, id) })
-	v.roster = slices.Insert(v.roster, at, m)
+	index, _ := slices.BinarySearchFunc(v.memberList, m.id,
+		func(other *member, id uint64) int { return cmp.Compare(other.id, id) })
+	v.memberList = slices.Insert(v.memberList, index, m)
 	for r := range v.rings {
-		at, _ := slices.BinarySearchFunc(v.rings[r], m, compareOnRing(r))
-		v.rings[r] = slices.Insert(v.rings[r], at, m)
+		index, _ := slices.BinarySearchFunc(v.rings[r], m, compareOnRing(r))
+		v.rings[r] = slices.Insert(v.rings[r], index, m)
 	}
 	v.updateDigest(m, 1)
 	v.statusChanged(m)
 	return m
 }
 
-// remove removes an instance from the roster.
+// remove removes an instance from the member list.
 func (v *View) remove(m *member) {
 	v.updateDigest(m, -1)
 	delete(v.byID, m.id)
-	isRemoved := func(o *member) bool { return o == m }
-	v.roster = slices.DeleteFunc(v.roster, isRemoved)
+	isRemoved := func(other *member) bool { return other == m }
+	v.memberList = slices.DeleteFunc(v.memberList, isRemoved)
 	for r := range v.rings {
 		v.rings[r] = slices.DeleteFunc(v.rings[r], isRemoved)
 	}
 	v.ringsStale = true
 }
 
-// applyState sets a member's state if it supersedes the present one.
+// applyState sets a member's state if it supersedes the current one.
 func (v *View) applyState(m *member, s state) {
 	if !s.supersedes(m.state) {
 		return
@@ -60,7 +61,7 @@
 	}
 }
 
-// statusChanged schedules what follows a new status, and calls Options.Changed unless the member is self.
+// statusChanged schedules the reassignment of observers and a push, and calls Options.Changed unless the member is self.
 func (v *View) statusChanged(m *member) {
 	v.ringsStale = true
 	v.pushPending = true
@@ -69,11 +70,12 @@
 	}
 }
 
-// updateDigest adds a member to the digest and counts it by sign 1, or removes it by -1; XOR does both. Each change of the
-// roster or of a state calls it.
+// updateDigest adds a member to the digest and to the count of live members if sign is 1, and removes it if sign is -1. The
+// XOR on the digest serves for both. It must be called before and after each change of a state and for each instance added
+// or removed.
 func (v *View) updateDigest(m *member, sign int) {
 	v.brokersStale = true
-	v.digest.roster ^= uint32(plane.Hash(m.id))
+	v.digest.instances ^= uint32(plane.Hash(m.id))
 	v.digest.states ^= uint32(plane.Hash(m.id, uint64(m.state)))
 	if v.isAlive(m) {
 		v.aliveCount += sign
@@ -86,23 +88,23 @@
 // pickRandom returns up to n random live members other than self that satisfy a condition.
 func (v *View) pickRandom(n int, satisfies func(*member) bool) []*member {
 	var picked []*member
-	for _, i := range v.rng.Perm(len(v.roster)) {
+	for _, i := range v.rng.Perm(len(v.memberList)) {
 		if len(picked) == n {
 			break
 		}
-		if m := v.roster[i]; m != v.self && v.isAlive(m) && satisfies(m) {
+		if m := v.memberList[i]; m != v.self && v.isAlive(m) && satisfies(m) {
 			picked = append(picked, m)
 		}
 	}
 	return picked
 }
 
-// anyMember is the condition of pickRandom that all members satisfy.
+// anyMember is a condition for pickRandom that all members satisfy.
 func anyMember(*member) bool { return true }
 
 // reapTombstones removes the instances whose retention has ended.
 func (v *View) reapTombstones() {
-	for _, m := range slices.Clone(v.roster) {
+	for _, m := range slices.Clone(v.memberList) {
 		if m != v.self && v.now-m.stateSince > v.retention(m) {
 			v.remove(m)
 		}
@@ -112,7 +114,7 @@
 // unlimitedRetention is the retention of live members.
 const unlimitedRetention = time.Duration(1<<63 - 1)
 
-// retention returns how long an instance stays in the roster in its present state.
+// retention returns how long an instance stays in the member list in its current state.
 func (v *View) retention(m *member) time.Duration {
 	switch m.state.status() {
 	case Alive:
@@ -127,5 +129,5 @@
 
 // isReplaced reports whether an instance of the same broker is alive.
 func (v *View) isReplaced(m *member) bool {
-	return slices.ContainsFunc(v.roster, func(o *member) bool { return o.Name == m.Name && v.isAlive(o) })
+	return slices.ContainsFunc(v.memberList, func(other *member) bool { return other.Name == m.Name && v.isAlive(other) })
 }
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -13,337 +13,343 @@
 
 var (
 	members = flag.Int("members", 40, "brokers of the simulated fleet; docs/fleet.md has figures for 300")
-	seeds   = flag.Int("seeds", 1, "seeds of each case")
-	long    = flag.Duration("long", 30*time.Second, "virtual time of the cases without any expected verdict")
+	seeds   = flag.Int("seeds", 1, "number of seeds that each test runs with")
+	long    = flag.Duration("long", 30*time.Second, "simulated duration of the tests that expect no member to be declared lost")
 )
 
 // maxBytesPerSecond is the traffic that a member may send, with IP and UDP headers.
 const maxBytesPerSecond = 4000
 
-// forEachSeed runs a case on each seed, on a fleet whose views agree.
-func forEachSeed(t *testing.T, f func(t *testing.T, w *network)) {
+// forEachSeed runs a test with each seed, on a fleet whose views agree.
+func forEachSeed(t *testing.T, f func(t *testing.T, net *network)) {
 	t.Parallel()
 	for seed := range *seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			w := newNetwork(t, *members, uint64(seed))
-			w.runUntilAgreed(2 * time.Minute) // all brokers start at once and have three seeds
-			t.Logf("views agree after %v", w.now)
-			w.run(w.now + time.Second)
-			w.requireNoLoss(nil)
-			f(t, w)
+			net := newNetwork(t, *members, uint64(seed))
+			net.runUntilAgreed(2 * time.Minute) // all brokers start at once and have three seeds
+			t.Logf("views agree after %v", net.now)
+			net.run(net.now + time.Second)
+			net.requireNoLoss(nil)
+			f(t, net)
 		})
 	}
 }
 
-func name(x *node) string { return fmt.Sprint("n", x.i) }
+func nameOf(n *node) string { return fmt.Sprint("n", n.index) }
 
 func TestFailureIsDetectedWithin5Seconds(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, w *network) {
+	forEachSeed(t, func(t *testing.T, net *network) {
 		var latencies []time.Duration
-		except := map[string]bool{}
+		failed := map[string]bool{}
 		for i := range 5 {
-			x := w.nodes[w.rng.IntN(len(w.nodes))]
-			if x.dead {
+			n := net.nodes[net.rng.IntN(len(net.nodes))]
+			if n.dead {
 				continue
 			}
-			x.dead, except[name(x)] = true, true
-			at := w.now
-			w.run(w.now + 6*time.Second + time.Duration(i)*77*time.Millisecond)
-			for _, o := range w.nodes {
-				if !o.dead {
-					require.Contains(t, o.lostAt, name(x))
-					latencies = append(latencies, o.lostAt[name(x)]-at)
+			n.dead, failed[nameOf(n)] = true, true
+			failedAt := net.now
+			net.run(net.now + 6*time.Second + time.Duration(i)*77*time.Millisecond)
+			for _, other := range net.nodes {
+				if !other.dead {
+					require.Contains(t, other.lostAt, nameOf(n))
+					latencies = append(latencies, other.lostAt[nameOf(n)]-failedAt)
 				}
 			}
 		}
 		slices.Sort(latencies)
-		t.Logf("known after %v (median), %v (99 %%), %v (all)", latencies[len(latencies)/2], latencies[len(latencies)*99/100], latencies[len(latencies)-1])
+		t.Logf("detected after %v (median), %v (99th percentile), %v (maximum)",
+			latencies[len(latencies)/2], latencies[len(latencies)*99/100], latencies[len(latencies)-1])
 		require.Less(t, latencies[len(latencies)*99/100], 5*time.Second)
-		w.requireNoLoss(except)
+		net.requireNoLoss(failed)
 	})
 }
 
 func TestLossDuplicationAndReorderingCauseNoFalsePositive(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, w *network) {
-		w.lossRatio, w.duplicateRatio, w.maxDelay = 0.2, 0.2, 80*time.Millisecond
-		maxRate := w.maxSendRate(func() { w.run(w.now + *long) })
-		w.requireNoLoss(nil)
+	forEachSeed(t, func(t *testing.T, net *network) {
+		net.lossRatio, net.duplicateRatio, net.maxDelay = 0.2, 0.2, 80*time.Millisecond
+		maxRate := net.maxSendRate(func() { net.run(net.now + *long) })
+		net.requireNoLoss(nil)
 		require.Less(t, maxRate, float64(maxBytesPerSecond))
-		t.Logf("%.0f bytes a second at most", maxRate)
+		t.Logf("at most %.0f bytes per second", maxRate)
 	})
 }
 
 func TestPausesUpTo4SecondsCauseNoFalsePositive(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, w *network) {
-		maxRate := w.maxSendRate(func() {
-			for end := w.now + *long; w.now < end; {
-				for range max(len(w.nodes)/10, 1) {
-					if x := w.nodes[w.rng.IntN(len(w.nodes))]; w.now >= x.pausedUntil {
-						x.pausedUntil = w.now + time.Duration(w.rng.Int64N(int64(4*time.Second)))
+	forEachSeed(t, func(t *testing.T, net *network) {
+		maxRate := net.maxSendRate(func() {
+			for end := net.now + *long; net.now < end; {
+				for range max(len(net.nodes)/10, 1) {
+					if n := net.nodes[net.rng.IntN(len(net.nodes))]; net.now >= n.pausedUntil {
+						n.pausedUntil = net.now + time.Duration(net.rng.Int64N(int64(4*time.Second)))
 					}
 				}
-				w.run(w.now + 4*time.Second)
+				net.run(net.now + 4*time.Second)
 			}
 		})
-		w.requireNoLoss(nil)
+		net.requireNoLoss(nil)
 		require.Less(t, maxRate, float64(maxBytesPerSecond))
-		t.Logf("%.0f bytes a second at most", maxRate)
+		t.Logf("at most %.0f bytes per second", maxRate)
 	})
 }
 
-func TestLongPauseIsLostOnceAndRefutedOnResume(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, w *network) {
-		x := w.nodes[w.rng.IntN(len(w.nodes))]
-		x.pausedUntil = w.now + 15*time.Second
-		w.run(x.pausedUntil)
-		for _, o := range w.nodes {
-			if o != x {
-				require.Equal(t, []string{name(x)}, o.lostNames)
+func TestLongPauseCausesOneLossRefutedOnResume(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, net *network) {
+		n := net.nodes[net.rng.IntN(len(net.nodes))]
+		n.pausedUntil = net.now + 15*time.Second
+		net.run(n.pausedUntil)
+		for _, other := range net.nodes {
+			if other != n {
+				require.Equal(t, []string{nameOf(n)}, other.lostNames)
 			}
 		}
-		woke := w.now
-		w.run(w.now + 3*time.Second)
-		require.True(t, w.viewsAgree(nil), w.describeViews())
-		for _, o := range w.nodes {
-			if o != x {
-				require.Equal(t, []string{name(x)}, o.lostNames)
-				require.Less(t, o.aliveAt[name(x)]-woke, 3*time.Second)
+		resumedAt := net.now
+		net.run(net.now + 3*time.Second)
+		require.True(t, net.viewsAgree(nil), net.describeViews())
+		for _, other := range net.nodes {
+			if other != n {
+				require.Equal(t, []string{nameOf(n)}, other.lostNames)
+				require.Less(t, other.aliveAt[nameOf(n)]-resumedAt, 3*time.Second)
 			}
 		}
-		require.Empty(t, x.lostNames, "a member that resumes declares none lost")
+		require.Empty(t, n.lostNames, "a resumed member must declare no member lost")
 	})
 }
 
 func TestPartitionOfOnePairCausesNoFalsePositive(t *testing.T) {
 	for _, both := range []bool{true, false} {
 		t.Run(fmt.Sprint("both directions: ", both), func(t *testing.T) {
-			forEachSeed(t, func(_ *testing.T, w *network) {
-				a := w.nodes[w.rng.IntN(len(w.nodes))]
-				for range 6 { // one pair after the other
-					b := w.nodes[w.rng.IntN(len(w.nodes))]
-					w.partitioned = func(from, to *node) bool {
+			forEachSeed(t, func(_ *testing.T, net *network) {
+				a := net.nodes[net.rng.IntN(len(net.nodes))]
+				for range 6 { // six pairs in sequence
+					b := net.nodes[net.rng.IntN(len(net.nodes))]
+					net.partitioned = func(from, to *node) bool {
 						return from == a && to == b || both && from == b && to == a
 					}
-					w.run(w.now + 7*time.Second)
+					net.run(net.now + 7*time.Second)
 				}
-				w.requireNoLoss(nil)
+				net.requireNoLoss(nil)
 			})
 		})
 	}
 }
 
-func TestOneWayPartitionYieldsOneVerdict(t *testing.T) {
-	for _, deaf := range []bool{true, false} {
-		t.Run(map[bool]string{true: "deaf", false: "mute"}[deaf], func(t *testing.T) {
-			forEachSeed(t, func(t *testing.T, w *network) {
-				a := w.nodes[w.rng.IntN(len(w.nodes))]
-				w.partitioned = func(from, to *node) bool { return deaf && to == a || !deaf && from == a }
-				w.run(w.now + 40*time.Second)
+// TestOneWayPartitionCausesSameVerdictEverywhere checks that a member that sends nothing is declared lost once by all others,
+// and that a member that receives nothing is declared lost by none.
+func TestOneWayPartitionCausesSameVerdictEverywhere(t *testing.T) {
+	for _, inbound := range []bool{true, false} {
+		t.Run(map[bool]string{true: "receives nothing", false: "sends nothing"}[inbound], func(t *testing.T) {
+			forEachSeed(t, func(t *testing.T, net *network) {
+				n := net.nodes[net.rng.IntN(len(net.nodes))]
+				net.partitioned = func(from, to *node) bool { return inbound && to == n || !inbound && from == n }
+				net.run(net.now + 40*time.Second)
 				want := 0
-				if !deaf {
+				if !inbound {
 					want = 1
 				}
-				for _, o := range w.nodes {
-					if o != a {
-						require.Len(t, o.lostNames, want, "the same verdict everywhere, and once")
+				for _, other := range net.nodes {
+					if other != n {
+						require.Len(t, other.lostNames, want, "members that n%d has declared lost", other.index)
 					}
 				}
-				require.Empty(t, a.lostNames)
-				if deaf {
-					require.True(t, a.FleetSize().Fenced, "a member that receives nothing fences itself")
+				require.Empty(t, n.lostNames)
+				if inbound {
+					require.True(t, n.FleetSize().Fenced, "a member that receives nothing must fence itself")
 				}
-				w.partitioned = func(_, _ *node) bool { return false }
-				w.run(w.now + 5*time.Second)
-				require.True(t, w.viewsAgree(nil), w.describeViews())
+				net.partitioned = func(_, _ *node) bool { return false }
+				net.run(net.now + 5*time.Second)
+				require.True(t, net.viewsAgree(nil), net.describeViews())
 			})
 		})
 	}
 }
 
-// TestZonePartitionFencesMinorityAndHeals checks that both sides declare each other lost, that their parts of a shared
-// budget never sum to more than the budget, and that the views agree after the partition has healed.
+// TestZonePartitionFencesMinorityAndHeals checks that both sides declare each other lost, that the shares of a shared budget
+// never sum to more than the budget, and that the views agree after the partition has healed.
 func TestZonePartitionFencesMinorityAndHeals(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, w *network) {
-		minority := func(x *node) bool { return x.i%3 == 0 }
-		majority := func(x *node) bool { return x.i%3 != 0 }
-		w.partitioned = func(from, to *node) bool { return minority(from) != minority(to) }
-		maxRate := w.maxSendRate(func() {
-			w.run(w.now + 15*time.Second)
-			require.True(t, w.viewsAgree(minority) && w.viewsAgree(majority), w.describeViews())
-			for at := w.now + 45*time.Second; w.now < at; {
-				w.run(w.now + time.Second)
-				parts := 0.0
-				for _, x := range w.nodes {
-					if c := x.FleetSize(); !c.Fenced {
-						parts += 1 / float64(c.Sharing)
+	forEachSeed(t, func(t *testing.T, net *network) {
+		minority := func(n *node) bool { return n.index%3 == 0 }
+		majority := func(n *node) bool { return n.index%3 != 0 }
+		net.partitioned = func(from, to *node) bool { return minority(from) != minority(to) }
+		maxRate := net.maxSendRate(func() {
+			net.run(net.now + 15*time.Second)
+			require.True(t, net.viewsAgree(minority) && net.viewsAgree(majority), net.describeViews())
+			for end := net.now + 45*time.Second; net.now < end; {
+				net.run(net.now + time.Second)
+				shares := 0.0
+				for _, n := range net.nodes {
+					if size := n.FleetSize(); !size.Fenced {
+						shares += 1 / float64(size.Sharing)
 					}
 				}
-				require.LessOrEqual(t, parts, 1.0001, "sum of the parts of the budget")
+				require.LessOrEqual(t, shares, 1.0001, "sum of the shares of the budget")
 			}
 		})
-		w.partitioned = func(_, _ *node) bool { return false }
-		healed := w.now
-		maxRate = max(maxRate, w.maxSendRate(func() { w.run(w.now + 5*time.Second) }))
-		require.True(t, w.viewsAgree(nil), "5 s after %v: %s", healed, w.describeViews())
+		net.partitioned = func(_, _ *node) bool { return false }
+		healedAt := net.now
+		maxRate = max(maxRate, net.maxSendRate(func() { net.run(net.now + 5*time.Second) }))
+		require.True(t, net.viewsAgree(nil), "5 s after the partition healed at %v: %s", healedAt, net.describeViews())
 		require.Less(t, maxRate, float64(maxBytesPerSecond))
-		t.Logf("%.0f bytes a second at most", maxRate)
+		t.Logf("at most %.0f bytes per second", maxRate)
 	})
 }
 
-func TestSeventyPercentFailingAtOnceAreDetected(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, w *network) {
-		for _, x := range w.nodes {
-			x.dead = w.rng.Float64() < 0.7
+func TestFailureOfSeventyPercentIsDetected(t *testing.T) {
+	forEachSeed(t, func(t *testing.T, net *network) {
+		for _, n := range net.nodes {
+			n.dead = net.rng.Float64() < 0.7
 		}
-		at := w.now
-		maxRate := w.maxSendRate(func() {
-			for !w.viewsAgree(nil) && w.now < at+15*time.Second {
-				w.run(w.now + 100*time.Millisecond)
+		failedAt := net.now
+		maxRate := net.maxSendRate(func() {
+			for !net.viewsAgree(nil) && net.now < failedAt+15*time.Second {
+				net.run(net.now + 100*time.Millisecond)
 			}
 		})
-		t.Logf("views agree after %v, %.0f bytes a second at most", w.now-at, maxRate)
-		require.LessOrEqual(t, w.now-at, 10*time.Second, w.describeViews())
+		t.Logf("views agree after %v, at most %.0f bytes per second", net.now-failedAt, maxRate)
+		require.LessOrEqual(t, net.now-failedAt, 10*time.Second, net.describeViews())
 		require.Less(t, maxRate, float64(maxBytesPerSecond))
-		for _, x := range w.nodes { // they restart under their names
-			if x.dead {
-				w.start(x.i)
+		for _, n := range net.nodes { // the dead brokers restart under their old names
+			if n.dead {
+				net.start(n.index)
 			}
 		}
-		w.runUntilAgreed(20 * time.Second)
+		net.runUntilAgreed(20 * time.Second)
 	})
 }
 
 func TestRollingRestartConverges(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, w *network) {
-		maxRate := w.maxSendRate(func() {
+	forEachSeed(t, func(t *testing.T, net *network) {
+		maxRate := net.maxSendRate(func() {
 			for tenth := range 10 {
-				for i := tenth; i < len(w.nodes); i += 10 {
-					x := w.nodes[i]
-					w.transmit(x, x.Leave(w.now))
-					x.dead = true
-					w.start(x.i)
+				for i := tenth; i < len(net.nodes); i += 10 {
+					n := net.nodes[i]
+					net.transmit(n, n.Leave(net.now))
+					n.dead = true
+					net.start(n.index)
 				}
-				w.run(w.now + 3*time.Second)
+				net.run(net.now + 3*time.Second)
 			}
 		})
-		at := w.now
-		w.runUntilAgreed(10 * time.Second)
-		t.Logf("views agree after %v, %.0f bytes a second at most", w.now-at, maxRate)
+		restartedAt := net.now
+		net.runUntilAgreed(10 * time.Second)
+		t.Logf("views agree after %v, at most %.0f bytes per second", net.now-restartedAt, maxRate)
 		require.Less(t, maxRate, float64(maxBytesPerSecond))
 	})
 }
 
-// TestInstancesOfOneNameCountAsOneBroker checks the fleet size while both instances of a rolling replacement live, and after.
+// TestInstancesOfOneNameCountAsOneBroker checks the fleet size during a rolling replacement, while both instances are alive,
+// and after the old one has failed.
 func TestInstancesOfOneNameCountAsOneBroker(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, w *network) {
-		old := w.nodes[len(w.nodes)-1]
-		old.addr = netip.MustParseAddrPort("127.9.9.9:1") // it runs beside the new one, at another address
-		w.byAddr[old.addr] = old
-		w.start(old.i)
-		w.run(w.now + 5*time.Second)
-		require.Equal(t, len(w.nodes), w.nodes[0].FleetSize().Alive)
+	forEachSeed(t, func(t *testing.T, net *network) {
+		old := net.nodes[len(net.nodes)-1]
+		old.addr = netip.MustParseAddrPort("127.9.9.9:1") // it keeps running, at another address than the new instance
+		net.byAddr[old.addr] = old
+		net.start(old.index)
+		net.run(net.now + 5*time.Second)
+		require.Equal(t, len(net.nodes), net.nodes[0].FleetSize().Alive)
 		old.dead = true
-		w.run(w.now + 6*time.Second)
-		require.Equal(t, len(w.nodes), w.nodes[0].FleetSize().Alive)
-		require.Equal(t, len(w.nodes), w.nodes[0].FleetSize().Known)
+		net.run(net.now + 6*time.Second)
+		require.Equal(t, len(net.nodes), net.nodes[0].FleetSize().Alive)
+		require.Equal(t, len(net.nodes), net.nodes[0].FleetSize().Known)
 	})
 }
 
-// TestDelayedDatagramDoesNotRefuteLoss checks that datagrams of a failed member that arrive after the verdict, with sequence
-// numbers never seen before, do not make it alive.
+// TestDelayedDatagramDoesNotRefuteLoss checks that datagrams of a failed member that arrive after it was declared lost, with
+// sequence numbers not yet accepted, do not make it alive again.
 func TestDelayedDatagramDoesNotRefuteLoss(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, w *network) {
-		x := w.nodes[len(w.nodes)/2]
-		w.delayed = func(from, _ *node) bool { return from == x }
-		w.run(w.now + time.Second)
-		x.dead = true
-		w.run(w.now + 8*time.Second)
-		require.NotEmpty(t, w.delayedEvents)
-		for _, late := range w.delayedEvents {
-			require.Contains(t, late.to.lostAt, name(x))
-			w.transmit(late.to, late.to.Receive(w.now, late.from, late.data))
+	forEachSeed(t, func(t *testing.T, net *network) {
+		n := net.nodes[len(net.nodes)/2]
+		net.delayed = func(from, _ *node) bool { return from == n }
+		net.run(net.now + time.Second)
+		n.dead = true
+		net.run(net.now + 8*time.Second)
+		require.NotEmpty(t, net.delayedEvents)
+		for _, delayed := range net.delayedEvents {
+			require.Contains(t, delayed.to.lostAt, nameOf(n))
+			net.transmit(delayed.to, delayed.to.Receive(net.now, delayed.from, delayed.data))
 		}
-		w.run(w.now + 3*time.Second)
-		for _, o := range w.nodes {
-			if o != x {
-				require.Less(t, o.aliveAt[name(x)], o.lostAt[name(x)], "lost after it was last alive")
+		net.run(net.now + 3*time.Second)
+		for _, other := range net.nodes {
+			if other != n {
+				require.Less(t, other.aliveAt[nameOf(n)], other.lostAt[nameOf(n)], "the loss must be the latest verdict")
 			}
 		}
 	})
 }
 
-// TestReplayedDatagramIsDropped checks that a sequence number is accepted once: a duplicate is no proof of life.
+// TestReplayedDatagramIsDropped checks that a sequence number is accepted only once, since a duplicate does not prove that
+// its sender is alive.
 func TestReplayedDatagramIsDropped(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, w *network) {
-		x := w.nodes[1]
-		w.delayed = func(from, _ *node) bool { return from == x }
-		w.run(w.now + time.Second)
-		w.delayed = func(_, _ *node) bool { return false }
-		first := w.delayedEvents[0]
+	forEachSeed(t, func(t *testing.T, net *network) {
+		n := net.nodes[1]
+		net.delayed = func(from, _ *node) bool { return from == n }
+		net.run(net.now + time.Second)
+		net.delayed = func(_, _ *node) bool { return false }
+		first := net.delayedEvents[0]
 		drops := first.to.DroppedDatagrams
-		w.transmit(first.to, first.to.Receive(w.now, first.from, first.data))
+		net.transmit(first.to, first.to.Receive(net.now, first.from, first.data))
 		require.Equal(t, drops, first.to.DroppedDatagrams)
 		for range 3 {
-			w.transmit(first.to, first.to.Receive(w.now, first.from, first.data))
+			net.transmit(first.to, first.to.Receive(net.now, first.from, first.data))
 		}
 		require.Equal(t, drops+3, first.to.DroppedDatagrams)
 	})
 }
 
-// TestHourLongPartitionNeverOversharesBudget checks the sum of the parts of a shared budget during an hour's partition, and
-// that the views agree afterwards. The fleet is small and has one seed, since the case is an hour of virtual time.
-func TestHourLongPartitionNeverOversharesBudget(t *testing.T) {
+// TestHourLongPartitionNeverExceedsSharedBudget checks the sum of the shares of a shared budget during a partition of one
+// hour, and that the views agree afterwards. The fleet is small and the test runs with one seed only, since it simulates an
+// hour.
+func TestHourLongPartitionNeverExceedsSharedBudget(t *testing.T) {
 	t.Parallel()
-	w := newNetwork(t, 5, 1)
-	w.runUntilAgreed(time.Minute)
-	region := func(x *node) bool { return x.i >= 3 }
-	w.partitioned = func(from, to *node) bool { return region(from) != region(to) }
-	for end := w.now + time.Hour; w.now < end; {
-		w.run(w.now + 30*time.Second)
-		parts := 0.0
-		for _, x := range w.nodes {
-			c := x.FleetSize()
-			require.Equal(t, 5, c.Known, "n%d has reaped tombstones after %v", x.i, w.now)
-			if !c.Fenced {
-				parts += 1 / float64(c.Sharing)
+	net := newNetwork(t, 5, 1)
+	net.runUntilAgreed(time.Minute)
+	minority := func(n *node) bool { return n.index >= 3 }
+	net.partitioned = func(from, to *node) bool { return minority(from) != minority(to) }
+	for end := net.now + time.Hour; net.now < end; {
+		net.run(net.now + 30*time.Second)
+		shares := 0.0
+		for _, n := range net.nodes {
+			size := n.FleetSize()
+			require.Equal(t, 5, size.Known, "n%d has reaped tombstones at %v", n.index, net.now)
+			if !size.Fenced {
+				shares += 1 / float64(size.Sharing)
 			}
 		}
-		require.LessOrEqual(t, parts, 1.0001, "after %v", w.now)
+		require.LessOrEqual(t, shares, 1.0001, "sum of the shares of the budget at %v", net.now)
 	}
-	for _, x := range w.nodes {
-		require.Equal(t, region(x), x.FleetSize().Fenced)
+	for _, n := range net.nodes {
+		require.Equal(t, minority(n), n.FleetSize().Fenced, "n%d", n.index)
 	}
-	w.partitioned = func(_, _ *node) bool { return false }
-	w.run(w.now + 5*time.Second)
-	require.True(t, w.viewsAgree(nil), w.describeViews())
+	net.partitioned = func(_, _ *node) bool { return false }
+	net.run(net.now + 5*time.Second)
+	require.True(t, net.viewsAgree(nil), net.describeViews())
 }
 
-// TestPartitionHealsWithoutSeeds checks that views agree after a partition although all seeds have failed.
+// TestPartitionHealsWithoutSeeds checks that the views agree after a partition although all seeds have failed.
 func TestPartitionHealsWithoutSeeds(t *testing.T) {
-	forEachSeed(t, func(t *testing.T, w *network) {
-		for _, x := range w.nodes[:3] {
-			x.dead = true
+	forEachSeed(t, func(t *testing.T, net *network) {
+		for _, n := range net.nodes[:3] {
+			n.dead = true
 		}
-		w.run(w.now + 8*time.Second)
-		minority := func(x *node) bool { return x.i%3 == 0 }
-		w.partitioned = func(from, to *node) bool { return minority(from) != minority(to) }
-		w.run(w.now + 20*time.Second)
-		w.partitioned = func(_, _ *node) bool { return false }
-		w.run(w.now + 5*time.Second)
-		require.True(t, w.viewsAgree(nil), w.describeViews())
+		net.run(net.now + 8*time.Second)
+		minority := func(n *node) bool { return n.index%3 == 0 }
+		net.partitioned = func(from, to *node) bool { return minority(from) != minority(to) }
+		net.run(net.now + 20*time.Second)
+		net.partitioned = func(_, _ *node) bool { return false }
+		net.run(net.now + 5*time.Second)
+		require.True(t, net.viewsAgree(nil), net.describeViews())
 	})
 }
 
 func TestSimulationIsDeterministic(t *testing.T) {
 	t.Parallel()
 	run := func() (sums []uint64) {
-		w := newNetwork(t, 20, 3)
-		w.lossRatio = 0.1
-		w.run(10 * time.Second)
-		w.nodes[4].dead = true
-		w.run(20 * time.Second)
-		for _, x := range w.nodes {
-			sums = append(sums, x.Fingerprint(), uint64(x.sentBytes))
+		net := newNetwork(t, 20, 3)
+		net.lossRatio = 0.1
+		net.run(10 * time.Second)
+		net.nodes[4].dead = true
+		net.run(20 * time.Second)
+		for _, n := range net.nodes {
+			sums = append(sums, n.Fingerprint(), uint64(n.sentBytes))
 		}
 		return sums
 	}
--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -15,7 +15,7 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// network simulates a fleet on virtual time, deterministically from one seed.
+// network simulates a fleet and its network in virtual time. A run is determined by its seed.
 type network struct {
 	t      testing.TB
 	rng    *rand.Rand
@@ -24,27 +24,30 @@
 	byAddr map[netip.AddrPort]*node
 	events events
 
-	lossRatio, duplicateRatio float64       // fractions of all datagrams
-	maxDelay                  time.Duration // datagrams are delayed by up to this and so reordered
-	partitioned               func(from, to *node) bool
-	delayed                   func(from, to *node) bool // these go to delayedEvents instead, for the test to deliver
-	delayedEvents             []event
+	lossRatio      float64                   // fraction of datagrams that are lost
+	duplicateRatio float64                   // fraction of the other datagrams that are duplicated
+	maxDelay       time.Duration             // datagrams are delayed, and so reordered, by up to this
+	partitioned    func(from, to *node) bool // reports whether datagrams between two nodes are dropped
+	delayed        func(from, to *node) bool // reports whether datagrams are put into delayedEvents instead of being sent
+	delayedEvents  []event                   // for the test to deliver
 }
 
+// node is a simulated broker.
 type node struct {
 	*membership.View
-	i           int
+	index       int // the broker's name is "n" and this number
 	zone        int
 	addr        netip.AddrPort
 	dead        bool
 	pausedUntil time.Duration
 	queue       []event // datagrams received during the pause
 	sentBytes   int
-	lostNames   []string                 // names of the members it reported lost, in order
-	lostAt      map[string]time.Duration // when it last reported each lost
-	aliveAt     map[string]time.Duration // when it last reported each alive again
+	lostNames   []string                 // names of the members that it reported lost, in order
+	lostAt      map[string]time.Duration // by name, when it last reported the member lost
+	aliveAt     map[string]time.Duration // by name, when it last reported the member alive
 }
 
+// event is a datagram or a tick that is due at a node.
 type event struct {
 	at   time.Duration
 	to   *node
@@ -52,6 +55,7 @@
 	data *planepb.Datagram // nil: a tick
 }
 
+// events is a heap ordered by time.
 type events []event
 
 func (e events) Len() int           { return len(e) }
@@ -67,137 +71,139 @@
 
 const fleet = 7
 
-func newNetwork(t testing.TB, n int, seed uint64) *network {
-	w := &network{t: t, rng: rand.New(rand.NewPCG(seed, 5)), byAddr: map[netip.AddrPort]*node{}, maxDelay: 5 * time.Millisecond,
+func newNetwork(t testing.TB, nodes int, seed uint64) *network {
+	net := &network{t: t, rng: rand.New(rand.NewPCG(seed, 5)), byAddr: map[netip.AddrPort]*node{}, maxDelay: 5 * time.Millisecond,
 		partitioned: func(_, _ *node) bool { return false }, delayed: func(_, _ *node) bool { return false }}
-	for i := range n {
-		w.start(i)
+	for i := range nodes {
+		net.start(i)
 	}
-	return w
+	return net
 }
 
 func addrOf(i int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(i / 250), byte(i % 250), 1}), 7946)
 }
 
-// start starts the broker of a number, or another instance of it.
-func (w *network) start(i int) {
-	x := &node{i: i, zone: i % 2, addr: addrOf(i), lostAt: map[string]time.Duration{}, aliveAt: map[string]time.Duration{}}
-	x.View = membership.New(membership.Options{
-		Self:  membership.Instance{Name: fmt.Sprint("n", i), Start: uint64(w.now) + 1, Addr: x.addr},
-		Fleet: fleet, Seeds: []netip.AddrPort{addrOf(0), addrOf(1), addrOf(2)}, Seed: w.rng.Uint64(),
+// start starts the broker with an index, or a new instance of it if there is one already.
+func (net *network) start(i int) {
+	n := &node{index: i, zone: i % 2, addr: addrOf(i), lostAt: map[string]time.Duration{}, aliveAt: map[string]time.Duration{}}
+	n.View = membership.New(membership.Options{
+		Self:  membership.Instance{Name: fmt.Sprint("n", i), Start: uint64(net.now) + 1, Addr: n.addr},
+		Fleet: fleet, Seeds: []netip.AddrPort{addrOf(0), addrOf(1), addrOf(2)}, Seed: net.rng.Uint64(),
 		Changed: func(m membership.Member) {
 			switch m.Status {
 			case membership.Lost:
-				x.lostNames = append(x.lostNames, m.Name)
-				x.lostAt[m.Name] = w.now
+				n.lostNames = append(n.lostNames, m.Name)
+				n.lostAt[m.Name] = net.now
 			case membership.Alive:
-				x.aliveAt[m.Name] = w.now
+				n.aliveAt[m.Name] = net.now
 			}
 		},
 	})
-	for j, old := range w.nodes {
-		if old.i == i {
-			w.nodes[j] = x
-			w.byAddr[x.addr] = x
-			w.push(event{at: w.now, to: x})
+	for j, old := range net.nodes {
+		if old.index == i {
+			net.nodes[j] = n
+			net.byAddr[n.addr] = n
+			net.push(event{at: net.now, to: n})
 			return
 		}
 	}
-	w.nodes = append(w.nodes, x)
-	w.byAddr[x.addr] = x
-	w.push(event{at: w.now + time.Duration(w.rng.Int64N(int64(membership.TickInterval))), to: x})
+	net.nodes = append(net.nodes, n)
+	net.byAddr[n.addr] = n
+	net.push(event{at: net.now + time.Duration(net.rng.Int64N(int64(membership.TickInterval))), to: n})
 }
 
-func (w *network) push(e event) { heap.Push(&w.events, e) }
+func (net *network) push(e event) { heap.Push(&net.events, e) }
 
-// run runs the simulation until a time.
-func (w *network) run(to time.Duration) {
-	for len(w.events) > 0 && w.events[0].at <= to {
-		e := heap.Pop(&w.events).(event)
-		w.now = e.at
-		x := e.to
-		if x.dead {
+// run runs the simulation up to a point in time.
+func (net *network) run(until time.Duration) {
+	for len(net.events) > 0 && net.events[0].at <= until {
+		e := heap.Pop(&net.events).(event)
+		net.now = e.at
+		n := e.to
+		if n.dead {
 			continue
 		}
-		if w.now < x.pausedUntil {
+		if net.now < n.pausedUntil {
 			if e.data == nil {
-				e.at = x.pausedUntil
-				w.push(e)
-			} else if len(x.queue) < 300 { // as a socket's buffer would
-				x.queue = append(x.queue, e)
+				e.at = n.pausedUntil
+				net.push(e)
+			} else if len(n.queue) < 300 { // more are dropped, as by a full socket buffer
+				n.queue = append(n.queue, e)
 			}
 			continue
 		}
-		if queue := x.queue; len(queue) > 0 {
-			x.queue = nil
-			for _, q := range queue { // before the first tick, as in the driver
-				w.transmit(x, x.Receive(w.now, q.from, q.data))
+		if queue := n.queue; len(queue) > 0 {
+			n.queue = nil
+			for _, queued := range queue { // before the first tick, as in the driver
+				net.transmit(n, n.Receive(net.now, queued.from, queued.data))
 			}
 		}
 		if e.data == nil {
-			w.transmit(x, x.Tick(w.now))
-			w.push(event{at: w.now + membership.TickInterval, to: x})
+			net.transmit(n, n.Tick(net.now))
+			net.push(event{at: net.now + membership.TickInterval, to: n})
 			continue
 		}
-		w.transmit(x, x.Receive(w.now, e.from, e.data))
+		net.transmit(n, n.Receive(net.now, e.from, e.data))
 	}
-	w.now = to
+	net.now = until
 }
 
-func (w *network) transmit(x *node, out []membership.Send) {
+// transmit sends datagrams from a node, subject to the configured faults.
+func (net *network) transmit(n *node, out []membership.Send) {
 	for _, s := range out {
 		size := plane.WireSize(s.Data)
 		if size > plane.MaxDatagramSize+plane.Overhead {
-			w.t.Fatalf("a datagram of %d bytes", size)
+			net.t.Fatalf("n%d sent a datagram of %d bytes, want at most %d", n.index, size, plane.MaxDatagramSize+plane.Overhead)
 		}
-		x.sentBytes += size
-		to := w.byAddr[s.Addr]
-		if to == nil || w.partitioned(x, to) {
+		n.sentBytes += size
+		to := net.byAddr[s.Addr]
+		if to == nil || net.partitioned(n, to) {
 			continue
 		}
-		if w.delayed(x, to) {
-			w.delayedEvents = append(w.delayedEvents, event{to: to, from: x.addr, data: s.Data})
+		if net.delayed(n, to) {
+			net.delayedEvents = append(net.delayedEvents, event{to: to, from: n.addr, data: s.Data})
 			continue
 		}
 		copies := 1
-		if w.rng.Float64() < w.lossRatio {
+		if net.rng.Float64() < net.lossRatio {
 			copies = 0
-		} else if w.rng.Float64() < w.duplicateRatio {
+		} else if net.rng.Float64() < net.duplicateRatio {
 			copies = 2
 		}
 		for range copies {
-			w.push(event{at: w.now + time.Duration(w.rng.Int64N(int64(w.maxDelay))) + time.Microsecond, to: to, from: x.addr, data: s.Data})
+			arrival := net.now + time.Duration(net.rng.Int64N(int64(net.maxDelay))) + time.Microsecond
+			net.push(event{at: arrival, to: to, from: n.addr, data: s.Data})
 		}
 	}
 }
 
 // runUntilAgreed runs the simulation until all views agree, and fails the test if they do not within a duration.
-func (w *network) runUntilAgreed(within time.Duration) {
-	end := w.now + within
-	for !w.viewsAgree(nil) {
-		if w.now >= end {
-			w.t.Fatalf("views differ after %v: %s", within, w.describeViews())
+func (net *network) runUntilAgreed(within time.Duration) {
+	end := net.now + within
+	for !net.viewsAgree(nil) {
+		if net.now >= end {
+			net.t.Fatalf("views differ after %v: %s", within, net.describeViews())
 		}
-		w.run(w.now + 100*time.Millisecond)
+		net.run(net.now + 100*time.Millisecond)
 	}
 }
 
-// viewsAgree reports whether the live nodes of a set (nil: all) see exactly each other alive, counted by name.
-func (w *network) viewsAgree(in func(*node) bool) bool {
-	live, n := map[string]bool{}, 0
-	for _, x := range w.nodes {
-		if !x.dead && (in == nil || in(x)) {
-			live[fmt.Sprint("n", x.i)] = true
-			n++
+// viewsAgree reports whether each live node of a set (nil: all nodes) sees exactly the live nodes of the set alive, by name.
+func (net *network) viewsAgree(in func(*node) bool) bool {
+	live, liveCount := map[string]bool{}, 0
+	for _, n := range net.nodes {
+		if !n.dead && (in == nil || in(n)) {
+			live[nameOf(n)] = true
+			liveCount++
 		}
 	}
-	for _, x := range w.nodes {
-		if x.dead || in != nil && !in(x) {
+	for _, n := range net.nodes {
+		if n.dead || in != nil && !in(n) {
 			continue
 		}
 		seen := 0
-		for _, m := range x.Members() {
+		for _, m := range n.Members() {
 			if m.Status != membership.Alive {
 				continue
 			}
@@ -206,57 +212,59 @@
 			}
 			seen++
 		}
-		if seen != n {
+		if seen != liveCount {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *network) describeViews() string {
+// describeViews returns how many live nodes see how many members alive, as a map from members to nodes.
+func (net *network) describeViews() string {
 	sizes := map[int]int{}
-	for _, x := range w.nodes {
-		if x.dead {
+	for _, n := range net.nodes {
+		if n.dead {
 			continue
 		}
-		n := 0
-		for _, m := range x.Members() {
+		alive := 0
+		for _, m := range n.Members() {
 			if m.Status == membership.Alive {
-				n++
+				alive++
 			}
 		}
-		sizes[n]++
+		sizes[alive]++
 	}
 	return fmt.Sprint(sizes)
 }
 
-// lossVerdicts returns which members were declared lost by which nodes, except for the names in except.
-func (w *network) lossVerdicts(except map[string]bool) (all []string) {
-	for _, x := range w.nodes {
-		for _, name := range x.lostNames {
+// lossVerdicts returns which members were declared lost by which nodes, without the members whose names are in except.
+func (net *network) lossVerdicts(except map[string]bool) (all []string) {
+	for _, n := range net.nodes {
+		for _, name := range n.lostNames {
 			if !except[name] {
-				all = append(all, fmt.Sprintf("%s by n%d", name, x.i))
+				all = append(all, fmt.Sprintf("%s lost according to n%d", name, n.index))
 			}
 		}
 	}
 	return all
 }
 
-func (w *network) requireNoLoss(except map[string]bool) {
-	w.t.Helper()
-	all := w.lossVerdicts(except)
-	require.Empty(w.t, all[:min(len(all), 5)], "%d removals", len(all))
+// requireNoLoss requires that no members other than those in except were declared lost.
+func (net *network) requireNoLoss(except map[string]bool) {
+	net.t.Helper()
+	all := net.lossVerdicts(except)
+	require.Empty(net.t, all[:min(len(all), 5)], "%d members declared lost", len(all))
 }
 
-// maxSendRate returns the mean bytes a second, while f runs, of the node that sent the most.
-func (w *network) maxSendRate(f func()) (rate float64) {
-	from, sent := w.now, map[*node]int{}
-	for _, x := range w.nodes {
-		sent[x] = x.sentBytes
+// maxSendRate runs f and returns the highest mean send rate of a node meanwhile, in bytes per second.
+func (net *network) maxSendRate(f func()) (rate float64) {
+	startedAt, sentBefore := net.now, map[*node]int{}
+	for _, n := range net.nodes {
+		sentBefore[n] = n.sentBytes
 	}
 	f()
-	for _, x := range w.nodes {
-		rate = max(rate, float64(x.sentBytes-sent[x])/(w.now-from).Seconds())
+	for _, n := range net.nodes {
+		rate = max(rate, float64(n.sentBytes-sentBefore[n])/(net.now-startedAt).Seconds())
 	}
 	return rate
 }
--- a/internal/cluster/membership/ping.go
+++ b/internal/cluster/membership/ping.go
@@ -7,22 +7,22 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// outstandingPing is a ping without an ack so far.
+// outstandingPing is a ping that has not been acked yet.
 type outstandingPing struct {
-	target        uint64 // ID of the pinged member; 0: not known yet, a seed or an unknown sender
+	target        uint64 // ID of the pinged member; 0: a seed or an unknown sender, whose ID is not known yet
 	sentAt        time.Duration
 	expiresAt     time.Duration
 	requester     uint64 // ID of the member on whose behalf it was sent; 0: self
 	requestNumber uint32 // number of the requester's indirect ping request
 }
 
-// nextPingNumber returns a number for a ping or an indirect ping request. 0 stands for none on the wire and is skipped.
+// nextPingNumber returns a number for a ping or an indirect ping request. It skips 0, which means none in a datagram.
 func (v *View) nextPingNumber() uint32 {
 	v.lastPingNumber = max(v.lastPingNumber+1, 1)
 	return v.lastPingNumber
 }
 
-// ping sends a datagram as a ping and records it as outstanding. It reports whether the ping was sent: not if
+// ping sends a datagram as a ping and records it as outstanding. It reports whether the ping was sent: it is not if
 // maxOutstandingPings are outstanding or the ping budget is spent.
 func (v *View) ping(to netip.AddrPort, target uint64, d *planepb.Datagram, requester uint64, requestNumber uint32) bool {
 	if len(v.outstandingPings) >= maxOutstandingPings {
@@ -46,7 +46,7 @@
 	return true
 }
 
-// acknowledge acks a ping, and introduces self if the sender requests it.
+// acknowledge acks a ping, and introduces self if the sender has requested it.
 func (v *View) acknowledge(m *member, d *planepb.Datagram) {
 	switch {
 	case d.Who:
@@ -56,9 +56,9 @@
 	}
 }
 
-// handleAck handles the ack of a ping. The ack of a lost member refutes the verdict: unlike a delayed datagram it proves
-// that the member was alive within pingTimeout. If the ping was sent on behalf of another member,
-// that member receives an indirect ack.
+// handleAck handles the ack of a ping. An ack from a lost member refutes the loss: unlike other datagrams, which may have been
+// delayed, it proves that the member was alive within pingTimeout. If the ping was sent on behalf of another member, that
+// member receives an indirect ack.
 func (v *View) handleAck(m *member, d *planepb.Datagram) {
 	p, outstanding := v.outstandingPings[d.Pong]
 	if d.Pong == 0 || !outstanding || p.target != m.id {
@@ -75,7 +75,7 @@
 	}
 }
 
-// recordContact records a proof that a member lives now, which restarts its suspicion timer.
+// recordContact records that a member is known to be alive now, and restarts its suspicion timer.
 func (v *View) recordContact(m *member) {
 	m.lastContact = v.now
 	m.silentSince = v.now
--- a/internal/cluster/membership/receive.go
+++ b/internal/cluster/membership/receive.go
@@ -7,12 +7,12 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// Receive handles a datagram that plane.Parse has accepted, from an address, and returns the datagrams to send.
+// Receive handles a datagram that plane.Parse has accepted, given the sender's address, and returns the datagrams to send.
 func (v *View) Receive(now time.Duration, addr netip.AddrPort, d *planepb.Datagram) []Send {
 	v.advance(now)
 	m := v.byID[d.From]
 	switch {
-	case m == v.self: // self's own datagram, or one of a peer that claims its ID
+	case m == v.self: // self's own datagram, or that of a peer that uses self's ID
 		v.DroppedDatagrams++
 		return nil
 	case m == nil:
@@ -26,8 +26,9 @@
 	return v.drainOutbox()
 }
 
-// handleMember handles a datagram of a member of the roster. From a lost member only an ack counts, since any other datagram
-// may have been delayed since before the verdict; the member is pinged for one. A member that has left is ignored.
+// handleMember handles a datagram from a known instance. Only an ack proves that a lost member is alive, since any other
+// datagram may have been sent before the member was declared lost and then delayed; the member is pinged to obtain an ack.
+// Datagrams from a member that has left are ignored.
 func (v *View) handleMember(m *member, d *planepb.Datagram) {
 	switch m.state.status() {
 	case Left:
@@ -53,9 +54,9 @@
 	}
 }
 
-// handleUnknownSender handles a datagram of an instance that is not in the roster. The instance is added only if the datagram
-// introduces it in an ack, since a delayed datagram of a reaped instance must not bring it back. Anything else is dropped,
-// but answered by an introduction request.
+// handleUnknownSender handles a datagram from an instance that is not in the member list. The instance is added only if the
+// datagram is an introduction that acks an outstanding ping, since a delayed datagram of a reaped instance must not add the
+// instance again. Any other datagram is dropped and answered with an introduction request.
 func (v *View) handleUnknownSender(addr netip.AddrPort, d *planepb.Datagram) {
 	p, outstanding := v.outstandingPings[d.Pong]
 	introduces := outstanding && d.Pong != 0 && (p.target == 0 || p.target == d.From) && d.Self != nil
@@ -65,7 +66,7 @@
 		return
 	}
 	delete(v.outstandingPings, d.Pong)
-	if len(v.roster) >= maxRoster || v.aliveCount >= MaxMembers {
+	if len(v.memberList) >= maxInstances || v.aliveCount >= MaxMembers {
 		return
 	}
 	m := v.add(instanceFromEntry(d.Self), 0)
@@ -75,8 +76,8 @@
 	v.mergeGossip(m, d)
 }
 
-// requestIntroduction pings an unknown sender and requests its introduction, at most once an introductionInterval unless it
-// has sent a ping. The same datagram acks that ping; if it cannot be sent, a plain ack is.
+// requestIntroduction pings an unknown sender and requests its introduction, at most once per introductionInterval unless the
+// sender has sent a ping. The same datagram acks that ping; if it cannot be sent, an ack alone is sent.
 func (v *View) requestIntroduction(addr netip.AddrPort, d *planepb.Datagram) {
 	isPing := d.Ping != 0
 	requested := false
@@ -90,8 +91,8 @@
 	}
 }
 
-// Leave marks self as left and returns the announcements of it, to the observers and some random members, which gossip it.
-// A driver may call it again to repeat them.
+// Leave marks self as left and returns leave announcements to the observers and to some random members, which gossip the
+// change. A driver may call it again to repeat the announcements.
 func (v *View) Leave(now time.Duration) []Send {
 	v.advance(now)
 	v.leaving = true
--- a/internal/cluster/membership/rings.go
+++ b/internal/cluster/membership/rings.go
@@ -7,7 +7,8 @@
 	"mothrouter/internal/cluster/plane"
 )
 
-// compareOnRing returns the order of members on a ring: by a hash of the instance's ID and the ring's number.
+// compareOnRing returns the function that orders members on a ring: by a hash of the instance ID and the ring number, then by
+// ID.
 func compareOnRing(ring int) func(a, b *member) int {
 	return func(a, b *member) int {
 		byHash := cmp.Compare(plane.Hash(a.id, uint64(ring)), plane.Hash(b.id, uint64(ring)))
@@ -15,18 +16,18 @@
 	}
 }
 
-// assignObservers sets observers to self's next live member on each ring, and observed to the previous one on each. Adopted
-// members remain observed while they are alive.
+// assignObservers sets observers to the next live member after self on each ring, and observed to the previous live one on
+// each ring. Adopted members remain observed while they are alive.
 func (v *View) assignObservers() {
 	v.ringsStale = false
 	v.observers = v.observers[:0]
 	v.observed = v.observed[:0]
 	for _, ring := range v.rings {
-		at := slices.Index(ring, v.self)
-		v.observers = v.appendNextAlive(v.observers, ring, at, 1)
-		v.observed = v.appendNextAlive(v.observed, ring, at, len(ring)-1)
+		selfIndex := slices.Index(ring, v.self)
+		v.observers = v.appendNextAlive(v.observers, ring, selfIndex, 1)
+		v.observed = v.appendNextAlive(v.observed, ring, selfIndex, len(ring)-1)
 	}
-	for _, m := range v.roster {
+	for _, m := range v.memberList {
 		m.adopted = m.adopted && v.isAlive(m)
 		if m.adopted && !slices.Contains(v.observed, m) {
 			v.observed = append(v.observed, m)
@@ -39,8 +40,8 @@
 	}
 }
 
-// startObserving starts a member's suspicion timer: now, or when the ping was sent that it has not acked since its last
-// contact.
+// startObserving starts a member's suspicion timer. The timer starts at the time of the first ping that the member has not
+// acked since its last contact, or now if there is none.
 func (v *View) startObserving(m *member) {
 	m.silentSince = v.now
 	if m.unackedSince > m.lastContact {
@@ -50,10 +51,10 @@
 	clear(m.confirmations)
 }
 
-// appendNextAlive appends the first live member that follows index at on a ring, which it walks by stride, unless the list
-// contains that member. A stride of len(ring)-1 walks backwards.
-func (v *View) appendNextAlive(list, ring []*member, at, stride int) []*member {
-	for i := (at + stride) % len(ring); i != at; i = (i + stride) % len(ring) {
+// appendNextAlive appends the first live member after index start on a ring, unless the list already contains that member. It
+// advances by stride; a stride of len(ring)-1 walks backwards.
+func (v *View) appendNextAlive(list, ring []*member, start, stride int) []*member {
+	for i := (start + stride) % len(ring); i != start; i = (i + stride) % len(ring) {
 		m := ring[i]
 		if !v.isAlive(m) {
 			continue
--- a/internal/cluster/membership/send.go
+++ b/internal/cluster/membership/send.go
@@ -8,9 +8,9 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// tokenBucket limits the bytes sent.
+// tokenBucket limits the rate of bytes sent.
 type tokenBucket struct {
-	rate       float64 // bytes a second
+	rate       float64 // bytes per second
 	burst      float64 // bytes
 	available  float64 // bytes
 	refilledAt time.Duration
@@ -21,7 +21,7 @@
 	return tokenBucket{rate: rate, burst: burst, available: burst}
 }
 
-// spend takes n bytes, and reports whether they were available. If not, it takes none.
+// spend takes n bytes and reports whether they were available. If they were not, it takes none.
 func (b *tokenBucket) spend(now time.Duration, n int) bool {
 	b.available = min(b.available+(now-b.refilledAt).Seconds()*b.rate, b.burst)
 	b.refilledAt = now
@@ -32,13 +32,13 @@
 	return true
 }
 
-// send fills in the header of a datagram and puts it into the outbox. It reports whether the budget covered it. A nil budget
-// is for heartbeats, acks and leave announcements, which are bounded without one.
+// send fills in the header of a datagram and appends it to the outbox. It reports whether the budget covered the datagram.
+// Heartbeats, acks and leave announcements have a nil budget, since their rate is bounded otherwise.
 func (v *View) send(to netip.AddrPort, d *planepb.Datagram, budget *tokenBucket) bool {
 	d.Version = plane.Version
 	d.Fleet = v.options.Fleet
 	d.From = v.self.id
-	d.Roster = v.digest.roster
+	d.Roster = v.digest.instances
 	d.States = v.digest.states
 	if d.Seq == 0 {
 		d.Seq = v.nextSeq()
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// expirePings removes the outstanding pings whose timeout has passed without an ack, in the order in which they were sent.
+// expirePings removes the outstanding pings that have timed out, in the order in which they were sent, and sends a negative
+// ack for each that was sent on behalf of another member.
 func (v *View) expirePings() {
 	for _, number := range slices.Sorted(maps.Keys(v.outstandingPings)) {
 		p := v.outstandingPings[number]
@@ -39,8 +40,8 @@
 	}
 }
 
-// recordMissedAck records that a member has not acked a ping, unless it has been in contact since. A live member that self
-// does not observe is adopted: in a mass failure all of its observers may have failed.
+// recordMissedAck records that a member has not acked a ping, unless there has been contact with it since the ping. A live
+// member that self does not observe is adopted: in a mass failure all of its observers may have failed.
 func (v *View) recordMissedAck(m *member, p outstandingPing) {
 	if m.lastContact >= p.sentAt {
 		return
@@ -58,9 +59,9 @@
 	clear(m.confirmations)
 }
 
-// updateSuspicion advances the suspicion of an observed member. A member that is silent for indirectPingAfter is suspected
-// and pinged indirectly. One that is silent for lossTimeout is declared lost once enough relays have confirmed it.
-// A contact ends the suspicion, and the adoption of an adopted member.
+// updateSuspicion updates the suspicion of an observed member. A member that has been silent for indirectPingAfter is
+// suspected and pinged indirectly. A member that has been silent for lossTimeout is declared lost once enough relays have
+// confirmed the suspicion. A contact ends the suspicion and, for an adopted member, the adoption.
 func (v *View) updateSuspicion(m *member) {
 	silence := v.now - m.silentSince
 	if silence < indirectPingAfter {
@@ -92,8 +93,8 @@
 }
 
 // requiredConfirmations returns the number of relays that have to confirm the suspicion of a member: maxConfirmations or the
-// number of eligible relays, whichever is less, but at least one. So a view that receives nothing has no relay and
-// gives no verdict, except in a fleet of two, where there is no third member to ask.
+// number of eligible relays, whichever is less, but at least one. A view that receives nothing therefore has no relay and
+// declares no member lost, except in a fleet of two, where there is no third member to ask.
 func (v *View) requiredConfirmations(suspect *member) int {
 	if v.aliveCount <= 2 {
 		return 0
@@ -102,11 +103,11 @@
 	return max(len(eligible), 1)
 }
 
-// chooseRelays returns the members that receive an indirect ping request: random eligible ones, and for an adopted suspect
-// its observers before them. An observer may receive the suspect's heartbeats although the suspect itself receives, and acks,
-// nothing.
+// chooseRelays returns the members that receive an indirect ping request: for an adopted suspect some of its observers, and
+// for each suspect random eligible members. An observer may receive heartbeats from a suspect that receives no pings and so
+// acks none.
 func (v *View) chooseRelays(suspect *member) []*member {
-	ringOrder := v.rng.Perm(ringCount) // drawn for every suspect: adoption must not shift the random numbers that follow
+	ringOrder := v.rng.Perm(ringCount) // drawn for every suspect, so that adoption does not shift the following random numbers
 	var chosen []*member
 	if suspect.adopted {
 		chosen = v.observersOf(suspect, ringOrder)
@@ -116,7 +117,7 @@
 	})...)
 }
 
-// observersOf returns up to indirectPingFanout observers of a member other than self, searching the rings in an order.
+// observersOf returns up to indirectPingFanout observers of a member, without self. It searches the rings in the given order.
 func (v *View) observersOf(observed *member, ringOrder []int) []*member {
 	var observers []*member
 	for _, r := range ringOrder {
@@ -131,31 +132,31 @@
 	return observers
 }
 
-// nextAliveOnRing returns the first live member after another on a ring; nil: there is none.
+// nextAliveOnRing returns the first live member after another member on a ring, or nil if there is none.
 func (v *View) nextAliveOnRing(r int, m *member) *member {
 	ring := v.rings[r]
-	at, _ := slices.BinarySearchFunc(ring, m, compareOnRing(r))
+	index, _ := slices.BinarySearchFunc(ring, m, compareOnRing(r))
 	for i := 1; i < len(ring); i++ {
-		if next := ring[(at+i)%len(ring)]; v.isAlive(next) {
+		if next := ring[(index+i)%len(ring)]; v.isAlive(next) {
 			return next
 		}
 	}
 	return nil
 }
 
-// isEligibleRelay reports whether the last contact with a member is recent enough for it to be a relay.
+// isEligibleRelay reports whether there was contact with a member within relayWindow, so that it may be a relay.
 func (v *View) isEligibleRelay(m *member) bool {
 	return m.lastContact > 0 && v.now-m.lastContact < relayWindow
 }
 
-// handleIndirect handles an indirect ping request, indirect ack or negative ack from a member. A request is answered at
-// once if it is about self or about a member with a recent contact, else by a ping on behalf of the requester.
+// handleIndirect handles an indirect ping request, indirect ack or negative ack from a member. A request about self or about a
+// member with a recent contact is answered at once. For any other member, self pings it on behalf of the requester.
 func (v *View) handleIndirect(m *member, d *planepb.Datagram) {
 	subject := v.byID[d.About]
 	if subject == nil {
 		return
 	}
-	isRequest, isAnswer := d.Ask != 0, d.Tell != 0
+	isRequest, isResponse := d.Ask != 0, d.Tell != 0
 	switch {
 	case isRequest && subject == v.self:
 		v.send(m.Addr, &planepb.Datagram{}, &v.pingBudget)
@@ -164,21 +165,21 @@
 		v.send(m.Addr, ack, &v.pingBudget)
 	case isRequest:
 		v.ping(subject.Addr, subject.id, &planepb.Datagram{}, m.id, d.Ask)
-	case isAnswer && d.Heard:
+	case isResponse && d.Heard:
 		v.recordContact(subject)
 		clear(subject.confirmations)
-	case isAnswer && v.isSuspected(subject) && len(subject.confirmations) < maxRoster:
+	case isResponse && v.isSuspected(subject) && len(subject.confirmations) < maxInstances:
 		subject.confirmations[m.id] = v.now
 	}
 }
 
-// isSuspected reports whether self observes a member and has suspected it: only then does a negative ack count.
+// isSuspected reports whether self observes and suspects a member. Otherwise negative acks about the member are ignored.
 func (v *View) isSuspected(m *member) bool {
 	return m.observed && v.now-m.silentSince >= indirectPingAfter
 }
 
-// isIsolated reports whether all members that the rings assign to self are silent for lossTimeout. Self is then more likely
-// partitioned from the fleet than all of them are dead.
+// isIsolated reports whether all members that the rings assign to self have been silent for lossTimeout. It is then more
+// likely that self is partitioned from the fleet than that all of them are dead.
 func (v *View) isIsolated() bool {
 	for _, m := range v.observed {
 		if !m.adopted && v.now-m.silentSince < lossTimeout {
--- a/internal/cluster/membership/sync.go
+++ b/internal/cluster/membership/sync.go
@@ -7,10 +7,10 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// requestSync requests, while rosters differ, the entries that a slice of this roster lacks: anti-entropy with one random
-// member, one with a recent contact if there is any.
+// requestSync requests, while member lists differ, the entries that a slice of this member list lacks: anti-entropy with one
+// random member, preferably one with a recent contact.
 func (v *View) requestSync() {
-	if v.now < v.nextSyncAt || v.now-v.rosterDivergedAt >= divergenceWindow {
+	if v.now < v.nextSyncAt || v.now-v.divergedAt >= divergenceWindow {
 		return
 	}
 	v.nextSyncAt = v.now + syncInterval/2 + time.Duration(v.rng.Int64N(int64(syncInterval)))
@@ -24,11 +24,11 @@
 	}
 }
 
-// nextSyncRequest returns a request for the next slice of the roster, with the hash of each instance that self has in it.
+// nextSyncRequest returns a sync request for the next slice of the member list, with the hash of each instance in that slice.
 func (v *View) nextSyncRequest() *planepb.Datagram {
-	v.lastSyncSlice = (v.lastSyncSlice + 1) % rosterSlices
+	v.lastSyncSlice = (v.lastSyncSlice + 1) % syncSlices
 	d := &planepb.Datagram{Sync: true, Seq: v.nextSeq(), Slice: v.lastSyncSlice}
-	for _, m := range v.roster {
+	for _, m := range v.memberList {
 		if sliceOf(m) == d.Slice && len(d.Have) < maxHashesSize {
 			hash := entryHash(m, d.Seq)
 			d.Have = append(d.Have, byte(hash), byte(hash>>8))
@@ -37,38 +37,37 @@
 	return d
 }
 
-// sliceOf returns the slice of the roster that an instance belongs to.
-func sliceOf(m *member) uint32 { return uint32(m.id % rosterSlices) }
+// sliceOf returns the slice of the member list that an instance belongs to.
+func sliceOf(m *member) uint32 { return uint32(m.id % syncSlices) }
 
 // entryHash returns a 16-bit hash of an instance and its state. It is salted with the sequence number of the request, so that
 // two instances whose hashes collide in one request differ in the next.
 func entryHash(m *member, seq uint64) uint16 { return uint16(plane.Hash(m.id, uint64(m.state), seq)) }
 
-// sendMissingEntries answers a sync request with the entries of its slice that the requester lacks or holds in another state,
-// as many as fit into a datagram. It begins at a random one, since other members may answer the same request.
+// sendMissingEntries answers a sync request with the entries of the requested slice that the requester lacks or has in another
+// state, as many as fit into a datagram. It starts at a random instance, since other members may answer the same request.
 func (v *View) sendMissingEntries(requester *member, request *planepb.Datagram) {
 	held := make(map[uint16]bool, len(request.Have)/2)
 	for i := 0; i+1 < len(request.Have); i += 2 {
 		held[uint16(request.Have[i])|uint16(request.Have[i+1])<<8] = true
 	}
-	answer := &planepb.Datagram{}
-	first := v.rng.IntN(len(v.roster))
-	for i := range v.roster {
-		m := v.roster[(first+i)%len(v.roster)]
+	response := &planepb.Datagram{}
+	first := v.rng.IntN(len(v.memberList))
+	for i := range v.memberList {
+		m := v.memberList[(first+i)%len(v.memberList)]
 		if sliceOf(m) != request.Slice || held[entryHash(m, request.Seq)] || v.isNearlyReaped(m) {
 			continue
 		}
-		if !v.appendEntry(answer, m) {
+		if !v.appendEntry(response, m) {
 			break
 		}
 	}
-	if len(answer.Entries) > 0 {
-		v.send(requester.Addr, answer, &v.gossipBudget)
+	if len(response.Entries) > 0 {
+		v.send(requester.Addr, response, &v.gossipBudget)
 	}
 }
 
-// appendEntry appends an instance's entry to a datagram. It reports whether the entry fits within maxEntriesSize, and leaves
-// it out if not.
+// appendEntry appends an instance's entry to a datagram if the datagram stays within maxEntriesSize. It reports whether it did.
 func (v *View) appendEntry(d *planepb.Datagram, m *member) bool {
 	d.Entries = append(d.Entries, v.entry(m))
 	if plane.WireSize(d) <= maxEntriesSize {
@@ -78,13 +77,13 @@
 	return false
 }
 
-// isNearlyReaped reports whether an instance is within gossipStopLead of the end of its retention.
+// isNearlyReaped reports whether a tombstone is within gossipStopLead of the end of its retention.
 func (v *View) isNearlyReaped(m *member) bool {
 	return !v.isAlive(m) && v.now-m.stateSince > v.retention(m)-gossipStopLead
 }
 
-// entry returns an instance as it is sent to other members. The age of a tombstone goes with it, so that all members reap it
-// at about the same time.
+// entry returns the entry that describes an instance to other members. It includes the age of a tombstone, so that all members
+// reap it at about the same time.
 func (v *View) entry(m *member) *planepb.Entry {
 	addr, _ := m.Addr.MarshalBinary() // never fails
 	e := &planepb.Entry{Name: m.Name, Start: m.Start, Addr: addr, State: uint32(m.state)}
--- a/internal/cluster/membership/tick.go
+++ b/internal/cluster/membership/tick.go
@@ -10,8 +10,8 @@
 // TickInterval is the interval at which a driver calls Tick.
 const TickInterval = 50 * time.Millisecond
 
-// Tick advances the time, runs all timers and returns the datagrams to send. The driver calls it each TickInterval; a gap
-// longer than pauseThreshold between two calls counts as a pause of this process.
+// Tick advances the time, runs all timers and returns the datagrams to send. The driver calls it every TickInterval; a gap
+// of more than pauseThreshold between two calls is treated as a pause of this process.
 func (v *View) Tick(now time.Duration) []Send {
 	gap := now - v.lastTickAt
 	v.advance(now)
@@ -36,9 +36,9 @@
 	return v.drainOutbox()
 }
 
-// resetAfterPause restarts all suspicion timers after a pause of this process, which cannot know who was silent meanwhile.
-// Outstanding pings are dropped, since their acks may have been lost. Heartbeats are due at once: others may suspect this
-// member.
+// resetAfterPause restarts all suspicion timers after a pause of this process, which cannot know which members were silent
+// during the pause. It drops outstanding pings, since their acks may have been lost, and makes heartbeats due at once, since
+// other members may suspect this one.
 func (v *View) resetAfterPause() {
 	for _, m := range v.observed {
 		m.silentSince = v.now
@@ -49,7 +49,7 @@
 	v.nextHeartbeatAt = 0
 }
 
-// sendHeartbeats sends a heartbeat, a datagram with a header alone, to each observer.
+// sendHeartbeats sends a heartbeat, a datagram that has only the header, to each observer.
 func (v *View) sendHeartbeats() {
 	if v.now < v.nextHeartbeatAt {
 		return
@@ -60,8 +60,8 @@
 	}
 }
 
-// contactSeed sends an introduction request to a random seed, unless that is a live member. A view goes on with it after it
-// has joined, at seedInterval, since two fleets may have formed apart.
+// contactSeed sends an introduction request to a random seed, unless that seed is a live member. A view continues to contact
+// seeds after it has joined, every seedInterval, since two fleets may have formed independently.
 func (v *View) contactSeed() {
 	if v.now < v.nextJoinAt {
 		return
@@ -74,14 +74,14 @@
 		return
 	}
 	seed := v.options.Seeds[v.rng.IntN(len(v.options.Seeds))]
-	isMember := slices.ContainsFunc(v.roster, func(m *member) bool { return m.Addr == seed && v.isAlive(m) })
+	isMember := slices.ContainsFunc(v.memberList, func(m *member) bool { return m.Addr == seed && v.isAlive(m) })
 	if !isMember {
 		v.ping(seed, 0, &planepb.Datagram{Self: v.entry(v.self), Who: true}, 0, 0)
 	}
 }
 
-// pingUnobserved pings a lost member, since a partition may have healed, and live members without a recent contact that
-// self does not observe, since their observers may have failed with them. It also reaps tombstones.
+// pingUnobserved pings a random lost member, since a partition may have healed, and random live members that self does not
+// observe and has not heard from recently, since all of their observers may have failed. It also reaps tombstones.
 func (v *View) pingUnobserved() {
 	if v.now < v.nextUnobservedPingAt {
 		return
@@ -89,14 +89,14 @@
 	v.nextUnobservedPingAt = v.now + unobservedPingInterval
 	v.reapTombstones()
 	v.FleetSize() // so that the fencing timer runs whether or not the driver calls FleetSize
-	var lost, unheard []*member
-	for _, m := range v.roster {
+	var lost, uncontacted []*member
+	for _, m := range v.memberList {
 		switch {
 		case m == v.self:
 		case m.state.status() == Lost:
 			lost = append(lost, m)
 		case v.isAlive(m) && !m.observed && v.now-m.lastContact >= aliveWindow:
-			unheard = append(unheard, m)
+			uncontacted = append(uncontacted, m)
 		}
 	}
 	silent := 0
@@ -106,10 +106,11 @@
 		}
 	}
 	v.pingRandom(lost, 1)
-	v.pingRandom(unheard, 1+min(silent, maxUnobservedPings)) // the more are silent, the more may have no live observer
+	// The more observed members are silent, the more members may have lost all of their observers.
+	v.pingRandom(uncontacted, 1+min(silent, maxUnobservedPings))
 }
 
-// pingRandom pings n members drawn from a list with replacement.
+// pingRandom pings n members drawn at random from a list, with replacement.
 func (v *View) pingRandom(members []*member, n int) {
 	if len(members) == 0 {
 		return
