--- a/internal/workers/lease/capacity.go
+++ b/internal/workers/lease/capacity.go
@@ -8,7 +8,7 @@
 )
 
 // CapacityEstimate estimates, for all workers of a process, the capacity of a server in slow start. The rate at which warm
-// servers answered this process is a lower bound of their capacity and of the process's share of it.
+// servers answer this process is a lower bound of their capacity and of the process's share of it.
 type CapacityEstimate struct {
 	settings slowstart.Settings
 	brokers  int
@@ -16,7 +16,7 @@
 	peak     slowstart.PeakRate
 }
 
-// NewCapacityEstimate returns an estimate without observations, for one of a number of brokers.
+// NewCapacityEstimate returns an estimate without observations, for a process that is one of a number of brokers.
 func NewCapacityEstimate(s slowstart.Settings, brokers int, rng *rand.Rand) *CapacityEstimate {
 	return &CapacityEstimate{settings: s, brokers: brokers, rng: rng}
 }
@@ -24,18 +24,19 @@
 // Resize sets the number of brokers that share the servers.
 func (e *CapacityEstimate) Resize(brokers int) { e.brokers = brokers }
 
-// Answered records an answer of one of the warm servers, whose number is warm.
+// Answered records an answer from one of the warm servers. warm is the number of warm servers.
 func (e *CapacityEstimate) Answered(now float64, warm int) {
 	e.advance(now, warm)
 	e.peak.Answered()
 }
 
+// advance advances the peak rate to a time.
 func (e *CapacityEstimate) advance(now float64, warm int) {
 	e.peak.Advance(now, float64(max(warm, 1)))
 }
 
-// CapacityFraction is the fraction of its capacity that a server surely has now; 1: it is warm. started is when its process
-// started; 0 or less: long ago.
+// CapacityFraction returns the fraction of its full capacity that a server has at least; 1: it is warm. started is the start
+// time of its process; 0 or less: long ago.
 func (e *CapacityEstimate) CapacityFraction(started, now float64) float64 {
 	if started <= 0 {
 		return 1
@@ -43,13 +44,13 @@
 	return e.settings.CapacityFraction(now - started)
 }
 
-// Budget is how many parts this process may send within one window to a server that has a fraction of its capacity.
-// A fractional budget is rounded by a variate that is drawn anew for each window: rounding up always would add up over the
-// brokers.
+// Budget returns how many parts this process may send within one window to a server that has a fraction of its full capacity.
+// A fractional budget is rounded stochastically, by a variate drawn for each window: if all brokers always rounded up, the
+// excess would add up.
 func (e *CapacityEstimate) Budget(capacityFraction, roundingVariate, now float64, warm int) float64 {
 	e.advance(now, warm)
 	return math.Floor(e.settings.Budget(capacityFraction, e.peak.Value, e.brokers) + roundingVariate)
 }
 
-// RoundingVariate draws a server's rounding variate for a window, uniformly from 0 to 1.
+// RoundingVariate draws the rounding variate of a server for one window, uniformly from [0, 1).
 func (e *CapacityEstimate) RoundingVariate() float64 { return e.rng.Float64() }
--- a/internal/workers/lease/lease.go
+++ b/internal/workers/lease/lease.go
@@ -1,10 +1,10 @@
 // Package lease divides the budgets of a process among its workers. It does no I/O and reads no clock: the caller passes in
 // the time, in seconds, and serializes the calls.
 //
-// A Budget is that of one server in slow start: how many parts may go there in any window. Each worker has a lease of some
-// parts, good until a time. What all leases grant and what has been sent within the window never sum to more than the
-// capacity, so workers that send at the same moment cannot overload the server. Leases expire, and what was not used goes
-// to those that ask for more.
+// A Budget limits how many parts the process may send to one server in slow start within any window. Each worker has a lease
+// for some parts, valid until a point in time. The parts granted by all leases and the parts sent within the window never sum
+// to more than the capacity, so workers that send at the same moment cannot overload the server. Leases expire, and unused
+// parts become available to the workers that need more.
 package lease
 
 import (
@@ -13,43 +13,44 @@
 )
 
 const (
-	// Duration is how long a lease lasts, in seconds. A worker that is busy or has no use for its parts keeps them from
-	// the others for so long at most, so it is short beside the windows, which last a second or more.
+	// Duration is how long a lease is valid, in seconds. A worker that is busy or does not need its parts withholds them from
+	// the others for up to this time, so it is short compared with the windows, which last a second or more.
 	Duration = 0.1
 
-	demandSpan    = 0.5  // seconds over which a worker's use is averaged
-	roundingSlack = 1e-9 // parts: absorbs the rounding error of a capacity that is an integer
-	minDemand     = 0.1  // parts: demand of an idle worker, so that it still gets a part at times
+	demandSpan    = 0.5  // time constant of the decay of a worker's demand, in seconds
+	roundingSlack = 1e-9 // absorbs the rounding error of a capacity that is an integer, in parts
+	minDemand     = 0.1  // demand of an idle worker, in parts, so that it still gets a part occasionally
 )
 
-// Lease is what a worker may send to a server until it expires.
+// Lease is the number of parts that a worker may send to a server until the lease expires.
 type Lease struct {
 	Parts     int
-	ExpiresAt float64
+	ExpiresAt float64 // in seconds
 }
 
 // Budget is the budget of one server.
 type Budget struct {
-	window     float64
+	window     float64 // in seconds
 	workers    []workerLease
-	sent       []float64 // times of parts sent by all, within the window
-	nextWorker int       // the next to get a single part, where there are fewer parts than workers
+	sent       []float64 // send times of the parts that all workers sent within the window
+	nextWorker int       // the worker that gets the next single part if there are fewer parts than workers
 }
 
+// workerLease is a worker's lease with the worker's demand.
 type workerLease struct {
 	lease    Lease
-	deciding bool    // between Renew and EndDecision: it does not expire under the decision
-	demand   float64 // decayed count of parts used or missed
-	demandAt float64
+	deciding bool    // the worker is between Renew and EndDecision: the lease does not expire meanwhile
+	demand   float64 // exponentially decaying count of the parts that were used or could have been
+	demandAt float64 // when demand was last updated
 }
 
-// NewBudget returns the budget of a server for a number of workers, over a sliding window in seconds.
+// NewBudget returns the budget of a server for a number of workers, with a sliding window in seconds.
 func NewBudget(workers int, window float64) *Budget {
 	return &Budget{window: window, workers: make([]workerLease, max(workers, 1))}
 }
 
-// Spend counts parts that a worker has sent. It returns false where they were more than its lease, which a worker that
-// keeps to its leases never sees; they count all the same.
+// Spend counts parts that a worker has sent. It reports whether the lease covered them, which is always true for a worker that
+// observes its leases. Parts that were not covered are counted as well.
 func (b *Budget) Spend(worker int, parts int, now float64) bool {
 	w := &b.workers[worker]
 	covered := parts <= w.lease.Parts && now <= w.lease.ExpiresAt
@@ -61,10 +62,10 @@
 	return covered
 }
 
-// EndDecision ends a worker's decision: what its lease has left may expire again.
+// EndDecision ends a worker's decision: the rest of its lease may expire again.
 func (b *Budget) EndDecision(worker int) { b.workers[worker].deciding = false }
 
-// RecordUnmetDemand records that a worker could have used one part more than its lease.
+// RecordUnmetDemand records that a worker could have used one more part than its lease granted.
 func (b *Budget) RecordUnmetDemand(worker int, now float64) { b.workers[worker].recordDemand(1, now) }
 
 func (w *workerLease) recordDemand(parts, now float64) {
@@ -76,7 +77,7 @@
 	return minDemand + w.demand*math.Exp(-(now-w.demandAt)/demandSpan)
 }
 
-// Outstanding returns the parts sent within the window that ends now, and the parts that leases still grant.
+// Outstanding returns the number of parts sent within the window that ends now, and the number that leases still grant.
 func (b *Budget) Outstanding(now float64) (sent, granted int) {
 	b.expire(now)
 	for _, w := range b.workers {
@@ -94,11 +95,11 @@
 	}
 }
 
-// Renew returns a worker's lease for a decision that EndDecision ends. The times of workers that decide side by side are
-// not in order: a slow one must not find its lease granted to another that renewed later. A lease that has expired is
-// made anew; one that is good is returned as it is, and grows where there is budget that others do not want. The capacity
-// is what the server bears within one window now. Where it has shrunk below what is granted, nothing is revoked: a lease
-// is a promise, and short.
+// Renew returns a worker's lease for a decision that ends with EndDecision. The lease does not expire during the decision:
+// workers decide concurrently and pass in times that are not in order, and the lease of a slow worker must not be granted to
+// another worker that renews later. An expired lease is replaced. A valid one is returned unchanged, or extended if there is
+// budget that the other workers do not need. The capacity is the number of parts that the server can handle within one window
+// now. If it has dropped below the parts already granted, no lease is revoked: workers rely on their leases, which are short.
 func (b *Budget) Renew(worker int, capacity float64, now float64) Lease {
 	b.expire(now)
 	own := &b.workers[worker]
@@ -114,7 +115,7 @@
 	if free <= 0 {
 		return own.lease
 	}
-	// Parts go in proportion to demand. Where that rounds to nothing, single parts go round.
+	// Parts are divided in proportion to demand. If a worker's share rounds to zero, single parts are granted round robin.
 	demand := own.currentDemand(now)
 	fair := float64(free+own.lease.Parts) * demand / (demand + othersDemand)
 	parts := int(fair) - own.lease.Parts
@@ -129,7 +130,7 @@
 	return own.lease
 }
 
-// isNext reports whether a worker is next in the round robin for single parts, and advances past it if so. Workers without
+// isNext reports whether a worker is next in the round robin for single parts, and if so advances past it. Workers without
 // recent demand are skipped.
 func (b *Budget) isNext(worker int, now float64) bool {
 	n := len(b.workers)
--- a/internal/workers/lease/semaphore.go
+++ b/internal/workers/lease/semaphore.go
@@ -2,22 +2,22 @@
 
 import "sync/atomic"
 
-// Semaphore is a weighted semaphore whose capacity can change, for queries and parts in flight or for descriptors. Workers
-// draw on one: what one does not use, another may, and the sum is exact at any time. (golang.org/x/sync/semaphore cannot be
-// resized.) It may be used by several goroutines.
+// Semaphore is a weighted semaphore whose capacity can change, for queries and parts in flight or for file descriptors. All
+// workers share one semaphore, so any of them can use the units that the others do not use, and the total is exact at any
+// time. (golang.org/x/sync/semaphore cannot be resized.) It is safe for concurrent use.
 type Semaphore struct {
 	capacity atomic.Int64
 	acquired atomic.Int64
 }
 
-// NewSemaphore returns a semaphore with a capacity in units; 0: unlimited.
+// NewSemaphore returns a semaphore with a capacity, in units; 0: unlimited.
 func NewSemaphore(capacity int) *Semaphore {
 	s := &Semaphore{}
 	s.Resize(capacity)
 	return s
 }
 
-// Resize changes the capacity; 0: unlimited. Units acquired beyond a smaller capacity stay acquired; TryAcquire fails until
+// Resize changes the capacity; 0: unlimited. Units in excess of a smaller capacity stay acquired, and TryAcquire fails until
 // enough of them are released.
 func (s *Semaphore) Resize(capacity int) { s.capacity.Store(int64(capacity)) }
 
@@ -31,7 +31,7 @@
 	return true
 }
 
-// Release gives n units back.
+// Release releases n units.
 func (s *Semaphore) Release(n int) { s.acquired.Add(-int64(n)) }
 
 // Acquired returns the number of units acquired.
