--- a/internal/workers/placement/placement.go
+++ b/internal/workers/placement/placement.go
@@ -1,29 +1,29 @@
-// Package placement chooses the worker that serves a query, and registers the names of queries in flight so that none is
+// Package placement chooses the worker that serves a query, and registers the names of the queries in flight so that none is
 // served twice. It does no I/O and reads no clock.
 //
-// Queries are placed on arrival, connections are not: the load of a single connection spreads over all workers, and nothing
-// has to migrate off an overloaded worker, which merely receives no more.
+// Each query is assigned to a worker on arrival, independently of its connection. So the load of a single connection spreads
+// over all workers, and no connection has to migrate from an overloaded worker, which just receives fewer new queries.
 package placement
 
 import "math/rand/v2"
 
 // WorkerLoad is the load of one worker.
 type WorkerLoad struct {
-	InFlight int  // queries and parts, including those on their way to it
+	InFlight int  // queries and parts in flight, including queries submitted but not yet processed
 	Backlog  int  // functions queued for its loop
 	Dead     bool // its loop has ended
 }
 
-const (
-	// backlogWeight is the weight of a function queued for the loop, in parts in flight: it delays all queries of the
-	// worker, while a part in flight only waits for its record server.
-	backlogWeight = 4
-)
+// backlogWeight is the weight of a function queued for the loop, relative to a part in flight. The function delays all queries
+// of the worker, while a part in flight only waits for its record server.
+const backlogWeight = 4
 
+// cost returns the weighted load by which workers are compared.
 func (l WorkerLoad) cost() int { return l.InFlight + backlogWeight*l.Backlog }
 
-// Choose returns the worker for a query, or -1 if all are dead: the less loaded of two random ones (the power of two
-// choices). Loads are slightly stale, so that choosing the least loaded would send all queries to the same worker.
+// Choose returns the index of the worker for a query, or -1 if all workers are dead. It chooses the less loaded of two random
+// live workers (the power of two choices). Loads are slightly stale, so choosing the least loaded worker would send many
+// queries in a row to the same one.
 func Choose(loads []WorkerLoad, rng *rand.Rand) int {
 	alive := 0
 	for _, l := range loads {
@@ -34,7 +34,7 @@
 	if alive == 0 {
 		return -1
 	}
-	nth := func(n int) int {
+	nthAlive := func(n int) int {
 		for i, l := range loads {
 			if !l.Dead {
 				if n == 0 {
@@ -45,12 +45,12 @@
 		}
 		return -1
 	}
-	a := rng.IntN(alive)
-	first := nth(a)
+	n := rng.IntN(alive)
+	first := nthAlive(n)
 	if alive == 1 {
 		return first
 	}
-	second := nth((a + 1 + rng.IntN(alive-1)) % alive)
+	second := nthAlive((n + 1 + rng.IntN(alive-1)) % alive)
 	if loads[second].cost() < loads[first].cost() {
 		return second
 	}
@@ -58,28 +58,28 @@
 }
 
 // NameRegistry holds the names of the queries in flight, each with its worker.
-type NameRegistry struct{ worker map[string]int }
+type NameRegistry struct{ workers map[string]int }
 
 // NewNameRegistry returns an empty registry.
-func NewNameRegistry() *NameRegistry { return &NameRegistry{worker: map[string]int{}} }
+func NewNameRegistry() *NameRegistry { return &NameRegistry{workers: map[string]int{}} }
 
-// Claim registers a name for a worker. It reports whether no query of that name was in flight.
-func (n *NameRegistry) Claim(name string, worker int) bool {
-	if _, taken := n.worker[name]; taken {
+// Claim registers the name of a query that a worker serves. It returns false if a query of that name is in flight already.
+func (r *NameRegistry) Claim(name string, worker int) bool {
+	if _, taken := r.workers[name]; taken {
 		return false
 	}
-	n.worker[name] = worker
+	r.workers[name] = worker
 	return true
 }
 
-// Worker returns the worker that serves a name, and reports whether there is one.
-func (n *NameRegistry) Worker(name string) (int, bool) {
-	w, ok := n.worker[name]
+// Worker returns the worker that serves the query of a name, and reports whether there is one.
+func (r *NameRegistry) Worker(name string) (int, bool) {
+	w, ok := r.workers[name]
 	return w, ok
 }
 
-// Release removes a name after its query has ended.
-func (n *NameRegistry) Release(name string) { delete(n.worker, name) }
+// Release removes the name of a query that has ended.
+func (r *NameRegistry) Release(name string) { delete(r.workers, name) }
 
 // Len returns the number of queries in flight.
-func (n *NameRegistry) Len() int { return len(n.worker) }
+func (r *NameRegistry) Len() int { return len(r.workers) }
--- a/internal/workers/placement/placement_test.go
+++ b/internal/workers/placement/placement_test.go
@@ -19,7 +19,7 @@
 	for _, l := range loads {
 		require.InDelta(t, 1000, l.InFlight, 20)
 	}
-	// One that is behind gets next to none until it has caught up.
+	// A worker with a long backlog gets no more queries.
 	loads[1].Backlog = 500
 	before := loads[1].InFlight
 	for range 400 {
@@ -34,7 +34,7 @@
 		loads := make([]placement.WorkerLoad, rapid.IntRange(1, 6).Draw(t, "workers"))
 		alive := 0
 		for i := range loads {
-			loads[i] = placement.WorkerLoad{InFlight: rapid.IntRange(0, 9).Draw(t, "open"), Dead: rapid.Bool().Draw(t, "dead")}
+			loads[i] = placement.WorkerLoad{InFlight: rapid.IntRange(0, 9).Draw(t, "in flight"), Dead: rapid.Bool().Draw(t, "dead")}
 			if !loads[i].Dead {
 				alive++
 			}
@@ -51,13 +51,13 @@
 }
 
 func TestNameRegistryClaimsNameOnce(t *testing.T) {
-	n := placement.NewNameRegistry()
-	require.True(t, n.Claim("q", 0))
-	require.False(t, n.Claim("q", 1))
-	w, ok := n.Worker("q")
+	registry := placement.NewNameRegistry()
+	require.True(t, registry.Claim("q", 0))
+	require.False(t, registry.Claim("q", 1))
+	worker, ok := registry.Worker("q")
 	require.True(t, ok)
-	require.Equal(t, 0, w)
-	n.Release("q")
-	require.True(t, n.Claim("q", 1))
-	require.Equal(t, 1, n.Len())
+	require.Equal(t, 0, worker)
+	registry.Release("q")
+	require.True(t, registry.Claim("q", 1))
+	require.Equal(t, 1, registry.Len())
 }
