--- a/internal/workers/observations/observations.go
+++ b/internal/workers/observations/observations.go
@@ -3,10 +3,10 @@
 // seconds, and serializes the calls.
 //
 // There are two goals. A worker that considers a failed server healthy learns of the failure from another worker before it
-// loses a request there. And a fault of one worker alone, such as a broken connection, does not make a healthy server
-// unhealthy for all. So a peer's observation weighs less than the worker's own, more with a second witness, less with age,
-// and next to nothing for a worker that has just received an answer itself. It never overrides a later observation of the
-// worker's own.
+// loses a request there. And a fault of one worker alone, such as a broken connection, does not make all workers consider a
+// healthy server unhealthy. So a peer's observation weighs less than the worker's own. Its weight increases with a second
+// witness, decreases with age, and is close to zero for a worker that has just received an answer itself. It never overrides
+// a later observation of the worker's own.
 package observations
 
 import (
@@ -16,65 +16,67 @@
 )
 
 const (
-	// MaxAge is how old, in seconds, an observation may be when it is offered.
+	// MaxAge is the maximum age of an observation when it is offered to another worker, in seconds.
 	MaxAge = 2.0
 
-	singleWitnessWeight = 0.5  // of a failure that one worker saw
-	manyWitnessesWeight = 0.75 // of one that several saw lately
-	maxRecoveryWeight   = 0.5  // of a success, for a worker that takes the server for unhealthy
-	halfLife            = 1.0  // seconds in which a weight halves
-	sameFaultWindow     = 1.0  // seconds within which failures seen by several count as one fault
-	ownSuccessWindow    = 1.0  // seconds for which a worker's own success speaks against others' failures
-	offerInterval       = 0.05 // seconds between two observations of one server for one worker
-	loadReportInterval  = 0.25 // and between two that only bring a load report
-	maxOffers           = 64   // observations at once; the rest waits for the next call
-	silenceFactor       = 6    // mean latencies without an answer make a silence
-	minSilence          = 0.05 // seconds: shorter ones are chance
-	latencyWeight       = 0.05 // of one latency in that mean
+	singleWitnessWeight = 0.5  // weight of a failure that one worker observed
+	manyWitnessesWeight = 0.75 // weight of a failure that several workers observed within sameFaultWindow
+	maxRecoveryWeight   = 0.5  // weight of a new success, for a worker that considers the server unhealthy
+	halfLife            = 1.0  // half-life of a weight, in seconds
+	sameFaultWindow     = 1.0  // failures observed by several workers within this time, in seconds, count as one fault
+	ownSuccessWindow    = 1.0  // a worker's own success reduces the weight of others' failures for this time, in seconds
+	offerInterval       = 0.05 // minimum interval between observations of one server offered to one worker, in seconds
+	loadReportInterval  = 0.25 // minimum interval between observations offered for a load report alone, in seconds
+	maxOffers           = 64   // maximum number of observations returned by one call; the rest is left for the next call
+	silenceFactor       = 6    // a server is silent if it has not answered for this multiple of the mean latency
+	minSilence          = 0.05 // minimum silence, in seconds: a shorter one may be due to chance
+	latencyWeight       = 0.05 // weight of one latency in the moving average
 )
 
-// Kind is what a worker observed.
+// Kind is the kind of an observation.
 type Kind int
 
-// What workers observe.
+// Kinds of observations.
 const (
 	Answered     Kind = iota
 	Failed            // an error, a broken or refused connection, a full queue
-	TimedOut          // a wait that was given up without an answer
-	LoadReported      // a load report alone
+	TimedOut          // a wait that was abandoned without an answer
+	LoadReported      // only a load report
 )
 
-// Observation is what a worker observed of a server.
+// Observation is a worker's observation of a server.
 type Observation struct {
 	Kind       Kind
-	Latency    float64 // since the attempt was sent
-	LoadReport decision.LoadReport
+	Latency    float64             // seconds since the attempt was sent
+	LoadReport decision.LoadReport // decision.NoLoadReport: none
 }
 
-// view is what one worker knows of one server. Times are never where nothing was observed.
+// view is one worker's knowledge of one server. A time is never if nothing was observed.
 type view struct {
-	answeredAt, failedAt float64 // its own latest answer, and its own latest failure or silence
-	offeredAt            float64 // when an observation was last offered to it
-	newestOffered        float64 // time of the newest observation that it was offered
-	unhealthy            bool    // whether it considers the server unhealthy
-	loadReportedAt       float64 // when the latest report was made that it has
-	queued               bool    // in the worker's queue
+	answeredAt     float64 // time of the worker's own latest answer
+	failedAt       float64 // time of the worker's own latest failure or silence
+	offeredAt      float64 // when an observation was last offered to the worker
+	newestOffered  float64 // time of the newest observation that was offered to the worker
+	unhealthy      bool    // the worker considers the server unhealthy
+	loadReportedAt float64 // time of the latest load report that the worker has
+	queued         bool    // the server is in the worker's queue
 }
 
+// record holds the observations of one server.
 type record struct {
 	id             string
-	views          []view
-	loadReport     decision.LoadReport
+	views          []view              // by worker
+	loadReport     decision.LoadReport // the latest one that any worker received
 	loadReportedAt float64
-	answeredAt     float64 // the latest answer to any worker
+	answeredAt     float64 // time of the latest answer that any worker received
 }
 
-// Shared is where workers record what they observe and collect what others did.
+// Shared holds the observations that the workers record, and offers them to the other workers.
 type Shared struct {
 	workers     int
 	servers     map[string]*record
-	queues      [][]*record // by worker: servers of which there is something to offer
-	meanLatency float64     // mean latency of answers
+	queues      [][]*record // by worker, the servers with observations to offer to it
+	meanLatency float64     // moving average of the latency of answers, in seconds
 }
 
 // NewShared returns an empty Shared for a number of workers.
@@ -82,78 +84,82 @@
 	return &Shared{workers: workers, servers: map[string]*record{}, queues: make([][]*record, workers)}
 }
 
-func (b *Shared) record(id string) *record {
-	r := b.servers[id]
+// record returns the record of a server, which it creates if there is none.
+func (s *Shared) record(id string) *record {
+	r := s.servers[id]
 	if r == nil {
-		r = &record{id: id, views: make([]view, b.workers), loadReport: decision.NoLoadReport, loadReportedAt: never, answeredAt: never}
+		r = &record{id: id, views: make([]view, s.workers), loadReport: decision.NoLoadReport, loadReportedAt: never,
+			answeredAt: never}
 		for i := range r.views {
 			r.views[i] = view{answeredAt: never, failedAt: never, offeredAt: never, newestOffered: never, loadReportedAt: never}
 		}
-		b.servers[id] = r
+		s.servers[id] = r
 	}
 	return r
 }
 
+// never is the time of events that have not happened. It is earlier than any clock value.
 const never = -1e18
 
-// Forget drops what was observed of a server: it has restarted, or is removed.
-func (b *Shared) Forget(id string) { delete(b.servers, id) }
+// Forget drops the observations of a server that has restarted or was removed.
+func (s *Shared) Forget(id string) { delete(s.servers, id) }
 
 // Len returns the number of servers with observations.
-func (b *Shared) Len() int { return len(b.servers) }
+func (s *Shared) Len() int { return len(s.servers) }
 
-// Record records what a worker observed.
-func (b *Shared) Record(worker int, id string, now float64, o Observation) {
-	r := b.record(id)
+// Record records a worker's observation of a server, and queues the server for the workers to which it has to be offered.
+func (s *Shared) Record(worker int, id string, now float64, o Observation) {
+	r := s.record(id)
 	own := &r.views[worker]
-	news := o.LoadReport != decision.NoLoadReport
-	if news {
+	offerToAll := o.LoadReport != decision.NoLoadReport
+	if offerToAll {
 		r.loadReport, r.loadReportedAt, own.loadReportedAt = o.LoadReport, now, now
 	}
 	switch o.Kind {
 	case Answered:
 		own.answeredAt, own.unhealthy, r.answeredAt = now, false, now
-		b.recordLatency(o.Latency)
+		s.recordLatency(o.Latency)
 	case Failed:
-		own.failedAt, own.unhealthy, news = now, true, true
+		own.failedAt, own.unhealthy, offerToAll = now, true, true
 	case TimedOut:
-		if r.isSilent(now, o.Latency, b.meanLatency) {
-			own.failedAt, own.unhealthy, news = now, true, true
+		if r.isSilent(now, o.Latency, s.meanLatency) {
+			own.failedAt, own.unhealthy, offerToAll = now, true, true
 		}
 	}
 	for w := range r.views {
 		other := &r.views[w]
-		if w != worker && !other.queued && (news || o.Kind == Answered && other.unhealthy) {
+		if w != worker && !other.queued && (offerToAll || o.Kind == Answered && other.unhealthy) {
 			other.queued = true
-			b.queues[w] = append(b.queues[w], r)
+			s.queues[w] = append(s.queues[w], r)
 		}
 	}
 }
 
-func (b *Shared) recordLatency(latency float64) {
-	if b.meanLatency == 0 {
-		b.meanLatency = latency
+// recordLatency adds a latency to the moving average, which the first one initializes.
+func (s *Shared) recordLatency(latency float64) {
+	if s.meanLatency == 0 {
+		s.meanLatency = latency
 	}
-	b.meanLatency += latencyWeight * (latency - b.meanLatency)
+	s.meanLatency += latencyWeight * (latency - s.meanLatency)
 }
 
-// isSilent reports whether an abandoned attempt counts as a failure: the server answered no worker during the wait, which
-// was long enough for an answer.
+// isSilent reports whether an abandoned attempt counts as a failure: no worker received an answer from the server during the
+// wait, and the wait was long enough for an answer.
 func (r *record) isSilent(now, waited, meanLatency float64) bool {
 	return r.answeredAt < now-waited && waited >= math.Max(silenceFactor*meanLatency, minSilence)
 }
 
-// HasPending reports whether there may be observations for a worker.
-func (b *Shared) HasPending(worker int) bool { return len(b.queues[worker]) > 0 }
+// HasPending reports whether there may be observations for a worker to collect.
+func (s *Shared) HasPending(worker int) bool { return len(s.queues[worker]) > 0 }
 
-// Collect returns the observations of other workers that are due for a worker.
-func (b *Shared) Collect(worker int, now float64) (collected []decision.PeerObservation) {
-	queue := b.queues[worker]
+// Collect returns the observations of other workers that are due to be offered to a worker.
+func (s *Shared) Collect(worker int, now float64) (collected []decision.PeerObservation) {
+	queue := s.queues[worker]
 	keep := queue[:0]
 	for _, r := range queue {
 		v := &r.views[worker]
-		if b.servers[r.id] != r {
-			continue // forgotten
+		if s.servers[r.id] != r {
+			continue // the server was forgotten
 		}
 		if len(collected) >= maxOffers || now-v.offeredAt < offerInterval {
 			keep = append(keep, r)
@@ -166,11 +172,12 @@
 		}
 	}
 	clear(queue[len(keep):])
-	b.queues[worker] = keep
+	s.queues[worker] = keep
 	return collected
 }
 
-// observationFor returns the observation of a server that is due for a worker, and reports whether there is one.
+// observationFor returns the observation of the server that is due to be offered to a worker, and reports whether there is
+// one.
 func (r *record) observationFor(worker int, now float64) (o decision.PeerObservation, ok bool) {
 	own := &r.views[worker]
 	o = decision.PeerObservation{Server: r.id, LoadReport: decision.NoLoadReport}
@@ -197,14 +204,14 @@
 	return o, ok
 }
 
-// hasLoadReportFor reports whether there is a load report that is due for a worker.
+// hasLoadReportFor reports whether a load report is due to be offered to a worker.
 func (r *record) hasLoadReportFor(own *view, now float64) bool {
 	newer := r.loadReportedAt - own.loadReportedAt
 	return newer > 0 && now-r.loadReportedAt <= MaxAge && (own.loadReportedAt == never || newer >= loadReportInterval)
 }
 
-// latestFailure returns when other workers last observed a failure, and the number of witnesses: those that observed one within
-// sameFaultWindow before it, and no answer since.
+// latestFailure returns when the other workers last observed a failure, and the number of witnesses: workers that observed one
+// within sameFaultWindow before that, and have received no answer since.
 func (r *record) latestFailure(worker int) (at float64, witnesses int) {
 	at = never
 	for w := range r.views {
@@ -220,7 +227,8 @@
 	return at, witnesses
 }
 
-// failureWeight returns the weight of a failure of an age for a worker whose own latest success has an age, in seconds.
+// failureWeight returns the weight of a failure for a worker, given the age of the failure and of the worker's own latest
+// success, in seconds.
 func failureWeight(witnesses int, age, ownSuccessAge float64) float64 {
 	weight := singleWitnessWeight
 	if witnesses > 1 {
--- a/internal/workers/observations/observations_test.go
+++ b/internal/workers/observations/observations_test.go
@@ -11,131 +11,137 @@
 	"mothrouter/internal/workers/observations"
 )
 
-func see(kind observations.Kind) observations.Observation {
+// observation returns an observation of a kind without a load report.
+func observation(kind observations.Kind) observations.Observation {
 	return observations.Observation{Kind: kind, Latency: 0.02, LoadReport: decision.NoLoadReport}
 }
 
 func TestFailureIsOfferedToOtherWorkers(t *testing.T) {
-	b := observations.NewShared(3)
-	b.Record(0, "s", 10, see(observations.Failed))
-	require.Empty(t, b.Collect(0, 10.01), "a worker hears nothing of its own")
-	one := b.Collect(1, 10.01)
+	shared := observations.NewShared(3)
+	shared.Record(0, "s", 10, observation(observations.Failed))
+	require.Empty(t, shared.Collect(0, 10.01), "a worker's own failure must not be offered to it")
+	one := shared.Collect(1, 10.01)
 	require.Len(t, one, 1)
 	require.Equal(t, 1.0, one[0].FailureRatio)
 	require.InDelta(t, 0.5, one[0].Weight, 0.01)
-	b.Record(1, "s", 10.1, see(observations.Failed))
-	two := b.Collect(2, 10.2)
+	shared.Record(1, "s", 10.1, observation(observations.Failed))
+	two := shared.Collect(2, 10.2)
 	require.Len(t, two, 1)
-	require.Greater(t, two[0].Weight, one[0].Weight, "two witnesses weigh more")
-	require.Empty(t, b.Collect(2, 10.5), "the same is not told twice")
+	require.Greater(t, two[0].Weight, one[0].Weight, "a second witness must increase the weight")
+	require.Empty(t, shared.Collect(2, 10.5), "an observation must not be offered twice")
 }
 
-// One worker's bad path: the others are answered there all the time.
+// TestOwnAnswersReduceWeightOfPeerFailures checks that a worker that receives answers from a server largely ignores the
+// failures of another worker, whose path to the server may be broken.
 func TestOwnAnswersReduceWeightOfPeerFailures(t *testing.T) {
-	b := observations.NewShared(2)
+	shared := observations.NewShared(2)
 	for i := range 20 {
 		now := 10 + 0.05*float64(i)
-		b.Record(1, "s", now, see(observations.Answered))
-		b.Record(0, "s", now+0.01, see(observations.Failed))
-		for _, h := range b.Collect(1, now+0.02) {
-			require.Less(t, h.Weight, 0.02)
+		shared.Record(1, "s", now, observation(observations.Answered))
+		shared.Record(0, "s", now+0.01, observation(observations.Failed))
+		for _, o := range shared.Collect(1, now+0.02) {
+			require.Less(t, o.Weight, 0.02)
 		}
 	}
-	b.Record(0, "s", 20, see(observations.Failed))
-	b.Record(1, "s", 20.01, see(observations.Answered)) // newer and its own
-	require.Empty(t, b.Collect(1, 20.1))
+	shared.Record(0, "s", 20, observation(observations.Failed))
+	shared.Record(1, "s", 20.01, observation(observations.Answered)) // the worker's own, newer observation
+	require.Empty(t, shared.Collect(1, 20.1))
 }
 
 func TestRecoveryIsOfferedToWorkersThatMarkedUnhealthy(t *testing.T) {
-	b := observations.NewShared(3)
-	b.Record(0, "s", 10, see(observations.Failed))
-	require.Len(t, b.Collect(1, 10.1), 1)
-	b.Record(2, "s", 10.5, see(observations.Answered))
+	shared := observations.NewShared(3)
+	shared.Record(0, "s", 10, observation(observations.Failed))
+	require.Len(t, shared.Collect(1, 10.1), 1)
+	shared.Record(2, "s", 10.5, observation(observations.Answered))
 	for _, w := range []int{0, 1} {
-		h := b.Collect(w, 10.6)
-		require.Len(t, h, 1, "worker %d", w)
-		require.Equal(t, 0.0, h[0].FailureRatio)
+		collected := shared.Collect(w, 10.6)
+		require.Len(t, collected, 1, "worker %d", w)
+		require.Equal(t, 0.0, collected[0].FailureRatio)
 	}
-	require.Empty(t, b.Collect(2, 10.7))
+	require.Empty(t, shared.Collect(2, 10.7))
 }
 
-// A hanging server ends no attempt. Attempts that timed out are observations of it, unless it answers others meanwhile.
+// TestSlowServerIsNotSilent checks that attempts that timed out at a hanging server count as a failure, but not if the server
+// answered another worker during the wait, nor if the wait was short.
 func TestSlowServerIsNotSilent(t *testing.T) {
-	given := observations.Observation{Kind: observations.TimedOut, Latency: 0.4, LoadReport: decision.NoLoadReport}
-	b := observations.NewShared(2)
+	timedOut := observations.Observation{Kind: observations.TimedOut, Latency: 0.4, LoadReport: decision.NoLoadReport}
+	shared := observations.NewShared(2)
 	for i := range 50 {
-		b.Record(0, "other", 9+0.01*float64(i), see(observations.Answered))
+		shared.Record(0, "other", 9+0.01*float64(i), observation(observations.Answered))
 	}
-	b.Record(0, "hangs", 10, given)
-	require.Equal(t, "hangs", b.Collect(1, 10.01)[0].Server)
-	b.Record(1, "slow", 10.9, see(observations.Answered)) // it answered while the other waited
-	b.Record(0, "slow", 11, given)
-	require.Empty(t, b.Collect(1, 11.1))
-	quick := given
-	quick.Latency = 0.03
-	b.Record(0, "cancelled soon", 12, quick)
-	require.Empty(t, b.Collect(1, 12.1))
+	shared.Record(0, "hanging", 10, timedOut)
+	require.Equal(t, "hanging", shared.Collect(1, 10.01)[0].Server)
+	shared.Record(1, "slow", 10.9, observation(observations.Answered)) // during the wait of worker 0
+	shared.Record(0, "slow", 11, timedOut)
+	require.Empty(t, shared.Collect(1, 11.1))
+	shortWait := timedOut
+	shortWait.Latency = 0.03
+	shared.Record(0, "cancelled early", 12, shortWait)
+	require.Empty(t, shared.Collect(1, 12.1))
 }
 
 func TestLoadReportsAreRateLimited(t *testing.T) {
-	b := observations.NewShared(2)
-	n := 0
+	shared := observations.NewShared(2)
+	offers := 0
 	for i := range 100 {
 		now := 10 + 0.01*float64(i)
-		b.Record(0, "s", now, observations.Observation{Kind: observations.Answered, Latency: 0.01, LoadReport: decision.LoadReport{Utilization: now}})
-		for _, h := range b.Collect(1, now) {
-			require.Equal(t, now, h.LoadReport.Utilization)
-			require.Zero(t, h.Weight)
-			n++
+		shared.Record(0, "s", now, observations.Observation{Kind: observations.Answered, Latency: 0.01,
+			LoadReport: decision.LoadReport{Utilization: now}})
+		for _, o := range shared.Collect(1, now) {
+			require.Equal(t, now, o.LoadReport.Utilization)
+			require.Zero(t, o.Weight)
+			offers++
 		}
 	}
-	require.Greater(t, n, 2)
-	require.Less(t, n, 7, "each load report costs the collecting worker a little")
+	require.Greater(t, offers, 2)
+	require.Less(t, offers, 7, "each load report takes the collecting worker some time")
 }
 
 func TestForgetDropsObservations(t *testing.T) {
-	b := observations.NewShared(2)
-	b.Record(0, "s", 10, see(observations.Failed))
-	b.Forget("s")
-	require.Empty(t, b.Collect(1, 10.1))
-	require.Zero(t, b.Len())
+	shared := observations.NewShared(2)
+	shared.Record(0, "s", 10, observation(observations.Failed))
+	shared.Forget("s")
+	require.Empty(t, shared.Collect(1, 10.1))
+	require.Zero(t, shared.Len())
 }
 
-// For any schedule: a collected observation is never older than MaxAge nor than the collecting worker's own, it is another
-// worker's, its weight is bounded, and so is the number of one call.
+// TestObservationsAreBounded checks, for random schedules, that each collected observation comes from another worker, is no
+// older than MaxAge and newer than the collecting worker's own, and has a bounded weight, and that the number of observations
+// per call is bounded.
 func TestObservationsAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const workers, servers = 3, 4
-		b := observations.NewShared(workers)
+		shared := observations.NewShared(workers)
 		now := 10.0
-		var own [workers][servers]float64
+		var own [workers][servers]float64   // time of each worker's latest answer or failure
 		last := [servers][workers]float64{} // time of each worker's latest observation
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 0.5).Draw(t, "pause")
 			w, s := rapid.IntRange(0, workers-1).Draw(t, "worker"), rapid.IntRange(0, servers-1).Draw(t, "server")
-			if rapid.Bool().Draw(t, "sees") {
-				k := observations.Kind(rapid.IntRange(0, 2).Draw(t, "kind"))
+			if rapid.Bool().Draw(t, "records") {
+				kind := observations.Kind(rapid.IntRange(0, 2).Draw(t, "kind"))
 				latency := rapid.Float64Range(0, 1).Draw(t, "latency")
-				b.Record(w, fmt.Sprint(s), now, observations.Observation{Kind: k, Latency: latency, LoadReport: decision.NoLoadReport})
-				if k != observations.TimedOut {
+				shared.Record(w, fmt.Sprint(s), now,
+					observations.Observation{Kind: kind, Latency: latency, LoadReport: decision.NoLoadReport})
+				if kind != observations.TimedOut {
 					own[w][s] = now
 				}
 				last[s][w] = now
 				continue
 			}
-			collected := b.Collect(w, now)
+			collected := shared.Collect(w, now)
 			if len(collected) > 64 {
-				t.Fatalf("%d observations at once", len(collected))
+				t.Fatalf("one call returned %d observations, want at most 64", len(collected))
 			}
-			for _, h := range collected {
+			for _, o := range collected {
 				var id int
-				fmt.Sscan(h.Server, &id)
-				from := false
+				fmt.Sscan(o.Server, &id)
+				fromPeer := false
 				for other := range workers {
-					from = from || other != w && last[id][other] > 0 && h.At <= last[id][other]
+					fromPeer = fromPeer || other != w && last[id][other] > 0 && o.At <= last[id][other]
 				}
-				if !from || now-h.At > observations.MaxAge || h.At <= own[w][id] || h.Weight < 0 || h.Weight > 0.75 {
-					t.Fatalf("worker %d collects %+v at %g, own observation %g", w, h, now, own[w][id])
+				if !fromPeer || now-o.At > observations.MaxAge || o.At <= own[w][id] || o.Weight < 0 || o.Weight > 0.75 {
+					t.Fatalf("worker %d collects %+v at %g, its own latest observation is of %g", w, o, now, own[w][id])
 				}
 			}
 		}
@@ -143,7 +149,7 @@
 }
 
 func BenchmarkRecordAndCollect(b *testing.B) {
-	board := observations.NewShared(4)
+	shared := observations.NewShared(4)
 	ids := make([]string, 200)
 	for i := range ids {
 		ids[i] = fmt.Sprint("s", i)
@@ -151,7 +157,7 @@
 	load := decision.LoadReport{Utilization: 0.5}
 	for i := range b.N {
 		now := 10 + 0.0001*float64(i)
-		board.Record(i%4, ids[i%200], now, observations.Observation{Kind: observations.Answered, Latency: 0.02, LoadReport: load})
-		board.Collect((i+1)%4, now)
+		shared.Record(i%4, ids[i%200], now, observations.Observation{Kind: observations.Answered, Latency: 0.02, LoadReport: load})
+		shared.Collect((i+1)%4, now)
 	}
 }
