--- a/internal/workers/cores/bench_test.go
+++ b/internal/workers/cores/bench_test.go
@@ -7,44 +7,46 @@
 	"mothrouter/internal/decision"
 )
 
-// nothing decides nothing, so that what is left is the cost of sharing.
-type nothing struct{}
+// nopDecider returns no actions, so that only the cost of sharing is measured.
+type nopDecider struct{}
 
-func (nothing) Handle(float64, []decision.Event) []decision.Action { return nil }
+func (nopDecider) Handle(float64, []decision.Event) []decision.Action { return nil }
 
-// BenchmarkShareOutcome is what one outcome costs beside its decision, with 200 servers, of which some are cold.
+// BenchmarkShareOutcome measures the cost of sharing one outcome, without the decision, with 200 servers of which 0 or 20 are
+// in slow start.
 func BenchmarkShareOutcome(b *testing.B) {
 	for _, workers := range []int{1, 2, 4} {
 		for _, cold := range []int{0, 20} {
 			b.Run(fmt.Sprintf("workers=%d/cold=%d", workers, cold), func(b *testing.B) {
 				s := newProcessState(workers, settings(200, 1e9), 1)
-				l := decision.EndpointUpdate{Mode: decision.FullUpdate}
+				update := decision.EndpointUpdate{Mode: decision.FullUpdate}
 				for i := range 200 {
-					e := decision.Server{ID: fmt.Sprint("s", i), ReplicaSet: i}
+					server := decision.Server{ID: fmt.Sprint("s", i), ReplicaSet: i}
 					if i < cold {
-						e.Started = 99
+						server.Started = 99
 					}
-					l.Servers = append(l.Servers, e)
+					update.Servers = append(update.Servers, server)
 				}
-				s.applyUpdate(l, 100)
-				ds := make([]*sharedDecider, workers)
-				for w := range ds {
-					ds[w] = &sharedDecider{processState: s, worker: w, inner: nothing{}}
+				s.applyUpdate(update, 100)
+				deciders := make([]*sharedDecider, workers)
+				for w := range deciders {
+					deciders[w] = &sharedDecider{processState: s, worker: w, inner: nopDecider{}}
 				}
 				events := make([]decision.Event, 1)
 				b.ReportAllocs()
 				for i := range b.N {
 					now := 100 + 0.0001*float64(i)
-					events[0] = decision.AttemptFinished{Server: l.Servers[i%200].ID, Status: decision.OK, Latency: 0.02,
+					events[0] = decision.AttemptFinished{Server: update.Servers[i%200].ID, Status: decision.OK, Latency: 0.02,
 						LoadReport: decision.LoadReport{Utilization: 0.5}}
-					ds[i%workers].Handle(now, events)
+					deciders[i%workers].Handle(now, events)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkSubmit is what a front pays for a query to be placed and its name kept.
+// BenchmarkSubmit measures the cost for a front of registering a query's name and releasing it, with a look at the workers'
+// backlogs.
 func BenchmarkSubmit(b *testing.B) {
 	g := New(Options{Workers: 4, Settings: settings(4, 0)}, nil)
 	b.ReportAllocs()
--- a/internal/workers/cores/configure.go
+++ b/internal/workers/cores/configure.go
@@ -9,28 +9,28 @@
 )
 
 // Configure applies a change to all workers, and returns once it is in force. Each worker applies it at one point of its
-// loop, and the shared limit is resized at that of the last of them. So for the short while in which the loops come to it,
-// queries of some workers are accepted under the new classes and those of others under the old ones, all within the old
-// limit; no query is served under a mixture of classes. A worker that has panicked has no say. After an error all workers
-// have the settings before: what may change is the same for each, so one that refuses is not alone.
+// loop, and the last of them resizes the shared limit. Until then some workers accept queries under the new classes and
+// others under the old ones, all within the old limit; no query is served under a mixture of both. Workers that have panicked
+// are skipped. If Configure returns an error, all workers keep their previous settings: the rules for changes are the same for
+// each, so either all workers reject a change or none does.
 func (g *Group) Configure(c broker.Change) error {
 	g.configuring.Lock()
 	defer g.configuring.Unlock()
-	var living []*worker
+	var alive []*worker
 	for _, w := range g.workers {
 		if !w.dead.Load() {
-			living = append(living, w)
+			alive = append(alive, w)
 		}
 	}
 	var pending atomic.Int64
-	pending.Store(int64(len(living)))
+	pending.Store(int64(len(alive)))
 	applied := func() {
 		if pending.Add(-1) == 0 {
 			g.limiter.Resize(c.ConcurrencyLimit)
 		}
 	}
 	var waits []func() error
-	for _, w := range living {
+	for _, w := range alive {
 		waits = append(waits, w.broker.ConfigureAsync(c, applied))
 	}
 	inForce := 0
@@ -45,11 +45,13 @@
 	if inForce == 0 {
 		return broker.ErrEnded
 	}
-	g.limiter.Resize(c.ConcurrencyLimit) // one that has panicked meanwhile has not counted
+	// A worker that panicked during the change has not called applied, so pending may not have reached 0.
+	g.limiter.Resize(c.ConcurrencyLimit)
 	return nil
 }
 
-// LongestDeadline is the longest deadline of a class in force, or of one that a query in flight was accepted under.
+// LongestDeadline returns the longest deadline of the classes in force and of those under which queries in flight were
+// accepted.
 func (g *Group) LongestDeadline() (longest time.Duration) {
 	for _, w := range g.workers {
 		if !w.dead.Load() {
--- a/internal/workers/cores/configure_test.go
+++ b/internal/workers/cores/configure_test.go
@@ -18,7 +18,7 @@
 )
 
 // recordingDecider is a worker's Decider that records class changes and queries. It rejects each query at once unless it
-// is silent. A TimerFired event, by its token, blocks the worker's loop or makes it panic.
+// is silent. A TimerFired event blocks the worker's loop or makes it panic, depending on its token.
 type recordingDecider struct {
 	mu       sync.Mutex
 	recorded []decision.Event // ClassesChanged and Query
@@ -28,9 +28,10 @@
 	once     sync.Once
 }
 
-// unblock resumes a blocked loop. It may be called again.
+// unblock resumes a blocked loop. It may be called repeatedly.
 func (d *recordingDecider) unblock() { d.once.Do(func() { close(d.resume) }) }
 
+// Tokens of TimerFired events for a recordingDecider.
 const (
 	tokenBlock = iota
 	tokenPanic
@@ -68,9 +69,10 @@
 	*testing.T
 	*Group
 	deciders []*recordingDecider
-	next     atomic.Int64
+	next     atomic.Int64 // number of the latest query
 }
 
+// newRecordingGroup starts a group that runs until the test ends.
 func newRecordingGroup(t *testing.T, workers, concurrencyLimit int, silent bool) *recordingGroup {
 	r := &recordingGroup{T: t}
 	r.Group = New(Options{Workers: workers, Settings: settings(1, 0), ConcurrencyLimit: concurrencyLimit, Seed: 7,
@@ -106,7 +108,7 @@
 	return classes
 }
 
-// query submits a query of a number of parts, with its class's deadline.
+// query submits a query with a number of parts and the default deadline of its class.
 func (r *recordingGroup) query(parts int) answer {
 	a := make(answer, 1)
 	q := &broker.Request{ID: fmt.Sprint("q", r.next.Add(1)), TimeoutUnstated: true, ReceivedAt: time.Now()}
@@ -117,19 +119,20 @@
 	return a
 }
 
+// outcome waits for the outcome of a query.
 func (r *recordingGroup) outcome(a answer) broker.Outcome {
 	r.Helper()
 	select {
 	case res := <-a:
 		return res.Outcome
 	case <-time.After(5 * time.Second):
-		require.FailNow(r, "no response")
+		require.FailNow(r, "a query was not answered within 5 s")
 		return 0
 	}
 }
 
-// Each worker receives each change, in one order, and accepts each query under exactly one of them: the query's
-// deadline is that of the last change that its worker received.
+// TestWorkersApplyChangesAtomically checks that all workers receive all changes in the same order, and that each query is
+// accepted under exactly one of them: its deadline is that of the last change that its worker received.
 func TestWorkersApplyChangesAtomically(t *testing.T) {
 	const workers, changes, clients = 4, 60, 6
 	r := newRecordingGroup(t, workers, 0, false)
@@ -176,11 +179,13 @@
 	require.Equal(t, answered.Load(), int64(queries))
 }
 
-// With one worker, classes and concurrency limit change at one point: the old limit holds for earlier queries.
+// TestConcurrencyLimitChangesWithClasses checks that with one worker the classes and the concurrency limit change at one point
+// of its loop: queries submitted before the change are subject to the old limit.
 func TestConcurrencyLimitChangesWithClasses(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		cap, parts    int
+		limit         int // after the change, which starts at 2
+		parts         int // of each query
 		before, after broker.Outcome
 	}{
 		{"larger", 5, 3, broker.Rejected, broker.DeadlineExceeded},
@@ -194,7 +199,9 @@
 			early := r.query(c.parts)
 			done := make(chan error, 1)
 			backlog := r.workers[0].broker.Backlog()
-			go func() { done <- r.Configure(broker.Change{Classes: classesWithDeadline(0.3), ConcurrencyLimit: c.cap}) }()
+			go func() {
+				done <- r.Configure(broker.Change{Classes: classesWithDeadline(0.3), ConcurrencyLimit: c.limit})
+			}()
 			require.Eventually(t, func() bool { return r.workers[0].broker.Backlog() > backlog }, 5*time.Second,
 				time.Millisecond)
 			late := r.query(c.parts)
@@ -206,7 +213,8 @@
 	}
 }
 
-// While one worker is busy, the others serve under the new classes, and all within the old limit until it follows.
+// TestSharedLimitWaitsForLastWorker checks that while one worker is blocked, the other applies the new classes, but the shared
+// limit changes only when the last worker has applied them.
 func TestSharedLimitWaitsForLastWorker(t *testing.T) {
 	r := newRecordingGroup(t, 2, 2, true)
 	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenBlock})
@@ -219,14 +227,15 @@
 		defer d.mu.Unlock()
 		return len(d.recorded) == 1
 	}, 5*time.Second, time.Millisecond)
-	require.False(t, r.limiter.TryAcquire(3), "the limit was raised before a worker had the new classes")
+	require.False(t, r.limiter.TryAcquire(3), "the limit was raised before all workers had the new classes")
 	r.deciders[0].unblock()
 	require.NoError(t, <-done)
 	require.True(t, r.limiter.TryAcquire(6))
 	require.False(t, r.limiter.TryAcquire(1))
 }
 
-// Neither a worker that panics during a change nor one that is already dead delays it.
+// TestConfigureWithDeadWorker checks that neither a worker that panics during a change nor one that is already dead delays or
+// prevents it.
 func TestConfigureWithDeadWorker(t *testing.T) {
 	r := newRecordingGroup(t, 2, 2, true)
 	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenBlock})
@@ -243,7 +252,7 @@
 	require.NoError(t, r.Configure(broker.Change{Classes: classesWithDeadline(0.5), ConcurrencyLimit: 7}))
 	require.True(t, r.limiter.TryAcquire(7))
 	require.Equal(t, 0.5, r.LongestDeadline().Seconds())
-	r.workers[0].dead.Store(false) // as for a worker that dies after the check, before the post
+	r.workers[0].dead.Store(false) // as if the worker panicked between the check of dead and ConfigureAsync
 	require.NoError(t, r.Configure(broker.Change{Classes: classesWithDeadline(0.5), ConcurrencyLimit: 9}))
 	require.False(t, r.limiter.TryAcquire(3))
 	require.True(t, r.limiter.TryAcquire(2))
@@ -253,7 +262,8 @@
 	require.ErrorIs(t, r.Configure(broker.Change{Classes: classesWithDeadline(0.6), ConcurrencyLimit: 8}), broker.ErrEnded)
 }
 
-// An invalid change alters neither a worker's classes nor the concurrency limit.
+// TestConfigureRejectsInvalidChange checks that an invalid change alters neither the classes of any worker nor the concurrency
+// limit.
 func TestConfigureRejectsInvalidChange(t *testing.T) {
 	r := newRecordingGroup(t, 3, 2, true)
 	invalid := classesWithDeadline(0.4)
--- a/internal/workers/cores/cores.go
+++ b/internal/workers/cores/cores.go
@@ -1,6 +1,6 @@
-// Package cores runs several workers, each a core loop with a Decider of its own, behind the same fronts and the same
-// link. It is the driver beside the packages that decide: placement (which worker serves a query), lease (what all may
-// send to a server in slow start together) and observations (what one learns from the others).
+// Package cores runs several workers, each a core loop with its own Decider, behind the same fronts and the same link. It is
+// the driver of three packages that do no I/O: placement (which worker serves a query), lease (how many parts the workers
+// together may send to a server in slow start) and observations (what a worker learns from the others).
 package cores
 
 import (
@@ -18,78 +18,83 @@
 	"mothrouter/internal/workers/placement"
 )
 
-// updateTimeout is the maximum time that Update waits for busy workers. Links apply a drain before any worker does.
+// updateTimeout is the maximum time that Update waits for busy workers. It may be short, since links apply a drain before any
+// worker does.
 const updateTimeout = 200 * time.Millisecond
 
 // Options configure a Group.
 type Options struct {
 	Workers          int
 	Settings         decision.Settings
-	ConcurrencyLimit int // queries and parts in flight, of all workers together; 0: no limit
+	ConcurrencyLimit int // maximum number of queries and parts in flight at all workers together; 0: no limit
 	Seed             uint64
 	Log              *slog.Logger
-	// Decider makes a worker's Decider; nil: decision.New.
-	Decider func(worker int, set decision.Settings, seed uint64) decision.Decider
+	// Decider creates the Decider of a worker; nil: decision.New.
+	Decider func(worker int, settings decision.Settings, seed uint64) decision.Decider
 }
 
-// Group is the set of workers. Fronts use it as a single core.
+// Group is a set of workers. Fronts use it as a single core.
 type Group struct {
 	log     *slog.Logger
 	servers *broker.Endpoints
 	limiter *lease.Semaphore
 	state   *processState
 	workers []*worker
-	failed  chan struct{} // closed when a worker has died
-	once    sync.Once
+	failed  chan struct{} // closed when a worker has panicked
+	once    sync.Once     // closes failed
 
-	configuring sync.Mutex // held while a change is applied: all workers apply changes in one order
+	configuring sync.Mutex // held while a change is applied, so that all workers apply changes in the same order
 
-	mu       sync.Mutex // guards names, rng and the loads' Open and Dead
+	mu       sync.Mutex // guards registry, loads and rng
 	registry *placement.NameRegistry
-	loads    []placement.WorkerLoad
+	loads    []placement.WorkerLoad // by worker
 	rng      *rand.Rand
 }
 
+// worker is a core loop.
 type worker struct {
 	broker *broker.Broker
-	dead   atomic.Bool
+	dead   atomic.Bool // it has panicked
 }
 
-// New makes a group whose workers send by one link: record servers see the connections of one broker.
-func New(opt Options, link broker.Link) *Group {
-	if opt.Log == nil {
-		opt.Log = slog.Default()
+// placementStream is the second word of the PCG seed for the placement of queries.
+const placementStream = 0xa54ff53a5f1d36f1
+
+// New creates a group whose workers share one link, so that record servers see the connections of a single broker.
+func New(options Options, link broker.Link) *Group {
+	if options.Log == nil {
+		options.Log = slog.Default()
 	}
-	if opt.Decider == nil {
-		opt.Decider = func(_ int, set decision.Settings, seed uint64) decision.Decider {
-			return decision.New(set, seed)
+	if options.Decider == nil {
+		options.Decider = func(_ int, settings decision.Settings, seed uint64) decision.Decider {
+			return decision.New(settings, seed)
 		}
 	}
-	n := max(opt.Workers, 1)
+	n := max(options.Workers, 1)
 	g := &Group{
-		log: opt.Log, servers: broker.NewEndpoints(), limiter: lease.NewSemaphore(opt.ConcurrencyLimit),
-		state: newProcessState(n, opt.Settings, opt.Seed), failed: make(chan struct{}),
+		log: options.Log, servers: broker.NewEndpoints(), limiter: lease.NewSemaphore(options.ConcurrencyLimit),
+		state: newProcessState(n, options.Settings, options.Seed), failed: make(chan struct{}),
 		registry: placement.NewNameRegistry(), loads: make([]placement.WorkerLoad, n),
-		rng: rand.New(rand.NewPCG(opt.Seed, 0xa54ff53a5f1d36f1)),
+		rng: rand.New(rand.NewPCG(options.Seed, placementStream)),
 	}
 	for i := range n {
-		d := opt.Decider(i, opt.Settings, opt.Seed^uint64(i)*0x9e3779b97f4a7c15)
+		d := options.Decider(i, options.Settings, options.Seed^uint64(i)*0x9e3779b97f4a7c15) // distinct seeds per worker
 		g.workers = append(g.workers, &worker{broker: broker.New(broker.Options{
-			Settings: opt.Settings, Log: opt.Log.With("worker", i), Endpoints: g.servers, SharedLimiter: g.limiter,
+			Settings: options.Settings, Log: options.Log.With("worker", i), Endpoints: g.servers, SharedLimiter: g.limiter,
 		}, &sharedDecider{processState: g.state, worker: i, inner: d}, link)})
 	}
 	return g
 }
 
-// Run runs the workers until ctx ends. A worker that panics ends alone: its queries in flight fail at once, it receives no
-// more of them, and the channel of Failed is closed, so that the process can shut down cleanly.
+// Run runs the workers until ctx is done. If a worker panics, only that worker ends: its queries in flight fail at once, it
+// receives no more queries, and the channel of Failed is closed, so that the process can shut down cleanly.
 func (g *Group) Run(ctx context.Context) {
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	for i, w := range g.workers {
-		all.Go(func() {
+		running.Go(func() {
 			defer func() {
-				if why := recover(); why != nil {
-					g.log.Error("worker panicked", "worker", i, "panic", why, "stack", string(debug.Stack()))
+				if reason := recover(); reason != nil {
+					g.log.Error("worker panicked", "worker", i, "panic", reason, "stack", string(debug.Stack()))
 					g.mu.Lock()
 					g.loads[i].Dead = true
 					g.mu.Unlock()
@@ -101,19 +106,19 @@
 			w.broker.Run(ctx)
 		})
 	}
-	all.Wait()
+	running.Wait()
 }
 
-// Failed is closed once a worker has panicked.
+// Failed returns a channel that is closed once a worker has panicked.
 func (g *Group) Failed() <-chan struct{} { return g.failed }
 
-// client is a query's client with what has to be released at its end.
+// client wraps the client of a query. It releases the query's name and load when the query ends.
 type client struct {
 	broker.Client
 	group  *Group
 	name   string
 	worker int
-	size   int
+	size   int // the query and its parts, as counted in the worker's load
 }
 
 // Finish implements broker.Client.
@@ -130,23 +135,24 @@
 	c.group.loads[c.worker].InFlight -= c.size
 }
 
-// Submit hands a query to a worker.
+// Submit passes a query to a worker. If all workers are dead, the query finishes at once as Failed; if a query with the same ID
+// is in flight, it finishes as Duplicate.
 func (g *Group) Submit(r *broker.Request, c broker.Client) {
-	mine := &client{Client: c, group: g, name: r.ID, size: 1 + len(r.Parts)}
+	wrapped := &client{Client: c, group: g, name: r.ID, size: 1 + len(r.Parts)}
 	g.mu.Lock()
 	for i, w := range g.workers {
 		g.loads[i].Backlog = w.broker.Backlog()
 	}
-	mine.worker = placement.Choose(g.loads, g.rng)
-	claimed := mine.worker >= 0 && g.registry.Claim(r.ID, mine.worker)
+	wrapped.worker = placement.Choose(g.loads, g.rng)
+	claimed := wrapped.worker >= 0 && g.registry.Claim(r.ID, wrapped.worker)
 	if claimed {
-		g.loads[mine.worker].InFlight += mine.size
+		g.loads[wrapped.worker].InFlight += wrapped.size
 	}
 	g.mu.Unlock()
 	switch {
 	case claimed:
-		g.workers[mine.worker].broker.Submit(r, mine)
-	case mine.worker < 0:
+		g.workers[wrapped.worker].broker.Submit(r, wrapped)
+	case wrapped.worker < 0:
 		c.Finish(broker.Result{Outcome: broker.Failed})
 	default:
 		c.Finish(broker.Result{Outcome: broker.Duplicate})
@@ -163,7 +169,7 @@
 	}
 }
 
-// Ready reports whether record servers are known and a worker is alive.
+// Ready reports whether record servers are known and at least one worker is alive.
 func (g *Group) Ready() bool {
 	for _, w := range g.workers {
 		if !w.dead.Load() {
@@ -173,32 +179,32 @@
 	return false
 }
 
-// Update hands an update of the endpoint list to all workers. When it returns, no attempt starts at a server that drains
-// or is removed, whether or not each worker has had the time to take note of it.
-func (g *Group) Update(l broker.EndpointUpdate) {
-	g.servers.Apply(l)
-	g.state.applyUpdate(l.Event(), float64(time.Now().UnixNano())/1e9)
-	limit := time.NewTimer(updateTimeout)
-	defer limit.Stop()
-	var taken []<-chan struct{}
+// Update passes an endpoint update to all workers. After it has returned, no attempt starts at a server that is draining or
+// removed, even if some worker has not processed the update yet.
+func (g *Group) Update(u broker.EndpointUpdate) {
+	g.servers.Apply(u)
+	g.state.applyUpdate(u.Event(), float64(time.Now().UnixNano())/1e9)
+	timeout := time.NewTimer(updateTimeout)
+	defer timeout.Stop()
+	var processed []<-chan struct{}
 	for _, w := range g.workers {
 		if !w.dead.Load() {
-			taken = append(taken, w.broker.UpdateAsync(l))
+			processed = append(processed, w.broker.UpdateAsync(u))
 		}
 	}
-	for _, t := range taken {
+	for _, done := range processed {
 		select {
-		case <-t:
-		case <-limit.C:
+		case <-done:
+		case <-timeout.C:
 			return
 		}
 	}
 }
 
-// Notify hands each worker's Decider an event from a component beside the workers. It does not wait.
+// Notify passes an event from another component of the process to each worker's Decider. It does not wait for the workers.
 func (g *Group) Notify(e decision.Event) {
-	if f, ok := e.(decision.FleetResized); ok {
-		g.state.resize(f.Brokers)
+	if resized, ok := e.(decision.FleetResized); ok {
+		g.state.resize(resized.Brokers)
 	}
 	for _, w := range g.workers {
 		if !w.dead.Load() {
@@ -207,7 +213,7 @@
 	}
 }
 
-// Drain waits until no query is in flight, or ctx ends.
+// Drain waits until no query is in flight or ctx is done.
 func (g *Group) Drain(ctx context.Context) {
 	for _, w := range g.workers {
 		if !w.dead.Load() {
@@ -216,7 +222,7 @@
 	}
 }
 
-// SetShutdownDeadline sets the time by which all workers answer their queries.
+// SetShutdownDeadline sets the time by which all workers must have answered their queries.
 func (g *Group) SetShutdownDeadline(t time.Time) {
 	for _, w := range g.workers {
 		if !w.dead.Load() {
@@ -232,18 +238,18 @@
 	return g.registry.Len()
 }
 
-// Gauges returns the present gauges of all workers together.
+// Gauges returns the current gauges of all workers together.
 func (g *Group) Gauges() broker.Gauges {
 	listed, avoided := g.servers.Size()
 	return broker.Gauges{Queries: g.InFlight(), Endpoints: listed, Avoided: avoided}
 }
 
 // InFlightByWorker returns the number of queries and parts that each worker has in flight.
-func (g *Group) InFlightByWorker() (open []int) {
+func (g *Group) InFlightByWorker() (inFlight []int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, l := range g.loads {
-		open = append(open, l.InFlight)
+		inFlight = append(inFlight, l.InFlight)
 	}
-	return open
+	return inFlight
 }
--- a/internal/workers/cores/shareddecider.go
+++ b/internal/workers/cores/shareddecider.go
@@ -5,13 +5,14 @@
 	"mothrouter/internal/workers/observations"
 )
 
-// sharedDecider wraps one worker's Decider. It shares what the worker observes, and hands the worker what the others
-// observed and its leases of servers in slow start, as the events PeerObservation and SlowStartLease.
+// sharedDecider wraps one worker's Decider. It shares the worker's observations with the other workers, and passes their
+// observations and the worker's leases for servers in slow start to the Decider, as the events PeerObservation and
+// SlowStartLease.
 type sharedDecider struct {
 	*processState
 	worker      int
 	inner       decision.Decider
-	seenUpdates int // updates of the endpoint list that inner has had
+	seenUpdates int // number of endpoint updates that inner has received
 }
 
 // Handle implements decision.Decider.
@@ -21,8 +22,8 @@
 	return d.afterBatch(now, actions)
 }
 
-// beforeBatch shares what the worker observed and adds what it has to know. A panic must not leave the lock held: the
-// other workers go on.
+// beforeBatch shares the worker's observations and returns the batch with the events that the worker has missed. It unlocks
+// with defer, since the other workers continue after a panic and must not find the lock held.
 func (d *sharedDecider) beforeBatch(now float64, events []decision.Event) []decision.Event {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -31,7 +32,7 @@
 	for _, e := range events {
 		switch e := e.(type) {
 		case decision.EndpointUpdate:
-			continue // it is among the updates, perhaps of a batch ago
+			continue // it is among the missed updates, of this batch or an earlier one
 		case decision.AttemptFinished:
 			o := observations.Observation{Latency: e.Latency, LoadReport: e.LoadReport}
 			d.recordOutcome(d.worker, now, e.Server, e.Status, o)
@@ -49,12 +50,13 @@
 		}
 	}
 	if len(d.warmingUp) > 0 {
-		all = d.leases(d.worker, now, all)
+		all = d.appendLeases(d.worker, now, all)
 	}
 	return all
 }
 
-// afterBatch counts what the worker sends against its leases, and drops health checks that another worker has just begun.
+// afterBatch counts the parts that the worker sends against its leases, and drops health checks that another worker has
+// started within healthCheckInterval.
 func (d *sharedDecider) afterBatch(now float64, actions []decision.Action) []decision.Action {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -76,8 +78,8 @@
 	return kept
 }
 
-// spendLease counts a part that is sent. If it was decided before the worker had the update that brought the lease, it
-// counts against the budget, but is not overspent.
+// spendLease counts a part sent to a server in slow start against the server's budget and the worker's lease. A part beyond
+// the lease is counted in overspent, unless it was decided before the worker received the update that announced the server.
 func (d *sharedDecider) spendLease(server string, now float64) {
 	w := d.warmingUp[server]
 	if w != nil && !w.budget.Spend(d.worker, 1, now) && w.announcedAt < d.seenUpdates {
@@ -85,7 +87,8 @@
 	}
 }
 
-// mayCheckHealth reports whether no worker has checked a server's health within healthCheckInterval: the result is shared.
+// mayCheckHealth reports whether a health check may start: none of the workers, which share the results, has checked the
+// server within healthCheckInterval.
 func (d *sharedDecider) mayCheckHealth(server string, now float64) bool {
 	if at, checked := d.checkedAt[server]; checked && now-at < healthCheckInterval {
 		return false
--- a/internal/workers/cores/state.go
+++ b/internal/workers/cores/state.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	healthCheckInterval = 0.25 // seconds in which a server's health is checked once, by whichever worker
-	maxUpdates          = 64   // a worker that lags by more updates receives a full update instead
-	capacitySeedStream  = 0x3c6ef372fe94f82b
+	healthCheckInterval = 0.25 // minimum interval between health checks of one server by all workers together, in seconds
+	maxUpdates          = 64   // number of updates kept; a worker that has missed more receives a full update instead
+
+	capacityStream = 0x3c6ef372fe94f82b // second word of the PCG seed for the rounding of budgets
 )
 
-// processState is what the workers of a process have in common. Its lock is held for the few steps between a batch's
+// processState is the state that the workers of a process share. Its lock is held briefly before and after each batch of
 // events, never while a Decider decides.
 type processState struct {
 	mu           sync.Mutex
@@ -26,27 +27,27 @@
 	observations *observations.Shared
 	capacity     *lease.CapacityEstimate
 	slowStart    slowstart.Settings
-	warmingUp    map[string]*warmingServer
-	checkedAt    map[string]float64 // when a server's health was last checked, by whichever worker
-	overspent    int                // parts beyond a lease by workers that knew of it; stays 0
-
-	entries     map[string]decision.Server // the endpoint list
-	started     map[string]float64         // the latest start of each server on it
-	updates     []decision.EndpointUpdate  // the latest ones, those from number firstUpdate on
-	firstUpdate int
+	warmingUp    map[string]*warmingServer // by server ID
+	checkedAt    map[string]float64        // by server ID, when any worker last checked its health
+	overspent    int                       // parts sent beyond a lease by workers that knew of the lease; must stay 0
+
+	entries     map[string]decision.Server // the endpoint list, by server ID
+	started     map[string]float64         // by server ID, the latest start time of each server on the list
+	updates     []decision.EndpointUpdate  // the latest updates
+	firstUpdate int                        // number of the first of updates
 }
 
 // warmingServer is a server in slow start.
 type warmingServer struct {
 	budget          *lease.Budget
-	started         float64
-	roundingVariate float64 // rounds the budget of the present window,
-	windowEnd       float64 // which ends then
-	announcedAt     int     // number of the update that brought it
+	started         float64 // start time of the server's process
+	roundingVariate float64 // rounds the budget of the current window
+	windowEnd       float64 // end of the current window
+	announcedAt     int     // number of the update that announced the server
 }
 
 func newProcessState(workers int, settings decision.Settings, seed uint64) *processState {
-	rng := rand.New(rand.NewPCG(seed, capacitySeedStream))
+	rng := rand.New(rand.NewPCG(seed, capacityStream))
 	return &processState{
 		workers: workers, observations: observations.NewShared(workers), slowStart: settings.SlowStart,
 		capacity:  lease.NewCapacityEstimate(settings.SlowStart, settings.Brokers, rng),
@@ -55,20 +56,20 @@
 	}
 }
 
-// resize sets the number of brokers that share the budget of a server in slow start.
+// resize sets the number of brokers that share the capacity of a server in slow start.
 func (s *processState) resize(brokers int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.capacity.Resize(brokers)
 }
 
-// warmServers returns the number of warm servers, at least a third of all, as in the decision module.
+// warmServers returns the number of warm servers, but at least a third of all servers, as the decision package does.
 func (s *processState) warmServers() int {
 	return max(len(s.entries)-len(s.warmingUp), len(s.entries)/3, 1)
 }
 
-// applyUpdate takes up an update of the endpoint list, once for all workers, before any of them: from then on each worker
-// decides with it, also one whose loop has not come to the event yet.
+// applyUpdate applies an endpoint update once for all workers, before it is sent to them. From then on each worker's
+// decisions are based on it, even if the worker's loop has not processed the event yet.
 func (s *processState) applyUpdate(u decision.EndpointUpdate, now float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +90,7 @@
 	}
 }
 
-// removeUnlisted removes all servers but those listed.
+// removeUnlisted removes all servers except those listed.
 func (s *processState) removeUnlisted(listed []decision.Server) {
 	keep := map[string]bool{}
 	for _, e := range listed {
@@ -102,7 +103,8 @@
 	}
 }
 
-// put adds or replaces one entry of the endpoint list.
+// put adds or replaces one entry of the endpoint list. If the server has started since the previous entry, its observations
+// and its slow start begin anew.
 func (s *processState) put(e decision.Server, now float64) {
 	started, known := s.started[e.ID]
 	s.entries[e.ID] = e
@@ -110,7 +112,7 @@
 		return
 	}
 	if known {
-		s.observations.Forget(e.ID) // what was observed of the old process is void
+		s.observations.Forget(e.ID) // observations of the previous process do not apply to the new one
 	}
 	s.started[e.ID] = e.Started
 	delete(s.warmingUp, e.ID)
@@ -122,6 +124,7 @@
 	}
 }
 
+// remove removes a server and all data about it.
 func (s *processState) remove(id string) {
 	delete(s.entries, id)
 	delete(s.started, id)
@@ -130,7 +133,7 @@
 	s.observations.Forget(id)
 }
 
-// missedUpdates returns the updates from number seen on, or one full update if the first of them are no longer kept.
+// missedUpdates returns the updates starting with number seen, or one full update if some of them are no longer kept.
 func (s *processState) missedUpdates(seen int) (missed []decision.Event) {
 	if seen < s.firstUpdate {
 		return []decision.Event{s.fullUpdate()}
@@ -141,7 +144,7 @@
 	return missed
 }
 
-// fullUpdate returns a full update of the present endpoint list, ordered by id.
+// fullUpdate returns a full update with the current endpoint list, ordered by ID.
 func (s *processState) fullUpdate() decision.EndpointUpdate {
 	u := decision.EndpointUpdate{Mode: decision.FullUpdate}
 	for _, e := range s.entries {
@@ -151,7 +154,7 @@
 	return u
 }
 
-// recordOutcome shares the outcome of an attempt or a health check.
+// recordOutcome records the outcome of an attempt or a health check for the other workers.
 func (s *processState) recordOutcome(worker int, now float64, id string, status decision.Status, o observations.Observation) {
 	if _, listed := s.entries[id]; !listed {
 		return
@@ -172,8 +175,8 @@
 	s.observations.Record(worker, id, now, o)
 }
 
-// leases appends a worker's leases of all servers in slow start.
-func (s *processState) leases(worker int, now float64, events []decision.Event) []decision.Event {
+// appendLeases appends an event for each server in slow start, with the worker's lease.
+func (s *processState) appendLeases(worker int, now float64, events []decision.Event) []decision.Event {
 	for id, w := range s.warmingUp {
 		fraction := s.capacity.CapacityFraction(w.started, now)
 		if fraction >= 1 {
