--- a/internal/cluster/plane/plane_test.go
+++ b/internal/cluster/plane/plane_test.go
@@ -83,13 +83,13 @@
 			require.Nil(t, d)
 			return
 		}
-		again, err := plane.Append(nil, d)
+		encoded, err := plane.Append(nil, d)
 		if err != nil {
 			require.ErrorIs(t, err, plane.ErrOversized) // Append can encode the same message in more bytes
 			return
 		}
-		same, err := plane.Parse(again, fleet)
+		decoded, err := plane.Parse(encoded, fleet)
 		require.NoError(t, err)
-		require.True(t, proto.Equal(d, same))
+		require.True(t, proto.Equal(d, decoded))
 	})
 }
--- a/internal/cluster/plane/recording_test.go
+++ b/internal/cluster/plane/recording_test.go
@@ -61,9 +61,9 @@
 		d, err := plane.Parse(recorded, fleet)
 		require.NoError(t, err, kind)
 		require.True(t, proto.Equal(withRecordedHeader(want[kind]), d), "%s: %v", kind, d)
-		again, err := plane.Append(nil, d)
+		encoded, err := plane.Append(nil, d)
 		require.NoError(t, err, kind)
-		require.Equal(t, recorded, again, kind)
+		require.Equal(t, recorded, encoded, kind)
 		delete(want, kind)
 	}
 	require.NoError(t, lines.Err())
--- a/internal/workers/cores/cores_test.go
+++ b/internal/workers/cores/cores_test.go
@@ -85,9 +85,9 @@
 		cancel()
 		<-ended
 		fleet.Close()
-		violations, parts := fleet.Violations()
+		violations, attempts := fleet.Violations()
 		require.Empty(t, violations)
-		require.NotZero(t, parts)
+		require.NotZero(t, attempts)
 		g.state.mu.Lock()
 		defer g.state.mu.Unlock()
 		require.Zero(t, g.state.overspent, "parts were sent to a server in slow start beyond a lease")
@@ -184,7 +184,7 @@
 			served++
 		}
 	}
-	require.LessOrEqual(t, hanging.Arrivals()-arrivedBefore, 6, "parts sent to the hanging server, of 40")
+	require.LessOrEqual(t, hanging.Arrivals()-arrivedBefore, 6, "parts sent to the hanging server, which would receive half of 40")
 	require.GreaterOrEqual(t, served, 36)
 }
 
@@ -347,8 +347,9 @@
 	return c.Decider.Handle(now, events)
 }
 
-// TestNonIdempotentPartsAcrossWorkers runs mostly non-idempotent queries on several workers while servers fail and reset
-// connections. The record servers detect violations, such as a non-idempotent part that is executed twice.
+// TestNonIdempotentPartsAcrossWorkers runs mostly non-idempotent queries while servers fail and reset connections. Clients
+// continue with new queries, which any worker may receive. The record servers detect violations, such as a non-idempotent
+// part that is executed twice.
 func TestNonIdempotentPartsAcrossWorkers(t *testing.T) {
 	g := newWorkerGroup(t, groupOptions{workers: 4, servers: 4, serviceTime: 3 * time.Millisecond})
 	for _, s := range g.fleet.Servers[:2] {
