--- a/internal/controlplane/consensus/cluster_test.go
+++ b/internal/controlplane/consensus/cluster_test.go
@@ -119,7 +119,7 @@
 	c.t.Helper()
 	var found *Node
 	for _, id := range testMembers {
-		if node := c.nodes[id]; !c.partitioned[id] && node.members.leaderTerm != 0 {
+		if node := c.nodes[id]; !c.partitioned[id] && node.leaderState.leaderTerm != 0 {
 			require.Nil(c.t, found, "two leaders")
 			found = node
 		}
--- a/internal/controlplane/consensus/disturbances_test.go
+++ b/internal/controlplane/consensus/disturbances_test.go
@@ -68,7 +68,7 @@
 // crashLeader crashes the first member that is a leader, if any.
 func (s *simulation) crashLeader() {
 	for _, id := range testMembers {
-		if m := s.members[id]; m.up && m.node.members.leaderTerm != 0 {
+		if m := s.members[id]; m.up && m.node.leaderState.leaderTerm != 0 {
 			s.crash(m, s.between(50*time.Millisecond, 10*time.Second))
 			return
 		}
--- a/internal/controlplane/consensus/errors.go
+++ b/internal/controlplane/consensus/errors.go
@@ -5,31 +5,33 @@
 	"fmt"
 )
 
-// Errors of a node. NotLeaderError is another.
+// Errors that a Node returns, in addition to NotLeaderError.
 var (
-	// ErrTooManyProposals is the error of Propose while MaxProposals are pending.
+	// ErrTooManyProposals is returned by Propose while MaxProposals proposals are pending.
 	ErrTooManyProposals = errors.New("consensus: too many pending proposals")
-	// ErrTooManyReads is the error of Read while MaxReads are pending.
+	// ErrTooManyReads is returned by Read while MaxReads reads are pending.
 	ErrTooManyReads = errors.New("consensus: too many pending reads")
-	// ErrTimeout is the error of a proposal or read that has no result in time. The proposal may still be applied.
+	// ErrTimeout is the outcome of a proposal or read that has no result before its deadline. The proposal may still be
+	// applied.
 	ErrTimeout = errors.New("consensus: timeout")
-	// ErrOutcomeUnknown is the error of a proposal whose leader has lost its leadership. It may be applied or not.
-	ErrOutcomeUnknown = errors.New("consensus: leadership lost, the proposal may be applied or not")
-	// ErrProposalDropped is the error of Propose for a proposal that raft has not appended.
+	// ErrOutcomeUnknown is the outcome of a proposal whose leader lost the leadership. It may or may not be applied.
+	ErrOutcomeUnknown = errors.New("consensus: leadership lost, the proposal may or may not be applied")
+	// ErrProposalDropped is returned by Propose if raft did not append the proposal.
 	ErrProposalDropped = errors.New("consensus: proposal dropped")
-	// ErrMalformedMessage is the error of Step and DecodeMessage for a message that no member sends.
+	// ErrMalformedMessage is returned by Step and DecodeMessage for a message that a correct member never sends.
 	ErrMalformedMessage = errors.New("consensus: malformed message")
 	// ErrMissingEntries stops a node whose storage lacks entries that it has acknowledged.
 	ErrMissingEntries = errors.New("consensus: the stored log lacks entries that this member has acknowledged")
-	// ErrRaftPanic stops a node whose raft has panicked on a message.
+	// ErrRaftPanic stops a node after raft panicked on a message.
 	ErrRaftPanic = errors.New("consensus: node stopped, raft panicked on a message")
-	// ErrInvalidStorage is the error of New for a storage that is not that of this member.
+	// ErrInvalidStorage is returned by New if the storage cannot be read, is empty or inconsistent, or has a configuration
+	// with unknown members.
 	ErrInvalidStorage = errors.New("consensus: invalid storage")
-	// ErrInvalidOptions is the error of New for its options.
+	// ErrInvalidOptions is returned by New for invalid options.
 	ErrInvalidOptions = errors.New("consensus: invalid options")
 )
 
-// NotLeaderError is the error of Propose at a member that is not the leader.
+// NotLeaderError is returned by Propose on a member that is not the leader.
 type NotLeaderError struct {
 	Leader uint64 // id of the member to propose to; 0: no leader is known
 }
@@ -37,7 +39,7 @@
 // Error implements error.
 func (e *NotLeaderError) Error() string {
 	if e.Leader == 0 {
-		return "consensus: no leader is known"
+		return "consensus: this member is not the leader, no leader is known"
 	}
-	return fmt.Sprintf("consensus: the leader is %d", e.Leader)
+	return fmt.Sprintf("consensus: this member is not the leader, the leader is member %d", e.Leader)
 }
--- a/internal/controlplane/consensus/logger.go
+++ b/internal/controlplane/consensus/logger.go
@@ -8,8 +8,8 @@
 	"go.etcd.io/raft/v3"
 )
 
-// raftLogger writes raft's log lines to a structured log, one level lower than raft does: raft logs each step of an
-// election at level info.
+// raftLogger writes raft's log lines to a slog.Logger. It lowers debug, info and warning lines by one level, because raft
+// logs each step of an election at level info.
 type raftLogger struct {
 	logger *slog.Logger
 }
@@ -52,7 +52,7 @@
 	l.logf(slog.LevelError, format, arguments)
 }
 
-// Fatal panics instead of ending the process: that decision is the driver's.
+// Fatal panics instead of exiting, since the driver decides whether the process ends.
 func (l *raftLogger) Fatal(arguments ...any) { panic(fmt.Sprint(arguments...)) }
 
 func (l *raftLogger) Fatalf(format string, arguments ...any) {
--- a/internal/controlplane/consensus/message.go
+++ b/internal/controlplane/consensus/message.go
@@ -11,7 +11,7 @@
 	"mothrouter/internal/controlplane/revision"
 )
 
-// EncodeMessage returns the encoding of a message, at most MaxMessageBytes.
+// EncodeMessage encodes a message. The result has at most MaxMessageBytes.
 func EncodeMessage(message *raftpb.Message) ([]byte, error) {
 	data, err := proto.Marshal(message)
 	if err != nil {
@@ -20,8 +20,8 @@
 	return data, nil
 }
 
-// DecodeMessage decodes a message. Its error wraps ErrMalformedMessage if data does not decode or has more than
-// MaxMessageBytes. Step checks the content.
+// DecodeMessage decodes a message. The error wraps ErrMalformedMessage if data cannot be decoded or has more than
+// MaxMessageBytes. The content is checked by Step.
 func DecodeMessage(data []byte) (*raftpb.Message, error) {
 	if len(data) > MaxMessageBytes {
 		return nil, fmt.Errorf("%w: %d bytes, the limit is %d", ErrMalformedMessage, len(data), MaxMessageBytes)
@@ -39,22 +39,25 @@
 		fmt.Sprintf(format, arguments...))
 }
 
-// checkMessage rejects messages that no member sends: raft trusts its messages and panics on some malformed ones.
+// checkMessage rejects messages that a correct member never sends: raft trusts its input and panics on some malformed
+// messages.
 func (n *Node) checkMessage(message *raftpb.Message) error {
 	if message == nil {
 		return fmt.Errorf("%w: nil", ErrMalformedMessage)
 	}
 	from := message.GetFrom()
 	if from == n.options.ID || !slices.Contains(n.options.Members, from) || message.GetTo() != n.options.ID {
-		return malformed(message, "addressed to %d, this is member %d of %d", message.GetTo(), n.options.ID, n.options.Members)
+		return malformed(message, "unexpected sender or receiver: addressed to %d, this is member %d of %d", message.GetTo(),
+			n.options.ID, n.options.Members)
 	}
 	if len(message.GetResponses()) > 0 || message.GetTerm() > maxTerm {
-		return malformed(message, "term %d, %d responses", message.GetTerm(), len(message.GetResponses()))
+		return malformed(message, "term %d, want at most %d; %d responses, want 0", message.GetTerm(), uint64(maxTerm),
+			len(message.GetResponses()))
 	}
 	if (message.GetTerm() == 0) != (message.GetType() == raftpb.MsgReadIndex) {
-		return malformed(message, "term %d", message.GetTerm())
+		return malformed(message, "term %d, want 0 for MsgReadIndex and at least 1 for any other type", message.GetTerm())
 	}
-	current := message.GetTerm() >= n.raw.BasicStatus().GetTerm() // raft ignores the content of earlier terms
+	current := message.GetTerm() >= n.raw.BasicStatus().GetTerm() // raft ignores the content of messages of earlier terms
 	switch message.GetType() {
 	case raftpb.MsgApp:
 		return n.checkAppend(message, current)
@@ -71,18 +74,19 @@
 	case raftpb.MsgVote, raftpb.MsgPreVote, raftpb.MsgVoteResp, raftpb.MsgPreVoteResp:
 		return checkVote(message)
 	}
-	return malformed(message, "type is not sent between members")
+	return malformed(message, "this type is not sent between members")
 }
 
-// checkVote rejects a forced election, which only a leadership transfer would request.
+// checkVote rejects messages with a context. A context requests a forced election, as for a leadership transfer, which
+// members do not use.
 func checkVote(message *raftpb.Message) error {
 	if len(message.GetContext()) > 0 {
-		return malformed(message, "context of %d bytes", len(message.GetContext()))
+		return malformed(message, "context of %d bytes, want none", len(message.GetContext()))
 	}
 	return nil
 }
 
-// checkRead checks that a read request or response has one request context.
+// checkRead checks that a read request or response consists of one entry, the request context.
 func checkRead(message *raftpb.Message) error {
 	entries := message.GetEntries()
 	if len(entries) != 1 {
@@ -94,13 +98,13 @@
 	return nil
 }
 
-// checkHeartbeat detects that this member has lost entries and stops it: the commit index in a heartbeat is at most what
-// the member has acknowledged, and it acknowledges only persisted entries.
+// checkHeartbeat stops this member if it has lost entries: the commit index in a heartbeat is at most the index that the
+// member has acknowledged, and it acknowledges only persisted entries.
 func (n *Node) checkHeartbeat(message *raftpb.Message, current bool) error {
 	if len(message.GetContext()) != 0 && len(message.GetContext()) != heartbeatContextBytes {
-		return malformed(message, "context of %d bytes", len(message.GetContext()))
+		return malformed(message, "context of %d bytes, want 0 or %d", len(message.GetContext()), heartbeatContextBytes)
 	}
-	last := n.lastStored()
+	last := n.lastStoredIndex()
 	if !current || message.GetCommit() <= last {
 		return nil
 	}
@@ -109,41 +113,41 @@
 	return n.stopErr
 }
 
-// checkHeartbeatResponse rejects the acknowledgement of a read that this leader has not sent.
+// checkHeartbeatResponse rejects an acknowledgement of a read position that this leader has not sent.
 func (n *Node) checkHeartbeatResponse(message *raftpb.Message) error {
 	context := message.GetContext()
 	if len(context) == 0 {
 		return nil
 	}
 	if len(context) != heartbeatContextBytes {
-		return malformed(message, "context of %d bytes", len(context))
+		return malformed(message, "context of %d bytes, want 0 or %d", len(context), heartbeatContextBytes)
 	}
 	position := binary.LittleEndian.Uint64(context)
-	if n.isLeaderOf(message) && position > n.members.lastReadSent {
-		return malformed(message, "read position %d, last sent %d", position, n.members.lastReadSent)
+	if n.isLeaderOf(message) && position > n.leaderState.lastReadSent {
+		return malformed(message, "acknowledges read position %d, the last one sent is %d", position, n.leaderState.lastReadSent)
 	}
 	return nil
 }
 
-// checkAppendResponse rejects the acknowledgement of an entry that this leader does not have.
+// checkAppendResponse rejects an acknowledgement of an entry that this leader does not have.
 func (n *Node) checkAppendResponse(message *raftpb.Message) error {
-	if n.isLeaderOf(message) && !message.GetReject() && message.GetIndex() > n.lastStored() {
-		return malformed(message, "index %d, last stored index %d", message.GetIndex(), n.lastStored())
+	if n.isLeaderOf(message) && !message.GetReject() && message.GetIndex() > n.lastStoredIndex() {
+		return malformed(message, "acknowledges index %d, the last stored one is %d", message.GetIndex(), n.lastStoredIndex())
 	}
 	return nil
 }
 
-// lastStored returns the last index of the storage.
-func (n *Node) lastStored() uint64 {
+// lastStoredIndex returns the index of the last entry in the storage.
+func (n *Node) lastStoredIndex() uint64 {
 	last, err := n.storage.LastIndex()
 	if err != nil {
-		panic(fmt.Sprintf("consensus: last index: %v", err))
+		panic(fmt.Sprintf("consensus: reading the last index of the storage: %v", err))
 	}
 	return last
 }
 
-// checkAppend checks the entries of an append: their indexes are consecutive, their terms do not decrease, and none
-// conflicts with a committed entry.
+// checkAppend checks the entries of an append message: their indexes are consecutive, their terms do not decrease, and
+// none conflicts with a committed entry.
 func (n *Node) checkAppend(message *raftpb.Message, current bool) error {
 	if n.isLeaderOf(message) {
 		return malformed(message, "append of term %d, whose leader is this member", message.GetTerm())
@@ -154,8 +158,8 @@
 	}
 	for _, entry := range message.GetEntries() {
 		if entry.GetIndex() != index+1 || entry.GetTerm() < term || entry.GetTerm() > message.GetTerm() {
-			return malformed(message, "entry %d of term %d after %d of term %d", entry.GetIndex(), entry.GetTerm(),
-				index, term)
+			return malformed(message, "entry %d of term %d follows entry %d of term %d in a message of term %d", entry.GetIndex(),
+				entry.GetTerm(), index, term, message.GetTerm())
 		}
 		if err := n.checkEntry(message, entry); err != nil {
 			return err
@@ -170,7 +174,7 @@
 
 // isLeaderOf reports whether this member is the leader in the term of a message.
 func (n *Node) isLeaderOf(message *raftpb.Message) bool {
-	return n.members.leaderTerm != 0 && n.members.leaderTerm == message.GetTerm()
+	return n.leaderState.leaderTerm != 0 && n.leaderState.leaderTerm == message.GetTerm()
 }
 
 // checkEntry checks the size, type and configuration change of an entry.
@@ -185,20 +189,21 @@
 	case raftpb.EntryConfChangeV2:
 		return n.checkConfChange(message, entry)
 	}
-	return malformed(message, "entry %d of type %v", entry.GetIndex(), entry.GetType())
+	return malformed(message, "entry %d has the unsupported type %v", entry.GetIndex(), entry.GetType())
 }
 
-// checkConfChange checks that a configuration change only adds known members as voters or learners.
+// checkConfChange checks that a configuration change only adds known members, as voters or learners.
 func (n *Node) checkConfChange(message *raftpb.Message, entry *raftpb.Entry) error {
 	change := &raftpb.ConfChangeV2{}
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
-		return malformed(message, "configuration change in entry %d: %v", entry.GetIndex(), err)
+		return malformed(message, "decoding the configuration change in entry %d: %v", entry.GetIndex(), err)
 	}
 	for _, single := range change.GetChanges() {
 		kind := single.GetType()
 		supported := kind == raftpb.ConfChangeAddNode || kind == raftpb.ConfChangeAddLearnerNode
 		if !supported || !slices.Contains(n.options.Members, single.GetNodeId()) {
-			return malformed(message, "configuration change in entry %d: %v of member %d", entry.GetIndex(), kind, single.GetNodeId())
+			return malformed(message, "configuration change in entry %d: %v of member %d, want an addition of one of the members %d",
+				entry.GetIndex(), kind, single.GetNodeId(), n.options.Members)
 		}
 	}
 	return nil
@@ -206,30 +211,30 @@
 
 // checkNoCommittedConflict rejects entries that conflict with committed entries in the storage.
 func (n *Node) checkNoCommittedConflict(message *raftpb.Message) error {
-	commit := n.storedCommit()
+	commit := n.storedCommitIndex()
 	for _, entry := range message.GetEntries() {
 		if entry.GetIndex() > commit {
 			return nil
 		}
 		term, err := n.storage.Term(entry.GetIndex())
 		if err == nil && term != entry.GetTerm() {
-			return malformed(message, "entry %d of term %d, committed with term %d", entry.GetIndex(), entry.GetTerm(),
+			return malformed(message, "entry %d of term %d, the committed entry has term %d", entry.GetIndex(), entry.GetTerm(),
 				term)
 		}
 	}
 	return nil
 }
 
-// storedCommit returns the commit index of the stored hard state.
-func (n *Node) storedCommit() uint64 {
+// storedCommitIndex returns the commit index in the stored hard state.
+func (n *Node) storedCommitIndex() uint64 {
 	hardState, _, err := n.storage.InitialState()
 	if err != nil {
-		panic(fmt.Sprintf("consensus: hard state: %v", err))
+		panic(fmt.Sprintf("consensus: reading the hard state of the storage: %v", err))
 	}
 	return hardState.GetCommit()
 }
 
-// checkSnapshot checks that a snapshot can be restored and is of an earlier or the same term.
+// checkSnapshot checks that a snapshot can be restored, and that the term of its last entry is at most the message's.
 func (n *Node) checkSnapshot(message *raftpb.Message) error {
 	if n.isLeaderOf(message) {
 		return malformed(message, "snapshot of term %d, whose leader is this member", message.GetTerm())
@@ -238,7 +243,8 @@
 		return malformed(message, "%v", err)
 	}
 	if message.GetSnapshot().GetMetadata().GetTerm() > message.GetTerm() {
-		return malformed(message, "snapshot with a last entry of term %d", message.GetSnapshot().GetMetadata().GetTerm())
+		return malformed(message, "snapshot whose last entry has term %d in a message of term %d",
+			message.GetSnapshot().GetMetadata().GetTerm(), message.GetTerm())
 	}
 	return nil
 }
--- a/internal/controlplane/consensus/message_test.go
+++ b/internal/controlplane/consensus/message_test.go
@@ -164,7 +164,7 @@
 	c.start(lost)
 	err := c.nodes[lost].Step(&raftpb.Message{
 		Type: raftpb.MsgHeartbeat.Enum(), From: new(c.leader().options.ID), To: new(lost),
-		Term: new(c.leader().members.leaderTerm), Commit: new(c.leader().Machine().Applied()),
+		Term: new(c.leader().leaderState.leaderTerm), Commit: new(c.leader().Machine().Applied()),
 	})
 	require.ErrorIs(t, err, ErrMissingEntries)
 	require.ErrorIs(t, c.nodes[lost].Err(), ErrMissingEntries)
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -17,16 +17,16 @@
 	raw       *raft.RawNode
 	storage   raft.Storage
 	machine   *revision.Machine
-	confState *raftpb.ConfState // configuration as of the last applied entry
+	confState *raftpb.ConfState // raft configuration as of the last applied entry
 	stopErr   error             // if not nil, the node has stopped and every call returns it
 
-	now           time.Time // of the last Tick
+	now           time.Time // of the latest Tick
 	nextTickAt    time.Time
 	pendingReady  *raft.Ready // returned by Ready, until Advance
 	appliedTerm   uint64      // of the last applied entry
 	proposals     proposals
 	reads         reads
-	members       members
+	leaderState   leaderState
 	sinceSnapshot appliedSize
 	compaction    *Compaction
 }
@@ -37,14 +37,15 @@
 	bytes   int
 }
 
-// Compaction requests that the storage persists a snapshot and deletes the entries before FirstIndex.
+// Compaction requests that the storage persist a snapshot and delete the entries before FirstIndex.
 type Compaction struct {
 	Snapshot   *raftpb.Snapshot
 	FirstIndex uint64
 }
 
-// Ready is the work of a driver, in the order of the fields: persist the first three in one synced write, persist the
-// compaction, send the messages. Then it calls Advance. All fields are immutable and may be empty.
+// Ready is work for the driver, to be done in the order of the fields: persist the first three in one synced write,
+// persist the compaction, send the messages. The driver then calls Advance. It must not modify the fields. Any of them
+// may be empty.
 type Ready struct {
 	HardState  *raftpb.HardState
 	Entries    []*raftpb.Entry
@@ -53,19 +54,19 @@
 	Messages   []*raftpb.Message
 }
 
-// Applied is the result of an Advance.
+// Applied is the result of a call of Advance.
 type Applied struct {
-	Proposals []ProposalOutcome    // of proposals at this member
-	Reads     []ReadOutcome        // of reads at this member
-	Revisions []*configpb.Revision // newly applied, ascending; if Restored, there may be a gap before the first
-	Restored  bool                 // the state was replaced by a snapshot of the leader: Machine has the newest revision
+	Proposals []ProposalOutcome    // of proposals to this member
+	Reads     []ReadOutcome        // of reads on this member
+	Revisions []*configpb.Revision // newly applied, in ascending order; if Restored, there may be a gap before the first
+	Restored  bool                 // the state was replaced by a snapshot from the leader; Machine has the newest revision
 }
 
 // ProposalOutcome is the outcome of a proposal.
 type ProposalOutcome struct {
 	Request uint64          // id
-	Result  revision.Result // unless Err
-	Err     error           // wraps ErrOutcomeUnknown or ErrTimeout: applied or not; propose the same request again
+	Result  revision.Result // valid if Err is nil
+	Err     error           // wraps ErrOutcomeUnknown or ErrTimeout: may or may not be applied; retry with the same request id
 }
 
 // ReadOutcome is the outcome of a read.
@@ -75,9 +76,9 @@
 	Err    error  // wraps ErrTimeout
 }
 
-// New returns the node of a storage, which has to contain BootstrapSnapshot or a log that started with it. The node has
-// applied all entries that the storage knows to be committed, so its newest revision is at least that of an earlier run.
-// The error wraps ErrInvalidOptions or ErrInvalidStorage.
+// New creates a node from its storage, which must contain BootstrapSnapshot or a log that started with it. The node has
+// applied all entries that are committed according to the storage, so its newest revision is at least that of any earlier
+// run. The error wraps ErrInvalidOptions or ErrInvalidStorage.
 func New(options Options, storage raft.Storage, now time.Time) (node *Node, err error) {
 	options, err = options.withDefaults()
 	if err != nil {
@@ -100,7 +101,7 @@
 		confState:   snapshot.GetMetadata().GetConfState(),
 		appliedTerm: snapshot.GetMetadata().GetTerm(),
 		proposals:   newProposals(),
-		members:     newMembers(options.Members, now),
+		leaderState: newLeaderState(options.Members, now),
 	}
 	defer func() {
 		if cause := recover(); cause != nil { // raft panics on an inconsistent storage
@@ -115,13 +116,13 @@
 	return node, nil
 }
 
-// replay applies the entries that the storage knows to be committed. Nothing has to be persisted or sent for them.
+// replay applies the entries that are committed according to the storage. Nothing has to be persisted or sent for them.
 func (n *Node) replay() {
 	var applied Applied // discarded: no proposal or read is pending
 	for n.raw.HasReady() {
 		ready := n.raw.Ready()
 		if len(ready.Entries) > 0 || len(ready.Messages) > 0 || !raft.IsEmptyHardState(ready.HardState) {
-			panic("consensus: a new node has something to persist or to send")
+			panic("consensus: raft has data to persist or to send while replaying committed entries")
 		}
 		for _, entry := range ready.CommittedEntries {
 			n.apply(entry, &applied)
@@ -147,23 +148,23 @@
 		PreVote:                   true,
 		ReadOnlyOption:            raft.ReadOnlySafe,
 		Logger:                    &raftLogger{logger: n.options.Logger},
-		DisableProposalForwarding: true, // only the leader sets the publication time
+		DisableProposalForwarding: true, // the publication time must be set by the leader
 		StepDownOnRemoval:         true,
 	}
 }
 
-// Machine returns the state machine. It is read-only, must not be used while a method of the node runs, and is replaced
-// by an Advance with Restored.
+// Machine returns the state machine. The caller must not modify it, nor use it while a method of the node runs. An Advance
+// that returns Restored replaces it.
 func (n *Node) Machine() *revision.Machine { return n.machine }
 
 // Leader returns the id of the leader, 0 if none is known.
 func (n *Node) Leader() uint64 { return n.raw.BasicStatus().Lead }
 
-// Err returns the error that has stopped the node, or nil. It wraps ErrMissingEntries or ErrRaftPanic. A stopped node
-// neither sends nor applies anything; a new one has to be created from its storage.
+// Err returns the error that stopped the node, or nil. It wraps ErrMissingEntries or ErrRaftPanic. A stopped node neither
+// sends nor applies anything; a new one has to be created from its storage.
 func (n *Node) Err() error { return n.stopErr }
 
-// Tick advances the node's clock. It has to be called every Options.TickInterval; a late call makes up for at most
+// Tick advances the node's clock. It has to be called every Options.TickInterval; a late call catches up on at most
 // maxTicksPerCall ticks.
 func (n *Node) Tick(now time.Time) {
 	if n.stopErr != nil {
@@ -175,15 +176,15 @@
 	}
 	n.observeLeadership()
 	if paused {
-		n.members.recordAllContacts(n.now)
+		n.leaderState.resetContacts(n.now)
 	}
 	n.proposals.expire(n.now)
 	n.reads.expire(n.now)
 	n.maintainMembers()
-	n.startRoundIfDue()
+	n.startReadIndexIfDue()
 }
 
-// advanceClock sets the time and reports whether more than an election timeout has passed since the last call.
+// advanceClock sets the time and reports whether more than an election timeout has passed since the previous call.
 func (n *Node) advanceClock(now time.Time) (paused bool) {
 	if now.Before(n.now) {
 		return false
@@ -193,7 +194,7 @@
 	return paused
 }
 
-// ticksDue returns the number of ticks to make up for, at most maxTicksPerCall, and schedules the next one.
+// ticksDue returns the number of ticks that are due, at most maxTicksPerCall, and schedules the next one.
 func (n *Node) ticksDue() int {
 	due := 0
 	for ; due < maxTicksPerCall && !n.nextTickAt.After(n.now); due++ {
@@ -205,9 +206,10 @@
 	return due
 }
 
-// Propose appends a command to the log. The ProposalOutcome with its request id is returned by an Advance within
-// ProposalTimeout; a pending request is not appended again. Its error is a NotLeaderError, that of a stopped node, or
-// wraps ErrTooManyProposals, ErrProposalDropped or revision.ErrInvalidCommand; there is no outcome then.
+// Propose appends a command to the log. An Advance within ProposalTimeout returns the ProposalOutcome with the command's
+// request id. A command whose request is already pending is not appended again. If Propose returns an error, there is no
+// outcome. The error is a *NotLeaderError, the error of Err if the node has stopped, or wraps ErrTooManyProposals,
+// ErrProposalDropped or revision.ErrInvalidCommand.
 func (n *Node) Propose(command *configpb.Command) error {
 	if n.stopErr != nil {
 		return n.stopErr
@@ -233,8 +235,8 @@
 	return nil
 }
 
-// Step processes a message of another member. Its error wraps ErrMalformedMessage if the message is rejected without
-// effect, and ErrMissingEntries or ErrRaftPanic if the node has stopped, see Err.
+// Step processes a message from another member. The error wraps ErrMalformedMessage if the message was rejected without
+// effect, and ErrMissingEntries or ErrRaftPanic if the node has stopped (see Err).
 func (n *Node) Step(message *raftpb.Message) error {
 	if n.stopErr != nil {
 		return n.stopErr
@@ -242,10 +244,10 @@
 	if err := n.checkMessage(message); err != nil {
 		return err
 	}
-	if message.GetType() == raftpb.MsgReadIndex && (n.members.leaderTerm == 0 || !n.canServeReads()) {
-		return nil // raft would forward it in circles or queue it without bound; the other member sends another
+	if message.GetType() == raftpb.MsgReadIndex && (n.leaderState.leaderTerm == 0 || !n.canServeReads()) {
+		return nil // raft would forward it in a loop or queue it without bound; the sender retries
 	}
-	n.members.recordContact(message.GetFrom(), n.now)
+	n.leaderState.recordContact(message.GetFrom(), n.now)
 	if err := n.stepRaft(message); err != nil {
 		return err
 	}
@@ -253,7 +255,7 @@
 	return nil
 }
 
-// stepRaft passes a checked message to raft. A panic of raft stops the node.
+// stepRaft passes a checked message to raft. A panic in raft stops the node.
 func (n *Node) stepRaft(message *raftpb.Message) (err error) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -267,16 +269,17 @@
 	return nil
 }
 
-// observeLeadership abandons the pending proposals when this member gains or loses the leadership.
+// observeLeadership resets the leader state and abandons the pending proposals when this member gains or loses the
+// leadership.
 func (n *Node) observeLeadership() {
 	status := n.raw.BasicStatus()
 	leaderTerm := uint64(0)
 	if status.RaftState == raft.StateLeader {
 		leaderTerm = status.GetTerm()
 	}
-	if leaderTerm == n.members.leaderTerm {
+	if leaderTerm == n.leaderState.leaderTerm {
 		return
 	}
-	n.members.setLeaderTerm(leaderTerm, n.now)
+	n.leaderState.setLeaderTerm(leaderTerm, n.now)
 	n.proposals.abandonAll()
 }
--- a/internal/controlplane/consensus/options.go
+++ b/internal/controlplane/consensus/options.go
@@ -6,25 +6,26 @@
 	"time"
 )
 
-// Options are the options of a node.
+// Options configures a Node.
 type Options struct {
-	ID      uint64   // of this member, not 0
-	Members []uint64 // ids of all members, this one included
+	ID      uint64   // id of this member, not 0
+	Members []uint64 // ids of all members, including this one
 
 	// Incarnation distinguishes this run of the member from earlier ones, whose read responses may still be in flight.
-	// It has to differ in each run, such as the start time in nanoseconds.
+	// It must differ between runs; the start time in nanoseconds is a suitable value.
 	Incarnation uint64
 
 	TickInterval time.Duration // 0: DefaultTickInterval
 	VoterTimeout time.Duration // 0: DefaultVoterTimeout; at least the election timeout
-	Logger       *slog.Logger  // nil: none
+	Logger       *slog.Logger  // nil: no logging
 
-	// snapshotEntries and trailingEntries are smaller in tests; 0: SnapshotEntries and trailingEntries.
+	// snapshotEntries and trailingEntries are set to smaller values by tests. If snapshotEntries is 0, they default to
+	// SnapshotEntries and to the constant trailingEntries.
 	snapshotEntries int
 	trailingEntries int
 }
 
-// withDefaults returns the options with defaults for what is 0. Its error wraps ErrInvalidOptions.
+// withDefaults returns the options with defaults in place of zero values. Its error wraps ErrInvalidOptions.
 func (o Options) withDefaults() (Options, error) {
 	if o.TickInterval == 0 {
 		o.TickInterval = DefaultTickInterval
@@ -56,7 +57,7 @@
 	case !seen[o.ID]:
 		return fmt.Errorf("%w: member %d is not in Members %d", ErrInvalidOptions, o.ID, o.Members)
 	case o.TickInterval < 0:
-		return fmt.Errorf("%w: tick interval %v", ErrInvalidOptions, o.TickInterval)
+		return fmt.Errorf("%w: tick interval %v, want a positive duration", ErrInvalidOptions, o.TickInterval)
 	case o.VoterTimeout < o.electionTimeout():
 		return fmt.Errorf("%w: voter timeout %v, want at least the election timeout %v", ErrInvalidOptions, o.VoterTimeout,
 			o.electionTimeout())
--- a/internal/controlplane/consensus/promotion.go
+++ b/internal/controlplane/consensus/promotion.go
@@ -9,9 +9,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// findReplacement returns the voter without contact for Options.VoterTimeout and the learner that can replace it. There
-// is none during a joint configuration, while more than one voter is lost, or while another voter or the learner is not
-// recently active: a quorum of the old or of the new configuration would then be in doubt.
+// findReplacement returns the voter that was without contact for Options.VoterTimeout and the learner that can replace it.
+// It returns false during a joint configuration, while more than one voter is lost, or while another voter or the learner
+// is not recently active, since a quorum of the old or the new configuration might then not be available. It also returns
+// false while the learner is not caught up.
 func (n *Node) findReplacement() (lost, learner uint64, ok bool) {
 	state := n.confState
 	if len(state.GetVotersOutgoing()) > 0 || len(state.GetLearners()) != 1 {
@@ -30,7 +31,7 @@
 	return lost, learner, lost != 0 && n.isRecentlyActive(learner) && n.isCaughtUp(learner)
 }
 
-// isCaughtUp reports whether a member lacks at most maxPromotionLag committed entries.
+// isCaughtUp reports whether a member lacks at most maxPromotionLag of the committed entries.
 func (n *Node) isCaughtUp(id uint64) bool {
 	progress, found := n.raw.Status().Progress[id]
 	commit := n.raw.BasicStatus().GetCommit()
@@ -38,9 +39,9 @@
 }
 
 // proposeReplacement proposes the joint configuration change that makes the learner a voter and the lost voter a
-// learner. raft leaves the joint configuration automatically once it is applied.
+// learner. raft leaves the joint configuration automatically once the change is applied.
 func (n *Node) proposeReplacement(lost, learner uint64) {
-	n.members.confChangeAt = n.now
+	n.leaderState.confChangeAt = n.now
 	change := &raftpb.ConfChangeV2{
 		Transition: raftpb.ConfChangeTransitionJointImplicit.Enum(),
 		Changes: []*raftpb.ConfChangeSingle{
@@ -52,12 +53,12 @@
 	n.options.Logger.Warn("voter lost, promoting the spare", "lost", lost, "spare", learner, "error", err)
 }
 
-// applyConfChange applies a committed configuration change. It panics if the entry does not decode, which checkMessage
-// and proposeReplacement exclude.
+// applyConfChange applies a committed configuration change. It panics if the entry cannot be decoded, which checkMessage
+// and proposeReplacement prevent.
 func (n *Node) applyConfChange(entry *raftpb.Entry) {
 	change := &raftpb.ConfChangeV2{}
 	if err := proto.Unmarshal(entry.GetData(), change); err != nil {
-		panic(fmt.Sprintf("consensus: configuration change in entry %d: %v", entry.GetIndex(), err))
+		panic(fmt.Sprintf("consensus: decoding the configuration change in entry %d: %v", entry.GetIndex(), err))
 	}
 	n.confState = n.raw.ApplyConfChange(change)
 	n.options.Logger.Warn("members changed", "index", entry.GetIndex(), "state", raft.DescribeConfState(n.confState))
--- a/internal/controlplane/consensus/promotion_test.go
+++ b/internal/controlplane/consensus/promotion_test.go
@@ -72,15 +72,15 @@
 				other = id
 			}
 		}
-		leader.members.recordAllContacts(leader.now)
+		leader.leaderState.resetContacts(leader.now)
 		for _, id := range testVoters {
 			if id != leader.options.ID && id != other {
-				leader.members.lastContactAt[id] = leader.now.Add(-DefaultVoterTimeout)
+				leader.leaderState.lastContactAt[id] = leader.now.Add(-DefaultVoterTimeout)
 			}
 		}
 		_, _, ok := leader.findReplacement()
 		require.True(t, ok, "the other voter is recently active")
-		leader.members.lastContactAt[other] = leader.now.Add(-2 * time.Second)
+		leader.leaderState.lastContactAt[other] = leader.now.Add(-2 * time.Second)
 		_, _, ok = leader.findReplacement()
 		require.False(t, ok, "the other voter is silent")
 	})
@@ -92,7 +92,7 @@
 			c.partitioned[id] = id != leader
 		}
 		c.run(2 * DefaultVoterTimeout)
-		require.Zero(t, c.nodes[leader].members.leaderTerm, "it has stepped down")
+		require.Zero(t, c.nodes[leader].leaderState.leaderTerm, "it has stepped down")
 		require.ElementsMatch(t, testVoters, c.nodes[testLearners[0]].confState.GetVoters())
 	})
 	t.Run("learner lags", func(t *testing.T) {
--- a/internal/controlplane/consensus/ready.go
+++ b/internal/controlplane/consensus/ready.go
@@ -9,8 +9,8 @@
 	"mothrouter/internal/controlplane/revision"
 )
 
-// Ready returns the next work of the driver, or nil if there is none. Advance has to be called before the next Ready;
-// Tick, Step, Propose and Read may be called in between.
+// Ready returns the next work for the driver, or nil if there is none. Advance has to be called before the next call of
+// Ready; Tick, Step, Propose and Read may be called in between. Ready panics if Advance was not called.
 func (n *Node) Ready() *Ready {
 	if n.stopErr != nil {
 		return nil
@@ -26,9 +26,9 @@
 	compaction := n.compaction
 	n.compaction = nil
 	if !raft.IsEmptySnap(ready.Snapshot) {
-		compaction = nil // the leader's snapshot is newer
+		compaction = nil // superseded by the leader's snapshot, which is newer
 	}
-	n.members.recordSent(ready.Messages, n.now)
+	n.leaderState.recordSent(ready.Messages, n.now)
 	return &Ready{
 		HardState:  ready.HardState,
 		Entries:    ready.Entries,
@@ -38,8 +38,8 @@
 	}
 }
 
-// Advance confirms that the last Ready is persisted and sent. It applies the committed entries and returns the result.
-// It panics without a preceding Ready.
+// Advance confirms that the last Ready was persisted and sent. It applies the committed entries and returns the result.
+// It panics if Ready was not called before.
 func (n *Node) Advance() Applied {
 	if n.pendingReady == nil {
 		panic("consensus: Advance without Ready")
@@ -60,21 +60,22 @@
 		n.reads.recordResponse(state.RequestCtx, n.options.Incarnation, state.Index)
 	}
 	n.reads.completeRounds(n.machine.Applied(), n.machine.Number())
-	n.startRoundIfDue()
+	n.startReadIndexIfDue()
 	n.planCompaction()
 	applied.Proposals = n.proposals.drainOutcomes()
 	applied.Reads = n.reads.drainOutcomes()
 	return applied
 }
 
-// restore replaces the state by a snapshot of the leader, which checkMessage has accepted.
+// restore replaces the state with a snapshot from the leader that checkMessage has accepted.
 func (n *Node) restore(snapshot *raftpb.Snapshot) {
 	machine, err := restoreMachine(snapshot, n.options.Members)
 	if err != nil {
 		panic(fmt.Sprintf("consensus: restoring an accepted snapshot: %v", err))
 	}
 	if machine.Applied() < n.machine.Applied() || machine.Number() < n.machine.Number() {
-		panic(fmt.Sprintf("consensus: snapshot at index %d after index %d", machine.Applied(), n.machine.Applied()))
+		panic(fmt.Sprintf("consensus: snapshot at index %d, revision %d is older than the state at index %d, revision %d",
+			machine.Applied(), machine.Number(), n.machine.Applied(), n.machine.Number()))
 	}
 	n.machine = machine
 	n.confState = snapshot.GetMetadata().GetConfState()
@@ -98,11 +99,11 @@
 	}
 }
 
-// applyCommand applies the command of an entry. One that does not decode is rejected, the same at every member.
+// applyCommand applies the command in an entry. An entry that cannot be decoded is rejected, identically on every member.
 func (n *Node) applyCommand(entry *raftpb.Entry, applied *Applied) {
 	command, err := revision.Decode(entry.GetData())
 	if err != nil {
-		n.options.Logger.Error("entry is no command", "index", entry.GetIndex(), "error", err)
+		n.options.Logger.Error("cannot decode the command in a log entry", "index", entry.GetIndex(), "error", err)
 		command = nil
 	}
 	result := n.machine.Apply(entry.GetIndex(), command)
@@ -120,7 +121,7 @@
 	index := n.machine.Applied()
 	first, err := n.storage.FirstIndex()
 	if err != nil {
-		panic(fmt.Sprintf("consensus: first index: %v", err))
+		panic(fmt.Sprintf("consensus: reading the first index of the storage: %v", err))
 	}
 	if trailing := uint64(n.options.trailingEntries); index > trailing {
 		first = max(first, index-trailing+1)
--- a/internal/controlplane/consensus/simulated_member_test.go
+++ b/internal/controlplane/consensus/simulated_member_test.go
@@ -85,8 +85,8 @@
 	if !m.up {
 		return
 	}
-	if m.node.members.leaderTerm != 0 {
-		s.checker.checkLeader(m.id, m.node.members.leaderTerm)
+	if m.node.leaderState.leaderTerm != 0 {
+		s.checker.checkLeader(m.id, m.node.leaderState.leaderTerm)
 	}
 	confirmed := m.node.ConfirmedAge(s.local(m))
 	if s.fault == faultHeartbeatsConfirm {
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -10,13 +10,14 @@
 	"mothrouter/internal/controlplane/revision"
 )
 
-// Index and term of the bootstrap snapshot, which all members share.
+// Index and term of the bootstrap snapshot, the same on all members.
 const (
 	bootstrapIndex = 1
 	bootstrapTerm  = 1
 )
 
-// BootstrapSnapshot returns the snapshot that the log of every member starts with: no revision, and this configuration.
+// BootstrapSnapshot returns the snapshot that the log of every member starts with. It contains no revision and a raft
+// configuration of the voters and learners.
 func BootstrapSnapshot(voters, learners []uint64) *raftpb.Snapshot {
 	machine := revision.NewMachine()
 	machine.Skip(bootstrapIndex)
@@ -30,7 +31,7 @@
 	}
 }
 
-// restoreMachine restores the state machine of a snapshot and checks its configuration against the members.
+// restoreMachine restores the state machine in a snapshot and checks the snapshot's raft configuration against the members.
 func restoreMachine(snapshot *raftpb.Snapshot, members []uint64) (*revision.Machine, error) {
 	if raft.IsEmptySnap(snapshot) {
 		return nil, fmt.Errorf("%w: empty snapshot", ErrMalformedMessage)
@@ -43,14 +44,14 @@
 		return nil, err
 	}
 	if machine.Applied() != snapshot.GetMetadata().GetIndex() {
-		return nil, fmt.Errorf("%w: snapshot at index %d, its state machine at index %d", ErrMalformedMessage,
+		return nil, fmt.Errorf("%w: snapshot at index %d contains a state machine at index %d", ErrMalformedMessage,
 			snapshot.GetMetadata().GetIndex(), machine.Applied())
 	}
 	return machine, nil
 }
 
-// checkConfState checks a configuration: its sets contain only members, each once; a learner is no voter; a next learner
-// is a voter of the outgoing configuration only; and only a joint configuration is left automatically.
+// checkConfState checks a raft configuration: its sets contain only members, each once; no learner is a voter; a learner of
+// the next configuration is a voter of the outgoing configuration only; and AutoLeave is set only in a joint configuration.
 func checkConfState(state *raftpb.ConfState, members []uint64) error {
 	if len(state.GetVoters()) == 0 {
 		return fmt.Errorf("%w: configuration without voters", ErrMalformedMessage)
@@ -60,16 +61,17 @@
 	}
 	for _, id := range state.GetLearners() {
 		if slices.Contains(state.GetVoters(), id) || slices.Contains(state.GetVotersOutgoing(), id) {
-			return fmt.Errorf("%w: configuration with learner %d as a voter", ErrMalformedMessage, id)
+			return fmt.Errorf("%w: configuration with member %d as both learner and voter", ErrMalformedMessage, id)
 		}
 	}
 	for _, id := range state.GetLearnersNext() {
 		if slices.Contains(state.GetVoters(), id) || !slices.Contains(state.GetVotersOutgoing(), id) {
-			return fmt.Errorf("%w: configuration with next learner %d, which is no outgoing voter", ErrMalformedMessage, id)
+			return fmt.Errorf("%w: configuration with next learner %d, want a voter of the outgoing configuration only",
+				ErrMalformedMessage, id)
 		}
 	}
 	if state.GetAutoLeave() && len(state.GetVotersOutgoing()) == 0 {
-		return fmt.Errorf("%w: automatic leave of a configuration that is not joint", ErrMalformedMessage)
+		return fmt.Errorf("%w: AutoLeave set in a configuration that is not joint", ErrMalformedMessage)
 	}
 	return nil
 }
@@ -81,7 +83,7 @@
 	} {
 		for i, id := range set {
 			if !slices.Contains(members, id) {
-				return fmt.Errorf("%w: configuration with unknown member %d", ErrMalformedMessage, id)
+				return fmt.Errorf("%w: configuration with unknown member %d, want one of %d", ErrMalformedMessage, id, members)
 			}
 			if slices.Contains(set[:i], id) {
 				return fmt.Errorf("%w: configuration with duplicate member %d", ErrMalformedMessage, id)
--- a/internal/controlplane/consensus/status.go
+++ b/internal/controlplane/consensus/status.go
@@ -8,19 +8,19 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// MemberStatus is the status of one member, as this node sees it.
+// MemberStatus is the status of one member as observed by this node.
 type MemberStatus struct {
 	ID    uint64
-	Voter bool // in the current or, of a joint configuration, the outgoing one
+	Voter bool // in the current configuration or, if it is joint, in the outgoing one
 
-	// SinceContact is the time since the last message of the member. It is 0 of this member itself, and Unconfirmed at a
-	// node that is not the leader.
+	// SinceContact is the time since the last message from the member. It is 0 for this member itself, and Unconfirmed on
+	// a node that is not the leader.
 	SinceContact time.Duration
 }
 
-// Status is the status of the replicated log, as this node sees it.
+// Status is the status of the replicated log as observed by this node.
 type Status struct {
-	Leader  uint64 // id; 0: none is known
+	Leader  uint64 // id; 0: no leader is known
 	Term    uint64
 	Commit  uint64         // index
 	Applied uint64         // index
@@ -52,8 +52,8 @@
 	switch {
 	case id == n.options.ID:
 		return 0
-	case n.members.leaderTerm != 0:
-		return max(now.Sub(n.members.lastContactAt[id]), 0)
+	case n.leaderState.leaderTerm != 0:
+		return max(now.Sub(n.leaderState.lastContactAt[id]), 0)
 	}
 	return Unconfirmed
 }
