--- a/internal/controlplane/consensus/cluster_test.go
+++ b/internal/controlplane/consensus/cluster_test.go
@@ -19,20 +19,21 @@
 	testLearners = []uint64{4}
 )
 
-// cluster is four nodes on a network without delay, for tests of one behaviour.
+// cluster is four nodes on a network without delay, for tests of single behaviours.
 type cluster struct {
 	t           testing.TB
 	now         time.Time
-	nodes       map[uint64]*Node
-	storages    map[uint64]*raft.MemoryStorage
-	partitioned map[uint64]bool // members whose messages are dropped
-	drop        func(message *raftpb.Message) bool
-	applied     map[uint64][]Applied
+	nodes       map[uint64]*Node                   // by member id
+	storages    map[uint64]*raft.MemoryStorage     // by member id
+	partitioned map[uint64]bool                    // members whose messages, sent and received, are dropped
+	drop        func(message *raftpb.Message) bool // drops a message if it returns true; nil: drops none
+	applied     map[uint64][]Applied               // results of Advance, by member id
 }
 
 func newCluster(t testing.TB) *cluster {
 	c := &cluster{
-		t: t, now: epoch,
+		t:           t,
+		now:         epoch,
 		nodes:       make(map[uint64]*Node),
 		storages:    make(map[uint64]*raft.MemoryStorage),
 		partitioned: make(map[uint64]bool),
@@ -47,6 +48,7 @@
 	return c
 }
 
+// start creates the node of a member from its storage.
 func (c *cluster) start(id uint64) {
 	c.t.Helper()
 	options := Options{ID: id, Members: testMembers, Incarnation: uint64(c.now.UnixNano())}
@@ -55,10 +57,10 @@
 	c.nodes[id] = node
 }
 
-// run advances the clock in ticks of all nodes and delivers their messages.
-func (c *cluster) run(span time.Duration) {
+// run advances the clock by a duration in steps of DefaultTickInterval, ticks all nodes and delivers their messages.
+func (c *cluster) run(duration time.Duration) {
 	c.t.Helper()
-	for end := c.now.Add(span); c.now.Before(end); {
+	for end := c.now.Add(duration); c.now.Before(end); {
 		c.now = c.now.Add(DefaultTickInterval)
 		for _, id := range testMembers {
 			c.nodes[id].Tick(c.now)
@@ -67,7 +69,7 @@
 	}
 }
 
-// deliverAll processes Ready of all nodes until none is left.
+// deliverAll processes the Ready of all nodes until no node has one.
 func (c *cluster) deliverAll() {
 	c.t.Helper()
 	for busy := true; busy; {
@@ -75,19 +77,19 @@
 		for _, id := range testMembers {
 			for ready := c.nodes[id].Ready(); ready != nil; ready = c.nodes[id].Ready() {
 				busy = true
-				c.drive(id, ready)
+				c.processReady(id, ready)
 			}
 		}
 	}
 }
 
-// drive persists a Ready, delivers its messages and advances the node.
-func (c *cluster) drive(id uint64, ready *Ready) {
+// processReady persists a Ready, delivers its messages and advances the node.
+func (c *cluster) processReady(id uint64, ready *Ready) {
 	c.t.Helper()
 	saveToMemory(c.t, c.storages[id], ready)
 	for _, message := range ready.Messages {
-		lost := c.drop != nil && c.drop(message)
-		if c.partitioned[id] || c.partitioned[message.GetTo()] || lost {
+		dropped := c.drop != nil && c.drop(message)
+		if c.partitioned[id] || c.partitioned[message.GetTo()] || dropped {
 			continue
 		}
 		require.NoError(c.t, c.nodes[message.GetTo()].Step(proto.CloneOf(message)))
@@ -95,32 +97,33 @@
 	c.applied[id] = append(c.applied[id], c.nodes[id].Advance())
 }
 
-func saveToMemory(t testing.TB, disk *raft.MemoryStorage, ready *Ready) {
+// saveToMemory persists a Ready in a storage.
+func saveToMemory(t testing.TB, storage *raft.MemoryStorage, ready *Ready) {
 	t.Helper()
 	if !raft.IsEmptySnap(ready.Snapshot) {
-		require.NoError(t, disk.ApplySnapshot(ready.Snapshot))
+		require.NoError(t, storage.ApplySnapshot(ready.Snapshot))
 	}
-	require.NoError(t, disk.Append(ready.Entries))
+	require.NoError(t, storage.Append(ready.Entries))
 	if !raft.IsEmptyHardState(ready.HardState) {
-		require.NoError(t, disk.SetHardState(ready.HardState))
+		require.NoError(t, storage.SetHardState(ready.HardState))
 	}
 	if compaction := ready.Compaction; compaction != nil {
 		metadata := compaction.Snapshot.GetMetadata()
-		_, err := disk.CreateSnapshot(metadata.GetIndex(), metadata.GetConfState(), compaction.Snapshot.GetData())
+		_, err := storage.CreateSnapshot(metadata.GetIndex(), metadata.GetConfState(), compaction.Snapshot.GetData())
 		require.NoError(t, err)
-		if first, _ := disk.FirstIndex(); compaction.FirstIndex > first {
-			require.NoError(t, disk.Compact(compaction.FirstIndex-1))
+		if first, _ := storage.FirstIndex(); compaction.FirstIndex > first {
+			require.NoError(t, storage.Compact(compaction.FirstIndex-1))
 		}
 	}
 }
 
-// leader returns the only leader that is not partitioned, or fails.
+// leader returns the leader that is not partitioned. It fails the test if there is not exactly one.
 func (c *cluster) leader() *Node {
 	c.t.Helper()
 	var found *Node
 	for _, id := range testMembers {
 		if node := c.nodes[id]; !c.partitioned[id] && node.leaderState.leaderTerm != 0 {
-			require.Nil(c.t, found, "two leaders")
+			require.Nil(c.t, found, "more than one leader")
 			found = node
 		}
 	}
@@ -128,12 +131,14 @@
 	return found
 }
 
+// propose proposes a document to the leader and delivers all messages.
 func (c *cluster) propose(request uint64, document string) {
 	c.t.Helper()
 	require.NoError(c.t, c.leader().Propose(&configpb.Command{Request: request, Document: []byte(document)}))
 	c.deliverAll()
 }
 
+// outcomes returns the outcomes of all proposals to a member.
 func (c *cluster) outcomes(id uint64) []ProposalOutcome {
 	var outcomes []ProposalOutcome
 	for _, applied := range c.applied[id] {
@@ -151,8 +156,9 @@
 			return id
 		}
 	}
-	c.t.Fatal("no other voter")
+	c.t.Fatalf("no voter other than the leader %d", leader.options.ID)
 	return 0
 }
 
+// voters returns the voters in the leader's configuration.
 func (c *cluster) voters() []uint64 { return c.leader().confState.GetVoters() }
--- a/internal/controlplane/consensus/invariants_test.go
+++ b/internal/controlplane/consensus/invariants_test.go
@@ -11,39 +11,38 @@
 	"mothrouter/internal/controlplane/revision"
 )
 
-// fault is a fault planted in the simulation to prove that an invariant detects it.
+// fault is a fault injected into the simulation to prove that an invariant detects it.
 type fault int
 
 const (
-	noFault                fault = iota
-	faultAckBeforeCommit         // a publication is acknowledged when it is proposed
-	faultSaveSkipped             // a crash loses the last saves
-	faultVoteForgotten           // a restart forgets the vote
-	faultCommitForgotten         // a restart forgets the commit index
-	faultStaleRead               // a read is answered without ReadIndex
-	faultContent                 // a disk changes what it stores
-	faultRevisionSkipped         // a member drops a newly applied revision
-	faultNewRequest              // a retried publication has another request id
-	faultHeartbeatsConfirm       // ConfirmedAge is the time since the last message of the leader
-	faultNeverHeals              // a member stays partitioned
+	noFault                  fault = iota
+	faultAckBeforeCommit           // a publication is acknowledged when it is proposed
+	faultLostSaves                 // a crash loses the latest saves
+	faultLostVote                  // a restart loses the stored vote
+	faultLostCommitIndex           // a restart loses the stored commit index
+	faultStaleRead                 // a read has a response without a ReadIndex round
+	faultCorruptDocument           // a disk changes the documents that it stores
+	faultSkippedRevision           // a member does not return a newly applied revision
+	faultNewRequestID              // a retry of a publication has a different request id
+	faultHeartbeatsConfirm         // ConfirmedAge is the time since the last message from the leader
+	faultPartitionNeverHeals       // a member stays partitioned until the end of the run
 	faultCount
 )
 
-// invariant is a property of every run, named by its violation.
+// invariant is a property of every run. Its value describes a violation.
 type invariant string
 
-// The invariants.
 const (
-	sameContent    invariant = "two documents of one number"
-	noGap          invariant = "gap between revision numbers"
-	durable        invariant = "an acknowledged publication is lost"
-	idempotent     invariant = "two numbers of one request"
-	monotonic      invariant = "applied index or newest revision decreased"
-	linearizable   invariant = "history is not linearizable"
-	convergent     invariant = "members differ after the partitions healed"
-	confirmedFresh invariant = "ConfirmedAge too small"
-	singleLeader   invariant = "two leaders in a term"
-	accepting      invariant = "a member rejected a valid message or stopped"
+	sameDocument    invariant = "two documents with the same revision number"
+	noGap           invariant = "gap between revision numbers"
+	durable         invariant = "an acknowledged publication is lost"
+	idempotent      invariant = "two revision numbers for the same request"
+	monotonic       invariant = "applied index or newest revision decreased"
+	linearizable    invariant = "history is not linearizable"
+	convergent      invariant = "members differ after all faults ended"
+	confirmedFresh  invariant = "ConfirmedAge too small"
+	singleLeader    invariant = "two leaders in a term"
+	noMemberFailure invariant = "a member rejected a valid message, stopped or failed to start"
 )
 
 // violation is a violated invariant and its details.
@@ -55,16 +54,16 @@
 // acknowledgement is a publication that a member has acknowledged.
 type acknowledgement struct {
 	acknowledgedAt time.Duration // since the start of the run
-	highest        uint64        // number acknowledged until then
-	number         uint64
-	checksum       uint64
+	highest        uint64        // highest revision number acknowledged until then
+	number         uint64        // of the revision
+	checksum       uint64        // of the document
 }
 
-// invariantChecker checks the invariants of a run.
+// invariantChecker checks the invariants during and after a run.
 type invariantChecker struct {
 	violations       []violation
-	contents         map[uint64]uint64 // checksum by number
-	lastNumber       map[uint64]uint64 // of the revisions returned by Advance, by member
+	documents        map[uint64]uint64 // checksum, by revision number
+	lastNumber       map[uint64]uint64 // of the latest revision returned by Advance, by member
 	lastApplied      map[uint64]uint64 // index, by member
 	numbers          map[uint64]uint64 // of revisions, by request id
 	leaders          map[uint64]uint64 // id, by term
@@ -74,7 +73,7 @@
 
 func newChecker() *invariantChecker {
 	return &invariantChecker{
-		contents:    make(map[uint64]uint64),
+		documents:   make(map[uint64]uint64),
 		lastNumber:  make(map[uint64]uint64),
 		lastApplied: make(map[uint64]uint64),
 		numbers:     make(map[uint64]uint64),
@@ -82,17 +81,18 @@
 	}
 }
 
-// maxViolations bounds the violations kept of a run.
+// maxViolations is the maximum number of violations recorded in a run.
 const maxViolations = 64
 
+// addViolation records a violation, unless maxViolations are recorded.
 func (c *invariantChecker) addViolation(violated invariant, format string, arguments ...any) {
 	if len(c.violations) < maxViolations {
 		c.violations = append(c.violations, violation{invariant: violated, details: fmt.Sprintf(format, arguments...)})
 	}
 }
 
-// found reports whether an invariant was violated.
-func (c *invariantChecker) found(violated invariant) bool {
+// isViolated reports whether a violation of an invariant is recorded.
+func (c *invariantChecker) isViolated(violated invariant) bool {
 	for _, violation := range c.violations {
 		if violation.invariant == violated {
 			return true
@@ -104,66 +104,69 @@
 // checkRestarted checks a member that was restarted from its disk.
 func (c *invariantChecker) checkRestarted(id uint64, machine *revision.Machine) {
 	c.checkApplied(id, machine)
-	c.checkHistory(id, machine)
+	c.checkDocuments(id, machine)
 	c.lastNumber[id] = machine.Number()
 }
 
 // checkApplied checks that the applied index does not decrease.
 func (c *invariantChecker) checkApplied(id uint64, machine *revision.Machine) {
 	if machine.Applied() < c.lastApplied[id] {
-		c.addViolation(monotonic, "member %d applied %d after %d", id, machine.Applied(), c.lastApplied[id])
+		c.addViolation(monotonic, "member %d: applied index %d after %d", id, machine.Applied(), c.lastApplied[id])
 	}
 	c.lastApplied[id] = machine.Applied()
 }
 
-// checkHistory checks the contents of all revisions of a member.
-func (c *invariantChecker) checkHistory(id uint64, machine *revision.Machine) {
+// checkDocuments checks the documents of all revisions of a member.
+func (c *invariantChecker) checkDocuments(id uint64, machine *revision.Machine) {
 	for number := max(machine.Oldest(), 1); number <= machine.Number(); number++ {
-		c.checkContent(id, machine.Get(number))
+		c.checkDocument(id, machine.Get(number))
 	}
 }
 
-// checkContent checks that a revision has the same document at all members.
-func (c *invariantChecker) checkContent(id uint64, applied *configpb.Revision) {
-	number, sum := applied.GetNumber(), configpb.Checksum(applied.GetDocument())
-	known, found := c.contents[number]
-	if found && known != sum || sum != applied.GetChecksum() {
-		c.addViolation(sameContent, "member %d has %x as revision %d, not %x", id, sum, number, known)
+// checkDocument checks that a revision has the same document on all members and the right checksum.
+func (c *invariantChecker) checkDocument(id uint64, applied *configpb.Revision) {
+	number, checksum := applied.GetNumber(), configpb.Checksum(applied.GetDocument())
+	known, found := c.documents[number]
+	if found && known != checksum || checksum != applied.GetChecksum() {
+		c.addViolation(sameDocument, "member %d: document of revision %d has checksum %x, stated %x, first seen %x", id, number,
+			checksum, applied.GetChecksum(), known)
 	}
-	c.contents[number] = sum
+	c.documents[number] = checksum
 }
 
-// checkAdvance checks the result of an Advance.
+// checkAdvance checks the result of a call of Advance.
 func (c *invariantChecker) checkAdvance(id uint64, applied Applied, machine *revision.Machine) {
 	c.checkApplied(id, machine)
 	if applied.Restored {
-		c.checkHistory(id, machine)
+		c.checkDocuments(id, machine)
 		c.lastNumber[id] = machine.Number() - uint64(len(applied.Revisions))
 	}
-	for _, found := range applied.Revisions {
-		if found.GetNumber() != c.lastNumber[id]+1 {
-			c.addViolation(noGap, "member %d: revision %d follows %d", id, found.GetNumber(), c.lastNumber[id])
+	for _, returned := range applied.Revisions {
+		if returned.GetNumber() != c.lastNumber[id]+1 {
+			c.addViolation(noGap, "member %d: revision %d follows %d", id, returned.GetNumber(), c.lastNumber[id])
 		}
-		c.lastNumber[id] = found.GetNumber()
-		c.checkContent(id, found)
+		c.lastNumber[id] = returned.GetNumber()
+		c.checkDocument(id, returned)
 	}
 	if c.lastNumber[id] != machine.Number() {
-		c.addViolation(noGap, "member %d returned revision %d, its newest is %d", id, c.lastNumber[id], machine.Number())
+		c.addViolation(noGap, "member %d: last returned revision is %d, newest revision is %d", id, c.lastNumber[id],
+			machine.Number())
 	}
 }
 
-// checkLeader checks that a term has one leader.
+// checkLeader checks that a term has at most one leader.
 func (c *invariantChecker) checkLeader(id, term uint64) {
 	if other, found := c.leaders[term]; found && other != id {
-		c.addViolation(singleLeader, "members %d and %d lead in term %d", other, id, term)
+		c.addViolation(singleLeader, "members %d and %d are both leader in term %d", other, id, term)
 	}
 	c.leaders[term] = id
 }
 
-// recordAcknowledgement records the acknowledgement of a publication, and checks that a request has one number.
+// recordAcknowledgement records the acknowledgement of a publication, and checks that a request has only one revision
+// number.
 func (c *invariantChecker) recordAcknowledgement(at time.Duration, request, number, checksum uint64) {
 	if known, found := c.numbers[request]; found && known != number {
-		c.addViolation(idempotent, "request %x has numbers %d and %d", request, known, number)
+		c.addViolation(idempotent, "request %x has revision numbers %d and %d", request, known, number)
 	}
 	c.numbers[request] = number
 	highest := number
@@ -175,29 +178,30 @@
 	})
 }
 
-// checkConfirmed checks that a member has all revisions acknowledged until a time.
+// checkConfirmed checks that a member whose newest revision is number has all revisions acknowledged until upTo.
 func (c *invariantChecker) checkConfirmed(id uint64, upTo time.Duration, number uint64) {
 	after := sort.Search(len(c.acknowledgements), func(i int) bool { return c.acknowledgements[i].acknowledgedAt > upTo })
 	if after == 0 {
 		return
 	}
 	if highest := c.acknowledgements[after-1].highest; number < highest {
-		c.addViolation(confirmedFresh, "member %d has revision %d, confirmed at %v, when revision %d was acknowledged", id, number, upTo, highest)
+		c.addViolation(confirmedFresh, "member %d: newest revision is %d, but revision %d was acknowledged by the confirmed time %v",
+			id, number, highest, upTo)
 	}
 }
 
-// finish checks the end of a run: no acknowledged revision is lost, and the history is linearizable.
+// finish checks at the end of a run that no acknowledged revision is lost and that the history is linearizable.
 func (c *invariantChecker) finish(members map[uint64]*simulatedMember) {
 	for _, acknowledged := range c.acknowledgements {
 		for id, member := range members {
-			found := member.node.Machine().Get(acknowledged.number)
-			if found.GetChecksum() != acknowledged.checksum {
-				c.addViolation(durable, "member %d has %x as revision %d, acknowledged was %x", id, found.GetChecksum(),
-					acknowledged.number, acknowledged.checksum)
+			stored := member.node.Machine().Get(acknowledged.number)
+			if stored.GetChecksum() != acknowledged.checksum {
+				c.addViolation(durable, "member %d: revision %d has checksum %x, the acknowledged one has %x", id, acknowledged.number,
+					stored.GetChecksum(), acknowledged.checksum)
 			}
 		}
 	}
 	if result := porcupine.CheckOperationsTimeout(revisionsModel, c.history, historyTimeout); result != porcupine.Ok {
-		c.addViolation(linearizable, "%d operations: %v", len(c.history), result)
+		c.addViolation(linearizable, "porcupine's result for %d operations is %v, want %v", len(c.history), result, porcupine.Ok)
 	}
 }
--- a/internal/controlplane/consensus/limits.go
+++ b/internal/controlplane/consensus/limits.go
@@ -38,8 +38,8 @@
 	// be applied later.
 	ProposalTimeout = 8 * time.Second
 
-	// snapshotTimeout is the time after which an unacknowledged snapshot is sent again: about the time that
-	// 17 MiB take at 10 Mbit/s.
+	// snapshotTimeout is the time after which an unacknowledged snapshot is sent again, about the transfer time
+	// of 17 MiB at 10 Mbit/s.
 	snapshotTimeout = 15 * time.Second
 
 	// confChangeInterval is the minimum time between two proposals of a configuration change. It is longer than an
@@ -90,7 +90,7 @@
 	MaxMessageBytes = revision.MaxSnapshotBytes + 64<<10
 
 	// maxPromotionLag is the maximum number of committed entries that the learner may lack when it is promoted: as many
-	// as one append of MaxProposals.
+	// entries as MaxProposals proposals append.
 	maxPromotionLag = 64
 
 	// maxMemberID is the largest member id. raft reserves the highest ids for the targets of local messages.
--- a/internal/controlplane/consensus/members_test.go
+++ b/internal/controlplane/consensus/members_test.go
@@ -8,6 +8,8 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
+// TestLostSnapshotIsRetried drops the snapshot message to a lagging member. The leader has to send another one after
+// snapshotTimeout.
 func TestLostSnapshotIsRetried(t *testing.T) {
 	c := newCluster(t)
 	for _, id := range testMembers {
@@ -20,16 +22,16 @@
 		c.propose(request, "document")
 	}
 	c.partitioned[lagging] = false
-	lost := 0
+	dropped := 0
 	c.drop = func(message *raftpb.Message) bool {
-		if message.GetType() == raftpb.MsgSnap && lost == 0 {
-			lost++
+		if message.GetType() == raftpb.MsgSnap && dropped == 0 {
+			dropped++
 			return true
 		}
 		return false
 	}
 	c.run(snapshotTimeout / 2)
-	require.Equal(t, 1, lost)
+	require.Equal(t, 1, dropped)
 	require.Zero(t, c.nodes[lagging].Machine().Number())
 	c.run(snapshotTimeout)
 	require.Equal(t, uint64(30), c.nodes[lagging].Machine().Number())
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -18,7 +18,7 @@
 	storage   raft.Storage
 	machine   *revision.Machine
 	confState *raftpb.ConfState // raft configuration as of the last applied entry
-	stopErr   error             // if not nil, the node has stopped and every call returns it
+	stopErr   error             // if not nil, the node has stopped; Propose, Read, Step and Err return it
 
 	now           time.Time // of the latest Tick
 	nextTickAt    time.Time
--- a/internal/controlplane/consensus/node_test.go
+++ b/internal/controlplane/consensus/node_test.go
@@ -21,9 +21,9 @@
 		require.ErrorIs(t, err, ErrInvalidOptions, name)
 	}
 	_, err := New(Options{ID: 1, Members: []uint64{1, 2, 3}}, storage, epoch)
-	require.ErrorIs(t, err, ErrInvalidStorage, "the storage has another member")
+	require.ErrorIs(t, err, ErrInvalidStorage, "the storage has a configuration with an unknown member")
 	_, err = New(Options{ID: 1, Members: testMembers}, raft.NewMemoryStorage(), epoch)
-	require.ErrorIs(t, err, ErrInvalidStorage, "an empty storage")
+	require.ErrorIs(t, err, ErrInvalidStorage, "the storage is empty")
 }
 
 func TestNewReplaysCommittedEntries(t *testing.T) {
--- a/internal/controlplane/consensus/promotion.go
+++ b/internal/controlplane/consensus/promotion.go
@@ -9,10 +9,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// findReplacement returns the voter that was without contact for Options.VoterTimeout and the learner that can replace it.
-// It returns false during a joint configuration, while more than one voter is lost, or while another voter or the learner
-// is not recently active, since a quorum of the old or the new configuration might then not be available. It also returns
-// false while the learner is not caught up.
+// findReplacement returns the voter that has been without contact for Options.VoterTimeout and the learner that can replace
+// it. ok is false during a joint configuration, while more than one voter is lost, or while another voter or the learner is
+// not recently active, since a quorum of the old or the new configuration might then not be available. ok is also false
+// while the learner is not caught up.
 func (n *Node) findReplacement() (lost, learner uint64, ok bool) {
 	state := n.confState
 	if len(state.GetVotersOutgoing()) > 0 || len(state.GetLearners()) != 1 {
--- a/internal/controlplane/consensus/promotion_test.go
+++ b/internal/controlplane/consensus/promotion_test.go
@@ -15,23 +15,23 @@
 	lost := c.otherVoter()
 	c.partitioned[lost] = true
 	c.run(DefaultVoterTimeout - 5*time.Second)
-	require.ElementsMatch(t, testVoters, c.voters(), "not before the voter timeout")
+	require.ElementsMatch(t, testVoters, c.voters(), "no replacement before the voter timeout")
 	c.run(10 * time.Second)
 	require.NotContains(t, c.voters(), lost)
 	require.Contains(t, c.voters(), testLearners[0])
-	require.Empty(t, c.leader().confState.GetVotersOutgoing(), "the joint configuration was left")
+	require.Empty(t, c.leader().confState.GetVotersOutgoing(), "the joint configuration has been left")
 	c.propose(2, "after the promotion")
 
 	c.partitioned[lost] = false
 	c.run(5 * time.Second)
-	require.Equal(t, []uint64{lost}, c.leader().confState.GetLearners(), "it is the new learner")
+	require.Equal(t, []uint64{lost}, c.leader().confState.GetLearners(), "the replaced voter is the new learner")
 	require.Equal(t, uint64(2), c.nodes[lost].Machine().Number())
 	status := c.nodes[lost].Status(c.now)
 	for _, member := range status.Members {
 		require.Equal(t, member.ID != lost, member.Voter)
 	}
 
-	// A second voter is lost, and the new learner replaces it.
+	// When a second voter is lost, the new learner replaces it.
 	secondLost := c.otherVoter()
 	c.partitioned[secondLost] = true
 	c.run(DefaultVoterTimeout + 5*time.Second)
@@ -92,7 +92,7 @@
 			c.partitioned[id] = id != leader
 		}
 		c.run(2 * DefaultVoterTimeout)
-		require.Zero(t, c.nodes[leader].leaderState.leaderTerm, "it has stepped down")
+		require.Zero(t, c.nodes[leader].leaderState.leaderTerm, "the leader has stepped down")
 		require.ElementsMatch(t, testVoters, c.nodes[testLearners[0]].confState.GetVoters())
 	})
 	t.Run("learner lags", func(t *testing.T) {
@@ -110,11 +110,13 @@
 	})
 }
 
-func TestPausedLeaderReplacesNoVoter(t *testing.T) {
+// TestPausedLeaderDoesNotReplaceVoters pauses all nodes for longer than the voter timeout. The leader must not take the
+// pause for the loss of the other members.
+func TestPausedLeaderDoesNotReplaceVoters(t *testing.T) {
 	c := newCluster(t)
 	c.run(5 * time.Second)
 	leader := c.leader()
-	c.now = c.now.Add(2 * DefaultVoterTimeout) // no node ran
+	c.now = c.now.Add(2 * DefaultVoterTimeout) // without a tick of any node
 	leader.Tick(c.now)
 	_, _, ok := leader.findReplacement()
 	require.False(t, ok)
--- a/internal/controlplane/consensus/proposals_test.go
+++ b/internal/controlplane/consensus/proposals_test.go
@@ -34,17 +34,17 @@
 	require.ErrorAs(t, c.nodes[c.otherVoter()].Propose(&configpb.Command{Request: 1}), &notLeader)
 	require.Equal(t, leader.options.ID, notLeader.Leader)
 	for id := range c.nodes {
-		c.partitioned[id] = id != leader.options.ID // no quorum, no commit
+		c.partitioned[id] = id != leader.options.ID // without a quorum nothing is committed
 	}
 	for request := uint64(1); request <= MaxProposals; request++ {
 		require.NoError(t, leader.Propose(&configpb.Command{Request: request, Document: []byte("{}")}))
 	}
-	require.NoError(t, leader.Propose(&configpb.Command{Request: 1, Document: []byte("{}")}), "it is pending already")
+	require.NoError(t, leader.Propose(&configpb.Command{Request: 1, Document: []byte("{}")}), "request 1 is already pending")
 	require.ErrorIs(t, leader.Propose(&configpb.Command{Request: 99, Document: []byte("{}")}), ErrTooManyProposals)
 	c.run(ProposalTimeout + time.Second)
 	outcomes := c.outcomes(leader.options.ID)
 	require.Len(t, outcomes, MaxProposals)
 	for _, outcome := range outcomes {
-		require.ErrorIs(t, outcome.Err, ErrOutcomeUnknown, "it has lost its quorum")
+		require.ErrorIs(t, outcome.Err, ErrOutcomeUnknown, "the leader lost its quorum and stepped down")
 	}
 }
--- a/internal/controlplane/consensus/reads_test.go
+++ b/internal/controlplane/consensus/reads_test.go
@@ -50,19 +50,19 @@
 	require.ErrorIs(t, c.nodes[2].Read(MaxReads), ErrTooManyReads)
 	c.partitioned[2] = true
 	c.run(ReadTimeout + time.Second)
-	var ended int
+	var timedOut int
 	for _, applied := range c.applied[2] {
 		for _, outcome := range applied.Reads {
 			require.ErrorIs(t, outcome.Err, ErrTimeout)
-			ended++
+			timedOut++
 		}
 	}
-	require.Equal(t, MaxReads, ended)
+	require.Equal(t, MaxReads, timedOut)
 	require.NoError(t, c.nodes[2].Read(1))
 }
 
 // TestReadResponseToEarlierIncarnationIsIgnored delays the response to a read until its member has restarted and sent
-// another request: that response is older than the new request.
+// another request. The delayed response is older than that request and must not confirm it.
 func TestReadResponseToEarlierIncarnationIsIgnored(t *testing.T) {
 	c := newCluster(t)
 	c.run(5 * time.Second)
@@ -80,11 +80,11 @@
 	require.NotEmpty(t, delayed)
 	c.start(follower)
 	c.run(5 * time.Second)
-	require.NotEmpty(t, c.nodes[follower].reads.rounds, "it has sent a request")
+	require.NotEmpty(t, c.nodes[follower].reads.rounds, "the restarted member has sent a request")
 	require.NoError(t, c.nodes[follower].Step(delayed[0]))
 	c.deliverAll()
 	require.Equal(t, Unconfirmed, c.nodes[follower].ConfirmedAge(c.now))
 	require.NoError(t, c.nodes[follower].Step(delayed[len(delayed)-1]))
 	c.deliverAll()
-	require.Less(t, c.nodes[follower].ConfirmedAge(c.now), time.Second, "the response to its own latest request confirms")
+	require.Less(t, c.nodes[follower].ConfirmedAge(c.now), time.Second, "the response to the latest request confirms it")
 }
--- a/internal/controlplane/consensus/simulated_client_test.go
+++ b/internal/controlplane/consensus/simulated_client_test.go
@@ -11,13 +11,13 @@
 	"mothrouter/internal/controlplane/revision"
 )
 
-// client publishes and reads, one operation after another. It retries a publication under the same request id until it
-// has a response or made maxAttempts attempts.
+// client publishes and reads, one operation after another. It retries a publication with the same request id until it has
+// a response or has made maxAttempts attempts.
 type client struct {
-	s              *simulation
+	simulation     *simulation
 	id             int
-	newestKnown    uint64 // newest revision number it has seen
-	leader         uint64 // id of the member that it sends publications to first
+	newestKnown    uint64 // highest revision number in a response
+	leader         uint64 // id of the member to which it first sends a publication
 	operationCount uint64 // operations started
 	inOperation    bool
 }
@@ -25,189 +25,190 @@
 const (
 	maxAttempts    = 8
 	attemptTimeout = 1500 * time.Millisecond
-	documentMark   = '#' // first byte of each document; faultContent changes it
+	documentMark   = '#' // first byte of each document, which faultCorruptDocument changes
 )
 
-// attempt is an operation in progress.
-type attempt struct {
+// pendingOperation is an operation of a client that is in progress.
+type pendingOperation struct {
 	client   *client
 	input    operation
-	command  *configpb.Command // of a publication, else nil
-	calledAt time.Duration
-	attempts int
+	command  *configpb.Command // of a publication; nil for a read
+	calledAt time.Duration     // since the start of the run
+	attempts int               // started
 	finished bool
 }
 
-// addClient adds a client that starts within a second.
+// addClient adds a client that starts its first operation within a second.
 func (s *simulation) addClient(id int) {
-	c := &client{s: s, id: id, leader: 1}
+	c := &client{simulation: s, id: id, leader: 1}
 	s.clients = append(s.clients, c)
-	s.after(s.between(0, time.Second), c.next)
+	s.after(s.between(0, time.Second), c.startOperation)
 }
 
-// next starts an operation.
-func (c *client) next() {
-	if c.s.now >= clientsUntil {
+// startOperation starts a publication or a read.
+func (c *client) startOperation() {
+	if c.simulation.now >= clientsUntil {
 		return
 	}
 	c.operationCount++
 	c.inOperation = true
-	a := &attempt{client: c, calledAt: c.s.now}
-	if c.s.chance(0.5) {
-		a.input.publish = true
-		if c.s.chance(0.4) {
-			a.input.expected = c.newestKnown
+	p := &pendingOperation{client: c, calledAt: c.simulation.now}
+	if c.simulation.chance(0.5) {
+		p.input.publish = true
+		if c.simulation.chance(0.4) {
+			p.input.expected = c.newestKnown
 		}
 		document := fmt.Appendf(nil, "%c client %d operation %d", documentMark, c.id, c.operationCount)
-		a.input.checksum = configpb.Checksum(document)
-		a.command = &configpb.Command{
+		p.input.checksum = configpb.Checksum(document)
+		p.command = &configpb.Command{
 			Request:  uint64(c.id+1)<<32 | c.operationCount,
-			Expected: a.input.expected,
+			Expected: p.input.expected,
 			Document: document,
 		}
 	}
-	a.try()
+	p.send()
 }
 
-// try sends the operation to a member, and to another one after attemptTimeout.
-func (a *attempt) try() {
-	if a.finished {
+// send starts an attempt: it sends the operation to a member. After attemptTimeout it starts the next one.
+func (p *pendingOperation) send() {
+	if p.finished {
 		return
 	}
-	s := a.client.s
-	a.attempts++
-	if a.attempts > maxAttempts {
-		a.abandon()
+	s := p.client.simulation
+	p.attempts++
+	if p.attempts > maxAttempts {
+		p.abandon()
 		return
 	}
 	to := testMembers[s.random.IntN(len(testMembers))]
-	if a.input.publish && a.attempts == 1 {
-		to = a.client.leader
+	if p.input.publish && p.attempts == 1 {
+		to = p.client.leader
 	}
-	s.transmit(0, to, func() { a.arrive(s.members[to]) })
-	tries := a.attempts
+	s.transmit(0, to, func() { p.process(s.members[to]) })
+	attempt := p.attempts
 	s.after(attemptTimeout, func() {
-		if a.attempts == tries {
-			a.try()
+		if p.attempts == attempt {
+			p.send()
 		}
 	})
 }
 
-// abandon ends an operation without a response. A publication may be applied, now or later.
-func (a *attempt) abandon() {
-	if a.input.publish {
-		a.record(operation{publish: true, unknown: true}, endAt+time.Second)
+// abandon ends an operation that has no response. A publication may have been applied or may still be applied.
+func (p *pendingOperation) abandon() {
+	if p.input.publish {
+		p.record(operation{publish: true, unknown: true}, endAt+time.Second)
 	}
-	a.end()
+	p.end()
 }
 
-// record appends the operation to the history.
-func (a *attempt) record(output operation, at time.Duration) {
-	s := a.client.s
+// record appends the operation to the history. returnedAt is the time of its response.
+func (p *pendingOperation) record(output operation, returnedAt time.Duration) {
+	s := p.client.simulation
 	s.checker.history = append(s.checker.history, porcupine.Operation{
-		ClientId: a.client.id, Input: a.input, Output: output, Call: int64(a.calledAt), Return: int64(at),
+		ClientId: p.client.id, Input: p.input, Output: output, Call: int64(p.calledAt), Return: int64(returnedAt),
 	})
 }
 
 // end ends the operation and schedules the client's next one.
-func (a *attempt) end() {
-	a.finished = true
-	a.client.inOperation = false
-	s := a.client.s
-	s.after(s.between(50*time.Millisecond, 700*time.Millisecond), a.client.next)
+func (p *pendingOperation) end() {
+	p.finished = true
+	p.client.inOperation = false
+	s := p.client.simulation
+	s.after(s.between(50*time.Millisecond, 700*time.Millisecond), p.client.startOperation)
 }
 
-// arrive processes the operation at a member.
-func (a *attempt) arrive(m *simulatedMember) {
-	s := a.client.s
-	if !m.up {
+// process processes the operation on a member. If the member is paused, it does so after the pause.
+func (p *pendingOperation) process(member *simulatedMember) {
+	s := p.client.simulation
+	if !member.up {
 		return
 	}
-	if s.now < m.pausedUntil {
-		s.at(m.pausedUntil, func() { a.arrive(m) })
+	if s.now < member.pausedUntil {
+		s.at(member.pausedUntil, func() { p.process(member) })
 		return
 	}
-	if a.input.publish {
-		a.propose(m)
+	if p.input.publish {
+		p.propose(member)
 	} else {
-		a.readAt(m)
+		p.read(member)
 	}
-	s.startSave(m)
+	s.startSave(member)
 }
 
-// propose proposes a publication at a member.
-func (a *attempt) propose(m *simulatedMember) {
-	s := a.client.s
-	command := a.command
-	if s.fault == faultNewRequest {
+// propose proposes the publication on a member.
+func (p *pendingOperation) propose(member *simulatedMember) {
+	s := p.client.simulation
+	command := p.command
+	if s.fault == faultNewRequestID {
 		command = &configpb.Command{
-			Request: command.GetRequest() | uint64(a.attempts)<<24, Expected: command.GetExpected(),
+			Request: command.GetRequest() | uint64(p.attempts)<<24, Expected: command.GetExpected(),
 			Document: command.GetDocument(),
 		}
 	}
-	err := m.node.Propose(command)
+	err := member.node.Propose(command)
 	var notLeader *NotLeaderError
 	if errors.As(err, &notLeader) && notLeader.Leader != 0 {
-		s.transmit(m.id, 0, func() { a.client.leader = notLeader.Leader })
+		s.transmit(member.id, 0, func() { p.client.leader = notLeader.Leader })
 	}
 	if err != nil {
 		return
 	}
 	if s.fault == faultAckBeforeCommit {
-		a.acknowledge(m, revision.Result{Number: m.node.Machine().Number() + 1})
+		p.acknowledge(member, revision.Result{Number: member.node.Machine().Number() + 1})
 		return
 	}
-	m.publish[command.GetRequest()] = append(m.publish[command.GetRequest()], func(outcome ProposalOutcome) {
-		if outcome.Err == nil {
-			a.acknowledge(m, outcome.Result)
-		}
-	})
+	member.publishWaiters[command.GetRequest()] = append(member.publishWaiters[command.GetRequest()],
+		func(outcome ProposalOutcome) {
+			if outcome.Err == nil {
+				p.acknowledge(member, outcome.Result)
+			}
+		})
 }
 
-// acknowledge sends the response to a publication from a member.
-func (a *attempt) acknowledge(m *simulatedMember, result revision.Result) {
-	s := a.client.s
+// acknowledge sends a member's response to the publication.
+func (p *pendingOperation) acknowledge(member *simulatedMember, result revision.Result) {
+	s := p.client.simulation
 	if result.Rejection == revision.Accepted {
-		s.checker.recordAcknowledgement(s.now, a.command.GetRequest(), result.Number, a.input.checksum)
+		s.checker.recordAcknowledgement(s.now, p.command.GetRequest(), result.Number, p.input.checksum)
 	}
-	s.transmit(m.id, 0, func() {
-		if a.finished {
+	s.transmit(member.id, 0, func() {
+		if p.finished {
 			return
 		}
-		a.client.newestKnown = max(a.client.newestKnown, result.Number)
-		a.client.leader = m.id
-		a.record(operation{
+		p.client.newestKnown = max(p.client.newestKnown, result.Number)
+		p.client.leader = member.id
+		p.record(operation{
 			publish: true, number: result.Number, rejected: result.Rejection == revision.NotNewest,
 		}, s.now)
-		a.end()
+		p.end()
 	})
 }
 
-// readAt reads the newest revision at a member.
-func (a *attempt) readAt(m *simulatedMember) {
-	s := a.client.s
+// read reads the newest revision on a member.
+func (p *pendingOperation) read(member *simulatedMember) {
+	s := p.client.simulation
 	respond := func() {
-		machine := m.node.Machine()
+		machine := member.node.Machine()
 		output := operation{number: machine.Number(), checksum: machine.Newest().GetChecksum()}
-		s.transmit(m.id, 0, func() {
-			if a.finished {
+		s.transmit(member.id, 0, func() {
+			if p.finished {
 				return
 			}
 			s.stats.reads++
-			a.client.newestKnown = max(a.client.newestKnown, output.number)
-			a.record(output, s.now)
-			a.end()
+			p.client.newestKnown = max(p.client.newestKnown, output.number)
+			p.record(output, s.now)
+			p.end()
 		})
 	}
 	if s.fault == faultStaleRead {
 		respond()
 		return
 	}
-	m.readID++
-	if err := m.node.Read(m.readID); err != nil {
+	member.lastReadID++
+	if err := member.node.Read(member.lastReadID); err != nil {
 		return
 	}
-	m.read[m.readID] = func(outcome ReadOutcome) {
+	member.readWaiters[member.lastReadID] = func(outcome ReadOutcome) {
 		if outcome.Err == nil {
 			respond()
 		}
--- a/internal/controlplane/consensus/simulated_disk_test.go
+++ b/internal/controlplane/consensus/simulated_disk_test.go
@@ -8,35 +8,37 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// disk is the storage of a simulated member. It survives a crash.
+// disk is the storage of a simulated member. Its content survives a crash.
 type disk interface {
 	raft.Storage
 	Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error
 	Compact(snapshot *raftpb.Snapshot, first uint64) error
-	// Reopen opens it after a crash.
+	// Reopen opens the disk after a crash.
 	Reopen() error
 }
 
-// memoryDisk is a disk in memory with planted faults.
+// memoryDisk is an in-memory disk with an injected fault.
 type memoryDisk struct {
 	*raft.MemoryStorage
-	fault       fault
-	saves       int
-	beforeSaves *raft.MemoryStorage // with faultSaveSkipped: the state after a crash
-	savedState  *raftpb.HardState   // hard state of the last Save
+	fault           fault
+	saves           int                 // calls of Save
+	stateAfterCrash *raft.MemoryStorage // with faultLostSaves: the state that Reopen restores
+	savedHardState  *raftpb.HardState   // stored hard state
 }
 
 var _ disk = (*memoryDisk)(nil)
 
-func newMemoryDisk(start *raftpb.Snapshot, planted fault) *memoryDisk {
-	d := &memoryDisk{MemoryStorage: raft.NewMemoryStorage(), fault: planted}
-	must(d.ApplySnapshot(start))
-	d.savedState = &raftpb.HardState{Term: new(uint64(bootstrapTerm)), Commit: new(uint64(bootstrapIndex))}
-	must(d.SetHardState(d.savedState))
-	d.beforeSaves = d.clone()
+// newMemoryDisk returns a disk that contains a bootstrap snapshot.
+func newMemoryDisk(bootstrap *raftpb.Snapshot, injected fault) *memoryDisk {
+	d := &memoryDisk{MemoryStorage: raft.NewMemoryStorage(), fault: injected}
+	must(d.ApplySnapshot(bootstrap))
+	d.savedHardState = &raftpb.HardState{Term: new(uint64(bootstrapTerm)), Commit: new(uint64(bootstrapIndex))}
+	must(d.SetHardState(d.savedHardState))
+	d.stateAfterCrash = d.clone()
 	return d
 }
 
+// must panics on an error.
 func must(err error) {
 	if err != nil {
 		panic(err)
@@ -45,8 +47,8 @@
 
 func (d *memoryDisk) Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	d.saves++
-	if d.saves%maxSkippedSaves == 0 && d.fault == faultSaveSkipped {
-		d.beforeSaves = d.clone()
+	if d.saves%maxLostSaves == 0 && d.fault == faultLostSaves {
+		d.stateAfterCrash = d.clone()
 	}
 	if !raft.IsEmptySnap(snapshot) {
 		must(d.ApplySnapshot(snapshot))
@@ -55,18 +57,18 @@
 		must(d.Append(d.corrupt(entries)))
 	}
 	if !raft.IsEmptyHardState(hardState) {
-		d.savedState = hardState
+		d.savedHardState = hardState
 		must(d.SetHardState(hardState))
 	}
 	return nil
 }
 
-// maxSkippedSaves is the maximum number of saves that a disk with faultSaveSkipped loses.
-const maxSkippedSaves = 8
+// maxLostSaves is the maximum number of saves that a disk with faultLostSaves loses.
+const maxLostSaves = 8
 
-// corrupt returns the entries with changed documents with faultContent, else the entries.
+// corrupt returns copies of the entries with changed documents if the fault is faultCorruptDocument, else the entries.
 func (d *memoryDisk) corrupt(entries []*raftpb.Entry) []*raftpb.Entry {
-	if d.fault != faultContent {
+	if d.fault != faultCorruptDocument {
 		return entries
 	}
 	corrupted := make([]*raftpb.Entry, len(entries))
@@ -98,22 +100,22 @@
 		return err
 	}
 	switch d.fault {
-	case faultSaveSkipped:
-		d.MemoryStorage = d.beforeSaves
-		d.beforeSaves = d.clone()
-		d.savedState, _, _ = d.InitialState()
-	case faultVoteForgotten:
-		d.savedState = &raftpb.HardState{Term: new(d.savedState.GetTerm()), Commit: new(d.savedState.GetCommit())}
-		return d.SetHardState(d.savedState)
-	case faultCommitForgotten:
-		d.savedState = proto.CloneOf(d.savedState)
-		d.savedState.Commit = new(snapshot.GetMetadata().GetIndex())
-		return d.SetHardState(d.savedState)
+	case faultLostSaves:
+		d.MemoryStorage = d.stateAfterCrash
+		d.stateAfterCrash = d.clone()
+		d.savedHardState, _, _ = d.InitialState()
+	case faultLostVote:
+		d.savedHardState = &raftpb.HardState{Term: new(d.savedHardState.GetTerm()), Commit: new(d.savedHardState.GetCommit())}
+		return d.SetHardState(d.savedHardState)
+	case faultLostCommitIndex:
+		d.savedHardState = proto.CloneOf(d.savedHardState)
+		d.savedHardState.Commit = new(snapshot.GetMetadata().GetIndex())
+		return d.SetHardState(d.savedHardState)
 	}
 	return nil
 }
 
-// clone returns a copy of the current state without entries before the snapshot.
+// clone returns a copy of the current state, without the entries before the snapshot.
 func (d *memoryDisk) clone() *raft.MemoryStorage {
 	copied := raft.NewMemoryStorage()
 	snapshot, err := d.Snapshot()
@@ -126,6 +128,6 @@
 		must(err)
 		must(copied.Append(entries))
 	}
-	must(copied.SetHardState(d.savedState))
+	must(copied.SetHardState(d.savedHardState))
 	return copied
 }
--- a/internal/controlplane/consensus/simulated_member_test.go
+++ b/internal/controlplane/consensus/simulated_member_test.go
@@ -7,140 +7,140 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// simulatedMember is a node with its disk, its clock and the callers that wait for it.
+// simulatedMember is a node with its disk, its clock and the callers that wait for its outcomes.
 type simulatedMember struct {
-	id              uint64
-	node            *Node
-	disk            disk
-	up              bool
-	incarnation     int // number of starts: events of an earlier one are ignored
-	pausedUntil     time.Duration
-	saving          *Ready
-	offset          time.Duration // of its clock
-	rate            float64       // of its clock
-	leaderContactAt time.Duration // of the last message from its leader, for faultHeartbeatsConfirm
-	publish         map[uint64][]func(ProposalOutcome)
-	read            map[uint64]func(ReadOutcome)
-	readID          uint64
-	skipping        bool // with faultRevisionSkipped: it drops the next new revision
+	id               uint64
+	node             *Node
+	disk             disk
+	up               bool
+	incarnation      int                                // number of starts; events scheduled by an earlier incarnation are ignored
+	pausedUntil      time.Duration                      // since the start of the run
+	saving           *Ready                             // being persisted; nil: none
+	clockOffset      time.Duration                      // added to the simulated time
+	clockRate        float64                            // relative to the simulated time
+	leaderContactAt  time.Duration                      // time of the last message from its leader, for faultHeartbeatsConfirm
+	publishWaiters   map[uint64][]func(ProposalOutcome) // callbacks by request id
+	readWaiters      map[uint64]func(ReadOutcome)       // callbacks by read id
+	lastReadID       uint64
+	skipNextRevision bool // drop the next new revision, for faultSkippedRevision
 }
 
-// addMember adds a member and starts it.
+// addMember adds a member with its disk and starts it.
 func (s *simulation) addMember(id uint64, storage disk) {
-	m := &simulatedMember{
-		id:       id,
-		disk:     storage,
-		offset:   s.between(-time.Hour, time.Hour),
-		rate:     1 + maxDrift*(2*s.random.Float64()-1),
-		skipping: s.fault == faultRevisionSkipped && id == 3,
-	}
-	s.members[id] = m
-	s.start(m)
+	member := &simulatedMember{
+		id:               id,
+		disk:             storage,
+		clockOffset:      s.between(-time.Hour, time.Hour),
+		clockRate:        1 + maxClockDrift*(2*s.random.Float64()-1),
+		skipNextRevision: s.fault == faultSkippedRevision && id == 3,
+	}
+	s.members[id] = member
+	s.start(member)
 }
 
-// local returns the time by a member's clock.
-func (s *simulation) local(m *simulatedMember) time.Time {
-	return epoch.Add(m.offset + time.Duration(float64(s.now)*m.rate))
+// localTime returns the time on a member's clock.
+func (s *simulation) localTime(member *simulatedMember) time.Time {
+	return epoch.Add(member.clockOffset + time.Duration(float64(s.now)*member.clockRate))
 }
 
-// start creates the node of a member from its disk. It retries after a second if that fails, which is a violation.
-func (s *simulation) start(m *simulatedMember) {
-	m.up, m.saving, m.pausedUntil = true, nil, 0
-	m.incarnation++
-	m.publish = make(map[uint64][]func(ProposalOutcome))
-	m.read = make(map[uint64]func(ReadOutcome))
+// start creates the node of a member from its disk. A failure is a violation, after which it retries in a second.
+func (s *simulation) start(member *simulatedMember) {
+	member.up, member.saving, member.pausedUntil = true, nil, 0
+	member.incarnation++
+	member.publishWaiters = make(map[uint64][]func(ProposalOutcome))
+	member.readWaiters = make(map[uint64]func(ReadOutcome))
 	node, err := New(Options{
-		ID: m.id, Members: testMembers, Incarnation: uint64(m.incarnation), VoterTimeout: simulatedVoterTimeout,
+		ID: member.id, Members: testMembers, Incarnation: uint64(member.incarnation), VoterTimeout: simulatedVoterTimeout,
 		snapshotEntries: 12, trailingEntries: 4,
-	}, m.disk, s.local(m))
+	}, member.disk, s.localTime(member))
 	if err != nil {
-		s.checker.addViolation(accepting, "member %d does not start: %v", m.id, err)
-		m.up = false
-		s.after(time.Second, func() { s.start(m) })
+		s.checker.addViolation(noMemberFailure, "member %d: failed to start: %v", member.id, err)
+		member.up = false
+		s.after(time.Second, func() { s.start(member) })
 		return
 	}
-	m.node = node
-	s.checker.checkRestarted(m.id, node.Machine())
-	s.tick(m, m.incarnation)
+	member.node = node
+	s.checker.checkRestarted(member.id, node.Machine())
+	s.tick(member, member.incarnation)
 }
 
 // tick ticks a member, unless it is paused, and schedules its next tick.
-func (s *simulation) tick(m *simulatedMember, incarnation int) {
-	if !m.up || m.incarnation != incarnation {
+func (s *simulation) tick(member *simulatedMember, incarnation int) {
+	if !member.up || member.incarnation != incarnation {
 		return
 	}
-	if s.now >= m.pausedUntil {
-		m.node.Tick(s.local(m))
-		s.startSave(m)
-		s.checkMember(m)
+	if s.now >= member.pausedUntil {
+		member.node.Tick(s.localTime(member))
+		s.startSave(member)
+		s.checkMember(member)
 	}
-	if m.incarnation == incarnation {
-		wait := time.Duration(float64(DefaultTickInterval) / m.rate)
-		s.after(max(wait, m.pausedUntil-s.now), func() { s.tick(m, incarnation) })
+	if member.incarnation == incarnation {
+		wait := time.Duration(float64(DefaultTickInterval) / member.clockRate)
+		s.after(max(wait, member.pausedUntil-s.now), func() { s.tick(member, incarnation) })
 	}
 }
 
 // checkMember checks the leadership and ConfirmedAge of a member.
-func (s *simulation) checkMember(m *simulatedMember) {
-	if !m.up {
+func (s *simulation) checkMember(member *simulatedMember) {
+	if !member.up {
 		return
 	}
-	if m.node.leaderState.leaderTerm != 0 {
-		s.checker.checkLeader(m.id, m.node.leaderState.leaderTerm)
+	if member.node.leaderState.leaderTerm != 0 {
+		s.checker.checkLeader(member.id, member.node.leaderState.leaderTerm)
 	}
-	confirmed := m.node.ConfirmedAge(s.local(m))
+	confirmed := member.node.ConfirmedAge(s.localTime(member))
 	if s.fault == faultHeartbeatsConfirm {
-		confirmed = time.Duration(float64(s.now-m.leaderContactAt) * m.rate)
+		confirmed = time.Duration(float64(s.now-member.leaderContactAt) * member.clockRate)
 	}
 	if confirmed == Unconfirmed {
 		return
 	}
-	s.checker.checkConfirmed(m.id, s.now-time.Duration(float64(confirmed)/m.rate), m.node.Machine().Number())
+	s.checker.checkConfirmed(member.id, s.now-time.Duration(float64(confirmed)/member.clockRate), member.node.Machine().Number())
 }
 
-// startSave starts to persist the next Ready, unless a save is in progress.
-func (s *simulation) startSave(m *simulatedMember) {
-	if !m.up || m.saving != nil {
+// startSave starts to persist the next Ready of a member, unless a save is in progress.
+func (s *simulation) startSave(member *simulatedMember) {
+	if !member.up || member.saving != nil {
 		return
 	}
-	if err := m.node.Err(); err != nil {
-		s.checker.addViolation(accepting, "member %d: %v", m.id, err)
-		s.crash(m, time.Second)
+	if err := member.node.Err(); err != nil {
+		s.checker.addViolation(noMemberFailure, "member %d: stopped: %v", member.id, err)
+		s.crash(member, time.Second)
 		return
 	}
-	m.saving = m.node.Ready()
-	if m.saving == nil {
+	member.saving = member.node.Ready()
+	if member.saving == nil {
 		return
 	}
-	incarnation := m.incarnation
-	s.after(s.between(100*time.Microsecond, 8*time.Millisecond), func() { s.finishSave(m, incarnation) })
+	incarnation := member.incarnation
+	s.after(s.between(100*time.Microsecond, 8*time.Millisecond), func() { s.finishSave(member, incarnation) })
 }
 
-// finishSave ends a save: it sends the messages and advances the node.
-func (s *simulation) finishSave(m *simulatedMember, incarnation int) {
-	if !m.up || m.incarnation != incarnation {
+// finishSave completes a save, sends the messages of the Ready and advances the node.
+func (s *simulation) finishSave(member *simulatedMember, incarnation int) {
+	if !member.up || member.incarnation != incarnation {
 		return
 	}
-	if s.now < m.pausedUntil {
-		s.at(m.pausedUntil, func() { s.finishSave(m, incarnation) })
+	if s.now < member.pausedUntil {
+		s.at(member.pausedUntil, func() { s.finishSave(member, incarnation) })
 		return
 	}
-	ready := m.saving
-	s.save(m, ready)
+	ready := member.saving
+	s.save(member, ready)
 	for _, message := range ready.Messages {
 		s.send(message)
 	}
-	m.saving = nil
-	if s.isDisturbed() && s.chance(crashChance(ready.Messages)) { // after sending, before applying
-		s.crash(m, s.between(0, 20*time.Millisecond))
+	member.saving = nil
+	if s.inFaultPhase() && s.chance(crashChance(ready.Messages)) { // after sending, before applying
+		s.crash(member, s.between(0, 20*time.Millisecond))
 		return
 	}
-	s.handleApplied(m, m.node.Advance())
-	s.startSave(m)
+	s.handleApplied(member, member.node.Advance())
+	s.startSave(member)
 }
 
-// crashChance returns the probability of a crash after messages were sent. It is higher after a vote, since a restart
-// that forgets the vote would violate an invariant.
+// crashChance returns the probability of a crash after messages were sent. It is higher after a granted vote, so that
+// faultLostVote, a restart without the vote, leads to a violation.
 func crashChance(sent []*raftpb.Message) float64 {
 	for _, message := range sent {
 		if message.GetType() == raftpb.MsgVoteResp && !message.GetReject() {
@@ -151,55 +151,55 @@
 }
 
 // save writes a Ready to a member's disk.
-func (s *simulation) save(m *simulatedMember, ready *Ready) {
-	must(m.disk.Save(ready.HardState, ready.Entries, ready.Snapshot))
+func (s *simulation) save(member *simulatedMember, ready *Ready) {
+	must(member.disk.Save(ready.HardState, ready.Entries, ready.Snapshot))
 	if ready.Compaction != nil {
-		must(m.disk.Compact(ready.Compaction.Snapshot, ready.Compaction.FirstIndex))
+		must(member.disk.Compact(ready.Compaction.Snapshot, ready.Compaction.FirstIndex))
 	}
 }
 
-// handleApplied checks the result of an Advance and passes the outcomes to their callers.
-func (s *simulation) handleApplied(m *simulatedMember, applied Applied) {
-	if m.skipping && len(applied.Revisions) > 0 && s.isDisturbed() {
-		m.skipping = false
+// handleApplied checks the result of Advance and passes the outcomes to their callers.
+func (s *simulation) handleApplied(member *simulatedMember, applied Applied) {
+	if member.skipNextRevision && len(applied.Revisions) > 0 && s.inFaultPhase() {
+		member.skipNextRevision = false
 		applied.Revisions = applied.Revisions[1:]
 	}
 	if applied.Restored {
 		s.stats.snapshots++
 	}
-	s.checker.checkAdvance(m.id, applied, m.node.Machine())
+	s.checker.checkAdvance(member.id, applied, member.node.Machine())
 	for _, outcome := range applied.Proposals {
-		waiting := m.publish[outcome.Request]
-		delete(m.publish, outcome.Request)
-		for _, respond := range waiting {
+		waiters := member.publishWaiters[outcome.Request]
+		delete(member.publishWaiters, outcome.Request)
+		for _, respond := range waiters {
 			respond(outcome)
 		}
 	}
 	for _, outcome := range applied.Reads {
-		if respond := m.read[outcome.ID]; respond != nil {
-			delete(m.read, outcome.ID)
+		if respond := member.readWaiters[outcome.ID]; respond != nil {
+			delete(member.readWaiters, outcome.ID)
 			respond(outcome)
 		}
 	}
-	fmt.Fprintln(s.trace, s.now, m.id, m.node.Machine().Applied(), m.node.Machine().Number())
+	fmt.Fprintln(s.trace, s.now, member.id, member.node.Machine().Applied(), member.node.Machine().Number())
 }
 
-// crash stops a member and restarts it from its disk. A save in progress has reached the disk or not.
-func (s *simulation) crash(m *simulatedMember, downFor time.Duration) {
-	if !m.up {
+// crash stops a member and restarts it from its disk after downFor. A save in progress is completed or lost, at random.
+func (s *simulation) crash(member *simulatedMember, downFor time.Duration) {
+	if !member.up {
 		return
 	}
 	s.stats.crashes++
-	if m.saving != nil && s.chance(0.5) {
-		s.save(m, m.saving)
+	if member.saving != nil && s.chance(0.5) {
+		s.save(member, member.saving)
 	}
-	m.up, m.saving = false, nil
-	incarnation := m.incarnation
+	member.up, member.saving = false, nil
+	incarnation := member.incarnation
 	s.after(downFor, func() {
-		if m.up || m.incarnation != incarnation {
+		if member.up || member.incarnation != incarnation {
 			return
 		}
-		must(m.disk.Reopen())
-		s.start(m)
+		must(member.disk.Reopen())
+		s.start(member)
 	})
 }
--- a/internal/controlplane/consensus/simulated_network_test.go
+++ b/internal/controlplane/consensus/simulated_network_test.go
@@ -6,15 +6,15 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// network is the state of the virtual network.
+// network is the state of the simulated network.
 type network struct {
-	cut    map[[2]uint64]bool // links by sender and receiver
-	loss   float64            // probability per message
-	double float64            // probability that a message is sent twice
-	delay  time.Duration      // maximum, drawn per message, so that messages are reordered
+	blocked              map[[2]uint64]bool // links by sender and receiver that drop all messages
+	lossProbability      float64            // per message
+	duplicateProbability float64            // per message
+	maxDelay             time.Duration      // the delay is random for each message, so that messages are reordered
 }
 
-// send sends a message over the network.
+// send encodes a message and sends it over the network.
 func (s *simulation) send(message *raftpb.Message) {
 	data, err := EncodeMessage(message)
 	must(err)
@@ -22,38 +22,39 @@
 	s.transmit(from, to, func() { s.deliver(to, data) })
 }
 
-// transmit runs arrive after the delay of the link between two members; id 0 stands for the clients.
-func (s *simulation) transmit(from, to uint64, arrive func()) {
+// transmit runs receive after the network delay, unless the message is lost, and twice if it is duplicated. The id 0 stands
+// for the clients.
+func (s *simulation) transmit(from, to uint64, receive func()) {
 	copies := 1
-	if s.chance(s.network.double) {
+	if s.chance(s.network.duplicateProbability) {
 		copies = 2
 	}
 	for range copies {
-		if s.network.cut[[2]uint64{from, to}] || s.chance(s.network.loss) {
+		if s.network.blocked[[2]uint64{from, to}] || s.chance(s.network.lossProbability) {
 			continue
 		}
-		s.after(s.between(time.Millisecond, s.network.delay), arrive)
+		s.after(s.between(time.Millisecond, s.network.maxDelay), receive)
 	}
 }
 
-// deliver steps a member with an encoded message, after its pause if it is paused.
+// deliver passes an encoded message to a member. If the member is paused, it does so after the pause.
 func (s *simulation) deliver(to uint64, data []byte) {
-	m := s.members[to]
-	if !m.up {
+	member := s.members[to]
+	if !member.up {
 		return
 	}
-	if s.now < m.pausedUntil {
-		s.at(m.pausedUntil, func() { s.deliver(to, data) })
+	if s.now < member.pausedUntil {
+		s.at(member.pausedUntil, func() { s.deliver(to, data) })
 		return
 	}
 	message, err := DecodeMessage(data)
 	must(err)
-	if err := m.node.Step(message); err != nil {
-		s.checker.addViolation(accepting, "member %d: %v", to, err)
+	if err := member.node.Step(message); err != nil {
+		s.checker.addViolation(noMemberFailure, "member %d: rejected a message: %v", to, err)
 	}
-	if message.GetFrom() == m.node.Leader() {
-		m.leaderContactAt = s.now
+	if message.GetFrom() == member.node.Leader() {
+		member.leaderContactAt = s.now
 	}
-	s.startSave(m)
-	s.checkMember(m)
+	s.startSave(member)
+	s.checkMember(member)
 }
--- a/internal/controlplane/consensus/simulation_test.go
+++ b/internal/controlplane/consensus/simulation_test.go
@@ -16,30 +16,31 @@
 	firstSeed = flag.Uint64("first-seed", 1, "first simulated seed")
 )
 
-// TestSimulationKeepsInvariants simulates many seeds. go test -run TestSimulation -seeds 500 simulates more.
+// TestSimulationKeepsInvariants checks the invariants in simulations of many seeds. The flag -seeds sets their number:
+// go test -run TestSimulation -seeds 500.
 func TestSimulationKeepsInvariants(t *testing.T) {
-	var all simulationStats
+	var total simulationStats
 	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
 		s := simulate(seed, noFault, nil)
 		for _, violation := range s.checker.violations {
 			t.Errorf("seed %d: %s: %s", seed, violation.invariant, violation.details)
 		}
-		all.add(s.stats)
+		total.add(s.stats)
 		if t.Failed() {
 			break
 		}
 	}
-	t.Logf("%d seeds: %+v", *seedCount, all)
+	t.Logf("%d seeds: %+v", *seedCount, total)
 	if *seedCount >= 40 && !t.Failed() {
-		require.Positive(t, all.snapshots, "no snapshot was sent")
-		require.Positive(t, all.promotions, "no spare was promoted")
-		require.Greater(t, all.leaders, int(*seedCount), "no leader changed")
-		require.Greater(t, all.acknowledged, 10*int(*seedCount))
-		require.Greater(t, all.reads, 10*int(*seedCount))
+		require.Positive(t, total.snapshots, "no snapshot was restored")
+		require.Positive(t, total.promotions, "no spare was promoted")
+		require.Greater(t, total.leaders, int(*seedCount), "no leader changed")
+		require.Greater(t, total.acknowledged, 10*int(*seedCount))
+		require.Greater(t, total.reads, 10*int(*seedCount))
 	}
 }
 
-// fileDisk is a simulated member's disk in raftlog files.
+// fileDisk is a simulated member's disk that stores its content in a raftlog file.
 type fileDisk struct {
 	*raftlog.Log
 	path    string
@@ -52,7 +53,7 @@
 	return err
 }
 
-// TestSimulationOnRaftlogFiles simulates a seed with the storage of production.
+// TestSimulationOnRaftlogFiles runs a simulation with the storage used in production.
 func TestSimulationOnRaftlogFiles(t *testing.T) {
 	var opened []*fileDisk
 	s := simulate(*firstSeed, noFault, func(id uint64) disk {
@@ -69,7 +70,7 @@
 	require.Empty(t, s.checker.violations)
 	require.Greater(t, s.stats.acknowledged, 5)
 	for _, d := range opened {
-		require.NoError(t, d.Reopen(), "the file is intact")
+		require.NoError(t, d.Reopen(), "the file can be reopened after the run")
 		require.NoError(t, d.Close())
 	}
 }
@@ -93,34 +94,34 @@
 	require.NotEqual(t, simulate(1, noFault, nil).digest(), simulate(2, noFault, nil).digest())
 }
 
-// TestInvariantsDetectPlantedFaults proves that each invariant detects the fault that violates it.
-func TestInvariantsDetectPlantedFaults(t *testing.T) {
-	const maxSeeds = 60 // number of seeds within which a fault has to be detected, from the first that detects it
-	for _, planted := range []struct {
+// TestInvariantsDetectInjectedFaults checks that each invariant detects a fault that violates it.
+func TestInvariantsDetectInjectedFaults(t *testing.T) {
+	const maxSeeds = 60 // number of seeds, from firstSeed on, within which a fault has to be detected
+	for _, test := range []struct {
 		name      string
 		fault     fault
 		invariant invariant
-		firstSeed uint64
+		firstSeed uint64 // first seed that detects the fault
 	}{
 		{"acknowledged before commit", faultAckBeforeCommit, durable, 1},
-		{"save skipped", faultSaveSkipped, accepting, 1},
-		{"vote forgotten", faultVoteForgotten, singleLeader, 3},
-		{"commit forgotten", faultCommitForgotten, monotonic, 1},
+		{"saves lost", faultLostSaves, noMemberFailure, 1},
+		{"vote lost", faultLostVote, singleLeader, 3},
+		{"commit index lost", faultLostCommitIndex, monotonic, 1},
 		{"read without ReadIndex", faultStaleRead, linearizable, 1},
-		{"document changed on disk", faultContent, sameContent, 1},
-		{"revision skipped", faultRevisionSkipped, noGap, 1},
-		{"new request id for a retry", faultNewRequest, idempotent, 15},
+		{"document changed on disk", faultCorruptDocument, sameDocument, 1},
+		{"revision skipped", faultSkippedRevision, noGap, 1},
+		{"new request id for a retry", faultNewRequestID, idempotent, 15},
 		{"heartbeats confirm", faultHeartbeatsConfirm, confirmedFresh, 1},
-		{"partition stays", faultNeverHeals, convergent, 1},
+		{"partition never heals", faultPartitionNeverHeals, convergent, 1},
 	} {
-		t.Run(planted.name, func(t *testing.T) {
-			for seed := planted.firstSeed; seed < planted.firstSeed+maxSeeds; seed++ {
-				if simulate(seed, planted.fault, nil).checker.found(planted.invariant) {
-					t.Logf("detected by seed %d", seed)
+		t.Run(test.name, func(t *testing.T) {
+			for seed := test.firstSeed; seed < test.firstSeed+maxSeeds; seed++ {
+				if simulate(seed, test.fault, nil).checker.isViolated(test.invariant) {
+					t.Logf("detected with seed %d", seed)
 					return
 				}
 			}
-			t.Errorf("not detected: %s", planted.invariant)
+			t.Errorf("no seed from %d to %d violates %q", test.firstSeed, test.firstSeed+maxSeeds-1, test.invariant)
 		})
 	}
 }
