--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -106,7 +106,7 @@
 		return err
 	}
 	plane, err := joinFleet(fleetConfig, p.startConfig, p.log, func(n int) {
-		p.backoff.Resize(n)
+		p.backoff.SetCallers(n)
 		p.core.Notify(decision.FleetResized{Brokers: n})
 		if p.configFollower != nil {
 			p.configFollower.SetFleetSize(n)
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -39,7 +39,7 @@
 	return n, true
 }
 
-// Backoff is the waits of one caller. Make it with New. But for Resize it is not safe for concurrent use.
+// Backoff is the waits of one caller. Make it with New. But for SetCallers it is not safe for concurrent use.
 type Backoff struct {
 	rng         *rand.Rand
 	started     bool          // the wait before the first call of all has been drawn
@@ -51,12 +51,12 @@
 // New returns the waits of one of a number of callers. Equal seeds give equal waits, so callers need different ones.
 func New(callers int, seed uint64) *Backoff {
 	b := &Backoff{rng: rand.New(rand.NewPCG(seed, seedStream))}
-	b.Resize(callers)
+	b.SetCallers(callers)
 	return b
 }
 
-// Resize sets the number of callers. Any goroutine may call it.
-func (b *Backoff) Resize(callers int) {
+// SetCallers sets the number of callers. Any goroutine may call it.
+func (b *Backoff) SetCallers(callers int) {
 	callers, _ = ClampCallers(callers)
 	serveAll := time.Duration(callers) * callDuration
 	b.firstSpan.Store(int64(min(serveAll, maxFirstSpan)))
--- a/internal/controlplane/distribution/follower.go
+++ b/internal/controlplane/distribution/follower.go
@@ -128,7 +128,7 @@
 }
 
 // SetFleetSize sets how many brokers are in the fleet. It scales the next backoff.
-func (f *Follower) SetFleetSize(brokers int) { f.backoff.Resize(brokers) }
+func (f *Follower) SetFleetSize(brokers int) { f.backoff.SetCallers(brokers) }
 
 // NextTick returns when Tick has to be called at the latest.
 func (f *Follower) NextTick() time.Time {
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -32,10 +32,10 @@
 
 // admission is what the admission of a query takes from those before it.
 type admission struct {
-	patience    clientpatience.Estimate // how long clients wait before they disconnect
-	waits       clientpatience.Waits    // longest waits by class, from which retries are recognized
-	totalWeight float64                 // sum of the priority weights of the queries so far
-	totalParts  float64                 // sum of the parts that complete answers to these need
+	patience    clientpatience.Estimator     // how long clients wait before they disconnect
+	waits       clientpatience.RetryDetector // longest waits by class, from which retries are recognized
+	totalWeight float64                      // sum of the priority weights of the queries so far
+	totalParts  float64                      // sum of the parts that complete answers to these need
 }
 
 // expectedDelay returns the expected time in seconds until one more part of a shard is answered.
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -105,7 +105,7 @@
 // send starts an attempt of a part and adds it to those in flight at the server.
 func (p *Policy) send(pt *part, s *server) {
 	if len(pt.attempts) > 0 {
-		p.retryBudget.Retry(p.now)
+		p.retryBudget.RecordRetry(p.now)
 	}
 	pt.attempts = append(pt.attempts, attempt{
 		server:      s,
--- a/internal/decision/forget_test.go
+++ b/internal/decision/forget_test.go
@@ -19,7 +19,7 @@
 		}
 		p.Handle(float64(i), []Event{AttemptFinished{ID: 2, Server: "s0", Status: OK, PartConcluded: true, LoadReport: NoLoadReport}})
 	}
-	if len(p.servers) != 1 || len(p.byID) != 1 || p.fleet.Warm() != 1 {
-		t.Errorf("%d servers and %d ids are known, %g count as warm, want 1 each", len(p.servers), len(p.byID), p.fleet.Warm())
+	if len(p.servers) != 1 || len(p.byID) != 1 || p.fleet.WarmServers() != 1 {
+		t.Errorf("%d servers and %d ids are known, %g count as warm, want 1 each", len(p.servers), len(p.byID), p.fleet.WarmServers())
 	}
 }
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -125,7 +125,7 @@
 // deadlines.
 func (p *Policy) onClassesChanged(changed ClassesChanged) {
 	p.settings.Classes = changed.Classes
-	p.waits = clientpatience.Waits{}
+	p.waits = clientpatience.RetryDetector{}
 }
 
 // onSlowStartLease replaces a server's lease: the sends under the previous one no longer count.
--- a/internal/decision/queries.go
+++ b/internal/decision/queries.go
@@ -20,7 +20,7 @@
 )
 
 func (p *Policy) onQuery(received Query) {
-	p.retryBudget.Request(p.now)
+	p.retryBudget.RecordRequest(p.now)
 	if received.Class < 0 || received.Class >= len(p.settings.Classes) {
 		p.emit(Reject{ID: received.ID})
 		return
@@ -57,14 +57,14 @@
 	}
 	// While many clients disconnect before their deadlines, the objective is the time that most of them wait,
 	// unless parts usually take longer.
-	patience := p.patience.Short()
+	patience := p.patience.EarlyDisconnectAge()
 	if patience > p.fleet.Latencies[q.Class].Quantile(usualQuantile) {
 		q.objectiveAt = min(q.objectiveAt, q.receivedAt+patience-lead)
 	}
 }
 
 func (p *Policy) onPart(received Part) {
-	p.retryBudget.Request(p.now)
+	p.retryBudget.RecordRequest(p.now)
 	q := p.queries[received.QueryNumber]
 	if q == nil || q.ended {
 		return
--- a/internal/estimate/clientpatience/clientpatience_test.go
+++ b/internal/estimate/clientpatience/clientpatience_test.go
@@ -9,20 +9,20 @@
 )
 
 func TestShortIsQuantileOfLatestDisconnects(t *testing.T) {
-	var e clientpatience.Estimate
-	require.Zero(t, e.Short())
+	var e clientpatience.Estimator
+	require.Zero(t, e.EarlyDisconnectAge())
 	for i := range 100 {
 		e.Disconnected(float64(i))
 	}
-	require.InDelta(t, 51, e.Short(), 1, "a quarter of the latest 64")
+	require.InDelta(t, 51, e.EarlyDisconnectAge(), 1, "a quarter of the latest 64")
 	for range 100 {
 		e.Finished()
 	}
-	require.Zero(t, e.Short(), "only a few leave")
+	require.Zero(t, e.EarlyDisconnectAge(), "only a few leave")
 }
 
 func TestIsRetryDetectsShorterWaits(t *testing.T) {
-	var w clientpatience.Waits
+	var w clientpatience.RetryDetector
 	require.False(t, w.IsRetry(0, 2))
 	require.True(t, w.IsRetry(0, 1.8))
 	require.False(t, w.IsRetry(0, 1.95), "clients count for themselves")
--- a/internal/estimate/retrybudget/retrybudget.go
+++ b/internal/estimate/retrybudget/retrybudget.go
@@ -24,14 +24,14 @@
 	retries  recent.Window
 }
 
-// Request counts a request.
-func (b *Budget) Request(now float64) {
+// RecordRequest counts a request.
+func (b *Budget) RecordRequest(now float64) {
 	b.requests.Forget(now - b.Window + edgeSlack)
 	b.requests.Add(now)
 }
 
-// Retry counts a retry.
-func (b *Budget) Retry(now float64) {
+// RecordRetry counts a retry.
+func (b *Budget) RecordRetry(now float64) {
 	if b.Enabled {
 		b.retries.Add(now)
 	}
--- a/internal/estimate/retrybudget/retrybudget_test.go
+++ b/internal/estimate/retrybudget/retrybudget_test.go
@@ -25,10 +25,10 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 0.2).Draw(t, "pause")
 			if rapid.Bool().Draw(t, "request") {
-				b.Request(now)
+				b.RecordRequest(now)
 				requests = append(requests, now)
 			} else if b.Allows(now) {
-				b.Retry(now)
+				b.RecordRetry(now)
 				retries = append(retries, now)
 				if used, allowed := within(retries), 2+0.25*float64(within(requests)); float64(used) > allowed {
 					t.Fatalf("%d retries in the window before %v, %v are allowed", used, now, allowed)
@@ -41,7 +41,7 @@
 func TestDisabledBudgetAllowsEverything(t *testing.T) {
 	var b retrybudget.Budget
 	for range 100 {
-		b.Retry(1)
+		b.RecordRetry(1)
 		require.True(t, b.Allows(1))
 	}
 }
--- a/internal/estimate/serverstats/fleet.go
+++ b/internal/estimate/serverstats/fleet.go
@@ -32,7 +32,7 @@
 	SlowStartWindows   slowstart.WindowUsage
 
 	now         float64 // time of the latest Advance
-	warmServers float64 // see Warm
+	warmServers float64 // see WarmServers
 }
 
 // NewFleet returns a fleet without servers, for queries of classes 0 to classes-1.
@@ -66,9 +66,9 @@
 	f.PeakRate.Value = max(f.PeakRate.Value, peakRate)
 }
 
-// Warm returns how many servers count as warm: those that are ready and not in slow start, but at least a third of the known
-// ones, and at least 1.
-func (f *Fleet) Warm() float64 { return f.warmServers }
+// WarmServers returns how many servers count as warm: those that are ready and not in slow start, but at least a third of the
+// known ones, and at least 1.
+func (f *Fleet) WarmServers() float64 { return f.warmServers }
 
 // RecordSuccess records an outcome in favor of a server.
 func (f *Fleet) RecordSuccess(s *Stats) { f.recordOutcome(s, 0, 0) }
