--- a/internal/estimate/failures/failures.go
+++ b/internal/estimate/failures/failures.go
@@ -1,6 +1,6 @@
 // Package failures measures the recent ratio of failed attempts at each of many servers, and the median of these ratios. A
-// server's ratio decays towards its zone's, since servers that fail together are mostly in one zone. The package decides
-// nothing and takes the time, in seconds, as a field.
+// server's ratio decays towards the ratio of its zone, because servers that fail at the same time are mostly in one zone. The
+// package makes no decisions and takes the time, in seconds, as a field.
 package failures
 
 import (
@@ -8,35 +8,35 @@
 	"mothrouter/internal/collections/recent"
 )
 
-// Server is the failure ratio of one server. Its zero value has seen no failure.
+// Server holds the failure ratio of one server. The zero value is a server in zone 0 without failures.
 type Server struct {
-	Zone  int     // 0 or more
-	Ratio float64 // of failed attempts, 0 to 1, at the time At
+	Zone  int     // number of the zone, from 0
+	Ratio float64 // fraction of failed attempts at the time At, 0 to 1
 	At    float64 // time of the latest outcome
-	Slow  bool    // the ratio decays with Ratios.SlowHalfLife, if that is longer
+	Slow  bool    // whether the ratio decays with Ratios.SlowHalfLife, if that is longer than Ratios.HalfLife
 
 	entry      median.Entry[*Server]
-	memberZone int // the zone that has it as a member, while it is included
-	position   int // among the members there, from 1; 0: it is excluded
+	memberZone int // zone whose members contain the server, if it is included in the median
+	position   int // position among these members, from 1; 0: the server is excluded from the median
 }
 
-// Ratios measures the servers of one fleet. Use New. It is not safe for concurrent use.
+// Ratios tracks the failure ratios of all servers of one fleet. Use New. It is not safe for concurrent use.
 type Ratios struct {
-	Now          float64 // time; never runs backwards
-	HalfLife     float64 // of the distance of a server's ratio to its zone's, in seconds
-	SlowHalfLife float64 // the same for slow servers
-	ZoneWeight   float64 // of one outcome in its zone's ratio
+	Now          float64 // current time; must not run backwards
+	HalfLife     float64 // half-life of the difference between a server's ratio and its zone's ratio, in seconds
+	SlowHalfLife float64 // like HalfLife, for servers whose Slow is set
+	ZoneWeight   float64 // weight of one outcome in its zone's ratio
 
-	zones       []zone
-	included    int     // servers in the median
-	negligible  float64 // see New
-	tracker     median.Tracker[*Server]
-	boundsUntil float64   // time until which the bounds in tracker hold
-	boundsFor   float64   // how long they held from the latest scan on, in seconds
-	values      []float64 // of all included servers, reused by each scan
+	zones          []zone
+	included       int     // number of servers included in the median
+	negligible     float64 // see New
+	tracker        median.Tracker[*Server]
+	boundsExpireAt float64   // time until which the bounds in tracker hold
+	boundsValidFor float64   // time from the latest scan until boundsExpireAt, in seconds
+	allRatios      []float64 // ratios of all included servers, reused by each scan
 }
 
-// New returns ratios without servers. A median below negligible may be returned as 0.
+// New returns a Ratios without servers. A median below negligible may be returned as 0.
 func New(halfLife, zoneWeight, negligible float64) Ratios {
 	return Ratios{
 		HalfLife:   halfLife,
@@ -46,11 +46,11 @@
 	}
 }
 
-// Of returns a server's ratio now.
+// Of returns a server's ratio at the time Now.
 func (r *Ratios) Of(server *Server) float64 {
 	zoneRatio := r.ofZone(server.Zone)
 	if server.Ratio == zoneRatio {
-		return zoneRatio // the usual case; saves the power with hundreds of servers
+		return zoneRatio // the common case, in which no exponential is computed for each of hundreds of servers
 	}
 	halfLife := r.HalfLife
 	if server.Slow {
@@ -59,8 +59,8 @@
 	return zoneRatio + (server.Ratio-zoneRatio)*recent.HalfLifeDecay(r.Now-server.At, halfLife)
 }
 
-// Record records an outcome of a server: failed is 1 or 0, weight its weight in the server's ratio, and slow the server's Slow
-// from now on.
+// Record records an outcome of a server. failed is 1 or 0, weight is the weight of the outcome in the server's ratio, and slow
+// is the new value of the server's Slow field.
 func (r *Ratios) Record(server *Server, failed, weight float64, slow bool) {
 	previous := r.Of(server)
 	server.Ratio = previous + weight*(failed-previous)
@@ -70,7 +70,7 @@
 	r.updateBounds(server)
 }
 
-// RecordPeer moves a server's ratio towards a ratio that a peer observed at a time, with a weight from 0 to 1.
+// RecordPeer moves a server's ratio towards the ratio failed that a peer observed at the time at, with a weight from 0 to 1.
 func (r *Ratios) RecordPeer(server *Server, failed, weight, at float64) {
 	previous := r.Of(server)
 	server.Ratio = previous + weight*(failed-previous)
--- a/internal/estimate/failures/median.go
+++ b/internal/estimate/failures/median.go
@@ -7,23 +7,24 @@
 	"mothrouter/internal/collections/recent"
 )
 
-// How long the bounds of all ratios hold, in seconds. It doubles with each scan that time makes due and halves with each that
-// the median makes due, within these limits: a few batches, and two half-lives, after which bounds say little.
+// Limits of the time for which the bounds of all ratios are valid, in seconds. The time doubles with each scan that is needed
+// because the bounds have expired, and halves with each scan that is needed because the tracker does not know the median.
 const (
-	minBoundsFor = 0.05
-	maxBoundsFor = 10.0
+	minBoundsValidFor = 0.05 // the duration of a few batches of events
+	maxBoundsValidFor = 10.0 // two half-lives, after which bounds are too loose to be useful
 )
 
-// Bounds allow for the rounding of a computed ratio, which is about 2^-52 of it, with ample reserve.
+// Tolerances by which bounds are widened. A computed ratio has a relative rounding error of about 2^-52, so these are far
+// larger than necessary.
 const (
 	relativeSlack = 1e-9
 	absoluteSlack = 1e-300
 )
 
-// Len returns the number of servers in the median.
+// Len returns the number of servers included in the median.
 func (r *Ratios) Len() int { return r.included }
 
-// Include includes a server in the median. Call it again after a change of the server's fields.
+// Include includes a server in the median. It must be called again after a change to the server's exported fields.
 func (r *Ratios) Include(server *Server) {
 	r.ensureZone(server.Zone)
 	if server.position > 0 && server.memberZone != server.Zone {
@@ -40,7 +41,7 @@
 	r.putBounds(server)
 }
 
-// Exclude excludes a server from the median. It may be included or not.
+// Exclude excludes a server from the median, if it is included.
 func (r *Ratios) Exclude(server *Server) {
 	r.ensureZone(server.Zone)
 	if server.position == 0 {
@@ -57,34 +58,34 @@
 	r.tracker.Remove(&server.entry)
 }
 
-// Median returns the lower median of the included servers' ratios now, of which there must be at least one; 0 stands for one
-// below negligible. Mostly the bounds show on which side of the median a ratio is, so that few are computed; the result is
-// exact all the same.
+// Median returns the lower median of the ratios of the included servers at the time Now. At least one server must be included.
+// A median below the negligible ratio may be returned as 0. For most servers, the bounds show on which side of the median the
+// ratio is, so only few ratios are computed. The result is exact nevertheless.
 func (r *Ratios) Median() float64 {
-	if r.Now < r.boundsUntil {
+	if r.Now < r.boundsExpireAt {
 		m, known := r.tracker.Median(r.Of)
 		if known {
 			return m
 		}
-		r.boundsFor = max(r.boundsFor/2, minBoundsFor)
+		r.boundsValidFor = max(r.boundsValidFor/2, minBoundsValidFor)
 	} else {
-		r.boundsFor = min(max(r.boundsFor*2, minBoundsFor), maxBoundsFor)
+		r.boundsValidFor = min(max(r.boundsValidFor*2, minBoundsValidFor), maxBoundsValidFor)
 	}
 	return r.scan()
 }
 
-// scan computes all ratios, returns their median and renews all bounds.
+// scan computes the ratios of all included servers, returns their median and updates all bounds.
 func (r *Ratios) scan() float64 {
-	r.boundsUntil = r.Now + r.boundsFor
-	r.values = r.values[:0]
+	r.boundsExpireAt = r.Now + r.boundsValidFor
+	r.allRatios = r.allRatios[:0]
 	for i := range r.zones {
 		z := &r.zones[i]
 		z.maxRatio = r.ofZone(i)
 		for _, server := range z.members {
-			r.values = append(r.values, r.Of(server))
+			r.allRatios = append(r.allRatios, r.Of(server))
 		}
 	}
-	m := median.Lower(r.values)
+	m := median.Lower(r.allRatios)
 	r.tracker.Reset(m)
 	for i := range r.zones {
 		r.setMaxRatio(&r.zones[i], r.zones[i].maxRatio)
@@ -92,17 +93,17 @@
 	return m
 }
 
-// updateBounds renews the bounds of a server that may be excluded.
+// updateBounds updates the bounds of a server's ratio, if the server is included.
 func (r *Ratios) updateBounds(server *Server) {
 	if server.position > 0 {
 		r.putBounds(server)
 	}
 }
 
-// putBounds puts into the tracker between which values a server's ratio stays until boundsUntil if no outcome is recorded: it
-// decays from its present value towards its zone's, which is from 0 to zone.maxRatio.
+// putBounds sets the bounds of an included server's ratio in the tracker. The ratio stays within them until boundsExpireAt if
+// no outcome is recorded: it decays from its current value towards its zone's ratio, which is between 0 and zone.maxRatio.
 func (r *Ratios) putBounds(server *Server) {
-	if server.At > r.Now || server.Ratio < 0 { // observed by a clock ahead, or out of range: always computed
+	if server.At > r.Now || server.Ratio < 0 { // observed by a peer whose clock is ahead, or out of range: always computed
 		r.tracker.Put(&server.entry, math.Inf(-1), math.Inf(1))
 		return
 	}
@@ -111,11 +112,12 @@
 	if zoneMax+server.Ratio > 0 {
 		slack = relativeSlack*(zoneMax+server.Ratio) + absoluteSlack
 	}
-	// The fraction of the server's own ratio that is left now, and at least at boundsUntil: 2^-x is at least 1 - x*ln 2.
-	leftNow := recent.HalfLifeDecay(r.Now-server.At, r.HalfLife)
-	leftAtEnd := leftNow * max(1-(r.boundsUntil-r.Now)*math.Ln2/r.HalfLife, 0)
+	// remainingNow is the fraction of the server's own ratio that remains now. remainingAtEnd is a lower bound of the fraction
+	// that remains at boundsExpireAt, because 2^-x is at least 1 - x*ln 2.
+	remainingNow := recent.HalfLifeDecay(r.Now-server.At, r.HalfLife)
+	remainingAtEnd := remainingNow * max(1-(r.boundsExpireAt-r.Now)*math.Ln2/r.HalfLife, 0)
 	if server.Slow {
-		leftNow = 1
+		remainingNow = 1 // upper bound: the ratio decays more slowly
 	}
-	r.tracker.Put(&server.entry, server.Ratio*leftAtEnd-slack, server.Ratio*leftNow+zoneMax*(1-leftAtEnd)+slack)
+	r.tracker.Put(&server.entry, server.Ratio*remainingAtEnd-slack, server.Ratio*remainingNow+zoneMax*(1-remainingAtEnd)+slack)
 }
--- a/internal/estimate/failures/zone.go
+++ b/internal/estimate/failures/zone.go
@@ -3,34 +3,36 @@
 import "mothrouter/internal/collections/recent"
 
 const (
-	// When a zone's ratio exceeds its bound, the new bound is this multiple of the ratio, so that a fault that begins does not
-	// renew the bounds of all members with every failure.
-	zoneHeadroom = 2.0
+	// maxRatioHeadroom is the new bound of a zone's ratio, as a multiple of the ratio, when the ratio exceeds the old bound. With
+	// this headroom, not every failure at the beginning of a fault updates the bounds of all members.
+	maxRatioHeadroom = 2.0
 
-	// When a zone's ratio falls below this fraction of its bound, the bound follows: loose bounds cost computed ratios.
-	zoneTighten = 1.0 / 32
+	// tightenBelow is the fraction of its bound below which a zone's ratio becomes its new bound. With loose bounds, more ratios
+	// have to be computed for a median.
+	tightenBelow = 1.0 / 32
 )
 
-// zone is the failure ratio of all servers of a zone.
+// zone holds the failure ratio of all servers of one zone.
 type zone struct {
-	ratio     float64 // of failed attempts, 0 to 1, at the time at
+	ratio     float64 // fraction of failed attempts at the time at, 0 to 1
 	at        float64 // time of the latest outcome
-	decayed   float64 // the ratio at decayedAt: cached, since every server of the zone needs it at the same time
+	decayed   float64 // the ratio at the time decayedAt, cached because all servers of the zone need it at the same time
 	decayedAt float64
-	maxRatio  float64 // upper bound of the ratio, which the members' bounds rest on
-	members   []*Server
+	maxRatio  float64   // upper bound of the ratio, from which the members' bounds are computed
+	members   []*Server // servers included in the median
 }
 
-// ensureZone adds zones up to a number.
+// ensureZone adds all missing zones up to the given number.
 func (r *Ratios) ensureZone(number int) {
 	missing := number + 1 - len(r.zones)
 	if missing > 0 {
 		r.zones = append(r.zones, make([]zone, missing)...)
-		r.boundsUntil = 0 // a second zone makes the ratio of the first count
+		r.boundsExpireAt = 0 // with a second zone, the ratio of the first is no longer ignored
 	}
 }
 
-// ofZone returns the ratio of a zone now. It is 0 for a single zone, which says nothing about a server of it.
+// ofZone returns the ratio of a zone at the time Now. It returns 0 if there is only one zone, because the ratio of a single
+// zone does not distinguish its servers from others.
 func (r *Ratios) ofZone(number int) float64 {
 	if len(r.zones) <= 1 {
 		return 0
@@ -43,7 +45,7 @@
 	return z.decayed
 }
 
-// recordInZone records an outcome in a zone: failed is 1 or 0.
+// recordInZone records an outcome in a zone. failed is 1 or 0.
 func (r *Ratios) recordInZone(z *zone, failed float64) {
 	z.ratio = r.ZoneWeight*failed + (1-r.ZoneWeight)*z.ratio*recent.HalfLifeDecay(r.Now-z.at, r.HalfLife)
 	z.at = r.Now
@@ -52,13 +54,13 @@
 	switch {
 	case len(r.zones) <= 1:
 	case z.ratio > z.maxRatio:
-		r.setMaxRatio(z, min(z.ratio*zoneHeadroom, 1))
-	case z.ratio < z.maxRatio*zoneTighten && z.maxRatio > r.negligible:
+		r.setMaxRatio(z, min(z.ratio*maxRatioHeadroom, 1))
+	case z.ratio < z.maxRatio*tightenBelow && z.maxRatio > r.negligible:
 		r.setMaxRatio(z, z.ratio)
 	}
 }
 
-// setMaxRatio sets the bound of a zone's ratio and renews those of its members.
+// setMaxRatio sets the upper bound of a zone's ratio and updates the bounds of its members.
 func (r *Ratios) setMaxRatio(z *zone, maxRatio float64) {
 	z.maxRatio = maxRatio
 	for _, server := range z.members {
