--- a/internal/estimate/clientpatience/clientpatience.go
+++ b/internal/estimate/clientpatience/clientpatience.go
@@ -1,23 +1,26 @@
-// Package clientpatience estimates how long clients really wait, from those that disconnect before their answer. It decides
-// nothing and does no I/O; times are seconds.
+// Package clientpatience estimates how long clients actually wait for an answer, from the clients that disconnect before they
+// get it. It makes no decisions and does no I/O; times are in seconds.
 package clientpatience
 
 import "mothrouter/internal/collections/recent"
 
 const (
-	outcomeWeight      = 0.05 // of one query in the disconnect ratio: about the latest 20 queries count
-	highDisconnects    = 0.1  // a disconnect ratio above a few impatient clients
-	shortWaitsQuantile = 0.25 // of the ages at which clients disconnected: three in four waited longer
-	retryWaitRatio     = 0.95 // clients measure their remaining time themselves, so that equal waits differ a little
+	outcomeWeight         = 0.05 // weight of one query in the disconnect ratio, which averages about the latest 20 queries
+	highDisconnectRatio   = 0.1  // disconnect ratio above which early disconnects are more than a few impatient clients
+	disconnectAgeQuantile = 0.25 // quantile of the ages at which clients disconnect: three in four waited longer
+
+	// retryWaitRatio is the fraction of the longest wait below which a wait indicates a retry. It is below 1 because clients
+	// measure their remaining time themselves, so equal waits differ slightly.
+	retryWaitRatio = 0.95
 )
 
-// Estimator is about the clients of one broker. Its zero value has seen no query.
+// Estimator estimates the patience of the clients of one broker. The zero value is ready to use.
 type Estimator struct {
-	disconnectAges  recent.Ring // of the latest queries whose clients disconnected
+	disconnectAges  recent.Ring // ages of the latest queries whose clients disconnected, in seconds
 	disconnectRatio float64     // moving average of the fraction of queries whose clients disconnected
 }
 
-// Disconnected records a query whose client disconnected at an age, in seconds since it was received.
+// Disconnected records a query whose client disconnected when the query had the given age in seconds since it was received.
 func (e *Estimator) Disconnected(age float64) {
 	e.disconnectAges.Add(age)
 	e.disconnectRatio += outcomeWeight * (1 - e.disconnectRatio)
@@ -26,23 +29,27 @@
 // Finished records a query whose client waited for its final answer.
 func (e *Estimator) Finished() { e.disconnectRatio -= outcomeWeight * e.disconnectRatio }
 
-// EarlyDisconnectAge returns how long most clients wait, if many of them disconnect before their deadline; 0: few do.
+// EarlyDisconnectAge returns the time in seconds that most of the disconnecting clients wait at least, or 0 if few clients
+// disconnect before their deadline.
 func (e *Estimator) EarlyDisconnectAge() float64 {
-	if e.disconnectRatio > highDisconnects {
-		return e.disconnectAges.Quantile(shortWaitsQuantile)
+	if e.disconnectRatio > highDisconnectRatio {
+		return e.disconnectAges.Quantile(disconnectAgeQuantile)
 	}
 	return 0
 }
 
 // RetryDetector detects client requests that are retries but are not marked as such: a client that divides its time among
-// several attempts waits less long in a retry than in its first attempt of the same class. The zero value is ready to use.
-type RetryDetector struct{ longest map[int]float64 } // by class
+// several attempts waits less in a retry than in a first attempt of the same class. The zero value is ready to use.
+type RetryDetector struct {
+	longestWait map[int]float64 // seconds, by class
+}
 
-// IsRetry records how long a client waits for a request of a class, and reports whether the request is a retry.
+// IsRetry records the time in seconds that a client will wait for a request of a class, and reports whether the request is
+// probably a retry.
 func (d *RetryDetector) IsRetry(class int, wait float64) bool {
-	if d.longest == nil {
-		d.longest = map[int]float64{}
+	if d.longestWait == nil {
+		d.longestWait = map[int]float64{}
 	}
-	d.longest[class] = max(d.longest[class], wait)
-	return wait < retryWaitRatio*d.longest[class]
+	d.longestWait[class] = max(d.longestWait[class], wait)
+	return wait < retryWaitRatio*d.longestWait[class]
 }
--- a/internal/estimate/clientpatience/clientpatience_test.go
+++ b/internal/estimate/clientpatience/clientpatience_test.go
@@ -8,24 +8,24 @@
 	"mothrouter/internal/estimate/clientpatience"
 )
 
-func TestShortIsQuantileOfLatestDisconnects(t *testing.T) {
+func TestEarlyDisconnectAgeIsQuantileOfLatestDisconnects(t *testing.T) {
 	var e clientpatience.Estimator
 	require.Zero(t, e.EarlyDisconnectAge())
 	for i := range 100 {
 		e.Disconnected(float64(i))
 	}
-	require.InDelta(t, 51, e.EarlyDisconnectAge(), 1, "a quarter of the latest 64")
+	require.InDelta(t, 51, e.EarlyDisconnectAge(), 1, "25th percentile of the latest 64 ages")
 	for range 100 {
 		e.Finished()
 	}
-	require.Zero(t, e.EarlyDisconnectAge(), "only a few leave")
+	require.Zero(t, e.EarlyDisconnectAge(), "few clients disconnect")
 }
 
 func TestIsRetryDetectsShorterWaits(t *testing.T) {
-	var w clientpatience.RetryDetector
-	require.False(t, w.IsRetry(0, 2))
-	require.True(t, w.IsRetry(0, 1.8))
-	require.False(t, w.IsRetry(0, 1.95), "clients count for themselves")
-	require.False(t, w.IsRetry(1, 1), "another class")
-	require.False(t, w.IsRetry(0, 3))
+	var d clientpatience.RetryDetector
+	require.False(t, d.IsRetry(0, 2))
+	require.True(t, d.IsRetry(0, 1.8))
+	require.False(t, d.IsRetry(0, 1.95), "clients measure their remaining time themselves")
+	require.False(t, d.IsRetry(1, 1), "another class")
+	require.False(t, d.IsRetry(0, 3))
 }
--- a/internal/estimate/queueing/queueing_test.go
+++ b/internal/estimate/queueing/queueing_test.go
@@ -18,12 +18,12 @@
 		servers []server
 		want    float64
 	}{
-		"none":                     {nil, math.Inf(1)},
-		"one idle":                 {[]server{{1, 0.1, 0}}, 0.1},
-		"one with a queue":         {[]server{{1, 0.1, 3}}, 0.4},
-		"a slow one is avoided":    {[]server{{1, 0.1, 0}, {1, 1e9, 0}}, 0.2},
-		"half of one can be used":  {[]server{{0.5, 0.1, 1}}, 0.3},
-		"no time at all is a time": {[]server{{1, 0, 0}}, 1e-6},
+		"no servers":                                 {nil, math.Inf(1)},
+		"one idle server":                            {[]server{{1, 0.1, 0}}, 0.1},
+		"one server with a queue":                    {[]server{{1, 0.1, 3}}, 0.4},
+		"slow server is avoided":                     {[]server{{1, 0.1, 0}, {1, 1e9, 0}}, 0.2},
+		"half of capacity is usable":                 {[]server{{0.5, 0.1, 1}}, 0.3},
+		"zero service time is raised to the minimum": {[]server{{1, 0, 0}}, 1e-6},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var d queueing.Delay
--- a/internal/estimate/retrybudget/retrybudget_test.go
+++ b/internal/estimate/retrybudget/retrybudget_test.go
@@ -9,12 +9,12 @@
 	"mothrouter/internal/estimate/retrybudget"
 )
 
-func TestRetriesStayWithinTheBudgetOfEveryWindow(t *testing.T) {
+func TestRetriesStayWithinBudgetOfEveryWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := retrybudget.Budget{Settings: retrybudget.Settings{Enabled: true, Min: 2, Ratio: 0.25, Window: 1}}
 		now := 10.0
 		var requests, retries []float64
-		within := func(times []float64) (n int) {
+		inWindow := func(times []float64) (n int) {
 			for _, at := range times {
 				if at >= now-1 {
 					n++
@@ -30,15 +30,15 @@
 			} else if b.Allows(now) {
 				b.RecordRetry(now)
 				retries = append(retries, now)
-				if used, allowed := within(retries), 2+0.25*float64(within(requests)); float64(used) > allowed {
-					t.Fatalf("%d retries in the window before %v, %v are allowed", used, now, allowed)
+				if used, allowed := inWindow(retries), 2+0.25*float64(inWindow(requests)); float64(used) > allowed {
+					t.Fatalf("%d retries in the window that ends at %v, want at most %v", used, now, allowed)
 				}
 			}
 		}
 	})
 }
 
-func TestDisabledBudgetAllowsEverything(t *testing.T) {
+func TestDisabledBudgetAllowsAllRetries(t *testing.T) {
 	var b retrybudget.Budget
 	for range 100 {
 		b.RecordRetry(1)
