--- a/internal/estimate/serverstats/serverstats.go
+++ b/internal/estimate/serverstats/serverstats.go
@@ -1,6 +1,6 @@
-// Package serverstats keeps what one broker has observed of its record servers: attempts in flight, latencies, failures and
-// load reports, and the estimates for each server and for the fleet that follow from these. It decides nothing, does no I/O
-// and takes the time as an argument; times and durations are seconds.
+// Package serverstats keeps what one broker has observed of its record servers, namely attempts in flight, latencies, failures
+// and load reports, and estimates derived from these for each server and for the fleet. It makes no decisions, does no I/O and
+// takes the time as an argument; times and durations are in seconds.
 package serverstats
 
 import (
@@ -10,35 +10,36 @@
 	"mothrouter/internal/estimate/servicetime"
 )
 
-// abandonedLifetime is how long an abandoned attempt counts as queued, in seconds: about the time that a full queue takes.
+// abandonedLifetime is how long an abandoned attempt counts as queued, in seconds. It is about the time that a server takes to
+// serve a full queue.
 const abandonedLifetime = 3.0
 
-// Stats are those of one server. Use NewStats: absent values of a load report are not zero.
+// Stats holds the observations of one server. Use NewStats, because absent values of a load report are not zero.
 type Stats struct {
-	InFlight         int             // this broker's attempts
-	AnsweredAt       float64         // time of its latest success
-	NewestAnsweredAt float64         // when the most recently sent of its successful attempts was sent
-	BusySince        float64         // when the first attempt after its latest success was sent
-	ObservedAt       float64         // time of its latest outcome or health check
+	InFlight         int             // number of this broker's attempts in flight at the server
+	AnsweredAt       float64         // time of the server's latest success
+	NewestAnsweredAt float64         // send time of the most recently sent successful attempt
+	BusySince        float64         // send time of the first attempt after the latest success
+	ObservedAt       float64         // time of the latest outcome or health check
 	Failures         failures.Server // failure ratio
 	ServiceTime      servicetime.Server
-	LoadReport       LoadReport // the latest
-	LoadReportedAt   float64    // when it was made; 0: there was none
-	Fitness          float64    // by ComputeFitness, above 0 to 1; 0: no report was known then
+	LoadReport       LoadReport // the latest load report
+	LoadReportedAt   float64    // time of the latest load report; 0: there was none
+	Fitness          float64    // as of the latest ComputeFitness, above 0 and at most 1; 0: the server had not reported its load
 
 	abandoned []abandonedAttempt
 }
 
-// abandonedAttempt is an attempt that the broker gave up but its server may still have queued.
+// abandonedAttempt is an attempt that the broker has given up but that may still be in the server's queue.
 type abandonedAttempt struct {
-	sentAt float64
-	until  float64 // end of abandonedLifetime
+	sentAt    float64
+	expiresAt float64 // end of abandonedLifetime
 }
 
-// NewStats returns the stats of a server that nothing was observed of.
+// NewStats returns the stats of a server without observations.
 func NewStats() Stats { return Stats{LoadReport: NoLoadReport} }
 
-// Restarted resets what belonged to the server's previous process. Its service time stays.
+// Restarted records a restart of the server. It resets all observations of the previous process except the service time.
 func (s *Stats) Restarted() {
 	s.LoadReport = NoLoadReport
 	s.LoadReportedAt = 0
@@ -47,23 +48,23 @@
 	s.abandoned = nil
 }
 
-// Sent records an attempt that is sent now.
+// Sent records an attempt sent at the time now.
 func (s *Stats) Sent(now float64) {
 	s.InFlight++
-	if s.InFlight == 1 || s.BusySince <= s.AnsweredAt { // a server that answers is not silent about older attempts
+	if s.InFlight == 1 || s.BusySince <= s.AnsweredAt { // after a success, silence is measured from the next attempt
 		s.BusySince = now
 	}
 }
 
-// QueueDepth returns the number of this broker's attempts at the server: those in flight, and abandoned ones that may still
-// be queued.
+// QueueDepth returns the number of this broker's attempts at the server: attempts in flight and abandoned attempts that may
+// still be queued.
 func (s *Stats) QueueDepth(now float64) int {
-	s.abandoned = slices.DeleteFunc(s.abandoned, func(a abandonedAttempt) bool { return now > a.until })
+	s.abandoned = slices.DeleteFunc(s.abandoned, func(a abandonedAttempt) bool { return now > a.expiresAt })
 	return s.InFlight + len(s.abandoned)
 }
 
-// Silence returns how long the server has had attempts in flight without any success; 0: it has none in flight, or has
-// succeeded since.
+// Silence returns for how many seconds the server has had attempts in flight without a success, or 0 if it has none in flight
+// or has succeeded since.
 func (s *Stats) Silence(now float64) float64 {
 	if s.InFlight == 0 || s.BusySince < s.AnsweredAt {
 		return 0
@@ -71,12 +72,13 @@
 	return now - s.BusySince
 }
 
-// abandon records an abandoned attempt.
+// abandon records an attempt that was sent at sentAt and is given up now.
 func (s *Stats) abandon(sentAt, now float64) {
 	s.abandoned = append(s.abandoned, abandonedAttempt{sentAt, now + abandonedLifetime})
 }
 
-// answered records a success. Queues are first in, first out, so attempts that were sent before it have left the queue.
+// answered records a success at the time now of an attempt sent at sentAt. Server queues are FIFO, so all attempts that were
+// sent earlier have left the queue.
 func (s *Stats) answered(sentAt, now float64) {
 	s.AnsweredAt = now
 	s.NewestAnsweredAt = max(s.NewestAnsweredAt, sentAt)
--- a/internal/estimate/serverstats/serverstats_test.go
+++ b/internal/estimate/serverstats/serverstats_test.go
@@ -34,7 +34,7 @@
 	f.RecordAnswer(&s.Stats, attempt(10.1, 0.9), 1, true)
 	require.Zero(t, s.QueueDepth(11))
 	f.RecordTimeout(&s.Stats, attempt(10, 0.5), 1)
-	require.Zero(t, s.QueueDepth(13.1), "a queue is done by then")
+	require.Zero(t, s.QueueDepth(13.1), "the abandoned attempt has expired")
 }
 
 func TestSilenceStartsAtFirstUnansweredAttempt(t *testing.T) {
@@ -58,24 +58,24 @@
 		r.QueueLength, r.Utilization = queue, utilization
 		return r
 	}
-	idle, busy, queued, silent, away := newServer(true), newServer(true), newServer(true), newServer(true), newServer(false)
-	servers := []*server{idle, busy, queued, silent, away}
+	idle, busy, queued, silent, notReady := newServer(true), newServer(true), newServer(true), newServer(true), newServer(false)
+	servers := []*server{idle, busy, queued, silent, notReady}
 	_, ok := serverstats.ComputeFitness(servers)
-	require.False(t, ok, "nothing is reported")
+	require.False(t, ok, "no server has reported its load")
 	idle.RecordLoadReport(report(0, 0), 1)
 	busy.RecordLoadReport(report(0, 0.5), 1)
 	queued.RecordLoadReport(report(1000, 0), 1)
-	away.RecordLoadReport(report(0, 0), 1)
+	notReady.RecordLoadReport(report(0, 0), 1)
 	mean, ok := serverstats.ComputeFitness(servers)
 	require.True(t, ok)
 	require.Equal(t, 1.0, idle.Fitness)
 	require.InDelta(t, 0.37, busy.Fitness, 0.01)
 	require.InDelta(t, 0.7, queued.Fitness, 0.01)
 	require.Zero(t, silent.Fitness)
-	require.Equal(t, 1.0, away.Fitness)
-	require.InDelta(t, (1+0.37+0.7)/3, mean, 0.01, "of those that are ready")
+	require.Equal(t, 1.0, notReady.Fitness)
+	require.InDelta(t, (1+0.37+0.7)/3, mean, 0.01, "the mean is over the ready servers")
 	queued.RecordLoadReport(report(0, 0), 0.5)
-	require.Equal(t, 1000.0, queued.LoadReport.QueueLength, "an older report changes nothing")
+	require.Equal(t, 1000.0, queued.LoadReport.QueueLength, "an older report has no effect")
 }
 
 func TestRecordPeerIgnoresOlderObservations(t *testing.T) {
--- a/internal/estimate/servicetime/servicetime_test.go
+++ b/internal/estimate/servicetime/servicetime_test.go
@@ -8,7 +8,7 @@
 	"mothrouter/internal/estimate/servicetime"
 )
 
-func TestServerEstimateFadesToTheFleets(t *testing.T) {
+func TestServerEstimateDecaysToFleetMean(t *testing.T) {
 	f := servicetime.Fleet{Mean: 0.1, HalfLife: 2}
 	s := servicetime.Server{Mean: 0.5, At: 10}
 	require.InDelta(t, 0.5, f.Of(&s, 10), 1e-12)
@@ -17,9 +17,9 @@
 	require.InDelta(t, 0.1, f.Of(&s, 100), 1e-9)
 }
 
-func TestRareObservationsWeighMore(t *testing.T) {
+func TestObservationWeightGrowsWithElapsedTime(t *testing.T) {
 	require.InDelta(t, 0.5, servicetime.ObservationWeight(2), 1e-12)
-	require.Equal(t, 0.9, servicetime.ObservationWeight(100), "the latest observation never has full weight")
+	require.Equal(t, 0.9, servicetime.ObservationWeight(100), "the latest observation never replaces the estimate")
 	f := servicetime.Fleet{Mean: 0.1, HalfLife: 2}
 	s := servicetime.Server{Mean: 0.1, At: 10}
 	f.ObserveServer(&s, 0.3, 12)
@@ -27,7 +27,7 @@
 	require.Equal(t, 12.0, s.At)
 }
 
-func TestHalfLifeGrowsWhereLittleIsSeen(t *testing.T) {
+func TestHalfLifeGrowsWithFewAnswers(t *testing.T) {
 	var busy, quiet servicetime.Fleet
 	for range 1000 {
 		busy.Advance(0.01, 10)
@@ -40,7 +40,7 @@
 	require.Equal(t, 15.0, quiet.HalfLife)
 }
 
-func TestMeanFollowsObservationsAndFades(t *testing.T) {
+func TestMeanFollowsObservationsAndDecays(t *testing.T) {
 	f := servicetime.Fleet{Mean: 0.1}
 	f.Observe(0.3, 0.5)
 	require.InDelta(t, 0.2, f.Mean, 1e-12)
--- a/internal/estimate/slowstart/rates.go
+++ b/internal/estimate/slowstart/rates.go
@@ -7,53 +7,54 @@
 )
 
 const (
-	rateWindow   = 5.0  // time constant of counts, in seconds: long enough for a steady rate, short enough to follow the load
-	peakLifetime = 60.0 // time constant of the peak rate, in seconds: outlasts a slow start, forgets yesterday's load
+	rateWindow       = 5.0  // time constant of counts, in seconds: long enough for a steady rate, short enough to follow the load
+	peakTimeConstant = 60.0 // time constant of the peak rate, in seconds: longer than a slow start, but old load peaks decay
 
-	// priorWindows are added to the used windows, and one to those offered, so that the fraction starts at 1.
+	// priorWindows is added to the number of used windows, and 1 to that of offered windows, so that the fraction starts at 1.
 	priorWindows = 2
 )
 
-// PeakRate estimates the peak rate at which one warm server answers this process: a lower bound of the process's share of the
-// server's capacity. Its zero value has seen no answer.
+// PeakRate estimates the peak rate at which one warm server answers this process, which is a lower bound of this process's
+// share of the server's capacity. The zero value is ready to use.
 type PeakRate struct {
-	Value   float64 // answers a second
-	answers float64 // of warm servers, decayed over rateWindow
+	Value   float64 // answers per second
+	answers float64 // answers of warm servers, decayed with the time constant rateWindow
 	at      float64 // time of the latest Advance
 }
 
-// Answered records an answer of a warm server. Answers of servers in slow start must not be recorded: they would count as the
-// work of the warm ones.
+// Answered counts an answer of a warm server. Answers of servers in slow start must not be counted, because they would be
+// attributed to the warm servers.
 func (r *PeakRate) Answered() { r.answers++ }
 
-// Advance advances the estimate to a time, at which warmServers servers are warm. A time before the latest, as several loops
-// may give it, decays nothing.
+// Advance advances the estimate to the time now, at which warmServers servers are warm. Several event loops may call it with
+// slightly different times; a time before that of the previous call does not decay the estimate.
 func (r *PeakRate) Advance(now, warmServers float64) {
 	elapsed := max(now-r.at, 0)
 	r.at = now
 	r.answers *= recent.Decay(elapsed, rateWindow)
-	// Less a standard deviation: the peak of a small count would be chance.
-	likely := max(r.answers-math.Sqrt(r.answers), 0)
-	r.Value = max(r.Value*recent.Decay(elapsed, peakLifetime), likely/rateWindow/warmServers)
+	// One standard deviation is subtracted, because the peak of a small count is mostly random variation.
+	lowerBound := max(r.answers-math.Sqrt(r.answers), 0)
+	r.Value = max(r.Value*recent.Decay(elapsed, peakTimeConstant), lowerBound/rateWindow/warmServers)
 }
 
-// WindowUsage estimates the fraction of its overload windows that a process uses, over all servers in slow start. A process
-// that rarely has a request for a server leaves most windows unused and may send more in the others. Its zero value has seen
-// no window.
+// WindowUsage estimates the fraction of the overload windows in which a process sends requests, over all servers in slow start.
+// A process that rarely has a request for a server leaves most windows unused and may send more in the others. The zero value
+// is ready to use.
 type WindowUsage struct {
-	used    float64 // windows, decayed over rateWindow
-	offered float64 // windows, decayed likewise
+	used    float64 // windows with a request, decayed with the time constant rateWindow
+	offered float64 // all windows, decayed in the same way
 }
 
-// Advance advances the estimate by elapsed seconds in which servers were in slow start, with windows of window seconds.
+// Advance advances the estimate by elapsed seconds, during which the given number of servers was in slow start. An overload
+// window lasts window seconds.
 func (u *WindowUsage) Advance(elapsed, servers, window float64) {
 	decay := recent.Decay(elapsed, rateWindow)
 	u.used *= decay
 	u.offered = u.offered*decay + servers*elapsed/max(window, 1)
 }
 
-// Used records a window in which the process had a request for its server.
+// Used counts a window in which the process had a request for the server.
 func (u *WindowUsage) Used() { u.used++ }
 
-// Fraction returns the estimate, above 0 and at most 1. It is 1 until enough windows have passed unused.
+// Fraction returns the estimated fraction of used windows, above 0 and at most 1. It is 1 until enough windows were unused.
 func (u *WindowUsage) Fraction() float64 { return min(1, (u.used+priorWindows)/(u.offered+1)) }
--- a/internal/estimate/slowstart/slowstart_test.go
+++ b/internal/estimate/slowstart/slowstart_test.go
@@ -11,11 +11,11 @@
 var settings = slowstart.Settings{InitialFraction: 0.2, Duration: 10, OverloadFactor: 2.5, OverloadWindow: 1.5}
 
 func TestCapacityFractionGrowsLinearly(t *testing.T) {
-	for _, c := range []struct{ age, want float64 }{{-5, 0.2}, {0, 0.2}, {5, 0.6}, {10, 1}, {1e9, 1}} {
-		require.InDelta(t, c.want, settings.CapacityFraction(c.age), 1e-12, "age %v", c.age)
+	for _, tc := range []struct{ age, want float64 }{{-5, 0.2}, {0, 0.2}, {5, 0.6}, {10, 1}, {1e9, 1}} {
+		require.InDelta(t, tc.want, settings.CapacityFraction(tc.age), 1e-12, "age %v", tc.age)
 	}
-	none := slowstart.Settings{InitialFraction: 0.2}
-	require.Equal(t, 1.0, none.CapacityFraction(0), "without a duration there is no slow start")
+	noSlowStart := slowstart.Settings{InitialFraction: 0.2}
+	require.Equal(t, 1.0, noSlowStart.CapacityFraction(0), "a duration of 0 disables slow start")
 }
 
 func TestBudgetIsAtLeastFairFraction(t *testing.T) {
@@ -24,9 +24,9 @@
 	require.InDelta(t, 0.8*2.5*0.2*1.5*50, settings.Budget(0.2, 50, 4), 1e-12)
 }
 
-func TestPeakRateIsALowerBoundThatFades(t *testing.T) {
+func TestPeakRateIsLowerBoundAndDecays(t *testing.T) {
 	var r slowstart.PeakRate
-	for i := range 3000 { // 30 s of 100 answers a second by 10 warm servers
+	for i := range 3000 { // 30 s with 100 answers per second from 10 warm servers
 		r.Advance(float64(i)/100, 10)
 		r.Answered()
 	}
@@ -34,13 +34,13 @@
 	require.Less(t, r.Value, 10.1)
 	r.Advance(30, 10)
 	before := r.Value
-	r.Advance(20, 10) // a time that has passed
+	r.Advance(20, 10) // a time before that of the previous call
 	require.Equal(t, before, r.Value)
 	r.Advance(80, 10)
 	require.InDelta(t, before*0.37, r.Value, 0.1)
 }
 
-func TestWindowUsageErrsTowardsOne(t *testing.T) {
+func TestWindowUsageStartsAtOneAndFollowsUsage(t *testing.T) {
 	var u slowstart.WindowUsage
 	require.Equal(t, 1.0, u.Fraction())
 	for range 1000 {
