--- a/internal/collections/lazyheap/lazyheap.go
+++ b/internal/collections/lazyheap/lazyheap.go
@@ -1,42 +1,43 @@
-// Package lazyheap is a priority queue for keys that only grow, and that change far more often than the minimum is read: the
-// heap updates a key when its item reaches the top.
+// Package lazyheap provides a priority queue for keys that only grow and change far more often than the minimum is read. The
+// heap updates the key of an item only when the item reaches the top.
 package lazyheap
 
 import "container/heap"
 
-// Heap is a min-heap of items by key, then by number. It is not safe for concurrent use.
+// Heap is a min-heap of items ordered by key. Items with equal keys are ordered by number. It is not safe for concurrent use.
 type Heap[T comparable] struct {
-	key    func(T) float64
-	number func(T) int
-	in     map[T]bool // the items of the heap
-	items  items[T]
+	key      func(T) float64
+	number   func(T) int
+	contains map[T]bool // the items in the heap
+	entries  entryHeap[T]
 }
 
-// New returns an empty heap. The key of an item in the heap must not fall, and its number must not change.
+// New returns an empty heap. key and number return the key and the number of an item. While an item is in the heap, its key
+// must not decrease and its number must not change.
 func New[T comparable](key func(T) float64, number func(T) int) *Heap[T] {
-	return &Heap[T]{key: key, number: number, in: map[T]bool{}}
+	return &Heap[T]{key: key, number: number, contains: map[T]bool{}}
 }
 
-// Push adds an item, unless the heap has it.
+// Push adds an item, unless the heap contains it.
 func (h *Heap[T]) Push(item T) {
-	if !h.in[item] {
-		h.in[item] = true
-		heap.Push(&h.items, entry[T]{item, h.key(item), h.number(item)})
+	if !h.contains[item] {
+		h.contains[item] = true
+		heap.Push(&h.entries, entry[T]{item, h.key(item), h.number(item)})
 	}
 }
 
-// Min returns the item with the least key among those that accept reports true for; found is false if there is none. It
-// removes the items that it finds not accepted on the way; Push adds them again.
+// Min returns the item with the smallest key among the items for which accept returns true; found is false if there is none. It
+// removes every item that is not accepted and reaches the top of the heap before that item; Push can add it again.
 func (h *Heap[T]) Min(accept func(T) bool) (smallest T, found bool) {
-	for len(h.items) > 0 {
-		top := &h.items[0]
+	for len(h.entries) > 0 {
+		top := &h.entries[0]
 		switch key := h.key(top.item); {
 		case !accept(top.item):
-			delete(h.in, top.item)
-			heap.Pop(&h.items)
+			delete(h.contains, top.item)
+			heap.Pop(&h.entries)
 		case top.key < key:
 			top.key = key
-			heap.Fix(&h.items, 0)
+			heap.Fix(&h.entries, 0)
 		default:
 			return top.item, true
 		}
@@ -44,48 +45,48 @@
 	return smallest, false
 }
 
-// Remove removes the items that drop reports true for. It takes time in proportion to the size of the heap.
-func (h *Heap[T]) Remove(drop func(T) bool) {
-	remaining := h.items[:0]
-	for _, e := range h.items {
-		if drop(e.item) {
-			delete(h.in, e.item)
+// Remove removes the items for which remove returns true. It takes linear time.
+func (h *Heap[T]) Remove(remove func(T) bool) {
+	remaining := h.entries[:0]
+	for _, e := range h.entries {
+		if remove(e.item) {
+			delete(h.contains, e.item)
 		} else {
 			remaining = append(remaining, e)
 		}
 	}
-	clear(h.items[len(remaining):])
-	h.items = remaining
-	heap.Init(&h.items)
+	clear(h.entries[len(remaining):])
+	h.entries = remaining
+	heap.Init(&h.entries)
 }
 
-// entry is an item with its key as it was when last updated.
+// entry is an item with its key as of the latest update of the entry.
 type entry[T any] struct {
 	item   T
-	key    float64 // at most the item's present key
+	key    float64 // at most the item's current key
 	number int
 }
 
-// items implements heap.Interface.
-type items[T any] []entry[T]
+// entryHeap implements heap.Interface.
+type entryHeap[T any] []entry[T]
 
-func (q items[T]) Len() int { return len(q) }
+func (h entryHeap[T]) Len() int { return len(h) }
 
-func (q items[T]) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (h entryHeap[T]) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (q items[T]) Less(i, j int) bool {
-	if q[i].key != q[j].key {
-		return q[i].key < q[j].key
+func (h entryHeap[T]) Less(i, j int) bool {
+	if h[i].key != h[j].key {
+		return h[i].key < h[j].key
 	}
-	return q[i].number < q[j].number
+	return h[i].number < h[j].number
 }
 
-func (q *items[T]) Push(e any) { *q = append(*q, e.(entry[T])) }
+func (h *entryHeap[T]) Push(e any) { *h = append(*h, e.(entry[T])) }
 
-func (q *items[T]) Pop() any {
-	last := len(*q) - 1
-	e := (*q)[last]
-	(*q)[last] = entry[T]{} // so that the array does not keep the item alive
-	*q = (*q)[:last]
+func (h *entryHeap[T]) Pop() any {
+	last := len(*h) - 1
+	e := (*h)[last]
+	(*h)[last] = entry[T]{} // so that the array does not keep the item alive
+	*h = (*h)[:last]
 	return e
 }
--- a/internal/collections/lazyheap/lazyheap_test.go
+++ b/internal/collections/lazyheap/lazyheap_test.go
@@ -10,13 +10,13 @@
 )
 
 type item struct {
-	key     float64
-	number  int
-	fits    bool
-	removed bool
+	key      float64
+	number   int
+	accepted bool
+	removed  bool
 }
 
-// Keys grow, items cease to fit, come back and go: the least is always that of a walk over all.
+// Compares Min with a linear scan over all items while keys grow and items are rejected, accepted again and removed.
 func TestMinMatchesLinearScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := lazyheap.New(func(i *item) float64 { return i.key }, func(i *item) int { return i.number })
@@ -24,12 +24,12 @@
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch kind := rapid.IntRange(0, 9).Draw(t, "kind"); {
 			case kind < 3 || len(all) == 0:
-				all = append(all, &item{number: len(all), fits: true})
+				all = append(all, &item{number: len(all), accepted: true})
 				h.Push(all[len(all)-1])
 			case kind < 8:
 				i := all[rapid.IntRange(0, len(all)-1).Draw(t, "item")]
 				i.key += float64(rapid.IntRange(0, 3).Draw(t, "growth"))
-				if i.fits = rapid.Bool().Draw(t, "fits"); i.fits && !i.removed {
+				if i.accepted = rapid.Bool().Draw(t, "accepted"); i.accepted && !i.removed {
 					h.Push(i)
 				}
 			default:
@@ -38,11 +38,11 @@
 			}
 			var want *item
 			for _, i := range all {
-				if i.fits && !i.removed && (want == nil || i.key < want.key) {
+				if i.accepted && !i.removed && (want == nil || i.key < want.key) {
 					want = i
 				}
 			}
-			got, found := h.Min(func(i *item) bool { return i.fits })
+			got, found := h.Min(func(i *item) bool { return i.accepted })
 			require.Equal(t, want != nil, found)
 			require.Same(t, want, got)
 		}
--- a/internal/collections/median/median_test.go
+++ b/internal/collections/median/median_test.go
@@ -21,80 +21,82 @@
 	})
 }
 
-// drifting is a value that drifts within its bounds.
-type drifting struct {
-	entry        median.Entry[*drifting]
-	now          float64
+// boundedValue is a value that changes randomly within its bounds.
+type boundedValue struct {
+	entry        median.Entry[*boundedValue]
+	current      float64
 	lower, upper float64
-	in           bool
+	tracked      bool // whether entry is in the tracker
 }
 
-// trackerModel has a tracker of drifting values, which come and go, and counts what the tracker does.
+// trackerModel compares a tracker of random values, which are added, changed and removed, with a sort.
 type trackerModel struct {
-	random                    *rand.Rand
-	base                      float64 // lower bounds are mostly from 0 to this
-	tracker                   median.Tracker[*drifting]
-	values                    []*drifting
-	asked, answered, computed int
+	random        *rand.Rand
+	maxLower      float64 // nine in ten lower bounds are between 0 and maxLower
+	tracker       median.Tracker[*boundedValue]
+	values        []*boundedValue
+	medianCalls   int // calls of Tracker.Median
+	knownMedians  int // calls of Tracker.Median that returned a median
+	computedCount int // values computed by Tracker.Median
 }
 
 const trackerNegligible = 1e-6
 
 func newTrackerModel(seed uint64) *trackerModel {
 	random := rand.New(rand.NewPCG(seed, 5))
-	m := &trackerModel{random: random, tracker: median.Tracker[*drifting]{Negligible: trackerNegligible}}
-	m.values = make([]*drifting, 1+random.IntN(200))
-	m.base = []float64{0, 1e-8, 0.3}[random.IntN(3)]
+	m := &trackerModel{random: random, tracker: median.Tracker[*boundedValue]{Negligible: trackerNegligible}}
+	m.values = make([]*boundedValue, 1+random.IntN(200))
+	m.maxLower = []float64{0, 1e-8, 0.3}[random.IntN(3)]
 	for i := range m.values {
-		m.values[i] = &drifting{}
+		m.values[i] = &boundedValue{}
 		m.values[i].entry.Item = m.values[i]
-		m.renew(m.values[i])
+		m.put(m.values[i])
 	}
 	return m
 }
 
-// renew puts a value in with new bounds.
-func (m *trackerModel) renew(v *drifting) {
-	v.lower = m.base * m.random.Float64()
+// put adds or updates a value with new random bounds.
+func (m *trackerModel) put(v *boundedValue) {
+	v.lower = m.maxLower * m.random.Float64()
 	if m.random.IntN(10) == 0 {
 		v.lower = m.random.Float64()
 	}
 	v.upper = v.lower * (1 + 0.2*m.random.Float64())
-	v.now = v.lower
+	v.current = v.lower
 	m.tracker.Put(&v.entry, v.lower, v.upper)
-	v.in = true
+	v.tracked = true
 }
 
-// step removes or renews one value, and lets all drift. It returns the present values.
-func (m *trackerModel) step() (present []float64) {
+// step removes one value or updates its bounds, and changes all values within their bounds. It returns the tracked values.
+func (m *trackerModel) step() (tracked []float64) {
 	v := m.values[m.random.IntN(len(m.values))]
 	if m.random.IntN(5) == 0 {
 		m.tracker.Remove(&v.entry)
-		v.in = false
+		v.tracked = false
 	} else {
-		m.renew(v)
+		m.put(v)
 	}
 	for _, v := range m.values {
-		v.now = v.lower + (v.upper-v.lower)*m.random.Float64()
-		if v.in {
-			present = append(present, v.now)
+		v.current = v.lower + (v.upper-v.lower)*m.random.Float64()
+		if v.tracked {
+			tracked = append(tracked, v.current)
 		}
 	}
-	return present
+	return tracked
 }
 
-// check compares the tracker's median with that of a sort, and resets the tracker if it does not know it.
-func (m *trackerModel) check(t *testing.T, present []float64) {
-	require.Equal(t, len(present), m.tracker.Len())
-	m.asked++
-	got, ok := m.tracker.Median(func(v *drifting) float64 { m.computed++; return v.now })
-	if len(present) == 0 {
+// check compares the tracker's median with that of all tracked values, and resets the tracker if its median is not known.
+func (m *trackerModel) check(t *testing.T, tracked []float64) {
+	require.Equal(t, len(tracked), m.tracker.Len())
+	m.medianCalls++
+	got, ok := m.tracker.Median(func(v *boundedValue) float64 { m.computedCount++; return v.current })
+	if len(tracked) == 0 {
 		require.False(t, ok)
 		return
 	}
-	want := median.Lower(present)
+	want := median.Lower(tracked)
 	if ok {
-		m.answered++
+		m.knownMedians++
 		if got == 0 {
 			require.LessOrEqual(t, want, trackerNegligible)
 		} else {
@@ -104,28 +106,28 @@
 	}
 	m.tracker.Reset(want)
 	for _, v := range m.values {
-		if v.in {
+		if v.tracked {
 			m.tracker.Put(&v.entry, v.lower, v.upper)
 		}
 	}
 }
 
 func TestTrackerMedianMatchesSort(t *testing.T) {
-	asked, answered, computed := 0, 0, 0
+	medianCalls, knownMedians, computedCount := 0, 0, 0
 	for seed := range uint64(20) {
 		m := newTrackerModel(seed)
 		for range 500 {
 			m.check(t, m.step())
 		}
-		asked += m.asked
-		answered += m.answered
-		computed += m.computed
+		medianCalls += m.medianCalls
+		knownMedians += m.knownMedians
+		computedCount += m.computedCount
 	}
-	require.Greater(t, answered, asked*8/10, "the median is nearly always known")
-	require.Less(t, computed, asked*100/2, "few of 100 values on average are computed")
+	require.Greater(t, knownMedians, medianCalls*8/10, "the median is known too rarely")
+	require.Less(t, computedCount, medianCalls*100/2, "more than half of the values, 100 on average, are computed for a median")
 }
 
-// Negative figures in an unknown number must not pass for a negligible median.
+// Guards against returning 0 as a negligible median although enough values are negative for the median to be negative.
 func TestTrackerNegativeValuesAreNotNegligible(t *testing.T) {
 	tracker := median.Tracker[float64]{}
 	entries := make([]median.Entry[float64], 5)
@@ -139,5 +141,5 @@
 		}
 	}
 	got, ok := tracker.Median(func(v float64) float64 { return v })
-	require.False(t, ok && got == 0, "three of five are -1")
+	require.False(t, ok && got == 0, "got a median of 0, but three of five values are -1")
 }
--- a/internal/collections/median/select.go
+++ b/internal/collections/median/select.go
@@ -2,15 +2,17 @@
 
 import "slices"
 
-// insertionSize is the number of values at and below which they are sorted: less work than partitioning them further.
-const insertionSize = 16
+// sortSize is the number of values up to which they are sorted, because that is faster than partitioning them further.
+const sortSize = 16
 
-// Lower returns the lower median of at least one value: the one at (n-1)/2 in their order, from 0. It reorders the values.
+// Lower returns the lower median of n values, which is the value at the index (n-1)/2 in sorted order. There must be at least
+// one value. Lower reorders the values.
 func Lower(values []float64) float64 { return selectRank(values, (len(values)-1)/2) }
 
-// selectRank returns the value at a rank, from 0, in the order of the values, by Hoare's quickselect. It reorders the values.
+// selectRank returns the value at the index rank in sorted order, by quickselect with Hoare's partition scheme. It reorders the
+// values.
 func selectRank(values []float64, rank int) float64 {
-	for len(values) > insertionSize {
+	for len(values) > sortSize {
 		pivot := medianOfThree(values[0], values[len(values)/2], values[len(values)-1])
 		left, right := partition(values, pivot)
 		switch {
@@ -27,8 +29,8 @@
 	return values[rank]
 }
 
-// partition reorders the values so that values[:right+1] are at most the pivot and values[left:] at least; those between
-// equal it. One of the values must be the pivot.
+// partition reorders the values so that values[:right+1] are at most the pivot and values[left:] are at least the pivot. The
+// values between equal the pivot. At least one of the values must equal the pivot.
 func partition(values []float64, pivot float64) (left, right int) {
 	left = 0
 	right = len(values) - 1
--- a/internal/collections/recent/recent_test.go
+++ b/internal/collections/recent/recent_test.go
@@ -14,16 +14,16 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var r recent.Ring
 		var all []float64
-		for _, v := range rapid.SliceOfN(rapid.Float64Range(0, 9), 1, 200).Draw(t, "figures") {
+		for _, v := range rapid.SliceOfN(rapid.Float64Range(0, 9), 1, 200).Draw(t, "values") {
 			r.Add(v)
 			all = append(all, v)
 			kept := slices.Sorted(slices.Values(all[max(len(all)-64, 0):]))
-			f := rapid.Float64Range(0, 1).Draw(t, "quantile")
+			q := rapid.Float64Range(0, 1).Draw(t, "quantile")
 			if len(all) < 8 {
-				require.Zero(t, r.Quantile(f))
+				require.Zero(t, r.Quantile(q))
 				continue
 			}
-			require.Equal(t, kept[int(f*float64(len(kept)-1))], r.Quantile(f))
+			require.Equal(t, kept[int(q*float64(len(kept)-1))], r.Quantile(q))
 		}
 	})
 }
--- a/internal/collections/recent/window.go
+++ b/internal/collections/recent/window.go
@@ -1,37 +1,37 @@
 package recent
 
-// Window counts events in a sliding window. Its zero value is empty. Times must not run backwards; events at one time, as in
-// a batch, share an entry. It is not safe for concurrent use.
+// Window counts events in a sliding window. The zero value is empty. Times must not run backwards. Events with equal times, as
+// in a batch, share a bucket. A Window is not safe for concurrent use.
 type Window struct {
-	runs  []run // ascending by time
-	total int   // events in runs
+	buckets []bucket // ascending by time
+	total   int      // number of events in buckets
 }
 
-// run is the number of events at one time.
-type run struct {
+// bucket counts the events at one time.
+type bucket struct {
 	at    float64
 	count int
 }
 
-// Add counts one event at a time.
+// Add counts one event at the time at.
 func (w *Window) Add(at float64) {
 	w.total++
-	last := len(w.runs) - 1
-	if last >= 0 && w.runs[last].at == at {
-		w.runs[last].count++
+	last := len(w.buckets) - 1
+	if last >= 0 && w.buckets[last].at == at {
+		w.buckets[last].count++
 		return
 	}
-	w.runs = append(w.runs, run{at, 1})
+	w.buckets = append(w.buckets, bucket{at, 1})
 }
 
-// Forget removes the events before a time.
-func (w *Window) Forget(before float64) {
+// RemoveBefore removes all events before the time start.
+func (w *Window) RemoveBefore(start float64) {
 	expired := 0
-	for expired < len(w.runs) && w.runs[expired].at < before {
-		w.total -= w.runs[expired].count
+	for expired < len(w.buckets) && w.buckets[expired].at < start {
+		w.total -= w.buckets[expired].count
 		expired++
 	}
-	w.runs = w.runs[expired:]
+	w.buckets = w.buckets[expired:]
 }
 
 // Len returns the number of events in the window.
--- a/internal/collections/recent/window_test.go
+++ b/internal/collections/recent/window_test.go
@@ -10,7 +10,7 @@
 	"mothrouter/internal/collections/recent"
 )
 
-func TestWindowLenMatchesList(t *testing.T) {
+func TestWindowLenMatchesListOfEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var w recent.Window
 		var all []int
@@ -20,7 +20,7 @@
 			w.Add(float64(now))
 			all = append(all, now)
 			if step == 2 {
-				w.Forget(float64(now - 5))
+				w.RemoveBefore(float64(now - 5))
 				all = slices.DeleteFunc(all, func(at int) bool { return at < now-5 })
 			}
 			require.Equal(t, len(all), w.Len())
--- a/internal/collections/replicasets/replicasets.go
+++ b/internal/collections/replicasets/replicasets.go
@@ -6,16 +6,17 @@
 	"slices"
 )
 
-// Index holds items by replica set. Sets are numbered from 0; an item of any other set is not held. It is not safe for
+// Index holds items by replica set. Sets are numbered from 0. It ignores items of sets outside its range. It is not safe for
 // concurrent use.
 type Index[T any] struct {
 	number            func(T) int
 	replicationFactor int
-	sets              [][]T // the items of each set, ascending by number
+	sets              [][]T // items of each set, ascending by number
 }
 
-// New returns an empty index of sets replica sets, at least one, where replicationFactor of them hold shard s: s, s+1 and so
-// on, modulo sets. number returns the number of an item, which never changes and which no other item has.
+// New returns an empty index with the given number of replica sets, at least one. Shard s is held by replicationFactor sets,
+// which are s, s+1 and so on, modulo the number of sets. number returns the number of an item, which must be unique and must
+// not change.
 func New[T any](sets, replicationFactor int, number func(T) int) Index[T] {
 	sets = max(sets, 1)
 	return Index[T]{
@@ -25,43 +26,44 @@
 	}
 }
 
-// find returns the position of an item in a set and whether it is there; if not, where it would be inserted.
-func (x *Index[T]) find(set int, item T) (position int, found bool) {
-	return slices.BinarySearchFunc(x.sets[set], item, func(a, b T) int { return cmp.Compare(x.number(a), x.number(b)) })
+// find returns the position of an item in a set and whether the set contains it. If not, position is where to insert the item.
+func (idx *Index[T]) find(set int, item T) (position int, found bool) {
+	return slices.BinarySearchFunc(idx.sets[set], item, func(a, b T) int { return cmp.Compare(idx.number(a), idx.number(b)) })
 }
 
-// has reports whether the index has a set.
-func (x *Index[T]) has(set int) bool { return set >= 0 && set < len(x.sets) }
+// hasSet reports whether the index has a set with the given number.
+func (idx *Index[T]) hasSet(set int) bool { return set >= 0 && set < len(idx.sets) }
 
-// Insert adds an item to a set, unless the set has it.
-func (x *Index[T]) Insert(set int, item T) {
-	if !x.has(set) {
+// Insert adds an item to a set, unless the set contains it.
+func (idx *Index[T]) Insert(set int, item T) {
+	if !idx.hasSet(set) {
 		return
 	}
-	position, found := x.find(set, item)
+	position, found := idx.find(set, item)
 	if !found {
-		x.sets[set] = slices.Insert(x.sets[set], position, item)
+		idx.sets[set] = slices.Insert(idx.sets[set], position, item)
 	}
 }
 
-// Remove removes an item from a set, if the set has it.
-func (x *Index[T]) Remove(set int, item T) {
-	if !x.has(set) {
+// Remove removes an item from a set, if the set contains it.
+func (idx *Index[T]) Remove(set int, item T) {
+	if !idx.hasSet(set) {
 		return
 	}
-	position, found := x.find(set, item)
+	position, found := idx.find(set, item)
 	if found {
-		x.sets[set] = slices.Delete(x.sets[set], position, position+1)
+		idx.sets[set] = slices.Delete(idx.sets[set], position, position+1)
 	}
 }
 
 // Clear removes all items.
-func (x *Index[T]) Clear() { x.sets = make([][]T, len(x.sets)) }
+func (idx *Index[T]) Clear() { idx.sets = make([][]T, len(idx.sets)) }
 
-// Replicas calls visit for the items that hold a shard, which is 0 or more: set by set, ascending by number.
-func (x *Index[T]) Replicas(shard int, visit func(T)) {
-	for i := range x.replicationFactor {
-		for _, item := range x.sets[(shard+i)%len(x.sets)] {
+// Replicas calls visit for all items that hold a shard, in the order of the shard's sets and ascending by number within a set.
+// shard must not be negative.
+func (idx *Index[T]) Replicas(shard int, visit func(T)) {
+	for i := range idx.replicationFactor {
+		for _, item := range idx.sets[(shard+i)%len(idx.sets)] {
 			visit(item)
 		}
 	}
--- a/internal/collections/replicasets/replicasets_test.go
+++ b/internal/collections/replicasets/replicasets_test.go
@@ -10,39 +10,39 @@
 	"mothrouter/internal/collections/replicasets"
 )
 
-// Holders are those of a walk over all items, in order, whatever comes and goes.
+// Compares Replicas with a linear scan over all items after random insertions and removals.
 func TestReplicasMatchLinearScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		count, reach := rapid.IntRange(1, 6).Draw(t, "cells"), rapid.IntRange(0, 8).Draw(t, "reach")
-		index := replicasets.New(count, reach, func(i int) int { return i })
-		in := map[int]int{} // item: its cell
+		sets, replicationFactor := rapid.IntRange(1, 6).Draw(t, "sets"), rapid.IntRange(0, 8).Draw(t, "replicationFactor")
+		index := replicasets.New(sets, replicationFactor, func(i int) int { return i })
+		setOf := map[int]int{} // replica set of each item in the index
 		for range rapid.IntRange(0, 100).Draw(t, "steps") {
-			item, cell := rapid.IntRange(0, 30).Draw(t, "item"), rapid.IntRange(-1, count).Draw(t, "cell")
-			if old, filed := in[item]; filed {
-				index.Remove(old, item)
-				delete(in, item)
+			item, set := rapid.IntRange(0, 30).Draw(t, "item"), rapid.IntRange(-1, sets).Draw(t, "set")
+			if oldSet, found := setOf[item]; found {
+				index.Remove(oldSet, item)
+				delete(setOf, item)
 			}
-			index.Remove(cell, item) // it is not there
+			index.Remove(set, item) // no effect: the set does not contain the item
 			if rapid.IntRange(0, 3).Draw(t, "kind") > 0 {
-				index.Insert(cell, item)
-				index.Insert(cell, item) // once is enough
-				in[item] = cell
+				index.Insert(set, item)
+				index.Insert(set, item) // no effect: the set contains the item
+				setOf[item] = set
 			}
 		}
 		if rapid.IntRange(0, 9).Draw(t, "clear") == 0 {
 			index.Clear()
-			clear(in)
+			clear(setOf)
 		}
 		shard := rapid.IntRange(0, 20).Draw(t, "shard")
 		var want, got []int
-		for j := range min(max(reach, 1), count) {
-			var cell []int
-			for item, c := range in {
-				if c == (shard+j)%count {
-					cell = append(cell, item)
+		for i := range min(max(replicationFactor, 1), sets) {
+			var items []int
+			for item, set := range setOf {
+				if set == (shard+i)%sets {
+					items = append(items, item)
 				}
 			}
-			want = append(want, slices.Sorted(slices.Values(cell))...)
+			want = append(want, slices.Sorted(slices.Values(items))...)
 		}
 		index.Replicas(shard, func(i int) { got = append(got, i) })
 		require.Equal(t, want, got)
--- a/internal/estimate/retrybudget/retrybudget.go
+++ b/internal/estimate/retrybudget/retrybudget.go
@@ -26,7 +26,7 @@
 
 // RecordRequest counts a request at the time now.
 func (b *Budget) RecordRequest(now float64) {
-	b.requests.Forget(now - b.Window + edgeSlack)
+	b.requests.RemoveBefore(now - b.Window + edgeSlack)
 	b.requests.Add(now)
 }
 
@@ -39,8 +39,8 @@
 
 // Allows reports whether the budget of the window that ends now allows one more retry.
 func (b *Budget) Allows(now float64) bool {
-	b.requests.Forget(now - b.Window + edgeSlack)
-	b.retries.Forget(now - b.Window - edgeSlack)
+	b.requests.RemoveBefore(now - b.Window + edgeSlack)
+	b.retries.RemoveBefore(now - b.Window - edgeSlack)
 	if !b.Enabled {
 		return true
 	}
