--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,8 +1,9 @@
-// Package backoff decides when a client of a shared service retries. It does no I/O and keeps no clock.
+// Package backoff computes how long a client of a shared service waits before its next call. It uses exponential backoff with
+// jitter. It does no I/O and does not read the clock.
 //
-// It prevents a thundering herd: calls that a fleet makes in one millisecond, since its callers were started or lost their
-// connections together, would overload the service. So every wait has jitter, and the spans from which the first waits and the
-// longest are drawn grow with the number of callers.
+// It prevents a thundering herd: if all callers in a fleet start or lose their connections at the same time, their calls within
+// one millisecond would overload the service. Every wait therefore has jitter, and the ranges of the first wait and of the
+// longest wait grow with the number of callers.
 package backoff
 
 import (
@@ -12,26 +13,29 @@
 )
 
 const (
-	minRetrySpan = 100 * time.Millisecond // of the first wait after a failure, which is drawn from its upper half
-	callDuration = 25 * time.Millisecond  // the service's time that one call may take
+	minRetryLimit = 100 * time.Millisecond // minimum limit of the first wait after a failure, which is in its upper half
+	callDuration  = 25 * time.Millisecond  // assumed time that the service takes to serve one call
 
-	// maxStartSpan is below the 250 ms after which a drain is in force that the first call would have received: the endpoint
-	// list that a caller has at its start may be old. Updates that are missed later are in force after 6 s.
-	maxStartSpan      = 200 * time.Millisecond
-	maxFirstSpan      = 2 * time.Second
-	minLongestSpan    = time.Second
-	maxLongestSpan    = 3 * time.Second
-	longestSpanFactor = 2 // times the time that the service takes to serve all callers once
+	// maxInitialLimit limits the wait before the very first call. The endpoint list that a caller has when it starts may be out of
+	// date, and a drain that the first call would have received is in force after 250 ms, so the limit is below that. Updates that
+	// are missed later are in force after 6 s.
+	maxInitialLimit = 200 * time.Millisecond
 
-	// DefaultCallers is the assumed size of a fleet that states none, or an implausible one.
+	maxFirstLimit      = 2 * time.Second
+	minLongestLimit    = time.Second
+	maxLongestLimit    = 3 * time.Second
+	longestLimitFactor = 2 // longestLimit as a multiple of the time that the service takes to serve all callers once
+
+	// DefaultCallers is the assumed number of callers if the configured number is missing or implausible.
 	DefaultCallers = 100
-	// MaxCallers is the largest plausible size of a fleet.
+	// MaxCallers is the largest plausible number of callers.
 	MaxCallers = 100_000
 
-	seedStream = 0xbb67ae8584caa73b // of the random numbers, so that other users of the seed draw different ones
+	// seedStream is the PCG stream of the random numbers. It differs from the streams of other users of the same seed.
+	seedStream = 0xbb67ae8584caa73b
 )
 
-// ClampCallers returns n and true, or DefaultCallers and false where n is outside 1 to MaxCallers.
+// ClampCallers returns n and true, or DefaultCallers and false if n is not between 1 and MaxCallers.
 func ClampCallers(n int) (int, bool) {
 	if n < 1 || n > MaxCallers {
 		return DefaultCallers, false
@@ -39,62 +43,64 @@
 	return n, true
 }
 
-// Backoff is the waits of one caller. Make it with New. But for SetCallers it is not safe for concurrent use.
+// Backoff computes the waits of one caller. Use New. Except for SetCallers, it is not safe for concurrent use.
 type Backoff struct {
-	rng         *rand.Rand
-	started     bool          // the wait before the first call of all has been drawn
-	firstSpan   atomic.Int64  // nanoseconds from which the wait after a success is drawn
-	longestSpan atomic.Int64  // nanoseconds from which the longest wait is drawn
-	span        time.Duration // from whose upper half the last wait was drawn; 0: no call has failed since a success
+	rng          *rand.Rand
+	started      bool          // whether Next has been called
+	firstLimit   atomic.Int64  // limit of the wait after a success, in nanoseconds
+	longestLimit atomic.Int64  // limit of all waits after a failure, in nanoseconds
+	limit        time.Duration // limit of the previous wait; 0: Next has not been called since the latest success
 }
 
-// New returns the waits of one of a number of callers. Equal seeds give equal waits, so callers need different ones.
+// New returns the backoff of one caller out of the given number of callers. Equal seeds result in equal waits, so each caller
+// needs a different seed.
 func New(callers int, seed uint64) *Backoff {
 	b := &Backoff{rng: rand.New(rand.NewPCG(seed, seedStream))}
 	b.SetCallers(callers)
 	return b
 }
 
-// SetCallers sets the number of callers. Any goroutine may call it.
+// SetCallers sets the number of callers. It may be called from any goroutine.
 func (b *Backoff) SetCallers(callers int) {
 	callers, _ = ClampCallers(callers)
 	serveAll := time.Duration(callers) * callDuration
-	b.firstSpan.Store(int64(min(serveAll, maxFirstSpan)))
-	b.longestSpan.Store(int64(min(max(longestSpanFactor*serveAll, minLongestSpan), maxLongestSpan)))
+	b.firstLimit.Store(int64(min(serveAll, maxFirstLimit)))
+	b.longestLimit.Store(int64(min(max(longestLimitFactor*serveAll, minLongestLimit), maxLongestLimit)))
 }
 
-// Next returns the wait before the next call. The wait after a success may be 0. After that each wait is drawn from the upper
-// half of a span that doubles: callers that fail together drift apart and call less often, until the service can serve them
-// one by one, whatever its capacity. Where timeLeft is above 0, the wait is at most timeLeft.
+// Next returns the wait before the next call. The first wait, initially and after a success, is random between 0 and a limit.
+// Each wait after a failure is random in the upper half of a limit that doubles. Callers that fail at the same time therefore
+// spread out and call less often, until the service can serve them one by one, whatever its capacity. If timeLeft is above 0,
+// the wait is at most timeLeft.
 func (b *Backoff) Next(timeLeft time.Duration) time.Duration {
-	if b.span == 0 {
+	if b.limit == 0 {
 		return b.firstWait(timeLeft)
 	}
-	b.span = min(2*b.span, time.Duration(b.longestSpan.Load()))
-	if timeLeft > 0 && timeLeft < b.span {
-		return b.draw(timeLeft/2, timeLeft)
+	b.limit = min(2*b.limit, time.Duration(b.longestLimit.Load()))
+	if timeLeft > 0 && timeLeft < b.limit {
+		return b.random(timeLeft/2, timeLeft)
 	}
-	return b.draw(b.span/2, b.span)
+	return b.random(b.limit/2, b.limit)
 }
 
-// firstWait returns the wait at the start or after a success.
+// firstWait returns the initial wait or the first wait after a success.
 func (b *Backoff) firstWait(timeLeft time.Duration) time.Duration {
-	first := time.Duration(b.firstSpan.Load())
-	b.span = max(first, minRetrySpan) / 2
+	first := time.Duration(b.firstLimit.Load())
+	b.limit = max(first, minRetryLimit) / 2
 	if !b.started {
 		b.started = true
-		first = min(first, maxStartSpan)
+		first = min(first, maxInitialLimit)
 	}
 	if timeLeft > 0 {
 		first = min(first, timeLeft)
 	}
-	return b.draw(0, first)
+	return b.random(0, first)
 }
 
-// draw returns a wait of at least from and below to, or from where to is not above it.
-func (b *Backoff) draw(from, to time.Duration) time.Duration {
+// random returns a random duration in the half-open interval [from, to), or from if the interval is empty.
+func (b *Backoff) random(from, to time.Duration) time.Duration {
 	return from + time.Duration(b.rng.Int64N(max(int64(to-from), 1)))
 }
 
-// Succeeded records that a call has succeeded: the next wait is that after a success.
-func (b *Backoff) Succeeded() { b.span = 0 }
+// Succeeded records that a call has succeeded. The next wait is then the first wait after a success.
+func (b *Backoff) Succeeded() { b.limit = 0 }
