--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -46,10 +46,13 @@
 // Backoff computes the waits of one caller. Use New. Except for SetCallers, it is not safe for concurrent use.
 type Backoff struct {
 	rng          *rand.Rand
-	started      bool          // whether Next has been called
-	firstLimit   atomic.Int64  // limit of the wait after a success, in nanoseconds
-	longestLimit atomic.Int64  // limit of all waits after a failure, in nanoseconds
-	limit        time.Duration // limit of the previous wait; 0: Next has not been called since the latest success
+	started      bool         // whether Next has been called
+	firstLimit   atomic.Int64 // limit of the wait after a success, in nanoseconds
+	longestLimit atomic.Int64 // limit of all waits after a failure, in nanoseconds
+
+	// limit is half the limit of the next wait, unless longestLimit is less. It is 0 if Next has not been called since the latest
+	// success.
+	limit time.Duration
 }
 
 // New returns the backoff of one caller out of the given number of callers. Equal seeds result in equal waits, so each caller
--- a/internal/endpoints/listwatch/listwatch.go
+++ b/internal/endpoints/listwatch/listwatch.go
@@ -1,12 +1,12 @@
-// Package listwatch decides how a broker watches the endpoint list: when a watch is broken, when to call again, and which
-// calls stay open meanwhile. It does no I/O and keeps no clock: a driver passes the time and the events, and opens and closes
-// calls as the returned actions say.
+// Package listwatch decides how a broker watches the endpoint list: when a watch is broken, when to start a new call to
+// discovery, and which calls stay open in the meantime. It does no I/O and does not read the clock. A driver passes it the time
+// and the events, and opens and closes calls according to the returned actions.
 //
-// Discovery sends an empty line every 2 s as a keepalive, so a watch without a message for longer is broken. An update that it
-// misses is in force 6 s after the last message (4 s after a change of address), received or not. A pushed update is in force
-// from the moment at which the agent has it. An agent that has been silent answers the calls that are open as soon as it has
-// an update, and only those. So a silent call stays open until another one has received a message, and a broker misses nothing
-// while it waits to call again.
+// Discovery sends an empty line every 2 s as a keepalive, so a watch that receives no message for longer is broken. An update
+// that a broken watch misses is in force 6 s after the last message (4 s after a change of address), whether the broker has
+// received it or not. An update that the discovery agent pushes is in force as soon as the agent has it. An agent that has
+// stopped responding sends its next update to the calls that are open at that time, and only to those. A silent call therefore
+// stays open until another call has received a message, so that the broker does not miss updates before it calls again.
 package listwatch
 
 import (
@@ -17,24 +17,25 @@
 )
 
 const (
-	// SilenceTimeout is the longest time between two messages of a watch: a keepalive comes every 2 s.
+	// SilenceTimeout is the maximum time between two messages of a watch. Discovery sends a keepalive every 2 s.
 	SilenceTimeout = 2600 * time.Millisecond
-	// CallTimeout is the longest time from the start of a call to its first message. An overloaded discovery serves calls one
-	// by one, so it is as long as updateDeadline allows.
+	// CallTimeout is the maximum time from the start of a call to its first message. An overloaded discovery service serves calls
+	// one by one, so the timeout is as long as updateDeadline allows.
 	CallTimeout = 2200 * time.Millisecond
-	// updateDeadline is when an update that a watch missed must be applied, after the last message or the start of a call: 6 s,
-	// less the time to apply it.
+	// updateDeadline is the time after the last message or the start of a call by which a missed update must be applied: 6 s minus
+	// the time to apply it.
 	updateDeadline = 5700 * time.Millisecond
-	// addressChangeDeadline is the same after a change of address: 4 s, less the time to apply it.
+	// addressChangeDeadline is the time after a change of address by which a missed update must be applied: 4 s minus the time to
+	// apply it.
 	addressChangeDeadline = 3700 * time.Millisecond
-	// maxCalls is the limit of open calls, without those to a former address.
+	// maxCalls is the maximum number of open calls to the current address.
 	maxCalls = 2
 )
 
-// Action is what the driver has to do about one call.
+// Action tells the driver to open or close a call.
 type Action struct {
-	Call  int  // id of the call, from 1
-	Close bool // false: open it
+	Call  int  // ID of the call, from 1
+	Close bool // whether to close the call; false: open it
 }
 
 // call is an open call.
@@ -42,47 +43,48 @@
 	id              int
 	startedAt       time.Time
 	receivedMessage bool
-	formerAddress   bool // the call goes to a former address: its updates are applied, but it is not the watch
-	suspect         bool // the call has timed out, and another call is open or scheduled
+	formerAddress   bool // whether the call is to a former address; its updates are applied, but it is not the watch
+	suspect         bool // whether the call has timed out; another call is then open or scheduled
 }
 
-// Watch is a broker's watch of the endpoint list. Make it with New. It is not safe for concurrent use.
+// Watch is a broker's watch of the endpoint list. Use New. It is not safe for concurrent use.
 type Watch struct {
-	backoff       *backoff.Backoff
-	calls         []call // in the order of their start
-	lastCallID    int
-	lastMessageAt time.Time
-	callDeadline  time.Time // the next call has to start by then, if one is scheduled; zero: none has started yet
-	callAt        time.Time // start of the next call; zero: none is scheduled
-	actions       []Action  // not yet returned
-}
-
-// New returns a watch that makes its first call after a wait.
-func New(waits *backoff.Backoff, now time.Time) *Watch {
-	w := &Watch{backoff: waits}
+	backoff          *backoff.Backoff
+	calls            []call // open calls, in the order of their start
+	lastCallID       int
+	lastMessageAt    time.Time
+	nextCallDeadline time.Time // latest start of the next call, if one is scheduled; zero: no call has been started yet
+	nextCallAt       time.Time // start of the next call; zero: no call is scheduled
+	pendingActions   []Action  // actions that have not been returned yet
+}
+
+// New returns a watch whose first call starts after the initial wait of the backoff.
+func New(callBackoff *backoff.Backoff, now time.Time) *Watch {
+	w := &Watch{backoff: callBackoff}
 	w.scheduleCall(now)
 	return w
 }
 
-// scheduleCall schedules the next call after a wait. The wait ends early enough for the call to time out before
-// callDeadline: an update that discovery could not send is in force 6 s after it could, however many calls have failed, so
-// the growing waits of the backoff must not delay a call beyond that.
+// scheduleCall schedules the next call after a wait. The call starts no later than nextCallDeadline, or now if that has passed.
+// An update that discovery could not send is in force 6 s after discovery can send again, however many calls have failed, so
+// the increasing waits of the backoff must not delay a call beyond that.
 func (w *Watch) scheduleCall(now time.Time) {
-	timeLeft := time.Duration(0) // no limit of the wait before the first call
-	if !w.callDeadline.IsZero() {
-		timeLeft = w.callDeadline.Sub(now)
+	timeLeft := time.Duration(0) // the wait before the first call is not limited
+	if !w.nextCallDeadline.IsZero() {
+		timeLeft = w.nextCallDeadline.Sub(now)
 		if timeLeft <= 0 {
-			w.callAt = now
+			w.nextCallAt = now
 			return
 		}
 	}
-	w.callAt = now.Add(w.backoff.Next(timeLeft))
+	w.nextCallAt = now.Add(w.backoff.Next(timeLeft))
 }
 
-// WakeAt returns when to call Tick next, if no event comes before; zero: not before an event.
+// WakeAt returns the time at which to call Tick if no event occurs earlier. The zero time means that Tick is not needed before
+// the next event.
 func (w *Watch) WakeAt() time.Time {
-	if !w.callAt.IsZero() {
-		return w.callAt
+	if !w.nextCallAt.IsZero() {
+		return w.nextCallAt
 	}
 	if c := w.currentCall(); c != nil {
 		return w.silenceDeadline(c)
@@ -90,7 +92,7 @@
 	return time.Time{}
 }
 
-// currentCall returns the latest call, unless it goes to a former address; nil: there is none.
+// currentCall returns the latest call, or nil if there is none or it is to a former address.
 func (w *Watch) currentCall() *call {
 	if n := len(w.calls); n > 0 && !w.calls[n-1].formerAddress {
 		return &w.calls[n-1]
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// silenceDeadline returns when a call without a further message has timed out.
+// silenceDeadline returns the time at which a call times out if it receives no further message.
 func (w *Watch) silenceDeadline(c *call) time.Time {
 	if c.receivedMessage {
 		return w.lastMessageAt.Add(SilenceTimeout)
@@ -106,57 +108,57 @@
 	return c.startedAt.Add(CallTimeout)
 }
 
-// Tick times out a silent call and starts a call that is due. It returns what the driver has to do.
+// Tick marks a silent call as timed out and starts a call that is due. It returns the actions for the driver.
 func (w *Watch) Tick(now time.Time) []Action {
 	if c := w.currentCall(); c != nil && !c.suspect && !now.Before(w.silenceDeadline(c)) {
 		c.suspect = true
 		w.scheduleCall(now)
 	}
-	if !w.callAt.IsZero() && !now.Before(w.callAt) {
-		w.callAt = time.Time{}
-		w.open(now)
+	if !w.nextCallAt.IsZero() && !now.Before(w.nextCallAt) {
+		w.nextCallAt = time.Time{}
+		w.openCall(now)
 	}
 	return w.takeActions()
 }
 
-// open opens a call, and closes the oldest where there would be more than maxCalls.
-func (w *Watch) open(now time.Time) {
-	var current []int // ids of the calls to the present address
+// openCall opens a call. It closes the oldest call to the current address if there would be more than maxCalls.
+func (w *Watch) openCall(now time.Time) {
+	var current []int // IDs of the calls to the current address
 	for _, c := range w.calls {
 		if !c.formerAddress {
 			current = append(current, c.id)
 		}
 	}
 	for len(current) >= maxCalls {
-		w.close(current[0])
+		w.closeCall(current[0])
 		current = current[1:]
 	}
 	w.lastCallID++
-	w.callDeadline = now.Add(updateDeadline - CallTimeout)
+	w.nextCallDeadline = now.Add(updateDeadline - CallTimeout)
 	w.calls = append(w.calls, call{id: w.lastCallID, startedAt: now})
-	w.actions = append(w.actions, Action{Call: w.lastCallID})
+	w.pendingActions = append(w.pendingActions, Action{Call: w.lastCallID})
 }
 
-// close closes a call.
-func (w *Watch) close(id int) {
-	w.remove(id)
-	w.actions = append(w.actions, Action{Call: id, Close: true})
+// closeCall closes a call.
+func (w *Watch) closeCall(id int) {
+	w.removeCall(id)
+	w.pendingActions = append(w.pendingActions, Action{Call: id, Close: true})
 }
 
-// remove removes a call from those that are open. It keeps the list that a caller ranges over.
-func (w *Watch) remove(id int) {
+// removeCall removes a call from the open calls. It copies the slice, because callers may be iterating over it.
+func (w *Watch) removeCall(id int) {
 	w.calls = slices.DeleteFunc(slices.Clone(w.calls), func(c call) bool { return c.id == id })
 }
 
-// takeActions returns the actions that have not been returned.
+// takeActions returns and clears the pending actions.
 func (w *Watch) takeActions() []Action {
-	actions := w.actions
-	w.actions = nil
+	actions := w.pendingActions
+	w.pendingActions = nil
 	return actions
 }
 
-// MessageReceived handles a message of a call. The call becomes the watch, and all others are closed. A message of a call
-// that is not open, or that goes to a former address, changes nothing. It returns what the driver has to do.
+// MessageReceived handles a message of a call. The call becomes the watch, and all other calls are closed. A message of a call
+// that is not open or is to a former address has no effect. It returns the actions for the driver.
 func (w *Watch) MessageReceived(now time.Time, id int) []Action {
 	i := slices.IndexFunc(w.calls, func(c call) bool { return c.id == id })
 	if i < 0 || w.calls[i].formerAddress {
@@ -165,22 +167,22 @@
 	w.calls[i].receivedMessage = true
 	w.calls[i].suspect = false
 	w.lastMessageAt = now
-	w.callDeadline = now.Add(updateDeadline - CallTimeout)
-	w.callAt = time.Time{}
+	w.nextCallDeadline = now.Add(updateDeadline - CallTimeout)
+	w.nextCallAt = time.Time{}
 	w.backoff.Succeeded()
 	for _, c := range w.calls {
 		if c.id != id {
-			w.close(c.id)
+			w.closeCall(c.id)
 		}
 	}
 	return w.takeActions()
 }
 
-// CallEnded handles a call that ended by itself or could not be made. It returns what the driver has to do.
+// CallEnded handles a call that has ended or failed without being closed by an Action. It returns the actions for the driver.
 func (w *Watch) CallEnded(now time.Time, id int) []Action {
 	current := w.currentCall()
-	wasWatch := current != nil && current.id == id && !current.suspect // else another call is scheduled or open
-	w.remove(id)
+	wasWatch := current != nil && current.id == id && !current.suspect // if false, another call is open or scheduled
+	w.removeCall(id)
 	if !wasWatch {
 		return w.takeActions()
 	}
@@ -191,18 +193,18 @@
 	return w.takeActions()
 }
 
-// AddressChanged starts to watch the list at another address. Updates of the old one are applied until the new one has sent a
-// message. It returns what the driver has to do.
+// AddressChanged starts to watch the list at another address. Updates from the old address are applied until the new one has
+// sent a message. It returns the actions for the driver.
 func (w *Watch) AddressChanged(now time.Time) []Action {
 	for _, c := range w.calls {
-		if c.formerAddress { // of the address before the last: changes in a row must not accumulate calls
-			w.close(c.id)
+		if c.formerAddress { // close calls to earlier addresses, so that repeated changes do not accumulate calls
+			w.closeCall(c.id)
 		}
 	}
 	for i := range w.calls {
 		w.calls[i].formerAddress = true
 	}
-	w.callDeadline = now.Add(addressChangeDeadline - CallTimeout)
+	w.nextCallDeadline = now.Add(addressChangeDeadline - CallTimeout)
 	w.backoff.Succeeded() // the new address has not failed yet
 	w.scheduleCall(now)
 	return w.takeActions()
