--- a/internal/endpoints/discovery/call.go
+++ b/internal/endpoints/discovery/call.go
@@ -12,48 +12,51 @@
 	"mothrouter/internal/transport/httpwire"
 )
 
-// dialTimeout is as long as a call may take until its first message: a first packet that is lost is sent again after a second.
+// dialTimeout is the time that a call may take until its first message. It allows for a lost SYN packet, which is retransmitted
+// after a second.
 const dialTimeout = listwatch.CallTimeout
 
-// statusOK is the only status with which a watch starts.
+// statusOK is the only HTTP status with which a watch starts.
 const statusOK = 200
 
 // errWatchEnded is the error of a call whose response has ended.
-var errWatchEnded = errors.New("discovery ended the watch")
+var errWatchEnded = errors.New("discovery ended the watch response")
 
-// StatusError is a response other than 200.
+// StatusError is the error of a response with an HTTP status other than 200.
 type StatusError struct{ Status int }
 
-// Error returns the status.
-func (e *StatusError) Error() string { return fmt.Sprintf("discovery answers %d", e.Status) }
+// Error returns a message with the status.
+func (e *StatusError) Error() string {
+	return fmt.Sprintf("discovery responded with HTTP status %d, want %d", e.Status, statusOK)
+}
 
-// call is one call to discovery. Its goroutine owns it.
+// call is one call to discovery. It is owned by its goroutine.
 type call struct {
-	id       int
-	addr     string         // address host:port of discovery
-	since    int64          // version of the list that the call starts from
-	messages chan<- message // receives what the call has received, and its end
+	id     int
+	addr   string           // address of discovery as host:port
+	since  int64            // version of the endpoint list from which to watch
+	events chan<- callEvent // receives the call's messages and its end
 
 	lines  httpwire.LineReader
-	object httpwire.Object // the message that is being received
+	object httpwire.Object // the message being received
 }
 
-// run makes the call and sends its messages until it ends or ctx does.
+// run makes the call and sends its events until the call ends or ctx is cancelled.
 func (c *call) run(ctx context.Context) {
 	if err := c.watch(ctx); err != nil {
-		c.send(ctx, nil, err)
+		c.sendEvent(ctx, nil, err)
 	}
 }
 
-// send sends a message, unless ctx ends.
-func (c *call) send(ctx context.Context, text []byte, err error) {
+// sendEvent sends a message or the end of the call, unless ctx is cancelled.
+func (c *call) sendEvent(ctx context.Context, text []byte, err error) {
 	select {
-	case c.messages <- message{call: c.id, text: bytes.Clone(text), err: err}:
+	case c.events <- callEvent{call: c.id, text: bytes.Clone(text), err: err}:
 	case <-ctx.Done():
 	}
 }
 
-// watch connects, sends the request and reads until an error ends the call.
+// watch connects, sends the request and reads messages until an error ends the call.
 func (c *call) watch(ctx context.Context) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", c.addr)
@@ -62,7 +65,7 @@
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	if err := c.request(conn); err != nil {
+	if err := c.sendRequest(conn); err != nil {
 		return err
 	}
 	for {
@@ -71,7 +74,7 @@
 			return err
 		}
 		c.lines.Advance(n)
-		if err := c.readLines(ctx); err != nil {
+		if err := c.processLines(ctx); err != nil {
 			return err
 		}
 		if c.lines.Done() {
@@ -80,15 +83,15 @@
 	}
 }
 
-// request sends the request.
-func (c *call) request(conn net.Conn) error {
+// sendRequest sends the HTTP request of the watch.
+func (c *call) sendRequest(conn net.Conn) error {
 	conn.SetWriteDeadline(time.Now().Add(dialTimeout))
 	_, err := fmt.Fprintf(conn, "GET /discovery/hosts?follow=1&since=%d HTTP/1.1\r\nHost: %s\r\n\r\n", c.since, c.addr)
 	return err
 }
 
-// readLines sends the messages of all lines that have been received.
-func (c *call) readLines(ctx context.Context) error {
+// processLines sends an event for each message in the lines received so far.
+func (c *call) processLines(ctx context.Context) error {
 	for {
 		line, ok, err := c.lines.Next()
 		if err != nil || !ok {
@@ -102,7 +105,7 @@
 			return err
 		}
 		if complete {
-			c.send(ctx, text, nil)
+			c.sendEvent(ctx, text, nil)
 		}
 	}
 }
--- a/internal/endpoints/discovery/discovery.go
+++ b/internal/endpoints/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery watches the endpoint list over HTTP. It drives package httpwire's line reader over a socket; package
-// listwatch decides when to call.
+// Package discovery watches the endpoint list of the discovery service over HTTP. It reads responses from a socket with the
+// line reader of package httpwire. Package listwatch decides when to open and close calls.
 package discovery
 
 import (
@@ -16,44 +16,45 @@
 	"mothrouter/internal/endpoints/listwatch"
 )
 
-// Watcher watches the endpoint list and passes its updates to Update. The exported fields must not change once Run is called.
+// Watcher watches the endpoint list and passes its updates to Update. The exported fields must not be changed after Run is
+// called.
 type Watcher struct {
-	Addr      string // address host:port of discovery at the start; ChangeAddress sets another
+	Addr      string // initial address of discovery as host:port; see ChangeAddress
 	NameTable NameTable
-	Since     int64                       // version of the list that Update has received last
-	Update    func(broker.EndpointUpdate) // is called from Run's goroutine
+	Since     int64                       // version of the endpoint list that Update received last
+	Update    func(broker.EndpointUpdate) // called in the goroutine of Run
 	Log       *slog.Logger
-	Backoff   *backoff.Backoff // of the calls; nil: that of a single broker. All brokers share one discovery.
+	Backoff   *backoff.Backoff // backoff of the calls, as all brokers share one discovery service; nil: backoff of a single broker
 
 	once       sync.Once
-	newAddress chan string // the latest that ChangeAddress has set, until Run takes it
+	newAddress chan string // the latest address set by ChangeAddress, until Run receives it
 }
 
-// init prepares what ChangeAddress and Run share, whichever is called first.
+// init creates the channel that ChangeAddress and Run share. Either may be called first.
 func (w *Watcher) init() { w.once.Do(func() { w.newAddress = make(chan string, 1) }) }
 
-// ChangeAddress has the list watched at another address, from the version received last. The list stays. Any goroutine may call
-// it; it does not wait for Run.
+// ChangeAddress sets the address at which the endpoint list is watched. The new watch starts from the version received last,
+// and the current list is kept. ChangeAddress may be called from any goroutine and does not wait for Run.
 func (w *Watcher) ChangeAddress(addr string) {
 	w.init()
 	for {
 		select {
 		case w.newAddress <- addr:
 			return
-		case <-w.newAddress: // an earlier one that Run has not taken
+		case <-w.newAddress: // discard an earlier address that Run has not received yet
 		}
 	}
 }
 
-// message is what a call has received, or its end.
-type message struct {
-	call int    // id of the call
-	text []byte // a JSON object; empty: a keepalive
-	err  error  // why the call has ended; nil: it goes on
+// callEvent is a message received by a call, or the end of the call.
+type callEvent struct {
+	call int    // ID of the call
+	text []byte // JSON object; empty: a keepalive
+	err  error  // error that ended the call; nil: the call continues
 }
 
-// Run watches the list until ctx ends. Each call has a goroutine that only reads and ends with it; Run's own owns the list's
-// version and the listwatch.Watch.
+// Run watches the endpoint list until ctx is cancelled. Each call has its own goroutine, which only sends the request and reads
+// the response, and ends with the call. The goroutine of Run owns the version of the list and the listwatch.Watch.
 func (w *Watcher) Run(ctx context.Context) {
 	w.init()
 	if w.Backoff == nil {
@@ -61,31 +62,31 @@
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	r := &run{
-		Watcher:  w,
-		ctx:      ctx,
-		addr:     w.Addr,
-		watch:    listwatch.New(w.Backoff, time.Now()),
-		messages: make(chan message),
-		open:     map[int]context.CancelFunc{},
+	r := &runState{
+		Watcher: w,
+		ctx:     ctx,
+		addr:    w.Addr,
+		watch:   listwatch.New(w.Backoff, time.Now()),
+		events:  make(chan callEvent),
+		cancel:  map[int]context.CancelFunc{},
 	}
 	for ctx.Err() == nil {
 		r.handleNextEvent()
 	}
 }
 
-// run is the state of a Watcher while it runs. Run's goroutine owns it.
-type run struct {
+// runState is the state of a Watcher while it runs. It is owned by the goroutine of Run.
+type runState struct {
 	*Watcher
-	ctx      context.Context
-	addr     string // where the next call goes
-	watch    *listwatch.Watch
-	messages chan message               // of all calls
-	open     map[int]context.CancelFunc // ends a call, by its id
+	ctx    context.Context
+	addr   string // address of the next call
+	watch  *listwatch.Watch
+	events chan callEvent             // events of all calls
+	cancel map[int]context.CancelFunc // functions that end the open calls, by call ID
 }
 
 // handleNextEvent waits for the next event and handles it.
-func (r *run) handleNextEvent() {
+func (r *runState) handleNextEvent() {
 	var due <-chan time.Time
 	if at := r.watch.WakeAt(); !at.IsZero() {
 		timer := time.NewTimer(time.Until(at))
@@ -98,67 +99,67 @@
 		r.perform(r.watch.AddressChanged(time.Now()))
 	case <-due:
 		r.perform(r.watch.Tick(time.Now()))
-	case m := <-r.messages:
-		r.handleMessage(m)
+	case event := <-r.events:
+		r.handleCallEvent(event)
 	}
 }
 
-// perform opens and closes calls.
-func (r *run) perform(actions []listwatch.Action) {
+// perform opens and closes calls according to actions.
+func (r *runState) perform(actions []listwatch.Action) {
 	for _, action := range actions {
 		if action.Close {
 			r.Log.Info("silent endpoint watch closed", "since", r.Since)
-			r.end(action.Call)
+			r.endCall(action.Call)
 			continue
 		}
 		ctx, cancel := context.WithCancel(r.ctx)
-		r.open[action.Call] = cancel
-		c := &call{id: action.Call, addr: r.addr, since: r.Since, messages: r.messages}
+		r.cancel[action.Call] = cancel
+		c := &call{id: action.Call, addr: r.addr, since: r.Since, events: r.events}
 		go c.run(ctx)
 	}
 }
 
-// end ends an open call.
-func (r *run) end(id int) {
-	r.open[id]()
-	delete(r.open, id)
+// endCall ends an open call.
+func (r *runState) endCall(id int) {
+	r.cancel[id]()
+	delete(r.cancel, id)
 }
 
-// handleMessage handles what a call has received, and ends the call after an error.
-func (r *run) handleMessage(m message) {
-	if r.open[m.call] == nil {
-		return // closed meanwhile
+// handleCallEvent handles a message of a call or the end of a call. It ends the call after an error.
+func (r *runState) handleCallEvent(event callEvent) {
+	if r.cancel[event.call] == nil {
+		return // the call has been closed in the meantime
 	}
-	err := m.err
-	if err == nil && len(m.text) > 0 {
-		err = r.apply(m.text)
+	err := event.err
+	if err == nil && len(event.text) > 0 {
+		err = r.apply(event.text)
 	}
 	if err == nil {
-		r.perform(r.watch.MessageReceived(time.Now(), m.call))
+		r.perform(r.watch.MessageReceived(time.Now(), event.call))
 		return
 	}
 	r.Log.Info("endpoint watch ended", "error", err, "since", r.Since)
-	r.end(m.call)
-	r.perform(r.watch.CallEnded(time.Now(), m.call))
+	r.endCall(event.call)
+	r.perform(r.watch.CallEnded(time.Now(), event.call))
 }
 
-// OlderVersionError is a message with an older version than that of the list.
+// OlderVersionError is the error of a message whose version is older than that of the current endpoint list.
 type OlderVersionError struct {
-	Version int64 // of the message
-	Since   int64 // of the list
+	Version int64 // version of the message
+	Since   int64 // version of the current list
 }
 
-// Error returns both versions.
+// Error returns a message with both versions.
 func (e *OlderVersionError) Error() string {
-	return fmt.Sprintf("version %d is older than version %d of the endpoint list", e.Version, e.Since)
+	return fmt.Sprintf("discovery sent version %d, older than version %d of the current endpoint list", e.Version, e.Since)
 }
 
-// apply passes an update on. Guards against an agent that lags behind: its list would bring back servers that drain or are
-// removed.
+// apply parses a message and passes the update to Update. It rejects older versions, because the list of an agent that lags
+// behind would restore servers that are draining or removed.
 func (w *Watcher) apply(text []byte) error {
 	var m Message
 	if err := json.Unmarshal(text, &m); err != nil {
-		return fmt.Errorf("message of discovery: %w", err)
+		return fmt.Errorf("cannot parse message from discovery: %w", err)
 	}
 	update, err := w.NameTable.EndpointUpdate(m)
 	if err != nil {
--- a/internal/endpoints/discovery/message.go
+++ b/internal/endpoints/discovery/message.go
@@ -8,46 +8,46 @@
 	"mothrouter/internal/decision"
 )
 
-// NameTable has the names of zones and kinds in the order of their numbers in the settings.
+// NameTable holds the names of zones and server kinds. The index of a name is its number in the settings.
 type NameTable struct{ Zones, Kinds []string }
 
-// Message is an endpoint list, or changes of one, in discovery's form.
+// Message is a full endpoint list or an incremental update, in the JSON format of discovery.
 type Message struct {
 	Version int64   `json:"version"`
-	Full    bool    `json:"full"` // Servers is the full list; else those that changed
+	Full    bool    `json:"full"` // whether Servers is the full list; false: only the servers that have changed
 	Servers []Entry `json:"servers"`
 }
 
-// Entry is a record server in discovery's form.
+// Entry is a record server in the JSON format of discovery.
 type Entry struct {
 	ID         string  `json:"id"`
-	Addr       string  `json:"addr"` // host:port; may be absent where the state is left
+	Addr       string  `json:"addr"` // host:port; may be absent if the state is left
 	Zone       string  `json:"zone"`
 	Kind       string  `json:"kind"`
 	ReplicaSet int     `json:"cell"`
 	State      string  `json:"state"`      // a key of states
 	Weight     float64 `json:"weight"`     // capacity relative to other servers
-	StartedMS  float64 `json:"started_ms"` // Unix time of the start, in milliseconds
+	StartedMS  float64 `json:"started_ms"` // Unix time at which the server started, in milliseconds
 }
 
-// states are the values of an entry's state.
+// states maps the values of Entry.State to the states of package decision.
 var states = map[string]decision.State{
 	"active": decision.Ready, "leaving": decision.Draining, "left": decision.Removed,
 }
 
-// EntryError is a value of a message that is not allowed.
+// EntryError is the error of a value in a message that is not allowed.
 type EntryError struct {
-	Key     string // path such as servers[0].state
+	Key     string // path of the value, such as servers[0].state
 	Value   string
-	Allowed string // what may stand there
+	Allowed string // description of the allowed values
 }
 
-// Error returns the key, the value and what is allowed.
+// Error returns a message with the key, the value and the allowed values.
 func (e *EntryError) Error() string {
 	return fmt.Sprintf("%s: %q not allowed, want %s", e.Key, e.Value, e.Allowed)
 }
 
-// EndpointUpdate converts a message to the core's form. The error is an *EntryError.
+// EndpointUpdate converts a message to a broker.EndpointUpdate. The error is an *EntryError.
 func (n NameTable) EndpointUpdate(m Message) (broker.EndpointUpdate, error) {
 	update := broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: m.Version}
 	if m.Full {
@@ -63,7 +63,7 @@
 	return update, nil
 }
 
-// endpoint converts the entry at an index. A zone or kind that the settings do not name is -1.
+// endpoint converts the entry at the given index. A zone or kind that is not in the name table becomes -1.
 func (n NameTable) endpoint(index int, entry Entry) (broker.Endpoint, error) {
 	key := func(name string) string { return fmt.Sprintf("servers[%d].%s", index, name) }
 	state, ok := states[entry.State]
