--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -17,8 +17,8 @@
 	callDuration  = 25 * time.Millisecond  // assumed time that the service takes to serve one call
 
 	// maxInitialLimit limits the wait before the very first call. The endpoint list that a caller has when it starts may be out of
-	// date, and a drain that the first call would have received is in force after 250 ms, so the limit is below that. Updates that
-	// are missed later are in force after 6 s.
+	// date, and a drain that the first call would have received takes effect after 250 ms, so the limit is below that. Updates
+	// that are missed later take effect after 6 s.
 	maxInitialLimit = 200 * time.Millisecond
 
 	maxFirstLimit      = 2 * time.Second
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -92,7 +92,7 @@
 }
 
 // The endpoint list that a caller has when it starts may be out of date, so the initial wait must be short. Updates that are
-// missed later are in force after 6 s, of which a call may take 2 s.
+// missed later take effect after 6 s, of which a call may take 2 s.
 func TestNextStaysBelowUpdateDeadline(t *testing.T) {
 	for _, callers := range []int{1, 80, 300, 100_000} {
 		b := backoff.New(callers, 5)
@@ -105,7 +105,7 @@
 	}
 }
 
-// Updates that are missed while there is no watch are in force after 6 s. A call that can still be in time must not be delayed
+// Updates that are missed while there is no watch take effect after 6 s. A call that can still be in time must not be delayed
 // beyond that, however many calls have failed. Even then, the calls of a fleet must be spread over time.
 func TestNextIsWithinTimeLeft(t *testing.T) {
 	const callers = 300
--- a/internal/collections/median/median.go
+++ b/internal/collections/median/median.go
@@ -3,9 +3,9 @@
 package median
 
 const (
-	// bandWidth sets the band from median/bandWidth to median*bandWidth. It is wide enough for the median to stay in the band for
-	// some time, and narrow enough for the band to contain only a few values.
-	bandWidth = 1.25
+	// bandFactor sets the band from median/bandFactor to median*bandFactor. The band is wide enough for the median to stay in it
+	// for some time, and narrow enough to contain only a few values.
+	bandFactor = 1.25
 
 	// maxExcessPerValue limits the number of values that may be computed in excess of those near the band after a Reset, as a
 	// multiple of the number of entries. Above it, the caller must set a new band.
@@ -18,7 +18,7 @@
 const (
 	below side = iota + 1 // both bounds are at most the low end of the band
 	above                 // both bounds are at least the high end of the band
-	near                  // the value can be inside the band
+	near                  // the value can be inside the band or on either side
 )
 
 // Entry holds the position of one value in a Tracker. The zero value is not in any Tracker.
@@ -29,7 +29,7 @@
 	index int // index in Tracker.near, if side is near
 }
 
-// Tracker tracks the lower median of values of which only few are negative. The zero value is empty. It is not safe for
+// Tracker tracks the lower median of values of which only a few are negative. The zero value is empty. It is not safe for
 // concurrent use.
 type Tracker[T any] struct {
 	// Negligible is the value below which the median may be returned as 0.
@@ -42,7 +42,7 @@
 	near        []*Entry[T] // all other entries
 	nearValues  []float64   // values of near, reused by each Median
 	nearAtReset int         // len(near) at the first Median after the latest Reset; -1: not called yet
-	excess      int         // number of values computed since the latest Reset, less nearAtReset for each Median
+	excess      int         // number of values computed since the latest Reset in excess of nearAtReset for each Median
 }
 
 // Len returns the number of entries.
@@ -89,8 +89,8 @@
 // Reset removes all entries and sets the band around a median that the caller has computed. The caller must then call Put for
 // all entries again.
 func (t *Tracker[T]) Reset(median float64) {
-	t.low = max(median/bandWidth, t.Negligible)
-	t.high = max(median*bandWidth, t.Negligible)
+	t.low = max(median/bandFactor, t.Negligible)
+	t.high = max(median*bandFactor, t.Negligible)
 	t.epoch++
 	t.belowCount = 0
 	t.aboveCount = 0
--- a/internal/endpoints/discovery/discovery_test.go
+++ b/internal/endpoints/discovery/discovery_test.go
@@ -160,7 +160,7 @@
 		version, full) + "\n"
 }
 
-// An update that a silent watch misses is in force 6 s after the last message. Whatever the watch receives instead of a
+// An update that a silent watch misses takes effect 6 s after the last message. Whatever the watch receives instead of a
 // complete message, another call must have received the update by then, starting from the version received last.
 func TestWatcherReplacesSilentWatchWithinUpdateDeadline(t *testing.T) {
 	t.Parallel()
@@ -180,7 +180,7 @@
 			silentSince := time.Now()
 			require.EqualValues(t, 9, (<-updates).Version)
 			require.Less(t, time.Since(silentSince), 6*time.Second)
-			require.Greater(t, time.Since(silentSince), 2*time.Second, "replaced before a keepalive, which comes every 2 s, was missing")
+			require.Greater(t, time.Since(silentSince), 2*time.Second, "replaced before a keepalive (every 2 s) was overdue")
 			require.Contains(t, requests()[1], "since=7")
 		})
 	}
--- a/internal/endpoints/listwatch/listwatch.go
+++ b/internal/endpoints/listwatch/listwatch.go
@@ -3,10 +3,11 @@
 // and the events, and opens and closes calls according to the returned actions.
 //
 // Discovery sends an empty line every 2 s as a keepalive, so a watch that receives no message for longer is broken. An update
-// that a broken watch misses is in force 6 s after the last message (4 s after a change of address), whether the broker has
-// received it or not. An update that the discovery agent pushes is in force as soon as the agent has it. An agent that has
-// stopped responding sends its next update to the calls that are open at that time, and only to those. A silent call therefore
-// stays open until another call has received a message, so that the broker does not miss updates before it calls again.
+// that a broken watch misses takes effect 6 s after the last message (4 s after a change of address), whether the broker has
+// received it or not. An update that is pushed to the broker takes effect as soon as the discovery agent that serves the watch
+// has it. An agent that has been silent sends its next update to the calls that are open at that time, and only to those. A
+// silent call therefore stays open until another call has received a message, so that the broker does not miss updates before
+// it calls again.
 package listwatch
 
 import (
@@ -43,7 +44,7 @@
 	id              int
 	startedAt       time.Time
 	receivedMessage bool
-	formerAddress   bool // whether the call is to a former address; its updates are applied, but it is not the watch
+	formerAddress   bool // whether the call is to a former address; its updates are applied, but it cannot become the watch
 	suspect         bool // whether the call has timed out; another call is then open or scheduled
 }
 
@@ -65,9 +66,10 @@
 	return w
 }
 
-// scheduleCall schedules the next call after a wait. The call starts no later than nextCallDeadline, or now if that has passed.
-// An update that discovery could not send is in force 6 s after discovery can send again, however many calls have failed, so
-// the increasing waits of the backoff must not delay a call beyond that.
+// scheduleCall schedules the next call after a wait. The call starts no later than nextCallDeadline, or now if that has passed,
+// so that it times out before a missed update must be applied. An update that discovery could not send takes effect 6 s after
+// discovery can send again, however many calls have failed, so the increasing waits of the backoff must not delay a call beyond
+// that.
 func (w *Watch) scheduleCall(now time.Time) {
 	timeLeft := time.Duration(0) // the wait before the first call is not limited
 	if !w.nextCallDeadline.IsZero() {
@@ -181,9 +183,9 @@
 // CallEnded handles a call that has ended or failed without being closed by an Action. It returns the actions for the driver.
 func (w *Watch) CallEnded(now time.Time, id int) []Action {
 	current := w.currentCall()
-	wasWatch := current != nil && current.id == id && !current.suspect // if false, another call is open or scheduled
+	wasCurrent := current != nil && current.id == id && !current.suspect // if false, another call is open or scheduled
 	w.removeCall(id)
-	if !wasWatch {
+	if !wasCurrent {
 		return w.takeActions()
 	}
 	if c := w.currentCall(); c != nil {
--- a/internal/endpoints/listwatch/listwatch_test.go
+++ b/internal/endpoints/listwatch/listwatch_test.go
@@ -68,7 +68,7 @@
 }
 
 // Guards against a watch that closes a silent call before it starts the next one. An agent that was silent for 9 s sends its
-// update only to the open calls, and the update is in force 250 ms later, so such a watch would miss it.
+// update only to the open calls, and the update takes effect 250 ms later, so such a watch would miss it.
 func TestSilentCallStaysOpenUntilAnotherReceivesMessage(t *testing.T) {
 	for seed := range uint64(300) {
 		a := newAgentSimulation(300, seed)
@@ -79,8 +79,8 @@
 	}
 }
 
-// After a watch becomes silent, the next call must start early enough to receive its first message before a missed update is in
-// force.
+// After a watch becomes silent, the next call must start early enough to receive its first message before a missed update takes
+// effect.
 func TestSilentCallIsReplacedWithinUpdateDeadline(t *testing.T) {
 	for _, callers := range []int{1, 3, 80, 300, 100_000} {
 		for seed := range uint64(100) {
--- a/internal/estimate/clientpatience/clientpatience.go
+++ b/internal/estimate/clientpatience/clientpatience.go
@@ -29,8 +29,8 @@
 // Finished records a query whose client waited for its final answer.
 func (e *Estimator) Finished() { e.disconnectRatio -= outcomeWeight * e.disconnectRatio }
 
-// EarlyDisconnectAge returns the time in seconds that most of the disconnecting clients wait at least, or 0 if few clients
-// disconnect before their deadline.
+// EarlyDisconnectAge returns the age of a query in seconds until which most of the disconnecting clients wait, or 0 if few
+// clients disconnect before their deadline.
 func (e *Estimator) EarlyDisconnectAge() float64 {
 	if e.disconnectRatio > highDisconnectRatio {
 		return e.disconnectAges.Quantile(disconnectAgeQuantile)
--- a/internal/estimate/failures/failures.go
+++ b/internal/estimate/failures/failures.go
@@ -70,10 +70,10 @@
 	r.updateBounds(server)
 }
 
-// RecordPeer moves a server's ratio towards the ratio failed that a peer observed at the time at, with a weight from 0 to 1.
-func (r *Ratios) RecordPeer(server *Server, failed, weight, at float64) {
+// RecordPeer moves a server's ratio towards the ratio that a peer observed at the time at, with a weight from 0 to 1.
+func (r *Ratios) RecordPeer(server *Server, peerRatio, weight, at float64) {
 	previous := r.Of(server)
-	server.Ratio = previous + weight*(failed-previous)
+	server.Ratio = previous + weight*(peerRatio-previous)
 	server.At = at
 	r.updateBounds(server)
 }
--- a/internal/estimate/queueing/queueing.go
+++ b/internal/estimate/queueing/queueing.go
@@ -12,7 +12,7 @@
 	servers    float64 // number of servers
 	capacity   float64 // sum of the usable fractions of the servers' capacities
 	idleRate   float64 // requests per second that the servers would serve without queues
-	queuedRate float64 // like idleRate, with each server's rate divided by its queue length plus the new request
+	queuedRate float64 // like idleRate, with each server's rate divided by its queue length plus 1 for the new request
 }
 
 // Add adds a server, given the usable fraction of its capacity, its service time in seconds and the number of requests queued
--- a/internal/estimate/queueing/queueing_test.go
+++ b/internal/estimate/queueing/queueing_test.go
@@ -14,7 +14,7 @@
 		capacity, serviceTime float64
 		queue                 int
 	}
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		servers []server
 		want    float64
 	}{
@@ -27,14 +27,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var d queueing.Delay
-			for _, s := range c.servers {
+			for _, s := range tc.servers {
 				d.Add(s.capacity, s.serviceTime, s.queue)
 			}
-			if math.IsInf(c.want, 1) {
+			if math.IsInf(tc.want, 1) {
 				require.True(t, math.IsInf(d.Expected(), 1))
 				return
 			}
-			require.InDelta(t, c.want, d.Expected(), 1e-8)
+			require.InDelta(t, tc.want, d.Expected(), 1e-8)
 		})
 	}
 }
--- a/internal/estimate/serverstats/fleet.go
+++ b/internal/estimate/serverstats/fleet.go
@@ -97,9 +97,9 @@
 // Attempt is an attempt that has ended.
 type Attempt struct {
 	Class       int     // class of the query
-	SentAt      float64 // time
+	SentAt      float64 // time at which the attempt was sent
 	Latency     float64 // seconds from SentAt to the end of the attempt
-	Concurrency float64 // number of this broker's attempts at the server when it was sent, including itself
+	Concurrency float64 // number of this broker's attempts at the server at the time SentAt, including this one
 }
 
 // serviceTime returns the latency divided by the concurrency, so that it does not include the wait in the broker's own queue.
