--- a/internal/decision/forget_test.go
+++ b/internal/decision/forget_test.go
@@ -24,7 +24,7 @@
 		}
 		p.Handle(float64(i), []Event{AttemptFinished{ID: 2, Server: "s0", Status: OK, PartConcluded: true, LoadReport: NoLoadReport}})
 	}
-	if len(p.servers) != 1 || len(p.serversByID) != 1 || p.fleet.Warm() != 1 {
-		t.Errorf("%d servers, %d server IDs and %g warm servers, want 1 each", len(p.servers), len(p.serversByID), p.fleet.Warm())
+	if len(p.servers) != 1 || len(p.serversByID) != 1 || p.fleet.WarmServers() != 1 {
+		t.Errorf("%d servers, %d server IDs and %g warm servers, want 1 each", len(p.servers), len(p.serversByID), p.fleet.WarmServers())
 	}
 }
