--- a/cmd/loadgen/config.go
+++ b/cmd/loadgen/config.go
@@ -6,10 +6,10 @@
 	"mothrouter/internal/harness/recordservertest"
 )
 
-// object is a JSON object of the broker's configuration, whose keys are the platform's.
+// object is a JSON object in the broker's configuration file. The platform defines its keys.
 type object = map[string]any
 
-// brokerConfig returns the broker's configuration, with the fleet's servers as its endpoint list.
+// brokerConfig returns the broker's configuration file, with the servers of the fleet as the endpoint list.
 func brokerConfig(fleet *recordservertest.Fleet, listen, discovery string) ([]byte, error) {
 	var endpoints []object
 	for _, s := range fleet.Servers {
--- a/cmd/loadgen/load.go
+++ b/cmd/loadgen/load.go
@@ -15,25 +15,25 @@
 
 const (
 	readBufferSize = 1 << 16
-	answerTimeout  = 4 * time.Second // twice the deadline that a query sends
+	answerTimeout  = 4 * time.Second // twice the deadline of a query
 )
 
-// load is what the clients measured. Its methods are safe for concurrent use.
+// load holds what the clients measure. Its methods are safe for concurrent use.
 type load struct {
-	address  string
-	start    time.Time
-	duration time.Duration
-	turns    atomic.Int64 // queries that were due by the clock so far
+	address   string
+	start     time.Time
+	duration  time.Duration
+	scheduled atomic.Int64 // queries that were given a send time so far, with -rate
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	latencies []float64  // seconds from when a query was due until its answer
 	lost      int        // queries without a successful answer
 }
 
-// lastQuery is the number of the last query of all loads, of which its request id is made.
-var lastQuery atomic.Int64
+// lastQueryNumber is the number of the latest query of all loads. The request id of a query is made from its number.
+var lastQueryNumber atomic.Int64
 
-// applyLoad runs all clients for a time and returns what they measured.
+// applyLoad runs all clients for a duration and returns what they measured.
 func applyLoad(address string, d time.Duration) *load {
 	l := &load{address: address, start: time.Now(), duration: d}
 	var running sync.WaitGroup
@@ -44,7 +44,7 @@
 	return l
 }
 
-// runClient sends one query after the other over one connection, until the time is over or the connection fails.
+// runClient sends one query after the other over one connection, until the duration is over or the connection fails.
 func (l *load) runClient(client int) {
 	conn, err := net.Dial("tcp", l.address)
 	if err != nil {
@@ -60,7 +60,7 @@
 		if due.Sub(l.start) > l.duration {
 			return
 		}
-		served, err := sendQuery(conn, in, client, int(lastQuery.Add(1)))
+		served, err := sendQuery(conn, in, client, int(lastQueryNumber.Add(1)))
 		if served {
 			latencies = append(latencies, time.Since(due).Seconds())
 		} else {
@@ -72,12 +72,12 @@
 	}
 }
 
-// nextDue returns when the next query is due, and waits until then: at once, or by the clock with -rate.
+// nextDue waits until the next query is due and returns when that is: now, or at a fixed rate with -rate.
 func (l *load) nextDue() time.Time {
 	if *rate <= 0 {
 		return time.Now()
 	}
-	due := l.start.Add(time.Duration(float64(l.turns.Add(1)) / *rate * float64(time.Second)))
+	due := l.start.Add(time.Duration(float64(l.scheduled.Add(1)) / *rate * float64(time.Second)))
 	time.Sleep(time.Until(due))
 	return due
 }
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -1,6 +1,6 @@
-// Command loadgen measures a mothrouter on this machine's loopback. It runs fake record servers and clients, starts the
-// broker with one worker and with several, in turns, and prints throughput, latency, processor time and memory with
-// confidence intervals over the runs. docs/cores.md describes what it is used for.
+// Command loadgen measures a mothrouter over the loopback interface. It runs fake record servers and clients, starts the
+// broker with one worker and with several, alternating between them, and prints throughput, latency, processor time and
+// memory with confidence intervals over the runs. docs/cores.md describes what it is used for.
 package main
 
 import (
@@ -15,18 +15,18 @@
 )
 
 var (
-	program  = flag.String("program", "bin/mothrouter", "the broker's program")
-	workers  = flag.String("workers", "0,1,2", "workers to compare; 0: without -cores")
-	runs     = flag.Int("runs", 5, "runs of each, in turns")
-	seconds  = flag.Float64("seconds", 4, "measured time of each run")
+	program  = flag.String("program", "bin/mothrouter", "path of the broker's binary")
+	workers  = flag.String("workers", "0,1,2", "numbers of workers to compare, separated by commas; 0: without -cores")
+	runs     = flag.Int("runs", 5, "runs of each number of workers, interleaved")
+	seconds  = flag.Float64("seconds", 4, "measured duration of each run")
 	clients  = flag.Int("clients", 64, "client connections")
 	servers  = flag.Int("servers", 60, "record servers")
 	parts    = flag.Int("parts", 36, "parts of each query")
-	work     = flag.Duration("work", 4*time.Millisecond, "mean time of a part at a record server")
-	rate     = flag.Float64("rate", 0, "queries offered a second, by the clock; 0: as many as come back")
-	openCap  = flag.Int("open", 100_000, "queries and parts that a broker holds")
-	memoryMB = flag.Int("memory", 512, "MB")
-	sockets  = flag.Int("sockets", 2048, "descriptors")
+	work     = flag.Duration("work", 4*time.Millisecond, "mean service time of a part at a record server")
+	rate     = flag.Float64("rate", 0, "offered queries per second; 0: each client sends its next query after an answer")
+	openCap  = flag.Int("open", 100_000, "limit of queries and parts in flight in the broker")
+	memoryMB = flag.Int("memory", 512, "memory limit of the broker, MB")
+	sockets  = flag.Int("sockets", 2048, "limit of the broker's file descriptors")
 )
 
 // replicationFactor is how many record servers hold a shard.
@@ -61,7 +61,7 @@
 	}
 	defer fleet.Close()
 	for range *runs {
-		for i := range variants { // in turns, so that other load on the machine affects all variants alike
+		for i := range variants { // alternating, so that other load on the machine affects all variants alike
 			r, err := run(fleet, variants[i].workers)
 			if err != nil {
 				return err
--- a/cmd/loadgen/procfs.go
+++ b/cmd/loadgen/procfs.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// Fields of /proc/PID/stat behind the command's name, see proc(5).
+// Indexes of fields in /proc/PID/stat, counted from 0 after the command name, and the unit of both fields; see proc(5).
 const (
 	userTimeField   = 11
 	systemTimeField = 12
@@ -17,7 +17,7 @@
 
 const kbPerMB = 1024
 
-// processorTime returns the processor time of a process so far in seconds, or NaN if the process has ended.
+// processorTime returns the processor time that a process has used so far in seconds, or NaN if the process has ended.
 func processorTime(pid int) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
--- a/cmd/loadgen/report.go
+++ b/cmd/loadgen/report.go
@@ -13,10 +13,10 @@
 
 // result is what one run measured.
 type result struct {
-	served, lost float64 // queries a second
+	served, lost float64 // queries per second
 	p50, p99     float64 // latency, ms
-	processor    float64 // µs of the broker a query
-	memory       float64 // resident, MB
+	processor    float64 // processor time of the broker, µs per query
+	memory       float64 // resident memory of the broker, MB
 }
 
 // printReport prints a table with a row for each variant.
@@ -35,14 +35,14 @@
 			name = "none (one loop)"
 		}
 		fmt.Printf("| %s | %s | %s | %s | %s | %s | %s |\n", name,
-			v.column(func(r result) float64 { return r.served }), v.column(func(r result) float64 { return r.lost }),
-			v.column(func(r result) float64 { return r.p50 }), v.column(func(r result) float64 { return r.p99 }),
-			v.column(func(r result) float64 { return r.processor }), v.column(func(r result) float64 { return r.memory }))
+			v.cell(func(r result) float64 { return r.served }), v.cell(func(r result) float64 { return r.lost }),
+			v.cell(func(r result) float64 { return r.p50 }), v.cell(func(r result) float64 { return r.p99 }),
+			v.cell(func(r result) float64 { return r.processor }), v.cell(func(r result) float64 { return r.memory }))
 	}
 }
 
-// column returns one measure of all runs as text.
-func (v variant) column(measure func(result) float64) string {
+// cell returns the text of one table cell: a measure over all runs of the variant.
+func (v variant) cell(measure func(result) float64) string {
 	var values []float64
 	for _, r := range v.results {
 		values = append(values, measure(r))
@@ -50,7 +50,7 @@
 	return interval(values)
 }
 
-// interval returns the mean of values with the half width of its 95 % confidence interval by Student's t.
+// interval returns the mean of values with the half width of its 95 % confidence interval, by Student's t-distribution.
 func interval(values []float64) string {
 	mean, deviation := stat.MeanStdDev(values, nil)
 	if len(values) < 2 {
@@ -61,7 +61,7 @@
 	return fmt.Sprintf("%.4g ± %.2g", mean, t*deviation/math.Sqrt(n))
 }
 
-// printViolations prints the rules that the broker has violated, as the record servers saw it.
+// printViolations prints the violations of the attempt rules that the record servers have observed.
 func printViolations(fleet *recordservertest.Fleet) {
 	violations, attempts := fleet.Violations()
 	fmt.Printf("\nrules broken: %d, in %d parts\n", len(violations), attempts)
--- a/cmd/loadgen/run.go
+++ b/cmd/loadgen/run.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	warmUp            = time.Second / 2 // unmeasured: connections are opened and estimates settle
+	warmUp            = time.Second / 2 // not measured: connections are opened and estimates settle
 	heartbeatInterval = 2 * time.Second // of the fake discovery service
 	readinessAttempts = 100
 	readinessInterval = 50 * time.Millisecond
 )
 
-// run starts the broker with a number of workers, applies the load and returns what it measured.
+// run starts the broker with the given number of workers, applies the load and returns the measurements.
 func run(fleet *recordservertest.Fleet, workers int) (result, error) {
 	dir, err := os.MkdirTemp("", "loadgen")
 	if err != nil {
@@ -57,7 +57,7 @@
 	}()
 	r, err := measureBroker(listen, cmd.Process.Pid)
 	if err != nil {
-		return result{}, fmt.Errorf("%w: %s", err, log.String())
+		return result{}, fmt.Errorf("%w; log of the broker:\n%s", err, log.String())
 	}
 	return r, nil
 }
@@ -94,7 +94,7 @@
 	load := applyLoad(address, time.Duration(*seconds*float64(time.Second)))
 	processor := processorTime(pid) - before
 	if len(load.latencies) == 0 {
-		return result{}, errors.New("nothing was served")
+		return result{}, errors.New("no query had a successful answer")
 	}
 	slices.Sort(load.latencies)
 	queries := float64(len(load.latencies) + load.lost)
@@ -106,7 +106,7 @@
 	}, nil
 }
 
-// waitUntilReady waits until the broker is ready.
+// waitUntilReady waits until the broker is ready. It returns an error after readinessAttempts.
 func waitUntilReady(address string) error {
 	for range readinessAttempts {
 		if isReady(address) {
@@ -114,7 +114,7 @@
 		}
 		time.Sleep(readinessInterval)
 	}
-	return errors.New("the broker does not come up")
+	return fmt.Errorf("broker at %s not ready after %v", address, readinessAttempts*readinessInterval)
 }
 
 // isReady reports whether the broker answers GET /up with 200.
@@ -129,7 +129,7 @@
 	return strings.Contains(line, " 200 ")
 }
 
-// serveDiscovery serves watches of the endpoint list with heartbeats and no updates.
+// serveDiscovery answers watches of the endpoint list with heartbeats and no updates, until the listener is closed.
 func serveDiscovery(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -152,7 +152,7 @@
 	}
 }
 
-// unusedAddress returns an address on loopback at which nothing listens.
+// unusedAddress returns a loopback address on which nothing listens.
 func unusedAddress() (string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
