--- a/cmd/mothrouter/api_test.go
+++ b/cmd/mothrouter/api_test.go
@@ -14,15 +14,15 @@
 
 // apiDescription holds docs/openapi.yaml and docs/asyncapi.yaml, against which the recorded exchanges are checked.
 type apiDescription struct {
-	open, async map[string]any
-	mu          sync.Mutex // guards schemas
-	schemas     *jsonschema.Compiler
+	openAPI, asyncAPI map[string]any
+	mu                sync.Mutex // guards schemas
+	schemas           *jsonschema.Compiler
 }
 
 func readAPIDescription(t *testing.T) *apiDescription {
 	a := &apiDescription{schemas: jsonschema.NewCompiler()}
 	a.schemas.DefaultDraft(jsonschema.Draft2020)
-	for file, doc := range map[string]*map[string]any{"openapi.yaml": &a.open, "asyncapi.yaml": &a.async} {
+	for file, doc := range map[string]*map[string]any{"openapi.yaml": &a.openAPI, "asyncapi.yaml": &a.asyncAPI} {
 		text, err := os.ReadFile("../../docs/" + file)
 		require.NoError(t, err)
 		require.NoError(t, yaml.Unmarshal(text, doc))
@@ -42,14 +42,14 @@
 	require.NoError(t, s.Validate(v), text)
 }
 
-// lookup returns the node under the keys of the OpenAPI description and follows references.
+// lookup returns the node at a path of keys in the OpenAPI description. It follows references.
 func (a *apiDescription) lookup(t *testing.T, keys ...string) any {
-	var node any = a.open
+	var node any = a.openAPI
 	for _, key := range keys {
 		m, ok := node.(map[string]any)
-		require.True(t, ok, "%v", keys)
+		require.True(t, ok, "openapi.yaml: no object at the parent of %q in %v", key, keys)
 		node, ok = m[key]
-		require.True(t, ok, "the description lacks %v", keys)
+		require.True(t, ok, "openapi.yaml: no key %q in %v", key, keys)
 		if m, ok := node.(map[string]any); ok && m["$ref"] != nil {
 			node = a.lookup(t, strings.Split(strings.TrimPrefix(m["$ref"].(string), "#/"), "/")...)
 		}
@@ -58,9 +58,9 @@
 }
 
 // checker returns a function that checks each message of an exchange: every response must be described for its path and
-// method, with a body that is valid by its schema, and so must every query that is answered.
+// method, and its body must be valid against its schema, and so must the body of every query that is answered.
 func (a *apiDescription) checker(t *testing.T) func(peer string, sent bool, message string) {
-	requests := map[string]string{} // by client, the latest
+	requests := map[string]string{} // the latest of each client
 	return func(peer string, sent bool, message string) {
 		switch {
 		case isServer(peer):
@@ -79,18 +79,18 @@
 	}
 }
 
-// checkUpdate checks an update that discovery sends.
+// checkUpdate checks an update that the discovery service sends.
 func (a *apiDescription) checkUpdate(t *testing.T, message string) {
 	if line := strings.TrimSpace(strings.TrimPrefix(message, "~line")); strings.HasPrefix(line, "{") {
 		a.validate(t, "asyncapi.yaml#/components/schemas/Change", line)
 	}
 }
 
-// checkWatch checks the program's request to discovery.
+// checkWatch checks the program's request to the discovery service.
 func (a *apiDescription) checkWatch(t *testing.T, message string) {
 	u, err := url.Parse(strings.Fields(message)[1])
 	require.NoError(t, err)
-	require.Equal(t, a.async["channels"].(map[string]any)["hosts"].(map[string]any)["address"], u.Path)
+	require.Equal(t, a.asyncAPI["channels"].(map[string]any)["hosts"].(map[string]any)["address"], u.Path)
 	require.Equal(t, "1", u.Query().Get("follow"))
 	require.Regexp(t, "^[0-9]+$", u.Query().Get("since"))
 }
--- a/cmd/mothrouter/applier_test.go
+++ b/cmd/mothrouter/applier_test.go
@@ -10,7 +10,7 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// changeRecorder is a core that records the changes it is configured with, or returns err.
+// changeRecorder is a core whose Configure records changes, or returns err if that is not nil.
 type changeRecorder struct {
 	core
 	changes []broker.Change
@@ -24,36 +24,39 @@
 	return c.err
 }
 
-// A revision is applied completely, or rejected by its key and then changes neither the core nor discovery.
-func TestApplierAppliesRevisionOrRejectsByKey(t *testing.T) {
+// A revision is either applied completely, or rejected with the invalid key. Then it changes neither the core nor the
+// address of the discovery service.
+func TestApplierAppliesOrRejectsRevision(t *testing.T) {
 	p := assembledProcess(t, operatorFiles{})
-	start, err := p.startConfig.Document()
+	startup, err := p.startConfig.Document()
 	require.NoError(t, err)
-	core, moves := &changeRecorder{}, []string(nil)
-	a := &applier{start: start, core: core, log: p.log,
-		discovery: &discoverySwitch{address: "127.0.0.1:2", log: p.log, changeAddress: func(to string) { moves = append(moves, to) }}}
-	settings := startFile[strings.Index(startFile, `"settings"`):]
+	core, addresses := &changeRecorder{}, []string(nil)
+	discovery := &discoverySwitch{
+		address: "127.0.0.1:2", log: p.log, changeAddress: func(to string) { addresses = append(addresses, to) },
+	}
+	revisionApplier := &applier{startup: startup, core: core, log: p.log, discovery: discovery}
+	settings := startupConfig[strings.Index(startupConfig, `"settings"`):]
 	apply := func(document string) *configpb.Refusal {
-		return a.apply(&configpb.Revision{Number: 7, Document: []byte(document)})
+		return revisionApplier.apply(&configpb.Revision{Number: 7, Document: []byte(document)})
 	}
 	require.Nil(t, apply(`{"discovery":"127.0.0.1:3",`+strings.Replace(settings, `"deadlineS":2`, `"deadlineS":4`, 1)))
-	require.Equal(t, []string{"127.0.0.1:3"}, moves)
+	require.Equal(t, []string{"127.0.0.1:3"}, addresses)
 	require.Len(t, core.changes, 1)
 	require.Equal(t, 4., core.changes[0].Classes[0].Deadline)
-	require.Equal(t, 2., p.startConfig.Settings.Classes[0].Deadline, "the start's classes were written to")
+	require.Equal(t, 2., p.startConfig.Settings.Classes[0].Deadline, "Configure modified the startup configuration's classes")
 
-	// with is a document whose settings have one text in place of another.
-	with := func(before, after string) string {
+	// withReplaced returns a document in whose settings one text is replaced by another.
+	withReplaced := func(before, after string) string {
 		require.Contains(t, settings, before)
 		return `{"discovery":"127.0.0.1:4",` + strings.Replace(settings, before, after, 1)
 	}
-	long := with(`{"peersTotal"`, `{"`+strings.Repeat("é", 300)+`":1,"peersTotal"`)
+	documentWithLongKey := withReplaced(`{"peersTotal"`, `{"`+strings.Repeat("é", 300)+`":1,"peersTotal"`)
 	for key, document := range map[string]string{
 		"document":                             `{`,
-		"settings.peersTotal":                  with(`"peersTotal":1`, `"peersTotal":2`),
+		"settings.peersTotal":                  withReplaced(`"peersTotal":1`, `"peersTotal":2`),
 		"discovery":                            `{"discovery":"x",` + settings,
-		"settings.classes[1].deadlineS":        with(`"deadlineS":3`, `"deadlineS":0`),
-		"settings." + strings.Repeat("é", 123): long,
+		"settings.classes[1].deadlineS":        withReplaced(`"deadlineS":3`, `"deadlineS":0`),
+		"settings." + strings.Repeat("é", 123): documentWithLongKey,
 	} {
 		rejection := apply(document)
 		require.Equal(t, []any{uint64(7), key}, []any{rejection.GetNumber(), rejection.GetKey()})
@@ -63,5 +66,5 @@
 	core.err = broker.ErrEnded
 	require.Equal(t, "settings", apply(`{"discovery":"127.0.0.1:4",`+settings).GetKey())
 	require.Len(t, core.changes, 1)
-	require.Len(t, moves, 1)
+	require.Len(t, addresses, 1)
 }
--- a/cmd/mothrouter/assemble.go
+++ b/cmd/mothrouter/assemble.go
@@ -20,8 +20,8 @@
 	"mothrouter/internal/workers/cores"
 )
 
-// assemble creates the core and the components that run beside it. A component that depends on another is added, and
-// so started, after it.
+// assemble creates the core and the components that run beside it. Components start in the order in which they are added,
+// so a component is added after those that it depends on.
 func (p *process) assemble() error {
 	p.metrics = metrics.New(p.startConfig.Classes, func() metrics.Gauges { return metrics.Gauges(p.core.Gauges()) })
 	link := p.link()
@@ -32,7 +32,7 @@
 	if err := p.addFleet(); err != nil {
 		return err
 	}
-	p.makeCore(link)
+	p.createCore(link)
 	p.watcher = &discovery.Watcher{
 		Addr: p.startConfig.Discovery, NameTable: p.startConfig.NameTable, Since: p.startConfig.CachedVersion,
 		Update: p.core.Update, Log: p.log, Backoff: p.backoff,
@@ -56,7 +56,7 @@
 	return frames
 }
 
-// newMixedLink returns a link to the record servers of both protocols; flightConfig lists those that speak Flight.
+// newMixedLink returns a link to record servers of both protocols; flightConfig lists those that speak Flight.
 func newMixedLink(ctx context.Context, cfg *config.Config, flightConfig *config.Flight, frames broker.Link) broker.Link {
 	speaksFlight := map[string]bool{}
 	for _, id := range flightConfig.Servers {
@@ -68,7 +68,7 @@
 	})}
 }
 
-// addState restores the snapshot of server health and adds the component that saves it, if there is a file for it.
+// addState restores the snapshot of server health and adds the component that saves it, if -state is set.
 func (p *process) addState() error {
 	if p.files.state == "" {
 		return nil
@@ -86,7 +86,8 @@
 	return nil
 }
 
-// addBackoff sets the backoff of calls to services that all brokers share, for the fleet's size by the settings.
+// addBackoff creates the backoff of calls to services that all brokers share, for the fleet size in the settings
+// (settings.peersTotal).
 func (p *process) addBackoff() {
 	callers, inRange := backoff.ClampCallers(p.startConfig.Settings.Brokers)
 	if !inRange {
@@ -96,7 +97,7 @@
 	p.fleetSize, p.backoff = callers, backoff.New(callers, p.startConfig.Seed)
 }
 
-// addFleet adds the membership of the fleet, if there is a file for it.
+// addFleet adds fleet membership, if -fleet is set.
 func (p *process) addFleet() error {
 	if p.files.fleet == "" {
 		return nil
@@ -119,9 +120,9 @@
 	return nil
 }
 
-// joinFleet opens the process's membership socket. Whenever the fleet's size changes, it calls onResize with the number
-// of brokers that share slow-start budgets and the discovery service: at least the number by the settings. A fenced
-// broker, which a majority may have removed, takes the smallest share (backoff.MaxCallers).
+// joinFleet opens the process's membership socket. Whenever the size of the fleet changes, it calls onResize with the
+// number of brokers that share slow-start budgets and the discovery service, which is at least the number in the settings.
+// For a fenced broker, which a majority may have removed, that is backoff.MaxCallers: it takes the smallest share.
 func joinFleet(fleetConfig *config.Fleet, cfg *config.Config, log *slog.Logger, onResize func(n int)) (*fleet.Agent, error) {
 	return fleet.Listen(fleet.Options{
 		Listen: fleetConfig.Listen, Advertise: fleetConfig.Advertise, Fleet: fleetConfig.Fleet, Name: fleetConfig.Name,
@@ -136,9 +137,9 @@
 	})
 }
 
-// makeCore creates the core: one loop, or several with -cores. A panic of a single loop ends the process; one of
-// several loops closes workerFailed.
-func (p *process) makeCore(link broker.Link) {
+// createCore creates the core: one loop, or several with -cores. A panic in a single loop ends the process; with several
+// loops, a panic in any of them closes workerFailed.
+func (p *process) createCore(link broker.Link) {
 	cfg := p.startConfig
 	decider := p.components.Decider(func(_ int, set decision.Settings, seed uint64) decision.Decider {
 		return decision.New(set, seed)
@@ -153,5 +154,5 @@
 		Decider: decider,
 	}, link)
 	p.core, p.workerFailed = group, group.Failed()
-	p.log.Info("several cores", "workers", p.workers, "processors", runtime.NumCPU())
+	p.log.Info("workers created", "workers", p.workers, "processors", runtime.NumCPU())
 }
--- a/cmd/mothrouter/assemble_test.go
+++ b/cmd/mothrouter/assemble_test.go
@@ -15,13 +15,13 @@
 	"mothrouter/internal/config"
 )
 
-const startFile = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"peersTotal":1,
+const startupConfig = `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","settings":{"peersTotal":1,
 "classes":[{"name":"c","deadlineS":2,"objectiveS":1},{"name":"d","deadlineS":3}],"familyInfo":{"cells":1}}}`
 
 // assembledProcess returns a process that is assembled but not started.
 func assembledProcess(t *testing.T, files operatorFiles) *process {
 	path := filepath.Join(t.TempDir(), "config.json")
-	require.NoError(t, os.WriteFile(path, []byte(startFile), 0o600))
+	require.NoError(t, os.WriteFile(path, []byte(startupConfig), 0o600))
 	cfg, err := config.Load(func(key string) string { return map[string]string{"PROXY_CONFIG": path}[key] })
 	require.NoError(t, err)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -34,8 +34,8 @@
 	return p
 }
 
-// Without the -configuration flag there is no client of control machines, and so nothing that could change the classes
-// of the Decider. With it there is one.
+// Without the flag -configuration there is no configuration follower, and so nothing that could change the classes of the
+// Decider. With the flag there is one.
 func TestAssembleAddsConfigFollowerOnlyWithFlag(t *testing.T) {
 	require.Nil(t, assembledProcess(t, operatorFiles{}).configFollower)
 	p := assembledProcess(t, operatorFiles{configuration: "../../deploy/configuration.toml"})
--- a/cmd/mothrouter/attempt_ledger_test.go
+++ b/cmd/mothrouter/attempt_ledger_test.go
@@ -20,8 +20,8 @@
 	"mothrouter/internal/transport/frame"
 )
 
-// attemptLedger records the attempts that all record servers of a test receive, and checks the rules that bind the
-// broker: one attempt of a part in flight, at most four attempts, and a charge-post part runs at most once.
+// attemptLedger records the attempts that all record servers of a test receive, and checks that the broker keeps the rules
+// for attempts: a part has at most one attempt in flight and at most four attempts, and a charge-post part runs at most once.
 type attemptLedger struct {
 	t     *testing.T
 	mu    sync.Mutex // guards parts
@@ -36,40 +36,41 @@
 type partAttempts struct {
 	started  int
 	inFlight int
-	ran      int // those that were not rejected as full
+	ran      int // attempts that were not rejected as full
 }
 
-// maxAttempts is sendCap of the settings.
+// maxAttempts is the value of sendCap in settingsFormat.
 const maxAttempts = 4
 
-// cancelGrace is how long a record server may still work on an attempt that another server's has replaced: its cancel
-// and the next attempt use different connections.
+// cancelGrace is how long a record server may still work on a canceled attempt after another server has received the next
+// one: the cancel and the next attempt use different connections.
 const cancelGrace = 50 * time.Millisecond
 
-// The first attempt of one part in nine is rejected as full, and of another one in nine fails, by a hash of the id.
+// Injected faults, by a hash of the part id modulo faultModulus: the first attempt of one part in nine is rejected as full,
+// and that of another one in nine fails.
 const (
 	faultModulus  = 9
 	fullRemainder = 0
 	failRemainder = 1
 )
 
-// serveAttempt serves one attempt and returns its end as in a response frame: "done", "full" or "failed". It returns ""
+// serveAttempt serves one attempt and returns its outcome as in a response frame: "done", "full" or "failed". It returns ""
 // once the attempt is canceled.
-func (l *attemptLedger) serveAttempt(id string, canceled <-chan struct{}) (end string) {
+func (l *attemptLedger) serveAttempt(id string, canceled <-chan struct{}) (outcome string) {
 	hash := fnv.New32()
 	hash.Write([]byte(id))
-	part, end := l.begin(id, hash.Sum32())
+	part, outcome := l.begin(id, hash.Sum32())
 	defer l.finish(part)
 	select {
 	case <-time.After(time.Duration(5+hash.Sum32()%10) * time.Millisecond):
-		return end
+		return outcome
 	case <-canceled:
 		return ""
 	}
 }
 
-// begin records an attempt, checks the rules and returns how the attempt ends.
-func (l *attemptLedger) begin(id string, hash uint32) (part *partAttempts, end string) {
+// begin records an attempt, checks the rules and returns the outcome of the attempt.
+func (l *attemptLedger) begin(id string, hash uint32) (part *partAttempts, outcome string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	part = l.parts[id]
@@ -106,65 +107,66 @@
 	part.inFlight--
 }
 
-// serveFrames serves a listener as a record server that speaks frames, until the listener is closed.
+// serveFrames serves the frame protocol as a record server, until the listener is closed.
 func (l *attemptLedger) serveFrames(listener net.Listener) {
 	for {
 		c, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		s := &frameServerConn{Conn: c, ledger: l, cancels: map[string]chan struct{}{}}
-		go s.serve()
+		serverConn := &frameServerConn{Conn: c, ledger: l, cancels: map[string]chan struct{}{}}
+		go serverConn.serve()
 	}
 }
 
-// frameServerConn is a record server's connection.
+// frameServerConn is a connection of a record server that speaks the frame protocol.
 type frameServerConn struct {
 	net.Conn
 	ledger  *attemptLedger
-	writing sync.Mutex               // held while a frame is written
-	cancels map[string]chan struct{} // by part id; closed when the attempt is canceled
+	writeMu sync.Mutex               // held while a frame is written
+	cancels map[string]chan struct{} // by part id; each is closed when its attempt is canceled
 }
 
-// serve reads frames until the connection ends, which cancels what is in flight.
-func (s *frameServerConn) serve() {
-	defer s.Close()
+// serve reads frames until the connection ends, which cancels the attempts in flight.
+func (c *frameServerConn) serve() {
+	defer c.Close()
 	defer func() {
-		for _, cancel := range s.cancels {
+		for _, cancel := range c.cancels {
 			close(cancel)
 		}
 	}()
-	recordservertest.ReadFrames(s, s.handle)
+	recordservertest.ReadFrames(c, c.handle)
 }
 
 // handle starts an attempt ('S') or cancels one ('C').
-func (s *frameServerConn) handle(message frame.Message) {
-	first, _, _ := bytes.Cut(message.Body, []byte{' '})
-	id := string(first)
+func (c *frameServerConn) handle(message frame.Message) {
+	idField, _, _ := bytes.Cut(message.Body, []byte{' '})
+	id := string(idField)
 	switch message.Type {
 	case 'S':
 		cancel := make(chan struct{})
-		s.cancels[id] = cancel
-		go s.respond(id, cancel)
+		c.cancels[id] = cancel
+		go c.respond(id, cancel)
 	case 'C':
-		if cancel := s.cancels[id]; cancel != nil {
+		if cancel := c.cancels[id]; cancel != nil {
 			close(cancel)
-			delete(s.cancels, id)
+			delete(c.cancels, id)
 		}
 	}
 }
 
-func (s *frameServerConn) respond(id string, canceled <-chan struct{}) {
-	end := s.ledger.serveAttempt(id, canceled)
-	if end == "" {
+// respond serves an attempt and sends its response, unless the attempt is canceled.
+func (c *frameServerConn) respond(id string, canceled <-chan struct{}) {
+	outcome := c.ledger.serveAttempt(id, canceled)
+	if outcome == "" {
 		return
 	}
-	s.writing.Lock()
-	defer s.writing.Unlock()
-	s.Write(frame.Append(nil, 'R', id+" "+end+" 1 inflight=1,util=0.2\nv"))
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	c.Write(frame.Append(nil, 'R', id+" "+outcome+" 1 inflight=1,util=0.2\nv"))
 }
 
-// serveFlight answers a part as a record server that speaks Flight.
+// serveFlight serves one part over Flight as a record server.
 func (l *attemptLedger) serveFlight(part mothflight.PartTicket, stream flight.FlightService_DoGetServer) error {
 	switch l.serveAttempt(part.ID, stream.Context().Done()) {
 	case "":
--- a/cmd/mothrouter/commands.go
+++ b/cmd/mothrouter/commands.go
@@ -8,10 +8,10 @@
 	"github.com/spf13/cobra"
 )
 
-// commands holds the first arguments that name a command. Any other arguments start a broker and are its flags.
+// commands is the set of subcommands. With any other first argument the process is a broker, and the arguments are its flags.
 var commands = map[string]bool{"state": true, "control": true, "config": true}
 
-// isCommand reports whether the process's arguments name a command rather than start a broker.
+// isCommand reports whether the process's arguments name a subcommand rather than start a broker.
 func isCommand(args []string) bool { return len(args) > 1 && commands[args[1]] }
 
 // exitError is an error with an exit status other than 1.
@@ -22,7 +22,7 @@
 
 func (e exitError) Unwrap() error { return e.error }
 
-// runCommand runs the command that the process's arguments name and returns the exit status.
+// runCommand runs the subcommand that the process's arguments name and returns the exit status.
 func runCommand() int {
 	root := stateCommand()
 	root.AddCommand(controlCommand(), configCommand())
--- a/cmd/mothrouter/config_command.go
+++ b/cmd/mothrouter/config_command.go
@@ -26,7 +26,7 @@
 
 // configCommand returns `mothrouter config`, which publishes and shows the configuration of all brokers.
 func configCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Publish the configuration of all brokers, and see where it is in force"}
+	c := &cobra.Command{Use: "config", Short: "Publish the configuration of all brokers and show where it is in force"}
 	c.AddCommand(publishCommand(), statusCommand(), showCommand())
 	return c
 }
@@ -34,14 +34,14 @@
 func publishCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use: "publish FILE", Short: "Publish a document as the newest revision", Args: cobra.ExactArgs(1),
-		Long: "Publish a document as the newest revision. It ends with status 0 once the document is committed, with 1 if\n" +
-			"it was refused or surely not taken, and with 3 if nobody knows: then run it again with --request.",
+		Long: "Publish a document as the newest revision. The exit status is 0 once the document is committed, 1 if it was\n" +
+			"rejected or certainly not committed, and 3 if the outcome is unknown: then run it again with --request.",
 	}
 	addresses := addressesFlag(c)
-	expect := c.Flags().Uint64("expect", 0, "refuse unless the newest revision is this `number`; 0: whichever it is")
+	expect := c.Flags().Uint64("expect", 0, "reject the document unless the newest revision is this `number`; 0: any")
 	request := c.Flags().String("request", "",
-		"`id` of an earlier try, as it was printed; the same document may be tried again")
-	timeout := c.Flags().Duration("timeout", 30*time.Second, "give up after so long")
+		"`id` of an earlier attempt, as it was printed: the same document is committed at most once")
+	timeout := c.Flags().Duration("timeout", 30*time.Second, "give up after this time")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		document, err := os.ReadFile(args[0])
 		if err != nil {
@@ -75,19 +75,19 @@
 	}
 	id, err := strconv.ParseUint(s, 16, 64)
 	if err != nil || id == 0 {
-		return 0, fmt.Errorf("--request: %q is not an id that was printed", s)
+		return 0, fmt.Errorf("--request: %q is not a request id, want a hexadecimal number above 0", s)
 	}
 	return id, nil
 }
 
 func statusCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "status", Short: "Ask all control machines, and show where which revision is in force", Args: cobra.NoArgs,
+		Use: "status", Short: "Query all control machines and show which revision is in force where", Args: cobra.NoArgs,
 	}
 	addresses := addressesFlag(c)
-	asJSON := c.Flags().Bool("json", false, "write all of it as JSON")
-	timeout := c.Flags().Duration("timeout", 3*time.Second, "wait so long for each machine")
-	revisions := c.Flags().Int("revisions", 10, "list so many revisions in the table")
+	asJSON := c.Flags().Bool("json", false, "write the status as JSON")
+	timeout := c.Flags().Duration("timeout", 3*time.Second, "wait this long for each control machine")
+	revisions := c.Flags().Int("revisions", 10, "list at most this many revisions in the table")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		view := configstatus.Merge(queryAll(c.Context(), *addresses, *timeout))
 		if err := writeView(c.OutOrStdout(), view, *asJSON, *revisions); err != nil {
@@ -130,16 +130,16 @@
 
 func showCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "show [N]", Short: "Write the document of revision N, or of the newest", Args: cobra.MaximumNArgs(1),
+		Use: "show [N]", Short: "Print the document of revision N, or of the newest revision", Args: cobra.MaximumNArgs(1),
 	}
 	addresses := addressesFlag(c)
-	timeout := c.Flags().Duration("timeout", 10*time.Second, "give up after so long")
+	timeout := c.Flags().Duration("timeout", 10*time.Second, "give up after this time")
 	c.RunE = func(c *cobra.Command, args []string) error {
 		number := uint64(0)
 		if len(args) > 0 {
 			n, err := strconv.ParseUint(args[0], 10, 64)
 			if err != nil || n == 0 {
-				return fmt.Errorf("%q is no number of a revision", args[0])
+				return fmt.Errorf("%q is not a revision number, want 1 or more", args[0])
 			}
 			number = n
 		}
--- a/cmd/mothrouter/configuration.go
+++ b/cmd/mothrouter/configuration.go
@@ -12,7 +12,7 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// addConfiguration adds the client that follows the control machines' revisions, if there is a file for it.
+// addConfiguration adds the configuration follower, which receives revisions from control machines, if -configuration is set.
 func (p *process) addConfiguration() error {
 	if p.files.configuration == "" {
 		return nil
@@ -21,11 +21,11 @@
 	if err != nil {
 		return err
 	}
-	start, err := p.startConfig.Document()
+	startup, err := p.startConfig.Document()
 	if err != nil {
 		return err
 	}
-	applier := &applier{start: start, core: p.core, discovery: p.discoverySwitch, log: p.log}
+	applier := &applier{startup: startup, core: p.core, discovery: p.discoverySwitch, log: p.log}
 	p.configFollower, err = configfollower.New(configfollower.Options{
 		Name: followerConfig.Name, StartedAt: p.started, Zone: followerConfig.Zone, Region: followerConfig.Region,
 		Machines: followerConfig.ControlMachines, FleetSize: p.fleetSize, Seed: p.startConfig.Seed, Log: p.log, Apply: applier.apply,
@@ -39,7 +39,7 @@
 
 // applier puts revisions of the configuration in force.
 type applier struct {
-	start     *config.Document // what the process started with; some keys may not differ from it
+	startup   *config.Document // the startup configuration; keys that need a restart may not differ from it
 	core      interface{ Configure(broker.Change) error }
 	discovery *discoverySwitch
 	log       *slog.Logger
@@ -49,7 +49,7 @@
 func (a *applier) apply(revision *configpb.Revision) *configpb.Refusal {
 	document, err := config.ParseDocument(revision.GetDocument())
 	if err == nil {
-		err = document.CheckChangeFrom(a.start)
+		err = document.CheckChangeFrom(a.startup)
 	}
 	if err == nil {
 		err = a.core.Configure(document.Change())
@@ -63,18 +63,18 @@
 	return nil
 }
 
-// discoverySwitch sets the address of the discovery service from which the endpoint list is watched. Two sources set
-// it, and the latest call wins: each revision that is put in force, and the configuration file on SIGHUP, but only if
-// its address differs from the last time that the file was read. So a SIGHUP for another key does not undo a revision.
+// discoverySwitch sets the address of the discovery service whose endpoint list is watched. Two sources set it, and the
+// latest call wins: each revision that is put in force, and the configuration file on SIGHUP, but only if the address in
+// the file has changed since it was last read. So a SIGHUP for another key does not undo a revision.
 type discoverySwitch struct {
-	mu            sync.Mutex // guards address and orders the calls of changeAddress
+	mu            sync.Mutex // guards address and serializes calls to changeAddress
 	address       string     // in use
 	changeAddress func(address string)
 	log           *slog.Logger
 }
 
-// switchTo watches the endpoint list at another address. It does nothing if the address is in use already. The source
-// is "revision" or "file", for the log.
+// switchTo moves the watch of the endpoint list to another address. It does nothing if the address is already in use. The
+// source of the address, "revision" or "file", is logged.
 func (s *discoverySwitch) switchTo(address, source string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/cmd/mothrouter/control.go
+++ b/cmd/mothrouter/control.go
@@ -20,11 +20,11 @@
 // controlCommand returns `mothrouter control`, which runs a control machine in the foreground.
 func controlCommand() *cobra.Command {
 	c := &cobra.Command{
-		Use: "control FILE", Short: "Run a control machine, as FILE tells, such as deploy/control.toml",
+		Use: "control FILE", Short: "Run a control machine with the settings in FILE, such as deploy/control.toml",
 		Args: cobra.ExactArgs(1),
 	}
 	create := c.Flags().Bool("create", false,
-		"make a new log; only once, for a new fleet of control machines: the folder must have none")
+		"create a new replicated log, once for a new fleet of control machines; the folder must not have one")
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		file, err := config.LoadControlMachine(args[0])
 		if err != nil {
@@ -71,8 +71,8 @@
 	return l, nil
 }
 
-// validateDocument checks a configuration document, and that brokers can change to it from the newest revision's
-// without a restart; newest is nil if there is no revision. It returns nil for a valid document.
+// validateDocument checks a configuration document, and that brokers can change to it from the document of the newest
+// revision without a restart; newest is nil if there is no revision. It returns nil for a valid document.
 func validateDocument(document, newest []byte) *configpb.Refusal {
 	next, err := config.ParseDocument(document)
 	if err != nil {
@@ -82,7 +82,7 @@
 		return nil
 	}
 	previous, err := config.ParseDocument(newest)
-	if err != nil { // committed by another release of this program; brokers compare with what they have in force
+	if err != nil { // committed by another release of this program; brokers compare with their own configuration
 		return nil
 	}
 	if err := next.CheckChangeFrom(previous); err != nil {
--- a/cmd/mothrouter/exchange_message_test.go
+++ b/cmd/mothrouter/exchange_message_test.go
@@ -16,14 +16,14 @@
 // isServer reports whether a peer of an exchange is a record server.
 func isServer(name string) bool { return serverName.MatchString(name) }
 
-// encodeMessage returns a recorded message as it is sent over the socket.
+// encodeMessage returns the bytes that a peer sends for a recorded message.
 func encodeMessage(peer, message string) []byte {
 	if isServer(peer) {
 		messageType, rest, _ := strings.Cut(message, " ")
 		b := binary.BigEndian.AppendUint32(nil, uint32(1+len(rest)))
 		return append(append(b, messageType...), rest...)
 	}
-	if line, ok := strings.CutPrefix(message, "~line"); ok { // an update of the endpoint watch, sent as a chunk
+	if line, ok := strings.CutPrefix(message, "~line"); ok { // an update in the watch of the endpoint list, sent as a chunk
 		line = strings.TrimSpace(line)
 		return fmt.Appendf(nil, "%x\r\n%s\n\r\n", len(line)+1, line)
 	}
@@ -39,7 +39,7 @@
 	return []byte(head + "\r\n\r\n" + body)
 }
 
-// readMessage reads the next message that the program sends to a peer, in the form of the recorded ones.
+// readMessage reads the next message that the program sends to a peer and returns it in the notation of the recordings.
 func readMessage(peer string, in *bufio.Reader) (string, error) {
 	if isServer(peer) {
 		return readFrame(in)
--- a/cmd/mothrouter/flight_server_test.go
+++ b/cmd/mothrouter/flight_server_test.go
@@ -29,11 +29,12 @@
 	"mothrouter/internal/transport/httpwire"
 )
 
-// flightRecordServer is a fake record server that speaks Flight. The test decides its answer to a part.
+// flightRecordServer is a fake record server that speaks Flight. The test supplies the function that answers parts.
 type flightRecordServer struct {
 	flight.BaseFlightServer
-	answer   func(t mothflight.PartTicket, s flight.FlightService_DoGetServer) error
-	mu       sync.Mutex
+	answer func(part mothflight.PartTicket, stream flight.FlightService_DoGetServer) error
+
+	mu       sync.Mutex // guards the fields below
 	conns    []net.Conn
 	received []string // part ids, in order
 }
@@ -41,15 +42,15 @@
 // trackedListener records the connections that it accepts, so that the server can close them.
 type trackedListener struct {
 	net.Listener
-	s *flightRecordServer
+	server *flightRecordServer
 }
 
 func (l trackedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
-		l.s.mu.Lock()
-		l.s.conns = append(l.s.conns, c)
-		l.s.mu.Unlock()
+		l.server.mu.Lock()
+		l.server.conns = append(l.server.conns, c)
+		l.server.mu.Unlock()
 	}
 	return c, err
 }
@@ -63,75 +64,82 @@
 	}
 }
 
-func (s *flightRecordServer) parts() []string {
+// receivedParts returns the ids of the received parts, in order.
+func (s *flightRecordServer) receivedParts() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.received...)
 }
 
 func (s *flightRecordServer) DoGet(ticket *flight.Ticket, stream flight.FlightService_DoGetServer) error {
-	var t mothflight.PartTicket
-	if err := json.Unmarshal(ticket.Ticket, &t); err != nil {
+	var part mothflight.PartTicket
+	if err := json.Unmarshal(ticket.Ticket, &part); err != nil {
 		return status.Error(codes.InvalidArgument, err.Error())
 	}
 	s.mu.Lock()
-	s.received = append(s.received, t.ID)
+	s.received = append(s.received, part.ID)
 	s.mu.Unlock()
-	return s.answer(t, stream)
+	return s.answer(part, stream)
 }
 
-// sendValue sends a part's value in pieces, a record batch each.
+// sendValue sends a part's value in pieces, each as a record batch.
 func sendValue(stream flight.FlightService_DoGetServer, pieces ...string) error {
 	schema := arrow.NewSchema([]arrow.Field{{Name: "value", Type: arrow.BinaryTypes.String}}, nil)
 	w := flight.NewRecordWriter(stream, ipc.WithSchema(schema))
 	for _, piece := range pieces {
 		b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
 		b.Field(0).(*array.StringBuilder).Append(piece)
-		rec := b.NewRecordBatch()
-		if err := w.WriteWithAppMetadata(rec, []byte("inflight=2,util=0.3")); err != nil {
+		batch := b.NewRecordBatch()
+		if err := w.WriteWithAppMetadata(batch, []byte("inflight=2,util=0.3")); err != nil {
 			return err
 		}
 	}
 	return w.Close()
 }
 
-func (p *exchangePlayer) flightServer(name string, answer func(mothflight.PartTicket, flight.FlightService_DoGetServer) error) *flightRecordServer {
-	s := &flightRecordServer{answer: answer}
-	g := grpc.NewServer()
-	flight.RegisterFlightServiceServer(g, s)
-	go g.Serve(trackedListener{p.listener(name), s})
-	p.t.Cleanup(g.Stop)
-	return s
-}
-
-// startFlight runs the program with Flight on and returns a client of it.
-func (p *exchangePlayer) startFlight(speaks string, known ...string) flight.Client {
-	addr := unusedAddress(p.t)
-	file := filepath.Join(p.t.TempDir(), "flight.toml")
-	text := fmt.Sprintf("listen = %q\nservers = [%s]\n", addr, speaks)
-	require.NoError(p.t, os.WriteFile(file, []byte(text), 0o600))
-	p.start(known, 400, 1024, 15, "-flight", file)
+// startFlightServer starts a record server that speaks Flight.
+func (r *exchangeReplayer) startFlightServer(
+	name string, answer func(mothflight.PartTicket, flight.FlightService_DoGetServer) error,
+) *flightRecordServer {
+	server := &flightRecordServer{answer: answer}
+	grpcServer := grpc.NewServer()
+	flight.RegisterFlightServiceServer(grpcServer, server)
+	go grpcServer.Serve(trackedListener{r.listener(name), server})
+	r.t.Cleanup(grpcServer.Stop)
+	return server
+}
+
+// startFlight runs the program with Flight enabled and returns a client of it. Of the known record servers, flightServers
+// lists those that speak Flight, as the elements of a TOML array.
+func (r *exchangeReplayer) startFlight(flightServers string, known ...string) flight.Client {
+	addr := unusedAddress(r.t)
+	file := filepath.Join(r.t.TempDir(), "flight.toml")
+	text := fmt.Sprintf("listen = %q\nservers = [%s]\n", addr, flightServers)
+	require.NoError(r.t, os.WriteFile(file, []byte(text), 0o600))
+	r.start(known, 400, 1024, 15, "-flight", file)
 	conn, err := grpc.NewClient("passthrough:///"+addr, grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithInitialWindowSize(64<<10), grpc.WithInitialConnWindowSize(64<<10)) // so that a large answer blocks
-	require.NoError(p.t, err)
-	p.t.Cleanup(func() { conn.Close() })
+		grpc.WithInitialWindowSize(64<<10), grpc.WithInitialConnWindowSize(64<<10)) // small, so that a large answer blocks
+	require.NoError(r.t, err)
+	r.t.Cleanup(func() { conn.Close() })
 	return flight.NewClientFromConn(conn, nil)
 }
 
+// queryTicket returns the Flight ticket of a query over partitions 0 to parts-1.
 func queryTicket(id, class string, parts int) []byte {
-	t := mothflight.Ticket{ID: id, Class: class, Body: httpwire.Body{Query: "x"}}
+	ticket := mothflight.Ticket{ID: id, Class: class, Body: httpwire.Body{Query: "x"}}
 	for i := range parts {
-		t.Targets = append(t.Targets, httpwire.Target{Partition: i, Weight: 1 / float64(parts)})
+		ticket.Targets = append(ticket.Targets, httpwire.Target{Partition: i, Weight: 1 / float64(parts)})
 	}
-	text, err := json.Marshal(t)
+	text, err := json.Marshal(ticket)
 	if err != nil {
 		panic(err)
 	}
 	return text
 }
 
+// flightAnswer is the answer to a query over Flight.
 type flightAnswer struct {
-	values  map[int32]string
+	values  map[int32]string    // by partition
 	closing *mothflight.Closing // nil: the answer was truncated
 	schema  *arrow.Schema
 }
@@ -165,7 +173,7 @@
 	return a, err
 }
 
-// metadataStream stores the metadata of the last message, which carries no rows.
+// metadataStream stores the metadata of the latest message in last, and skips messages that consist of metadata only.
 type metadataStream struct {
 	flight.FlightService_DoGetClient
 	last *[]byte
@@ -182,13 +190,14 @@
 	return m, err
 }
 
+// shortContext returns a context that ends after 3 s.
 func shortContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// isRejection reports whether an error says that the query may be retried.
+// isRejection reports whether an error is a rejection, after which a client may retry its query.
 func isRejection(err error) bool {
 	for _, d := range status.Convert(err).Details() {
 		if _, ok := d.(*errdetails.RetryInfo); ok {
@@ -198,6 +207,7 @@
 	return false
 }
 
-func answerPart(t mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
-	return sendValue(s, "v", fmt.Sprint(t.Partition))
+// answerPart answers a part with "v" and the number of its partition, in two record batches.
+func answerPart(part mothflight.PartTicket, stream flight.FlightService_DoGetServer) error {
+	return sendValue(stream, "v", fmt.Sprint(part.Partition))
 }
--- a/cmd/mothrouter/flight_test.go
+++ b/cmd/mothrouter/flight_test.go
@@ -23,159 +23,162 @@
 )
 
 func TestFlightServesQueries(t *testing.T) {
-	p := newPlayer(t)
-	s0 := p.flightServer("s0", answerPart)
-	c := p.startFlight(`"s0"`, "s0")
-	a, err := fetchAnswer(shortContext(t), c, queryTicket("q1", "tariff-report", 5))
+	replayer := newReplayer(t)
+	s0 := replayer.startFlightServer("s0", answerPart)
+	client := replayer.startFlight(`"s0"`, "s0")
+	answer, err := fetchAnswer(shortContext(t), client, queryTicket("q1", "tariff-report", 5))
 	require.NoError(t, err)
-	require.Equal(t, map[int32]string{0: "v0", 1: "v1", 2: "v2", 3: "v3", 4: "v4"}, a.values)
-	require.Equal(t, &mothflight.Closing{ID: "q1", Class: "tariff-report", Complete: true, Parts: 5}, a.closing)
-	md := a.schema.Metadata()
+	require.Equal(t, map[int32]string{0: "v0", 1: "v1", 2: "v2", 3: "v3", 4: "v4"}, answer.values)
+	require.Equal(t, &mothflight.Closing{ID: "q1", Class: "tariff-report", Complete: true, Parts: 5}, answer.closing)
+	md := answer.schema.Metadata()
 	require.Equal(t, map[string]string{"mothrouter.id": "q1", "mothrouter.class": "tariff-report"}, md.ToMap())
-	require.Len(t, s0.parts(), 5)
-	info, err := c.GetFlightInfo(shortContext(t), &flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: queryTicket("q2", "charge-post", 1)})
+	require.Len(t, s0.receivedParts(), 5)
+	info, err := client.GetFlightInfo(shortContext(t),
+		&flight.FlightDescriptor{Type: flight.DescriptorCMD, Cmd: queryTicket("q2", "charge-post", 1)})
 	require.NoError(t, err)
-	a, err = fetchAnswer(shortContext(t), c, info.Endpoint[0].Ticket.Ticket)
+	answer, err = fetchAnswer(shortContext(t), client, info.Endpoint[0].Ticket.Ticket)
 	require.NoError(t, err)
-	require.True(t, a.closing.Complete)
+	require.True(t, answer.closing.Complete)
 }
 
 func TestFlightReturnsStatusCodes(t *testing.T) {
-	p := newPlayer(t)
-	begun, hold := make(chan struct{}), make(chan struct{})
-	p.flightServer("s0", func(mothflight.PartTicket, flight.FlightService_DoGetServer) error {
-		close(begun)
-		<-hold
+	replayer := newReplayer(t)
+	received, release := make(chan struct{}), make(chan struct{})
+	replayer.startFlightServer("s0", func(mothflight.PartTicket, flight.FlightService_DoGetServer) error {
+		close(received)
+		<-release
 		return status.Error(codes.Aborted, "failed")
 	})
-	c := p.startFlight(`"s0"`, "s0")
+	client := replayer.startFlight(`"s0"`, "s0")
 	for want, text := range map[codes.Code]string{
 		codes.InvalidArgument: string(queryTicket("", "charge-post", 1)), codes.NotFound: string(queryTicket("q", "no-such", 1)),
 	} {
-		_, err := fetchAnswer(shortContext(t), c, []byte(text))
+		_, err := fetchAnswer(shortContext(t), client, []byte(text))
 		require.Equal(t, want, status.Code(err))
 	}
-	_, err := fetchAnswer(shortContext(t), c, []byte("{"))
+	_, err := fetchAnswer(shortContext(t), client, []byte("{"))
 	require.Equal(t, codes.InvalidArgument, status.Code(err))
 	first := make(chan error, 1)
 	ctx := shortContext(t)
 	go func() {
-		_, err := fetchAnswer(ctx, c, queryTicket("q", "charge-post", 1))
+		_, err := fetchAnswer(ctx, client, queryTicket("q", "charge-post", 1))
 		first <- err
 	}()
-	<-begun
-	_, err = fetchAnswer(ctx, c, queryTicket("q", "charge-post", 0)) // the same id while it is held
+	<-received
+	_, err = fetchAnswer(ctx, client, queryTicket("q", "charge-post", 0)) // invalid, with the id of a query in flight
 	require.Equal(t, codes.InvalidArgument, status.Code(err))
-	_, err = fetchAnswer(ctx, c, queryTicket("q", "charge-post", 1))
+	_, err = fetchAnswer(ctx, client, queryTicket("q", "charge-post", 1))
 	require.Equal(t, codes.AlreadyExists, status.Code(err))
-	close(hold)
-	require.Equal(t, codes.Aborted, status.Code(<-first)) // it may have run
+	close(release)
+	require.Equal(t, codes.Aborted, status.Code(<-first)) // the part may have run
 }
 
-// A part whose stream breaks halfway does not count as answered and is retried, as a tariff-report is idempotent.
+// A part whose stream breaks halfway does not count as answered. It is retried, since a tariff-report is idempotent.
 func TestFlightRetriesTruncatedStream(t *testing.T) {
-	p := newPlayer(t)
+	replayer := newReplayer(t)
 	var servers [2]*flightRecordServer
 	var once sync.Once
 	for i := range servers {
-		servers[i] = p.flightServer(fmt.Sprint("s", i), func(mt mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
+		name := fmt.Sprint("s", i)
+		servers[i] = replayer.startFlightServer(name, func(part mothflight.PartTicket, stream flight.FlightService_DoGetServer) error {
 			broke := false
 			once.Do(func() {
 				broke = true
 				schema := arrow.NewSchema([]arrow.Field{{Name: "value", Type: arrow.BinaryTypes.String}}, nil)
-				w := flight.NewRecordWriter(s, ipc.WithSchema(schema))
+				w := flight.NewRecordWriter(stream, ipc.WithSchema(schema))
 				b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
 				b.Field(0).(*array.StringBuilder).Append("half")
 				if err := w.Write(b.NewRecordBatch()); err == nil {
-					time.Sleep(50 * time.Millisecond) // so that the half has left
+					time.Sleep(50 * time.Millisecond) // for the first batch to be sent
 				}
 				servers[i].closeConnections()
 			})
 			if broke {
-				<-s.Context().Done()
-				return s.Context().Err()
+				<-stream.Context().Done()
+				return stream.Context().Err()
 			}
-			return answerPart(mt, s)
+			return answerPart(part, stream)
 		})
 	}
-	c := p.startFlight(`"s0", "s1"`, "s0", "s1")
-	a, err := fetchAnswer(shortContext(t), c, queryTicket("q1", "tariff-report", 1))
+	client := replayer.startFlight(`"s0", "s1"`, "s0", "s1")
+	answer, err := fetchAnswer(shortContext(t), client, queryTicket("q1", "tariff-report", 1))
 	require.NoError(t, err)
-	require.Equal(t, map[int32]string{0: "v0"}, a.values)
-	require.True(t, a.closing.Complete)
-	require.Equal(t, []string{"q1.0", "q1.0"}, append(servers[0].parts(), servers[1].parts()...))
+	require.Equal(t, map[int32]string{0: "v0"}, answer.values)
+	require.True(t, answer.closing.Complete)
+	require.Equal(t, []string{"q1.0", "q1.0"}, append(servers[0].receivedParts(), servers[1].receivedParts()...))
 }
 
 // A charge-post part whose stream ends without a status may have run: it is neither retried nor rejected.
 func TestFlightNeverRetriesNonIdempotentAfterReset(t *testing.T) {
-	p := newPlayer(t)
+	replayer := newReplayer(t)
 	var servers [2]*flightRecordServer
 	for i := range servers {
-		servers[i] = p.flightServer(fmt.Sprint("s", i), func(_ mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
+		name := fmt.Sprint("s", i)
+		servers[i] = replayer.startFlightServer(name, func(_ mothflight.PartTicket, stream flight.FlightService_DoGetServer) error {
 			servers[i].closeConnections()
-			<-s.Context().Done()
-			return s.Context().Err()
+			<-stream.Context().Done()
+			return stream.Context().Err()
 		})
 	}
-	c := p.startFlight(`"s0", "s1"`, "s0", "s1")
-	_, err := fetchAnswer(shortContext(t), c, queryTicket("q1", "charge-post", 1))
+	client := replayer.startFlight(`"s0", "s1"`, "s0", "s1")
+	_, err := fetchAnswer(shortContext(t), client, queryTicket("q1", "charge-post", 1))
 	require.Equal(t, codes.Aborted, status.Code(err))
 	require.False(t, isRejection(err))
 	time.Sleep(quietInterval)
-	require.Len(t, append(servers[0].parts(), servers[1].parts()...), 1)
+	require.Len(t, append(servers[0].receivedParts(), servers[1].receivedParts()...), 1)
 }
 
 // A part that a server rejects, or whose server cannot be reached, has not run: it is sent to another server, and
 // without one the query is rejected.
-func TestFlightRejections(t *testing.T) {
-	p := newPlayer(t)
+func TestFlightRetriesOrRejectsQueryThatHasNotRun(t *testing.T) {
+	replayer := newReplayer(t)
 	full, err := status.New(codes.Unavailable, "full").WithDetails(&errdetails.RetryInfo{})
 	require.NoError(t, err)
 	var once sync.Once
-	answer := func(mt mothflight.PartTicket, s flight.FlightService_DoGetServer) (err error) {
+	rejectFirst := func(part mothflight.PartTicket, stream flight.FlightService_DoGetServer) (err error) {
 		once.Do(func() { err = full.Err() })
 		if err == nil {
-			err = answerPart(mt, s)
+			err = answerPart(part, stream)
 		}
 		return err
 	}
-	s0, s1 := p.flightServer("s0", answer), p.flightServer("s1", answer)
-	c := p.startFlight(`"s0", "s1", "s2"`, "s0", "s1")
-	a, err := fetchAnswer(shortContext(t), c, queryTicket("q1", "charge-post", 1))
+	s0, s1 := replayer.startFlightServer("s0", rejectFirst), replayer.startFlightServer("s1", rejectFirst)
+	client := replayer.startFlight(`"s0", "s1", "s2"`, "s0", "s1")
+	answer, err := fetchAnswer(shortContext(t), client, queryTicket("q1", "charge-post", 1))
 	require.NoError(t, err)
-	require.True(t, a.closing.Complete)
-	require.Len(t, append(s0.parts(), s1.parts()...), 2)
+	require.True(t, answer.closing.Complete)
+	require.Len(t, append(s0.receivedParts(), s1.receivedParts()...), 2)
 
-	p = newPlayer(t)
-	p.play("s2 is down", "")
-	c = p.startFlight(`"s2"`, "s2")
-	_, err = fetchAnswer(shortContext(t), c, queryTicket("q1", "charge-post", 1))
+	replayer = newReplayer(t)
+	replayer.replayStep("s2 is down", "")
+	client = replayer.startFlight(`"s2"`, "s2")
+	_, err = fetchAnswer(shortContext(t), client, queryTicket("q1", "charge-post", 1))
 	require.True(t, isRejection(err), "%v", err)
 }
 
 // A client that cancels ends its query: the record server's context ends, and the query's id can be used again.
 func TestFlightCancelEndsQuery(t *testing.T) {
-	p := newPlayer(t)
+	replayer := newReplayer(t)
 	received, canceled := make(chan struct{}), make(chan struct{})
 	var first sync.Once
-	s0 := p.flightServer("s0", func(part mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
+	s0 := replayer.startFlightServer("s0", func(part mothflight.PartTicket, stream flight.FlightService_DoGetServer) error {
 		held := false
 		first.Do(func() {
 			held = true
 			close(received)
-			<-s.Context().Done()
+			<-stream.Context().Done()
 			close(canceled)
 		})
 		if held {
-			return s.Context().Err()
+			return stream.Context().Err()
 		}
-		return answerPart(part, s)
+		return answerPart(part, stream)
 	})
-	c := p.startFlight(`"s0"`, "s0")
+	client := replayer.startFlight(`"s0"`, "s0")
 	ctx, cancel := context.WithCancel(shortContext(t))
 	clientErr := make(chan error, 1)
 	go func() {
-		_, err := fetchAnswer(ctx, c, queryTicket("q1", "charge-post", 1))
+		_, err := fetchAnswer(ctx, client, queryTicket("q1", "charge-post", 1))
 		clientErr <- err
 	}()
 	<-received
@@ -184,15 +187,15 @@
 	<-canceled
 
 	// Slow-start admission may reject the next query while the record server has not answered yet, but not for long.
-	var a flightAnswer
+	var answer flightAnswer
 	var err error
 	require.Eventually(t, func() bool {
-		a, err = fetchAnswer(shortContext(t), c, queryTicket("q1", "charge-post", 1))
+		answer, err = fetchAnswer(shortContext(t), client, queryTicket("q1", "charge-post", 1))
 		return !isRejection(err)
 	}, waitTimeout, time.Millisecond)
 	require.NoError(t, err)
-	require.True(t, a.closing.Complete)
-	require.Equal(t, []string{"q1.0", "q1.0"}, s0.parts(), "a rejected query was sent all the same")
+	require.True(t, answer.closing.Complete)
+	require.Equal(t, []string{"q1.0", "q1.0"}, s0.receivedParts(), "a part of a rejected query was sent")
 }
 
 // advertisedDeadline is a client's context that sends a deadline to the server but does not end at it.
@@ -203,29 +206,29 @@
 
 func (c advertisedDeadline) Deadline() (time.Time, bool) { return c.at, true }
 
-// A query whose deadline passes while its non-idempotent part is in flight fails and is never rejected. On a busy
-// machine a query may be rejected before anything is sent: then none of its parts may reach the record server. That the
-// answer leaves before the deadline is tested on a virtual clock, in internal/transport/flight.
+// A query whose deadline passes while its non-idempotent part is in flight fails and is never rejected. On a busy machine a
+// query may be rejected before any part is sent: then none of its parts may reach the record server. A test on a virtual
+// clock in internal/transport/flight checks that the answer is sent before the deadline.
 func TestFlightDeadlineFailsNonIdempotent(t *testing.T) {
-	const wait = 300 * time.Millisecond
-	p := newPlayer(t)
-	left, ended := make(chan time.Duration, 99), make(chan struct{}, 99)
-	s0 := p.flightServer("s0", func(_ mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
-		at, _ := s.Context().Deadline()
-		left <- time.Until(at)
-		<-s.Context().Done()
+	const timeout = 300 * time.Millisecond
+	replayer := newReplayer(t)
+	remaining, ended := make(chan time.Duration, 99), make(chan struct{}, 99)
+	s0 := replayer.startFlightServer("s0", func(_ mothflight.PartTicket, stream flight.FlightService_DoGetServer) error {
+		at, _ := stream.Context().Deadline()
+		remaining <- time.Until(at)
+		<-stream.Context().Done()
 		ended <- struct{}{}
-		return s.Context().Err()
+		return stream.Context().Err()
 	})
-	c := p.startFlight(`"s0"`, "s0")
+	client := replayer.startFlight(`"s0"`, "s0")
 	results := map[string]error{} // by the id of the query's only part
-	for i, end := 0, time.Now().Add(waitTimeout); len(s0.parts()) == 0 && time.Now().Before(end); i++ {
+	for i, end := 0, time.Now().Add(waitTimeout); len(s0.receivedParts()) == 0 && time.Now().Before(end); i++ {
 		id := fmt.Sprint("q", i)
-		_, err := fetchAnswer(advertisedDeadline{shortContext(t), time.Now().Add(wait)}, c, queryTicket(id, "charge-post", 1))
+		_, err := fetchAnswer(advertisedDeadline{shortContext(t), time.Now().Add(timeout)}, client, queryTicket(id, "charge-post", 1))
 		results[id+".0"] = err
 	}
 	time.Sleep(quietInterval) // for parts that arrive late
-	parts := s0.parts()
+	parts := s0.receivedParts()
 	require.NotEmpty(t, parts)
 	seen := map[string]bool{}
 	for _, id := range parts {
@@ -233,33 +236,33 @@
 		seen[id] = true
 		require.Contains(t, []codes.Code{codes.Aborted, codes.DeadlineExceeded}, status.Code(results[id]), "%v", results[id])
 		require.False(t, isRejection(results[id]))
-		require.LessOrEqual(t, <-left, wait)
+		require.LessOrEqual(t, <-remaining, timeout)
 		<-ended
 	}
 }
 
-// An answer that lacks parts is marked incomplete; a truncated one has no closing metadata.
+// An answer that lacks parts is marked as incomplete; a truncated one has no closing metadata.
 func TestFlightMarksIncompleteAnswers(t *testing.T) {
-	p := newPlayer(t)
-	p.flightServer("s0", func(mt mothflight.PartTicket, s flight.FlightService_DoGetServer) error {
-		if mt.Partition == 4 {
-			<-s.Context().Done()
-			return s.Context().Err()
+	replayer := newReplayer(t)
+	replayer.startFlightServer("s0", func(part mothflight.PartTicket, stream flight.FlightService_DoGetServer) error {
+		if part.Partition == 4 {
+			<-stream.Context().Done()
+			return stream.Context().Err()
 		}
-		return sendValue(s, strings.Repeat("v", 60<<10))
+		return sendValue(stream, strings.Repeat("v", 60<<10))
 	})
-	c := p.startFlight(`"s0"`, "s0")
-	a, err := fetchAnswer(shortContext(t), c, queryTicket("q1", "tariff-report", 5))
+	client := replayer.startFlight(`"s0"`, "s0")
+	answer, err := fetchAnswer(shortContext(t), client, queryTicket("q1", "tariff-report", 5))
 	require.NoError(t, err)
-	require.Equal(t, &mothflight.Closing{ID: "q1", Class: "tariff-report", Parts: 4}, a.closing)
+	require.Equal(t, &mothflight.Closing{ID: "q1", Class: "tariff-report", Parts: 4}, answer.closing)
 
-	stream, err := c.DoGet(shortContext(t), &flight.Ticket{Ticket: queryTicket("q2", "tariff-report", 4)})
+	stream, err := client.DoGet(shortContext(t), &flight.Ticket{Ticket: queryTicket("q2", "tariff-report", 4)})
 	require.NoError(t, err)
-	first, err := stream.Recv() // the schema; the rows need more than the window of a client that reads no more
+	first, err := stream.Recv() // the schema; the rows exceed the flow-control window of a client that stops reading
 	require.NoError(t, err)
 	require.Empty(t, first.AppMetadata)
 	time.Sleep(50 * time.Millisecond)
-	require.NoError(t, p.cmd.Process.Kill())
+	require.NoError(t, replayer.cmd.Process.Kill())
 	for err == nil {
 		var m *flight.FlightData
 		if m, err = stream.Recv(); err == nil {
--- a/cmd/mothrouter/listener_handover_test.go
+++ b/cmd/mothrouter/listener_handover_test.go
@@ -13,32 +13,33 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two processes share the listening socket that the platform holds. One of them is stopped, or killed, while clients
-// connect all the time: no connection is refused, and the stopped process answers what it has accepted.
+// Two processes share a listening socket that the platform keeps open. One of them is stopped, or killed, while clients keep
+// connecting: no connection is refused, and a process that is stopped answers the requests on the connections that it has
+// accepted.
 func TestListenerHandoverLosesNoRequest(t *testing.T) {
 	for _, killed := range []bool{false, true} {
 		t.Run(fmt.Sprint("killed ", killed), func(t *testing.T) {
 			t.Parallel()
-			l, err := net.Listen("tcp", "127.0.0.1:0")
+			listener, err := net.Listen("tcp", "127.0.0.1:0")
 			require.NoError(t, err)
-			defer l.Close()
-			file, err := l.(*net.TCPListener).File()
+			defer listener.Close()
+			file, err := listener.(*net.TCPListener).File()
 			require.NoError(t, err)
 			defer file.Close()
 			env := []string{"PROXY_ACCEPT_FD=3"}
-			options := brokerOptions{listen: l.Addr().String(), env: env, files: []*os.File{file}}
-			old := startServingBrokerWith(t, options)
+			options := brokerOptions{listen: listener.Addr().String(), env: env, files: []*os.File{file}}
+			stopped := startServingBrokerWith(t, options)
 			startServingBrokerWith(t, options)
-			stop, served, lost := time.Now().Add(2500*time.Millisecond), 0, 0
+			end, served, lost := time.Now().Add(2500*time.Millisecond), 0, 0
 			time.AfterFunc(500*time.Millisecond, func() {
 				if killed {
-					old.cmd.Process.Kill()
+					stopped.cmd.Process.Kill()
 				} else {
-					old.cmd.Process.Signal(syscall.SIGTERM)
+					stopped.cmd.Process.Signal(syscall.SIGTERM)
 				}
 			})
-			for n := 0; time.Now().Before(stop); n++ { // each on a connection of its own
-				c, err := net.Dial("tcp", l.Addr().String())
+			for n := 0; time.Now().Before(end); n++ { // one connection for each query
+				c, err := net.Dial("tcp", listener.Addr().String())
 				require.NoError(t, err)
 				if strings.Contains((&clientConn{c, bufio.NewReader(c)}).roundTrip(queryRequest(fmt.Sprint("h", n))), " 200 ") {
 					served++
@@ -49,10 +50,10 @@
 			}
 			require.Greater(t, served, 50)
 			if killed {
-				require.LessOrEqual(t, lost, 2, "of %d", served) // the requests that it had in flight
+				require.LessOrEqual(t, lost, 2, "of %d", served) // the requests in flight at the killed process
 			} else {
 				require.Zero(t, lost, "of %d", served)
-				require.NoError(t, old.cmd.Wait())
+				require.NoError(t, stopped.cmd.Wait())
 			}
 		})
 	}
@@ -60,7 +61,7 @@
 
 func TestAcceptFDRejectsBadDescriptor(t *testing.T) {
 	t.Parallel()
-	for fd, want := range map[string]string{"7": "PROXY_ACCEPT_FD: 7 is no listening socket", "two": "PROXY_ACCEPT_FD: \"two\"",
+	for fd, want := range map[string]string{"7": "PROXY_ACCEPT_FD: 7 is not a listening socket", "two": "PROXY_ACCEPT_FD: \"two\"",
 		"1": "PROXY_ACCEPT_FD: \"1\""} {
 		require.Contains(t, runRejected(t, nil, []string{"PROXY_ACCEPT_FD=" + fd}), want)
 	}
--- a/cmd/mothrouter/main.go
+++ b/cmd/mothrouter/main.go
@@ -1,5 +1,5 @@
-// Command mothrouter is a query broker: it takes queries cut into parts, has record servers answer the
-// parts as package decision decides, and gives each query one final answer.
+// Command mothrouter is a query broker: it scatters the parts of each query over replicated record servers, as package
+// decision decides, and returns one final answer for each query, complete or partial.
 package main
 
 import (
@@ -9,12 +9,12 @@
 )
 
 func main() {
-	flightFile := flag.String("flight", "", "`file` that switches Arrow Flight on, such as deploy/flight.toml")
-	coresFile := flag.String("cores", "", "`file` that switches several cores on, such as deploy/cores.toml")
-	fleetFile := flag.String("fleet", "", "`file` that has brokers know of each other, such as deploy/fleet.toml")
-	stateFile := flag.String("state", "", "`file` that has learned state last over restarts, such as deploy/state.toml")
+	flightFile := flag.String("flight", "", "`file` that enables Arrow Flight, such as deploy/flight.toml")
+	coresFile := flag.String("cores", "", "`file` that enables several workers, such as deploy/cores.toml")
+	fleetFile := flag.String("fleet", "", "`file` that enables fleet membership, such as deploy/fleet.toml")
+	stateFile := flag.String("state", "", "`file` that keeps learned state across restarts, such as deploy/state.toml")
 	configurationFile := flag.String("configuration", "",
-		"`file` that has control machines change settings in service, such as deploy/configuration.toml")
+		"`file` that lets control machines change settings at runtime, such as deploy/configuration.toml")
 	if isCommand(os.Args) {
 		os.Exit(runCommand())
 	}
@@ -32,5 +32,5 @@
 	}
 }
 
-// operatorFiles are the paths of the operator files. A feature whose path is "" is off.
+// operatorFiles holds the paths of the operator files. A feature whose path is "" is disabled.
 type operatorFiles struct{ flight, cores, state, fleet, configuration string }
--- a/cmd/mothrouter/mixed_protocols_test.go
+++ b/cmd/mothrouter/mixed_protocols_test.go
@@ -20,7 +20,7 @@
 	maxServedTime    = time.Second // a slower answer does not count as served
 )
 
-// loadQueries are the classes that a client queries in turn, with the parts of a query.
+// loadQueries are the queries that a client sends in turn: a class and a number of parts.
 var loadQueries = []struct {
 	class string
 	parts int
@@ -32,19 +32,19 @@
 // servedFraction runs clients that send one query after the other, and returns the fraction of queries with a complete
 // answer within maxServedTime. With mixed, every second record server and every second client speaks Flight.
 func servedFraction(t *testing.T, mixed bool) float64 {
-	p := newPlayer(t)
+	replayer := newReplayer(t)
 	ledger := newAttemptLedger(t)
 	flightServers := ""
 	for i := range 4 {
 		name := fmt.Sprint("s", i)
 		if mixed && i%2 == 1 {
-			p.flightServer(name, ledger.serveFlight)
+			replayer.startFlightServer(name, ledger.serveFlight)
 			flightServers += fmt.Sprintf("%q,", name)
 		} else {
-			go ledger.serveFrames(p.listener(name))
+			go ledger.serveFrames(replayer.listener(name))
 		}
 	}
-	flightClient := p.startFlight(flightServers, "s0", "s1", "s2", "s3")
+	flightClient := replayer.startFlight(flightServers, "s0", "s1", "s2", "s3")
 	var clients sync.WaitGroup
 	served := make([]int, loadClients)
 	for i := range loadClients {
@@ -52,7 +52,7 @@
 			if mixed && i%2 == 1 {
 				served[i] = countServed(i, flightQuery(t, flightClient))
 			} else {
-				served[i] = countServedHTTP(t, p.listen, i)
+				served[i] = countServedHTTP(t, replayer.listen, i)
 			}
 		})
 	}
@@ -64,7 +64,7 @@
 	return float64(sum) / (loadClients * queriesPerClient)
 }
 
-// countServed sends the queries of a client and returns how many were served.
+// countServed sends the queries of a client and returns how many were served: completely and within maxServedTime.
 func countServed(client int, query queryFunc) (served int) {
 	for i := range queriesPerClient {
 		q := loadQueries[i%len(loadQueries)]
@@ -77,7 +77,7 @@
 	return served
 }
 
-// countServedHTTP is countServed over one HTTP connection, on which no query may have a second answer.
+// countServedHTTP calls countServed with queries over one HTTP connection. It checks that no query gets a second answer.
 func countServedHTTP(t *testing.T, address string, client int) int {
 	conn, err := net.Dial("tcp", address)
 	if !assert.NoError(t, err) {
@@ -94,7 +94,7 @@
 	return served
 }
 
-// flightQuery returns a queryFunc of a Flight client.
+// flightQuery returns a queryFunc that sends queries over Flight.
 func flightQuery(t *testing.T, client flight.Client) queryFunc {
 	return func(id, class string, parts int) bool {
 		a, err := fetchAnswer(shortContext(t), client, queryTicket(id, class, parts))
@@ -102,22 +102,24 @@
 	}
 }
 
+// queryHTTP sends a query over an HTTP connection and reports whether its answer is complete.
 func queryHTTP(t *testing.T, conn net.Conn, in *bufio.Reader, id, class string, parts int) bool {
-	body := queryTicket(id, class, parts) // the platform's body has the same targets and query
+	body := queryTicket(id, class, parts) // the body over HTTP has the same targets and query
 	conn.Write(encodeMessage("client", fmt.Sprintf(
 		"POST /%s HTTP/1.1\nX-Request-Id: %s\nX-Deadline: 3000m\nContent-Length: auto\n\n%s", class, id, body)))
 	conn.SetReadDeadline(time.Now().Add(3 * time.Second))
 	answer, err := readHTTP(in)
-	assert.NoError(t, err, "%s has no final answer in its time", id)
+	assert.NoError(t, err, "%s has no final answer within 3 s", id)
 	return strings.HasPrefix(answer, "HTTP/1.1 200") && strings.Contains(answer, `"whole":true`) &&
 		strings.Count(answer, `"value"`) == parts
 }
 
-// Both protocols together serve the same fraction of queries as HTTP alone, and break no rule of the ledger.
+// With both protocols the broker serves the same fraction of queries as with HTTP alone, and violates no rule that the attempt
+// ledger checks.
 func TestMixedProtocolsServeSameFractionAsHTTP(t *testing.T) {
-	alone := servedFraction(t, false)
+	httpOnly := servedFraction(t, false)
 	mixed := servedFraction(t, true)
-	t.Logf("served: HTTP alone %.3f, both protocols %.3f", alone, mixed)
-	require.Greater(t, alone, 0.9)
-	require.InDelta(t, alone, mixed, 0.02)
+	t.Logf("served: HTTP alone %.3f, both protocols %.3f", httpOnly, mixed)
+	require.Greater(t, httpOnly, 0.9)
+	require.InDelta(t, httpOnly, mixed, 0.02)
 }
--- a/cmd/mothrouter/outage_test.go
+++ b/cmd/mothrouter/outage_test.go
@@ -12,17 +12,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Idle clients use up the descriptors while discovery is down. Once it is back, the broker connects to it, applies its
-// update, and serves a query by the record server that the update adds.
+// Idle clients use up the descriptors while the discovery service is down. Once it is back, the broker connects to it, applies
+// its update, and serves a query from the record server that the update adds.
 func TestDiscoveryReconnectsWhileIdleClientsFillDescriptors(t *testing.T) {
 	t.Parallel()
-	p := newPlayer(t)
-	down := p.listener("discovery")
-	addr := down.Addr().String()
-	require.NoError(t, down.Close())
-	p.start([]string{"s0"}, 100, 64, 15)
-	for i := range 100 { // more than the process has descriptors; the loop below replaces those that it closes
-		p.conn(fmt.Sprintf("idle%d", i))
+	replayer := newReplayer(t)
+	discovery := replayer.listener("discovery")
+	addr := discovery.Addr().String()
+	require.NoError(t, discovery.Close())
+	replayer.start([]string{"s0"}, 100, 64, 15)
+	for i := range 100 { // more than the limit of descriptors; the loop below replaces connections that the program closes
+		replayer.conn(fmt.Sprintf("idle%d", i))
 	}
 	stop := make(chan struct{})
 	var dialers sync.WaitGroup
@@ -33,7 +33,7 @@
 				return
 			case <-time.After(5 * time.Millisecond):
 			}
-			if c, err := net.Dial("tcp", p.listen); err == nil {
+			if c, err := net.Dial("tcp", replayer.listen); err == nil {
 				defer c.Close()
 			}
 		}
@@ -44,15 +44,16 @@
 	restoredAt := time.Now()
 	l, err := net.Listen("tcp", addr)
 	require.NoError(t, err)
-	p.listeners["discovery"] = l
-	p.conn("discovery")
+	replayer.listeners["discovery"] = l
+	replayer.conn("discovery")
 	require.Less(t, time.Since(restoredAt), 6*time.Second)
-	p.play("discovery gets", "GET /discovery/hosts?follow=1&since=41 HTTP/1.1\nHost: ~")
-	p.play("discovery sends", "HTTP/1.1 200 OK\nTransfer-Encoding: chunked")
-	p.play("discovery sends", `~line {"version":42,"full":true,"servers":[`+p.endpointEntry("s1", "active")+`]}`)
-	go newAttemptLedger(t).serveFrames(p.listener("s1"))
+	replayer.replayStep("discovery gets", "GET /discovery/hosts?follow=1&since=41 HTTP/1.1\nHost: ~")
+	replayer.replayStep("discovery sends", "HTTP/1.1 200 OK\nTransfer-Encoding: chunked")
+	replayer.replayStep("discovery sends",
+		`~line {"version":42,"full":true,"servers":[`+replayer.endpointEntry("s1", "active")+`]}`)
+	go newAttemptLedger(t).serveFrames(replayer.listener("s1"))
 	require.Eventually(t, func() bool {
-		c, err := net.Dial("tcp", p.listen)
+		c, err := net.Dial("tcp", replayer.listen)
 		if err != nil {
 			return false
 		}
@@ -63,22 +64,22 @@
 	}, waitTimeout, 10*time.Millisecond)
 }
 
-// Nine in ten processes are ready within 10 s of a restart after SIGKILL, while discovery is down and clients flood them
-// with invalid requests.
+// Nine in ten processes are ready within 10 s of a restart after SIGKILL, while the discovery service is down and clients
+// flood the processes with invalid requests.
 func TestRestartReadyWithinLimit(t *testing.T) {
 	t.Parallel()
 	const processes = 10
 	ready := make(chan time.Duration, processes)
 	for range processes {
 		t.Run("", func(t *testing.T) {
-			p := newPlayer(t)
-			require.NoError(t, p.listener("discovery").Close())
-			p.start([]string{"s0"}, 100, 128, 15)
-			require.NoError(t, p.cmd.Process.Kill())
-			p.cmd.Wait()
-			stopFlood := startFlood(p.listen)
+			replayer := newReplayer(t)
+			require.NoError(t, replayer.listener("discovery").Close())
+			replayer.start([]string{"s0"}, 100, 128, 15)
+			require.NoError(t, replayer.cmd.Process.Kill())
+			replayer.cmd.Wait()
+			stopFlood := startFlood(replayer.listen)
 			began := time.Now()
-			p.start([]string{"s0"}, 100, 128, 15)
+			replayer.start([]string{"s0"}, 100, 128, 15)
 			stopFlood()
 			ready <- time.Since(began)
 		})
--- a/cmd/mothrouter/process.go
+++ b/cmd/mothrouter/process.go
@@ -24,8 +24,8 @@
 	"mothrouter/internal/transport/front"
 )
 
-// memoryFraction is the part of the process's memory limit that the Go runtime may use. The rest is for stacks of
-// cgo, socket buffers and the program itself.
+// memoryFraction is the fraction of the process's memory limit that the Go runtime may use. The rest is for cgo stacks,
+// socket buffers and the program's code.
 const memoryFraction = 0.7
 
 // core is the broker's core: a single loop (broker.Broker), or several (cores.Group).
@@ -41,32 +41,32 @@
 	LongestDeadline() time.Duration
 }
 
-// process is a broker's process: its configuration and, once assembled, its running components.
+// process holds the configuration of a broker's process and, once assembled, its running components.
 type process struct {
 	files         operatorFiles
 	started       time.Time
-	startConfig   *config.Config // as read at the start; a reload does not change it
-	workers       int            // loops; 1 without -cores
-	flightConfig  *config.Flight // nil: Arrow Flight is off
+	startConfig   *config.Config // as read at startup; a reload does not change it
+	workers       int            // number of broker loops; 1 without -cores
+	flightConfig  *config.Flight // nil: Arrow Flight is disabled
 	log           *slog.Logger
 	reloadSignals chan os.Signal // SIGHUP
 	stopSignals   chan os.Signal // SIGTERM and interrupts
 	ctx           context.Context
 
 	components      *assembly.Assembly
-	fleetSize       int // brokers that share discovery and control, by the settings
+	fleetSize       int // brokers that share the discovery service and the control machines, from the settings
 	backoff         *backoff.Backoff
 	metrics         *metrics.Counters
 	core            core
 	workerFailed    <-chan struct{} // closed when a worker has failed; nil with one loop
 	watcher         *discovery.Watcher
 	discoverySwitch *discoverySwitch
-	configFollower  *configfollower.Client // nil: control machines do not change the configuration
+	configFollower  *configfollower.Client // nil without -configuration
 
 	listener    net.Listener
 	clientFront *front.Front
-	flightFront *flight.Front // nil: Arrow Flight is off
-	frontEnded  chan error    // receives the result of each front that has ended; room for all three
+	flightFront *flight.Front // nil: Arrow Flight is disabled
+	frontEnded  chan error    // result of each front that has ended; buffered for all three
 }
 
 // run runs a broker's process until it is stopped, a front fails or a worker fails.
@@ -98,7 +98,7 @@
 	return cause
 }
 
-// handleSignals registers SIGHUP first of all: its default action would end a process that is still starting.
+// handleSignals registers for SIGHUP before anything else: its default action would end a process that is still starting.
 func (p *process) handleSignals() {
 	p.reloadSignals = make(chan os.Signal, 1)
 	signal.Notify(p.reloadSignals, syscall.SIGHUP)
@@ -128,7 +128,7 @@
 	return err
 }
 
-// start starts the core, the components, the endpoint watch and the handling of SIGHUP.
+// start starts the core, the components, the watch of the endpoint list and the handling of SIGHUP.
 func (p *process) start() {
 	go p.core.Run(p.ctx)
 	p.core.Update(p.startConfig.CachedEndpoints)
@@ -137,8 +137,8 @@
 	go reload(p.reloadSignals, p.startConfig, p.discoverySwitch, p.log)
 }
 
-// wait waits until the process has to stop. With err it stops at once; otherwise it shuts down gracefully and then
-// returns cause, which is nil after a signal.
+// wait waits until the process has to stop. If err is not nil, the process exits at once with err. Otherwise it shuts down
+// gracefully and then exits with cause, which is nil after a signal.
 func (p *process) wait() (cause, err error) {
 	select {
 	case err := <-p.frontEnded:
@@ -146,6 +146,6 @@
 	case <-p.stopSignals:
 		return nil, nil
 	case <-p.workerFailed:
-		return errors.New("a worker has died; what the others held was answered"), nil
+		return errors.New("a worker panicked; the queries of the other workers were answered"), nil
 	}
 }
--- a/cmd/mothrouter/program_test.go
+++ b/cmd/mothrouter/program_test.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	waitTimeout   = 5 * time.Second        // for what must happen
-	quietInterval = 200 * time.Millisecond // in which nothing must happen
+	waitTimeout   = 5 * time.Second        // for an event that must happen
+	quietInterval = 200 * time.Millisecond // during which an event must not happen
 )
 
 const coresFile = "../../deploy/cores.toml"
@@ -45,7 +45,7 @@
 	os.Exit(code)
 }
 
-// settingsFormat is the settings of a broker; its verbs are connIdleS and openCap.
+// settingsFormat is the format of a broker's settings. Its arguments are connIdleS and openCap.
 const settingsFormat = `{"caps":{"cancel":true,"connIdleS":%g,"connectTimeoutS":0.25,"maxRetryAfterS":0.5,"openCap":%d,
 "probes":false,"retryAfter":true,"secondCopies":false,"sendCap":4,"streamsPerConn":100},
 "classes":[{"name":"usage-lookup","deadlineS":4,"objectiveS":1,"lateWorth":0,"semantics":"free","worth":1},
@@ -58,24 +58,24 @@
 "slabs":24},"machineTypes":["std-2c"],"peersTotal":1,"report":{"how":"piggyback"},"tickS":0.005,
 "zones":["bern-1"]}`
 
-// brokerOptions are the configuration and the command line of a broker's process.
+// brokerOptions is the configuration, command line and environment of a broker's process.
 type brokerOptions struct {
-	listen    string // address for clients
-	discovery string // address of the discovery service
-	control   string // address for operators; "": none
-	servers   []string
-	openCap   int
-	sockets   int
-	idle      float64 // seconds until an idle connection to a record server is closed
-	flags     []string
-	env       []string
-	files     []*os.File // inherited, from descriptor 3
+	listen      string   // address for clients
+	discovery   string   // address of the discovery service
+	control     string   // address for operators; "": none
+	servers     []string // entries of the endpoint list, as JSON
+	openCap     int
+	sockets     int
+	idleTimeout float64 // seconds until an idle connection to a record server is closed
+	flags       []string
+	env         []string
+	files       []*os.File // inherited as descriptors 3 and up
 }
 
 const (
-	defaultOpenCap = 400
-	defaultIdle    = 15.
-	memoryMB       = 192
+	defaultOpenCap     = 400
+	defaultIdleTimeout = 15. // seconds
+	memoryMB           = 192
 )
 
 // config returns the text of the configuration file. Its endpoint list has version 41.
@@ -83,7 +83,7 @@
 	text := fmt.Appendf(nil, `{"name":"n1","listen":%q,"discovery":%q,"control":%q,"seed":"1",
 		"limits":{"memory_mb":%d,"sockets":%d},"known":{"version":41,"full":true,"servers":[%s]},"settings":%s}`,
 		o.listen, o.discovery, o.control, memoryMB, o.sockets, strings.Join(o.servers, ","),
-		fmt.Sprintf(settingsFormat, o.idle, o.openCap))
+		fmt.Sprintf(settingsFormat, o.idleTimeout, o.openCap))
 	if o.control == "" {
 		text = bytes.Replace(text, []byte(`"control":"",`), nil, 1)
 	}
@@ -119,11 +119,11 @@
 	})
 }
 
-// runRejected runs the program with a valid configuration, flags and environment that it must reject, and returns its
-// output.
+// runRejected runs the program with a valid configuration file, and with flags and an environment that it must reject. It
+// returns the output.
 func runRejected(t *testing.T, flags, env []string) string {
 	config := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":%s}`,
-		fmt.Sprintf(settingsFormat, defaultIdle, defaultOpenCap))
+		fmt.Sprintf(settingsFormat, defaultIdleTimeout, defaultOpenCap))
 	require.True(t, json.Valid([]byte(config)))
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(config), 0o600))
@@ -134,7 +134,7 @@
 	return string(out)
 }
 
-// requireFileRejected checks that the program rejects each text of an operator file with the given message.
+// requireFileRejected checks that the program rejects each text of an operator file with a message that contains the given one.
 func requireFileRejected(t *testing.T, flag string, messageByText map[string]string) {
 	t.Helper()
 	for text, message := range messageByText {
@@ -144,13 +144,13 @@
 	}
 }
 
-// addresses counts the addresses that unusedAddress has returned.
-var addresses atomic.Int32
+// addressCount is the number of calls of unusedAddress.
+var addressCount atomic.Int32
 
-// unusedAddress returns an address at which a program may listen. Each call uses another loopback address: on a shared
-// one, an outgoing connection could take the free port before the program listens at it.
+// unusedAddress returns an address on which a program can listen. Each call uses another loopback address: on a shared one,
+// an outgoing connection could take the free port before the program listens on it.
 func unusedAddress(t *testing.T) string {
-	n := addresses.Add(1)
+	n := addressCount.Add(1)
 	l, err := net.Listen("tcp", fmt.Sprintf("127.0.%d.%d:0", 1+n/250, 1+n%250))
 	require.NoError(t, err)
 	defer l.Close()
--- a/cmd/mothrouter/serve.go
+++ b/cmd/mothrouter/serve.go
@@ -13,7 +13,7 @@
 	"mothrouter/internal/transport/front"
 )
 
-// serve opens the listeners of clients and operators and starts serving them.
+// serve opens the listeners for clients and operators and starts serving on them.
 func (p *process) serve() error {
 	if err := p.serveClients(); err != nil {
 		return err
@@ -35,14 +35,15 @@
 		return err
 	}
 	p.clientFront = front.New(front.Options{
-		Classes: p.startConfig.Classes, Shards: p.startConfig.Shards, MaxConns: p.startConfig.MaxClientConns, MaxIdleConns: p.startConfig.MaxIdleConns,
-		MaxBufferedBytes: p.startConfig.MaxBufferedBytes, RetryAfter: p.startConfig.OverloadRetryAfter(), Metrics: p.metrics,
+		Classes: p.startConfig.Classes, Shards: p.startConfig.Shards, MaxConns: p.startConfig.MaxClientConns,
+		MaxIdleConns: p.startConfig.MaxIdleConns, MaxBufferedBytes: p.startConfig.MaxBufferedBytes,
+		RetryAfter: p.startConfig.OverloadRetryAfter(), Metrics: p.metrics,
 	}, p.core, p.log)
 	go func() { p.frontEnded <- p.clientFront.Serve(p.listener) }()
 	return nil
 }
 
-// serveAdmin serves the operators' control address, if the configuration has one.
+// serveAdmin serves operators at the control address, if the configuration has one.
 func (p *process) serveAdmin() error {
 	if p.startConfig.AdminAddress == "" {
 		return nil
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// serveFlight serves clients over Arrow Flight, if it is on.
+// serveFlight serves clients over Arrow Flight, if it is enabled.
 func (p *process) serveFlight() error {
 	if p.flightConfig == nil {
 		return nil
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// listen opens the clients' listening socket, or uses the inherited one (PROXY_ACCEPT_FD).
+// listen opens the listening socket for clients, or uses the inherited one (PROXY_ACCEPT_FD).
 func listen(cfg *config.Config) (net.Listener, error) {
 	if cfg.AcceptFD == 0 {
 		l, err := net.Listen("tcp", cfg.Listen)
@@ -87,20 +88,20 @@
 		err = closeErr
 	}
 	if err != nil {
-		return nil, fmt.Errorf("PROXY_ACCEPT_FD: %d is no listening socket: %w", cfg.AcceptFD, err)
+		return nil, fmt.Errorf("PROXY_ACCEPT_FD: %d is not a listening socket: %w", cfg.AcceptFD, err)
 	}
 	return l, nil
 }
 
-// drainAwareCore is the core that the Flight front submits to: while operators drain the HTTP front, it rejects
-// requests as that front does.
+// drainAwareCore is the core that the Flight front submits to. While the HTTP front rejects requests because operators
+// drain it, drainAwareCore rejects those of the Flight front.
 type drainAwareCore struct {
 	core
 	rejects    func() bool // reports whether the HTTP front rejects requests now
-	retryAfter float64     // of rejections; seconds
+	retryAfter float64     // sent with rejections; seconds
 }
 
-// Submit hands a request to the core, or rejects it at once during a drain.
+// Submit passes a request to the core, or rejects it at once during a drain.
 func (d *drainAwareCore) Submit(r *broker.Request, c broker.Client) {
 	if d.rejects() {
 		c.Finish(broker.Result{Outcome: broker.Rejected, RetryAfter: d.retryAfter})
@@ -109,13 +110,13 @@
 	d.core.Submit(r, c)
 }
 
-// adminProcess is the process as the operators' control address sees it.
+// adminProcess implements admin.Process, which the control address controls.
 type adminProcess struct {
 	clients *front.Front
 	metrics *metrics.Counters
 }
 
-func (s adminProcess) AcceptsClients() bool          { return s.clients.AcceptsClients() }
-func (s adminProcess) StartDrain()                   { s.clients.Drain() }
-func (s adminProcess) CancelDrain()                  { s.clients.Rejoin() }
-func (s adminProcess) AppendMetrics(b []byte) []byte { return s.metrics.Append(b) }
+func (p adminProcess) AcceptsClients() bool          { return p.clients.AcceptsClients() }
+func (p adminProcess) StartDrain()                   { p.clients.Drain() }
+func (p adminProcess) CancelDrain()                  { p.clients.Rejoin() }
+func (p adminProcess) AppendMetrics(b []byte) []byte { return p.metrics.Append(b) }
--- a/cmd/mothrouter/serve_test.go
+++ b/cmd/mothrouter/serve_test.go
@@ -8,27 +8,27 @@
 	"mothrouter/internal/broker"
 )
 
-// recordingCore is a core that counts submitted requests.
-type recordingCore struct {
+// countingCore is a core that counts submitted requests.
+type countingCore struct {
 	core
 	submitted int
 }
 
-func (t *recordingCore) Submit(*broker.Request, broker.Client) { t.submitted++ }
+func (c *countingCore) Submit(*broker.Request, broker.Client) { c.submitted++ }
 
 type resultChannel chan broker.Result
 
-func (a resultChannel) Finish(r broker.Result) { a <- r }
+func (c resultChannel) Finish(r broker.Result) { c <- r }
 
 // While the HTTP front rejects requests, those of the Flight front are rejected too, at once and with Retry-After.
 func TestDrainAwareCoreRejectsWhileDraining(t *testing.T) {
-	inner, refuses := &recordingCore{}, false
-	d := &drainAwareCore{inner, func() bool { return refuses }, 0.5}
-	a := make(resultChannel, 1)
-	d.Submit(&broker.Request{}, a)
+	inner, rejects := &countingCore{}, false
+	core := &drainAwareCore{inner, func() bool { return rejects }, 0.5}
+	results := make(resultChannel, 1)
+	core.Submit(&broker.Request{}, results)
 	require.Equal(t, 1, inner.submitted)
-	refuses = true
-	d.Submit(&broker.Request{}, a)
+	rejects = true
+	core.Submit(&broker.Request{}, results)
 	require.Equal(t, 1, inner.submitted)
-	require.Equal(t, broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}, <-a)
+	require.Equal(t, broker.Result{Outcome: broker.Rejected, RetryAfter: 0.5}, <-results)
 }
--- a/cmd/mothrouter/serving_broker_test.go
+++ b/cmd/mothrouter/serving_broker_test.go
@@ -15,19 +15,19 @@
 // servingBroker is a running program with a control address, a discovery service without updates and one record server
 // that answers.
 type servingBroker struct {
-	*exchangePlayer
+	*exchangeReplayer
 	control string // address for operators
 }
 
-// startServingBroker starts a broker with operator flags and waits until it is healthy.
+// startServingBroker starts a broker with the given flags and waits until its health check succeeds.
 func startServingBroker(t *testing.T, flags ...string) *servingBroker {
 	return startServingBrokerWith(t, brokerOptions{flags: flags})
 }
 
-// startServingBrokerWith starts a broker with the options' flags, environment, inherited files and, unless it is "",
-// address for clients.
+// startServingBrokerWith is startServingBroker with the flags, environment, inherited files and address for clients of the
+// options. An address of "" stands for an unused one.
 func startServingBrokerWith(t *testing.T, options brokerOptions) *servingBroker {
-	b := &servingBroker{exchangePlayer: newPlayer(t), control: unusedAddress(t)}
+	b := &servingBroker{exchangeReplayer: newReplayer(t), control: unusedAddress(t)}
 	go serveIdleDiscovery(b.listener("discovery"))
 	go newAttemptLedger(t).serveFrames(b.listener("s1"))
 	if options.listen == "" {
@@ -35,7 +35,7 @@
 	}
 	options.discovery, options.control = b.listener("discovery").Addr().String(), b.control
 	options.servers = []string{b.endpointEntry("s1", "active")}
-	options.openCap, options.sockets, options.idle = defaultOpenCap, 256, defaultIdle
+	options.openCap, options.sockets, options.idleTimeout = defaultOpenCap, 256, defaultIdleTimeout
 	b.run(options)
 	healthy := func() bool { return strings.HasPrefix(b.callControl("HEALTH"), "ACK") }
 	require.Eventually(t, healthy, waitTimeout, 20*time.Millisecond)
@@ -53,14 +53,14 @@
 	}
 }
 
-// callControl makes one call at the control address and returns the reply, or "" if it cannot connect.
-func (b *servingBroker) callControl(call string) string {
+// callControl sends one command to the control address and returns the reply, or "" if it cannot connect.
+func (b *servingBroker) callControl(command string) string {
 	c, err := net.Dial("tcp", b.control)
 	if err != nil {
 		return ""
 	}
 	defer c.Close()
-	fmt.Fprintf(c, "%s\n", call)
+	fmt.Fprintf(c, "%s\n", command)
 	c.SetDeadline(time.Now().Add(time.Second))
 	reply, _ := io.ReadAll(c)
 	return string(reply)
@@ -80,9 +80,9 @@
 	return &clientConn{c, bufio.NewReader(c)}
 }
 
-// roundTrip sends one request and returns the head of its answer as far as it was received.
-func (c *clientConn) roundTrip(head string) string {
-	if _, err := fmt.Fprint(c, head); err != nil {
+// roundTrip sends one request and returns the status line and header of the response, as far as they were received.
+func (c *clientConn) roundTrip(request string) string {
+	if _, err := fmt.Fprint(c, request); err != nil {
 		return ""
 	}
 	c.SetReadDeadline(time.Now().Add(waitTimeout))
@@ -103,8 +103,9 @@
 
 const readinessRequest = "GET /up HTTP/1.1\r\nHost: x\r\n\r\n"
 
+// queryRequest returns a usage-lookup query over one partition, with a deadline of 2 s.
 func queryRequest(id string) string {
 	body := `{"targets":[{"partition":1,"share":1}],"query":"x"}`
-	return fmt.Sprintf("POST /usage-lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: usage-lookup\r\nX-Deadline: 2000m\r\nContent-Length: %d\r\n\r\n%s",
-		id, len(body), body)
+	return fmt.Sprintf("POST /usage-lookup HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: usage-lookup\r\n"+
+		"X-Deadline: 2000m\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
--- a/cmd/mothrouter/shutdown.go
+++ b/cmd/mothrouter/shutdown.go
@@ -8,9 +8,9 @@
 	"mothrouter/internal/drain"
 )
 
-// shutDown shuts the process down gracefully: it answers the accepted requests and closes client connections at the
-// planned times. The plan is made once; a later revision changes none of its times. It returns the error of a front
-// that has failed meanwhile.
+// shutDown shuts the process down gracefully: it answers the accepted requests and closes client connections at the times
+// of a drain.ShutdownPlan. The plan is made once: a later revision does not change it. It returns the error of a front that
+// fails before answers announce that their connections close.
 func (p *process) shutDown() error {
 	p.log.Info("shutting down")
 	startedAt, plan := time.Now(), drain.PlanShutdown(p.longestDeadline())
@@ -47,7 +47,8 @@
 	}
 }
 
-// longestDeadline returns the longest deadline of a class that is in force, or under which a query in flight was accepted.
+// longestDeadline returns the longest deadline among the classes in force and those under which queries in flight were
+// accepted.
 func (p *process) longestDeadline() time.Duration {
 	if p.configFollower != nil {
 		if longest := p.core.LongestDeadline(); longest > 0 { // 0 once the loop has ended
--- a/cmd/mothrouter/shutdown_test.go
+++ b/cmd/mothrouter/shutdown_test.go
@@ -11,8 +11,8 @@
 	"mothrouter/internal/decision"
 )
 
-// Shutdown is planned by the longest deadline in force where revisions may change it, and by the file's where they
-// cannot or the loop has ended.
+// Shutdown is planned by the longest deadline in force. Without a configuration follower, or once the loop has ended, it is
+// planned by the longest deadline of the startup configuration.
 func TestShutdownPlannedByLongestDeadlineInForce(t *testing.T) {
 	p := assembledProcess(t, operatorFiles{configuration: "../../deploy/configuration.toml"})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/cmd/mothrouter/state.go
+++ b/cmd/mothrouter/state.go
@@ -23,10 +23,10 @@
 		Use: "mothrouter", SilenceUsage: true, SilenceErrors: true,
 		CompletionOptions: cobra.CompletionOptions{DisableDefaultCmd: true},
 	}
-	state := &cobra.Command{Use: "state", Short: "Look at what a broker has learned and keeps over restarts"}
+	state := &cobra.Command{Use: "state", Short: "Inspect the learned state that a broker keeps across restarts"}
 	root.AddCommand(state)
 	state.AddCommand(&cobra.Command{
-		Use: "inspect FOLDER", Short: "Show the file's head and what it holds of each server", Args: cobra.ExactArgs(1),
+		Use: "inspect FOLDER", Short: "Show the header of the file and the saved state of each server", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, size, err := readState(args[0])
 			if err != nil {
@@ -36,7 +36,7 @@
 			return nil
 		},
 	}, &cobra.Command{
-		Use: "verify FOLDER", Short: "Tell whether the file is whole; ends with status 1 if not", Args: cobra.ExactArgs(1),
+		Use: "verify FOLDER", Short: "Check that the file is intact; exits with status 1 if it is not", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, size, err := readState(args[0])
 			if err == nil {
@@ -45,7 +45,7 @@
 			return err
 		},
 	}, &cobra.Command{
-		Use: "delete FOLDER", Short: "Delete the file, and one that was set aside: the next start is blank", Args: cobra.ExactArgs(1),
+		Use: "delete FOLDER", Short: "Delete the file and a quarantined one; the next start is blank", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			for _, name := range []string{checkpoint.FileName, checkpoint.QuarantineName} {
 				err := os.Remove(filepath.Join(args[0], name))
@@ -64,24 +64,27 @@
 // printState prints a snapshot as `mothrouter state inspect` shows it.
 func printState(out io.Writer, s *snapshot.Snapshot, size int) {
 	now := float64(time.Now().UnixNano()) / 1e9
-	fmt.Fprintf(out, "broker %s, settings %016x, %d bytes, written %.1f s ago\n", s.Instance, s.SettingsFingerprint, size, now-s.WrittenAt)
+	fmt.Fprintf(out, "broker %s, settings %016x, %d bytes, written %.1f s ago\n", s.Instance, s.SettingsFingerprint, size,
+		now-s.WrittenAt)
 	if err := recovery.CheckAge(s, now); err != nil {
 		fmt.Fprintln(out, "a start would be blank:", err)
 	}
-	fmt.Fprintf(out, "a part takes %.1f ms, a warm server answers %.2f parts a second to this broker\n", 1000*s.ServiceTime, s.PeakThroughput)
+	fmt.Fprintf(out, "a part takes %.1f ms, a warm server answers %.2f parts a second to this broker\n", 1000*s.ServiceTime,
+		s.PeakThroughput)
 	fmt.Fprintf(out, "%-24s %-10s %-9s %-8s %s\n", "server", "started", "pace ms", "failed", "report")
-	for _, v := range s.Servers {
+	for _, server := range s.Servers {
 		started, report := "long ago", "-"
-		if v.Started > 0 {
-			started = fmt.Sprintf("%.0f s", now-v.Started)
+		if server.Started > 0 {
+			started = fmt.Sprintf("%.0f s", now-server.Started)
 		}
-		if v.LoadReportedAt > 0 {
-			report = fmt.Sprintf("%.1f s old", now-v.LoadReportedAt)
-			if v.LoadReport.Utilization != decision.NoLoadReport.Utilization {
-				report += fmt.Sprintf(", busy %.0f %%", 100*v.LoadReport.Utilization)
+		if server.LoadReportedAt > 0 {
+			report = fmt.Sprintf("%.1f s old", now-server.LoadReportedAt)
+			if server.LoadReport.Utilization != decision.NoLoadReport.Utilization {
+				report += fmt.Sprintf(", busy %.0f %%", 100*server.LoadReport.Utilization)
 			}
 		}
-		fmt.Fprintf(out, "%-24s %-10s %-9.1f %-8s %s\n", v.ID, started, 1000*v.ServiceTime, fmt.Sprintf("%.0f %%", 100*v.FailureRatio), report)
+		fmt.Fprintf(out, "%-24s %-10s %-9.1f %-8s %s\n", server.ID, started, 1000*server.ServiceTime,
+			fmt.Sprintf("%.0f %%", 100*server.FailureRatio), report)
 	}
 }
 
--- a/cmd/mothrouter/state_test.go
+++ b/cmd/mothrouter/state_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stateFile writes an operator file that saves state in a folder and returns its path.
+// stateFile writes an operator file for saving state in a folder, and returns the file's path.
 func stateFile(t *testing.T, folder string) string {
 	path := filepath.Join(t.TempDir(), "state.toml")
 	require.NoError(t, os.WriteFile(path, fmt.Appendf(nil, "folder = %q\ninterval_s = 0.5\n", folder), 0o600))
@@ -27,7 +27,7 @@
 	return string(out), err
 }
 
-// A restarted broker restores the saved state, with one loop and with several, and starts blank on a truncated file. The
+// A restarted broker restores the saved state, with one loop and with several, and starts blank if the file is truncated. The
 // state commands inspect, verify and delete the file.
 func TestSavedStateRestoredAfterRestart(t *testing.T) {
 	for _, cores := range []bool{false, true} {
@@ -82,17 +82,17 @@
 	folder := t.TempDir()
 	flags := []string{"-state", stateFile(t, folder)}
 	for i := range 3 {
-		b := startServingBroker(t, flags...)
-		require.Contains(t, b.dial().roundTrip(queryRequest("q")), " 200 ")
+		broker := startServingBroker(t, flags...)
+		require.Contains(t, broker.dial().roundTrip(queryRequest("q")), " 200 ")
 		time.Sleep(time.Duration(350+50*i) * time.Millisecond) // the first save is due after 375 to 625 ms
-		require.NoError(t, b.cmd.Process.Signal(syscall.SIGTERM))
-		require.NoError(t, b.cmd.Wait())
+		require.NoError(t, broker.cmd.Process.Signal(syscall.SIGTERM))
+		require.NoError(t, broker.cmd.Wait())
 		out, err := stateCommand(t, "verify", folder)
 		require.NoError(t, err, out)
 	}
 }
 
-func TestStateFileRejectedByKey(t *testing.T) {
+func TestStateFileErrorNamesKey(t *testing.T) {
 	t.Parallel()
 	requireFileRejected(t, "-state", map[string]string{
 		"":                               "state.folder: missing, want the path of a folder",
--- a/internal/controlplane/configfollower/statuslog.go
+++ b/internal/controlplane/configfollower/statuslog.go
@@ -108,7 +108,7 @@
 	}
 	l.staleLoggedAt = now
 	if !status.StalenessKnown {
-		l.log.Warn("configuration unconfirmed, serving by the file of the start")
+		l.log.Warn("configuration unconfirmed, serving with the startup configuration")
 		return
 	}
 	l.log.Warn("configuration may be stale", "behind", status.Staleness.Round(time.Second),
