--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -208,15 +208,18 @@
 	require.NoError(t, err)
 	newer := append([]byte{}, good...)
 	newer[9] = 9
-	for why, b := range map[string][]byte{
-		"no snapshot": []byte("hello"), "truncated": good[:len(good)-1], "too large": make([]byte, snapshot.MaxSize+10),
-		"of another version": newer, "of another broker or fleet": other,
+	for reason, b := range map[string][]byte{
+		"not a snapshot file":                []byte("hello"),
+		"truncated":                          good[:len(good)-1],
+		"too large":                          make([]byte, snapshot.MaxSize+10),
+		"unsupported version":                newer,
+		"belongs to another broker or fleet": other,
 	} {
 		folder := t.TempDir()
 		require.NoError(t, os.WriteFile(filepath.Join(folder, FileName), b, 0o600))
 		k, out := openSaver(folder, nil)
 		require.Nil(t, k.restored)
-		require.Equal(t, 1, strings.Count(out.String(), why), why)
+		require.Equal(t, 1, strings.Count(out.String(), reason), reason)
 		require.FileExists(t, filepath.Join(folder, QuarantineName))
 		recordOutcomes(k, 3)
 		require.NoError(t, k.Save())
--- a/internal/state/snapshot/snapshot.go
+++ b/internal/state/snapshot/snapshot.go
@@ -1,8 +1,9 @@
-// Package snapshot is the file format of a broker's server-health state: a model and its codec. It does no I/O.
+// Package snapshot defines the file format of a broker's server-health state: the model, its encoding and decoding. It does
+// no I/O.
 //
-// The file is a header (magic, version, length, checksum) and a protobuf message, which keeps the field names of the first
-// version. A save replaces the file atomically, so that only a fault of the disk or the file system can truncate or corrupt
-// it. Decode detects that by the header and rejects the file. Times are Unix seconds, durations seconds.
+// A file consists of a header (magic, version, length, checksum) and a protobuf message, which keeps the field names of the
+// first version. A save replaces the file atomically, so only a fault of the disk or the file system can truncate or corrupt
+// it. Decode detects that by the header and rejects the file. Times are Unix seconds, durations are seconds.
 package snapshot
 
 import (
@@ -25,55 +26,55 @@
 	version    = 1
 	headerSize = len(magic) + 2 + 4 + 4 // magic, version, length of the body, checksum
 
-	// MaxSize is the maximum size of a file, in bytes. 200 servers take some 20 KB.
+	// MaxSize is the maximum size of a file, in bytes. 200 servers take about 20 KB.
 	MaxSize = 4 << 20
 	// MaxServers is the maximum number of servers in a snapshot.
 	MaxServers = 20_000
 
-	maxIDLength = 256 // bytes of a server's id
+	maxIDLength = 256 // maximum length of a server id, in bytes
 )
 
-// Errors of Encode, Decode and CheckOwner, which wrap them with sizes, versions and names.
+// Errors that Encode, Decode and CheckOwner return, mostly wrapped with the sizes, versions or names involved.
 var (
 	ErrTooLarge           = errors.New("too large")
-	ErrNoHeader           = errors.New("no snapshot")
-	ErrUnsupportedVersion = errors.New("of another version")
-	ErrTruncated          = errors.New("truncated") // or longer than its header says
-	ErrChecksum           = errors.New("the checksum does not fit")
-	ErrInvalidContent     = errors.New("the content cannot be used")
-	ErrOtherOwner         = errors.New("of another broker or fleet")
+	ErrNoHeader           = errors.New("not a snapshot file: wrong magic number")
+	ErrUnsupportedVersion = errors.New("unsupported version")
+	ErrTruncated          = errors.New("truncated or followed by extra bytes")
+	ErrChecksum           = errors.New("checksum mismatch")
+	ErrInvalidContent     = errors.New("invalid content")
+	ErrOtherOwner         = errors.New("belongs to another broker or fleet")
 )
 
 // Server is the state of one server.
 type Server struct {
 	ID             string
-	Started        float64 // its start, as in the endpoint list
+	Started        float64 // start time of its process, as in the endpoint list; 0: long ago
 	ServiceTime    float64 // mean latency of its parts; 0: unknown
-	ServiceTimeAt  float64
-	FailureRatio   float64 // of attempts, 0 to 1
-	FailureRatioAt float64
+	ServiceTimeAt  float64 // time of the latest update of ServiceTime; 0: never
+	FailureRatio   float64 // fraction of attempts that failed, 0 to 1
+	FailureRatioAt float64 // time of the latest update of FailureRatio; 0: never
 	LoadReport     decision.LoadReport
-	LoadReportedAt float64 // 0: never
+	LoadReportedAt float64 // time at which LoadReport was received; 0: never
 }
 
 // Snapshot is the state of one broker.
 type Snapshot struct {
 	WrittenAt           float64
 	Instance            string  // name of the broker
-	SettingsFingerprint uint64  // of its settings, which identify the fleet
-	ServiceTime         float64 // mean latency of the fleet's parts; 0: unknown
-	PeakThroughput      float64 // parts that one warm server answered this broker, a second
+	SettingsFingerprint uint64  // fingerprint of the broker's settings, which identify the fleet
+	ServiceTime         float64 // mean latency of parts over the fleet; 0: unknown
+	PeakThroughput      float64 // peak rate at which one warm server answered this broker, in parts per second
 	Servers             []Server
 }
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Fingerprint returns a fingerprint of settings, which distinguishes deployments.
+// Fingerprint returns a 64-bit fingerprint of encoded settings, which tells deployments apart.
 func Fingerprint(settings []byte) uint64 {
 	return uint64(crc32.Checksum(settings, castagnoli))<<32 | uint64(crc32.ChecksumIEEE(settings))
 }
 
-// Encode returns the bytes of a file. Its errors wrap ErrTooLarge and ErrInvalidContent.
+// Encode returns the content of a snapshot file. The error wraps ErrTooLarge or ErrInvalidContent.
 func Encode(s *Snapshot) ([]byte, error) {
 	if len(s.Servers) > MaxServers {
 		return nil, fmt.Errorf("%w: %d servers, at most %d", ErrTooLarge, len(s.Servers), MaxServers)
@@ -93,74 +94,74 @@
 	return append(b, body...), nil
 }
 
-// toMessage returns the protobuf message of a snapshot.
+// toMessage converts a snapshot to its protobuf message.
 func toMessage(s *Snapshot) *snapshotpb.Snapshot {
-	m := &snapshotpb.Snapshot{
+	message := &snapshotpb.Snapshot{
 		Written:  s.WrittenAt,
 		Instance: s.Instance,
 		Settings: s.SettingsFingerprint,
 		Pace:     s.ServiceTime,
 		Peak:     s.PeakThroughput,
 	}
-	for _, v := range s.Servers {
-		m.Servers = append(m.Servers, toServerMessage(v))
+	for _, server := range s.Servers {
+		message.Servers = append(message.Servers, toServerMessage(server))
 	}
-	return m
+	return message
 }
 
-// toServerMessage returns the protobuf message of a server.
-func toServerMessage(v Server) *snapshotpb.Server {
-	p := &snapshotpb.Server{
-		Id:       v.ID,
-		Started:  v.Started,
-		Pace:     v.ServiceTime,
-		PaceAt:   v.ServiceTimeAt,
-		Failed:   v.FailureRatio,
-		FailedAt: v.FailureRatioAt,
+// toServerMessage converts a server to its protobuf message.
+func toServerMessage(server Server) *snapshotpb.Server {
+	message := &snapshotpb.Server{
+		Id:       server.ID,
+		Started:  server.Started,
+		Pace:     server.ServiceTime,
+		PaceAt:   server.ServiceTimeAt,
+		Failed:   server.FailureRatio,
+		FailedAt: server.FailureRatioAt,
 	}
-	if v.LoadReportedAt > 0 {
-		l := v.LoadReport
-		p.Report = &snapshotpb.Report{
-			At:        v.LoadReportedAt,
-			InFlight:  l.InFlight,
-			Queue:     l.QueueLength,
-			Busy:      l.Utilization,
-			Latency:   l.Latency,
-			Rate:      l.Rate,
-			ErrorRate: l.ErrorRate,
+	if server.LoadReportedAt > 0 {
+		report := server.LoadReport
+		message.Report = &snapshotpb.Report{
+			At:        server.LoadReportedAt,
+			InFlight:  report.InFlight,
+			Queue:     report.QueueLength,
+			Busy:      report.Utilization,
+			Latency:   report.Latency,
+			Rate:      report.Rate,
+			ErrorRate: report.ErrorRate,
 		}
 	}
-	return p
+	return message
 }
 
-// checksum returns the CRC-32C of a header, up to the checksum, and a body.
+// checksum returns the CRC-32C of the header bytes that precede the checksum, followed by the body.
 func checksum(header, body []byte) uint32 {
 	return crc32.Update(crc32.Checksum(header, castagnoli), castagnoli, body)
 }
 
-// Decode decodes and validates the bytes of a file. Its errors wrap those above, but ErrOtherOwner.
+// Decode decodes and validates the content of a snapshot file. The error wraps one of the errors above except ErrOtherOwner.
 func Decode(b []byte) (*Snapshot, error) {
 	body, err := decodeHeader(b)
 	if err != nil {
 		return nil, err
 	}
-	var m snapshotpb.Snapshot
-	if err := proto.Unmarshal(body, &m); err != nil {
+	var message snapshotpb.Snapshot
+	if err := proto.Unmarshal(body, &message); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidContent, err)
 	}
-	return fromMessage(&m)
+	return fromMessage(&message)
 }
 
 // decodeHeader validates the header and the checksum of a file, and returns its body.
 func decodeHeader(b []byte) ([]byte, error) {
 	if len(b) > MaxSize {
-		return nil, fmt.Errorf("%w: over %d bytes", ErrTooLarge, MaxSize)
+		return nil, fmt.Errorf("%w: more than %d bytes", ErrTooLarge, MaxSize)
 	}
 	if len(b) < len(magic) || string(b[:len(magic)]) != magic {
 		return nil, ErrNoHeader
 	}
 	if len(b) < headerSize {
-		return nil, fmt.Errorf("%w: %d bytes of a header of %d", ErrTruncated, len(b), headerSize)
+		return nil, fmt.Errorf("%w: file has %d bytes, the header alone has %d", ErrTruncated, len(b), headerSize)
 	}
 	const (
 		versionOffset  = len(magic)
@@ -168,11 +169,11 @@
 		checksumOffset = lengthOffset + 4
 	)
 	if v := binary.BigEndian.Uint16(b[versionOffset:]); v != version {
-		return nil, fmt.Errorf("%w: %d, not %d", ErrUnsupportedVersion, v, version)
+		return nil, fmt.Errorf("%w: %d, want %d", ErrUnsupportedVersion, v, version)
 	}
 	body := b[headerSize:]
 	if n := binary.BigEndian.Uint32(b[lengthOffset:]); int(n) != len(body) {
-		return nil, fmt.Errorf("%w: %d bytes of %d", ErrTruncated, len(body), n)
+		return nil, fmt.Errorf("%w: body has %d bytes, want %d", ErrTruncated, len(body), n)
 	}
 	if binary.BigEndian.Uint32(b[checksumOffset:]) != checksum(b[:checksumOffset], body) {
 		return nil, ErrChecksum
@@ -180,53 +181,57 @@
 	return body, nil
 }
 
-// fromMessage returns the snapshot of a protobuf message, if all of its values are in their ranges.
-func fromMessage(m *snapshotpb.Snapshot) (*Snapshot, error) {
-	if len(m.Servers) > MaxServers {
-		return nil, fmt.Errorf("%w: %d servers, at most %d", ErrInvalidContent, len(m.Servers), MaxServers)
+// fromMessage converts a protobuf message to a snapshot. It returns an error that wraps ErrInvalidContent if a value is out
+// of range or a server occurs twice.
+func fromMessage(message *snapshotpb.Snapshot) (*Snapshot, error) {
+	if len(message.Servers) > MaxServers {
+		return nil, fmt.Errorf("%w: %d servers, at most %d", ErrInvalidContent, len(message.Servers), MaxServers)
 	}
-	if !areNonNegative(m.Written, m.Pace, m.Peak) {
-		return nil, fmt.Errorf("%w: a time or rate of the broker", ErrInvalidContent)
+	if !areNonNegative(message.Written, message.Pace, message.Peak) {
+		return nil, fmt.Errorf("%w: written at %g, service time %g, peak throughput %g, want finite non-negative numbers",
+			ErrInvalidContent, message.Written, message.Pace, message.Peak)
 	}
 	s := &Snapshot{
-		WrittenAt:           m.Written,
-		Instance:            m.Instance,
-		SettingsFingerprint: m.Settings,
-		ServiceTime:         m.Pace,
-		PeakThroughput:      m.Peak,
+		WrittenAt:           message.Written,
+		Instance:            message.Instance,
+		SettingsFingerprint: message.Settings,
+		ServiceTime:         message.Pace,
+		PeakThroughput:      message.Peak,
 	}
-	decoded := make(map[string]bool, len(m.Servers))
-	for _, p := range m.Servers {
-		v, err := fromServerMessage(p)
+	decoded := make(map[string]bool, len(message.Servers))
+	for _, serverMessage := range message.Servers {
+		server, err := fromServerMessage(serverMessage)
 		if err != nil {
 			return nil, err
 		}
-		if decoded[v.ID] {
-			return nil, fmt.Errorf("%w: server %q occurs twice", ErrInvalidContent, v.ID)
+		if decoded[server.ID] {
+			return nil, fmt.Errorf("%w: server %q occurs twice", ErrInvalidContent, server.ID)
 		}
-		decoded[v.ID] = true
-		s.Servers = append(s.Servers, v)
+		decoded[server.ID] = true
+		s.Servers = append(s.Servers, server)
 	}
 	return s, nil
 }
 
-// fromServerMessage returns the server of a protobuf message, if all of its values are in their ranges.
-func fromServerMessage(p *snapshotpb.Server) (Server, error) {
-	v := Server{
-		ID:             p.Id,
-		Started:        p.Started,
-		ServiceTime:    p.Pace,
-		ServiceTimeAt:  p.PaceAt,
-		FailureRatio:   p.Failed,
-		FailureRatioAt: p.FailedAt,
+// fromServerMessage converts a protobuf message to a server. It returns an error that wraps ErrInvalidContent if a value is
+// out of range.
+func fromServerMessage(message *snapshotpb.Server) (Server, error) {
+	server := Server{
+		ID:             message.Id,
+		Started:        message.Started,
+		ServiceTime:    message.Pace,
+		ServiceTimeAt:  message.PaceAt,
+		FailureRatio:   message.Failed,
+		FailureRatioAt: message.FailedAt,
 		LoadReport:     decision.NoLoadReport,
 	}
-	if r := p.Report; r != nil {
+	if r := message.Report; r != nil {
 		if !areNonNegative(r.At) || math.IsNaN(r.InFlight+r.Queue+r.Busy+r.Latency+r.Rate+r.ErrorRate) {
-			return v, fmt.Errorf("%w: the report of server %q", ErrInvalidContent, v.ID)
+			return server, fmt.Errorf("%w: load report of server %q has a negative or infinite time or a NaN: %v",
+				ErrInvalidContent, server.ID, r)
 		}
-		v.LoadReportedAt = r.At
-		v.LoadReport = decision.LoadReport{
+		server.LoadReportedAt = r.At
+		server.LoadReport = decision.LoadReport{
 			InFlight:    r.InFlight,
 			QueueLength: r.Queue,
 			Utilization: r.Busy,
@@ -235,30 +240,35 @@
 			ErrorRate:   r.ErrorRate,
 		}
 	}
-	if v.ID == "" || len(v.ID) > maxIDLength {
-		return v, fmt.Errorf("%w: server %q, of 1 to %d bytes", ErrInvalidContent, v.ID, maxIDLength)
+	if server.ID == "" || len(server.ID) > maxIDLength {
+		return server, fmt.Errorf("%w: server id %q has %d bytes, want 1 to %d",
+			ErrInvalidContent, server.ID, len(server.ID), maxIDLength)
 	}
-	numbersValid := areNonNegative(v.Started, v.ServiceTime, v.ServiceTimeAt, v.FailureRatio, v.FailureRatioAt)
-	if !numbersValid || v.FailureRatio > 1 {
-		return v, fmt.Errorf("%w: server %q", ErrInvalidContent, v.ID)
+	numbersValid := areNonNegative(server.Started, server.ServiceTime, server.ServiceTimeAt, server.FailureRatio, server.FailureRatioAt)
+	if !numbersValid || server.FailureRatio > 1 {
+		return server, fmt.Errorf("%w: server %q: started %g, service time %g at %g, failure ratio %g at %g, "+
+			"want finite non-negative numbers and a ratio of at most 1", ErrInvalidContent, server.ID, server.Started,
+			server.ServiceTime, server.ServiceTimeAt, server.FailureRatio, server.FailureRatioAt)
 	}
-	return v, nil
+	return server, nil
 }
 
 // areNonNegative reports whether all values are finite and at least 0.
-func areNonNegative(v ...float64) bool {
-	for _, x := range v {
-		if !(x >= 0) || math.IsInf(x, 0) {
+func areNonNegative(values ...float64) bool {
+	for _, v := range values {
+		if !(v >= 0) || math.IsInf(v, 0) {
 			return false
 		}
 	}
 	return true
 }
 
-// CheckOwner returns an error that wraps ErrOtherOwner unless the snapshot is of a broker with this name and these settings.
-func (s *Snapshot) CheckOwner(instance string, settings uint64) error {
-	if s.Instance != instance || s.SettingsFingerprint != settings {
-		return fmt.Errorf("%w: of %q", ErrOtherOwner, s.Instance)
+// CheckOwner returns an error that wraps ErrOtherOwner unless the snapshot was written by a broker of this name, with
+// settings of this fingerprint.
+func (s *Snapshot) CheckOwner(instance string, fingerprint uint64) error {
+	if s.Instance != instance || s.SettingsFingerprint != fingerprint {
+		return fmt.Errorf("%w: broker %q with settings %016x, want %q with %016x",
+			ErrOtherOwner, s.Instance, s.SettingsFingerprint, instance, fingerprint)
 	}
 	return nil
 }
--- a/internal/state/snapshot/snapshot_test.go
+++ b/internal/state/snapshot/snapshot_test.go
@@ -14,15 +14,24 @@
 	"mothrouter/internal/state/snapshot"
 )
 
+// newSnapshot returns a snapshot of a number of servers, every other one with a load report.
 func newSnapshot(servers int) *snapshot.Snapshot {
 	s := &snapshot.Snapshot{WrittenAt: 1000, Instance: "n3", SettingsFingerprint: 42, ServiceTime: 0.02, PeakThroughput: 31}
 	for i := range servers {
-		v := snapshot.Server{ID: fmt.Sprintf("s-%08x", i), Started: float64(i % 3), ServiceTime: 0.01, ServiceTimeAt: 990, FailureRatio: 0.2,
-			FailureRatioAt: 995, LoadReport: decision.NoLoadReport}
+		server := snapshot.Server{
+			ID:             fmt.Sprintf("s-%08x", i),
+			Started:        float64(i % 3),
+			ServiceTime:    0.01,
+			ServiceTimeAt:  990,
+			FailureRatio:   0.2,
+			FailureRatioAt: 995,
+			LoadReport:     decision.NoLoadReport,
+		}
 		if i%2 == 0 {
-			v.LoadReport, v.LoadReportedAt = decision.LoadReport{InFlight: 3, QueueLength: -1, Utilization: 0.4, Latency: -1, Rate: -1, ErrorRate: -1}, 999
+			server.LoadReport = decision.LoadReport{InFlight: 3, QueueLength: -1, Utilization: 0.4, Latency: -1, Rate: -1, ErrorRate: -1}
+			server.LoadReportedAt = 999
 		}
-		s.Servers = append(s.Servers, v)
+		s.Servers = append(s.Servers, server)
 	}
 	return s
 }
@@ -46,22 +55,22 @@
 	b, err := snapshot.Encode(newSnapshot(200))
 	require.NoError(t, err)
 	require.Less(t, len(b), 24<<10)
-	t.Logf("a file of 200 servers has %d bytes", len(b))
+	t.Logf("a snapshot of 200 servers takes %d bytes", len(b))
 }
 
-// TestDecodeRejectsDamagedFiles truncates a file at each byte and flips each of its bits.
-func TestDecodeRejectsDamagedFiles(t *testing.T) {
+// TestDecodeRejectsCorruptFiles truncates a file at each byte and flips each of its bits.
+func TestDecodeRejectsCorruptFiles(t *testing.T) {
 	b, err := snapshot.Encode(newSnapshot(12))
 	require.NoError(t, err)
 	for n := range b {
 		_, err := snapshot.Decode(b[:n])
-		require.Error(t, err, "cut at %d of %d", n, len(b))
+		require.Error(t, err, "truncated to %d of %d bytes", n, len(b))
 	}
 	for i := range b {
 		for bit := range 8 {
 			b[i] ^= 1 << bit
 			_, err := snapshot.Decode(b)
-			require.Error(t, err, "bit %d of byte %d", bit, i)
+			require.Error(t, err, "flipped bit %d of byte %d", bit, i)
 			b[i] ^= 1 << bit
 		}
 	}
@@ -71,31 +80,31 @@
 	require.ErrorIs(t, err, snapshot.ErrNoHeader)
 	_, err = snapshot.Decode(make([]byte, snapshot.MaxSize+1))
 	require.ErrorIs(t, err, snapshot.ErrTooLarge)
-	for _, v := range []uint16{0, 2, 65535} { // older and newer
-		other := append([]byte{}, b...)
-		binary.BigEndian.PutUint16(other[8:], v)
-		_, err = snapshot.Decode(other)
+	for _, version := range []uint16{0, 2, 65535} { // older and newer
+		changed := append([]byte{}, b...)
+		binary.BigEndian.PutUint16(changed[8:], version)
+		_, err = snapshot.Decode(changed)
 		require.ErrorIs(t, err, snapshot.ErrUnsupportedVersion)
 	}
 }
 
-// TestDecodeRejectsInvalidContent decodes files with a valid checksum and a value out of its range.
+// TestDecodeRejectsInvalidContent decodes files with a valid checksum and one value that is out of range.
 func TestDecodeRejectsInvalidContent(t *testing.T) {
-	for what, change := range map[string]func(*snapshot.Snapshot){
-		"a negative time":        func(s *snapshot.Snapshot) { s.WrittenAt = -1 },
-		"not a number":           func(s *snapshot.Snapshot) { s.ServiceTime = math.NaN() },
-		"infinite":               func(s *snapshot.Snapshot) { s.PeakThroughput = math.Inf(1) },
-		"a server twice":         func(s *snapshot.Snapshot) { s.Servers[1].ID = s.Servers[0].ID },
-		"a server without id":    func(s *snapshot.Snapshot) { s.Servers[0].ID = "" },
-		"a failure ratio over 1": func(s *snapshot.Snapshot) { s.Servers[0].FailureRatio = 1.5 },
-		"a report with NaN":      func(s *snapshot.Snapshot) { s.Servers[0].LoadReport.Utilization = math.NaN() },
+	for name, change := range map[string]func(*snapshot.Snapshot){
+		"negative time":            func(s *snapshot.Snapshot) { s.WrittenAt = -1 },
+		"service time NaN":         func(s *snapshot.Snapshot) { s.ServiceTime = math.NaN() },
+		"infinite peak throughput": func(s *snapshot.Snapshot) { s.PeakThroughput = math.Inf(1) },
+		"duplicate server":         func(s *snapshot.Snapshot) { s.Servers[1].ID = s.Servers[0].ID },
+		"server without id":        func(s *snapshot.Snapshot) { s.Servers[0].ID = "" },
+		"failure ratio over 1":     func(s *snapshot.Snapshot) { s.Servers[0].FailureRatio = 1.5 },
+		"load report with NaN":     func(s *snapshot.Snapshot) { s.Servers[0].LoadReport.Utilization = math.NaN() },
 	} {
 		s := newSnapshot(3)
 		change(s)
 		b, err := snapshot.Encode(s)
 		require.NoError(t, err)
 		_, err = snapshot.Decode(b)
-		require.ErrorIs(t, err, snapshot.ErrInvalidContent, what)
+		require.ErrorIs(t, err, snapshot.ErrInvalidContent, name)
 	}
 	_, err := snapshot.Encode(&snapshot.Snapshot{Servers: make([]snapshot.Server, snapshot.MaxServers+1)})
 	require.ErrorIs(t, err, snapshot.ErrTooLarge)
@@ -128,8 +137,9 @@
 	}
 }
 
-// TestDecodeReadsFileOfFirstVersion reads a file written before the names in the code changed, and writes the same bytes.
-func TestDecodeReadsFileOfFirstVersion(t *testing.T) {
+// TestDecodeReadsFileOfEarlierRelease guards the file format against renames in the code: a file that was written before them
+// decodes to the same values, and these encode to the same bytes.
+func TestDecodeReadsFileOfEarlierRelease(t *testing.T) {
 	b, err := os.ReadFile("testdata/as-found.moth")
 	require.NoError(t, err)
 	s, err := snapshot.Decode(b)
@@ -145,7 +155,7 @@
 				LoadReport: decision.NoLoadReport},
 		},
 	}, s)
-	again, err := snapshot.Encode(s)
+	encoded, err := snapshot.Encode(s)
 	require.NoError(t, err)
-	require.Equal(t, b, again, "to the byte")
+	require.Equal(t, b, encoded)
 }
