--- a/internal/state/recovery/recovery.go
+++ b/internal/state/recovery/recovery.go
@@ -9,19 +9,19 @@
 	"mothrouter/internal/state/snapshot"
 )
 
-// Decay of restored observations. Health decays faster than faults, since to avoid a healthy server costs little capacity,
-// while to trust a dead one costs requests.
+// Decay of restored observations. Evidence that a server is healthy decays faster than evidence of a fault: avoiding a
+// healthy server costs little capacity, while trusting a dead one costs requests.
 const (
-	// MaxAge is the maximum age of a snapshot, in seconds. An older one describes a fleet that has changed since.
+	// MaxAge is the maximum age of a snapshot, in seconds. A fleet changes too much in a longer time.
 	MaxAge = 600.0
 
-	clockSlack         = 0.5  // seconds by which a clock may seem to run ahead
-	faultHalfLife      = 20.0 // seconds in which it halves that a server is slow or fails
-	slowServerFactor   = 1.5  // times the fleet's service time from which a server counts as slow
-	minFailureRatio    = 0.1  // from which a server counts as failing
-	loadReportLifetime = 10.0 // seconds for which a load report holds: the fitness table is as old at worst
-	peakHalfLife       = 30.0 // seconds in which the rate of warm servers halves
-	minWeight          = 0.05 // less does not count
+	clockSlack         = 0.5  // seconds by which the time of a snapshot may be ahead of the clock
+	faultHalfLife      = 20.0 // half-life, in seconds, of the observation that a server is slow or failing
+	slowServerFactor   = 1.5  // a server counts as slow above this multiple of the fleet's service time
+	minFailureRatio    = 0.1  // a server counts as failing from this failure ratio
+	loadReportLifetime = 10.0 // seconds for which a load report is valid, as long as a fitness computed from reports is used
+	peakHalfLife       = 30.0 // half-life, in seconds, of the peak throughput of warm servers
+	minWeight          = 0.05 // observations of a lower weight are dropped
 )
 
 // Errors of CheckAge.
@@ -30,7 +30,8 @@
 	ErrStale  = errors.New("stale")
 )
 
-// CheckAge returns nil for a snapshot that may be restored, else an error with its age that wraps ErrFuture or ErrStale.
+// CheckAge returns nil if the age of a snapshot allows its use, or else an error that states the age and wraps ErrFuture or
+// ErrStale.
 func CheckAge(s *snapshot.Snapshot, now float64) error {
 	switch age := now - s.WrittenAt; {
 	case age < -clockSlack:
@@ -41,57 +42,57 @@
 	return nil
 }
 
-// Restore returns the valid state of a snapshot as events for the decision module, which must have handled the endpoint list
-// before. State is valid only for a server that is ready and still the same process: nothing is restored of one that has
-// restarted, drains or was replaced under its id.
+// Restore returns the valid state of a snapshot as events for a decision.Decider, which must have handled the endpoint list
+// before. State is valid only for a server that is ready and still the same process; it is dropped if the server has
+// restarted, is draining or was replaced by another under the same id.
 func Restore(s *snapshot.Snapshot, list []decision.Server, now float64) (events []decision.Event) {
 	if CheckAge(s, now) != nil {
 		return nil
 	}
 	listed := make(map[string]decision.Server, len(list))
-	for _, e := range list {
-		listed[e.ID] = e
+	for _, endpoint := range list {
+		listed[endpoint.ID] = endpoint
 	}
 	if weight := decay(now-s.WrittenAt, peakHalfLife); s.ServiceTime > 0 && weight >= minWeight {
 		events = append(events, decision.RestoredState{ServiceTime: s.ServiceTime, PeakThroughput: s.PeakThroughput * weight})
 	}
-	for _, v := range s.Servers {
-		e, here := listed[v.ID]
-		if !here || e.State != decision.Ready || e.Started != v.Started || e.Started > s.WrittenAt {
+	for _, saved := range s.Servers {
+		endpoint, found := listed[saved.ID]
+		if !found || endpoint.State != decision.Ready || endpoint.Started != saved.Started || endpoint.Started > s.WrittenAt {
 			continue
 		}
-		if o, ok := peerObservation(v, s, now); ok {
-			events = append(events, o)
+		if observation, ok := peerObservation(saved, s, now); ok {
+			events = append(events, observation)
 		}
 	}
 	return events
 }
 
-// peerObservation returns the restored state of a server as an observation dated to when it was made, since the module's
-// own observations outweigh older ones. It reports whether there is any. That a server was fast is not restored: without
-// state each server counts as average, and a good past would reduce the weight of its first failures.
-func peerObservation(v snapshot.Server, s *snapshot.Snapshot, now float64) (o decision.PeerObservation, ok bool) {
-	// Times after the snapshot's own are invalid and count as its own.
-	madeAt := func(t float64) float64 { return math.Min(t, s.WrittenAt) }
-	age := func(t float64) float64 { return now - madeAt(t) }
+// peerObservation returns the saved state of a server as an observation dated to when it was made, since the Decider's own
+// observations outweigh older ones. ok is whether there is anything to restore. That a server was fast or reliable is not
+// restored: without state every server counts as average, and a good history would reduce the weight of its first failures.
+func peerObservation(saved snapshot.Server, s *snapshot.Snapshot, now float64) (o decision.PeerObservation, ok bool) {
+	// A time after that of the snapshot is invalid and is replaced by the snapshot's time.
+	observedAt := func(t float64) float64 { return math.Min(t, s.WrittenAt) }
+	age := func(t float64) float64 { return now - observedAt(t) }
 	o = decision.PeerObservation{
-		Server:     v.ID,
-		At:         math.Min(madeAt(math.Max(v.FailureRatioAt, v.ServiceTimeAt)), now),
+		Server:     saved.ID,
+		At:         math.Min(observedAt(math.Max(saved.FailureRatioAt, saved.ServiceTimeAt)), now),
 		LoadReport: decision.NoLoadReport,
 	}
-	weight := decay(age(v.FailureRatioAt), faultHalfLife)
-	if v.FailureRatioAt > 0 && v.FailureRatio >= minFailureRatio && weight*v.FailureRatio >= minWeight {
-		o.FailureRatio, o.Weight, ok = v.FailureRatio, weight, true
+	weight := decay(age(saved.FailureRatioAt), faultHalfLife)
+	if saved.FailureRatioAt > 0 && saved.FailureRatio >= minFailureRatio && weight*saved.FailureRatio >= minWeight {
+		o.FailureRatio, o.Weight, ok = saved.FailureRatio, weight, true
 	}
-	weight = decay(age(v.ServiceTimeAt), faultHalfLife)
-	if v.ServiceTimeAt > 0 && s.ServiceTime > 0 && v.ServiceTime > slowServerFactor*s.ServiceTime && weight >= minWeight {
-		o.ServiceTime, ok = s.ServiceTime+(v.ServiceTime-s.ServiceTime)*weight, true
+	weight = decay(age(saved.ServiceTimeAt), faultHalfLife)
+	if saved.ServiceTimeAt > 0 && s.ServiceTime > 0 && saved.ServiceTime > slowServerFactor*s.ServiceTime && weight >= minWeight {
+		o.ServiceTime, ok = s.ServiceTime+(saved.ServiceTime-s.ServiceTime)*weight, true
 	}
-	if a := age(v.LoadReportedAt); v.LoadReportedAt > 0 && a >= 0 && a <= loadReportLifetime {
-		o.LoadReport, o.LoadReportedAt, ok = v.LoadReport, madeAt(v.LoadReportedAt), true
+	if a := age(saved.LoadReportedAt); saved.LoadReportedAt > 0 && a >= 0 && a <= loadReportLifetime {
+		o.LoadReport, o.LoadReportedAt, ok = saved.LoadReport, observedAt(saved.LoadReportedAt), true
 	}
 	return o, ok
 }
 
-// decay returns the factor by which a weight has decayed at an age.
+// decay returns the factor by which a weight decays over an age, both times in seconds.
 func decay(age, halfLife float64) float64 { return math.Exp2(-math.Max(age, 0) / halfLife) }
