--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -23,85 +23,89 @@
 	"mothrouter/internal/state/snapshot"
 )
 
-// TestMain also runs the process that TestKillsWhileSavingLeaveAValidFile kills: it writes a byte to its standard output, then
-// saves without a pause.
+// TestMain also runs the child process of TestKillDuringSaveLeavesValidFile, which writes a byte to its standard output and
+// then saves in a loop until it is killed.
 func TestMain(m *testing.M) {
 	if folder := os.Getenv("CHECKPOINT_TEST_FOLDER"); folder != "" {
-		k := Open(Options{Folder: folder, Interval: time.Hour, Instance: "n1", Settings: 7, Log: slog.New(slog.DiscardHandler)})
-		_, _ = os.Stdout.Write([]byte{0}) // without a reader the kill does not come, which the test notices
+		saver := Open(Options{Folder: folder, Interval: time.Hour, Instance: "n1", Settings: 7, Log: slog.New(slog.DiscardHandler)})
+		_, _ = os.Stdout.Write([]byte{0}) // if this fails, the parent reports that the child did not start
 		for n := 0; ; n++ {
-			recordOutcomes(k, 1+n%200)
-			_ = k.Save() // it is killed at any moment; what it leaves behind is checked
+			recordOutcomes(saver, 1+n%200)
+			_ = saver.Save() // the parent checks the file after the kill
 		}
 	}
 	os.Exit(m.Run())
 }
 
-// recordOutcomes records an endpoint list of a number of servers and an outcome of each.
-func recordOutcomes(k *Saver, servers int) {
-	w := k.Watch(idleDecider{})
+// recordOutcomes passes an endpoint list of a number of servers and one outcome of each to a Saver.
+func recordOutcomes(saver *Saver, servers int) {
+	decider := saver.Watch(idleDecider{})
 	now := float64(time.Now().UnixNano()) / 1e9
-	l := decision.EndpointUpdate{Mode: decision.FullUpdate}
+	update := decision.EndpointUpdate{Mode: decision.FullUpdate}
 	events := []decision.Event{nil}
 	for i := range servers {
 		id := fmt.Sprintf("s-%08x", i)
-		l.Servers = append(l.Servers, decision.Server{ID: id})
+		update.Servers = append(update.Servers, decision.Server{ID: id})
 		events = append(events, decision.AttemptFinished{Server: id, Latency: 0.01, LoadReport: decision.LoadReport{Utilization: 0.5}})
 	}
-	events[0] = l
-	w.Handle(now, events)
+	events[0] = update
+	decider.Handle(now, events)
 }
 
+// idleDecider is a Decider that takes no action.
 type idleDecider struct{}
 
 func (idleDecider) Handle(float64, []decision.Event) []decision.Action { return nil }
 
+// openSaver opens a Saver and returns it with its log.
 func openSaver(folder string, files Files) (*Saver, *logtest.Buffer) {
-	var out logtest.Buffer
+	var log logtest.Buffer
 	return Open(Options{Folder: folder, Interval: 20 * time.Millisecond, Instance: "n1", Settings: 7, Files: files,
-		Log: slog.New(slog.NewTextHandler(&out, nil))}), &out
+		Log: slog.New(slog.NewTextHandler(&log, nil))}), &log
 }
 
 func TestOpenRestoresSavedState(t *testing.T) {
 	folder := t.TempDir()
-	k, out := openSaver(folder, nil)
-	require.Equal(t, 1, strings.Count(out.String(), "starting blank"))
-	recordOutcomes(k, 20)
+	saver, log := openSaver(folder, nil)
+	require.Equal(t, 1, strings.Count(log.String(), "starting blank"))
+	recordOutcomes(saver, 20)
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	all.Go(func() { k.Run(ctx) })
+	var run sync.WaitGroup
+	run.Go(func() { saver.Run(ctx) })
 	require.Eventually(t, func() bool { _, err := os.Stat(filepath.Join(folder, FileName)); return err == nil }, time.Second, time.Millisecond)
-	recordOutcomes(k, 40)
-	cancel() // a clean end saves once more, also while a save is under way
-	all.Wait()
-	k, out = openSaver(folder, nil)
-	require.NotNil(t, k.restored)
-	require.Len(t, k.restored.Servers, 40)
-	require.Equal(t, 1, strings.Count(out.String(), "saved state restored"))
-	var heard int
-	w := k.Watch(deciderFunc(func(events []decision.Event) {
+	recordOutcomes(saver, 40)
+	cancel() // Run saves once more before it returns, even if a save is in progress
+	run.Wait()
+	saver, log = openSaver(folder, nil)
+	require.NotNil(t, saver.restored)
+	require.Len(t, saver.restored.Servers, 40)
+	require.Equal(t, 1, strings.Count(log.String(), "saved state restored"))
+	var restored int
+	decider := saver.Watch(deciderFunc(func(events []decision.Event) {
 		for _, e := range events {
-			if h, ok := e.(decision.PeerObservation); ok && h.LoadReport.Utilization == 0.5 {
-				heard++
+			if observation, ok := e.(decision.PeerObservation); ok && observation.LoadReport.Utilization == 0.5 {
+				restored++
 			}
 		}
 	}))
-	list := decision.EndpointUpdate{Mode: decision.CachedUpdate, Servers: []decision.Server{{ID: "s-00000001"}, {ID: "s-00000002", Started: 5}}}
+	update := decision.EndpointUpdate{Mode: decision.CachedUpdate, Servers: []decision.Server{{ID: "s-00000001"}, {ID: "s-00000002", Started: 5}}}
 	for range 2 {
-		w.Handle(k.now(), []decision.Event{list})
+		decider.Handle(saver.now(), []decision.Event{update})
 	}
-	require.Equal(t, 1, heard, "once, and of the same process only")
+	require.Equal(t, 1, restored, "only once, and only for the server that is still the same process")
 }
 
+// deciderFunc is a Decider that takes no action and calls the function with each batch of events.
 type deciderFunc func([]decision.Event)
 
-func (l deciderFunc) Handle(_ float64, events []decision.Event) []decision.Action {
-	l(events)
+func (f deciderFunc) Handle(_ float64, events []decision.Event) []decision.Action {
+	f(events)
 	return nil
 }
 
-// A process is killed a thousand times while it saves: the file is never torn, and never missing once it was written.
-func TestKillsWhileSavingLeaveAValidFile(t *testing.T) {
+// TestKillDuringSaveLeavesValidFile kills up to a thousand processes while they save: the file must never be partially written,
+// nor missing once it was written.
+func TestKillDuringSaveLeavesValidFile(t *testing.T) {
 	folder := t.TempDir()
 	rng := rand.New(rand.NewPCG(1, 2))
 	deadline := time.Now().Add(40 * time.Second)
@@ -109,17 +113,17 @@
 	for ; kills < 1000 && time.Now().Before(deadline); kills++ {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "CHECKPOINT_TEST_FOLDER="+folder, "GOMAXPROCS=1")
-		started, err := cmd.StdoutPipe()
+		stdout, err := cmd.StdoutPipe()
 		require.NoError(t, err)
 		require.NoError(t, cmd.Start())
-		_, err = io.ReadFull(started, make([]byte, 1))
-		require.NoError(t, err, "the process did not begin to save")
+		_, err = io.ReadFull(stdout, make([]byte, 1))
+		require.NoError(t, err, "the child process did not start")
 		time.Sleep(time.Duration(rng.IntN(16)) * time.Millisecond)
 		require.NoError(t, cmd.Process.Kill())
 		cmd.Wait()
 		b, err := Disk{}.Read(filepath.Join(folder, FileName))
 		if errors.Is(err, os.ErrNotExist) {
-			require.Zero(t, validFiles, "the file was written and is missing")
+			require.Zero(t, validFiles, "the file was written before and is missing now")
 			continue
 		}
 		require.NoError(t, err)
@@ -127,75 +131,75 @@
 		require.NoError(t, err, "after %d kills", kills)
 		validFiles++
 	}
-	t.Logf("%d kills, a valid file after %d of them", kills, validFiles)
+	t.Logf("valid file after %d of %d kills", validFiles, kills)
 	require.Greater(t, validFiles, kills/2)
-	k, _ := openSaver(folder, nil)
-	require.NotNil(t, k.restored)
-	left, err := os.ReadDir(folder)
+	saver, _ := openSaver(folder, nil)
+	require.NotNil(t, saver.restored)
+	entries, err := os.ReadDir(folder)
 	require.NoError(t, err)
-	require.Len(t, left, 2, "the file and the lock: what was half written is swept up")
+	require.Len(t, entries, 2, "the state file and the lock file: temporary files were removed")
 }
 
-// powerLossFiles are files that lose power: Replace writes stepsLeft bytes at most, and fails unless one more step is left
-// for the rename.
+// powerLossFiles is a Files that simulates a power loss during Replace, which writes at most stepsLeft bytes, and fails unless
+// one more step is left for the rename.
 type powerLossFiles struct {
 	Disk
-	stepsLeft int  // what still reaches the disk: bytes of the new file, then the rename
-	complete  bool // all bytes did
-	reorders  bool // the rename precedes the bytes, as it may without a sync
+	stepsLeft int  // steps that reach the disk: one for each byte of the new file, then one for the rename
+	complete  bool // whether all bytes reached the disk
+	reorders  bool // whether the rename reaches the disk before the bytes, as is possible without a sync
 }
 
 var errPowerLoss = errors.New("power loss")
 
-func (c *powerLossFiles) Replace(path string, b []byte) error {
-	n := min(c.stepsLeft, len(b))
-	c.complete = n == len(b)
+func (f *powerLossFiles) Replace(path string, b []byte) error {
+	n := min(f.stepsLeft, len(b))
+	f.complete = n == len(b)
 	temp := path + ".tmp"
-	if c.reorders {
+	if f.reorders {
 		temp = path
 	}
 	if err := os.WriteFile(temp, b[:n], 0o600); err != nil {
 		return err
 	}
-	if c.stepsLeft <= len(b) {
+	if f.stepsLeft <= len(b) {
 		return errPowerLoss
 	}
 	return os.Rename(temp, path)
 }
 
-// A write is cut at each byte and before the rename. With files that keep the order of write and rename the old file is
-// kept; with files that do not, the torn file is detected and quarantined, and the state starts blank.
-func TestPowerLossAtEachStepOfASave(t *testing.T) {
-	for _, torn := range []bool{false, true} {
+// TestPowerLossAtEachStepOfSave interrupts a save after each byte and before the rename. If the disk keeps the order of write
+// and rename, the old file remains; otherwise Open detects and quarantines the partial file and starts with empty state.
+func TestPowerLossAtEachStepOfSave(t *testing.T) {
+	for _, reorders := range []bool{false, true} {
 		for steps := 0; ; steps++ {
 			folder := t.TempDir()
-			k, _ := openSaver(folder, nil)
-			recordOutcomes(k, 1)
-			require.NoError(t, k.Save())
+			saver, _ := openSaver(folder, nil)
+			recordOutcomes(saver, 1)
+			require.NoError(t, saver.Save())
 			old, err := os.ReadFile(filepath.Join(folder, FileName))
 			require.NoError(t, err)
-			k.lockFile.Close()
-			files := &powerLossFiles{stepsLeft: steps, reorders: torn}
-			k, _ = openSaver(folder, files)
-			recordOutcomes(k, 2)
-			err = k.Save()
-			k.lockFile.Close()
+			saver.lockFile.Close()
+			files := &powerLossFiles{stepsLeft: steps, reorders: reorders}
+			saver, _ = openSaver(folder, files)
+			recordOutcomes(saver, 2)
+			err = saver.Save()
+			saver.lockFile.Close()
 			if err == nil {
 				break
 			}
-			k, out := openSaver(folder, nil)
-			if torn && files.complete {
-				require.Len(t, k.restored.Servers, 2)
-			} else if torn {
-				require.Nil(t, k.restored, "cut at %d", steps)
-				require.Equal(t, 1, strings.Count(out.String(), "saved state unusable"))
+			saver, log := openSaver(folder, nil)
+			if reorders && files.complete {
+				require.Len(t, saver.restored.Servers, 2)
+			} else if reorders {
+				require.Nil(t, saver.restored, "power loss after step %d", steps)
+				require.Equal(t, 1, strings.Count(log.String(), "saved state unusable"))
 				require.FileExists(t, filepath.Join(folder, QuarantineName))
 				require.NoFileExists(t, filepath.Join(folder, FileName))
 			} else {
-				require.NotNil(t, k.restored, "cut at %d", steps)
-				require.Len(t, k.restored.Servers, 1)
+				require.NotNil(t, saver.restored, "power loss after step %d", steps)
+				require.Len(t, saver.restored.Servers, 1)
 			}
-			k.lockFile.Close()
+			saver.lockFile.Close()
 			require.Less(t, steps, 3*len(old))
 		}
 	}
@@ -217,16 +221,16 @@
 	} {
 		folder := t.TempDir()
 		require.NoError(t, os.WriteFile(filepath.Join(folder, FileName), b, 0o600))
-		k, out := openSaver(folder, nil)
-		require.Nil(t, k.restored)
-		require.Equal(t, 1, strings.Count(out.String(), reason), reason)
+		saver, log := openSaver(folder, nil)
+		require.Nil(t, saver.restored)
+		require.Equal(t, 1, strings.Count(log.String(), reason), reason)
 		require.FileExists(t, filepath.Join(folder, QuarantineName))
-		recordOutcomes(k, 3)
-		require.NoError(t, k.Save())
+		recordOutcomes(saver, 3)
+		require.NoError(t, saver.Save())
 	}
 }
 
-// failingFiles are files on which Replace fails with err while it is set.
+// failingFiles is a Files whose Replace fails with err while err is set.
 type failingFiles struct {
 	Disk
 	mu  sync.Mutex
@@ -242,107 +246,109 @@
 	return f.Disk.Replace(path, b)
 }
 
-func TestSaveLogsAFailureOnce(t *testing.T) {
+func TestSaveLogsRepeatedFailureOnce(t *testing.T) {
 	for _, err := range []error{syscall.ENOSPC, syscall.EROFS} {
 		files := &failingFiles{err: err}
-		k, out := openSaver(t.TempDir(), files)
-		recordOutcomes(k, 3)
+		saver, log := openSaver(t.TempDir(), files)
+		recordOutcomes(saver, 3)
 		for range 20 {
-			require.ErrorIs(t, k.Save(), err)
+			require.ErrorIs(t, saver.Save(), err)
 		}
-		require.Equal(t, 1, strings.Count(out.String(), "state not saved"))
+		require.Equal(t, 1, strings.Count(log.String(), "state not saved"))
 		files.err = nil
-		require.NoError(t, k.Save())
-		require.NoError(t, k.Save())
-		require.Equal(t, 1, strings.Count(out.String(), "state saved again"))
+		require.NoError(t, saver.Save())
+		require.NoError(t, saver.Save())
+		require.Equal(t, 1, strings.Count(log.String(), "state saved again"))
 	}
 }
 
-func TestFolderHasOneWriter(t *testing.T) {
+func TestSaveRequiresFolderLock(t *testing.T) {
 	folder := t.TempDir()
 	first, _ := openSaver(folder, nil)
 	recordOutcomes(first, 3)
 	require.NoError(t, first.Save())
-	second, out := openSaver(folder, nil) // starts while the first still runs: it reads and does not write
+	second, log := openSaver(folder, nil) // reads, but cannot save while first holds the lock
 	require.NotNil(t, second.restored)
-	require.Equal(t, 1, strings.Count(out.String(), "locked by another process"))
+	require.Equal(t, 1, strings.Count(log.String(), "locked by another process"))
 	recordOutcomes(second, 9)
 	for range 5 {
 		require.Error(t, second.Save())
 	}
-	require.Equal(t, 1, strings.Count(out.String(), "locked by another process"))
+	require.Equal(t, 1, strings.Count(log.String(), "locked by another process"))
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	first.Run(ctx) // a graceful end, which releases the lock
+	first.Run(ctx) // returns at once and releases the lock
 	require.NoError(t, second.Save())
-	require.Equal(t, 1, strings.Count(out.String(), "state saved again"))
+	require.Equal(t, 1, strings.Count(log.String(), "state saved again"))
 	third, _ := openSaver(folder, nil)
 	require.Len(t, third.restored.Servers, 9)
 }
 
 func TestSaveSurvivesFolderReplacement(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "state")
-	k, out := openSaver(folder, nil) // the folder does not exist yet
-	recordOutcomes(k, 3)
-	require.Error(t, k.Save())
+	saver, log := openSaver(folder, nil) // the folder does not exist yet
+	recordOutcomes(saver, 3)
+	require.Error(t, saver.Save())
 	require.NoError(t, os.Mkdir(folder, 0o700))
-	require.NoError(t, k.Save())
+	require.NoError(t, saver.Save())
 	require.NoError(t, os.RemoveAll(folder))
 	for range 5 {
-		require.Error(t, k.Save())
+		require.Error(t, saver.Save())
 	}
-	require.Equal(t, 2, strings.Count(out.String(), "state folder unusable"), "once for each period of failure")
+	require.Equal(t, 2, strings.Count(log.String(), "state folder unusable"), "once for each time the folder was missing")
 	require.NoError(t, os.Mkdir(folder, 0o700))
 	other, _ := openSaver(folder, nil)
 	require.NotNil(t, other.lockFile)
-	require.Error(t, k.Save(), "another writer has locked the new folder")
+	require.Error(t, saver.Save(), "another writer has locked the new folder")
 	other.lockFile.Close()
-	require.NoError(t, k.Save())
+	require.NoError(t, saver.Save())
 }
 
-// A disk that hangs holds up the save, not the loop.
+// hangingFiles is a Files whose Replace blocks until released is closed.
 type hangingFiles struct {
 	Disk
-	entered, free chan struct{}
+	entered  chan struct{} // closed when Replace is called
+	released chan struct{}
 }
 
-func (s *hangingFiles) Replace(string, []byte) error {
-	close(s.entered)
-	<-s.free
+func (f *hangingFiles) Replace(string, []byte) error {
+	close(f.entered)
+	<-f.released
 	return nil
 }
 
+// TestHangingDiskDoesNotBlockDecider records outcomes while a save hangs: only the save may wait for the disk.
 func TestHangingDiskDoesNotBlockDecider(t *testing.T) {
-	files := &hangingFiles{entered: make(chan struct{}), free: make(chan struct{})}
-	k, _ := openSaver(t.TempDir(), files)
-	recordOutcomes(k, 200)
-	go func() { _ = k.Save() }() // the disk hangs, so it has no result
+	files := &hangingFiles{entered: make(chan struct{}), released: make(chan struct{})}
+	saver, _ := openSaver(t.TempDir(), files)
+	recordOutcomes(saver, 200)
+	go func() { _ = saver.Save() }() // blocks until the end of the test
 	<-files.entered
-	began := time.Now()
+	start := time.Now()
 	for range 100 {
-		recordOutcomes(k, 200)
+		recordOutcomes(saver, 200)
 	}
-	require.Less(t, time.Since(began), 2*time.Second)
-	close(files.free)
+	require.Less(t, time.Since(start), 2*time.Second)
+	close(files.released)
 }
 
 func BenchmarkCollectOutcome(b *testing.B) {
-	k, _ := openSaver(b.TempDir(), nil)
-	recordOutcomes(k, 200)
-	w := k.Watch(idleDecider{})
+	saver, _ := openSaver(b.TempDir(), nil)
+	recordOutcomes(saver, 200)
+	decider := saver.Watch(idleDecider{})
 	events := []decision.Event{decision.AttemptFinished{Server: "s-00000001", Latency: 0.01, LoadReport: decision.LoadReport{Utilization: 0.5}}}
 	b.ReportAllocs()
 	for i := range b.N {
-		w.Handle(float64(i)/1000, events)
+		decider.Handle(float64(i)/1000, events)
 	}
 }
 
 func BenchmarkSave200(b *testing.B) {
-	k, _ := openSaver(b.TempDir(), nil)
-	recordOutcomes(k, 200)
+	saver, _ := openSaver(b.TempDir(), nil)
+	recordOutcomes(saver, 200)
 	b.ReportAllocs()
 	for range b.N {
-		if err := k.Save(); err != nil {
+		if err := saver.Save(); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/state/recovery/recovery_test.go
+++ b/internal/state/recovery/recovery_test.go
@@ -227,9 +227,8 @@
 	}
 }
 
-// TestRestoredFleetWideFaultDoesNotStopSending restores state that was saved during a fault of the whole fleet, with all servers
-// failing. The broker has to keep sending: a ratio that all replicas share does not favor any of them, and the first answers
-// outweigh it.
+// TestRestoredFleetWideFaultDoesNotStopSending restores state that was saved while all servers were failing. The broker has to
+// keep sending: a ratio that all replicas share does not favor any of them, and the first answers outweigh it.
 func TestRestoredFleetWideFaultDoesNotStopSending(t *testing.T) {
 	settings := decision.Settings{
 		Classes:     []decision.Class{{LatencyObjective: 1, Deadline: 2, CompletenessThreshold: 1, MinCompleteness: 1}},
