--- a/internal/controlplane/raftlog/corruption_test.go
+++ b/internal/controlplane/raftlog/corruption_test.go
@@ -15,13 +15,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// filledLog returns the content of a file with a snapshot, entries of several pages and free pages, and the state in it.
+// filledLog returns the content of a log file with a snapshot, several pages of entries and free pages, and the state in it.
 func filledLog(t testing.TB) ([]byte, logState) {
 	t.Helper()
 	log, path := create(t)
 	random := rand.New(rand.NewPCG(9, 9))
 	for range 40 {
-		require.NoError(t, randomWrite(log, random).write(log))
+		require.NoError(t, newRandomWrite(log, random).apply(log))
 	}
 	state := log.memory
 	require.NotEmpty(t, state.entries)
@@ -31,7 +31,7 @@
 	return content, state
 }
 
-// openContent opens a log whose file has a content.
+// openContent writes a file with a content and opens it as a log.
 func openContent(t testing.TB, content []byte) (*Log, error) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "log")
@@ -39,46 +39,47 @@
 	return Open(path, testOptions)
 }
 
-// isSentinel reports whether an error wraps one of the errors for a file that Open rejects.
-func isSentinel(err error) bool {
-	for _, sentinel := range []error{ErrForeign, ErrVersion, ErrTorn, ErrCorrupt} {
-		if errors.Is(err, sentinel) {
+// isInvalidFile reports whether an error wraps one of the errors that Open returns for an invalid file.
+func isInvalidFile(err error) bool {
+	for _, target := range []error{ErrForeign, ErrVersion, ErrTruncated, ErrCorrupt} {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
 	return false
 }
 
-// corruptionTrials is the number of files that TestOpenDetectsChangedBytes opens.
-var corruptionTrials = flag.Int("changes", 250, "trials of TestOpenDetectsChangedBytes")
+// corruptionTrials is the number of changed files that TestOpenDetectsChangedBytes opens.
+var corruptionTrials = flag.Int("changes", 250, "number of trials of TestOpenDetectsChangedBytes")
 
-// TestOpenDetectsChangedBytes changes one to three bytes anywhere: Open returns a sentinel error, or its log is unchanged.
+// TestOpenDetectsChangedBytes changes one to three random bytes of a file. Open must either reject it or return the original
+// state, if the bytes are in free space.
 func TestOpenDetectsChangedBytes(t *testing.T) {
 	t.Parallel()
 	content, want := filledLog(t)
 	used := bytes.LastIndexFunc(content, func(r rune) bool { return r != 0 })
 	random := rand.New(rand.NewPCG(1, 2))
 	rejected := 0
-	changes := *corruptionTrials
-	for range changes {
+	trials := *corruptionTrials
+	for range trials {
 		corrupt := bytes.Clone(content)
 		for range 1 + random.IntN(3) {
 			corrupt[random.IntN(used+1)] ^= byte(1 + random.IntN(255))
 		}
 		log, err := openContent(t, corrupt)
 		if err != nil {
-			require.True(t, isSentinel(err), "%v", err)
+			require.True(t, isInvalidFile(err), "%v", err)
 			rejected++
 			continue
 		}
-		requireSame(t, want, log.memory)
+		requireEqualStates(t, want, log.memory)
 		require.NoError(t, log.Close())
 	}
-	t.Logf("%d of %d changes rejected, the others hit free space", rejected, changes)
-	require.Greater(t, rejected, changes/10)
+	t.Logf("%d of %d changed files rejected, the other changes hit free space", rejected, trials)
+	require.Greater(t, rejected, trials/10)
 }
 
-// TestOpenDetectsChangeInEveryRecord changes a byte within each record.
+// TestOpenDetectsChangeInEveryRecord changes one byte of each record in turn.
 func TestOpenDetectsChangeInEveryRecord(t *testing.T) {
 	content, want := filledLog(t)
 	for _, stored := range want.entries {
@@ -100,7 +101,7 @@
 	t.Helper()
 	corrupt := bytes.Clone(content)
 	found := 0
-	for offset := 0; ; found++ { // free pages may have an earlier copy of the record
+	for offset := 0; ; found++ { // free pages may contain further copies of the record
 		next := bytes.Index(corrupt[offset:], record)
 		if next < 0 {
 			break
@@ -109,12 +110,12 @@
 		corrupt[offset+len(record)/2] ^= 0x40
 		offset++
 	}
-	require.Positive(t, found, "the record is in the file")
+	require.Positive(t, found, "record not found in the file")
 	_, err := openContent(t, corrupt)
 	require.ErrorIs(t, err, ErrCorrupt)
 }
 
-// TestOpenDetectsMissingEntry deletes the record of the last entry, so that the state record names an entry that is missing.
+// TestOpenDetectsMissingEntry deletes the record of the last entry, to which the state record refers.
 func TestOpenDetectsMissingEntry(t *testing.T) {
 	log, path := create(t)
 	require.NoError(t, log.Save(hardState(2, 0, 2), entries(2, 9, 2), nil))
@@ -124,7 +125,7 @@
 	require.NoError(t, log.Close())
 	_, err := Open(path, testOptions)
 	require.ErrorIs(t, err, ErrCorrupt)
-	require.ErrorContains(t, err, "last entry is 8, not 9")
+	require.ErrorContains(t, err, "last entry is 8, want 9")
 }
 
 func TestOpenRejectsTruncatedFile(t *testing.T) {
@@ -132,15 +133,15 @@
 	random := rand.New(rand.NewPCG(3, 3))
 	for range 200 {
 		log, err := openContent(t, content[:random.IntN(len(content))])
-		if err == nil { // only unused bytes at the end are missing
-			requireSame(t, want, log.memory)
+		if err == nil { // only unused bytes at the end were removed
+			requireEqualStates(t, want, log.memory)
 			require.NoError(t, log.Close())
 			continue
 		}
-		require.True(t, isSentinel(err), "%v", err)
+		require.True(t, isInvalidFile(err), "%v", err)
 	}
 	_, err := openContent(t, nil)
-	require.ErrorIs(t, err, ErrTorn)
+	require.ErrorIs(t, err, ErrTruncated)
 	_, err = openContent(t, content[:len(content)/16])
 	require.Error(t, err)
 }
@@ -167,7 +168,7 @@
 	require.ErrorIs(t, err, ErrVersion)
 }
 
-// TestVerifyPagesAcceptsDeepTreesAndLongFreelists opens logs with thousands of entries and with thousands of free pages.
+// TestVerifyPagesAcceptsDeepTreesAndLongFreelists opens a log with thousands of entries, and then with thousands of free pages.
 func TestVerifyPagesAcceptsDeepTreesAndLongFreelists(t *testing.T) {
 	log, path := create(t)
 	require.NoError(t, log.Save(hardState(2, 0, 2), entries(2, 3000, 2), nil))
@@ -179,7 +180,7 @@
 	reopen(t, log, path)
 }
 
-// FuzzDecodeEntry decodes records of any content: each is rejected with ErrCorrupt or has the index of its key.
+// FuzzDecodeEntry decodes arbitrary records: each must be rejected with ErrCorrupt or have the index of its key.
 func FuzzDecodeEntry(f *testing.F) {
 	payload, err := proto.Marshal(entry(5, 2, "content"))
 	if err != nil {
--- a/internal/controlplane/raftlog/crash_test.go
+++ b/internal/controlplane/raftlog/crash_test.go
@@ -19,18 +19,18 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// The crash tests run this test binary again as a child process that writes to a log, and kill it. These environment variables
+// The crash tests run this test binary as a child process, which writes to a log, and kill it. These environment variables
 // configure the child.
 const (
-	childPath  = "RAFTLOG_CHILD_PATH"  // of its log; unset: the process is no child
-	childSeed  = "RAFTLOG_CHILD_SEED"  // of its random writes
-	childFault = "RAFTLOG_CHILD_FAULT" // faultEarlyAcknowledgement or unset
-	childLimit = "RAFTLOG_CHILD_LIMIT" // maximum size of a file in bytes, as of a full disk
+	childPath  = "RAFTLOG_CHILD_PATH"  // path of its log; unset: the process is not a child
+	childSeed  = "RAFTLOG_CHILD_SEED"  // seed of its random writes
+	childFault = "RAFTLOG_CHILD_FAULT" // injected fault: faultEarlyAcknowledgement; unset: none
+	childLimit = "RAFTLOG_CHILD_LIMIT" // maximum size of a file in bytes, to simulate a full disk; unset: none
 
-	faultEarlyAcknowledgement = "early" // acknowledges a write before it is saved
+	faultEarlyAcknowledgement = "early" // the child acknowledges a write before it is saved
 
-	killedFiles = 5  // logs whose writers are killed
-	kills       = 20 // for each of them
+	killedFiles = 5  // number of logs whose writers are killed
+	kills       = 20 // number of kills per log
 )
 
 func TestMain(m *testing.M) {
@@ -40,8 +40,8 @@
 	os.Exit(m.Run())
 }
 
-// runChild writes to a log until it is killed or the disk is full, and prints after each write the term, vote, commit
-// and last index that are saved.
+// runChild writes to a log until it is killed or the disk is full. After each write it prints an acknowledgement with the
+// saved term, vote, commit index and last index. It returns an exit status.
 func runChild(path string) int {
 	seed, err := strconv.ParseUint(os.Getenv(childSeed), 10, 64)
 	if err != nil {
@@ -60,54 +60,55 @@
 	}
 	random := rand.New(rand.NewPCG(seed, 3))
 	for {
-		next := randomWrite(log, random)
+		write := newRandomWrite(log, random)
 		if os.Getenv(childFault) == faultEarlyAcknowledgement {
-			fmt.Println("saved", next.describe())
+			fmt.Println("saved", write.acknowledgement())
 			time.Sleep(time.Millisecond)
 		}
-		if err := next.write(log); err != nil {
+		if err := write.apply(log); err != nil {
 			fmt.Println("error", err)
 			return 1
 		}
-		fmt.Println("saved", next.describe())
+		fmt.Println("saved", write.acknowledgement())
 	}
 }
 
-// randomSave is one write: a Save, followed by a Compact if compact is set.
-type randomSave struct {
+// randomWrite is a Save, followed by a Compact if compact is set.
+type randomWrite struct {
 	hardState *raftpb.HardState
 	entries   []*raftpb.Entry
 	compact   bool
 }
 
-// randomWrite returns a random write that is valid after the log. The data of an entry depends on its index and term alone.
-func randomWrite(log *Log, random *rand.Rand) randomSave {
+// newRandomWrite returns a random write that is valid for the log in its current state. The data of each entry is
+// entryData of its index and term.
+func newRandomWrite(log *Log, random *rand.Rand) randomWrite {
 	hard := log.memory.hardState
 	last := log.memory.last().index
 	term := hard.GetTerm() + uint64(random.IntN(2))
 	first := hard.GetCommit() + 1 + uint64(random.Int64N(int64(last-hard.GetCommit()+1)))
 	var added []*raftpb.Entry
 	for index := first; index <= first+uint64(random.IntN(5)); index++ {
-		added = append(added, entry(index, term, contentOf(index, term)))
+		added = append(added, entry(index, term, entryData(index, term)))
 	}
 	end := added[len(added)-1].GetIndex()
 	commit := hard.GetCommit() + uint64(random.Int64N(int64(end-hard.GetCommit()+1)))
-	return randomSave{hardState: hardState(term, 1+term%3, commit), entries: added, compact: random.IntN(10) == 0}
+	return randomWrite{hardState: hardState(term, 1+term%3, commit), entries: added, compact: random.IntN(10) == 0}
 }
 
-// contentOf returns the data of the entry with an index and a term.
-func contentOf(index, term uint64) string {
+// entryData returns the data of the entry with an index and a term.
+func entryData(index, term uint64) string {
 	return strings.Repeat(fmt.Sprint(index, term, ";"), int(index*term%700))
 }
 
-// describe returns the term, vote, commit and last index of the write, in the order that killChild parses.
-func (w randomSave) describe() string {
+// acknowledgement returns the term, vote, commit index and last index of the write, in the order that killChild parses.
+func (w randomWrite) acknowledgement() string {
 	last := w.entries[len(w.entries)-1]
 	return fmt.Sprint(w.hardState.GetTerm(), w.hardState.GetVote(), w.hardState.GetCommit(), last.GetIndex())
 }
 
-// write saves the write and compacts the log if it says so.
-func (w randomSave) write(log *Log) error {
+// apply saves the write and then compacts the log if compact is set.
+func (w randomWrite) apply(log *Log) error {
 	if err := log.Save(w.hardState, w.entries, nil); err != nil {
 		return err
 	}
@@ -120,31 +121,34 @@
 		return err
 	}
 	first := max(log.memory.compacted.index+1, commit-min(commit, 3))
-	return log.Compact(snapshotAt(commit, term, contentOf(commit, 7)), first)
+	return log.Compact(snapshotAt(commit, term, entryData(commit, 7)), first)
 }
 
-// acknowledgement is the last write that a child has acknowledged.
+// acknowledgement is the state of the log after the last write that a child has acknowledged.
 type acknowledgement struct {
-	term, vote, commit, last uint64
+	term   uint64
+	vote   uint64
+	commit uint64 // commit index
+	last   uint64 // index of the last entry
 }
 
-// startChild starts a child with more environment settings and returns a scanner of the lines that it prints.
-func startChild(t *testing.T, path string, seed uint64, settings ...string) (*exec.Cmd, *bufio.Scanner) {
+// startChild starts a child with additional environment variables and returns a scanner of the lines that it prints.
+func startChild(t *testing.T, path string, seed uint64, environment ...string) (*exec.Cmd, *bufio.Scanner) {
 	t.Helper()
 	command := exec.Command(os.Args[0])
 	command.Env = append(os.Environ(), childPath+"="+path, childSeed+"="+strconv.FormatUint(seed, 10))
-	command.Env = append(command.Env, settings...)
+	command.Env = append(command.Env, environment...)
 	output, err := command.StdoutPipe()
 	require.NoError(t, err)
 	require.NoError(t, command.Start())
 	return command, bufio.NewScanner(output)
 }
 
-// killChild starts a child, kills it within 5 ms after its first line and returns its last acknowledgement.
-func killChild(t *testing.T, path string, seed uint64, settings ...string) acknowledgement {
+// killChild starts a child, kills it at a random time within 5 ms of its first line and returns its last acknowledgement.
+func killChild(t *testing.T, path string, seed uint64, environment ...string) acknowledgement {
 	t.Helper()
 	random := rand.New(rand.NewPCG(seed, 4))
-	command, lines := startChild(t, path, seed, settings...)
+	command, lines := startChild(t, path, seed, environment...)
 	var last string
 	for lines.Scan() {
 		if last == "" {
@@ -152,36 +156,35 @@
 		}
 		last = lines.Text()
 	}
-	_ = command.Wait() // it was killed
+	_ = command.Wait() // the error is that the child was killed
 	var acked acknowledgement
 	_, err := fmt.Sscanf(last, "saved %d %d %d %d", &acked.term, &acked.vote, &acked.commit, &acked.last)
 	require.NoError(t, err, "last line %q", last)
 	return acked
 }
 
-// checkNothingLost returns an error that names what a log lacks of the acknowledged writes, or nil. One write after them may
-// be complete.
-func checkNothingLost(log *Log, acked acknowledgement) error {
+// checkAcknowledged returns an error if a log lacks any of the acknowledged writes. One more write may have completed.
+func checkAcknowledged(log *Log, acked acknowledgement) error {
 	hard, last := log.memory.hardState, log.memory.last()
 	switch {
 	case hard.GetTerm() < acked.term || hard.GetTerm() > acked.term+1:
-		return fmt.Errorf("term %d, acknowledged %d", hard.GetTerm(), acked.term)
+		return fmt.Errorf("term is %d, acknowledged %d", hard.GetTerm(), acked.term)
 	case hard.GetTerm() == acked.term && hard.GetVote() != acked.vote:
-		return fmt.Errorf("vote %d, acknowledged %d", hard.GetVote(), acked.vote)
+		return fmt.Errorf("vote is %d, acknowledged %d", hard.GetVote(), acked.vote)
 	case hard.GetCommit() < acked.commit || last.index < acked.commit:
-		return fmt.Errorf("commit %d of %d, acknowledged %d", hard.GetCommit(), last.index, acked.commit)
+		return fmt.Errorf("commit index is %d and last index %d, acknowledged commit index %d", hard.GetCommit(), last.index, acked.commit)
 	case hard.GetTerm() == acked.term && hard.GetCommit() == acked.commit && last.index < acked.last && last.term < acked.term:
-		return fmt.Errorf("last %d, acknowledged %d", last.index, acked.last)
+		return fmt.Errorf("last index is %d, acknowledged %d", last.index, acked.last)
 	}
 	for _, entry := range log.memory.entries {
-		if string(entry.GetData()) != contentOf(entry.GetIndex(), entry.GetTerm()) {
-			return fmt.Errorf("content of entry %d", entry.GetIndex())
+		if string(entry.GetData()) != entryData(entry.GetIndex(), entry.GetTerm()) {
+			return fmt.Errorf("entry %d of term %d has wrong data", entry.GetIndex(), entry.GetTerm())
 		}
 	}
 	return nil
 }
 
-// TestKilledWriterKeepsAcknowledgedWrites kills a hundred writers of five files at random times.
+// TestKilledWriterKeepsAcknowledgedWrites kills the writers of five logs at random times, 20 times each.
 func TestKilledWriterKeepsAcknowledgedWrites(t *testing.T) {
 	for file := range uint64(killedFiles) {
 		t.Run(fmt.Sprint("file ", file), func(t *testing.T) {
@@ -192,15 +195,15 @@
 				acked := killChild(t, path, kill)
 				log, err := Open(path, testOptions)
 				require.NoError(t, err, "kill %d", kill)
-				require.NoError(t, checkNothingLost(log, acked), "kill %d", kill)
+				require.NoError(t, checkAcknowledged(log, acked), "kill %d", kill)
 				require.NoError(t, log.Close())
 			}
 		})
 	}
 }
 
-// TestCrashCheckDetectsEarlyAcknowledgement kills writers that acknowledge writes before they are saved: checkNothingLost has
-// to detect it.
+// TestCrashCheckDetectsEarlyAcknowledgement kills writers that acknowledge writes before they are saved, which
+// checkAcknowledged must detect.
 func TestCrashCheckDetectsEarlyAcknowledgement(t *testing.T) {
 	t.Parallel()
 	for kill := range uint64(40) {
@@ -209,7 +212,7 @@
 		acked := killChild(t, path, kill, childFault+"="+faultEarlyAcknowledgement)
 		log, err := Open(path, testOptions)
 		require.NoError(t, err)
-		err = checkNothingLost(log, acked)
+		err = checkAcknowledged(log, acked)
 		require.NoError(t, log.Close())
 		if err != nil {
 			t.Logf("detected after kill %d: %v", kill, err)
@@ -219,29 +222,29 @@
 	t.Error("early acknowledgement not detected")
 }
 
-// TestFullDiskKeepsAcknowledgedWrites has a writer fail at the file size limit of its process.
+// TestFullDiskKeepsAcknowledgedWrites lets a writer fail at the file size limit of its process and then opens its log.
 func TestFullDiskKeepsAcknowledgedWrites(t *testing.T) {
 	log, path := create(t)
 	require.NoError(t, log.Close())
 	limit := 200 << 10
 	command, lines := startChild(t, path, 1, childLimit+"="+strconv.Itoa(limit))
-	var before, last string
+	var previous, last string
 	for lines.Scan() {
-		before, last = last, lines.Text()
+		previous, last = last, lines.Text()
 	}
 	require.Error(t, command.Wait())
 	require.Contains(t, last, "error "+ErrNoSpace.Error())
 	var acked acknowledgement
-	_, err := fmt.Sscanf(before, "saved %d %d %d %d", &acked.term, &acked.vote, &acked.commit, &acked.last)
-	require.NoError(t, err, "line before %q", before)
+	_, err := fmt.Sscanf(previous, "saved %d %d %d %d", &acked.term, &acked.vote, &acked.commit, &acked.last)
+	require.NoError(t, err, "last line but one: %q", previous)
 	log, err = Open(path, testOptions)
 	require.NoError(t, err)
-	require.NoError(t, checkNothingLost(log, acked))
-	require.NoError(t, randomWrite(log, rand.New(rand.NewPCG(2, 2))).write(log), "without the limit")
+	require.NoError(t, checkAcknowledged(log, acked))
+	require.NoError(t, newRandomWrite(log, rand.New(rand.NewPCG(2, 2))).apply(log), "a write succeeds without the limit")
 	require.NoError(t, log.Close())
 }
 
-func TestSaveFailsForeverAfterMaxBytes(t *testing.T) {
+func TestSaveFailsUntilReopenedAfterMaxBytes(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "log")
 	options := testOptions
 	options.MaxBytes = 1 << 20
@@ -254,31 +257,31 @@
 		err = log.Save(hardState(1, 0, 1), []*raftpb.Entry{entry(index, 1, large)}, nil)
 	}
 	require.ErrorIs(t, err, ErrNoSpace)
-	require.Equal(t, err, log.Save(hardState(2, 0, 1), nil, nil), "every write fails until the log is opened again")
+	require.Equal(t, err, log.Save(hardState(2, 0, 1), nil, nil), "every further write returns the same error")
 }
 
-// TestOpenAfterPowerLossInSave mixes the sectors of the file before a save with those after it, as a power failure may.
-// bbolt syncs its pages before it writes the meta page, which lies within one sector.
+// TestOpenAfterPowerLossInSave opens files that mix sectors from before and after a save, as a power loss can leave them. bbolt
+// syncs its pages before it writes the meta page, which fits in one sector.
 func TestOpenAfterPowerLossInSave(t *testing.T) {
 	t.Parallel()
 	const sector = 512
 	random := rand.New(rand.NewPCG(5, 5))
 	log, path := create(t)
 	for range 10 {
-		require.NoError(t, randomWrite(log, random).write(log))
+		require.NoError(t, newRandomWrite(log, random).apply(log))
 	}
 	for round := range 40 {
 		before, stateBefore := readFile(t, path), log.memory
-		next := randomWrite(log, random)
-		next.compact = false
-		require.NoError(t, next.write(log))
+		write := newRandomWrite(log, random)
+		write.compact = false
+		require.NoError(t, write.apply(log))
 		after := readFile(t, path)
 		pageSize := os.Getpagesize()
 		mixed := bytes.Clone(after)
-		copy(mixed[:2*pageSize], before[:2*pageSize]) // neither meta page was written
-		for at := 2 * pageSize; at+sector <= len(before); at += sector {
+		copy(mixed[:2*pageSize], before[:2*pageSize]) // both meta pages are from before the save
+		for offset := 2 * pageSize; offset+sector <= len(before); offset += sector {
 			if random.IntN(2) == 0 {
-				copy(mixed[at:at+sector], before[at:at+sector])
+				copy(mixed[offset:offset+sector], before[offset:offset+sector])
 			}
 		}
 		requireOpensAs(t, mixed, stateBefore, round)
@@ -296,13 +299,13 @@
 	return data
 }
 
-// requireOpensAs requires that a file with a content opens as a log with a state.
+// requireOpensAs requires that a file with this content opens as a log with the state want.
 func requireOpensAs(t *testing.T, content []byte, want logState, round int) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "log")
 	require.NoError(t, os.WriteFile(path, content, fileMode))
 	log, err := Open(path, testOptions)
 	require.NoError(t, err, "round %d", round)
-	requireSame(t, want, log.memory)
+	requireEqualStates(t, want, log.memory)
 	require.NoError(t, log.Close())
 }
--- a/internal/controlplane/raftlog/earlier_release_test.go
+++ b/internal/controlplane/raftlog/earlier_release_test.go
@@ -10,11 +10,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestOpenReadsLogOfEarlierRelease opens a log written by an earlier release and requires all its content.
+// TestOpenReadsLogOfEarlierRelease opens a log that an earlier release wrote and checks its complete content.
 func TestOpenReadsLogOfEarlierRelease(t *testing.T) {
 	archive, err := os.Open("testdata/as-found.log.gz")
 	require.NoError(t, err)
-	defer func() { _ = archive.Close() }() // only read
+	defer func() { _ = archive.Close() }() // nothing was written to it
 	decompressed, err := gzip.NewReader(archive)
 	require.NoError(t, err)
 	content, err := io.ReadAll(decompressed)
--- a/internal/controlplane/raftlog/load.go
+++ b/internal/controlplane/raftlog/load.go
@@ -8,15 +8,15 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// load reads the file into memory and checks it. Its error wraps ErrForeign, ErrVersion or ErrCorrupt.
+// load reads the file into memory and checks its records. The error wraps ErrForeign, ErrVersion or ErrCorrupt.
 func (l *Log) load(identity Identity) (err error) {
 	defer recoverCorruption(&err)
 	defer panicOnFault()()
 	return l.db.View(func(tx *bolt.Tx) error {
-		if err := loadIdentity(tx, identity); err != nil {
+		if err := verifyIdentity(tx, identity); err != nil {
 			return err
 		}
-		loaded, err := loadMemory(tx)
+		loaded, err := loadState(tx)
 		if err != nil {
 			return err
 		}
@@ -25,10 +25,10 @@
 	})
 }
 
-// loadIdentity checks that the identity record names a member. Its error wraps ErrForeign, ErrVersion or ErrCorrupt.
-func loadIdentity(tx *bolt.Tx, identity Identity) error {
+// verifyIdentity checks that the identity record identifies a member. The error wraps ErrForeign, ErrVersion or ErrCorrupt.
+func verifyIdentity(tx *bolt.Tx, identity Identity) error {
 	if tx.Bucket(identityBucket) == nil {
-		return fmt.Errorf("%w: no identity record", ErrForeign)
+		return fmt.Errorf("%w: bucket %s is missing", ErrForeign, identityBucket)
 	}
 	payload, err := getRecord(tx, identityBucket)
 	if err != nil {
@@ -37,8 +37,8 @@
 	return checkIdentity(payload, identity)
 }
 
-// loadMemory reads hard state, snapshot and entries, and checks that they are consistent. Its error wraps ErrCorrupt.
-func loadMemory(tx *bolt.Tx) (logState, error) {
+// loadState reads hard state, snapshot and entries, and checks that they are consistent. The error wraps ErrCorrupt.
+func loadState(tx *bolt.Tx) (logState, error) {
 	payload, err := getRecord(tx, stateBucket)
 	if err != nil {
 		return logState{}, err
@@ -58,12 +58,12 @@
 		return logState{}, err
 	}
 	if loaded.last() != stored.last {
-		return logState{}, fmt.Errorf("%w: last entry is %d, not %d", ErrCorrupt, loaded.last().index, stored.last.index)
+		return logState{}, fmt.Errorf("%w: last entry is %d, want %d", ErrCorrupt, loaded.last().index, stored.last.index)
 	}
 	return loaded, loaded.checkInvariants()
 }
 
-// loadSnapshot reads the snapshot record. Its error wraps ErrCorrupt.
+// loadSnapshot reads the snapshot record. The error wraps ErrCorrupt.
 func loadSnapshot(tx *bolt.Tx) (*raftpb.Snapshot, error) {
 	payload, err := getRecord(tx, snapshotBucket)
 	if err != nil {
@@ -71,17 +71,17 @@
 	}
 	snapshot := &raftpb.Snapshot{}
 	if err := proto.Unmarshal(payload, snapshot); err != nil {
-		return nil, fmt.Errorf("%w: snapshot: %w", ErrCorrupt, err)
+		return nil, fmt.Errorf("%w: snapshot record: %w", ErrCorrupt, err)
 	}
 	return snapshot, nil
 }
 
-// loadEntries reads the entries. It fails at the first one that does not have the index expected by the state
-// record. Its error wraps ErrCorrupt.
+// loadEntries reads the entries. It returns an error that wraps ErrCorrupt at the first entry whose index is not the next one
+// or is above the last one in the state record.
 func loadEntries(tx *bolt.Tx, stored stateRecord) ([]*raftpb.Entry, error) {
 	bucket := tx.Bucket(entriesBucket)
 	if bucket == nil {
-		return nil, fmt.Errorf("%w: no bucket %s", ErrCorrupt, entriesBucket)
+		return nil, fmt.Errorf("%w: bucket %s is missing", ErrCorrupt, entriesBucket)
 	}
 	var entries []*raftpb.Entry
 	next := stored.compacted.index + 1
@@ -92,7 +92,7 @@
 			return nil, err
 		}
 		if entry.GetIndex() != next || next > stored.last.index {
-			return nil, fmt.Errorf("%w: entry %d instead of %d, the last index is %d", ErrCorrupt, entry.GetIndex(), next,
+			return nil, fmt.Errorf("%w: found entry %d, want entry %d, last index %d", ErrCorrupt, entry.GetIndex(), next,
 				stored.last.index)
 		}
 		entries = append(entries, entry)
--- a/internal/controlplane/raftlog/memory.go
+++ b/internal/controlplane/raftlog/memory.go
@@ -8,61 +8,61 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// logState is the log in memory, from which it is read. A new one replaces it after each synced write.
+// logState is the in-memory copy of a log, which serves all reads. A new one replaces it after each synced write.
 type logState struct {
 	hardState *raftpb.HardState
 	snapshot  *raftpb.Snapshot
-	compacted entryID         // the entry before the first of entries
-	entries   []*raftpb.Entry // ascending, without gaps, from compacted.index + 1; immutable
+	compacted entryID         // the latest compacted entry, directly before the first of entries
+	entries   []*raftpb.Entry // with consecutive indexes from compacted.index + 1; immutable
 }
 
-// entryID identifies an entry.
+// entryID identifies a raft entry.
 type entryID struct {
 	index uint64
 	term  uint64
 }
 
-// last returns the id of the last entry.
-func (m logState) last() entryID {
-	if len(m.entries) == 0 {
-		return m.compacted
+// last returns the id of the last entry, compacted or not.
+func (s logState) last() entryID {
+	if len(s.entries) == 0 {
+		return s.compacted
 	}
-	entry := m.entries[len(m.entries)-1]
+	entry := s.entries[len(s.entries)-1]
 	return entryID{index: entry.GetIndex(), term: entry.GetTerm()}
 }
 
-// withSnapshot returns the log replaced by a snapshot, without entries.
-func (m logState) withSnapshot(snapshot *raftpb.Snapshot) logState {
+// withSnapshot returns the state after a snapshot has replaced the log: without entries, with the same hard state.
+func (s logState) withSnapshot(snapshot *raftpb.Snapshot) logState {
 	metadata := snapshot.GetMetadata()
-	m.snapshot = snapshot
-	m.compacted = entryID{index: metadata.GetIndex(), term: metadata.GetTerm()}
-	m.entries = nil
-	return m
+	s.snapshot = snapshot
+	s.compacted = entryID{index: metadata.GetIndex(), term: metadata.GetTerm()}
+	s.entries = nil
+	return s
 }
 
-// withEntries returns the log with entries that replace those of the same and higher indexes.
-func (m logState) withEntries(entries []*raftpb.Entry) logState {
-	kept := entries[0].GetIndex() - m.compacted.index - 1
-	m.entries = append(m.entries[:kept:kept], entries...)
-	return m
+// withEntries returns the state with entries, which replace those of the same and higher indexes.
+func (s logState) withEntries(entries []*raftpb.Entry) logState {
+	kept := entries[0].GetIndex() - s.compacted.index - 1
+	s.entries = append(s.entries[:kept:kept], entries...)
+	return s
 }
 
-// compactedTo returns the log without the entries before an index.
-func (m logState) compactedTo(first uint64) logState {
-	dropped := first - m.compacted.index - 1
+// compactedTo returns the state without the entries before index first.
+func (s logState) compactedTo(first uint64) logState {
+	dropped := first - s.compacted.index - 1
 	if dropped == 0 {
-		return m
+		return s
 	}
-	entry := m.entries[dropped-1]
-	m.compacted = entryID{index: entry.GetIndex(), term: entry.GetTerm()}
-	m.entries = append([]*raftpb.Entry(nil), m.entries[dropped:]...)
-	return m
+	entry := s.entries[dropped-1]
+	s.compacted = entryID{index: entry.GetIndex(), term: entry.GetTerm()}
+	s.entries = append([]*raftpb.Entry(nil), s.entries[dropped:]...)
+	return s
 }
 
 // InitialState implements raft.Storage.
 func (l *Log) InitialState() (*raftpb.HardState, *raftpb.ConfState, error) {
-	members := proto.CloneOf(l.memory.snapshot.GetMetadata().GetConfState())
-	return l.memory.hardState, raftpb.EnsureConfState(members), nil
+	confState := proto.CloneOf(l.memory.snapshot.GetMetadata().GetConfState())
+	return l.memory.hardState, raftpb.EnsureConfState(confState), nil
 }
 
 // Entries implements raft.Storage.
@@ -106,33 +106,36 @@
 // LastIndex implements raft.Storage.
 func (l *Log) LastIndex() (uint64, error) { return l.memory.last().index, nil }
 
-// Snapshot implements raft.Storage. The snapshot is shared and must not be changed.
+// Snapshot implements raft.Storage. The returned snapshot is shared and must not be modified.
 func (l *Log) Snapshot() (*raftpb.Snapshot, error) { return l.memory.snapshot, nil }
 
-// checkInvariants checks what holds for every log. Its error wraps ErrCorrupt.
-func (m logState) checkInvariants() error {
-	snapshot := m.snapshot.GetMetadata().GetIndex()
-	last, commit := m.last(), m.hardState.GetCommit()
+// checkInvariants checks that snapshot, entries and hard state are consistent. The error wraps ErrCorrupt.
+func (s logState) checkInvariants() error {
+	snapshot := s.snapshot.GetMetadata().GetIndex()
+	last, commit := s.last(), s.hardState.GetCommit()
 	switch {
-	case m.compacted.index > snapshot || last.index < snapshot:
-		return fmt.Errorf("%w: snapshot of entry %d, entries %d to %d", ErrCorrupt, snapshot, m.compacted.index+1,
+	case s.compacted.index > snapshot || last.index < snapshot:
+		return fmt.Errorf("%w: snapshot at index %d, but entries %d to %d", ErrCorrupt, snapshot, s.compacted.index+1,
 			last.index)
 	case commit < snapshot || commit > last.index:
-		return fmt.Errorf("%w: commit %d, snapshot of %d, last %d", ErrCorrupt, commit, snapshot, last.index)
-	case last.term > m.hardState.GetTerm():
-		return fmt.Errorf("%w: last entry of term %d in term %d", ErrCorrupt, last.term, m.hardState.GetTerm())
+		return fmt.Errorf("%w: commit index %d, want from snapshot index %d to last index %d", ErrCorrupt, commit, snapshot,
+			last.index)
+	case last.term > s.hardState.GetTerm():
+		return fmt.Errorf("%w: term %d of the last entry is above the current term %d", ErrCorrupt, last.term,
+			s.hardState.GetTerm())
 	}
-	return checkConsecutive(m.compacted, m.entries)
+	return checkConsecutive(s.compacted, s.entries)
 }
 
-// checkConsecutive checks that entries follow an entry with consecutive indexes and non-decreasing terms.
-func checkConsecutive(before entryID, entries []*raftpb.Entry) error {
+// checkConsecutive checks that entries follow the entry previous with consecutive indexes and non-decreasing terms. The error
+// wraps ErrCorrupt.
+func checkConsecutive(previous entryID, entries []*raftpb.Entry) error {
 	for _, entry := range entries {
-		if entry.GetIndex() != before.index+1 || entry.GetTerm() < before.term {
+		if entry.GetIndex() != previous.index+1 || entry.GetTerm() < previous.term {
 			return fmt.Errorf("%w: entry %d of term %d follows entry %d of term %d", ErrCorrupt, entry.GetIndex(),
-				entry.GetTerm(), before.index, before.term)
+				entry.GetTerm(), previous.index, previous.term)
 		}
-		before = entryID{index: entry.GetIndex(), term: entry.GetTerm()}
+		previous = entryID{index: entry.GetIndex(), term: entry.GetTerm()}
 	}
 	return nil
 }
--- a/internal/controlplane/raftlog/raftlog.go
+++ b/internal/controlplane/raftlog/raftlog.go
@@ -1,14 +1,14 @@
 // Package raftlog is the durable storage of one raft member: hard state, entries and the latest snapshot in one bbolt
-// file. Save and Compact return after their write is synced to disk.
+// file. Save and Compact sync their writes to disk before they return.
 //
-// A Log implements raft.Storage from a copy in memory, so a read has no I/O error, on which raft would panic. The size of
-// the copy is bounded by the entries that its caller keeps between compactions.
+// A Log implements raft.Storage with a copy in memory, so that reads cannot fail with an I/O error, on which raft would
+// panic. The size of the copy is bounded by the entries that the caller keeps between compactions.
 //
 // Every record has a checksum over its bucket, key and payload, and Open checks the complete file, including bbolt's
-// pages. It cannot detect a disk that returns an earlier, valid version of the file.
+// pages. It cannot detect that a disk returns an earlier, valid version of the file.
 //
-// After a failed write the log is broken, since the content of the disk is unknown after a failed sync. Every further
-// Save and Compact returns that error until the file is reopened.
+// After a failed write the Log is unusable for writes, since the content of the disk is unknown after a failed sync: all
+// further calls of Save and Compact return the same error until the file is reopened.
 //
 // A Log is not safe for concurrent use.
 package raftlog
@@ -31,48 +31,48 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Errors of this package. Returned errors wrap one of them or are those of the system.
+// Errors of this package. A returned error wraps one of them or is an error of the operating system.
 var (
-	ErrNotExist     = errors.New("raftlog: no such log")
-	ErrExists       = errors.New("raftlog: log exists already")
+	ErrNotExist     = errors.New("raftlog: log does not exist")
+	ErrExists       = errors.New("raftlog: log already exists")
 	ErrLocked       = errors.New("raftlog: log is open in another process")
 	ErrForeign      = errors.New("raftlog: not the log of this member")
-	ErrVersion      = errors.New("raftlog: log of another version")
-	ErrTorn         = errors.New("raftlog: file is shorter than its content")
+	ErrVersion      = errors.New("raftlog: unsupported format version")
+	ErrTruncated    = errors.New("raftlog: file truncated")
 	ErrCorrupt      = errors.New("raftlog: file corrupt")
-	ErrNoSpace      = errors.New("raftlog: no room on the disk")
-	ErrInvalidWrite = errors.New("raftlog: write that doesn't fit the log")
+	ErrNoSpace      = errors.New("raftlog: disk full or maximum file size reached")
+	ErrInvalidWrite = errors.New("raftlog: write inconsistent with the log")
 	ErrClosed       = errors.New("raftlog: log is closed")
 )
 
-// DefaultMaxBytes bounds the file: a snapshot of 17 MiB and 40 MiB of entries, each twice while bbolt writes the new
-// pages beside the old ones, are 114 MiB; doubled for pages that are free but scattered, and rounded up.
+// DefaultMaxBytes is the default maximum size of the file. A snapshot of 17 MiB and 40 MiB of entries need 114 MiB, since
+// bbolt writes new pages before it frees the old ones. That is doubled for fragmentation of the free pages and rounded up.
 const DefaultMaxBytes = 256 << 20
 
 const (
-	// lockTimeout is the maximum time that Open waits for the file lock: the system may release that of a killed process
-	// shortly after its end.
+	// lockTimeout is how long Open waits for the file lock. The system may release the lock of a killed process with a short
+	// delay.
 	lockTimeout = 500 * time.Millisecond
 
-	fileMode = 0o600 // readable and writable by the owner alone
+	fileMode = 0o600 // readable and writable by the owner only
 
-	// magic is the start of every identity record. A bbolt file without it was not written by this package.
+	// magic is the beginning of the identity record. A bbolt file without it was not written by this package.
 	magic = "mothrouter raft log\n"
 
-	// formatVersion is the version of the records. Open rejects a file of any other version.
+	// formatVersion is the version of the record format. Open rejects a file of any other version.
 	formatVersion = 1
 
-	// identityBytes is the size of an identity record: magic, version, fleet and node.
+	// identityBytes is the size of the payload of an identity record: magic, version, fleet and node.
 	identityBytes = len(magic) + 4 + 8 + 8
 )
 
-// Identity identifies the member whose log a file is.
+// Identity identifies the raft member that owns a log.
 type Identity struct {
 	Fleet uint64 // fingerprint of the fleet
 	Node  uint64 // raft id of the member
 }
 
-// Options are the options of a log.
+// Options configure a Log.
 type Options struct {
 	Identity Identity
 	MaxBytes int // maximum size of the file; 0 or less: DefaultMaxBytes
@@ -87,12 +87,12 @@
 
 var _ raft.Storage = (*Log)(nil)
 
-// Create makes a new log that starts with a snapshot, which all members must share, and opens it. A member that lost
-// its disk must not come back under its old id with a new log: it would have forgotten its votes and entries. Its
-// error wraps ErrExists where there is a file already, ErrInvalidWrite where the snapshot is empty, or ErrNoSpace.
+// Create creates and opens a log that starts with a snapshot, which must be the same for all members. A member that lost
+// its disk must not rejoin under its old id with a new log, since it would have forgotten its votes and entries. The
+// error wraps ErrExists if the file exists, ErrInvalidWrite if the snapshot is empty, or ErrNoSpace.
 func Create(path string, options Options, start *raftpb.Snapshot) (*Log, error) {
 	if raft.IsEmptySnap(start) {
-		return nil, fmt.Errorf("%w: a log starts with a snapshot", ErrInvalidWrite)
+		return nil, fmt.Errorf("%w: empty snapshot, a new log has to start with a snapshot", ErrInvalidWrite)
 	}
 	if _, err := os.Lstat(path); err == nil {
 		return nil, fmt.Errorf("%w: %s", ErrExists, path)
@@ -108,11 +108,11 @@
 // createFile writes the file under a temporary name and then renames it, so that a partial file never has its final
 // name.
 func createFile(path string, options Options, start *raftpb.Snapshot) error {
-	unfinished := path + ".new"
-	if err := os.Remove(unfinished); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	temporary := path + ".new"
+	if err := os.Remove(temporary); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	db, err := bolt.Open(unfinished, fileMode, &bolt.Options{MaxSize: options.maxBytes()})
+	db, err := bolt.Open(temporary, fileMode, &bolt.Options{MaxSize: options.maxBytes()})
 	if err != nil {
 		return diskError(err)
 	}
@@ -121,13 +121,13 @@
 	if err := errors.Join(err, db.Close()); err != nil {
 		return err
 	}
-	if err := os.Rename(unfinished, path); err != nil {
+	if err := os.Rename(temporary, path); err != nil {
 		return err
 	}
 	return syncDirectory(filepath.Dir(path))
 }
 
-// initialize writes the identity, the snapshot and the state of a new log.
+// initialize creates the buckets of a new log and writes its identity, snapshot and state records.
 func (l *Log) initialize(identity Identity, start *raftpb.Snapshot) error {
 	return l.update(func(tx *bolt.Tx) error {
 		for _, name := range [][]byte{identityBucket, stateBucket, snapshotBucket, entriesBucket} {
@@ -149,8 +149,8 @@
 	})
 }
 
-// Open opens a log, checks the complete file and loads it. Its error wraps ErrNotExist, ErrLocked, ErrForeign, ErrVersion,
-// ErrTorn or ErrCorrupt.
+// Open opens a log, checks the complete file and loads it into memory. The error wraps ErrNotExist, ErrLocked, ErrForeign,
+// ErrVersion, ErrTruncated or ErrCorrupt.
 func Open(path string, options Options) (log *Log, err error) {
 	defer recoverCorruption(&err)
 	var verifyErr error
@@ -175,7 +175,8 @@
 	return log, nil
 }
 
-// openVerified opens and locks an existing file and checks its pages. The lock is the one that bbolt takes anew.
+// openVerified opens and locks an existing file and checks its pages. bbolt later locks the same open file again, which has no
+// further effect.
 func openVerified(name string, mode os.FileMode) (*os.File, error) {
 	file, err := os.OpenFile(name, os.O_RDWR, mode)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -194,7 +195,8 @@
 	return file, nil
 }
 
-// lock locks a file, within lockTimeout. Its error wraps ErrLocked if another process holds the lock.
+// lock locks a file. It waits up to lockTimeout for another process that holds the lock and then returns an error that wraps
+// ErrLocked.
 func lock(file *os.File) error {
 	for deadline := time.Now().Add(lockTimeout); ; time.Sleep(lockTimeout / 50) {
 		err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB)
@@ -207,7 +209,7 @@
 	}
 }
 
-// Close closes the file. It is safe to call it twice.
+// Close closes the file and releases its lock. Later writes return ErrClosed, and later calls of Close have no effect.
 func (l *Log) Close() error {
 	if l.db == nil {
 		return nil
@@ -234,28 +236,29 @@
 	return binary.BigEndian.AppendUint64(data, identity.Node)
 }
 
-// checkIdentity checks that the payload of an identity record names a member. Its error wraps ErrForeign if it is no identity
-// record or names another member, ErrVersion if its version is not formatVersion, or ErrCorrupt if its size is wrong.
+// checkIdentity checks that the payload of an identity record identifies the member want. The error wraps ErrForeign if the
+// payload is malformed or identifies another member, ErrVersion if its version is not formatVersion, or ErrCorrupt if its
+// size is wrong.
 func checkIdentity(data []byte, want Identity) error {
 	if len(data) < len(magic)+4 || string(data[:len(magic)]) != magic {
-		return fmt.Errorf("%w: malformed identity record", ErrForeign)
+		return fmt.Errorf("%w: identity record does not start with %q", ErrForeign, magic)
 	}
 	if version := binary.BigEndian.Uint32(data[len(magic):]); version != formatVersion {
-		return fmt.Errorf("%w: %d, not %d", ErrVersion, version, formatVersion)
+		return fmt.Errorf("%w: %d, want %d", ErrVersion, version, formatVersion)
 	}
 	if len(data) != identityBytes {
-		return fmt.Errorf("%w: identity of %d bytes", ErrCorrupt, len(data))
+		return fmt.Errorf("%w: identity record has %d bytes, want %d", ErrCorrupt, len(data), identityBytes)
 	}
-	numbers := data[len(magic)+4:]
-	found := Identity{Fleet: binary.BigEndian.Uint64(numbers), Node: binary.BigEndian.Uint64(numbers[8:])}
+	fields := data[len(magic)+4:]
+	found := Identity{Fleet: binary.BigEndian.Uint64(fields), Node: binary.BigEndian.Uint64(fields[8:])}
 	if found != want {
-		return fmt.Errorf("%w: fleet %x node %x, not fleet %x node %x", ErrForeign, found.Fleet, found.Node, want.Fleet,
+		return fmt.Errorf("%w: log of fleet %x node %x, want fleet %x node %x", ErrForeign, found.Fleet, found.Node, want.Fleet,
 			want.Node)
 	}
 	return nil
 }
 
-// openError wraps an error of bbolt on a file whose pages are valid in ErrForeign, ErrVersion or ErrCorrupt.
+// openError wraps an error that bbolt returns for a file with valid pages in ErrForeign, ErrVersion, ErrCorrupt or ErrNoSpace.
 func openError(err error) error {
 	switch {
 	case errors.Is(err, berrors.ErrInvalid):
@@ -268,7 +271,8 @@
 	return diskError(err)
 }
 
-// diskError wraps the errors of a full disk or file in ErrNoSpace. bbolt returns some errors of the system as text only.
+// diskError wraps errors that report a full disk or file in ErrNoSpace. It also compares their texts, since bbolt does not wrap
+// all errors of the operating system.
 func diskError(err error) error {
 	if err == nil {
 		return nil
@@ -284,21 +288,22 @@
 	return err
 }
 
-// recoverCorruption converts a panic of bbolt, or a fault in its mapped file, to an error that wraps ErrCorrupt. It has to
-// be deferred.
+// recoverCorruption converts a panic of bbolt, or an access fault in its memory-mapped file, to an error that wraps ErrCorrupt.
+// It has to be called by defer.
 func recoverCorruption(err *error) {
 	if cause := recover(); cause != nil {
 		*err = fmt.Errorf("%w: %v", ErrCorrupt, cause)
 	}
 }
 
-// panicOnFault makes a fault in the mapped file a panic until the function that it returns is called.
+// panicOnFault turns an access fault in the memory-mapped file into a panic, which would otherwise end the process, until
+// restore is called.
 func panicOnFault() (restore func()) {
-	before := debug.SetPanicOnFault(true)
-	return func() { debug.SetPanicOnFault(before) }
+	previous := debug.SetPanicOnFault(true)
+	return func() { debug.SetPanicOnFault(previous) }
 }
 
-// syncDirectory syncs a directory, which makes a rename in it durable.
+// syncDirectory syncs a directory, which makes renames in it durable.
 func syncDirectory(path string) error {
 	directory, err := os.Open(path)
 	if err != nil {
--- a/internal/controlplane/raftlog/raftlog_test.go
+++ b/internal/controlplane/raftlog/raftlog_test.go
@@ -15,7 +15,7 @@
 
 var testOptions = Options{Identity: Identity{Fleet: 7, Node: 2}, MaxBytes: 64 << 20}
 
-// snapshotAt returns a snapshot at an index and term, of voters 1 to 3 and the learner 4.
+// snapshotAt returns a snapshot at an index and term, with voters 1 to 3 and learner 4.
 func snapshotAt(index, term uint64, data string) *raftpb.Snapshot {
 	return &raftpb.Snapshot{
 		Data: []byte(data),
@@ -31,21 +31,21 @@
 	return &raftpb.HardState{Term: new(term), Vote: new(vote), Commit: new(commit)}
 }
 
-// entry returns an entry with data.
+// entry returns an entry with an index, a term and data.
 func entry(index, term uint64, data string) *raftpb.Entry {
 	return &raftpb.Entry{Index: new(index), Term: new(term), Data: []byte(data)}
 }
 
-// entries returns the entries from index first to last, all of one term.
+// entries returns entries with the indexes first to last, all of one term.
 func entries(first, last, term uint64) []*raftpb.Entry {
-	var run []*raftpb.Entry
+	var list []*raftpb.Entry
 	for index := first; index <= last; index++ {
-		run = append(run, entry(index, term, "entry"))
+		list = append(list, entry(index, term, "entry"))
 	}
-	return run
+	return list
 }
 
-// create returns a new log with a snapshot at index 1, and its path. It is closed at the end of the test.
+// create returns a new log with a snapshot at index 1, and its path. The log is closed at the end of the test.
 func create(t testing.TB) (*Log, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "log")
@@ -55,19 +55,19 @@
 	return log, path
 }
 
-// reopen closes a log and opens it again, and requires that its state is the same.
+// reopen closes a log, opens it again and requires that its state has not changed.
 func reopen(t testing.TB, log *Log, path string) *Log {
 	t.Helper()
 	require.NoError(t, log.Close())
 	opened, err := Open(path, testOptions)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = opened.Close() })
-	requireSame(t, log.memory, opened.memory)
+	requireEqualStates(t, log.memory, opened.memory)
 	return opened
 }
 
-// requireSame requires that two states are equal.
-func requireSame(t testing.TB, want, got logState) {
+// requireEqualStates requires that two states are equal.
+func requireEqualStates(t testing.TB, want, got logState) {
 	t.Helper()
 	require.Equal(t, want.state(), got.state())
 	require.True(t, proto.Equal(want.snapshot, got.snapshot))
@@ -102,7 +102,7 @@
 	log = reopen(t, log, path)
 
 	last, _ := log.LastIndex()
-	require.Equal(t, uint64(8), last, "entry 9 was replaced")
+	require.Equal(t, uint64(8), last, "the new entries 7 and 8 also replace entry 9")
 	got, err := log.Entries(2, 9, math.MaxUint64)
 	require.NoError(t, err)
 	require.Len(t, got, 7)
@@ -119,8 +119,8 @@
 	require.Len(t, got, 3)
 	got, err = log.Entries(5, 10, 0)
 	require.NoError(t, err)
-	require.Len(t, got, 1, "at least one entry, whatever the size")
-	require.Equal(t, 1, cap(got), "an append by the caller must not write into the log")
+	require.Len(t, got, 1, "at least one entry, whatever its size")
+	require.Equal(t, 1, cap(got), "append by the caller must not overwrite entries of the log")
 	_, err = log.Entries(1, 3, size)
 	require.ErrorIs(t, err, raft.ErrCompacted)
 	_, err = log.Entries(2, 11, size)
@@ -166,24 +166,24 @@
 func TestInvalidWritesAreRejectedWithoutEffect(t *testing.T) {
 	log, path := create(t)
 	require.NoError(t, log.Save(hardState(3, 2, 4), entries(2, 9, 3), nil))
-	gapWithin := []*raftpb.Entry{entry(10, 3, ""), entry(12, 3, "")}
+	entriesWithGap := []*raftpb.Entry{entry(10, 3, ""), entry(12, 3, "")}
 	for name, write := range map[string]func() error{
-		"gap":                         func() error { return log.Save(nil, entries(11, 12, 3), nil) },
-		"compacted entry":             func() error { return log.Save(nil, entries(1, 2, 3), nil) },
-		"gap within":                  func() error { return log.Save(nil, gapWithin, nil) },
-		"entry of a later term":       func() error { return log.Save(nil, entries(10, 10, 4), nil) },
-		"entry of an early term":      func() error { return log.Save(nil, entries(10, 10, 2), nil) },
-		"committed entry replaced":    func() error { return log.Save(hardState(4, 0, 4), entries(4, 9, 4), nil) },
-		"lower term":                  func() error { return log.Save(hardState(2, 0, 4), nil, nil) },
-		"second vote":                 func() error { return log.Save(hardState(3, 1, 4), nil, nil) },
-		"vote withdrawn":              func() error { return log.Save(hardState(3, 0, 4), nil, nil) },
-		"lower commit":                func() error { return log.Save(hardState(3, 2, 3), nil, nil) },
-		"commit after the last entry": func() error { return log.Save(hardState(3, 2, 10), nil, nil) },
-		"old snapshot":                func() error { return log.Save(nil, nil, snapshotAt(1, 1, "")) },
-		"snapshot uncommitted":        func() error { return log.Compact(snapshotAt(5, 3, ""), 5) },
-		"snapshot of other term":      func() error { return log.Compact(snapshotAt(4, 2, ""), 5) },
-		"snapshot not in log":         func() error { return log.Compact(snapshotAt(12, 3, ""), 5) },
-		"uncovered compaction":        func() error { return log.Compact(snapshotAt(4, 3, ""), 6) },
+		"gap before the entries":            func() error { return log.Save(nil, entries(11, 12, 3), nil) },
+		"compacted entry":                   func() error { return log.Save(nil, entries(1, 2, 3), nil) },
+		"gap between the entries":           func() error { return log.Save(nil, entriesWithGap, nil) },
+		"entry above the current term":      func() error { return log.Save(nil, entries(10, 10, 4), nil) },
+		"entry below the last term":         func() error { return log.Save(nil, entries(10, 10, 2), nil) },
+		"committed entry replaced":          func() error { return log.Save(hardState(4, 0, 4), entries(4, 9, 4), nil) },
+		"lower term":                        func() error { return log.Save(hardState(2, 0, 4), nil, nil) },
+		"second vote in the term":           func() error { return log.Save(hardState(3, 1, 4), nil, nil) },
+		"vote withdrawn":                    func() error { return log.Save(hardState(3, 0, 4), nil, nil) },
+		"lower commit index":                func() error { return log.Save(hardState(3, 2, 3), nil, nil) },
+		"commit index above the last entry": func() error { return log.Save(hardState(3, 2, 10), nil, nil) },
+		"old snapshot":                      func() error { return log.Save(nil, nil, snapshotAt(1, 1, "")) },
+		"snapshot of an uncommitted entry":  func() error { return log.Compact(snapshotAt(5, 3, ""), 5) },
+		"snapshot with another term":        func() error { return log.Compact(snapshotAt(4, 2, ""), 5) },
+		"snapshot above the last entry":     func() error { return log.Compact(snapshotAt(12, 3, ""), 5) },
+		"deletion of an uncovered entry":    func() error { return log.Compact(snapshotAt(4, 3, ""), 6) },
 	} {
 		require.ErrorIs(t, write(), ErrInvalidWrite, name)
 	}
@@ -191,7 +191,7 @@
 	require.NoError(t, log.Save(hardState(3, 2, 9), entries(10, 10, 3), nil), "a valid write succeeds")
 }
 
-func TestCreateRejectsExistingAndReplacesUnfinishedFile(t *testing.T) {
+func TestCreateRejectsExistingAndReplacesTemporaryFile(t *testing.T) {
 	_, path := create(t)
 	_, err := Create(path, testOptions, snapshotAt(1, 1, "start"))
 	require.ErrorIs(t, err, ErrExists)
@@ -219,7 +219,7 @@
 	require.ErrorIs(t, log.Save(hardState(5, 0, 1), nil, nil), ErrClosed)
 }
 
-// TestRandomWritesMatchMemoryStorage compares a log after random writes with raft.MemoryStorage.
+// TestRandomWritesMatchMemoryStorage applies random writes to a log and to raft.MemoryStorage and compares the two.
 func TestRandomWritesMatchMemoryStorage(t *testing.T) {
 	for seed := range uint64(8) {
 		random := rand.New(rand.NewPCG(seed, 1))
@@ -244,7 +244,7 @@
 	}
 }
 
-// compactRandomly compacts a log and its model to the same index, in one of six calls.
+// compactRandomly compacts a log and its model to the same index, with a probability of one sixth.
 func compactRandomly(t *testing.T, random *rand.Rand, log *Log, model *raft.MemoryStorage) {
 	t.Helper()
 	hard, conf, _ := log.InitialState()
@@ -252,17 +252,17 @@
 	if random.IntN(6) > 0 || hard.GetCommit() <= snapshot.GetMetadata().GetIndex() {
 		return
 	}
-	snapshotOfModel, err := model.CreateSnapshot(hard.GetCommit(), conf, []byte("snapshot"))
+	modelSnapshot, err := model.CreateSnapshot(hard.GetCommit(), conf, []byte("snapshot"))
 	require.NoError(t, err)
 	before, _ := log.FirstIndex()
 	first := before + uint64(random.Int64N(int64(hard.GetCommit()+2-before)))
-	require.NoError(t, log.Compact(snapshotOfModel, first))
+	require.NoError(t, log.Compact(modelSnapshot, first))
 	if first > before {
 		require.NoError(t, model.Compact(first-1))
 	}
 }
 
-// requireEqualsModel requires that a log returns what its model does.
+// requireEqualsModel requires that a log returns the same as its model.
 func requireEqualsModel(t *testing.T, model *raft.MemoryStorage, log *Log) {
 	t.Helper()
 	wantFirst, _ := model.FirstIndex()
--- a/internal/controlplane/raftlog/save.go
+++ b/internal/controlplane/raftlog/save.go
@@ -8,10 +8,10 @@
 	"go.etcd.io/raft/v3/raftpb"
 )
 
-// Save writes what a raft.Ready asks to be saved, in one transaction that is synced before it returns: a snapshot
-// replaces the log, entries replace those of the same and higher indexes, then the hard state. Each may be empty. Its
-// error wraps ErrInvalidWrite if the write is inconsistent with the log (nothing is written), ErrNoSpace if the disk or
-// the file is full, ErrCorrupt if the file is corrupt, or is that of the disk.
+// Save writes the snapshot, entries and hard state of a raft.Ready, in one transaction that is synced before Save returns.
+// A snapshot replaces the log; entries replace those of the same and higher indexes. Each argument may be empty. The error
+// wraps ErrInvalidWrite if the write is inconsistent with the log (nothing is written), ErrNoSpace if the disk or the file
+// is full, or ErrCorrupt if the file is corrupt; otherwise it is an I/O error.
 func (l *Log) Save(hardState *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	if l.brokenErr != nil {
 		return l.brokenErr
@@ -20,7 +20,7 @@
 	next := before
 	if !raft.IsEmptySnap(snapshot) {
 		if snapshot.GetMetadata().GetIndex() <= before.snapshot.GetMetadata().GetIndex() {
-			return fmt.Errorf("%w: snapshot of entry %d after that of %d", ErrInvalidWrite,
+			return fmt.Errorf("%w: snapshot at index %d, the stored one is at index %d", ErrInvalidWrite,
 				snapshot.GetMetadata().GetIndex(), before.snapshot.GetMetadata().GetIndex())
 		}
 		next = next.withSnapshot(snapshot)
@@ -40,9 +40,9 @@
 	return l.commitWrite(next, func(tx *bolt.Tx) error { return writeSave(tx, before, next, entries) })
 }
 
-// Compact stores a snapshot that this member made itself and drops the entries before an index, in one transaction
-// that is synced before it returns. The snapshot must be newer than the stored one and of a committed entry, and the
-// entries that it doesn't cover are kept. Errors are those of Save.
+// Compact stores a snapshot that this member took itself and deletes the entries before index first, in one transaction
+// that is synced before Compact returns. The snapshot must be newer than the stored one and of a committed entry, and
+// entries that it does not cover must be kept. The errors are those of Save.
 func (l *Log) Compact(snapshot *raftpb.Snapshot, first uint64) error {
 	if l.brokenErr != nil {
 		return l.brokenErr
@@ -52,11 +52,13 @@
 	term, err := l.Term(index)
 	switch {
 	case err != nil || term != snapshot.GetMetadata().GetTerm():
-		return fmt.Errorf("%w: snapshot of entry %d, which is not in the log", ErrInvalidWrite, index)
+		return fmt.Errorf("%w: snapshot at index %d and term %d, which the log does not have", ErrInvalidWrite, index,
+			snapshot.GetMetadata().GetTerm())
 	case index <= before.snapshot.GetMetadata().GetIndex() || index > before.hardState.GetCommit():
-		return fmt.Errorf("%w: snapshot of entry %d, commit is %d", ErrInvalidWrite, index, before.hardState.GetCommit())
+		return fmt.Errorf("%w: snapshot at index %d, the stored one is at index %d, commit index is %d", ErrInvalidWrite, index,
+			before.snapshot.GetMetadata().GetIndex(), before.hardState.GetCommit())
 	case first <= before.compacted.index || first > index+1:
-		return fmt.Errorf("%w: snapshot of entry %d, entries kept from %d", ErrInvalidWrite, index, first)
+		return fmt.Errorf("%w: first entry to keep is %d, want %d to %d", ErrInvalidWrite, first, before.compacted.index+1, index+1)
 	}
 	next := before.compactedTo(first)
 	next.snapshot = snapshot
@@ -71,50 +73,52 @@
 	})
 }
 
-// checkAppend checks that entries follow the log or replace entries of it. Its error wraps ErrInvalidWrite.
-func (m logState) checkAppend(entries []*raftpb.Entry) error {
+// checkAppend checks that entries follow the last entry of the log or replace entries in it. The error wraps ErrInvalidWrite.
+func (s logState) checkAppend(entries []*raftpb.Entry) error {
 	first := entries[0].GetIndex()
-	if first <= m.compacted.index || first > m.last().index+1 {
-		return fmt.Errorf("%w: entry %d, the log has %d to %d", ErrInvalidWrite, first, m.compacted.index+1, m.last().index)
+	if first <= s.compacted.index || first > s.last().index+1 {
+		return fmt.Errorf("%w: entries from %d, the log has entries %d to %d", ErrInvalidWrite, first, s.compacted.index+1,
+			s.last().index)
 	}
-	before := m.compacted
-	if kept := first - m.compacted.index - 1; kept > 0 {
-		entry := m.entries[kept-1]
-		before = entryID{index: entry.GetIndex(), term: entry.GetTerm()}
+	previous := s.compacted
+	if kept := first - s.compacted.index - 1; kept > 0 {
+		entry := s.entries[kept-1]
+		previous = entryID{index: entry.GetIndex(), term: entry.GetTerm()}
 	}
-	if err := checkConsecutive(before, entries); err != nil {
+	if err := checkConsecutive(previous, entries); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidWrite, err)
 	}
 	return nil
 }
 
-// checkTransition checks that a write does not decrease the term or the commit index, change the vote in a term, or
-// replace committed entries. Its error wraps ErrInvalidWrite.
-func (m logState) checkTransition(before logState) error {
-	was, is := before.hardState, m.hardState
+// checkTransition checks that a write changes the state from before to s without decreasing the term or the commit index,
+// changing the vote within a term, or replacing committed entries. The error wraps ErrInvalidWrite.
+func (s logState) checkTransition(before logState) error {
+	old, updated := before.hardState, s.hardState
 	switch {
-	case is.GetTerm() < was.GetTerm():
-		return fmt.Errorf("%w: term %d after %d", ErrInvalidWrite, is.GetTerm(), was.GetTerm())
-	case is.GetTerm() == was.GetTerm() && was.GetVote() != 0 && is.GetVote() != was.GetVote():
-		return fmt.Errorf("%w: vote for %x after %x in term %d", ErrInvalidWrite, is.GetVote(), was.GetVote(), is.GetTerm())
-	case is.GetCommit() < was.GetCommit():
-		return fmt.Errorf("%w: commit %d after %d", ErrInvalidWrite, is.GetCommit(), was.GetCommit())
-	}
-	for index := max(before.compacted.index, m.compacted.index) + 1; index <= was.GetCommit(); index++ {
-		if index > m.last().index || before.termAt(index) != m.termAt(index) {
+	case updated.GetTerm() < old.GetTerm():
+		return fmt.Errorf("%w: term decreases from %d to %d", ErrInvalidWrite, old.GetTerm(), updated.GetTerm())
+	case updated.GetTerm() == old.GetTerm() && old.GetVote() != 0 && updated.GetVote() != old.GetVote():
+		return fmt.Errorf("%w: vote changes from %x to %x in term %d", ErrInvalidWrite, old.GetVote(), updated.GetVote(),
+			updated.GetTerm())
+	case updated.GetCommit() < old.GetCommit():
+		return fmt.Errorf("%w: commit index decreases from %d to %d", ErrInvalidWrite, old.GetCommit(), updated.GetCommit())
+	}
+	for index := max(before.compacted.index, s.compacted.index) + 1; index <= old.GetCommit(); index++ {
+		if index > s.last().index || before.termAt(index) != s.termAt(index) {
 			return fmt.Errorf("%w: committed entry %d would be lost", ErrInvalidWrite, index)
 		}
 	}
-	if err := m.checkInvariants(); err != nil {
+	if err := s.checkInvariants(); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidWrite, err)
 	}
 	return nil
 }
 
-// termAt returns the term of the entry at an index, which the log must have.
-func (m logState) termAt(index uint64) uint64 { return m.entries[index-m.compacted.index-1].GetTerm() }
+// termAt returns the term of the entry at an index, which must be in entries.
+func (s logState) termAt(index uint64) uint64 { return s.entries[index-s.compacted.index-1].GetTerm() }
 
-// writeSave writes the difference between two states.
+// writeSave writes the difference between the states before and next, of which entries are the new entries.
 func writeSave(tx *bolt.Tx, before, next logState, entries []*raftpb.Entry) error {
 	replaced := next.snapshot != before.snapshot
 	first, end := uint64(0), before.last().index+1
@@ -142,7 +146,7 @@
 	return putRecord(tx, stateBucket, singleKey, next.state().encode())
 }
 
-// deleteEntries deletes the entries from first to before end.
+// deleteEntries deletes the entries with indexes from first up to but not including end.
 func deleteEntries(tx *bolt.Tx, first, end uint64) error {
 	bucket := tx.Bucket(entriesBucket)
 	for index := first; index < end; index++ {
@@ -153,7 +157,8 @@
 	return nil
 }
 
-// commitWrite runs a write in one transaction and, when it is synced, replaces the log in memory by next.
+// commitWrite runs a write in one synced transaction and then replaces the copy in memory by next. After a failure the Log
+// accepts no further writes.
 func (l *Log) commitWrite(next logState, write func(tx *bolt.Tx) error) error {
 	if err := l.update(write); err != nil {
 		l.brokenErr = err
@@ -163,7 +168,7 @@
 	return nil
 }
 
-// update runs a write in one synced transaction.
+// update runs a write in one synced transaction. The error wraps ErrNoSpace or ErrCorrupt, or is an I/O error.
 func (l *Log) update(write func(tx *bolt.Tx) error) (err error) {
 	defer recoverCorruption(&err)
 	defer panicOnFault()()
--- a/internal/controlplane/raftlog/verify.go
+++ b/internal/controlplane/raftlog/verify.go
@@ -6,12 +6,12 @@
 	"os"
 )
 
-// bbolt does not validate the pages of its file: a corrupt one can make it panic, loop forever or overwrite pages in use.
-// Therefore verifyPages checks before bbolt opens the file that both meta pages are valid and of successive transactions,
+// bbolt does not validate the pages of its file: a corrupt page can make it panic, loop forever or overwrite pages in use.
+// Therefore, before bbolt opens the file, verifyPages checks that both meta pages are valid and of successive transactions,
 // that every page belongs to exactly one of the trees, the free list and the meta pages, and that all offsets lie within
 // their pages. Keys and values are checked by the checksums of the records.
 //
-// The layout is version 2 of bbolt's file format on little-endian machines.
+// The constants describe version 2 of bbolt's file format on a little-endian system. Sizes are in bytes.
 const (
 	metaMagic   = 0xED0CDAED
 	metaVersion = 2
@@ -20,53 +20,53 @@
 	branchElementBytes = 16 // offset 4, key size 4, child page 8
 	leafElementBytes   = 16 // flags 4, offset 4, key size 4, value size 4
 	bucketHeaderBytes  = 16 // root page 8, sequence 8
-	metaBytes          = 56 // fields of a meta page before its checksum
+	metaBytes          = 56 // size of the fields of a meta page before its checksum
 	metaChecksumBytes  = 8  // FNV-1a
 
 	branchPageFlag   = 0x01
 	leafPageFlag     = 0x02
 	metaPageFlag     = 0x04
 	freelistPageFlag = 0x10
-	bucketFlag       = 0x01 // of a leaf element
+	bucketFlag       = 0x01 // flag of a leaf element whose value is a bucket
 
-	freelistCountInData = 0xFFFF // page count of a free list that stores its count as its first element
+	freelistCountInData = 0xFFFF // element count of a free list page that stores the actual count as its first element
 
 	minPageSize  = 1 << 10
 	maxPageSize  = 64 << 10
-	maxTreeDepth = 32 // of the trees: with two or more keys per page, enough for 2^32 pages
+	maxTreeDepth = 32 // maximum depth of a tree: enough for 2^32 pages with two keys per page
 )
 
 // metaPage is the content of a meta page.
 type metaPage struct {
 	pageSize    uint64 // bytes
 	root        uint64 // page id of the root bucket
-	freelist    uint64 // page id
-	pages       uint64 // number of pages up to the last used one: the file has at least as many
-	transaction uint64
+	freelist    uint64 // page id of the free list
+	pages       uint64 // number of pages up to the last one in use; the file has at least as many
+	transaction uint64 // id of the transaction that wrote the meta page
 }
 
 // page is a page with its overflow pages.
 type page struct {
-	id    uint64 // 0: an inline page of a bucket
+	id    uint64 // 0: the inline page of a bucket
 	flags uint16
-	count int    // of elements
-	data  []byte // from its header on
+	count int    // number of elements
+	data  []byte // content, including the header
 }
 
 // pageVerifier checks the pages of one file.
 type pageVerifier struct {
 	file *os.File
 	meta metaPage
-	used []bool // by page id
+	used []bool // by page id: whether a tree, the free list or the meta pages contain the page
 }
 
-// corruptError returns an error that wraps ErrCorrupt.
-func corruptError(format string, arguments ...any) error {
-	return fmt.Errorf("%w: %s", ErrCorrupt, fmt.Sprintf(format, arguments...))
+// corruptError returns an error with a formatted message that wraps ErrCorrupt.
+func corruptError(format string, args ...any) error {
+	return fmt.Errorf("%w: %s", ErrCorrupt, fmt.Sprintf(format, args...))
 }
 
-// verifyPages checks the pages of a bbolt file. Its error wraps ErrTorn, ErrCorrupt, ErrForeign or ErrVersion, or is that
-// of the file.
+// verifyPages checks the pages of a bbolt file. The error wraps ErrTruncated, ErrCorrupt, ErrForeign or ErrVersion, or is an
+// I/O error.
 func verifyPages(file *os.File) error {
 	info, err := file.Stat()
 	if err != nil {
@@ -77,10 +77,10 @@
 		return err
 	}
 	if size := uint64(info.Size()); newest.pages > size/newest.pageSize {
-		return fmt.Errorf("%w: %d bytes, want at least %d pages of %d", ErrTorn, size, newest.pages, newest.pageSize)
+		return fmt.Errorf("%w: %d bytes, want at least %d pages of %d bytes", ErrTruncated, size, newest.pages, newest.pageSize)
 	}
 	v := &pageVerifier{file: file, meta: newest, used: make([]bool, newest.pages)}
-	v.used[0], v.used[1] = true, true
+	v.used[0], v.used[1] = true, true // the meta pages
 	if err := v.verifyTree(newest.root, 0); err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 // readPage returns a page and marks it and its overflow pages as used.
 func (v *pageVerifier) readPage(id uint64) (page, error) {
 	if id < 2 || id >= v.meta.pages {
-		return page{}, corruptError("page %d, want 2 to below %d", id, v.meta.pages)
+		return page{}, corruptError("page id %d, want 2 to %d", id, v.meta.pages-1)
 	}
 	header := make([]byte, pageHeaderBytes)
 	if _, err := v.file.ReadAt(header, int64(id*v.meta.pageSize)); err != nil {
@@ -106,7 +106,8 @@
 	}
 	overflow := uint64(binary.LittleEndian.Uint32(header[12:]))
 	if binary.LittleEndian.Uint64(header) != id || overflow >= v.meta.pages-id {
-		return page{}, corruptError("header of page %d", id)
+		return page{}, corruptError("page %d has a header with page id %d and %d overflow pages, file has %d pages", id,
+			binary.LittleEndian.Uint64(header), overflow, v.meta.pages)
 	}
 	for used := id; used <= id+overflow; used++ {
 		if err := v.markUsed(used); err != nil {
@@ -125,10 +126,10 @@
 	}, nil
 }
 
-// markUsed marks a page as used. Its error is that the page is used already or does not exist.
+// markUsed marks a page as used. The error wraps ErrCorrupt if the page is used already or does not exist.
 func (v *pageVerifier) markUsed(id uint64) error {
 	if id >= v.meta.pages || v.used[id] {
-		return corruptError("page %d of %d is used twice or does not exist", id, v.meta.pages)
+		return corruptError("page %d is used twice or does not exist, file has %d pages", id, v.meta.pages)
 	}
 	v.used[id] = true
 	return nil
--- a/internal/controlplane/raftlog/verify_tree.go
+++ b/internal/controlplane/raftlog/verify_tree.go
@@ -2,34 +2,35 @@
 
 import "encoding/binary"
 
-// verifyTree checks a page of a bucket and all pages below it. Each page is used once, so a cycle is an error.
+// verifyTree checks the page of a tree with an id and all pages below it. Each page may be used only once, so a cycle is an
+// error.
 func (v *pageVerifier) verifyTree(id uint64, depth int) error {
 	if depth > maxTreeDepth {
-		return corruptError("page %d at depth %d, the limit is %d", id, depth, maxTreeDepth)
+		return corruptError("page %d at depth %d, want at most %d", id, depth, maxTreeDepth)
 	}
-	content, err := v.readPage(id)
+	p, err := v.readPage(id)
 	if err != nil {
 		return err
 	}
-	switch content.flags {
+	switch p.flags {
 	case branchPageFlag:
-		return v.verifyBranch(content, depth)
+		return v.verifyBranch(p, depth)
 	case leafPageFlag:
-		return v.verifyLeaf(content, depth)
+		return v.verifyLeaf(p, depth)
 	}
-	return corruptError("page %d has flags %x", id, content.flags)
+	return corruptError("page %d has flags %#x, want a branch or leaf page", id, p.flags)
 }
 
 // elementHeader is the header of an element of a branch or leaf page.
 type elementHeader struct {
-	offset    uint32 // of the key, from the start of the element
+	offset    uint32 // offset of the key from the start of the element
 	keySize   uint32
-	valueSize uint32 // of a leaf element
-	flags     uint32 // of a leaf element
-	child     uint64 // page id, of a branch element
+	valueSize uint32 // 0 in a branch element
+	flags     uint32 // 0 in a branch element
+	child     uint64 // page id of the child; 0 in a leaf element
 }
 
-// decodeBranchElement decodes the header of a branch element, which has at least branchElementBytes.
+// decodeBranchElement decodes the header of a branch element. data must have at least branchElementBytes.
 func decodeBranchElement(data []byte) elementHeader {
 	return elementHeader{
 		offset:  binary.LittleEndian.Uint32(data),
@@ -38,7 +39,7 @@
 	}
 }
 
-// decodeLeafElement decodes the header of a leaf element, which has at least leafElementBytes.
+// decodeLeafElement decodes the header of a leaf element. data must have at least leafElementBytes.
 func decodeLeafElement(data []byte) elementHeader {
 	return elementHeader{
 		flags:     binary.LittleEndian.Uint32(data),
@@ -48,7 +49,7 @@
 	}
 }
 
-// verifyBranch checks the elements of a branch page and the trees of its children.
+// verifyBranch checks the elements of a branch page and the trees below it.
 func (v *pageVerifier) verifyBranch(branch page, depth int) error {
 	if branch.count == 0 {
 		return corruptError("branch page %d is empty", branch.id)
@@ -58,7 +59,7 @@
 	})
 }
 
-// verifyLeaf checks the elements of a leaf page and the buckets among them.
+// verifyLeaf checks the elements of a leaf page and the buckets in it.
 func (v *pageVerifier) verifyLeaf(leaf page, depth int) error {
 	return leaf.visitElements(leafElementBytes, decodeLeafElement, func(header elementHeader, value []byte) error {
 		switch header.flags {
@@ -67,19 +68,19 @@
 		case bucketFlag:
 			return v.verifyBucket(value, depth)
 		}
-		return corruptError("leaf page %d has an element with flags %x", leaf.id, header.flags)
+		return corruptError("leaf page %d has an element with flags %#x", leaf.id, header.flags)
 	})
 }
 
-// visitElements calls visit for each element with its value. It checks before that the element lies within the page and
-// that its key is greater than the previous one.
+// visitElements calls visit for each element with its value. Before each call it checks that the element lies within the page
+// and that its key is greater than the previous one.
 func (p page) visitElements(elementBytes int, decode func(data []byte) elementHeader,
 	visit func(header elementHeader, value []byte) error) error {
 	var previousKey []byte
 	for i := range p.count {
 		start := pageHeaderBytes + i*elementBytes
 		if start+elementBytes > len(p.data) {
-			return corruptError("page %d of %d bytes has %d elements", p.id, len(p.data), p.count)
+			return corruptError("page %d of %d bytes is too small for %d elements", p.id, len(p.data), p.count)
 		}
 		header := decode(p.data[start:])
 		key, value, err := p.keyAndValue(start, header)
@@ -97,33 +98,34 @@
 	return nil
 }
 
-// keyAndValue returns the key and value of the element that starts at an offset of the page.
+// keyAndValue returns the key and value of the element that starts at offset elementStart of the page.
 func (p page) keyAndValue(elementStart int, header elementHeader) (key, value []byte, err error) {
 	keyStart := uint64(elementStart) + uint64(header.offset)
 	keyEnd := keyStart + uint64(header.keySize)
 	valueEnd := keyEnd + uint64(header.valueSize)
 	if header.keySize == 0 || valueEnd > uint64(len(p.data)) {
-		return nil, nil, corruptError("page %d of %d bytes: element at offset %d with key at %d and end at %d", p.id,
-			len(p.data), elementStart, keyStart, valueEnd)
+		return nil, nil, corruptError("page %d of %d bytes: element at offset %d has its key at %d to %d and its value up to %d", p.id,
+			len(p.data), elementStart, keyStart, keyEnd, valueEnd)
 	}
 	return p.data[keyStart:keyEnd], p.data[keyEnd:valueEnd], nil
 }
 
-// verifyBucket checks the value of a bucket element: the tree at its root page, or the inline page of a small bucket.
+// verifyBucket checks the value of a bucket element: the tree from its root page, or the inline page of a small bucket.
 func (v *pageVerifier) verifyBucket(value []byte, depth int) error {
 	if len(value) < bucketHeaderBytes {
-		return corruptError("bucket of %d bytes, want at least %d", len(value), bucketHeaderBytes)
+		return corruptError("bucket has %d bytes, want at least %d", len(value), bucketHeaderBytes)
 	}
 	if root := binary.LittleEndian.Uint64(value); root != 0 {
 		return v.verifyTree(root, depth+1)
 	}
 	inline := value[bucketHeaderBytes:]
 	if len(inline) < pageHeaderBytes {
-		return corruptError("bucket with an inline page of %d bytes, want at least %d", len(inline), pageHeaderBytes)
+		return corruptError("inline page of a bucket has %d bytes, want at least %d", len(inline), pageHeaderBytes)
 	}
 	flags, overflow := binary.LittleEndian.Uint16(inline[8:]), binary.LittleEndian.Uint32(inline[12:])
 	if binary.LittleEndian.Uint64(inline) != 0 || flags != leafPageFlag || overflow != 0 || depth > maxTreeDepth {
-		return corruptError("header of an inline page of a bucket")
+		return corruptError("inline page of a bucket has page id %d, flags %#x and %d overflow pages at depth %d",
+			binary.LittleEndian.Uint64(inline), flags, overflow, depth)
 	}
 	return v.verifyLeaf(page{count: int(binary.LittleEndian.Uint16(inline[10:])), data: inline}, depth+1)
 }
@@ -135,7 +137,7 @@
 		return err
 	}
 	if freelist.flags != freelistPageFlag {
-		return corruptError("free list has flags %x", freelist.flags)
+		return corruptError("free list page %d has flags %#x, want %#x", freelist.id, freelist.flags, freelistPageFlag)
 	}
 	ids := freelist.data[pageHeaderBytes:]
 	count := uint64(freelist.count)
@@ -144,7 +146,7 @@
 		ids = ids[8:]
 	}
 	if count > uint64(len(ids)/8) {
-		return corruptError("free list of %d pages in %d bytes", count, len(ids))
+		return corruptError("free list has %d pages in %d bytes", count, len(ids))
 	}
 	for i := range count {
 		if err := v.markUsed(binary.LittleEndian.Uint64(ids[8*i:])); err != nil {
--- a/internal/harness/controlplanetest/disk_test.go
+++ b/internal/harness/controlplanetest/disk_test.go
@@ -32,7 +32,7 @@
 	cluster.SetPadding(20 << 10) // the log soon exceeds the limit
 	stop := startPublishing(t, cluster, cluster.Addresses())
 	require.Equal(t, 1, waitForEnd(t, full), "exit status")
-	require.Contains(t, full.Log(), "no room on the disk")
+	require.Contains(t, full.Log(), "disk full or maximum file size reached")
 	waitForMore(t, cluster, 3)
 	for _, m := range cluster.Machines {
 		if m != full {
