--- a/internal/controlplane/raftlog/verify.go
+++ b/internal/controlplane/raftlog/verify.go
@@ -33,7 +33,7 @@
 
 	minPageSize  = 1 << 10
 	maxPageSize  = 64 << 10
-	maxTreeDepth = 32 // maximum depth of a tree: enough for 2^32 pages with two keys per page
+	maxTreeDepth = 32 // maximum depth of a tree: enough for 2^32 pages with two or more keys per page
 )
 
 // metaPage is the content of a meta page.
--- a/internal/controlplane/raftlog/verify_tree.go
+++ b/internal/controlplane/raftlog/verify_tree.go
@@ -2,8 +2,8 @@
 
 import "encoding/binary"
 
-// verifyTree checks the page of a tree with an id and all pages below it. Each page may be used only once, so a cycle is an
-// error.
+// verifyTree checks a page of a tree, which is at a depth below the root bucket, and all pages below it. Each page may be used
+// only once, so a cycle is an error.
 func (v *pageVerifier) verifyTree(id uint64, depth int) error {
 	if depth > maxTreeDepth {
 		return corruptError("page %d at depth %d, want at most %d", id, depth, maxTreeDepth)
@@ -146,7 +146,7 @@
 		ids = ids[8:]
 	}
 	if count > uint64(len(ids)/8) {
-		return corruptError("free list has %d pages in %d bytes", count, len(ids))
+		return corruptError("free list has %d page ids in %d bytes", count, len(ids))
 	}
 	for i := range count {
 		if err := v.markUsed(binary.LittleEndian.Uint64(ids[8*i:])); err != nil {
