--- a/cmd/mothrouter/process.go
+++ b/cmd/mothrouter/process.go
@@ -79,7 +79,7 @@
 	var cancel context.CancelFunc
 	p.ctx, cancel = context.WithCancel(context.Background())
 	defer cancel()
-	defer p.components.End()
+	defer p.components.Stop()
 	if err := p.assemble(); err != nil {
 		return err
 	}
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -1,5 +1,5 @@
-// Package assembly starts and stops the components of a broker's process. Each may wrap the Decider of every worker and
-// run a goroutine of its own. So saved state, several cores and fleet membership compose without knowing each other.
+// Package assembly starts and stops the components of a broker process. A component may wrap the Decider of every worker
+// and run a goroutine. This lets saved state, multiple workers and fleet membership be combined without importing each other.
 package assembly
 
 import (
@@ -11,80 +11,83 @@
 )
 
 // NewDecider creates the Decider of one worker.
-type NewDecider func(worker int, set decision.Settings, seed uint64) decision.Decider
+type NewDecider func(worker int, settings decision.Settings, seed uint64) decision.Decider
 
-// WrapDecider returns a Decider that wraps a worker's, such as one that observes its events.
+// WrapDecider returns a Decider that wraps the Decider of a worker, for example to observe its events.
 type WrapDecider func(worker int, inner decision.Decider) decision.Decider
 
-// Component is a part of the process beside the core.
+// Component is an optional part of the process that runs alongside the core.
 type Component struct {
-	Name string // for the log
-	// Run runs until ctx ends; nil: the component only wraps Deciders.
+	Name string // in log lines
+	// Run runs the component until ctx is cancelled. It is nil if the component only wraps Deciders.
 	Run func(ctx context.Context)
-	// Wrap wraps each worker's Decider, outside the wrappers of the components that were added before; nil: none.
+	// Wrap wraps the Decider of each worker, outside the wrappers of components added earlier. It is nil if there is nothing
+	// to wrap.
 	Wrap WrapDecider
 }
 
-// Assembly is the set of a process's components. The zero value has none. One goroutine adds them all before Start.
+// Assembly holds the components of a process. The zero value is empty. All components must be added by one goroutine before
+// Start.
 type Assembly struct {
-	Log        *slog.Logger // of warnings about components that stop slowly
+	Log        *slog.Logger // receives warnings about components that are slow to stop
 	components []Component
 	running    []runningComponent
 }
 
+// runningComponent is a component whose Run has been started.
 type runningComponent struct {
-	name string
-	end  context.CancelFunc
-	done chan struct{}
+	name   string
+	cancel context.CancelFunc
+	done   chan struct{} // closed when Run has returned
 }
 
-// slowStopTimeout is how long a component may take to stop before a warning names it.
+// slowStopTimeout is how long a component may take to stop before a warning is logged.
 const slowStopTimeout = 5 * time.Second
 
-// Add adds a component. Components are started in the order in which they were added and stopped in reverse.
-func (a *Assembly) Add(p Component) { a.components = append(a.components, p) }
+// Add adds a component. Components are started in the order they were added and stopped in reverse order.
+func (a *Assembly) Add(component Component) { a.components = append(a.components, component) }
 
-// Decider returns a function that creates Deciders wrapped by all components.
+// Decider returns a function that creates a worker's Decider with inner and wraps it with all components.
 func (a *Assembly) Decider(inner NewDecider) NewDecider {
-	return func(worker int, set decision.Settings, seed uint64) decision.Decider {
-		d := inner(worker, set, seed)
-		for _, p := range a.components {
-			if p.Wrap != nil {
-				d = p.Wrap(worker, d)
+	return func(worker int, settings decision.Settings, seed uint64) decision.Decider {
+		decider := inner(worker, settings, seed)
+		for _, component := range a.components {
+			if component.Wrap != nil {
+				decider = component.Wrap(worker, decider)
 			}
 		}
-		return d
+		return decider
 	}
 }
 
 // Start starts all components.
 func (a *Assembly) Start() {
-	for _, p := range a.components {
-		if p.Run == nil {
+	for _, component := range a.components {
+		if component.Run == nil {
 			continue
 		}
-		ctx, end := context.WithCancel(context.Background())
-		r := runningComponent{p.Name, end, make(chan struct{})}
-		a.running = append(a.running, r)
+		ctx, cancel := context.WithCancel(context.Background())
+		running := runningComponent{component.Name, cancel, make(chan struct{})}
+		a.running = append(a.running, running)
 		go func() {
-			defer close(r.done)
-			p.Run(ctx)
+			defer close(running.done)
+			component.Run(ctx)
 		}()
 	}
 }
 
-// End stops the components, the last one first, and waits for each, so that a component outlives those that depend on
-// it. Further calls do nothing.
-func (a *Assembly) End() {
+// Stop stops the components in reverse order and waits for each before stopping the next, so that a component outlives those
+// that depend on it. Further calls do nothing.
+func (a *Assembly) Stop() {
 	for i := len(a.running) - 1; i >= 0; i-- {
 		a.running[i].stop(a.Log)
 	}
 	a.running = nil
 }
 
-// stop ends a component and waits until it has stopped.
+// stop cancels the component's context and waits until Run has returned.
 func (r runningComponent) stop(log *slog.Logger) {
-	r.end()
+	r.cancel()
 	slow := time.NewTimer(slowStopTimeout)
 	defer slow.Stop()
 	select {
--- a/internal/assembly/assembly_test.go
+++ b/internal/assembly/assembly_test.go
@@ -14,17 +14,17 @@
 	"mothrouter/internal/decision"
 )
 
-// namedDecider is a Decider that returns its name as a log line, after the actions of the Decider it wraps.
+// namedDecider is a Decider that returns the actions of the Decider it wraps, followed by a log line with its own name.
 type namedDecider struct {
 	name  string
 	inner decision.Decider
 }
 
-func (n namedDecider) Handle(now float64, events []decision.Event) (actions []decision.Action) {
-	if n.inner != nil {
-		actions = n.inner.Handle(now, events)
+func (d namedDecider) Handle(now float64, events []decision.Event) (actions []decision.Action) {
+	if d.inner != nil {
+		actions = d.inner.Handle(now, events)
 	}
-	return append(actions, decision.Log{Line: n.name})
+	return append(actions, decision.Log{Line: d.name})
 }
 
 func TestComponentsWrapInOrderAndStopInReverse(t *testing.T) {
@@ -37,17 +37,17 @@
 		defer mu.Unlock()
 		stopped = append(stopped, name)
 	}
-	begun := make(chan struct{}, 3)
+	started := make(chan struct{}, 3)
 	for _, name := range []string{"first", "second", "third"} {
-		p := assembly.Component{Name: name, Run: func(ctx context.Context) {
-			begun <- struct{}{}
+		component := assembly.Component{Name: name, Run: func(ctx context.Context) {
+			started <- struct{}{}
 			<-ctx.Done()
 			recordStop(name)
 		}}
 		if name != "second" {
-			p.Wrap = func(_ int, inner decision.Decider) decision.Decider { return namedDecider{name, inner} }
+			component.Wrap = func(_ int, inner decision.Decider) decision.Decider { return namedDecider{name, inner} }
 		}
-		a.Add(p)
+		a.Add(component)
 	}
 	a.Add(assembly.Component{Name: "nothing to run"})
 	decider := a.Decider(func(worker int, _ decision.Settings, _ uint64) decision.Decider {
@@ -59,9 +59,9 @@
 	}
 	a.Start()
 	for range 3 {
-		<-begun
+		<-started
 	}
-	a.End()
+	a.Stop()
 	require.Equal(t, []string{"third", "second", "first"}, stopped)
-	a.End() // has no effect
+	a.Stop() // a second call does nothing
 }
