--- a/internal/config/checks.go
+++ b/internal/config/checks.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// What several keys allow, as errors show it.
+// Descriptions of allowed values that several keys share. They appear in error texts.
 const (
 	allowedAddr     = "an address host:port"
 	allowedAddrPort = "an address IP:port"
-	allowedOnce     = "a value that no other entry has"
+	allowedUnique   = "a value that no other entry has"
 	allowedText     = "a text that is not empty"
 )
 
-// number is what checkRange compares.
+// number is the constraint for the values of checkRange.
 type number interface{ ~int | ~float64 }
 
-// checkRange returns the error of a value outside lowest to highest, or NaN.
+// checkRange returns an error unless value is between lowest and highest, both inclusive. NaN is an error.
 func checkRange[N number](key string, value, lowest, highest N) error {
 	if value >= lowest && value <= highest {
 		return nil
@@ -26,7 +26,7 @@
 	return notAllowed(key, value, "%v to %v", lowest, highest)
 }
 
-// checkPositive returns the error of a value that is not above 0 and at most highest.
+// checkPositive returns an error unless value is above 0 and at most highest. NaN is an error.
 func checkPositive(key string, value, highest float64) error {
 	if value > 0 && value <= highest {
 		return nil
@@ -34,7 +34,7 @@
 	return notAllowed(key, value, "above 0, at most %v", highest)
 }
 
-// checkAddr returns the error of a text that is no address host:port.
+// checkAddr returns an error unless addr is an address of the form host:port.
 func checkAddr(key, addr string) error {
 	if addr == "" {
 		return missingKey(key, allowedAddr)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// parseAddrPort parses an address IP:port.
+// parseAddrPort parses an address of the form IP:port.
 func parseAddrPort(key, addr string) (netip.AddrPort, error) {
 	if addr == "" {
 		return netip.AddrPort{}, missingKey(key, allowedAddrPort)
@@ -57,7 +57,7 @@
 	return parsed, nil
 }
 
-// checkName returns the error of a name that is empty or longer than maxLength bytes.
+// checkName returns an error if the name is empty or longer than maxLength bytes.
 func checkName(key, name string, maxLength int) error {
 	if name == "" {
 		return missingKey(key, fmt.Sprintf("1 to %d bytes", maxLength))
@@ -65,7 +65,7 @@
 	return checkNameLength(key, name, maxLength)
 }
 
-// checkNameLength returns the error of a name that is longer than maxLength bytes.
+// checkNameLength returns an error if the name is longer than maxLength bytes. An empty name is allowed.
 func checkNameLength(key, name string, maxLength int) error {
 	if len(name) > maxLength {
 		return notAllowed(key, name, "at most %d bytes", maxLength)
@@ -73,22 +73,22 @@
 	return nil
 }
 
-// entryCount is the length of a list, in place of its value.
+// entryCount is the length of a list. Errors show it instead of the list.
 type entryCount int
 
 // String returns the count with its unit.
-func (n entryCount) String() string {
-	if n == 1 {
+func (c entryCount) String() string {
+	if c == 1 {
 		return "1 entry"
 	}
-	return fmt.Sprintf("%d entries", int(n))
+	return fmt.Sprintf("%d entries", int(c))
 }
 
-// byteCount is the length of a text, in place of its value.
+// byteCount is the length of a text. Errors show it instead of the text.
 type byteCount int
 
 // String returns the count with its unit.
-func (n byteCount) String() string { return fmt.Sprintf("%d bytes", int(n)) }
+func (c byteCount) String() string { return fmt.Sprintf("%d bytes", int(c)) }
 
-// seconds converts seconds to a duration.
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// seconds converts a number of seconds to a duration.
+func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config alone reads, checks and defaults the configuration: the file of PROXY_CONFIG with its environment, the
-// operator files that switch features on, and the documents of revisions. Errors are of type *KeyError.
+// Package config reads and validates the configuration and applies its defaults; no other package does. It covers the file
+// named by PROXY_CONFIG and the environment variables that override it, the operator files that enable optional features, and
+// the documents of configuration revisions. Errors are of type *KeyError.
 package config
 
 import (
@@ -16,36 +17,36 @@
 	"mothrouter/internal/endpoints/discovery"
 )
 
-// Config is the configuration of a broker. Make it with Load.
+// Config is the configuration of a broker. It is created by Load.
 type Config struct {
 	Name         string // of the broker
 	Listen       string // address host:port for clients
-	Discovery    string // address host:port of discovery
+	Discovery    string // address host:port of the discovery service
 	AdminAddress string // address host:port for operators; "": none
-	AcceptFD     int    // descriptor of the listening socket that the process inherited; 0: it opens its own
-	Seed         uint64 // of random numbers
-	MemoryMB     int    // limit of memory, in MiB
-	Sockets      int    // limit of descriptors
+	AcceptFD     int    // descriptor of an inherited listening socket; 0: the process opens its own
+	Seed         uint64 // of the random number generator
+	MemoryMB     int    // memory limit in MiB
+	Sockets      int    // limit on open file descriptors
 
-	MaxClientConns   int // client connections
-	MaxIdleConns     int // client connections that wait for their next request
-	MaxServerConns   int // connections to record servers
-	MaxBufferedBytes int // bytes of requests in flight
+	MaxClientConns   int // limit on client connections
+	MaxIdleConns     int // limit on client connections that are waiting for their next request
+	MaxServerConns   int // limit on connections to record servers
+	MaxBufferedBytes int // limit on bytes buffered for requests in flight
 
 	Settings        decision.Settings
-	Classes         map[string]int // index in Settings.Classes by name
+	Classes         map[string]int // class name to index in Settings.Classes
 	NameTable       discovery.NameTable
-	CachedEndpoints broker.EndpointUpdate // the endpoint list that the file holds, perhaps an old one
-	CachedVersion   int64                 // of CachedEndpoints
+	CachedEndpoints broker.EndpointUpdate // the endpoint list in the file, which may be out of date
+	CachedVersion   int64                 // version of CachedEndpoints
 
-	ConcurrencyLimit int           // queries and parts in flight; 0: no limit
+	ConcurrencyLimit int           // limit on queries and parts in flight; 0: no limit
 	Shards           int           // number of shards
-	MaxStreams       int           // calls in flight on a connection to a record server
-	ConnIdleTimeout  time.Duration // of a connection to a record server
-	ConnectTimeout   time.Duration // of a connection to a record server
+	MaxStreams       int           // limit on concurrent calls on one connection to a record server
+	ConnIdleTimeout  time.Duration // after which an idle connection to a record server is closed
+	ConnectTimeout   time.Duration // for establishing a connection to a record server
 
 	getenv func(string) string
-	file   mainFile // as read
+	file   mainFile // as parsed, without the overrides of the environment
 }
 
 const (
@@ -55,11 +56,11 @@
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultMaxStreams     = 1
 
-	firstInheritedFD = 3   // after the standard streams
-	maxSeconds       = 1e6 // of any time in the settings: eleven days, far below an overflow of time.Duration
+	firstInheritedFD = 3   // the first descriptor after the standard streams
+	maxSeconds       = 1e6 // upper bound of all times in the settings: eleven days, far below an overflow of time.Duration
 )
 
-// mainFile is the file of PROXY_CONFIG.
+// mainFile is the JSON file named by PROXY_CONFIG.
 type mainFile struct {
 	Name    string `json:"name"`
 	Listen  string `json:"listen"`
@@ -73,13 +74,13 @@
 	revisableKeys
 }
 
-// revisableKeys are the keys that the file of PROXY_CONFIG shares with the document of a revision.
+// revisableKeys are the keys that the file named by PROXY_CONFIG shares with the document of a revision.
 type revisableKeys struct {
 	Discovery string          `json:"discovery"`
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// defaults returns a configuration without any key set.
+// defaults returns the configuration before any key has been read.
 func defaults() *Config {
 	return &Config{
 		MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
@@ -87,8 +88,8 @@
 	}
 }
 
-// Load reads the environment, by getenv, and the file that PROXY_CONFIG names. The environment's name and addresses take
-// precedence over the file's. Errors are of type *KeyError.
+// Load reads the environment variables through getenv, and the file named by PROXY_CONFIG. The name and the addresses in the
+// environment take precedence over those in the file. Errors are of type *KeyError.
 func Load(getenv func(string) string) (*Config, error) {
 	file, err := readMainFile(getenv("PROXY_CONFIG"))
 	if err != nil {
@@ -111,7 +112,7 @@
 	return c, nil
 }
 
-// readMainFile reads the file that PROXY_CONFIG names.
+// readMainFile reads and parses the file named by PROXY_CONFIG.
 func readMainFile(path string) (file mainFile, err error) {
 	if path == "" {
 		return file, missingKey("PROXY_CONFIG", "the path of a JSON file")
@@ -126,12 +127,12 @@
 	return file, nil
 }
 
-// readAddresses sets the name and the addresses.
+// readAddresses sets the broker's name and the addresses, and checks the addresses.
 func (c *Config) readAddresses() error {
-	c.Name = c.firstSet("PROXY_NAME", c.file.Name)
-	c.Listen = c.firstSet("PROXY_LISTEN", c.file.Listen)
-	c.Discovery = c.firstSet("PROXY_DISCOVERY", c.file.Discovery)
-	c.AdminAddress = c.firstSet("PROXY_CONTROL", c.file.Control)
+	c.Name = c.envOr("PROXY_NAME", c.file.Name)
+	c.Listen = c.envOr("PROXY_LISTEN", c.file.Listen)
+	c.Discovery = c.envOr("PROXY_DISCOVERY", c.file.Discovery)
+	c.AdminAddress = c.envOr("PROXY_CONTROL", c.file.Control)
 	if err := checkAddr("listen", c.Listen); err != nil {
 		return err
 	}
@@ -144,12 +145,12 @@
 	return checkAddr("control", c.AdminAddress)
 }
 
-// firstSet returns the value of an environment variable, or that of the file if the variable is not set.
-func (c *Config) firstSet(variable, fromFile string) string {
+// envOr returns the value of an environment variable, or the value from the file if the variable is unset or empty.
+func (c *Config) envOr(variable, fromFile string) string {
 	return cmp.Or(c.getenv(variable), fromFile)
 }
 
-// readAcceptFD sets the descriptor of the inherited listening socket.
+// readAcceptFD sets AcceptFD from the environment.
 func (c *Config) readAcceptFD() error {
 	text := c.getenv("PROXY_ACCEPT_FD")
 	if text == "" {
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// readSeed sets the seed of random numbers.
+// readSeed sets the seed of the random number generator.
 func (c *Config) readSeed() error {
 	if c.file.Seed == "" {
 		return nil
@@ -176,7 +177,7 @@
 	return nil
 }
 
-// readCachedEndpoints sets the endpoint list that the file holds.
+// readCachedEndpoints sets CachedEndpoints and CachedVersion from the endpoint list in the file.
 func (c *Config) readCachedEndpoints() (err error) {
 	if c.file.Known != nil {
 		if c.CachedEndpoints, err = c.NameTable.EndpointUpdate(*c.file.Known); err != nil {
@@ -188,15 +189,15 @@
 	return nil
 }
 
-// cachedEndpointsError names the key of an endpoint that is not allowed.
+// cachedEndpointsError converts an error of the cached endpoint list to a *KeyError.
 func cachedEndpointsError(err error) error {
-	if fault := (*discovery.EntryError)(nil); errors.As(err, &fault) {
-		return notAllowed("known."+fault.Key, fault.Value, "%s", fault.Allowed)
+	if entryErr := (*discovery.EntryError)(nil); errors.As(err, &entryErr) {
+		return notAllowed("known."+entryErr.Key, entryErr.Value, "%s", entryErr.Allowed)
 	}
 	return unreadable("known", entryCount(0), "an endpoint list", err)
 }
 
-// ClassDeadlines returns, by class, the deadline of a query whose client names none.
+// ClassDeadlines returns the default deadline of each class, for queries whose client sets no deadline.
 func (c *Config) ClassDeadlines() []time.Duration {
 	var deadlines []time.Duration
 	for _, class := range c.Settings.Classes {
@@ -205,10 +206,11 @@
 	return deadlines
 }
 
-// LongestDeadline returns the longest deadline of a class.
+// LongestDeadline returns the longest default deadline of all classes.
 func (c *Config) LongestDeadline() time.Duration { return slices.Max(c.ClassDeadlines()) }
 
-// OverloadRetryAfter returns the Retry-After of an answer over capacity, in seconds; 0: the platform has no Retry-After.
+// OverloadRetryAfter returns the Retry-After, in seconds, of requests rejected for lack of capacity. It is 0 if the platform
+// does not support Retry-After.
 func (c *Config) OverloadRetryAfter() float64 {
 	if c.Settings.RetryAfterSupported {
 		return c.Settings.MaxRetryAfter
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -13,7 +13,7 @@
 	"mothrouter/internal/decision"
 )
 
-// validConfig sets each key that a test replaces.
+// validConfig is a valid file for PROXY_CONFIG. It sets every key that a test replaces.
 const validConfig = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":128,"sockets":512},
 "known":{"version":41,"full":true,"servers":[{"id":"s1","addr":"127.0.0.1:1","zone":"b","kind":"m2","cell":3,
@@ -22,7 +22,7 @@
 "machineTypes":["m2"],"caps":{"openCap":9,"connIdleS":3,"connectTimeoutS":0.5,"streamsPerConn":7},
 "familyInfo":{"cells":4,"slabs":8}}}`
 
-// tempFile writes a file that the end of the test removes, and returns its path.
+// tempFile writes text to a file that is removed when the test ends, and returns its path.
 func tempFile(t testing.TB, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
@@ -30,7 +30,7 @@
 	return path
 }
 
-// loadConfig loads a file with the environment's other variables.
+// loadConfig loads text as the file named by PROXY_CONFIG. The other environment variables are those in env.
 func loadConfig(t *testing.T, text string, env map[string]string) (*config.Config, error) {
 	path := tempFile(t, text)
 	return config.Load(func(key string) string {
@@ -54,16 +54,16 @@
 	require.Equal(t, []time.Duration{2 * time.Second}, c.ClassDeadlines())
 }
 
-// The core never has two attempts of a part in flight. With hedging allowed the decision module asked for a hedged request
-// where it should have cancelled the first attempt, and each was stopped: four in five queries were lost with a zone.
-func TestLoadTurnsHedgingOff(t *testing.T) {
+// The core never has two attempts of a part in flight. With hedging allowed, the decision module asked for a hedged request
+// instead of cancelling the first attempt, and the core rejected it: four in five queries failed during the loss of a zone.
+func TestLoadDisablesHedging(t *testing.T) {
 	c, err := loadConfig(t, strings.Replace(validConfig, `"caps":{`, `"caps":{"secondCopies":true,"cancel":true,`, 1), nil)
 	require.NoError(t, err)
 	require.False(t, c.Settings.HedgingAllowed)
 	require.True(t, c.Settings.CancelAllowed)
 }
 
-// The README starts a broker with the example.
+// The README starts a broker with this file, so it must load.
 func TestLoadReadsDeployedExample(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/example.json")
 	require.NoError(t, err)
@@ -74,7 +74,7 @@
 }
 
 func TestLoadErrorsNameTheKey(t *testing.T) {
-	for _, c := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{`"listen":"127.0.0.1:8443",`, ``, "listen: missing, want an address host:port"},
 		{`"discovery":"127.0.0.1:8500"`, `"discovery":"x"`, "discovery: \"x\" not allowed, want an address host:port"},
 		{`8c1f30d27a5be964`, `zz`, "seed: \"zz\" not allowed, want up to 16 hex digits"},
@@ -93,17 +93,17 @@
 		{`"settings":{`, `"odd":{`, "settings: missing, want an object"},
 		{`{"name"`, `["name"`, "PROXY_CONFIG: "},
 	} {
-		require.Contains(t, validConfig, c.old)
-		_, err := loadConfig(t, strings.Replace(validConfig, c.old, c.new, 1), nil)
-		require.ErrorContains(t, err, c.want)
+		require.Contains(t, validConfig, test.old)
+		_, err := loadConfig(t, strings.Replace(validConfig, test.old, test.new, 1), nil)
+		require.ErrorContains(t, err, test.want)
 		require.ErrorAs(t, err, new(*config.KeyError))
 	}
 	_, err := config.Load(func(string) string { return "" })
 	require.EqualError(t, err, "PROXY_CONFIG: missing, want the path of a JSON file")
 }
 
-// loadValid loads validConfig.
-func loadValid(t *testing.T) *config.Config {
+// loadValidConfig loads validConfig.
+func loadValidConfig(t *testing.T) *config.Config {
 	c, err := loadConfig(t, validConfig, nil)
 	require.NoError(t, err)
 	return c
--- a/internal/config/controlmachine.go
+++ b/internal/config/controlmachine.go
@@ -8,42 +8,42 @@
 	"mothrouter/internal/cluster/plane"
 )
 
-// ControlMachine is the file of a control machine.
+// ControlMachine is the configuration file of a control machine.
 type ControlMachine struct {
-	Fleet        string          // name of the fleet; its fingerprint marks the messages of members
-	Name         string          // of this machine among the members
-	Listen       netip.AddrPort  // for brokers and operators
-	ListenPeers  netip.AddrPort  // for the other members
-	Folder       string          // of the replicated log
-	PromoteAfter time.Duration   // silence of a voter after which the spare takes its place
+	Fleet        string          // name of the fleet; messages between members carry its fingerprint
+	Name         string          // name of this control machine in Members
+	Listen       netip.AddrPort  // listening address for brokers and operators
+	ListenPeers  netip.AddrPort  // listening address for the other members
+	Folder       string          // folder of the replicated log
+	PromoteAfter time.Duration   // how long a voter must be silent before the spare replaces it
 	Members      []ControlMember // an odd number of voters and at most one spare
 }
 
 // ControlMember is one of the control machines of a fleet.
 type ControlMember struct {
 	Name        string
-	ID          uint64         // in the replicated log, from 1
-	Address     netip.AddrPort // for brokers and operators
-	PeerAddress netip.AddrPort // for the other members
+	ID          uint64         // raft ID, 1 or more
+	Address     netip.AddrPort // where brokers and operators connect
+	PeerAddress netip.AddrPort // where the other members connect
 	Region      string
 	Voter       bool // false: the spare
 }
 
-// Self returns the member that this machine is.
+// Self returns the member that stands for this control machine.
 func (c *ControlMachine) Self() ControlMember {
 	for _, member := range c.Members {
 		if member.Name == c.Name {
 			return member
 		}
 	}
-	panic("config: a control machine that is no member") // LoadControlMachine rejects such a file
+	panic("config: the control machine is not in its own list of members") // LoadControlMachine rejects such a file
 }
 
 const (
-	minPromoteAfter     = 5.0     // seconds: ten elections
+	minPromoteAfter     = 5.0     // seconds; long enough for ten elections
 	maxPromoteAfter     = 86400.0 // seconds
 	defaultPromoteAfter = 60.0    // seconds
-	maxVoters           = 7       // more make a quorum slower without making it safer in practice
+	maxVoters           = 7       // with more, a quorum gets slower but in practice no safer
 )
 
 // Roles of a member in the file.
@@ -52,7 +52,7 @@
 	roleSpare = "spare"
 )
 
-// controlFile is the file as written.
+// controlFile is the TOML form of ControlMachine.
 type controlFile struct {
 	Fleet        string              `toml:"fleet"`
 	Name         string              `toml:"name"`
@@ -63,6 +63,7 @@
 	Members      []controlFileMember `toml:"members"`
 }
 
+// controlFileMember is the TOML form of ControlMember.
 type controlFileMember struct {
 	Name        string `toml:"name"`
 	ID          uint64 `toml:"id"`
@@ -72,7 +73,7 @@
 	Role        string `toml:"role"`
 }
 
-// LoadControlMachine reads the file of a control machine. Errors are of type *KeyError.
+// LoadControlMachine reads and validates the configuration file of a control machine. Errors are of type *KeyError.
 func LoadControlMachine(path string) (*ControlMachine, error) {
 	file := controlFile{PromoteAfter: defaultPromoteAfter}
 	if err := decodeTOML("control", path, &file); err != nil {
@@ -113,7 +114,7 @@
 	return nil
 }
 
-// readMembers sets Members, one of which must have this machine's name.
+// readMembers sets Members and checks that one of them has the name of this control machine.
 func (c *ControlMachine) readMembers(rows []controlFileMember) (err error) {
 	if c.Members, err = parseControlMembers(rows); err != nil {
 		return err
@@ -126,7 +127,7 @@
 	return notAllowed("control.name", c.Name, "the name of one of control.members")
 }
 
-// parseControlMembers checks each member alone, then all together.
+// parseControlMembers parses and checks each member, then checks the number of voters and spares.
 func parseControlMembers(rows []controlFileMember) ([]ControlMember, error) {
 	if len(rows) == 0 {
 		return nil, missingKey("control.members", "at least one member")
@@ -146,24 +147,25 @@
 	return members, checkRoles(members)
 }
 
-// checkDistinct returns the error of a member that has a name, id or address of an earlier one.
+// checkDistinct returns an error if the member shares its name, ID or an address with an earlier one.
 func checkDistinct(key string, member ControlMember, earlier []ControlMember) error {
 	for _, other := range earlier {
 		switch {
 		case other.Name == member.Name:
-			return notAllowed(key+".name", member.Name, allowedOnce)
+			return notAllowed(key+".name", member.Name, allowedUnique)
 		case other.ID == member.ID:
-			return notAllowed(key+".id", member.ID, allowedOnce)
+			return notAllowed(key+".id", member.ID, allowedUnique)
 		case other.Address == member.Address:
-			return notAllowed(key+".address", member.Address, allowedOnce)
+			return notAllowed(key+".address", member.Address, allowedUnique)
 		case other.PeerAddress == member.PeerAddress:
-			return notAllowed(key+".peer_address", member.PeerAddress, allowedOnce)
+			return notAllowed(key+".peer_address", member.PeerAddress, allowedUnique)
 		}
 	}
 	return nil
 }
 
-// checkRoles returns the error of members whose voters or spares are too many, or whose voters can tie.
+// checkRoles returns an error if there is more than one spare, if there are more than maxVoters voters, or if the number of
+// voters is even, so that a vote can tie.
 func checkRoles(members []ControlMember) error {
 	voters := 0
 	for _, member := range members {
@@ -180,16 +182,16 @@
 	return nil
 }
 
-// memberCount is the number of members with a role, in place of a value.
+// memberCount is the number of members with a role. Errors show it instead of the members.
 type memberCount struct {
 	count int
 	role  string
 }
 
-// String returns the count with the role.
-func (m memberCount) String() string { return fmt.Sprintf("%d members with role %s", m.count, m.role) }
+// String returns the count and the role.
+func (c memberCount) String() string { return fmt.Sprintf("%d members with role %s", c.count, c.role) }
 
-// parseControlMember checks the member whose keys begin with key.
+// parseControlMember parses and checks one member. The keys in its errors start with key.
 func parseControlMember(key string, row controlFileMember) (ControlMember, error) {
 	member := ControlMember{Name: row.Name, ID: row.ID, Region: row.Region, Voter: row.Role == roleVoter}
 	if err := checkName(key+".name", row.Name, plane.MaxNameLength); err != nil {
@@ -212,7 +214,7 @@
 	return member, err
 }
 
-// parseReachableAddr parses an address to which other machines connect.
+// parseReachableAddr parses an address that other processes connect to. The unspecified address and port 0 are errors.
 func parseReachableAddr(key, text string) (netip.AddrPort, error) {
 	address, err := parseAddrPort(key, text)
 	if err != nil {
--- a/internal/config/cores.go
+++ b/internal/config/cores.go
@@ -2,11 +2,11 @@
 
 const (
 	maxWorkers       = 64
-	memoryPerWorker  = 8  // MB: a loop, its Decider and their state of 200 servers at the full concurrency limit
-	socketsPerWorker = 32 // descriptors: the clients and record servers that keep one worker busy
+	memoryPerWorker  = 8  // MiB: an event loop and its Decider with state for 200 record servers, at the full concurrency limit
+	socketsPerWorker = 32 // descriptors: connections of enough clients and record servers to keep one worker busy
 )
 
-// LoadCores reads the operator file that switches several cores on, and returns the number of workers: 1 or more, as many as
+// LoadCores reads the operator file that enables multiple workers and returns their number. It is at least 1 and at most what
 // the limits of memory and descriptors allow. Errors are of type *KeyError.
 func LoadCores(path string, c *Config) (workers int, err error) {
 	var file struct {
--- a/internal/config/cores_test.go
+++ b/internal/config/cores_test.go
@@ -11,13 +11,13 @@
 func TestLoadCoresErrorsNameTheKey(t *testing.T) {
 	c, err := loadConfig(t, validConfig, nil) // 128 MB, 512 descriptors
 	require.NoError(t, err)
-	loadText := func(text string) (int, error) {
+	load := func(text string) (int, error) {
 		path := tempFile(t, text)
 		return config.LoadCores(path, c)
 	}
-	n, err := loadText("workers = 2")
+	workers, err := load("workers = 2")
 	require.NoError(t, err)
-	require.Equal(t, 2, n)
+	require.Equal(t, 2, workers)
 	for text, want := range map[string]string{
 		"":                       "cores.workers: missing, want ",
 		"workers = 0":            "cores.workers: 0 not allowed, want 1 to 16, by",
@@ -27,7 +27,7 @@
 		"workers = 2\nspeed = 1": "cores.speed: unknown key not allowed, want one of workers",
 		"workers = \"two\"":      "cores:",
 	} {
-		_, err := loadText(text)
+		_, err := load(text)
 		require.ErrorContains(t, err, want, text)
 		require.ErrorAs(t, err, new(*config.KeyError))
 	}
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -13,25 +13,26 @@
 	"mothrouter/internal/config"
 )
 
-// validDocument has a site's settings in the form of PROXY_CONFIG, with a key that no broker reads.
+// validDocument is a valid document. No broker reads its key settings.site.
 const validDocument = `{"discovery":"127.0.0.1:8500","settings":{"site":{"name":"bern","racks":[1,2]},
 "classes":[{"name":"c","deadlineS":2,"objectiveS":1,"worth":1,"lateWorth":0.5,"semantics":"free"},
 {"name":"d","deadlineS":3,"objectiveS":1,"semantics":"guarded","windowS":2}],
 "zones":["a","b"],"machineTypes":["m2"],"caps":{"openCap":9,"sendCap":4},"familyInfo":{"cells":4,"slabs":8}}}`
 
+// parseDocument parses a document that must be valid.
 func parseDocument(t *testing.T, text string) *config.Document {
-	d, err := config.ParseDocument([]byte(text))
+	document, err := config.ParseDocument([]byte(text))
 	require.NoError(t, err)
-	return d
+	return document
 }
 
-// requireKey checks that an error names a key.
-func requireKey(t *testing.T, err error, key string) {
+// requireKeyError checks that err is a *config.KeyError for the key.
+func requireKeyError(t *testing.T, err error, key string) {
 	t.Helper()
-	var e *config.KeyError
-	require.True(t, errors.As(err, &e), "%v", err)
-	require.Equal(t, key, e.Key, e.Reason())
-	require.NotEmpty(t, e.Allowed, e.Reason())
+	var keyErr *config.KeyError
+	require.True(t, errors.As(err, &keyErr), "%v", err)
+	require.Equal(t, key, keyErr.Key, keyErr.Reason())
+	require.NotEmpty(t, keyErr.Allowed, keyErr.Reason())
 }
 
 func TestParseDocumentReadsClassesAndLimit(t *testing.T) {
@@ -45,18 +46,18 @@
 	require.Equal(t, d.ConcurrencyLimit, change.ConcurrencyLimit)
 }
 
-// The document of the file of the start equals a document with the same keys.
-func TestConfigDocumentEqualsItsFile(t *testing.T) {
-	for _, c := range []struct {
-		env  map[string]string
-		want string
+// The document of the startup configuration equals a document with the same discovery address and settings.
+func TestConfigDocumentEqualsStartupFile(t *testing.T) {
+	for _, test := range []struct {
+		env           map[string]string
+		wantDiscovery string
 	}{{nil, "127.0.0.1:8500"}, {map[string]string{"PROXY_DISCOVERY": "127.0.0.1:9"}, "127.0.0.1:9"}} {
 		file := strings.Replace(validDocument, `{"discovery"`, `{"listen":"127.0.0.1:1","discovery"`, 1)
-		loaded, err := loadConfig(t, file, c.env)
+		loaded, err := loadConfig(t, file, test.env)
 		require.NoError(t, err)
 		start, err := loaded.Document()
 		require.NoError(t, err)
-		require.Equal(t, c.want, start.Discovery)
+		require.Equal(t, test.wantDiscovery, start.Discovery)
 		require.Equal(t, loaded.Settings.Classes, start.Classes)
 		require.Equal(t, loaded.ConcurrencyLimit, start.ConcurrencyLimit)
 		require.NoError(t, parseDocument(t, validDocument).CheckChangeFrom(start))
@@ -65,7 +66,7 @@
 }
 
 func TestParseDocumentErrorsNameTheKey(t *testing.T) {
-	for _, c := range []struct{ old, new, key string }{
+	for _, test := range []struct{ old, new, key string }{
 		{validDocument, ``, "document"},
 		{validDocument, `null`, "document"},
 		{validDocument, `[]`, "document"},
@@ -103,16 +104,16 @@
 		{`"semantics":"guarded"`, `"semantics":"odd"`, "settings.classes[1].semantics"},
 		{`"cells":4`, `"cells":0`, "settings.familyInfo.cells"},
 	} {
-		require.Contains(t, validDocument, c.old)
-		_, err := config.ParseDocument([]byte(strings.Replace(validDocument, c.old, c.new, 1)))
-		require.Error(t, err, c.new)
-		requireKey(t, err, c.key)
+		require.Contains(t, validDocument, test.old)
+		_, err := config.ParseDocument([]byte(strings.Replace(validDocument, test.old, test.new, 1)))
+		require.Error(t, err, test.new)
+		requireKeyError(t, err, test.key)
 	}
 }
 
-// Keys that may differ in service may differ in any way; the error of others names the first key that differs.
+// The value of a dynamic key may change in any way, in both directions. The change of any other key is an error that names it.
 func TestCheckChangeFromNamesTheKey(t *testing.T) {
-	for _, c := range []struct{ old, new, key string }{
+	for _, test := range []struct{ old, new, key string }{
 		{validDocument, validDocument, ""},
 		{`"127.0.0.1:8500"`, `"127.0.0.1:8501"`, ""},
 		{`"openCap":9`, `"openCap":0`, ""},
@@ -144,97 +145,98 @@
 		{`{"name":"bern","racks":[1,2]}`, `null`, "settings.site"},
 		{`"site":{"name":"bern","racks":[1,2]},`, ``, "settings.site"},
 	} {
-		require.Contains(t, validDocument, c.old)
-		was, is := parseDocument(t, validDocument), parseDocument(t, strings.Replace(validDocument, c.old, c.new, 1))
-		for _, err := range []error{is.CheckChangeFrom(was), was.CheckChangeFrom(is)} {
-			if c.key == "" {
-				require.NoError(t, err, c.new)
+		require.Contains(t, validDocument, test.old)
+		before, after := parseDocument(t, validDocument), parseDocument(t, strings.Replace(validDocument, test.old, test.new, 1))
+		for _, err := range []error{after.CheckChangeFrom(before), before.CheckChangeFrom(after)} {
+			if test.key == "" {
+				require.NoError(t, err, test.new)
 			} else {
-				requireKey(t, err, c.key)
+				requireKeyError(t, err, test.key)
 			}
 		}
 	}
-	large := strings.Replace(validDocument, `[1,2]`, `[9007199254740993]`, 1)
-	larger := strings.Replace(validDocument, `[1,2]`, `[9007199254740992]`, 1)
-	requireKey(t, parseDocument(t, larger).CheckChangeFrom(parseDocument(t, large)), "settings.site.racks[0]")
+	// 2^53+1 and 2^53 have the same float64.
+	odd := strings.Replace(validDocument, `[1,2]`, `[9007199254740993]`, 1)
+	even := strings.Replace(validDocument, `[1,2]`, `[9007199254740992]`, 1)
+	requireKeyError(t, parseDocument(t, even).CheckChangeFrom(parseDocument(t, odd)), "settings.site.racks[0]")
 }
 
-// Of several differences the error names the first in the order of keys, whatever the order in the text.
+// If several keys differ, the error names the first in sorted order, whatever their order in the text.
 func TestCheckChangeFromNamesTheFirstKey(t *testing.T) {
-	is := strings.NewReplacer(`"cells":4`, `"cells":5`, `"sendCap":4`, `"sendCap":5`, `"windowS":2`, `"windowS":3`).
+	changed := strings.NewReplacer(`"cells":4`, `"cells":5`, `"sendCap":4`, `"sendCap":5`, `"windowS":2`, `"windowS":3`).
 		Replace(validDocument)
 	for range 20 {
-		requireKey(t, parseDocument(t, is).CheckChangeFrom(parseDocument(t, validDocument)), "settings.caps.sendCap")
+		requireKeyError(t, parseDocument(t, changed).CheckChangeFrom(parseDocument(t, validDocument)), "settings.caps.sendCap")
 	}
 }
 
-// loadTree loads a file of PROXY_CONFIG with a document's discovery and settings.
-func loadTree(t testing.TB, tree map[string]any) (*config.Config, error) {
-	all := map[string]any{"listen": "127.0.0.1:1"}
-	for key, value := range tree {
-		all[key] = value
+// loadAsFile loads a file for PROXY_CONFIG that has the top-level keys of a document.
+func loadAsFile(t testing.TB, document map[string]any) (*config.Config, error) {
+	file := map[string]any{"listen": "127.0.0.1:1"}
+	for key, value := range document {
+		file[key] = value
 	}
-	text, err := json.Marshal(all)
+	text, err := json.Marshal(file)
 	require.NoError(t, err)
 	path := tempFile(t, string(text))
 	return config.Load(func(key string) string { return map[string]string{"PROXY_CONFIG": path}[key] })
 }
 
-// A document that is accepted loads as a file's discovery and settings, with the same classes and concurrency limit, and a
-// file that loads is accepted as a document.
+// A valid document also loads as part of a file, with the same classes, concurrency limit and discovery address. Conversely,
+// the discovery address and settings of a file that loads are a valid document.
 func FuzzDocument(f *testing.F) {
 	f.Add([]byte(validDocument))
-	for _, r := range [][2]string{
+	for _, replacement := range [][2]string{
 		{`"deadlineS":3`, `"deadlineS":-3`}, {`"openCap":9`, `"openCap":null`}, {`"c"`, `"d"`},
 		{`"zones"`, `"zones":[],"zones"`}, {`"cells":4`, `"cells":4.5`},
 		{`"site":{`, `"report":{"how":"pull"},"site":{`},
 		{`"sendCap":4`, `"sendCap":4,"secondCopies":true`}, {`127.0.0.1:8500`, `\ud800:1`}} {
-		f.Add([]byte(strings.Replace(validDocument, r[0], r[1], 1)))
+		f.Add([]byte(strings.Replace(validDocument, replacement[0], replacement[1], 1)))
 	}
 	f.Add([]byte(`{"":{"":{"":0,"":0}}}`))
 	start, err := config.ParseDocument([]byte(validDocument))
 	require.NoError(f, err)
 	f.Fuzz(func(t *testing.T, text []byte) {
-		d, refusal := config.ParseDocument(text)
-		var e *config.KeyError
-		if refusal != nil && (!errors.As(refusal, &e) || e.Key == "") {
-			t.Fatalf("%v names no key", refusal)
+		document, parseErr := config.ParseDocument(text)
+		var keyErr *config.KeyError
+		if parseErr != nil && (!errors.As(parseErr, &keyErr) || keyErr.Key == "") {
+			t.Fatalf("the error %v names no key", parseErr)
 		}
 		var tree map[string]any
-		in := json.NewDecoder(bytes.NewReader(text))
-		in.UseNumber()
-		if in.Decode(&tree) != nil {
-			require.Error(t, refusal)
+		decoder := json.NewDecoder(bytes.NewReader(text))
+		decoder.UseNumber()
+		if decoder.Decode(&tree) != nil {
+			require.Error(t, parseErr)
 			return
 		}
-		if refusal == nil {
-			require.NoError(t, d.CheckChangeFrom(d))
-			if other := d.CheckChangeFrom(start); other == nil {
-				require.Len(t, d.Classes, len(start.Classes))
-				require.NoError(t, start.CheckChangeFrom(d))
+		if parseErr == nil {
+			require.NoError(t, document.CheckChangeFrom(document))
+			if changeErr := document.CheckChangeFrom(start); changeErr == nil {
+				require.Len(t, document.Classes, len(start.Classes))
+				require.NoError(t, start.CheckChangeFrom(document))
 			}
 		}
 		canonical := map[string]any{"discovery": tree["discovery"], "settings": tree["settings"]}
-		loaded, wrong := loadTree(t, canonical)
-		if refusal == nil {
-			require.NoError(t, wrong)
-			require.Equal(t, fmt.Sprint(loaded.Settings.Classes), fmt.Sprint(d.Classes))
-			require.Equal(t, loaded.ConcurrencyLimit, d.ConcurrencyLimit)
-			require.Equal(t, loaded.Discovery, d.Discovery)
+		loaded, loadErr := loadAsFile(t, canonical)
+		if parseErr == nil {
+			require.NoError(t, loadErr)
+			require.Equal(t, fmt.Sprint(loaded.Settings.Classes), fmt.Sprint(document.Classes))
+			require.Equal(t, loaded.ConcurrencyLimit, document.ConcurrencyLimit)
+			require.Equal(t, loaded.Discovery, document.Discovery)
 			return
 		}
-		if wrong == nil && len(tree) == len(canonical) && !hasDuplicateKey(canonical) {
-			again, err := json.Marshal(canonical)
+		if loadErr == nil && len(tree) == len(canonical) && !hasDuplicateKey(canonical) {
+			encoded, err := json.Marshal(canonical)
 			require.NoError(t, err)
-			if len(again) <= config.MaxDocumentSize {
-				_, err = config.ParseDocument(again)
+			if len(encoded) <= config.MaxDocumentSize {
+				_, err = config.ParseDocument(encoded)
 				require.NoError(t, err)
 			}
 		}
 	})
 }
 
-// hasDuplicateKey reports whether two keys of an object differ at most in the case of letters.
+// hasDuplicateKey reports whether two keys of any object in the tree differ only in the case of their letters.
 func hasDuplicateKey(tree any) bool {
 	switch tree := tree.(type) {
 	case map[string]any:
@@ -258,9 +260,9 @@
 	return false
 }
 
-// The errors of changes show the value of the start and the new one.
-func TestCheckChangeFromShowsBothValues(t *testing.T) {
-	for _, c := range []struct{ old, new, want string }{
+// The error for a changed key shows the value at startup and the new value.
+func TestCheckChangeFromErrorShowsBothValues(t *testing.T) {
+	for _, test := range []struct{ old, new, want string }{
 		{`"sendCap":4`, `"sendCap":5`, "settings.caps.sendCap: 5 not allowed, want 4 until a restart"},
 		{`"name":"d"`, `"name":"e"`, `settings.classes[1].name: "e" not allowed, want "d" until a restart`},
 		{`"semantics":"guarded",`, ``, `settings.classes[1].semantics: missing, want "guarded" until a restart`},
@@ -268,20 +270,20 @@
 		{`"zones":["a","b"]`, `"zones":["a"]`, "settings.zones: 1 entry not allowed, want 2 entries until a restart"},
 		{`"racks":[1,2]`, `"racks":{}`, "settings.site.racks: an object not allowed, want an array until a restart"},
 	} {
-		changed := parseDocument(t, strings.Replace(validDocument, c.old, c.new, 1))
-		require.EqualError(t, changed.CheckChangeFrom(parseDocument(t, validDocument)), c.want)
+		changed := parseDocument(t, strings.Replace(validDocument, test.old, test.new, 1))
+		require.EqualError(t, changed.CheckChangeFrom(parseDocument(t, validDocument)), test.want)
 	}
 }
 
-// A value of the wrong type is named by its key, in the words of JSON.
+// The error for a value of the wrong type names the key and describes the types in JSON terms.
 func TestParseDocumentDescribesWrongTypes(t *testing.T) {
-	for _, c := range []struct{ old, new, want string }{
+	for _, test := range []struct{ old, new, want string }{
 		{`"openCap":9`, `"openCap":9.5`, "settings.caps.openCap: a number 9.5 not allowed, want an integer in the range of int"},
 		{`"deadlineS":3`, `"deadlineS":"3"`, "settings.classes.deadlineS: a string not allowed, want a number in the range of float64"},
 		{`"zones":["a","b"]`, `"zones":"a"`, "settings.zones: a string not allowed, want an array"},
 		{`"name":"d"`, `"name":""`, "settings.classes[1].name: missing, want a text that is not empty"},
 	} {
-		_, err := config.ParseDocument([]byte(strings.Replace(validDocument, c.old, c.new, 1)))
-		require.EqualError(t, err, c.want)
+		_, err := config.ParseDocument([]byte(strings.Replace(validDocument, test.old, test.new, 1)))
+		require.EqualError(t, err, test.want)
 	}
 }
--- a/internal/config/documentchange.go
+++ b/internal/config/documentchange.go
@@ -10,11 +10,11 @@
 	"strconv"
 )
 
-// maxExactInteger is the bound below which a float64 holds each integer.
+// maxExactInteger is the bound below which a float64 represents every integer exactly.
 const maxExactInteger = 1 << 53
 
-// changeable are the keys that may differ in service. [] stands for any index.
-var changeable = map[string]bool{
+// dynamicKeys are the paths of the keys that can change without a restart. [] stands for any index.
+var dynamicKeys = map[string]bool{
 	"discovery":                     true,
 	"settings.caps.openCap":         true,
 	"settings.classes[].objectiveS": true,
@@ -23,43 +23,43 @@
 	"settings.classes[].lateWorth":  true,
 }
 
-// CheckChangeFrom returns nil if a broker that was started with the document start can apply this one in service. Otherwise
-// the error is a *KeyError with the first key, in the order of keys, that needs a restart. All keys are compared, also those
-// that no broker reads.
+// CheckChangeFrom returns nil if a broker that was started with the document start can apply this one without a restart.
+// Otherwise it returns a *KeyError for the first key, in sorted order, whose change needs a restart. All keys are compared,
+// including those that no broker reads.
 func (d *Document) CheckChangeFrom(start *Document) error {
 	if err := compare(jsonPath{}, start.tree, d.tree); err != nil {
 		return err
 	}
-	if len(d.Classes) != len(start.Classes) { // documents that differ in numbers alone have the same classes
-		panic("config: documents with different classes compare as equal")
+	if len(d.Classes) != len(start.Classes) { // compare rejects a change of the number of classes
+		panic("config: documents with different numbers of classes compare as equal")
 	}
 	return nil
 }
 
-// jsonPath is the place of a value in a document.
+// jsonPath is the location of a value in a document.
 type jsonPath struct {
-	path    string // such as settings.classes[1].worth
-	pattern string // the same with [] for each index, as in changeable
+	path    string // for example settings.classes[1].worth
+	pattern string // the path with [] for each index, as in dynamicKeys
 }
 
-// member returns the path of an object's member.
+// member returns the path of a member of the object at p.
 func (p jsonPath) member(key string) jsonPath {
 	return jsonPath{path: joinPath(p.path, key), pattern: joinPath(p.pattern, key)}
 }
 
-// element returns the path of an array's element.
+// element returns the path of an element of the array at p.
 func (p jsonPath) element(index int) jsonPath {
 	return jsonPath{path: fmt.Sprintf("%s[%d]", p.path, index), pattern: p.pattern + "[]"}
 }
 
-// needsRestart returns the error of a value that has changed. The format describes the value of the start.
-func (p jsonPath) needsRestart(value any, format string, args ...any) error {
+// restartError returns the error for a changed value that needs a restart. The format describes the value at startup.
+func (p jsonPath) restartError(value any, format string, args ...any) error {
 	return notAllowed(p.path, value, format+" until a restart", args...)
 }
 
-// compare returns the error of the first difference that needs a restart.
+// compare returns the error for the first difference that needs a restart, or nil if there is none.
 func compare(at jsonPath, before, after any) error {
-	if changeable[at.pattern] {
+	if dynamicKeys[at.pattern] {
 		return nil
 	}
 	switch before := before.(type) {
@@ -80,14 +80,14 @@
 			return nil
 		}
 	}
-	return at.needsRestart(describeJSON(after), "%v", describeJSON(before))
+	return at.restartError(describeJSON(after), "%v", describeJSON(before))
 }
 
-// compareObjects compares the members of two objects in the order of their keys.
+// compareObjects compares the members of two objects in sorted order of their keys.
 func compareObjects(at jsonPath, before, after map[string]any) error {
-	all := maps.Clone(before)
-	maps.Copy(all, after)
-	for _, key := range slices.Sorted(maps.Keys(all)) {
+	union := maps.Clone(before)
+	maps.Copy(union, after)
+	for _, key := range slices.Sorted(maps.Keys(union)) {
 		member := at.member(key)
 		valueBefore, existed := before[key]
 		valueAfter, exists := after[key]
@@ -96,20 +96,20 @@
 			if err := compare(member, valueBefore, valueAfter); err != nil {
 				return err
 			}
-		case changeable[member.pattern]:
+		case dynamicKeys[member.pattern]:
 		case existed:
 			return missingKey(member.path, fmt.Sprintf("%v until a restart", describeJSON(valueBefore)))
 		default:
-			return member.needsRestart(describeJSON(valueAfter), "no such key")
+			return member.restartError(describeJSON(valueAfter), "no such key")
 		}
 	}
 	return nil
 }
 
-// compareArrays compares the elements of two arrays in their order.
+// compareArrays compares the lengths of two arrays, then their elements in order.
 func compareArrays(at jsonPath, before, after []any) error {
 	if len(before) != len(after) {
-		return at.needsRestart(entryCount(len(after)), "%v", entryCount(len(before)))
+		return at.restartError(entryCount(len(after)), "%v", entryCount(len(before)))
 	}
 	for i := range before {
 		if err := compare(at.element(i), before[i], after[i]); err != nil {
@@ -119,17 +119,18 @@
 	return nil
 }
 
-// isSameNumber reports whether two JSON numbers have one value, such as 4 and 4.0.
+// isSameNumber reports whether two JSON numbers are the same text or have the same value, such as 4 and 4.0. Values of
+// maxExactInteger and above are the same only as text, since different integers may have the same float64.
 func isSameNumber(a, b string) bool {
 	if a == b {
 		return true
 	}
-	x, errX := strconv.ParseFloat(a, 64)
-	y, errY := strconv.ParseFloat(b, 64)
-	return errX == nil && errY == nil && x == y && math.Abs(x) < maxExactInteger
+	valueA, errA := strconv.ParseFloat(a, 64)
+	valueB, errB := strconv.ParseFloat(b, 64)
+	return errA == nil && errB == nil && valueA == valueB && math.Abs(valueA) < maxExactInteger
 }
 
-// describeJSON returns a value of a document as errors show it: the value itself, or what it is.
+// describeJSON returns the text for a JSON value in errors: the value of a scalar, the type of an object or array.
 func describeJSON(value any) fmt.Stringer {
 	switch value := value.(type) {
 	case map[string]any:
@@ -143,7 +144,7 @@
 	}
 }
 
-// description is a value as errors show it.
+// description is the text that errors show for a value.
 type description string
 
 // String returns the description.
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -7,16 +7,16 @@
 	"mothrouter/internal/cluster/plane"
 )
 
-// Fleet is the operator file that has a broker join the membership of its fleet.
+// Fleet is the operator file that makes a broker join the membership protocol of its fleet.
 type Fleet struct {
-	Fleet     string           // name of the fleet; datagrams of others are dropped
+	Fleet     string           // name of the fleet; datagrams of other fleets are dropped
 	Name      string           // of the broker, unique in the fleet
-	Listen    netip.AddrPort   // for the datagrams of other brokers
-	Advertise netip.AddrPort   // the address that others send to; the zero value: Listen
-	Seeds     []netip.AddrPort // brokers to join by; at least one
+	Listen    netip.AddrPort   // listening address for datagrams from other brokers
+	Advertise netip.AddrPort   // address that other brokers send to; the zero value: Listen
+	Seeds     []netip.AddrPort // brokers to contact when joining; at least one
 }
 
-// fleetFile is the fleet file as written.
+// fleetFile is the TOML form of Fleet.
 type fleetFile struct {
 	Fleet     string   `toml:"fleet"`
 	Name      string   `toml:"name"`
@@ -25,8 +25,7 @@
 	Seeds     []string `toml:"seeds"`
 }
 
-// LoadFleet reads the fleet file. The broker's name is that of the configuration unless the file has another. Errors are of
-// type *KeyError.
+// LoadFleet reads the fleet file. The broker's name is c.Name unless the file sets one. Errors are of type *KeyError.
 func LoadFleet(path string, c *Config) (*Fleet, error) {
 	file := fleetFile{Name: c.Name}
 	if err := decodeTOML("fleet", path, &file); err != nil {
@@ -48,7 +47,7 @@
 	return fleet, nil
 }
 
-// readAddresses sets Listen and Advertise.
+// readAddresses sets Listen and Advertise. Advertise is required if Listen is the unspecified address.
 func (f *Fleet) readAddresses(file *fleetFile) (err error) {
 	if f.Listen, err = parseAddrPort("fleet.listen", file.Listen); err != nil {
 		return err
@@ -63,7 +62,7 @@
 	return nil
 }
 
-// readSeeds sets Seeds.
+// readSeeds sets Seeds and checks that there is at least one.
 func (f *Fleet) readSeeds(seeds []string) error {
 	if len(seeds) == 0 {
 		return missingKey("fleet.seeds", "at least one address IP:port; the first broker lists itself")
--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -2,18 +2,19 @@
 
 import "fmt"
 
-// Flight is the operator file that switches Arrow Flight on.
+// Flight is the operator file that enables Arrow Flight.
 type Flight struct {
 	Listen      string   `toml:"listen"`      // address host:port for clients
-	Servers     []string `toml:"servers"`     // ids of the record servers that speak Flight
-	Connections int      `toml:"connections"` // maximum number of clients' connections
-	ServerConns int      `toml:"-"`           // maximum number of connections to those servers
+	Servers     []string `toml:"servers"`     // IDs of the record servers that support Flight
+	Connections int      `toml:"connections"` // limit on client connections
+	ServerConns int      `toml:"-"`           // limit on connections to those servers
 }
 
-// defaultFlightConnections is Flight.Connections where the file does not set it.
+// defaultFlightConnections is the value of Flight.Connections if the file does not set it.
 const defaultFlightConnections = 64
 
-// LoadFlight reads the Flight file and takes the descriptors that Flight needs off c's. Errors are of type *KeyError.
+// LoadFlight reads the Flight file and reduces the connection limits of c by the descriptors reserved for Flight. Errors are
+// of type *KeyError.
 func LoadFlight(path string, c *Config) (*Flight, error) {
 	f := &Flight{Connections: defaultFlightConnections}
 	if err := decodeTOML("flight", path, f); err != nil {
@@ -33,7 +34,7 @@
 	return f, nil
 }
 
-// reserveDescriptors takes the descriptors of Flight's clients and servers off those of c.
+// reserveDescriptors sets ServerConns and subtracts the connections of Flight from the connection limits of c.
 func (f *Flight) reserveDescriptors(c *Config) error {
 	available := c.MaxClientConns - minClientConns
 	if f.Connections < 1 || f.Connections > available {
@@ -41,7 +42,7 @@
 	}
 	c.MaxClientConns -= f.Connections
 	c.MaxIdleConns = min(c.MaxIdleConns, c.MaxClientConns/2)
-	// Two connections a server: one for all calls, and one for those that must not queue behind them.
+	// Two connections per server: one for all calls, and one for calls that must not queue behind them.
 	f.ServerConns = min(2*len(f.Servers), c.MaxServerConns/2)
 	c.MaxServerConns -= f.ServerConns
 	return nil
--- a/internal/config/flight_test.go
+++ b/internal/config/flight_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestLoadFlightReadsDeployedFile(t *testing.T) {
-	f, err := config.LoadFlight("../../deploy/flight.toml", loadValid(t))
+	flight, err := config.LoadFlight("../../deploy/flight.toml", loadValidConfig(t))
 	require.NoError(t, err)
-	require.Equal(t, &config.Flight{Listen: "127.0.0.1:8815", Servers: []string{}, Connections: 64}, f)
+	require.Equal(t, &config.Flight{Listen: "127.0.0.1:8815", Servers: []string{}, Connections: 64}, flight)
 }
 
 func TestLoadFlightErrorsNameTheKey(t *testing.T) {
@@ -23,7 +23,7 @@
 		"listen = 1":                         "flight: \"",
 	} {
 		path := tempFile(t, text)
-		_, err := config.LoadFlight(path, loadValid(t))
+		_, err := config.LoadFlight(path, loadValidConfig(t))
 		require.ErrorContains(t, err, want)
 		require.ErrorAs(t, err, new(*config.KeyError))
 	}
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -6,18 +6,18 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// Follower is the operator file that has a broker follow the revisions of the control machines.
+// Follower is the operator file that makes a broker receive its configuration revisions from the control machines.
 type Follower struct {
 	Name            string                        // of the broker, in its status reports
 	Zone            string                        // of the broker; "": unknown
 	Region          string                        // of the broker; "": unknown
-	ControlMachines []distribution.ControlMachine // 1 to distribution.MaxControlMachines, each address once
+	ControlMachines []distribution.ControlMachine // 1 to distribution.MaxControlMachines entries with distinct addresses
 }
 
-// maxNameLength is the limit of control machines for names of brokers, zones and regions, in bytes.
+// maxNameLength is the length limit, in bytes, that control machines enforce for names of brokers, zones and regions.
 const maxNameLength = 128
 
-// followerFile is the file as written.
+// followerFile is the TOML form of Follower.
 type followerFile struct {
 	Name    string                `toml:"name"`
 	Zone    string                `toml:"zone"`
@@ -25,14 +25,14 @@
 	Control []followerFileMachine `toml:"control"`
 }
 
+// followerFileMachine is the TOML form of distribution.Machine.
 type followerFileMachine struct {
 	Address string `toml:"address"`
 	Zone    string `toml:"zone"`
 	Region  string `toml:"region"`
 }
 
-// LoadFollower reads the file. The broker's name is that of c unless the file has another. Errors are of type
-// *KeyError.
+// LoadFollower reads the file at path. The broker's name is c.Name unless the file sets one. Errors are of type *KeyError.
 func LoadFollower(path string, c *Config) (*Follower, error) {
 	file := followerFile{Name: c.Name}
 	if err := decodeTOML("configuration", path, &file); err != nil {
@@ -47,17 +47,17 @@
 	if err := checkNameLength("configuration.region", file.Region, maxNameLength); err != nil {
 		return nil, err
 	}
-	machines, err := parseMachines(file.Control)
+	machines, err := parseControlMachines(file.Control)
 	if err != nil {
 		return nil, err
 	}
 	return &Follower{Name: file.Name, Zone: file.Zone, Region: file.Region, ControlMachines: machines}, nil
 }
 
-// parseMachines checks the control machines that a broker may follow.
-func parseMachines(rows []followerFileMachine) ([]distribution.ControlMachine, error) {
-	if n := len(rows); n == 0 || n > distribution.MaxControlMachines {
-		return nil, notAllowed("configuration.control", entryCount(n), "1 to %d entries", distribution.MaxControlMachines)
+// parseControlMachines checks the list of control machines that a broker may connect to.
+func parseControlMachines(rows []followerFileMachine) ([]distribution.ControlMachine, error) {
+	if count := len(rows); count == 0 || count > distribution.MaxControlMachines {
+		return nil, notAllowed("configuration.control", entryCount(count), "1 to %d entries", distribution.MaxControlMachines)
 	}
 	var machines []distribution.ControlMachine
 	seen := map[string]bool{}
@@ -67,7 +67,7 @@
 			return nil, err
 		}
 		if seen[row.Address] {
-			return nil, notAllowed(key, row.Address, allowedOnce)
+			return nil, notAllowed(key, row.Address, allowedUnique)
 		}
 		seen[row.Address] = true
 		machines = append(machines, distribution.ControlMachine{Address: row.Address, Zone: row.Zone, Region: row.Region})
--- a/internal/config/keyerror.go
+++ b/internal/config/keyerror.go
@@ -7,17 +7,17 @@
 	"reflect"
 )
 
-// KeyError is an entry of the configuration that is not allowed. Its text has one of two forms:
+// KeyError reports a configuration entry that is invalid or missing. Its text has one of two forms:
 //
 //	limits.sockets: 5 not allowed, want 64 to 1048576
 //	listen: missing, want an address host:port
 //
-// The cause, where a parser or the operating system names one, follows in parentheses.
+// If a parser or the operating system returned an error, it follows in parentheses.
 type KeyError struct {
-	Key     string // path such as settings.classes[1].deadlineS, the name of an environment variable, or that of a file
-	Value   string // as it stands in the configuration, strings in quotes; "" where the key is missing
-	Allowed string // what may stand there
-	Err     error  // why Value could not be read; nil: Allowed says all
+	Key     string // path such as settings.classes[1].deadlineS, an environment variable, or the short name of an operator file
+	Value   string // value in the configuration, strings in quotes; "": the key is missing
+	Allowed string // description of the allowed values
+	Err     error  // why Value could not be read; may be nil
 }
 
 // Error returns the key and the reason.
@@ -38,24 +38,24 @@
 // Unwrap returns the cause, or nil.
 func (e *KeyError) Unwrap() error { return e.Err }
 
-// maxQuotedValue is how many bytes of a value an error quotes.
+// maxQuotedValue is the number of bytes after which a string is cut off in an error.
 const maxQuotedValue = 64
 
-// missingKey returns the error of a key that is absent or empty.
+// missingKey returns the error for a key that is absent or empty.
 func missingKey(key, allowed string) error { return &KeyError{Key: key, Allowed: allowed} }
 
-// notAllowed returns the error of a value. The format describes what is allowed.
+// notAllowed returns the error for a value that is not allowed. The format describes the allowed values.
 func notAllowed(key string, value any, format string, args ...any) error {
 	return &KeyError{Key: key, Value: quoteValue(value), Allowed: fmt.Sprintf(format, args...)}
 }
 
-// unreadable returns the error of a value that could not be read.
+// unreadable returns the error for a value, or the file it names, that could not be read or parsed.
 func unreadable(key string, value any, allowed string, cause error) error {
 	return &KeyError{Key: key, Value: quoteValue(value), Allowed: allowed, Err: cause}
 }
 
-// jsonError returns the error of JSON text that cannot be read: of the key below prefix whose value has the wrong type, where
-// it is that, else of key.
+// jsonError converts an error of encoding/json to a *KeyError. If a value has the wrong type, its key is prefix followed by the
+// path of the value; otherwise it is key.
 func jsonError(key, prefix string, err error) error {
 	if wrongType := (*json.UnmarshalTypeError)(nil); errors.As(err, &wrongType) && wrongType.Field != "" {
 		return &KeyError{Key: prefix + wrongType.Field, Value: "a " + wrongType.Value, Allowed: describeType(wrongType.Type)}
@@ -63,7 +63,7 @@
 	return &KeyError{Key: key, Value: "text", Allowed: "a JSON object", Err: err}
 }
 
-// describeType returns what a JSON value of a Go type is.
+// describeType describes the JSON values that can be decoded into a Go type.
 func describeType(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.Pointer:
@@ -83,10 +83,10 @@
 	}
 }
 
-// quoteValue returns a value as errors show it; "" for an empty text, which counts as missing.
+// quoteValue returns the text for a value in errors. It is "" for an empty string, which counts as missing.
 func quoteValue(value any) string {
-	text, isText := value.(string)
-	if !isText {
+	text, isString := value.(string)
+	if !isString {
 		return fmt.Sprint(value)
 	}
 	if text == "" {
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -2,7 +2,7 @@
 
 import "mothrouter/internal/admin"
 
-// Bounds of the limits that the file may set.
+// Bounds of the configurable limits.
 const (
 	minMemoryMB = 16
 	maxMemoryMB = 1 << 20
@@ -10,54 +10,55 @@
 	maxSockets  = 1 << 20
 )
 
-// Shares of the descriptors and of the memory.
+// Division of the descriptors and of the memory.
 const (
-	// serverFraction of the descriptors at least is for record servers; clients have the rest.
+	// serverFraction is the minimum fraction of the descriptors for record servers. Clients get the rest.
 	serverFraction = 3. / 8
-	// maxServerFraction is the limit where there are more servers than that.
+	// maxServerFraction is the maximum fraction of the descriptors for record servers, however many replica sets there are.
 	maxServerFraction = 1. / 2
-	// connsPerReplicaSet is above 1: each server has one connection, and non-idempotent parts have one to themselves.
+	// connsPerReplicaSet is above 1 because each server has one connection, plus a separate one for each non-idempotent part.
 	connsPerReplicaSet = 9. / 8
-	// spareFraction of the descriptors is for the watch, the listener and connections that are closing.
-	spareFraction = 1. / 8
-	// minSpare is the least number of those: 6 of the process, 4 calls to discovery, 1 just accepted, 4 rejected over
-	// capacity, and 1 more.
-	minSpare = 16
-	// minClientConns remain for clients, whatever is switched on.
+	// reservedFraction is the fraction of the descriptors for the endpoint watch, the listener and connections that are closing.
+	reservedFraction = 1. / 8
+	// minReserved is the minimum number of these descriptors: 6 for the process itself, 4 for calls to discovery, 1 for a
+	// connection that was just accepted, 4 for connections being rejected over capacity, and 1 in reserve.
+	minReserved = 16
+	// minClientConns is the number of connections that remain for clients, whichever features are enabled.
 	minClientConns = 8
-	// idleFraction of the descriptors is the limit of idle client connections: half of what clients have at least.
+	// idleFraction is the maximum fraction of the descriptors for idle client connections: about half of the minimum that
+	// clients get.
 	idleFraction = 1. / 6
-	// bufferFraction of the memory is for requests in flight.
+	// bufferFraction is the fraction of the memory for buffering requests in flight.
 	bufferFraction = 1. / 8
 )
 
-// readLimits sets the limits of memory and descriptors.
+// readLimits sets the limits of memory and descriptors, and MaxBufferedBytes.
 func (c *Config) readLimits() error {
-	if n := c.file.Limits.MemoryMB; n != nil {
-		if err := checkRange("limits.memory_mb", *n, minMemoryMB, maxMemoryMB); err != nil {
+	if limit := c.file.Limits.MemoryMB; limit != nil {
+		if err := checkRange("limits.memory_mb", *limit, minMemoryMB, maxMemoryMB); err != nil {
 			return err
 		}
-		c.MemoryMB = *n
+		c.MemoryMB = *limit
 	}
-	if n := c.file.Limits.Sockets; n != nil {
-		if err := checkRange("limits.sockets", *n, minSockets, maxSockets); err != nil {
+	if limit := c.file.Limits.Sockets; limit != nil {
+		if err := checkRange("limits.sockets", *limit, minSockets, maxSockets); err != nil {
 			return err
 		}
-		c.Sockets = *n
+		c.Sockets = *limit
 	}
 	c.MaxBufferedBytes = int(bufferFraction * float64(c.MemoryMB<<20))
 	return nil
 }
 
-// divideDescriptors divides the descriptors between clients and record servers. A query may go to all replica sets at once,
-// so in a large fleet record servers get more: else some would stay without a connection.
+// divideDescriptors divides the descriptors between clients and record servers. A query may go to all replica sets at once, so
+// record servers get a larger part if there are many replica sets; otherwise some of them would have no connection.
 func (c *Config) divideDescriptors() {
-	all := float64(c.Sockets)
-	wanted := max(serverFraction*all, connsPerReplicaSet*float64(c.Settings.ReplicaSets))
-	c.MaxServerConns = int(min(wanted, maxServerFraction*all))
-	c.MaxClientConns = min(int((1-spareFraction)*all), c.Sockets-minSpare) - c.MaxServerConns
+	total := float64(c.Sockets)
+	wanted := max(serverFraction*total, connsPerReplicaSet*float64(c.Settings.ReplicaSets))
+	c.MaxServerConns = int(min(wanted, maxServerFraction*total))
+	c.MaxClientConns = min(int((1-reservedFraction)*total), c.Sockets-minReserved) - c.MaxServerConns
 	if c.AdminAddress != "" {
 		c.MaxClientConns = max(c.MaxClientConns-admin.MaxCallers, minClientConns)
 	}
-	c.MaxIdleConns = min(int(idleFraction*all), c.MaxClientConns/2)
+	c.MaxIdleConns = min(int(idleFraction*total), c.MaxClientConns/2)
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -2,9 +2,9 @@
 
 import "bytes"
 
-// Reload reads and checks the configuration again. A running broker takes up a changed address of discovery only, also where
-// the environment named another at the start; needRestart are the other keys that differ. After an error the old
-// configuration stays in force. Errors are of type *KeyError.
+// Reload reads and validates the configuration again. A running broker applies only a changed discovery address, even if
+// PROXY_DISCOVERY had overridden the address at startup. needRestart lists the other changed keys, which take effect after a
+// restart. After an error the old configuration stays in force. Errors are of type *KeyError.
 func (c *Config) Reload() (next *Config, needRestart []string, err error) {
 	loaded, err := Load(c.getenv)
 	if err != nil {
@@ -20,7 +20,7 @@
 	return &result, c.changedKeys(loaded), nil
 }
 
-// changedKeys returns the keys, but for discovery's, in which the configurations differ.
+// changedKeys returns the top-level keys, except discovery, in which the configurations differ.
 func (c *Config) changedKeys(other *Config) []string {
 	var changed []string
 	for _, entry := range []struct {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -11,12 +11,12 @@
 	"mothrouter/internal/config"
 )
 
-// A changed file changes the address of discovery, also where the environment named another at the start. An invalid one
-// changes nothing, and the error names its key.
+// Reloading a changed file changes the discovery address, even if PROXY_DISCOVERY had overridden it at startup. An invalid file
+// changes nothing, and the error names the key.
 func TestReloadChangesDiscoveryOnly(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	write := func(before, after string) {
-		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(validConfig, before, after, 1)), 0o600))
+	write := func(old, replacement string) {
+		require.NoError(t, os.WriteFile(path, []byte(strings.Replace(validConfig, old, replacement, 1)), 0o600))
 	}
 	write("", "")
 	c, err := config.Load(func(key string) string {
@@ -46,6 +46,6 @@
 		write(invalid.old, invalid.new)
 		_, _, err := c.Reload()
 		require.Error(t, err)
-		requireKey(t, err, invalid.key)
+		requireKeyError(t, err, invalid.key)
 	}
 }
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -11,7 +11,7 @@
 	"mothrouter/internal/simwire"
 )
 
-// serviceSettings are the settings that a broker in service needs beyond those of the decision module.
+// serviceSettings are the settings that a broker uses in addition to those of the decision module.
 type serviceSettings struct {
 	Capabilities struct {
 		ConcurrencyLimit int      `json:"openCap"`
@@ -29,9 +29,9 @@
 	Zones []string `json:"zones"`
 }
 
-const maxTick = 1.0 // seconds
+const maxTick = 1.0 // upper bound of tickS, in seconds
 
-// readSettings sets everything that comes from the settings.
+// readSettings sets all fields that are read from the key settings.
 func (c *Config) readSettings(data json.RawMessage) error {
 	if len(data) == 0 {
 		return missingKey("settings", "an object")
@@ -40,49 +40,49 @@
 	if c.Settings, err = simwire.ParseSettings(string(data)); err != nil {
 		return settingsError(err)
 	}
-	// The core never has two attempts of a part in flight, also where the platform allows it. The decision module must know:
-	// with hedging allowed it would wait for a hedged request beside an attempt that is lost.
+	// The core never has two attempts of a part in flight, even if the platform allows it. With hedging allowed, the decision
+	// module would count on a hedged request, which the core does not send, while the first attempt is lost.
 	c.Settings.HedgingAllowed = false
-	var s serviceSettings
-	if err := json.Unmarshal(data, &s); err != nil {
+	var service serviceSettings
+	if err := json.Unmarshal(data, &service); err != nil {
 		return settingsError(err)
 	}
-	if err := c.readClasses(&s); err != nil {
+	if err := c.readClasses(&service); err != nil {
 		return err
 	}
 	if err := c.checkDecisionSettings(); err != nil {
 		return err
 	}
-	if s.Capabilities.ConcurrencyLimit < 0 {
-		return notAllowed("settings.caps.openCap", s.Capabilities.ConcurrencyLimit, "0 or more")
+	if service.Capabilities.ConcurrencyLimit < 0 {
+		return notAllowed("settings.caps.openCap", service.Capabilities.ConcurrencyLimit, "0 or more")
 	}
-	c.ConcurrencyLimit = s.Capabilities.ConcurrencyLimit
-	c.Shards = s.Family.Shards
-	c.NameTable = discovery.NameTable{Zones: s.Zones, Kinds: s.Kinds}
-	return c.readConnSettings(&s)
+	c.ConcurrencyLimit = service.Capabilities.ConcurrencyLimit
+	c.Shards = service.Family.Shards
+	c.NameTable = discovery.NameTable{Zones: service.Zones, Kinds: service.Kinds}
+	return c.readConnSettings(&service)
 }
 
-// settingsError names the key of settings that cannot be read, where the error has one.
+// settingsError converts an error of the settings to a *KeyError. The key is settings if the error does not name a key.
 func settingsError(err error) error {
-	if fault := (*simwire.SettingError)(nil); errors.As(err, &fault) {
-		return notAllowed("settings."+fault.Key, fault.Value, "%s", fault.Allowed)
+	if settingErr := (*simwire.SettingError)(nil); errors.As(err, &settingErr) {
+		return notAllowed("settings."+settingErr.Key, settingErr.Value, "%s", settingErr.Allowed)
 	}
 	return jsonError("settings", "settings.", err)
 }
 
-// readClasses sets the classes by name, and checks each.
-func (c *Config) readClasses(s *serviceSettings) error {
-	if len(s.Classes) == 0 {
+// readClasses sets Classes and checks each class.
+func (c *Config) readClasses(service *serviceSettings) error {
+	if len(service.Classes) == 0 {
 		return missingKey("settings.classes", "at least one class")
 	}
 	c.Classes = map[string]int{}
-	for i, class := range s.Classes {
+	for i, class := range service.Classes {
 		key := fmt.Sprintf("settings.classes[%d].name", i)
 		if class.Name == "" {
 			return missingKey(key, allowedText)
 		}
 		if _, exists := c.Classes[class.Name]; exists {
-			return notAllowed(key, class.Name, allowedOnce)
+			return notAllowed(key, class.Name, allowedUnique)
 		}
 		if err := c.checkClass(i); err != nil {
 			return err
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// checkDecisionSettings checks the decision module's settings that do not belong to a class.
+// checkDecisionSettings checks the settings of the decision module that are not per class.
 func (c *Config) checkDecisionSettings() error {
 	if err := checkRange("settings.familyInfo.cells", c.Settings.ReplicaSets, 1, maxSockets); err != nil {
 		return err
@@ -103,20 +103,20 @@
 	return checkRange("settings.caps.maxRetryAfterS", c.Settings.MaxRetryAfter, 0, maxSeconds)
 }
 
-// readConnSettings sets the limits of connections to record servers.
-func (c *Config) readConnSettings(s *serviceSettings) error {
-	if n := s.Capabilities.MaxStreams; n != nil {
-		if c.MaxStreams = *n; *n < 1 {
-			return notAllowed("settings.caps.streamsPerConn", *n, "1 or more")
+// readConnSettings sets the limits and timeouts of connections to record servers.
+func (c *Config) readConnSettings(service *serviceSettings) error {
+	if streams := service.Capabilities.MaxStreams; streams != nil {
+		if c.MaxStreams = *streams; *streams < 1 {
+			return notAllowed("settings.caps.streamsPerConn", *streams, "1 or more")
 		}
 	}
 	for _, timeout := range []struct {
-		key   string
-		value *float64
-		to    *time.Duration
+		key    string
+		value  *float64
+		target *time.Duration
 	}{
-		{"settings.caps.connIdleS", s.Capabilities.ConnIdleTimeout, &c.ConnIdleTimeout},
-		{"settings.caps.connectTimeoutS", s.Capabilities.ConnectTimeout, &c.ConnectTimeout},
+		{"settings.caps.connIdleS", service.Capabilities.ConnIdleTimeout, &c.ConnIdleTimeout},
+		{"settings.caps.connectTimeoutS", service.Capabilities.ConnectTimeout, &c.ConnectTimeout},
 	} {
 		if timeout.value == nil {
 			continue
@@ -124,12 +124,12 @@
 		if err := checkPositive(timeout.key, *timeout.value, maxSeconds); err != nil {
 			return err
 		}
-		*timeout.to = max(seconds(*timeout.value), time.Millisecond) // a timeout of 0 would be no limit
+		*timeout.target = max(seconds(*timeout.value), time.Millisecond) // rounded to 0 it would mean no timeout
 	}
 	return nil
 }
 
-// checkClass checks a class. The latency objective of one that has none is its deadline.
+// checkClass checks the class at an index. A class without a latency objective gets its deadline as the objective.
 func (c *Config) checkClass(i int) error {
 	class := &c.Settings.Classes[i]
 	classKey := fmt.Sprintf("settings.classes[%d].", i)
--- a/internal/config/state.go
+++ b/internal/config/state.go
@@ -7,20 +7,20 @@
 	"mothrouter/internal/state/snapshot"
 )
 
-// State is the operator file that has the server-health snapshot saved, so that it lasts over restarts.
+// State is the operator file that enables saving the server-health snapshot, so that it survives restarts.
 type State struct {
-	Folder   string        // of the snapshot
-	Interval time.Duration // between two saves
+	Folder   string        // folder of the snapshot file
+	Interval time.Duration // time between two saves
 }
 
-// Seconds between two saves.
+// Bounds and default of the time between two saves, in seconds.
 const (
-	minSaveInterval     = 0.5 // more often would keep a slow disk busy
+	minSaveInterval     = 0.5 // saving more often would keep a slow disk busy
 	maxSaveInterval     = 3600.0
 	defaultSaveInterval = 5.0
 )
 
-// LoadState reads the state file. Errors are of type *KeyError.
+// LoadState reads the state file at path. Errors are of type *KeyError.
 func LoadState(path string) (*State, error) {
 	file := struct {
 		Folder   string  `toml:"folder"`
@@ -39,13 +39,13 @@
 }
 
 // Fingerprint returns a hash of the settings that distinguishes fleets. It does not depend on the order of keys or on white
-// space; 0: the settings cannot be read.
+// space. It is 0 if the settings cannot be parsed.
 func (c *Config) Fingerprint() uint64 {
 	var settings any
 	if json.Unmarshal(c.file.Settings, &settings) != nil {
 		return 0
 	}
-	text, err := json.Marshal(settings) // keys in order
+	text, err := json.Marshal(settings) // Marshal sorts the keys
 	if err != nil {
 		return 0
 	}
--- a/internal/config/tomlfile.go
+++ b/internal/config/tomlfile.go
@@ -8,8 +8,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// decodeTOML decodes the operator file at path into target, a pointer to a struct that holds the defaults. In its errors
-// the name stands for the file and in front of its keys. A key that target does not have is an error.
+// decodeTOML decodes the operator file at path into target, a pointer to a struct that holds the defaults. In errors, name is
+// the key of the file as a whole and the prefix of its keys. A key that is not in target is an error.
 func decodeTOML(name, path string, target any) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// knownKeys returns the keys that may stand in place of an unknown one: those of the innermost table of the file that t
-// describes.
+// knownKeys returns the keys that are allowed in the table that contains the unknown key. The type t describes the table at
+// which the path unknown starts.
 func knownKeys(t reflect.Type, unknown toml.Key) []string {
 	for t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice {
 		t = t.Elem()
--- a/internal/config/uniquekeys.go
+++ b/internal/config/uniquekeys.go
@@ -7,9 +7,9 @@
 	"unicode"
 )
 
-// checkUniqueKeys returns the error of the first duplicate key of an object. Keys that differ only by the case of their
-// letters are duplicates, since encoding/json sets a field by either. The text must be valid JSON, which bounds the depth of
-// the recursion. The path is that of the value that comes next.
+// checkUniqueKeys returns an error for the first duplicate key in any object of the next value, which is at the given path.
+// Keys that differ only in the case of their letters are duplicates, because encoding/json matches field names without regard
+// to case. The caller must have checked that the text is valid JSON, which bounds the depth of the recursion.
 func checkUniqueKeys(decoder *json.Decoder, path string) error {
 	token, err := decoder.Token()
 	if err != nil {
@@ -31,7 +31,7 @@
 	return err
 }
 
-// checkObjectKeys checks the members of an object whose opening delimiter has been read.
+// checkObjectKeys checks the keys and values of an object whose opening delimiter has been read.
 func checkObjectKeys(decoder *json.Decoder, path string) error {
 	seen := map[string]bool{}
 	for decoder.More() {
@@ -39,7 +39,7 @@
 		if err != nil {
 			return jsonError(documentKey, "", err)
 		}
-		key := token.(string) // as the text is valid
+		key := token.(string) // always a string, because the text is valid JSON
 		memberPath := joinPath(path, key)
 		folded := foldKey(key)
 		if seen[folded] {
@@ -63,20 +63,20 @@
 	return nil
 }
 
-// foldKey returns a key in the form in which encoding/json compares it with the names of fields.
+// foldKey folds the case of a key as encoding/json does when it matches keys to field names.
 func foldKey(key string) string {
 	return strings.Map(func(letter rune) rune {
 		for {
 			next := unicode.SimpleFold(letter)
 			if next <= letter {
-				return next // the least of those that are alike
+				return next // the smallest rune of the equivalence class
 			}
 			letter = next
 		}
 	}, key)
 }
 
-// joinPath returns the path of a member of the object at path.
+// joinPath returns the path of the member key of the object at path.
 func joinPath(path, key string) string {
 	if path == "" {
 		return key
