--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter runs the decisions behind the simulator's wire on standard input and output.
+// Command simadapter runs the decision module for the simulator. It speaks the simulator's text protocol on standard input and
+// output.
 package main
 
 import (
@@ -10,8 +11,8 @@
 )
 
 func main() {
-	newDecider := func(s decision.Settings, seed uint64) decision.Decider {
-		return decision.New(s, seed)
+	newDecider := func(settings decision.Settings, seed uint64) decision.Decider {
+		return decision.New(settings, seed)
 	}
 	if err := simwire.Serve(os.Stdin, os.Stdout, newDecider); err != nil {
 		fmt.Fprintln(os.Stderr, "simadapter:", err)
--- a/internal/config/document.go
+++ b/internal/config/document.go
@@ -90,8 +90,7 @@
 }
 
 // Document returns the discovery address and settings of the startup configuration as a document. Errors are of type
-// *KeyError: a configuration file may be larger
-// than a document is allowed to be, or have duplicate keys.
+// *KeyError: a configuration file may be larger than a document is allowed to be, or have duplicate keys.
 func (c *Config) Document() (*Document, error) {
 	text, err := json.Marshal(revisableKeys{Discovery: c.Discovery, Settings: c.file.Settings})
 	if err != nil {
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,5 +1,5 @@
-// Package simwire translates between the simulator's text wire and the decision module's events and actions. It decides
-// nothing. The names of the wire's messages and fields are the simulator's; those of the code are the decision module's.
+// Package simwire translates between the text protocol of the simulator and the events and actions of the decision module. It
+// makes no decisions. Messages and fields on the wire have the simulator's names; the code has the decision module's names.
 package simwire
 
 import (
@@ -15,41 +15,41 @@
 // ItemKind is the kind of an Item.
 type ItemKind int
 
-// The kinds of Item.
+// Kinds of Item.
 const (
 	ItemEvent ItemKind = iota // Event is set
-	ItemOpen                  // an instance starts: Settings and Seed are set
-	ItemClose                 // an instance was killed
+	ItemOpen                  // an instance is started; Settings and Seed are set
+	ItemClose                 // an instance has been killed
 )
 
-// Item is one line of a batch that concerns an instance.
+// Item is a line of a batch that is addressed to an instance.
 type Item struct {
-	Instance int // number of the instance, mixer on the wire
+	Instance int // number of the instance; "mixer" on the wire
 	Kind     ItemKind
 	Settings decision.Settings
-	Seed     uint64 // of the instance's random numbers
+	Seed     uint64 // of the instance's random number generator
 	Event    decision.Event
 }
 
-// Batch is one tick of the simulator.
+// Batch holds the items of one simulator tick.
 type Batch struct {
 	Now      float64 // simulated time in seconds
-	Sequence string  // number of the batch in decimal digits, which the reply repeats
-	Items    []Item  // in the order of the wire
+	Sequence string  // number of the batch in decimal digits, which the reply repeats ("frame" on the wire)
+	Items    []Item  // in the order they were received
 }
 
-// maxEndpointLists is the number of endpoint lists that the wire can number.
+// maxEndpointLists is the number of endpoint lists that a simulation can define. Their numbers start at 0.
 const maxEndpointLists = 16
 
-// readBufferSize holds a batch in bytes, but for the largest.
+// readBufferSize is the size of the read buffer in bytes. It holds all but the largest batches.
 const readBufferSize = 1 << 20
 
-// Decoder reads batches. It keeps the numbered endpoint lists, which last from batch to batch.
+// Decoder reads batches. It stores the numbered endpoint lists, which later messages refer to.
 type Decoder struct {
 	in            *bufio.Reader
-	line          int // number of the line that was read last, from 1
+	line          int // number of the last line read, starting at 1
 	endpointLists [maxEndpointLists][]decision.Server
-	defined       [maxEndpointLists]bool // the list with this number has been read
+	defined       [maxEndpointLists]bool // whether the list with this number has been received
 }
 
 // NewDecoder returns a Decoder that reads from r.
@@ -57,14 +57,14 @@
 	return &Decoder{in: bufio.NewReaderSize(r, readBufferSize)}
 }
 
-// Next reads one batch. It returns io.EOF at the end of the input between two batches, a *LineError for input that is not in
-// the wire's form, and other errors of the reader as they are.
+// Next reads one batch. It returns io.EOF if the input ends between two batches, a *LineError for malformed input, and other
+// errors of the reader unchanged.
 func (d *Decoder) Next() (*Batch, error) {
 	header, err := d.readHeader()
 	if err != nil {
 		return nil, err
 	}
-	b := &Batch{Now: header.number("nowS"), Sequence: strconv.FormatInt(header.integer("frame"), 10)}
+	batch := &Batch{Now: header.number("nowS"), Sequence: strconv.FormatInt(header.integer("frame"), 10)}
 	if header.err != nil {
 		return nil, header.err
 	}
@@ -77,15 +77,15 @@
 			return nil, err
 		}
 		if line == "eob" {
-			return b, nil
+			return batch, nil
 		}
-		if err := d.readMessage(b, line); err != nil {
+		if err := d.readMessage(batch, line); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// readLine returns the next line without its end, or io.EOF.
+// readLine returns the next line without its line terminator, or io.EOF.
 func (d *Decoder) readLine() (string, error) {
 	line, err := d.in.ReadString('\n')
 	if err != nil && (line == "" || !errors.Is(err, io.EOF)) {
@@ -95,7 +95,7 @@
 	return strings.TrimRight(line, "\r\n"), nil
 }
 
-// readHeader reads the tick line that starts a batch. Blank lines in front of it are skipped.
+// readHeader reads the tick line that starts a batch. It skips blank lines before it.
 func (d *Decoder) readHeader() (*fields, error) {
 	line := ""
 	for line == "" {
@@ -109,13 +109,13 @@
 		return nil, err
 	}
 	if f.message != "tick" {
-		return nil, f.problem("expected a tick line")
+		return nil, f.lineError("expected a tick line")
 	}
 	return f, nil
 }
 
-// readMessage adds the item of a line to the batch, or reads the endpoint list that the line begins.
-func (d *Decoder) readMessage(b *Batch, line string) error {
+// readMessage parses a line and appends its item to the batch. If the line starts an endpoint list, it reads the list instead.
+func (d *Decoder) readMessage(batch *Batch, line string) error {
 	f, err := d.parse(line)
 	if err != nil {
 		return err
@@ -123,27 +123,27 @@
 	if f.message == "census" {
 		return d.readEndpointList(f)
 	}
-	item, known := d.item(f)
+	item, known := d.parseItem(f)
 	if f.err != nil {
 		return f.err
 	}
 	if known {
-		b.Items = append(b.Items, item)
+		batch.Items = append(batch.Items, item)
 	}
 	return nil
 }
 
-// readEndpointList reads a numbered endpoint list with its entries.
+// readEndpointList reads the entries of a numbered endpoint list and stores the list.
 func (d *Decoder) readEndpointList(f *fields) error {
 	number, length := f.integer("rosterId"), f.integer("nodesList")
 	if f.err != nil {
 		return f.err
 	}
 	if number < 0 || number >= maxEndpointLists {
-		return f.fieldProblem("rosterId", "%d is outside 0 to %d", number, maxEndpointLists-1)
+		return f.fieldError("rosterId", "%d is out of range 0 to %d", number, maxEndpointLists-1)
 	}
 	if length < 0 {
-		return f.fieldProblem("nodesList", "%d is negative", length)
+		return f.fieldError("nodesList", "%d is negative", length)
 	}
 	var servers []decision.Server
 	for range length {
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// serverStates are the values of a server's status.
+// serverStates maps values of the field status to server states.
 var serverStates = map[string]decision.State{
 	"IN": decision.Ready, "LAME": decision.Draining, "OUT": decision.Removed,
 }
@@ -173,7 +173,7 @@
 		return decision.Server{}, err
 	}
 	if f.message != "searcher" {
-		return decision.Server{}, f.problem("expected a searcher line")
+		return decision.Server{}, f.lineError("expected a searcher line")
 	}
 	server := decision.Server{
 		ID:         f.text("searcher"),
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -10,13 +10,13 @@
 	"mothrouter/internal/decision"
 )
 
-// writeBufferSize holds the reply to a batch in bytes, but for the largest.
+// writeBufferSize is the size of the write buffer in bytes. It holds all but the largest replies.
 const writeBufferSize = 1 << 18
 
-// Encoder writes replies.
+// Encoder writes replies to batches.
 type Encoder struct {
 	out  *bufio.Writer
-	line []byte // the line that is being written, without its end
+	line []byte // the line being built, without its line terminator
 }
 
 // NewEncoder returns an Encoder that writes to w.
@@ -24,39 +24,39 @@
 	return &Encoder{out: bufio.NewWriterSize(w, writeBufferSize)}
 }
 
-// startLine starts a line with its message and the instance.
+// startLine starts a line with the name of the message and the instance.
 func (e *Encoder) startLine(message string, instance int) {
 	e.line = append(e.line[:0], message...)
 	e.line = append(e.line, " mixer="...)
 	e.line = strconv.AppendInt(e.line, int64(instance), 10)
 }
 
-// startField appends the name of a field.
+// startField appends a space, the name of a field and an equals sign.
 func (e *Encoder) startField(name string) {
 	e.line = append(e.line, ' ')
 	e.line = append(e.line, name...)
 	e.line = append(e.line, '=')
 }
 
-// integer appends a field in decimal digits.
+// integer appends a field with an integer value.
 func (e *Encoder) integer(name string, value uint64) {
 	e.startField(name)
 	e.line = strconv.AppendUint(e.line, value, 10)
 }
 
-// seconds appends a time with microseconds.
+// seconds appends a field with a time in seconds, to the microsecond.
 func (e *Encoder) seconds(name string, value float64) {
 	e.startField(name)
 	e.line = strconv.AppendFloat(e.line, value, 'f', 6, 64)
 }
 
-// text appends a field as it is. Only the last field of a line may contain spaces.
+// text appends a field with an unescaped text. Only the value of the last field of a line may contain spaces.
 func (e *Encoder) text(name, value string) {
 	e.startField(name)
 	e.line = append(e.line, value...)
 }
 
-// flag appends a bool as 0 or 1.
+// flag appends a field with a bool, which is 0 or 1 on the wire.
 func (e *Encoder) flag(name string, value bool) {
 	if value {
 		e.integer(name, 1)
@@ -65,7 +65,7 @@
 	}
 }
 
-// WriteAction writes one action of an instance. The error is that of the writer, or of an action without a message.
+// WriteAction writes one action of an instance. It returns an error if the writer fails or the type of the action is unknown.
 func (e *Encoder) WriteAction(instance int, action decision.Action) error {
 	switch a := action.(type) {
 	case decision.Send:
@@ -93,13 +93,13 @@
 	return e.endLine()
 }
 
-// startRequestLine starts the line of an action on a query or part.
+// startRequestLine starts the line of an action that is addressed to a query or part.
 func (e *Encoder) startRequestLine(message string, instance int, id decision.RequestID) {
 	e.startLine(message, instance)
 	e.integer("msgId", uint64(id))
 }
 
-// writeInstanceAction writes an action that concerns no query or part.
+// writeInstanceAction writes an action that is not addressed to a query or part.
 func (e *Encoder) writeInstanceAction(instance int, action decision.Action) error {
 	switch a := action.(type) {
 	case decision.SetTimer:
@@ -118,19 +118,19 @@
 		e.startLine("record", instance)
 		e.text("line", oneLine(a.Line))
 	default:
-		return fmt.Errorf("action %T has no form on the wire", action)
+		return fmt.Errorf("action type %T has no encoding on the simulator's wire", action)
 	}
 	return e.endLine()
 }
 
-// WriteFailure reports that the decision module of an instance has failed.
+// WriteFailure reports that the Decider of an instance has failed.
 func (e *Encoder) WriteFailure(instance int, cause string) error {
 	e.startLine("bail_out", instance)
 	e.text("line", oneLine(cause))
 	return e.endLine()
 }
 
-// EndBatch ends the reply to the batch with the sequence number, and flushes it.
+// EndBatch ends the reply to the batch with the given sequence number, and flushes the writer.
 func (e *Encoder) EndBatch(sequence string) error {
 	e.line = append(e.line[:0], "ok frame="...)
 	e.line = append(e.line, sequence...)
@@ -140,14 +140,14 @@
 	return e.out.Flush()
 }
 
-// endLine writes the line to the buffer.
+// endLine terminates the line and writes it to the buffer.
 func (e *Encoder) endLine() error {
 	e.line = append(e.line, '\n')
 	_, err := e.out.Write(e.line)
 	return err
 }
 
-// oneLine replaces line ends by spaces.
+// oneLine replaces line breaks with spaces.
 func oneLine(text string) string {
 	return strings.NewReplacer("\n", " ", "\r", " ").Replace(text)
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -6,25 +6,25 @@
 	"mothrouter/internal/decision"
 )
 
-// statuses are the values of an attempt's rc.
+// statuses maps values of the field rc, the result of an attempt or health check.
 var statuses = map[string]decision.Status{
 	"success": decision.OK, "failure": decision.Error, "overloaded": decision.Overloaded,
 	"timed_out": decision.TimedOut, "unreachable": decision.Unreachable, "broken": decision.Reset,
 	"withdrawn": decision.Cancelled, "void": decision.NotSent,
 }
 
-// updateModes are the values of an endpoint update's mode.
+// updateModes maps values of the field mode of an endpoint update.
 var updateModes = map[string]decision.UpdateMode{
 	"patch": decision.DeltaUpdate, "whole": decision.FullUpdate,
 	"stale_copy": decision.CachedUpdate, "broken": decision.FailedUpdate,
 }
 
-// noMessage stands on the wire for an empty message of a peer.
-const noMessage = "-"
+// noPeerData is the value of the field raw of an empty peer message.
+const noPeerData = "-"
 
-// item translates one line. The second result reports whether the message is known; the simulator may add others, which are
-// skipped. A field that is not allowed sets f.err.
-func (d *Decoder) item(f *fields) (Item, bool) {
+// parseItem translates one line. The second result reports whether the message is known; unknown messages are skipped, because
+// the simulator may add new ones. An invalid field sets f.err.
+func (d *Decoder) parseItem(f *fields) (Item, bool) {
 	var item Item
 	switch f.message {
 	case "open_instance":
@@ -34,7 +34,7 @@
 	case "detach":
 		item.Kind = ItemClose
 	default:
-		if item.Event = d.event(f); item.Event == nil {
+		if item.Event = d.parseEvent(f); item.Event == nil {
 			return item, false
 		}
 	}
@@ -42,8 +42,8 @@
 	return item, f.err == nil
 }
 
-// event translates an event of the decision module, or returns nil where the message is none.
-func (d *Decoder) event(f *fields) decision.Event {
+// parseEvent translates a message to an event of the decision module. It returns nil if the message is unknown.
+func (d *Decoder) parseEvent(f *fields) decision.Event {
 	switch f.message {
 	case "update":
 		return d.endpointUpdate(f)
@@ -51,12 +51,12 @@
 		return f.queryOrPart()
 	case "begun":
 		return decision.ResponseStarted{
-			ID: f.request(), Attempt: int(f.integer("shot")), Server: f.text("searcher"),
+			ID: f.requestID(), Attempt: int(f.integer("shot")), Server: f.text("searcher"),
 		}
 	case "finished":
 		return f.attemptFinished()
 	case "hangup":
-		return decision.ClientDisconnected{ID: f.request()}
+		return decision.ClientDisconnected{ID: f.requestID()}
 	case "probe_result":
 		return decision.HealthChecked{
 			Server: f.text("searcher"), Status: f.status(),
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// endpointUpdate returns the update of endpoints by the list that it numbers.
+// endpointUpdate returns an endpoint update with the servers of the numbered endpoint list it refers to.
 func (d *Decoder) endpointUpdate(f *fields) decision.EndpointUpdate {
 	update := decision.EndpointUpdate{Mode: oneOf(f, "mode", updateModes), Version: optional(f, "version", f.integer)}
 	if update.Mode == decision.FailedUpdate {
@@ -81,36 +81,36 @@
 		return update
 	}
 	if number < 0 || number >= maxEndpointLists || !d.defined[number] {
-		f.err = f.fieldProblem("rosterId", "no census %d came before", number)
+		f.err = f.fieldError("rosterId", "census %d is not defined", number)
 		return update
 	}
 	update.Servers = d.endpointLists[number]
 	return update
 }
 
-// request returns the id of the query or part that a message is about.
-func (f *fields) request() decision.RequestID { return decision.RequestID(f.integer("msgId")) }
+// requestID returns the ID of the query or part that a message refers to.
+func (f *fields) requestID() decision.RequestID { return decision.RequestID(f.integer("msgId")) }
 
-// status returns how an attempt or a health check ended.
+// status returns the result of an attempt or a health check.
 func (f *fields) status() decision.Status { return oneOf(f, "rc", statuses) }
 
-// settings returns the start-up settings of an instance.
+// settings returns the startup settings of an instance.
 func (f *fields) settings() decision.Settings {
 	settings, err := ParseSettings(f.text("profileData"))
 	if err != nil && f.err == nil {
-		f.err = f.fieldProblem("profileData", "%v", err)
+		f.err = f.fieldError("profileData", "%v", err)
 	}
 	return settings
 }
 
-// queryOrPart returns a part where the message names a shard, else a query.
+// queryOrPart returns a part if the message has a shard, otherwise a query. A query has a negative slice.
 func (f *fields) queryOrPart() decision.Event {
 	shard := f.number("slice")
 	if shard < 0 {
 		return f.query()
 	}
 	return decision.Part{
-		ID:          f.request(),
+		ID:          f.requestID(),
 		QueryNumber: f.integer("query"),
 		Shard:       int(shard),
 		Weight:      f.number("measure"),
@@ -119,10 +119,10 @@
 	}
 }
 
-// query returns a query.
+// query returns the event that a query has been received.
 func (f *fields) query() decision.Query {
 	return decision.Query{
-		ID:       f.request(),
+		ID:       f.requestID(),
 		Number:   f.integer("query"),
 		Class:    int(optional(f, "qos", f.integer)),
 		Tenant:   int(optional(f, "clientGroup", f.integer)),
@@ -135,10 +135,10 @@
 	}
 }
 
-// attemptFinished returns the end of an attempt.
+// attemptFinished returns the event that an attempt has finished.
 func (f *fields) attemptFinished() decision.AttemptFinished {
 	return decision.AttemptFinished{
-		ID:            f.request(),
+		ID:            f.requestID(),
 		Attempt:       int(f.integer("shot")),
 		Server:        f.text("searcher"),
 		Status:        f.status(),
@@ -148,16 +148,16 @@
 	}
 }
 
-// peerMessage returns a message of another broker, which is base64 on the wire.
+// peerMessage returns a message from another broker. Its data is base64 on the wire.
 func (f *fields) peerMessage() decision.PeerMessage {
 	message := decision.PeerMessage{From: int(f.integer("srcPeer"))}
-	encoded := f.textOr("raw", noMessage)
-	if encoded == noMessage {
+	encoded := f.textOr("raw", noPeerData)
+	if encoded == noPeerData {
 		return message
 	}
 	data, err := base64.StdEncoding.DecodeString(encoded)
 	if err != nil {
-		f.cannotRead("raw", encoded)
+		f.recordUnreadable("raw", encoded)
 	}
 	message.Data = data
 	return message
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -7,51 +7,52 @@
 	"strings"
 )
 
-// LineError is input that is not in the wire's form.
+// LineError reports a malformed line of input.
 type LineError struct {
-	Line    int    // number of the line, from 1
-	Message string // the message that the line holds; "": none
-	Field   string // name of the field at fault; "": the line as a whole
+	Line    int    // number of the line, starting at 1
+	Message string // name of the line's message; "": none
+	Field   string // name of the invalid field; "": the error concerns the whole line
 	Problem string
 }
 
-// Error returns the place and the problem.
+// Error returns the location and the problem.
 func (e *LineError) Error() string {
-	place := fmt.Sprintf("line %d: ", e.Line)
+	location := fmt.Sprintf("line %d: ", e.Line)
 	if e.Message != "" {
-		place += e.Message + ": "
+		location += e.Message + ": "
 	}
 	if e.Field != "" {
-		place += "field " + e.Field + ": "
+		location += "field " + e.Field + ": "
 	}
-	return place + e.Problem
+	return location + e.Problem
 }
 
-// fields are the name=value pairs of one line. Its readers return a zero value after a failure.
+// fields holds the message and the name=value pairs of one line. The methods that read a field record the first error in err.
+// Their results are not valid after an error.
 type fields struct {
-	line    int               // number of the line, from 1
+	line    int               // number of the line, starting at 1
 	message string            // the first word of the line
 	values  map[string]string // by name
-	err     error             // the first failure of a reader
+	err     error             // the first error while reading a field
 }
 
-// maxExpectedFields is the number of fields that most messages have at most.
-const maxExpectedFields = 12
+// typicalMaxFields is the initial capacity for fields. Few messages have more.
+const typicalMaxFields = 12
 
-// extendsToLineEnd has the fields whose value extends to the end of the line, spaces included.
+// extendsToLineEnd is the set of fields whose value extends to the end of the line, including spaces.
 var extendsToLineEnd = map[string]bool{"profileData": true, "line": true}
 
-// parse splits a line into its message and fields. The error is a *LineError.
+// parse splits a line into its message and fields. Errors are of type *LineError.
 func (d *Decoder) parse(line string) (*fields, error) {
 	message, rest, _ := strings.Cut(line, " ")
-	f := &fields{line: d.line, message: message, values: make(map[string]string, maxExpectedFields)}
+	f := &fields{line: d.line, message: message, values: make(map[string]string, typicalMaxFields)}
 	if message == "" {
-		return nil, f.problem("empty where a message was expected")
+		return nil, f.lineError("expected a message name at the start of the line")
 	}
 	for rest != "" {
 		name, tail, ok := strings.Cut(rest, "=")
 		if !ok || name == "" || strings.ContainsRune(name, ' ') {
-			return nil, f.problem("expected name=value pairs set apart by one space")
+			return nil, f.lineError("expected name=value pairs separated by single spaces")
 		}
 		if extendsToLineEnd[name] {
 			f.values[name] = tail
@@ -62,33 +63,33 @@
 	return f, nil
 }
 
-// problem returns the error of the line as a whole.
-func (f *fields) problem(problem string) error {
+// lineError returns an error that concerns the whole line.
+func (f *fields) lineError(problem string) error {
 	return &LineError{Line: f.line, Message: f.message, Problem: problem}
 }
 
-// fieldProblem returns the error of a field.
-func (f *fields) fieldProblem(name, format string, args ...any) error {
+// fieldError returns an error that concerns one field.
+func (f *fields) fieldError(name, format string, args ...any) error {
 	return &LineError{Line: f.line, Message: f.message, Field: name, Problem: fmt.Sprintf(format, args...)}
 }
 
-// cannotRead records the failure of a field's reader.
-func (f *fields) cannotRead(name, value string) {
+// recordUnreadable records that the value of a field cannot be read, unless an error was recorded before.
+func (f *fields) recordUnreadable(name, value string) {
 	if f.err == nil {
-		f.err = f.fieldProblem(name, "cannot read %q", value)
+		f.err = f.fieldError(name, "cannot read %q", value)
 	}
 }
 
-// text returns a field that must be present and not empty.
+// text returns the text of a field that must be present and not empty.
 func (f *fields) text(name string) string {
 	value := f.values[name]
 	if value == "" && f.err == nil {
-		f.err = f.fieldProblem(name, "missing")
+		f.err = f.fieldError(name, "missing")
 	}
 	return value
 }
 
-// textOr returns a field, or the given text where it is absent.
+// textOr returns the text of a field, or absent if the line does not have the field.
 func (f *fields) textOr(name, absent string) string {
 	if value, ok := f.values[name]; ok {
 		return value
@@ -96,22 +97,22 @@
 	return absent
 }
 
-// integer returns a decimal integer.
+// integer returns the value of a field with a decimal integer.
 func (f *fields) integer(name string) int64 {
 	text := f.text(name)
 	value, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
-		f.cannotRead(name, text)
+		f.recordUnreadable(name, text)
 	}
 	return value
 }
 
-// number returns a finite number.
+// number returns the value of a field with a finite number.
 func (f *fields) number(name string) float64 {
 	text := f.text(name)
 	value, err := parseFinite(text)
 	if err != nil {
-		f.cannotRead(name, text)
+		f.recordUnreadable(name, text)
 	}
 	return value
 }
@@ -125,16 +126,16 @@
 	return value, err
 }
 
-// flag returns a bool: 0 or 1 on the wire.
+// flag returns the value of a field with a bool, which is 0 or 1 on the wire.
 func (f *fields) flag(name string) bool {
 	value := f.values[name]
 	if value != "0" && value != "1" {
-		f.cannotRead(name, value)
+		f.recordUnreadable(name, value)
 	}
 	return value == "1"
 }
 
-// optional returns a field by the given reader, or the zero value where the field is absent.
+// optional returns the value of a field as read returns it, or the zero value if the line does not have the field.
 func optional[T any](f *fields, name string, read func(name string) T) (value T) {
 	if _, ok := f.values[name]; ok {
 		value = read(name)
@@ -142,12 +143,12 @@
 	return value
 }
 
-// oneOf returns the meaning of a field that must be present and have one of the given values.
+// oneOf returns the meaning of a field that must be present and have one of the keys of meanings as its value.
 func oneOf[T any](f *fields, name string, meanings map[string]T) T {
 	text := f.text(name)
 	meaning, ok := meanings[text]
 	if !ok {
-		f.cannotRead(name, text)
+		f.recordUnreadable(name, text)
 	}
 	return meaning
 }
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -8,20 +8,20 @@
 	"mothrouter/internal/decision"
 )
 
-// NewDecider returns the decision module of one instance.
+// NewDecider creates the Decider of one instance.
 type NewDecider func(settings decision.Settings, seed uint64) decision.Decider
 
-// host runs the instances of one simulation. They share no state.
+// host runs the instances of one simulation. Instances share no state.
 type host struct {
 	newDecider NewDecider
 	encoder    *Encoder
-	instances  map[int]decision.Decider
-	pending    map[int][]decision.Event // of the current batch, by instance
-	order      []int                    // instances of the current batch, in the order of their first events; may repeat one
+	instances  map[int]decision.Decider // by instance number
+	pending    map[int][]decision.Event // events of the current batch, by instance number
+	order      []int                    // instances of the current batch, by their first events; may contain duplicates
 }
 
-// Serve runs the instances that the wire starts, until the input ends. It returns the errors of Decoder.Next and of the
-// writer, or an *UnknownInstanceError.
+// Serve reads batches and runs the instances that they start, until the input ends. It returns errors of Decoder.Next and of
+// the writer, and an *UnknownInstanceError for an event for an instance that is not running.
 func Serve(in io.Reader, out io.Writer, newDecider NewDecider) error {
 	decoder := NewDecoder(in)
 	h := &host{
@@ -44,19 +44,19 @@
 	}
 }
 
-// UnknownInstanceError is an event for an instance that does not run.
+// UnknownInstanceError reports an event for an instance that is not running.
 type UnknownInstanceError struct {
-	Sequence string // of the batch
+	Sequence string // number of the batch
 	Instance int
 	Event    decision.Event
 }
 
 // Error returns the event's type, the instance and the batch.
 func (e *UnknownInstanceError) Error() string {
-	return fmt.Sprintf("batch %s: %T for mixer %d, which does not run", e.Sequence, e.Event, e.Instance)
+	return fmt.Sprintf("batch %s: event %T for mixer %d, which is not running", e.Sequence, e.Event, e.Instance)
 }
 
-// serveBatch hands each instance its events of the batch and writes the reply.
+// serveBatch passes the events of a batch to their instances and writes the reply.
 func (h *host) serveBatch(batch *Batch) error {
 	h.order = h.order[:0]
 	for i := range batch.Items {
@@ -72,7 +72,7 @@
 	return h.encoder.EndBatch(batch.Sequence)
 }
 
-// enqueue starts or ends an instance, or appends an event to those that are pending for it.
+// enqueue starts or stops an instance, or appends an event to the pending events of a running one.
 func (h *host) enqueue(batch *Batch, item *Item) error {
 	instance := item.Instance
 	switch item.Kind {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-// decide hands an instance its pending events, if there are any, and writes its actions.
+// decide passes the pending events of an instance, if any, to its Decider and writes the resulting actions.
 func (h *host) decide(instance int, now float64) error {
 	events := h.pending[instance]
 	if len(events) == 0 {
@@ -116,11 +116,11 @@
 	return nil
 }
 
-// handle runs the decision module on events. After a panic it returns no actions and the panic as text.
+// handle passes events to a Decider. If the Decider panics, it returns no actions and the panic value as text.
 func handle(decider decision.Decider, now float64, events []decision.Event) (actions []decision.Action, failure string) {
 	defer func() {
-		if r := recover(); r != nil {
-			actions, failure = nil, fmt.Sprintf("panic: %v", r)
+		if reason := recover(); reason != nil {
+			actions, failure = nil, fmt.Sprintf("panic: %v", reason)
 		}
 	}()
 	return decider.Handle(now, events), ""
--- a/internal/simwire/loadreport.go
+++ b/internal/simwire/loadreport.go
@@ -6,13 +6,13 @@
 	"mothrouter/internal/decision"
 )
 
-// noLoadReport stands on the wire for an answer without a load report.
+// noLoadReport is the value of the field stats of a message without a load report.
 const noLoadReport = "-"
 
-// millisecondsPerSecond converts the latency of a load report.
+// millisecondsPerSecond converts the latency of a load report to seconds.
 const millisecondsPerSecond = 1000
 
-// loadReport reads a load report: name:value pairs separated by commas. Unknown names are skipped.
+// loadReport returns the load report of a message: name:value pairs separated by commas. Unknown names are skipped.
 func (f *fields) loadReport() decision.LoadReport {
 	report := decision.NoLoadReport
 	rest := f.textOr("stats", "")
@@ -22,7 +22,7 @@
 		name, text, ok := strings.Cut(pair, ":")
 		value, err := parseFinite(text)
 		if !ok || err != nil {
-			f.cannotRead("stats", pair)
+			f.recordUnreadable("stats", pair)
 			return report
 		}
 		setLoadValue(&report, name, value)
@@ -30,7 +30,7 @@
 	return report
 }
 
-// setLoadValue sets the value of a load report that has the name on the wire.
+// setLoadValue sets the load report value that has the given name on the wire.
 func setLoadValue(report *decision.LoadReport, name string, value float64) {
 	switch name {
 	case "rif":
--- a/internal/simwire/serve_test.go
+++ b/internal/simwire/serve_test.go
@@ -13,43 +13,43 @@
 	"mothrouter/internal/simwire"
 )
 
-// profile is a valid profileData with keys that the decision module does not use.
+// profile is a valid profileData. It has keys that the decision module does not use.
 const profile = `{"classes":[{"deadlineS":2,"objectiveS":1,"semantics":"free","worth":1}],` +
 	`"caps":{"sendCap":3},"familyInfo":{"cells":1,"reach":1},"peersTotal":1,"novelty":{"x":[1]}}`
 
-// recorder is a Decider that records its events and returns fixed actions.
-type recorder struct {
+// recordingDecider is a Decider that records its events and returns fixed actions.
+type recordingDecider struct {
 	events  *[]string
 	actions []decision.Action
 }
 
-func (r recorder) Handle(now float64, events []decision.Event) []decision.Action {
-	for _, e := range events {
-		*r.events = append(*r.events, fmt.Sprintf("%g %+v", now, e))
+func (d recordingDecider) Handle(now float64, events []decision.Event) []decision.Action {
+	for _, event := range events {
+		*d.events = append(*d.events, fmt.Sprintf("%g %+v", now, event))
 	}
-	return r.actions
+	return d.actions
 }
 
-// serve runs Serve with deciders that record their events and answer with actions.
+// serve runs Serve on in. The Deciders record their events and answer each batch with actions.
 func serve(in string, actions ...decision.Action) (events []string, reply string, err error) {
 	var out bytes.Buffer
 	err = simwire.Serve(strings.NewReader(in), &out, func(decision.Settings, uint64) decision.Decider {
-		return recorder{&events, actions}
+		return recordingDecider{&events, actions}
 	})
 	return events, out.String(), err
 }
 
-// tick returns a batch of lines.
+// tick returns a batch with the given lines.
 func tick(lines ...string) string {
 	return "tick nowS=8.41225 frame=12\n" + strings.Join(lines, "\n") + "\neob\n"
 }
 
-// open3 starts instance 3.
-const open3 = "open_instance mixer=3 rngSeed=9 profileData=" + profile
+// openInstance3 is a line that starts instance 3.
+const openInstance3 = "open_instance mixer=3 rngSeed=9 profileData=" + profile
 
 func TestServeReadsEachEvent(t *testing.T) {
 	const none = "{InFlight:-1 QueueLength:-1 Utilization:-1 Latency:-1 Rate:-1 ErrorRate:-1}"
-	for _, c := range []struct{ line, want string }{
+	for _, test := range []struct{ line, want string }{
 		{"new_request mixer=3 msgId=5 entity=9 qos=1 slice=-1 query=2 clientDeadlineS=8.65 isRetry=1 costS=0.01" +
 			" clientGroup=4 update=1 measure=6",
 			"{ID:5 Number:2 Class:1 Tenant:4 Key:9 Parts:6 Deadline:8.65 Retry:true Work:0.01 Write:true ReceivedAt:0}"},
@@ -68,12 +68,12 @@
 		{"neighbour_says mixer=3 srcPeer=1 raw=aGk=", "{From:1 Data:[104 105]}"},
 		{"update mixer=3 mode=broken version=4 rosterId=9", "{Mode:3 Version:4 Servers:[]}"},
 	} {
-		events, reply, err := serve(tick(open3, c.line))
-		if err != nil || len(events) != 1 || events[0] != "8.41225 "+c.want {
-			t.Errorf("%s\n got %v, %v\nwant %s", c.line, events, err, c.want)
+		events, reply, err := serve(tick(openInstance3, test.line))
+		if err != nil || len(events) != 1 || events[0] != "8.41225 "+test.want {
+			t.Errorf("%s\n got %v, %v\nwant %s", test.line, events, err, test.want)
 		}
 		if reply != "ok frame=12\n" {
-			t.Errorf("reply %q", reply)
+			t.Errorf("%s: got reply %q, want %q", test.line, reply, "ok frame=12\n")
 		}
 	}
 }
@@ -83,7 +83,7 @@
 		return "census rosterId=0 nodesList=1\nsearcher searcher=" + server + " cell=2 status=" + state +
 			" capacityHint=1.5 lastStartS=6.1"
 	}
-	events, _, err := serve(tick(open3, endpointList("a:1", "IN"), "update mixer=3 mode=stale_copy version=1 rosterId=0",
+	events, _, err := serve(tick(openInstance3, endpointList("a:1", "IN"), "update mixer=3 mode=stale_copy version=1 rosterId=0",
 		endpointList("b:1", "LAME"), "update mixer=3 mode=patch version=2 rosterId=0",
 		endpointList("b:1", "OUT"), "update mixer=3 mode=whole version=3 rosterId=0"))
 	want := []string{
@@ -97,7 +97,7 @@
 }
 
 func TestServeWritesEachAction(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		action decision.Action
 		want   string
 	}{
@@ -115,68 +115,68 @@
 		{decision.FetchEndpoints{}, "lookup mixer=3"},
 		{decision.Log{Line: "two\nlines"}, "record mixer=3 line=two lines"},
 	} {
-		_, reply, err := serve(tick(open3, "reminder mixer=3 nonce=1"), c.action)
-		if want := c.want + "\nok frame=12\n"; err != nil || reply != want {
-			t.Errorf("%#v: got %q, %v, want %q", c.action, reply, err, want)
+		_, reply, err := serve(tick(openInstance3, "reminder mixer=3 nonce=1"), test.action)
+		if want := test.want + "\nok frame=12\n"; err != nil || reply != want {
+			t.Errorf("%#v: got %q, %v, want %q", test.action, reply, err, want)
 		}
 	}
 }
 
 func TestServeErrorsNameLineMessageAndField(t *testing.T) {
-	for _, c := range []struct{ in, want string }{
+	for _, test := range []struct{ in, want string }{
 		{"hello\n", "line 1: hello: expected a tick line"},
 		{"tick frame=1\neob\n", "line 1: tick: field nowS: missing"},
 		{"tick nowS=x frame=1\neob\n", `line 1: tick: field nowS: cannot read "x"`},
 		{"tick nowS=1 frame=1\n", "line 1: the input ends inside a batch"},
 		{tick("open_instance mixer=3 rngSeed=9 profileData={"), "line 2: open_instance: field profileData: "},
-		{tick(open3, "finished mixer=3 msgId=6 shot=0 searcher=a:1 rc=odd"), `line 3: finished: field rc: cannot read "odd"`},
-		{tick(open3, "finished mixer=3 msgId=6 shot=0 searcher=a:1 rc=void stats=q"), "field stats: cannot read"},
-		{tick(open3, "reminder mixer=3"), "line 3: reminder: field nonce: missing"},
-		{tick(open3, "reminder mixer=3 nonce"), "line 3: reminder: expected name=value pairs"},
-		{tick(open3, "hangup mixer=3 msgId=1e9"), "line 3: hangup: field msgId"},
-		{tick(open3, "update mixer=3 mode=patch version=1 rosterId=4"), "field rosterId: no census 4 came before"},
-		{tick("census rosterId=16 nodesList=0"), "field rosterId: 16 is outside 0 to 15"},
+		{tick(openInstance3, "finished mixer=3 msgId=6 shot=0 searcher=a:1 rc=odd"), `line 3: finished: field rc: cannot read "odd"`},
+		{tick(openInstance3, "finished mixer=3 msgId=6 shot=0 searcher=a:1 rc=void stats=q"), "field stats: cannot read"},
+		{tick(openInstance3, "reminder mixer=3"), "line 3: reminder: field nonce: missing"},
+		{tick(openInstance3, "reminder mixer=3 nonce"), "line 3: reminder: expected name=value pairs"},
+		{tick(openInstance3, "hangup mixer=3 msgId=1e9"), "line 3: hangup: field msgId"},
+		{tick(openInstance3, "update mixer=3 mode=patch version=1 rosterId=4"), "field rosterId: census 4 is not defined"},
+		{tick("census rosterId=16 nodesList=0"), "field rosterId: 16 is out of range 0 to 15"},
 		{tick("census rosterId=1 nodesList=1", "hangup mixer=3 msgId=5"), "expected a searcher line"},
 		{tick("census rosterId=1 nodesList=1", "searcher searcher=a:1 status=UP"), `field status: cannot read "UP"`},
-		{tick("reminder mixer=3 nonce=1"), "for mixer 3, which does not run"},
+		{tick("reminder mixer=3 nonce=1"), "for mixer 3, which is not running"},
 	} {
-		_, _, err := serve(c.in)
-		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%q: got %v, want %q", c.in, err, c.want)
+		_, _, err := serve(test.in)
+		if err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%q: got %v, want %q", test.in, err, test.want)
 		}
 	}
 }
 
-func TestServeDropsEventsOfAnInstanceThatEnds(t *testing.T) {
-	events, _, err := serve(tick(open3, "reminder mixer=3 nonce=1", "detach mixer=3", open3, "reminder mixer=3 nonce=2") +
+func TestServeDropsEventsOfAClosedInstance(t *testing.T) {
+	events, _, err := serve(tick(openInstance3, "reminder mixer=3 nonce=1", "detach mixer=3", openInstance3, "reminder mixer=3 nonce=2") +
 		tick("detach mixer=3"))
 	if err != nil || len(events) != 1 || events[0] != "8.41225 {Token:2}" {
-		t.Errorf("got %v, %v; want the second start's event only", events, err)
+		t.Errorf("got %v, %v; want only the event after the restart", events, err)
 	}
 }
 
-func TestServeWritesBailOutAfterAPanic(t *testing.T) {
+func TestServeReportsAPanicAsBailOut(t *testing.T) {
 	var out bytes.Buffer
-	err := simwire.Serve(strings.NewReader(tick(open3, "reminder mixer=3 nonce=1")), &out,
-		func(decision.Settings, uint64) decision.Decider { return recorder{} })
+	err := simwire.Serve(strings.NewReader(tick(openInstance3, "reminder mixer=3 nonce=1")), &out,
+		func(decision.Settings, uint64) decision.Decider { return recordingDecider{} })
 	if err != nil || !strings.HasPrefix(out.String(), "bail_out mixer=3 line=panic: ") {
 		t.Errorf("got %q, %v", out.String(), err)
 	}
 }
 
 func TestServeSkipsUnknownEventsAndReadsLongBatches(t *testing.T) {
-	lines := []string{open3, "weather mixer=3 sky=blue"}
+	lines := []string{openInstance3, "weather mixer=3 sky=blue"}
 	for i := range 50000 {
 		lines = append(lines, fmt.Sprint("reminder mixer=3 nonce=", i))
 	}
 	events, reply, err := serve(tick(lines...))
 	if err != nil || len(events) != 50000 || reply != "ok frame=12\n" {
-		t.Errorf("%d events, reply %q, %v", len(events), reply, err)
+		t.Errorf("got %d events, reply %q, %v; want 50000 events", len(events), reply, err)
 	}
 }
 
 func FuzzDecoderNeverPanics(f *testing.F) {
-	f.Add(tick(open3, "reminder mixer=3 nonce=1"))
+	f.Add(tick(openInstance3, "reminder mixer=3 nonce=1"))
 	f.Add("tick nowS=1 frame=1\ncensus rosterId=0 nodesList=9\n")
 	f.Fuzz(func(t *testing.T, in string) {
 		d := simwire.NewDecoder(strings.NewReader(in))
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -12,12 +12,13 @@
 	"mothrouter/internal/estimate/slowstart"
 )
 
-// profile is the part of the start-up settings that the decision module uses. Other keys are ignored. Times are in seconds.
+// profile is the part of an instance's startup settings (profileData on the wire) that the decision module uses. Other keys
+// are ignored. Times are in seconds.
 type profile struct {
 	Capabilities  profileCapabilities `json:"caps"`
 	Classes       []profileClass      `json:"classes"`
 	Costs         profileCosts        `json:"costs"`
-	CountedBy     string              `json:"countedBy"` // "work": a query counts by its work; else each counts once
+	CountedBy     string              `json:"countedBy"` // "work": a query is weighted by its work; otherwise each query counts once
 	DiscoveryMode string              `json:"discovery"`
 	Family        profileFamily       `json:"familyInfo"`
 	Brokers       int                 `json:"peersTotal"`
@@ -27,7 +28,7 @@
 	Zone          int                 `json:"zone"`
 }
 
-// profileCapabilities say what the platform allows.
+// profileCapabilities are the features that the platform allows and their limits.
 type profileCapabilities struct {
 	Cancel        bool    `json:"cancel"`
 	MaxRetryAfter float64 `json:"maxRetryAfterS"`
@@ -48,12 +49,12 @@
 	IdempotencyWindow float64 `json:"windowS"`
 }
 
-// profileCosts are the costs that the score counts.
+// profileCosts are the costs that the simulator's score includes.
 type profileCosts struct {
-	CrossZone float64 `json:"crossZone"` // of a part that goes to another zone
+	CrossZone float64 `json:"crossZone"` // cost of a part sent to another zone, as a fraction of the value of the result
 }
 
-// profileFamily describes the data that is served. Its lists are by class and may be shorter than the list of classes.
+// profileFamily describes the data that is served. Its lists are indexed by class and may be shorter than the list of classes.
 type profileFamily struct {
 	MaxPartsPerCall        int       `json:"bundleMax"`
 	ReplicaSets            int       `json:"cells"`
@@ -63,12 +64,12 @@
 	ReplicationFactor      int       `json:"reach"`
 }
 
-// profileLoadReports say how load reports arrive.
+// profileLoadReports describes how load reports are received.
 type profileLoadReports struct {
 	Mode string `json:"how"` // a key of reportModes
 }
 
-// profileRules are the rules of service.
+// profileRules are parameters of endpoint polling, slow start and the retry budget.
 type profileRules struct {
 	PollInterval             float64  `json:"askWithinS"`
 	SlowStartInitialFraction float64  `json:"coldShare"`
@@ -80,34 +81,34 @@
 	RetryBudgetWindow        float64  `json:"budgetSpanS"`
 }
 
-// idempotencies are the values of a class's semantics.
+// idempotencies maps values of a class's key semantics.
 var idempotencies = map[string]decision.Idempotency{
 	"": decision.Idempotent, "free": decision.Idempotent,
 	"guarded": decision.IdempotentWithKey, "single_shot": decision.NonIdempotent,
 }
 
-// reportModes are the values of report.how.
+// reportModes maps values of the key report.how.
 var reportModes = map[string]decision.ReportMode{
 	"": decision.ReportNone, "silent": decision.ReportNone,
 	"piggyback": decision.ReportPiggyback, "pull": decision.ReportPull,
 }
 
-// discoveryModes are the values of discovery, and whether endpoints are polled.
+// discoveryModes maps values of the key discovery to whether endpoints are polled.
 var discoveryModes = map[string]bool{"": false, "push": false, "ask": true}
 
-// SettingError is a setting whose value is not allowed.
+// SettingError reports a setting whose value is not allowed.
 type SettingError struct {
-	Key     string // path such as classes[1].semantics
+	Key     string // path, for example classes[1].semantics
 	Value   string
-	Allowed string // what may stand there
+	Allowed string // description of the allowed values
 }
 
-// Error returns the key, the value and what is allowed.
+// Error returns the key, the value and the allowed values.
 func (e *SettingError) Error() string {
 	return fmt.Sprintf("%s: %q not allowed, want %s", e.Key, e.Value, e.Allowed)
 }
 
-// lookUp returns what a value of a setting means. The error is a *SettingError.
+// lookUp returns the meaning of a setting's value. Errors are of type *SettingError.
 func lookUp[T any](key, value string, meanings map[string]T) (T, error) {
 	meaning, ok := meanings[value]
 	if !ok {
@@ -117,7 +118,7 @@
 	return meaning, nil
 }
 
-// valueOr returns list[i], or the given value where the list is shorter.
+// valueOr returns list[i], or absent if the list is too short.
 func valueOr[T any](list []T, i int, absent T) T {
 	if i < len(list) {
 		return list[i]
@@ -125,8 +126,8 @@
 	return absent
 }
 
-// ParseSettings parses the start-up settings. A value that is not allowed is a *SettingError; other errors are those of
-// encoding/json.
+// ParseSettings parses startup settings. It returns a *SettingError for a value that is not allowed; other errors are those
+// of encoding/json.
 func ParseSettings(text string) (decision.Settings, error) {
 	var p profile
 	if err := json.Unmarshal([]byte(text), &p); err != nil {
@@ -153,7 +154,7 @@
 	return settings, nil
 }
 
-// settings returns the settings whose values need no check.
+// settings returns the settings that need no validation.
 func (p *profile) settings() decision.Settings {
 	return decision.Settings{
 		Brokers:             p.Brokers,
@@ -181,7 +182,8 @@
 	}
 }
 
-// retryBudget returns the retry budget, which one of two keys enables.
+// retryBudget returns the settings of the retry budget. It is enabled if at least one of the keys budgetFree and extraRatio is
+// present.
 func (r *profileRules) retryBudget() retrybudget.Settings {
 	var budget retrybudget.Settings
 	if r.RetryBudgetMin == nil && r.RetryBudgetRatio == nil {
@@ -198,7 +200,7 @@
 	return budget
 }
 
-// class returns the class at an index.
+// class returns the settings of the class at index i.
 func (p *profile) class(i int) (decision.Class, error) {
 	class := &p.Classes[i]
 	idempotency, err := lookUp(fmt.Sprintf("classes[%d].semantics", i), class.Semantics, idempotencies)
--- a/internal/simwire/settings_test.go
+++ b/internal/simwire/settings_test.go
@@ -42,13 +42,13 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("got  %+v\nwant %+v", got, want)
 	}
-	if s, err := simwire.ParseSettings(`{"classes":[{}]}`); err != nil || s.RetryBudget.Enabled || s.Classes[0].MinCompleteness != 1 {
-		t.Errorf("absent keys: %+v, %v; want no budget and a floor of 1", s, err)
+	if settings, err := simwire.ParseSettings(`{"classes":[{}]}`); err != nil || settings.RetryBudget.Enabled || settings.Classes[0].MinCompleteness != 1 {
+		t.Errorf("absent keys: %+v, %v; want no retry budget and a minimum completeness of 1", settings, err)
 	}
 }
 
 func TestParseSettingsErrorsNameTheKey(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		text string
 		want simwire.SettingError
 	}{
@@ -57,10 +57,10 @@
 		{`{"classes":[{},{"semantics":"odd"}]}`,
 			simwire.SettingError{Key: "classes[1].semantics", Value: "odd", Allowed: "one of free, guarded, single_shot"}},
 	} {
-		_, err := simwire.ParseSettings(c.text)
+		_, err := simwire.ParseSettings(test.text)
 		var got *simwire.SettingError
-		if !errors.As(err, &got) || *got != c.want {
-			t.Errorf("%s: got %v, want %v", c.text, err, &c.want)
+		if !errors.As(err, &got) || *got != test.want {
+			t.Errorf("%s: got %v, want %v", test.text, err, &test.want)
 		}
 	}
 }
