--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -10,45 +10,46 @@
 )
 
 const (
-	callTimeout   = 600 * time.Millisecond // from the accept to the end of the call; the reply is due within 1 s
-	writeTimeout  = 300 * time.Millisecond // of the reply
-	lingerTimeout = 100 * time.Millisecond // of reading what follows a rejected call
-	lingerReads   = 64                     // of at most lingerBuffer bytes each
-	lingerBuffer  = 512
-	acceptBackoff = 10 * time.Millisecond // after an accept that failed, such as for want of descriptors
+	commandTimeout = 600 * time.Millisecond // from accepting the connection to the end of the command; the reply is due within 1 s
+	writeTimeout   = 300 * time.Millisecond // for writing the reply
+	lingerTimeout  = 100 * time.Millisecond // for discarding input after a rejected command
+	lingerReads    = 64                     // maximum number of reads that discard input
+	lingerBuffer   = 512                    // bytes discarded per read at most
+	acceptBackoff  = 10 * time.Millisecond  // after a failed accept, for example because no descriptors are left
 )
 
-// MaxCallers is the limit of connections. Beyond it the oldest is closed for a new one.
-const MaxCallers = 24
+// MaxConns is the limit on open connections. When it is reached, the oldest connection is closed for a new one.
+const MaxConns = 24
 
-// Process is what operators control. Its methods may be called by any goroutine and must not wait for a loop.
+// Process is the process that operators control. Its methods must be safe for concurrent use and must not wait for an event
+// loop.
 type Process interface {
 	// AcceptsClients reports whether the process accepts clients.
 	AcceptsClients() bool
-	// StartDrain starts a drain. It changes nothing while the process drains.
+	// StartDrain starts a drain. It does nothing if the process is already draining.
 	StartDrain()
-	// CancelDrain ends the drain. It changes nothing while the process does not drain.
+	// CancelDrain ends the drain. It does nothing if the process is not draining.
 	CancelDrain()
-	// AppendMetrics appends a line for each metric to b and returns it.
+	// AppendMetrics appends one line per metric to b and returns the extended slice.
 	AppendMetrics(b []byte) []byte
 }
 
-// Server answers operators. Make it with New.
+// Server answers the commands of operators. It is created by New.
 type Server struct {
 	process Process
 	log     *slog.Logger
 
-	mu      sync.Mutex
-	callers list.List // of net.Conn, the oldest first
+	mu    sync.Mutex
+	conns list.List // open connections as net.Conn, oldest first
 }
 
-// New returns a server that controls the process.
+// New returns a server that controls process.
 func New(process Process, log *slog.Logger) *Server { return &Server{process: process, log: log} }
 
-// Serve answers calls until the listener is closed, and returns nil then.
-func (s *Server) Serve(l net.Listener) error {
+// Serve answers commands until the listener is closed. It returns nil.
+func (s *Server) Serve(listener net.Listener) error {
 	for {
-		conn, err := l.Accept()
+		conn, err := listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return nil
 		}
@@ -57,49 +58,51 @@
 			time.Sleep(acceptBackoff)
 			continue
 		}
-		caller := s.addCaller(conn)
+		element := s.addConn(conn)
 		go func() {
-			s.serveCaller(conn)
+			s.serveConn(conn)
 			conn.Close()
-			s.removeCaller(caller)
+			s.removeConn(element)
 		}()
 	}
 }
 
-// addCaller adds a connection. Guards the descriptors against callers that stay: the oldest is closed for a new one.
-func (s *Server) addCaller(conn net.Conn) *list.Element {
+// addConn adds a connection. If there are MaxConns already, it closes the oldest, so that clients that stay connected cannot
+// exhaust the descriptors.
+func (s *Server) addConn(conn net.Conn) *list.Element {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.callers.Len() >= MaxCallers {
-		s.callers.Remove(s.callers.Front()).(net.Conn).Close()
+	if s.conns.Len() >= MaxConns {
+		s.conns.Remove(s.conns.Front()).(net.Conn).Close()
 	}
-	return s.callers.PushBack(conn)
+	return s.conns.PushBack(conn)
 }
 
-// removeCaller removes a connection, unless addCaller has removed it for a new one.
-func (s *Server) removeCaller(caller *list.Element) {
+// removeConn removes a connection, unless addConn has already removed it to make room for a new one.
+func (s *Server) removeConn(element *list.Element) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.callers.Remove(caller)
+	s.conns.Remove(element)
 }
 
-// serveCaller reads the call of a connection and replies. A caller that disconnects before its call is complete gets no reply.
-func (s *Server) serveCaller(conn net.Conn) {
-	var reader CallReader
-	conn.SetReadDeadline(time.Now().Add(callTimeout))
+// serveConn reads a command from a connection and replies. A client that disconnects before its command is complete gets no
+// reply.
+func (s *Server) serveConn(conn net.Conn) {
+	var reader CommandReader
+	conn.SetReadDeadline(time.Now().Add(commandTimeout))
 	for {
 		n, readErr := conn.Read(reader.Grow())
 		reader.Advance(n)
-		call, complete, err := reader.Next()
+		command, complete, err := reader.Next()
 		switch {
 		case err != nil:
 			reject(conn, err)
 			return
 		case complete:
-			writeReply(conn, s.perform(call))
+			writeReply(conn, s.execute(command))
 			return
 		case isTimeout(readErr):
-			reject(conn, ErrCallTimeout)
+			reject(conn, ErrCommandTimeout)
 			return
 		case readErr != nil:
 			return
@@ -107,15 +110,15 @@
 	}
 }
 
-// isTimeout reports whether an error is that of a deadline.
+// isTimeout reports whether an error is an I/O timeout.
 func isTimeout(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// perform does what a call asks for and returns the reply.
-func (s *Server) perform(call Call) string {
-	switch call {
+// execute executes a command and returns the reply.
+func (s *Server) execute(command Command) string {
+	switch command {
 	case CheckHealth:
 		if !s.process.AcceptsClients() {
 			return "NAK no clients are taken\n"
@@ -133,8 +136,8 @@
 	return "ACK\n"
 }
 
-// reject replies with the reason. Then it reads what the caller has sent beyond the call: closing a connection with unread
-// bytes would reset it, and the caller could lose the reply.
+// reject replies with the reason. Then it discards what the client has sent after the command: closing a connection with
+// unread bytes would reset it, and the client could lose the reply.
 func reject(conn net.Conn, reason error) {
 	if !writeReply(conn, "NAK "+reason.Error()+"\n") {
 		return
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -58,7 +58,7 @@
 	c.MaxServerConns = int(min(wanted, maxServerFraction*total))
 	c.MaxClientConns = min(int((1-reservedFraction)*total), c.Sockets-minReserved) - c.MaxServerConns
 	if c.AdminAddress != "" {
-		c.MaxClientConns = max(c.MaxClientConns-admin.MaxCallers, minClientConns)
+		c.MaxClientConns = max(c.MaxClientConns-admin.MaxConns, minClientConns)
 	}
 	c.MaxIdleConns = min(int(idleFraction*total), c.MaxClientConns/2)
 }
--- a/internal/config/limits_test.go
+++ b/internal/config/limits_test.go
@@ -44,7 +44,7 @@
 						inUse = flight.Connections + flight.ServerConns
 					}
 					if adminAddress != "" && sockets >= 256 {
-						inUse += 24 + 1 // admin.MaxCallers and one just accepted
+						inUse += 24 + 1 // admin.MaxConns and one just accepted
 					}
 					inUse += c.MaxClientConns + c.MaxServerConns + process + discoveryCalls + accepted + rejected
 					require.LessOrEqual(t, inUse, sockets+1, "%d sockets, %s cells, control address %q, Flight %v", sockets, cells, adminAddress, withFlight)
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,50 +1,50 @@
-// Package drain decides what a process does for its clients while operators drain it, and while it shuts down. It does no I/O
-// and keeps no clock.
+// Package drain decides how a process treats its clients while it is being drained by operators and while it shuts down. It
+// does no I/O and takes the time as an argument.
 //
-// Both are gradual, since load balancers and clients notice one after the other: first the process is not up and answers
-// announce that the connection closes; then idle connections are closed; then new requests are rejected. Cancelling a drain
-// undoes all of it at once.
+// Both proceed in steps, because load balancers and clients notice at different times. A drain first fails health checks and
+// announces in responses that the connection will be closed; then it closes idle connections; then it rejects new requests.
+// Cancelling a drain undoes all steps immediately.
 package drain
 
 import "time"
 
-// Steps of a drain, from its start.
+// Delays of the steps of a drain, from its start.
 const (
-	// closeIdleDelay lets clients use a connection once more that they have: load balancers stop sending new ones 0.2 s after
-	// the process is not up.
+	// closeIdleDelay is when idle connections are closed. It lets clients use an existing connection once more: load balancers
+	// stop sending new connections 0.2 s after health checks fail.
 	closeIdleDelay = 1500 * time.Millisecond
-	// rejectDelay is when requests are rejected. From 4 s on no request that was accepted in the last 2 s may be in flight.
+	// rejectDelay is when new requests are rejected. From 4 s on, no request that was accepted in the last 2 s may be in flight.
 	rejectDelay = 1900 * time.Millisecond
 )
 
-// LastRequestTimeout is how long a connection that is accepted after idle ones were closed may wait for its request.
+// LastRequestTimeout is how long a connection that is accepted after idle connections were closed may wait for its request.
 const LastRequestTimeout = 300 * time.Millisecond
 
-// ShutdownPlan is when a process takes the steps of its shutdown, from SIGTERM on.
+// ShutdownPlan holds the times of the steps of a shutdown, as durations since SIGTERM.
 type ShutdownPlan struct {
-	// AnnounceClose is when answers start to announce that the connection closes, so that clients leave one by one. Until then
-	// nothing changes: load balancers send clients for another 0.4 s.
+	// AnnounceClose is when responses start to announce that the connection will be closed, so that clients leave one by one.
+	// Until then nothing changes, because load balancers send new clients for another 0.4 s.
 	AnnounceClose time.Duration
 	// CloseIdle is when the process stops accepting connections and closes idle ones.
 	CloseIdle time.Duration
-	// AnswerBy is when all requests have their final answers.
+	// AnswerBy is when all requests must have their final answers.
 	AnswerBy time.Duration
-	// ExitBy is when the process has ended, whatever its clients do.
+	// ExitBy is when the process must have exited, whatever its clients do.
 	ExitBy time.Duration
 }
 
-// Bounds of a shutdown. SIGKILL comes killDelay after the longest deadline, or later.
+// Bounds of a shutdown. SIGKILL is sent killDelay after the longest deadline, or later.
 const (
 	killDelay          = 700 * time.Millisecond
-	maxPlannedDeadline = 3 * time.Second        // a longer deadline counts as this
+	maxPlannedDeadline = 3 * time.Second        // longer deadlines are capped at this
 	answerLead         = 200 * time.Millisecond // from AnswerBy to SIGKILL
 	exitLead           = 100 * time.Millisecond // from ExitBy to SIGKILL
 	maxAnnounceClose   = 500 * time.Millisecond
-	maxCloseIdleDelay  = time.Second // from AnnounceClose, for clients to use once more a connection that they have
+	maxCloseIdleDelay  = time.Second // from AnnounceClose; lets clients use an existing connection once more
 )
 
-// PlanShutdown plans a shutdown by the longest deadline of a class. With short deadlines the steps are closer together: a
-// request that is accepted late would not be answered before SIGKILL.
+// PlanShutdown plans a shutdown for the longest deadline of all classes. With short deadlines the steps are closer together;
+// otherwise a request that is accepted late would not be answered before SIGKILL.
 func PlanShutdown(longestDeadline time.Duration) ShutdownPlan {
 	killAt := min(longestDeadline, maxPlannedDeadline) + killDelay
 	plan := ShutdownPlan{AnswerBy: killAt - answerLead, ExitBy: killAt - exitLead}
@@ -53,13 +53,14 @@
 	return plan
 }
 
-// State is whether a process drains, and since when. The zero value does not drain. It is not safe for concurrent use.
+// State records whether a process is draining, and since when. The zero value is not draining. It is not safe for concurrent
+// use.
 type State struct {
 	started   bool
 	startedAt time.Time
 }
 
-// Start starts the drain. It changes nothing if the process drains already.
+// Start starts the drain. It does nothing if the process is already draining.
 func (s *State) Start(now time.Time) {
 	if !s.started {
 		s.started, s.startedAt = true, now
@@ -72,7 +73,7 @@
 // IsUp reports whether health checks of load balancers succeed.
 func (s *State) IsUp() bool { return !s.started }
 
-// AnnouncesClose reports whether answers announce that the connection closes.
+// AnnouncesClose reports whether responses announce that the connection will be closed.
 func (s *State) AnnouncesClose() bool { return s.started }
 
 // ClosesIdle reports whether idle connections are closed.
@@ -85,5 +86,5 @@
 	return s.started && now.Sub(s.startedAt) >= rejectDelay
 }
 
-// CloseIdleDelay returns how long after a drain's start idle connections are closed.
+// CloseIdleDelay returns how long after the start of a drain idle connections are closed.
 func CloseIdleDelay() time.Duration { return closeIdleDelay }
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -9,30 +9,32 @@
 	"mothrouter/internal/drain"
 )
 
-func TestStateDrainsInStepsAndCancelsAtOnce(t *testing.T) {
-	var s drain.State
+func TestStateDrainsInStepsAndCancelsImmediately(t *testing.T) {
+	var state drain.State
 	t0 := time.Now()
-	at := func(d time.Duration) [4]bool {
-		now := t0.Add(d)
-		return [4]bool{s.IsUp(), s.AnnouncesClose(), s.ClosesIdle(now), s.RejectsRequests(now)}
+	// stateAt returns whether the process is up, announces closing, closes idle connections and rejects requests.
+	stateAt := func(elapsed time.Duration) [4]bool {
+		now := t0.Add(elapsed)
+		return [4]bool{state.IsUp(), state.AnnouncesClose(), state.ClosesIdle(now), state.RejectsRequests(now)}
 	}
-	require.Equal(t, [4]bool{true, false, false, false}, at(time.Hour))
-	s.Start(t0)
-	require.Equal(t, [4]bool{false, true, false, false}, at(0))
-	require.Equal(t, [4]bool{false, true, false, false}, at(time.Second))
-	require.Equal(t, [4]bool{false, true, true, false}, at(drain.CloseIdleDelay()))
-	// From 4 s on no request of the last 2 s may be in flight, nor any connection be idle.
-	require.Equal(t, [4]bool{false, true, true, true}, at(2*time.Second))
-	s.Start(t0.Add(3 * time.Second)) // a drain that has started goes on
-	require.Equal(t, [4]bool{false, true, true, true}, at(3*time.Second))
-	s.Cancel()
-	require.Equal(t, [4]bool{true, false, false, false}, at(3*time.Second))
-	s.Start(t0.Add(5 * time.Second))
-	require.Equal(t, [4]bool{false, true, false, false}, at(6*time.Second))
+	require.Equal(t, [4]bool{true, false, false, false}, stateAt(time.Hour))
+	state.Start(t0)
+	require.Equal(t, [4]bool{false, true, false, false}, stateAt(0))
+	require.Equal(t, [4]bool{false, true, false, false}, stateAt(time.Second))
+	require.Equal(t, [4]bool{false, true, true, false}, stateAt(drain.CloseIdleDelay()))
+	// From 4 s on, no request that was accepted in the last 2 s may be in flight and no connection may be idle.
+	require.Equal(t, [4]bool{false, true, true, true}, stateAt(2*time.Second))
+	state.Start(t0.Add(3 * time.Second)) // does not restart the drain
+	require.Equal(t, [4]bool{false, true, true, true}, stateAt(3*time.Second))
+	state.Cancel()
+	require.Equal(t, [4]bool{true, false, false, false}, stateAt(3*time.Second))
+	state.Start(t0.Add(5 * time.Second))
+	require.Equal(t, [4]bool{false, true, false, false}, stateAt(6*time.Second))
 }
 
-// SIGKILL comes 0.7 s after the longest deadline, of which at most 3 s count. By then all requests are answered, whatever the
-// settings. Clients connect for 0.4 s after SIGTERM, and the last of them have some time left.
+// SIGKILL is sent 0.7 s after the longest deadline, or 3.7 s after SIGTERM if that deadline is longer than 3 s. By then all
+// requests must be answered, whatever the settings. Clients connect until 0.4 s after SIGTERM, and the last of them need some
+// time before responses announce that the connection will be closed.
 func TestPlanShutdownEndsBeforeSIGKILL(t *testing.T) {
 	for _, longest := range []time.Duration{time.Millisecond, 300 * time.Millisecond, time.Second, 2 * time.Second, 3 * time.Second, time.Hour} {
 		plan := drain.PlanShutdown(longest)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics counts what a process has done and writes it in the form in which operators fetch it. Counters are
-// atomics: they are read whatever the load, without a request to a loop that may be busy.
+// Package metrics counts requests and attempts and formats the metrics that operators fetch. Counters are atomics, so reading
+// them needs no response from an event loop that may be busy.
 package metrics
 
 import (
@@ -9,39 +9,40 @@
 	"sync/atomic"
 )
 
-// Class counts the requests of one class by their final answers, and the attempts of their parts.
+// Class holds the counters of one class: requests by their final answer, and attempts of their parts.
 type Class struct {
-	Fulfilled atomic.Uint64 // requests answered 200
-	Throttled atomic.Uint64 // requests answered 429 or 503
-	Faulted   atomic.Uint64 // requests with any other answer
-	Sent      atomic.Uint64 // attempts that were written completely to a record server
+	Fulfilled atomic.Uint64 // requests answered with status 200
+	Throttled atomic.Uint64 // requests answered with status 429 or 503
+	Faulted   atomic.Uint64 // requests answered with any other status
+	Sent      atomic.Uint64 // attempts that were completely written to a record server
 }
 
-// Gauges are values of the present moment.
+// Gauges holds current values.
 type Gauges struct {
-	Queries   int // in flight
+	Queries   int // queries in flight
 	Endpoints int // record servers on the endpoint list
-	Avoided   int // record servers on the endpoint list that receive no work now, as they drain or are unhealthy
+	Avoided   int // record servers on the endpoint list that currently receive no work because they are draining or unhealthy
 }
 
-// Counters are the counters of a process. Make them with New. Their methods may be called by any goroutine; the Record
-// methods do nothing on a nil *Counters.
+// Counters holds the metrics of a process. It is created by New. Its methods are safe for concurrent use; the Record methods
+// do nothing on a nil *Counters.
 type Counters struct {
-	classNames []string // by class
-	classes    []Class
-	gauges     func() Gauges
+	classNames []string      // by class index
+	classes    []Class       // by class index
+	gauges     func() Gauges // returns the current values
 }
 
-// New returns counters at 0 for the classes, which are given by name, and gauges that are read by the given function.
+// New returns counters that start at 0. The argument classes maps class names to indexes; gauges returns the current values
+// of the gauges.
 func New(classes map[string]int, gauges func() Gauges) *Counters {
-	c := &Counters{classNames: make([]string, len(classes)), classes: make([]Class, len(classes)), gauges: gauges}
+	counters := &Counters{classNames: make([]string, len(classes)), classes: make([]Class, len(classes)), gauges: gauges}
 	for name, class := range classes {
-		c.classNames[class] = name
+		counters.classNames[class] = name
 	}
-	return c
+	return counters
 }
 
-// class returns the counters of a class, or nil for one that does not exist.
+// class returns the counters of a class, or nil if the class does not exist or c is nil.
 func (c *Counters) class(class int) *Class {
 	if c == nil || class < 0 || class >= len(c.classes) {
 		return nil
@@ -65,26 +66,26 @@
 	}
 }
 
-// RecordSent counts an attempt that was written completely.
+// RecordSent counts an attempt that was completely written to a record server.
 func (c *Counters) RecordSent(class int) {
 	if counters := c.class(class); counters != nil {
 		counters.Sent.Add(1)
 	}
 }
 
-// The types of a metric, as the form of a line has them.
+// Metric types, as they appear at the end of a line.
 const (
 	typeCounter = 'c'
 	typeGauge   = 'g'
 )
 
-// Append appends a line for each metric to b and returns it. Classes are in the order of their names.
+// Append appends one line per metric to b and returns the extended slice. Classes are sorted by name.
 func (c *Counters) Append(b []byte) []byte {
 	order := make([]int, len(c.classNames))
 	for class := range order {
 		order[class] = class
 	}
-	slices.SortFunc(order, func(x, y int) int { return strings.Compare(c.classNames[x], c.classNames[y]) })
+	slices.SortFunc(order, func(left, right int) int { return strings.Compare(c.classNames[left], c.classNames[right]) })
 	for _, class := range order {
 		counters, prefix := &c.classes[class], "operations."+c.classNames[class]+"."
 		b = appendMetric(b, prefix+"fulfilled", counters.Fulfilled.Load(), typeCounter)
@@ -99,10 +100,10 @@
 	return b
 }
 
-// nonNegative returns a gauge's value, or 0 for one that is negative in passing.
+// nonNegative returns the value of a gauge, or 0 if it is negative, which it can be temporarily.
 func nonNegative(value int) uint64 { return uint64(max(value, 0)) }
 
-// appendMetric appends a line such as svc.open_requests:3|g.
+// appendMetric appends the line of one metric, for example svc.open_requests:3|g.
 func appendMetric(b []byte, name string, value uint64, metricType byte) []byte {
 	b = append(b, "svc."...)
 	b = append(b, name...)
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -9,12 +9,12 @@
 )
 
 func TestAppendWritesCountersAndGauges(t *testing.T) {
-	c := metrics.New(map[string]int{"b": 0, "a": 1}, func() metrics.Gauges { return metrics.Gauges{Queries: 3, Endpoints: 12, Avoided: 1} })
+	counters := metrics.New(map[string]int{"b": 0, "a": 1}, func() metrics.Gauges { return metrics.Gauges{Queries: 3, Endpoints: 12, Avoided: 1} })
 	for _, status := range []int{200, 200, 503, 429, 500, 504, 400} {
-		c.RecordResponse(1, status)
+		counters.RecordResponse(1, status)
 	}
-	c.RecordSent(0)
-	c.RecordResponse(7, 200) // no such class
+	counters.RecordSent(0)
+	counters.RecordResponse(7, 200) // class 7 does not exist
 	(*metrics.Counters)(nil).RecordResponse(0, 200)
 	require.Equal(t, `svc.operations.a.fulfilled:2|c
 svc.operations.a.throttled:2|c
@@ -27,5 +27,5 @@
 svc.open_requests:3|g
 svc.registry_entries:12|g
 svc.out_of_rotation:1|g
-`, string(c.Append(nil)))
+`, string(counters.Append(nil)))
 }
