--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,12 +19,12 @@
 
 // Config is the configuration of a broker. It is created by Load.
 type Config struct {
-	Name         string // of the broker
+	Name         string // name of the broker
 	Listen       string // address host:port for clients
 	Discovery    string // address host:port of the discovery service
 	AdminAddress string // address host:port for operators; "": none
 	AcceptFD     int    // descriptor of an inherited listening socket; 0: the process opens its own
-	Seed         uint64 // of the random number generator
+	Seed         uint64 // seed of the random number generator
 	MemoryMB     int    // memory limit in MiB
 	Sockets      int    // limit on open file descriptors
 
@@ -42,8 +42,8 @@
 	ConcurrencyLimit int           // limit on queries and parts in flight; 0: no limit
 	Shards           int           // number of shards
 	MaxStreams       int           // limit on concurrent calls on one connection to a record server
-	ConnIdleTimeout  time.Duration // after which an idle connection to a record server is closed
-	ConnectTimeout   time.Duration // for establishing a connection to a record server
+	ConnIdleTimeout  time.Duration // idle time after which a connection to a record server is closed
+	ConnectTimeout   time.Duration // timeout for connecting to a record server
 
 	getenv func(string) string
 	file   mainFile // as parsed, without the overrides of the environment
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -111,7 +111,7 @@
 	}
 }
 
-// The value of a dynamic key may change in any way, in both directions. The change of any other key is an error that names it.
+// Keys that can change without a restart may change in any way, and back. The error for any other changed key names it.
 func TestCheckChangeFromNamesTheKey(t *testing.T) {
 	for _, test := range []struct{ old, new, key string }{
 		{validDocument, validDocument, ""},
@@ -183,7 +183,8 @@
 }
 
 // A valid document also loads as part of a file, with the same classes, concurrency limit and discovery address. Conversely,
-// the discovery address and settings of a file that loads are a valid document.
+// the discovery address and settings of a file that loads are a valid document, unless they are too large or have duplicate
+// keys.
 func FuzzDocument(f *testing.F) {
 	f.Add([]byte(validDocument))
 	for _, replacement := range [][2]string{
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -10,7 +10,7 @@
 // Fleet is the operator file that makes a broker join the membership protocol of its fleet.
 type Fleet struct {
 	Fleet     string           // name of the fleet; datagrams of other fleets are dropped
-	Name      string           // of the broker, unique in the fleet
+	Name      string           // name of the broker, unique in the fleet
 	Listen    netip.AddrPort   // listening address for datagrams from other brokers
 	Advertise netip.AddrPort   // address that other brokers send to; the zero value: Listen
 	Seeds     []netip.AddrPort // brokers to contact when joining; at least one
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -8,9 +8,9 @@
 
 // Follower is the operator file that makes a broker receive its configuration revisions from the control machines.
 type Follower struct {
-	Name            string                        // of the broker, in its status reports
-	Zone            string                        // of the broker; "": unknown
-	Region          string                        // of the broker; "": unknown
+	Name            string                        // name of the broker in its status reports
+	Zone            string                        // zone of the broker; "": unknown
+	Region          string                        // region of the broker; "": unknown
 	ControlMachines []distribution.ControlMachine // 1 to distribution.MaxControlMachines entries with distinct addresses
 }
 
@@ -25,7 +25,7 @@
 	Control []followerFileMachine `toml:"control"`
 }
 
-// followerFileMachine is the TOML form of distribution.Machine.
+// followerFileMachine is the TOML form of distribution.ControlMachine.
 type followerFileMachine struct {
 	Address string `toml:"address"`
 	Zone    string `toml:"zone"`
--- a/internal/config/keyerror.go
+++ b/internal/config/keyerror.go
@@ -54,8 +54,8 @@
 	return &KeyError{Key: key, Value: quoteValue(value), Allowed: allowed, Err: cause}
 }
 
-// jsonError converts an error of encoding/json to a *KeyError. If a value has the wrong type, its key is prefix followed by the
-// path of the value; otherwise it is key.
+// jsonError converts an error of encoding/json to a *KeyError. If a value has the wrong type, the Key of the error is prefix
+// followed by the path of the value; otherwise it is key.
 func jsonError(key, prefix string, err error) error {
 	if wrongType := (*json.UnmarshalTypeError)(nil); errors.As(err, &wrongType) && wrongType.Field != "" {
 		return &KeyError{Key: prefix + wrongType.Field, Value: "a " + wrongType.Value, Allowed: describeType(wrongType.Type)}
