--- a/internal/controlplane/distribution/follower.go
+++ b/internal/controlplane/distribution/follower.go
@@ -129,7 +129,7 @@
 }
 
 // SetFleetSize sets the number of brokers in the fleet, which scales the next backoff.
-func (f *Follower) SetFleetSize(brokers int) { f.backoff.Resize(brokers) }
+func (f *Follower) SetFleetSize(brokers int) { f.backoff.SetCallers(brokers) }
 
 // NextTick returns the latest time for the next call of Tick.
 func (f *Follower) NextTick() time.Time {
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -126,7 +126,7 @@
 // reflect the previous deadlines.
 func (p *Policy) onClassesChanged(changed ClassesChanged) {
 	p.settings.Classes = changed.Classes
-	p.waits = clientpatience.Waits{}
+	p.waits = clientpatience.RetryDetector{}
 }
 
 // onSlowStartLease replaces a server's lease. Attempts sent under the previous lease no longer count.
