--- a/cmd/mothrouter/config_command.go
+++ b/cmd/mothrouter/config_command.go
@@ -59,7 +59,7 @@
 			fmt.Fprintf(c.OutOrStdout(), "committed as %d\n", number)
 			return nil
 		}
-		if u := (*operatorclient.UnknownError)(nil); errors.As(err, &u) {
+		if u := (*operatorclient.OutcomeUnknownError)(nil); errors.As(err, &u) {
 			return exitError{fmt.Errorf("unknown: the log may still take it (%w); run again with --request %016x", err, id),
 				exitUnknown}
 		}
--- a/internal/controlplane/operatorclient/errors.go
+++ b/internal/controlplane/operatorclient/errors.go
@@ -28,16 +28,16 @@
 // Unwrap returns the error of the last attempt.
 func (e *UnavailableError) Unwrap() error { return e.Last }
 
-// UnknownError is returned if a publication may be committed, now or later. It is safe to publish the same document
+// OutcomeUnknownError is returned if a publication may be committed, now or later. It is safe to publish the same document
 // again under the same request id: it becomes one revision.
-type UnknownError struct {
+type OutcomeUnknownError struct {
 	Last error // of the last attempt
 }
 
 // Error implements error.
-func (e *UnknownError) Error() string { return e.Last.Error() }
+func (e *OutcomeUnknownError) Error() string { return e.Last.Error() }
 
 // Unwrap returns the error of the last attempt.
-func (e *UnknownError) Unwrap() error { return e.Last }
+func (e *OutcomeUnknownError) Unwrap() error { return e.Last }
 
 var errNoAddress = errors.New("no address of a control machine")
--- a/internal/controlplane/operatorclient/operatorclient_test.go
+++ b/internal/controlplane/operatorclient/operatorclient_test.go
@@ -93,7 +93,7 @@
 
 	_, once := start(t, unknown, notAppended)
 	_, err = publish(t, short, once)
-	var unknownOutcome *operatorclient.UnknownError
+	var unknownOutcome *operatorclient.OutcomeUnknownError
 	require.ErrorAs(t, err, &unknownOutcome, "one unknown outcome is not undone by a later one that is known")
 
 	_, err = publish(t, short)
--- a/internal/controlplane/operatorclient/publish.go
+++ b/internal/controlplane/operatorclient/publish.go
@@ -21,7 +21,7 @@
 
 // Publish publishes a document and returns the number of its revision. It tries the control machines in turn, under
 // the same request id, until the outcome is known or ctx ends. Errors: *RejectedError, *UnavailableError and
-// *UnknownError.
+// *OutcomeUnknownError.
 func Publish(ctx context.Context, addresses []string, request *configpb.PublishRequest) (uint64, error) {
 	if len(addresses) == 0 {
 		return 0, &UnavailableError{errNoAddress}
@@ -38,7 +38,7 @@
 			if err == nil || errors.As(err, &rejected) {
 				return number, err
 			}
-			var unknown *UnknownError
+			var unknown *OutcomeUnknownError
 			if errors.As(err, &unknown) {
 				mayBeCommitted = true
 			}
@@ -57,12 +57,12 @@
 		lastErr = context.DeadlineExceeded
 	}
 	if mayBeCommitted {
-		return &UnknownError{lastErr}
+		return &OutcomeUnknownError{lastErr}
 	}
 	return &UnavailableError{lastErr}
 }
 
-// publishTo publishes at one control machine. Errors: *RejectedError and *UnknownError; any other one means that the
+// publishTo publishes at one control machine. Errors: *RejectedError and *OutcomeUnknownError; any other one means that the
 // machine has certainly not accepted the publication.
 func publishTo(ctx context.Context, address string, request *configpb.PublishRequest) (uint64, error) {
 	conn, err := connect(ctx, address)
@@ -98,5 +98,5 @@
 	case codes.Unimplemented: // the server is not a control machine
 		return errors.New(s.Message())
 	}
-	return &UnknownError{errors.New(s.Message())}
+	return &OutcomeUnknownError{errors.New(s.Message())}
 }
