--- a/internal/controlplane/controlserver/control.go
+++ b/internal/controlplane/controlserver/control.go
@@ -14,7 +14,7 @@
 	"mothrouter/internal/controlplane/consensus"
 )
 
-// replicaTimeout is the maximum time that Status and Get wait for the replica: far above one sync of the log.
+// replicaTimeout limits how long Status and Get wait for the replica's goroutine. One sync of the raft log takes far less.
 const replicaTimeout = 2 * time.Second
 
 // service is the Control service of one control machine.
@@ -22,10 +22,10 @@
 	configpb.UnimplementedControlServer
 	*publisher
 	self      Member
-	members   []Member // all, self included
+	members   []Member // all members, including self
 	replica   *replica
 	hub       *confighub.Hub
-	reachable func(now time.Time, id uint64) bool // of another member
+	reachable func(now time.Time, id uint64) bool // of a peer, by raft id
 }
 
 // Follow streams revisions to a broker: see confighub.Hub.Follow.
@@ -33,17 +33,17 @@
 	return s.hub.Follow(stream)
 }
 
-// Publish appends a revision to the log: see publisher.
+// Publish appends a revision to the raft log: see publisher.
 func (s *service) Publish(ctx context.Context, request *configpb.PublishRequest) (*configpb.PublishResponse, error) {
 	return s.publish(ctx, request)
 }
 
-// Get returns a revision that this machine has applied, the newest for number 0. Its errors are NOT_FOUND and
-// UNAVAILABLE.
+// Get returns a revision that this control machine has applied. Number 0 means the newest one. Its errors are NOT_FOUND
+// and UNAVAILABLE.
 func (s *service) Get(ctx context.Context, request *configpb.GetRequest) (*configpb.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, replicaTimeout)
 	defer cancel()
-	revision, err := query(ctx, s.replica, func() *configpb.Revision {
+	revision, err := callOnLoop(ctx, s.replica, func() *configpb.Revision {
 		return s.replica.node.Machine().Get(request.GetNumber())
 	})
 	if err != nil {
@@ -56,11 +56,12 @@
 	return revision, nil
 }
 
-// Status returns the status of the log, the brokers and the revisions as this machine sees it. Its error is UNAVAILABLE.
+// Status returns the status of the raft log, the brokers and the revisions as known to this control machine. Its error is
+// UNAVAILABLE.
 func (s *service) Status(ctx context.Context, _ *configpb.StatusRequest) (*configpb.StatusResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, replicaTimeout)
 	defer cancel()
-	logStatus, err := query(ctx, s.replica, func() consensus.Status { return s.replica.node.Status(time.Now()) })
+	logStatus, err := callOnLoop(ctx, s.replica, func() consensus.Status { return s.replica.node.Status(time.Now()) })
 	if err != nil {
 		return nil, status.Error(codes.Unavailable, err.Error())
 	}
@@ -91,12 +92,12 @@
 // member returns the member with a raft id.
 func (s *service) member(id uint64) Member { return findMember(s.members, id) }
 
-// findMember returns the member with a raft id. It panics if there is none, which consensus excludes when it opens a log.
+// findMember returns the member with a raft id. It panics if there is none; consensus.New rejects a log with such a member.
 func findMember(members []Member, id uint64) Member {
 	for _, m := range members {
 		if m.ID == id {
 			return m
 		}
 	}
-	panic(fmt.Sprintf("controlserver: member %d is not in the options", id))
+	panic(fmt.Sprintf("controlserver: raft member %d is not in Options.Members", id))
 }
--- a/internal/controlplane/controlserver/drop_log.go
+++ b/internal/controlplane/controlserver/drop_log.go
@@ -2,27 +2,27 @@
 
 import "log/slog"
 
-// dropLogger logs how many messages between control machines were dropped since its last log line.
+// dropLogger periodically logs how many messages between control machines were dropped since the previous call.
 type dropLogger struct {
-	envelopes EnvelopeCounts // received, when last logged
-	dropped   uint64         // outgoing, when last logged
+	envelopes EnvelopeCounts // received, at the previous call
+	dropped   uint64         // outgoing messages, at the previous call
 }
 
-// logChanges logs the messages dropped since its last call, if any.
-func (r *dropLogger) logChanges(logger *slog.Logger, envelopes EnvelopeCounts, dropped uint64) {
-	before := r.envelopes
-	r.envelopes = envelopes
-	bad := EnvelopeCounts{
+// logNewDrops logs the number of messages dropped since the previous call, if any.
+func (l *dropLogger) logNewDrops(logger *slog.Logger, envelopes EnvelopeCounts, dropped uint64) {
+	before := l.envelopes
+	l.envelopes = envelopes
+	invalid := EnvelopeCounts{
 		Foreign:    envelopes.Foreign - before.Foreign,
 		Oversized:  envelopes.Oversized - before.Oversized,
 		Unreadable: envelopes.Unreadable - before.Unreadable,
 	}
-	if bad != (EnvelopeCounts{}) {
-		logger.Warn("messages of control machines dropped", "foreign", bad.Foreign, "oversized", bad.Oversized,
-			"unreadable", bad.Unreadable)
+	if invalid != (EnvelopeCounts{}) {
+		logger.Warn("dropped invalid messages from other control machines", "foreign", invalid.Foreign,
+			"oversized", invalid.Oversized, "unreadable", invalid.Unreadable)
 	}
-	if dropped > r.dropped {
-		logger.Warn("messages to control machines dropped by a full outbox", "count", dropped-r.dropped)
+	if dropped > l.dropped {
+		logger.Warn("dropped messages to other control machines because the outbox was full", "count", dropped-l.dropped)
 	}
-	r.dropped = dropped
+	l.dropped = dropped
 }
--- a/internal/controlplane/controlserver/forward.go
+++ b/internal/controlplane/controlserver/forward.go
@@ -4,19 +4,21 @@
 	"context"
 	"errors"
 	"fmt"
-	"mothrouter/internal/controlplane/configpb"
 	"sync/atomic"
 	"time"
 
 	"google.golang.org/grpc"
 	"google.golang.org/grpc/connectivity"
 	"google.golang.org/grpc/metadata"
+
+	"mothrouter/internal/controlplane/configpb"
 )
 
-// errLeaderChanged is the error of a publication that was forwarded to a leader which is no longer the leader.
+// errLeaderChanged is the error of a publication that was forwarded to a control machine that is no longer the leader.
 var errLeaderChanged = errors.New("the leader changed after the publication was forwarded")
 
-// forwardToLeader forwards a publication to the leader, unless it was forwarded before, and ends when the leader changes.
+// forwardToLeader forwards a publication to the leader. It rejects one that another control machine has forwarded here, and
+// stops waiting for the response when the leader changes.
 func (p *publisher) forwardToLeader(ctx context.Context, leader uint64, request *configpb.PublishRequest) (
 	*configpb.PublishResponse, error) {
 	if leader == 0 {
@@ -39,8 +41,8 @@
 	return response, err
 }
 
-// waitForLeaderChange waits until the leader is another member than the given one, or the context ends, and reports
-// whether the leader has changed. Without it a publication forwarded to a lost leader would wait for its timeout.
+// waitForLeaderChange waits until the leader differs from the given one, or the context ends, and reports whether the
+// leader has changed. Without it a publication forwarded to a failed leader would wait for its timeout.
 func (p *publisher) waitForLeaderChange(ctx context.Context, leader uint64) bool {
 	for {
 		select {
@@ -54,7 +56,7 @@
 	}
 }
 
-// forward sends a publication to the leader over the existing connection. It does not wait for a connection.
+// forward sends a publication to the leader over the existing connection, and fails at once if it is not ready.
 func (t *transport) forward(ctx context.Context, leader uint64, request *configpb.PublishRequest) (
 	*configpb.PublishResponse, error) {
 	p := t.peers[leader]
--- a/internal/controlplane/controlserver/machine.go
+++ b/internal/controlplane/controlserver/machine.go
@@ -19,34 +19,34 @@
 )
 
 const (
-	// maxConnections is the maximum number of connections of brokers and operators: one per session of the hub, and 100
+	// maxConnections is the maximum number of connections from brokers and operators: one per session of the hub, and 100
 	// for operators.
 	maxConnections = distribution.MaxSessions + 100
 
-	// maxPeerConnections is the maximum number of connections of peers: two for each of 8 members, whose previous
-	// connections may not have ended yet.
+	// maxPeerConnections is the maximum number of connections from peers: two for each of 8 members, because a member's
+	// previous connection may not have ended when it reconnects.
 	maxPeerConnections = 16
 
 	// minPingInterval is the minimum interval between keepalive pings that a server accepts: half of pingInterval.
 	minPingInterval = pingInterval / 2
 
-	// drainTimeout is the maximum time that a machine waits at shutdown for publications in progress.
+	// drainTimeout limits how long a control machine waits at shutdown for publications in progress.
 	drainTimeout = 2 * time.Second
 )
 
-// machine is the components of a control machine on an open log.
-type machine struct {
-	options  Options
-	self     Member
-	node     *consensus.Node
-	replica  *replica
-	streams  *transport
-	receiver *receiver
-	service  *service
+// controlMachine holds the components of a control machine with an open raft log.
+type controlMachine struct {
+	options   Options
+	self      Member
+	node      *consensus.Node
+	replica   *replica
+	transport *transport
+	receiver  *receiver
+	service   *service
 }
 
-// newMachine creates the components. The transport is started, and closed by serve.
-func newMachine(o Options, self Member, peers []peerAddress, log *raftlog.Log) (*machine, error) {
+// newControlMachine creates the components and starts the transport, which serve closes.
+func newControlMachine(o Options, self Member, peers []peerAddress, log *raftlog.Log) (*controlMachine, error) {
 	node, err := consensus.New(consensus.Options{
 		ID:           self.ID,
 		Members:      memberIDs(o.Members),
@@ -58,38 +58,38 @@
 		return nil, err
 	}
 	fleet := plane.FleetFingerprint(o.Fleet)
-	streams, err := newTransport(fleet, self.ID, peers, o.Logger)
+	transport, err := newTransport(fleet, self.ID, peers, o.Logger)
 	if err != nil {
 		return nil, err
 	}
 	hub := confighub.New(o.Logger)
-	owner := newReplica(node, log, hub, o.Logger)
-	owner.send = streams.send
-	owner.memberName = func(id uint64) string { return findMember(o.Members, id).Name }
-	received := newReceiver(fleet, self.ID, peers, owner.enqueue)
-	return &machine{
-		options:  o,
-		self:     self,
-		node:     node,
-		replica:  owner,
-		streams:  streams,
-		receiver: received,
-		service:  newService(o, self, owner, hub, received, streams),
+	replica := newReplica(node, log, hub, o.Logger)
+	replica.send = transport.send
+	replica.memberName = func(id uint64) string { return findMember(o.Members, id).Name }
+	receiver := newReceiver(fleet, self.ID, peers, replica.enqueue)
+	return &controlMachine{
+		options:   o,
+		self:      self,
+		node:      node,
+		replica:   replica,
+		transport: transport,
+		receiver:  receiver,
+		service:   newService(o, self, replica, hub, receiver, transport),
 	}, nil
 }
 
-// newService creates the Control service of a machine.
-func newService(o Options, self Member, owner *replica, hub *confighub.Hub, received *receiver,
-	streams *transport) *service {
+// newService creates the Control service of a control machine.
+func newService(o Options, self Member, replica *replica, hub *confighub.Hub, receiver *receiver,
+	transport *transport) *service {
 	s := &service{
-		publisher: newPublisher(self.ID, owner, o.Validate),
+		publisher: newPublisher(self.ID, replica, o.Validate),
 		self:      self,
 		members:   o.Members,
-		replica:   owner,
+		replica:   replica,
 		hub:       hub,
-		reachable: received.reachable,
+		reachable: receiver.reachable,
 	}
-	s.forward = streams.forward
+	s.forward = transport.forward
 	s.describeMember = func(id uint64) string {
 		member := s.member(id)
 		return fmt.Sprintf("%s at %s", member.Name, member.Address)
@@ -97,17 +97,17 @@
 	return s
 }
 
-// serve runs the components until the context ends or one of them fails, and then stops them. Its error is that of the
-// component and names the machine and its log.
-func (m *machine) serve(ctx context.Context) error {
-	defer m.streams.close()
-	brokers := newBrokerServer(m.service)
-	members := newPeerServer(m.service, m.receiver)
+// serve runs the components until the context ends or one of them fails, and then stops them. Its error wraps that of the
+// component and names the control machine and its raft log.
+func (m *controlMachine) serve(ctx context.Context) error {
+	defer m.transport.close()
+	brokerServer := newBrokerServer(m.service)
+	peerServer := newPeerServer(m.service, m.receiver)
 	failed := make(chan error, 3) // one for each component, so that none blocks
 	listener := netutil.LimitListener(m.options.Listener, maxConnections)
-	go func() { failed <- brokers.Serve(listener) }()
+	go func() { failed <- brokerServer.Serve(listener) }()
 	peerListener := netutil.LimitListener(m.options.PeerListener, maxPeerConnections)
-	go func() { failed <- members.Serve(peerListener) }()
+	go func() { failed <- peerServer.Serve(peerListener) }()
 	replicaCtx, stopReplica := context.WithCancel(context.Background())
 	defer stopReplica()
 	go func() { failed <- m.replica.run(replicaCtx) }()
@@ -116,25 +116,25 @@
 	err := m.waitUntilStopped(ctx, failed)
 	stopReplica()
 	<-m.replica.ended
-	brokers.Stop()
-	members.Stop()
+	brokerServer.Stop()
+	peerServer.Stop()
 	if err != nil {
-		return fmt.Errorf("control machine %s stops, with its log at %s: %w", m.self.Name,
+		return fmt.Errorf("control machine %s failed (raft log %s): %w", m.self.Name,
 			filepath.Join(m.options.Folder, LogFileName), err)
 	}
-	m.options.Logger.Info("control machine ended", "name", m.self.Name)
+	m.options.Logger.Info("control machine stopped", "name", m.self.Name)
 	return nil
 }
 
-func (m *machine) logStarted() {
+func (m *controlMachine) logStarted() {
 	m.options.Logger.Info("control machine started", "name", m.self.Name, "id", m.self.ID,
 		"listen", m.options.Listener.Addr().String(), "peers", m.options.PeerListener.Addr().String(),
 		"newest", m.node.Machine().Number())
 }
 
-// waitUntilStopped waits until a component fails, and returns its error, or until the context ends and the publications
-// in progress have ended, at most drainTimeout. It logs dropped messages every dropLogInterval.
-func (m *machine) waitUntilStopped(ctx context.Context, failed <-chan error) error {
+// waitUntilStopped waits until a component fails, and returns its error, or until the context ends. After the end of the
+// context it waits at most drainTimeout for the publications in progress. It logs dropped messages every dropLogInterval.
+func (m *controlMachine) waitUntilStopped(ctx context.Context, failed <-chan error) error {
 	ticker := time.NewTicker(dropLogInterval)
 	defer ticker.Stop()
 	drops := &dropLogger{}
@@ -146,7 +146,7 @@
 		case err := <-failed:
 			return err
 		case <-ticker.C:
-			drops.logChanges(m.options.Logger, m.receiver.envelopes(), m.streams.droppedCount())
+			drops.logNewDrops(m.options.Logger, m.receiver.envelopeCounts(), m.transport.droppedCount())
 		}
 	}
 }
@@ -167,21 +167,21 @@
 	return ids
 }
 
-// newBrokerServer returns the server of brokers and operators.
+// newBrokerServer returns the gRPC server for brokers and operators.
 func newBrokerServer(control *service) *grpc.Server {
 	server := grpc.NewServer(confighub.ServerOptions()...)
 	configpb.RegisterControlServer(server, control)
 	return server
 }
 
-// newPeerServer returns the server of the other members, for raft messages and forwarded publications.
-func newPeerServer(control *service, received *receiver) *grpc.Server {
+// newPeerServer returns the gRPC server for the other members. It receives raft messages and forwarded publications.
+func newPeerServer(control *service, receiver *receiver) *grpc.Server {
 	server := grpc.NewServer(
 		grpc.MaxRecvMsgSize(maxPeerMessageBytes),
 		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: minPingInterval, PermitWithoutStream: true}),
 		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingInterval, Timeout: pingTimeout}),
 	)
 	configpb.RegisterControlServer(server, control)
-	configpb.RegisterConsensusServer(server, received)
+	configpb.RegisterConsensusServer(server, receiver)
 	return server
 }
--- a/internal/controlplane/controlserver/outbox.go
+++ b/internal/controlplane/controlserver/outbox.go
@@ -7,27 +7,27 @@
 )
 
 const (
-	// MaxQueuedMessages is the maximum number of messages queued for one peer: a leader sends a handful per heartbeat, so
-	// these are minutes without a connection.
+	// MaxQueuedMessages is the maximum number of messages queued for one peer. A leader sends a few per heartbeat, so the
+	// queue fills up after minutes without a connection.
 	MaxQueuedMessages = 1024
-	// MaxQueuedBytes bounds the messages queued for one peer: one snapshot and 8 MiB of entries.
+	// MaxQueuedBytes is the maximum total size of the messages queued for one peer: one snapshot and 8 MiB of entries.
 	MaxQueuedBytes = consensus.MaxMessageBytes + 8<<20
 )
 
-// outbox is the bounded queue of messages to one peer. When it is full it drops the oldest: raft retries, and a newer
-// message supersedes an older one. It is safe for concurrent use.
+// outbox is the bounded queue of messages to one peer. When it is full it drops the oldest message: raft retries, and a
+// newer message supersedes an older one. It is safe for concurrent use.
 type outbox struct {
-	mu       sync.Mutex // guards the next three
+	mu       sync.Mutex // guards messages, bytes and dropped
 	messages [][]byte   // oldest first
-	bytes    int        // of messages
-	dropped  uint64     // messages so far
+	bytes    int        // total size of messages
+	dropped  uint64     // number of messages dropped so far
 
-	ready chan struct{} // capacity 1; has a value after each push
+	ready chan struct{} // capacity 1; receives a value after each push
 }
 
 func newOutbox() *outbox { return &outbox{ready: make(chan struct{}, 1)} }
 
-// push appends an encoded message and drops the oldest beyond the limits.
+// push appends an encoded message, and drops the oldest messages while a limit is exceeded.
 func (o *outbox) push(message []byte) {
 	o.mu.Lock()
 	o.messages = append(o.messages, message)
@@ -39,7 +39,7 @@
 	o.mu.Unlock()
 	select {
 	case o.ready <- struct{}{}:
-	default: // it has a value already
+	default: // already signaled
 	}
 }
 
--- a/internal/controlplane/controlserver/publish.go
+++ b/internal/controlplane/controlserver/publish.go
@@ -15,45 +15,47 @@
 )
 
 const (
-	// publishTimeout is the maximum duration of a publication: of its read barrier and its proposal.
+	// publishTimeout is the maximum duration of a publication, which consists of a read barrier and a proposal.
 	publishTimeout = consensus.ReadTimeout + consensus.ProposalTimeout
 
-	// leaderCheckInterval is the interval at which a machine that has forwarded a publication checks for a new leader.
+	// leaderCheckInterval is the interval at which a control machine that waits for a forwarded publication checks for a
+	// new leader.
 	leaderCheckInterval = 200 * time.Millisecond
 
-	// forwardedKey is the metadata key of a publication forwarded by another control machine, which is not forwarded again.
+	// forwardedKey is the gRPC metadata key that marks a publication as forwarded, so that it is not forwarded again.
 	forwardedKey = "mothrouter-forwarded"
 
-	// Keys of rejections that name no key of the document.
+	// Keys of rejections that do not concern a key in the document.
 	keyDocument = "document"
 	keyRequest  = "request"
 	keyExpected = "expected"
 )
 
-// Validate validates a document and its changes from the newest revision's document, nil before the first revision. It
-// returns the rejection with the invalid key, or nil.
-type Validate func(document, newest []byte) *configpb.Refusal
+// ValidateFunc validates a document and its changes from the newest revision's document, which is nil before the first
+// revision. It returns a rejection with the invalid key, or nil.
+type ValidateFunc func(document, newest []byte) *configpb.Refusal
 
-// publisher serves publications. A machine that is not the leader forwards a publication to the leader, once: an operator
-// then needs to reach only one machine, in any region, and the leader alone sets the publication time.
+// publisher handles publications. A control machine that is not the leader forwards a publication to the leader, so that
+// an operator needs to reach only one control machine, in any region. A publication is forwarded at most once. Only the
+// leader sets the publication time.
 type publisher struct {
-	self           uint64
+	self           uint64 // raft id
 	replica        *replica
-	validate       Validate
+	validate       ValidateFunc
 	forward        func(ctx context.Context, leader uint64, request *configpb.PublishRequest) (*configpb.PublishResponse, error)
-	describeMember func(id uint64) string // for errors
+	describeMember func(id uint64) string // returns name and address, for errors
 
 	mu         sync.Mutex // guards the fields below
 	stopping   bool
-	inProgress int           // publications
-	drained    chan struct{} // closed when stopping and none is in progress
+	inProgress int           // number of publications
+	drained    chan struct{} // closed when stopping and no publication is in progress
 }
 
-func newPublisher(self uint64, replica *replica, validate Validate) *publisher {
+func newPublisher(self uint64, replica *replica, validate ValidateFunc) *publisher {
 	return &publisher{self: self, replica: replica, validate: validate, drained: make(chan struct{})}
 }
 
-// publish returns when a publication is committed, rejected, or ended by its timeout. Its errors are gRPC statuses.
+// publish publishes a document and returns when it is committed or rejected, or on timeout. Its errors are gRPC statuses.
 func (p *publisher) publish(ctx context.Context, request *configpb.PublishRequest) (*configpb.PublishResponse, error) {
 	if !p.begin() {
 		return nil, notAppendedError("%v", errStopping)
@@ -82,7 +84,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return responseOf(outcome)
+	return outcomeResponse(outcome)
 }
 
 // checkRequest returns the rejection of a malformed request, or nil.
@@ -128,27 +130,27 @@
 	}
 }
 
-// leader returns the id of the leader, 0 if none is known.
+// leader returns the raft id of the leader; 0: unknown.
 func (p *publisher) leader(ctx context.Context) (uint64, error) {
-	return query(ctx, p.replica, func() uint64 { return p.replica.node.Leader() })
+	return callOnLoop(ctx, p.replica, func() uint64 { return p.replica.node.Leader() })
 }
 
-// newest returns the newest applied revision, nil before the first.
+// newest returns the newest applied revision, or nil before the first.
 func (p *publisher) newest(ctx context.Context) (*configpb.Revision, error) {
-	return query(ctx, p.replica, func() *configpb.Revision { return p.replica.node.Machine().Newest() })
+	return callOnLoop(ctx, p.replica, func() *configpb.Revision { return p.replica.node.Machine().Newest() })
 }
 
-// appendToLog proposes a document that was validated against a revision, nil for none, and adds the publisher that waits
-// for its outcome. It runs on the replica's goroutine.
-func (p *publisher) appendToLog(request *configpb.PublishRequest, validated *configpb.Revision,
-	publisher chan<- consensus.ProposalOutcome) error {
+// appendToLog proposes a document and registers the channel that receives its outcome. The document was validated against
+// the revision validatedAgainst, nil for none. It runs on the replica's goroutine.
+func (p *publisher) appendToLog(request *configpb.PublishRequest, validatedAgainst *configpb.Revision,
+	result chan<- consensus.ProposalOutcome) error {
 	r := p.replica
 	newest := r.node.Machine().Number()
-	if validated == nil && newest != 0 { // validated without a revision to compare with
+	if validatedAgainst == nil && newest != 0 { // the first revision was applied after the validation
 		return errFirstRevisionPending
 	}
 	checksum := configpb.Checksum(request.GetDocument())
-	if err := r.publications.check(request.GetRequest(), checksum, newest); err != nil {
+	if err := r.publications.checkAdmission(request.GetRequest(), checksum, newest); err != nil {
 		return err
 	}
 	err := r.node.Propose(&configpb.Command{
@@ -158,12 +160,12 @@
 		PublishedUnixMs: time.Now().UnixMilli(),
 	})
 	if err == nil {
-		r.publications.add(request.GetRequest(), checksum, publisher)
+		r.publications.add(request.GetRequest(), checksum, result)
 	}
 	return err
 }
 
-// begin counts a publication in progress. It reports false when this machine is stopping.
+// begin counts a publication as in progress. It returns false if this control machine is stopping.
 func (p *publisher) begin() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -173,7 +175,7 @@
 	return !p.stopping
 }
 
-// finish ends a publication that begin has counted.
+// finish ends a publication for which begin returned true.
 func (p *publisher) finish() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -182,7 +184,7 @@
 	}
 }
 
-// drain rejects further publications. The channel that it returns is closed when none is in progress.
+// drain rejects further publications. The returned channel is closed when no publication is in progress.
 func (p *publisher) drain() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/controlplane/controlserver/publish_status.go
+++ b/internal/controlplane/controlserver/publish_status.go
@@ -3,14 +3,15 @@
 import (
 	"errors"
 	"fmt"
-	"mothrouter/internal/controlplane/configpb"
-	"mothrouter/internal/controlplane/consensus"
-	"mothrouter/internal/controlplane/revision"
 
 	"google.golang.org/genproto/googleapis/rpc/errdetails"
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 	"google.golang.org/protobuf/protoadapt"
+
+	"mothrouter/internal/controlplane/configpb"
+	"mothrouter/internal/controlplane/consensus"
+	"mothrouter/internal/controlplane/revision"
 )
 
 // statusOfProposeError returns the error of a publication that was not appended: a NotLeaderError or a gRPC status.
@@ -27,8 +28,8 @@
 	return notAppendedError("%v", err)
 }
 
-// responseOf returns the response, or the gRPC status, for the outcome of a proposal.
-func responseOf(outcome consensus.ProposalOutcome) (*configpb.PublishResponse, error) {
+// outcomeResponse returns the response, or the gRPC status, for the outcome of a proposal.
+func outcomeResponse(outcome consensus.ProposalOutcome) (*configpb.PublishResponse, error) {
 	if outcome.Err != nil {
 		return nil, outcomeUnknownError(outcome.Err)
 	}
@@ -45,13 +46,14 @@
 	}
 }
 
-// notAppendedError returns status UNAVAILABLE for a publication that is certainly not in the log.
+// notAppendedError returns status UNAVAILABLE for a publication that has certainly not been appended to the
+// raft log.
 func notAppendedError(format string, arguments ...any) error {
 	return withDetails(status.Newf(codes.Unavailable, format, arguments...),
 		&errdetails.ErrorInfo{Reason: configpb.NotAppended, Domain: configpb.ErrorDomain})
 }
 
-// outcomeUnknownError returns status DEADLINE_EXCEEDED for a publication that may be committed or not.
+// outcomeUnknownError returns status DEADLINE_EXCEEDED for a publication that may or may not be committed.
 func outcomeUnknownError(err error) error {
 	return status.Errorf(codes.DeadlineExceeded, "the publication may be committed or not: %v", err)
 }
--- a/internal/controlplane/controlserver/receive.go
+++ b/internal/controlplane/controlserver/receive.go
@@ -17,27 +17,27 @@
 )
 
 // maxPeerMessageBytes is the maximum size of a gRPC message from a peer: 1 MiB above the limit of a raft message, so that
-// a slightly oversized envelope is counted and dropped without the loss of its stream.
+// a slightly oversized envelope is counted and dropped without ending its stream.
 const maxPeerMessageBytes = consensus.MaxMessageBytes + 1<<20
 
 // EnvelopeCounts counts the received envelopes by result.
 type EnvelopeCounts struct {
 	Accepted   uint64 // with a message for the replica
-	Foreign    uint64 // from another fleet, from no member, or for another machine
-	Oversized  uint64 // with a message beyond consensus.MaxMessageBytes
-	Unreadable uint64 // with a message that does not decode
+	Foreign    uint64 // from another fleet, from a sender that is no peer, or for another control machine
+	Oversized  uint64 // with a message larger than consensus.MaxMessageBytes
+	Unreadable uint64 // with a message that cannot be decoded
 }
 
 // receiver implements the Consensus service: it checks the envelopes of peers and passes their messages to the replica.
 type receiver struct {
 	configpb.UnimplementedConsensusServer
-	fleet   uint64 // fingerprint
-	self    uint64
+	fleet   uint64                                       // fingerprint
+	self    uint64                                       // raft id
 	deliver func(context.Context, *raftpb.Message) error // may block
 
 	mu             sync.Mutex // guards the fields below
 	counts         EnvelopeCounts
-	lastEnvelopeAt map[uint64]time.Time // by peer id, zero before the first; has all peers
+	lastEnvelopeAt map[uint64]time.Time // by raft id, with an entry for each peer; zero: none yet
 }
 
 func newReceiver(fleet, self uint64, peers []peerAddress,
@@ -49,8 +49,8 @@
 	return r
 }
 
-// Send receives envelopes until the stream ends. It does not read ahead of the replica, which is backpressure by gRPC's
-// flow control.
+// Send receives envelopes until the stream ends. It does not read ahead of the replica, so that gRPC's flow control exerts
+// backpressure on the peer.
 func (r *receiver) Send(stream grpc.ClientStreamingServer[configpb.Envelope, configpb.Received]) error {
 	for {
 		envelope, err := stream.Recv()
@@ -59,7 +59,7 @@
 		}
 		if err != nil {
 			if status.Code(err) == codes.ResourceExhausted {
-				r.count(func(c *EnvelopeCounts) { c.Oversized++ })
+				r.updateCounts(func(c *EnvelopeCounts) { c.Oversized++ })
 			}
 			return err
 		}
@@ -73,7 +73,7 @@
 	}
 }
 
-// openEnvelope counts an envelope and returns its message, or nil if it has none or is dropped.
+// openEnvelope counts an envelope and returns its message, or nil if the envelope is a keepalive or invalid.
 func (r *receiver) openEnvelope(now time.Time, envelope *configpb.Envelope) *raftpb.Message {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,15 +102,15 @@
 	return message
 }
 
-// count changes the counts.
-func (r *receiver) count(change func(*EnvelopeCounts)) {
+// updateCounts modifies the counts.
+func (r *receiver) updateCounts(change func(*EnvelopeCounts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.counts)
 }
 
-// envelopes returns the counts so far.
-func (r *receiver) envelopes() EnvelopeCounts {
+// envelopeCounts returns the counts so far.
+func (r *receiver) envelopeCounts() EnvelopeCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.counts
--- a/internal/controlplane/controlserver/receive_test.go
+++ b/internal/controlplane/controlserver/receive_test.go
@@ -47,7 +47,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			r := newReceiver(fleet, 1, []peerAddress{{id: 2}, {id: 3}}, nil)
 			message := r.openEnvelope(now, c.envelope)
-			require.Equal(t, c.counts, r.envelopes())
+			require.Equal(t, c.counts, r.envelopeCounts())
 			require.Equal(t, c.counts.Accepted == 1, message != nil)
 		})
 	}
@@ -62,5 +62,5 @@
 	require.False(t, r.reachable(now.Add(reachableTimeout+time.Millisecond), 2))
 	require.False(t, r.reachable(now, 3))
 	r.openEnvelope(now, &configpb.Envelope{Fleet: 8, From: 3})
-	require.False(t, r.reachable(now, 3), "of another fleet")
+	require.False(t, r.reachable(now, 3), "the envelope is of another fleet")
 }
--- a/internal/controlplane/controlserver/replica.go
+++ b/internal/controlplane/controlserver/replica.go
@@ -17,18 +17,19 @@
 )
 
 const (
-	// maxInbox is the maximum number of messages from peers that wait for the replica. Their streams are not read while it
-	// is full.
+	// maxInbox is the maximum number of messages from peers that wait for the replica. While the inbox is full, the peers'
+	// streams are not read.
 	maxInbox = 64
-	// maxCalls is the maximum number of function calls of handlers that wait for the replica.
+	// maxCalls is the maximum number of functions that handlers have queued for the replica's goroutine.
 	maxCalls = 64
-	// maxMessagesPerSync is the maximum number of messages stepped before their entries are persisted with one sync.
+	// maxMessagesPerSync is the maximum number of messages that are processed before their entries are persisted with one
+	// sync.
 	maxMessagesPerSync = 32
 	// dropLogInterval is the interval at which dropped messages are logged.
 	dropLogInterval = time.Minute
 )
 
-// errStopping is the error of calls to a replica whose run has returned.
+// errStopping is the error of calls that are made while the control machine stops or after its replica has stopped.
 var errStopping = errors.New("this control machine is stopping")
 
 // storage is the storage of the raft log: raftlog.Log, except in tests.
@@ -40,16 +41,16 @@
 
 var _ storage = (*raftlog.Log)(nil)
 
-// replica is the goroutine that owns the consensus node, its state machine and the raft log. Other goroutines communicate
-// with it through bounded channels.
+// replica owns the consensus node, its state machine and the raft log, and runs them on one goroutine. Other goroutines
+// communicate with it through bounded channels.
 type replica struct {
 	node         *consensus.Node
 	storage      storage
 	send         func(*raftpb.Message)  // must not block
-	memberName   func(id uint64) string // of a member, for logs
+	memberName   func(id uint64) string // for logs
 	hub          *confighub.Hub
 	logger       *slog.Logger
-	tickInterval time.Duration // of node
+	tickInterval time.Duration // of node.Tick
 
 	inbox chan *raftpb.Message
 	calls chan func()
@@ -58,8 +59,8 @@
 	publications   publications
 	reads          map[uint64]chan<- consensus.ReadOutcome // by id, at most consensus.MaxReads
 	lastReadID     uint64
-	hubNewest      uint64 // number of the newest revision passed to hub
-	loggedLeader   uint64 // id, as last logged
+	hubNewest      uint64 // number of the newest revision that was passed to hub
+	loggedLeader   uint64 // raft id in the last log line on the leader; 0: none
 	malformedCount uint64 // messages rejected by the node
 }
 
@@ -75,7 +76,7 @@
 }
 
 // run drives the node until the context ends, the storage fails or the node stops. Its error is that of the storage or
-// of consensus.Node.Err.
+// consensus.Node.Err.
 func (r *replica) run(ctx context.Context) error {
 	defer close(r.ended)
 	ticks := time.NewTicker(r.tickInterval)
@@ -98,12 +99,12 @@
 	}
 }
 
-// stepBatch steps the node with a message and those waiting in the inbox, at most maxMessagesPerSync.
+// stepBatch passes a message and those waiting in the inbox to the node, at most maxMessagesPerSync in total.
 func (r *replica) stepBatch(message *raftpb.Message) {
 	for range maxMessagesPerSync {
 		if err := r.node.Step(message); errors.Is(err, consensus.ErrMalformedMessage) {
 			r.malformedCount++
-			r.logger.Warn("message of a control machine rejected", "error", err)
+			r.logger.Warn("rejected malformed raft message", "error", err)
 		}
 		select {
 		case message = <-r.inbox:
@@ -113,7 +114,7 @@
 	}
 }
 
-// processReady processes Ready of the node until there is none, and updates the hub.
+// processReady persists, sends and applies what is ready at the node until nothing is, and updates the hub.
 func (r *replica) processReady() error {
 	for ready := r.node.Ready(); ready != nil; ready = r.node.Ready() {
 		if err := r.save(ready); err != nil {
@@ -132,17 +133,17 @@
 	return nil
 }
 
-// save persists what has to be durable before the messages are sent.
+// save persists what must be durable before the messages are sent.
 func (r *replica) save(ready *consensus.Ready) error {
-	hasState := !raft.IsEmptyHardState(ready.HardState) || len(ready.Entries) > 0 || !raft.IsEmptySnap(ready.Snapshot)
-	if hasState {
+	needsSave := !raft.IsEmptyHardState(ready.HardState) || len(ready.Entries) > 0 || !raft.IsEmptySnap(ready.Snapshot)
+	if needsSave {
 		if err := r.storage.Save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
-			return fmt.Errorf("writing the log: %w", err)
+			return fmt.Errorf("writing the raft log: %w", err)
 		}
 	}
 	if compaction := ready.Compaction; compaction != nil {
 		if err := r.storage.Compact(compaction.Snapshot, compaction.FirstIndex); err != nil {
-			return fmt.Errorf("compacting the log: %w", err)
+			return fmt.Errorf("compacting the raft log: %w", err)
 		}
 	}
 	return nil
@@ -167,7 +168,7 @@
 	}
 }
 
-// updateHub passes the newest revision to the hub, and when a quorum last confirmed it.
+// updateHub passes the newest revision and the time of the last confirmation by a quorum to the hub.
 func (r *replica) updateHub() {
 	now := time.Now()
 	var confirmedAt time.Time
@@ -184,15 +185,15 @@
 	}
 }
 
-// logLeaderChange logs the leader if it differs from the last logged one.
+// logLeaderChange logs the leader if it has changed since the last log line.
 func (r *replica) logLeaderChange() {
 	if leader := r.node.Leader(); leader != r.loggedLeader {
 		r.loggedLeader = leader
 		if leader == 0 {
-			r.logger.Warn("no leader")
+			r.logger.Warn("no raft leader")
 			return
 		}
-		r.logger.Info("leader known", "leader", r.memberName(leader))
+		r.logger.Info("raft leader changed", "leader", r.memberName(leader))
 	}
 }
 
@@ -208,8 +209,8 @@
 	}
 }
 
-// runOnLoop runs a function on the replica's goroutine and returns when it has run. If it returns an error, the context's
-// or errStopping, the function may still run.
+// runOnLoop runs a function on the replica's goroutine and returns when it has run. Its error is the context's or
+// errStopping; the function may then still run.
 func (r *replica) runOnLoop(ctx context.Context, call func()) error {
 	done := make(chan struct{})
 	select {
@@ -229,8 +230,8 @@
 	}
 }
 
-// query returns the result of a function that runs on the replica's goroutine. Its error is that of runOnLoop.
-func query[T any](ctx context.Context, r *replica, call func() T) (T, error) {
+// callOnLoop returns the result of a function that runs on the replica's goroutine. Its error is that of runOnLoop.
+func callOnLoop[T any](ctx context.Context, r *replica, call func() T) (T, error) {
 	result := make(chan T, 1)
 	if err := r.runOnLoop(ctx, func() { result <- call() }); err != nil {
 		var none T
@@ -239,9 +240,9 @@
 	return <-result, nil
 }
 
-// barrier is a linearizable read: it returns when this machine has applied every publication acknowledged before the
-// call. Its error is that of consensus.Node.Read, of the read's outcome, the context's or errStopping; this machine may
-// lag then.
+// barrier is a linearizable read: it returns when this control machine has applied every publication acknowledged before
+// the call. Its error is that of consensus.Node.Read, of the read's outcome, the context's or errStopping; this control
+// machine's state may then be out of date.
 func (r *replica) barrier(ctx context.Context) error {
 	result := make(chan consensus.ReadOutcome, 1)
 	var readErr error
--- a/internal/controlplane/controlserver/replica_test.go
+++ b/internal/controlplane/controlserver/replica_test.go
@@ -17,9 +17,9 @@
 	"mothrouter/internal/controlplane/raftlog"
 )
 
-var errDisk = errors.New("the disk fails")
+var errDisk = errors.New("injected disk failure")
 
-// failingStorage is a log whose Save fails after a signal.
+// failingStorage is a raft log whose Save fails once a channel is closed.
 type failingStorage struct {
 	*raftlog.Log
 	failed chan struct{} // closed: Save fails
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestReplicaStopsOnStorageError checks that what is not persisted is not acknowledged, and that the replica returns the
-// storage's error.
+// TestReplicaStopsOnStorageError checks that a publication that is not persisted is not acknowledged, and that the replica
+// returns the error of the storage.
 func TestReplicaStopsOnStorageError(t *testing.T) {
 	log, err := raftlog.Create(t.TempDir()+"/"+LogFileName, raftlog.Options{Identity: raftlog.Identity{Fleet: 1, Node: 1}},
 		consensus.BootstrapSnapshot([]uint64{1}, nil))
@@ -44,7 +44,7 @@
 	disk := &failingStorage{log, make(chan struct{})}
 	node, err := consensus.New(consensus.Options{ID: 1, Members: []uint64{1}}, disk, time.Now())
 	require.NoError(t, err)
-	r := newReplica(node, disk, confighub.New(quiet()), quiet())
+	r := newReplica(node, disk, confighub.New(discardLogger()), discardLogger())
 	r.memberName = func(uint64) string { return "x" }
 	ended := make(chan error, 1)
 	go func() { ended <- r.run(t.Context()) }()
@@ -61,8 +61,8 @@
 	require.Error(t, publish(3), "a stopped replica accepts no publication")
 }
 
-// TestForwardedPublicationEndsOnLeaderChange forwards a publication to a leader that does not respond, while this machine
-// is the leader itself.
+// TestForwardedPublicationEndsOnLeaderChange forwards a publication to a former leader that does not respond, while this
+// control machine is the leader. Without the check for a leader change the publication would wait for its timeout.
 func TestForwardedPublicationEndsOnLeaderChange(t *testing.T) {
 	log, err := raftlog.Create(t.TempDir()+"/"+LogFileName, raftlog.Options{Identity: raftlog.Identity{Fleet: 1, Node: 1}},
 		consensus.BootstrapSnapshot([]uint64{1}, nil))
@@ -70,19 +70,19 @@
 	defer log.Close()
 	node, err := consensus.New(consensus.Options{ID: 1, Members: []uint64{1}}, log, time.Now())
 	require.NoError(t, err)
-	r := newReplica(node, log, confighub.New(quiet()), quiet())
+	r := newReplica(node, log, confighub.New(discardLogger()), discardLogger())
 	r.memberName = func(uint64) string { return "x" }
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- r.run(ctx) }()
 	p := newPublisher(1, r, rejectBad)
 	p.forward = func(ctx context.Context, _ uint64, _ *configpb.PublishRequest) (*configpb.PublishResponse, error) {
-		<-ctx.Done() // a leader that no longer responds
+		<-ctx.Done() // the former leader does not respond
 		return nil, ctx.Err()
 	}
-	const lostLeader = 2
+	const formerLeader = 2
 	startedAt := time.Now()
-	_, err = p.forwardToLeader(t.Context(), lostLeader, &configpb.PublishRequest{Request: 1, Document: []byte("one")})
+	_, err = p.forwardToLeader(t.Context(), formerLeader, &configpb.PublishRequest{Request: 1, Document: []byte("one")})
 	require.Equal(t, codes.DeadlineExceeded, status.Code(err))
 	require.ErrorContains(t, err, errLeaderChanged.Error())
 	require.Less(t, time.Since(startedAt), eventTimeout)
--- a/internal/controlplane/controlserver/server.go
+++ b/internal/controlplane/controlserver/server.go
@@ -1,10 +1,10 @@
 // Package controlserver runs a control machine: a member of the replicated log of configuration revisions that serves
-// brokers and operators. It drives internal/controlplane/consensus, internal/controlplane/raftlog and
-// internal/controlplane/confighub with gRPC, files and the clock.
+// brokers and operators. It connects internal/controlplane/consensus, internal/controlplane/raftlog and
+// internal/controlplane/confighub to gRPC, the file system and the clock.
 //
 // One goroutine, the replica, owns the consensus node, its state machine and the raft log. The gRPC handlers and the
-// streams of the other control machines communicate with it through bounded channels. A storage error stops this
-// machine only.
+// streams of the other control machines communicate with it through bounded channels. A storage error stops only this
+// control machine.
 package controlserver
 
 import (
@@ -27,32 +27,32 @@
 // Member is one control machine.
 type Member struct {
 	Name        string
-	ID          uint64 // raft id, not 0; must not be reused for another machine
-	Address     string // host:port, of its service for brokers and operators
-	PeerAddress string // host:port, of its service for the other members
-	Voter       bool   // in the bootstrap configuration; false: a learner, the spare
+	ID          uint64 // raft id, not 0; must not be reused for another control machine
+	Address     string // host:port of its server for brokers and operators
+	PeerAddress string // host:port of its server for the other members
+	Voter       bool   // in the bootstrap configuration; false: a learner (spare)
 }
 
 // Options are the options of a control machine.
 type Options struct {
-	Fleet        string // name; its fingerprint is in every envelope between members
-	Name         string // of this machine, one of Members
+	Fleet        string // name of the fleet; its fingerprint is in every envelope between members
+	Name         string // name of this control machine, one of Members
 	Members      []Member
-	Folder       string        // of the raft log; has to exist
-	Create       bool          // true: create the log, which must not exist; false: it has to exist
+	Folder       string        // directory of the raft log; must exist
+	Create       bool          // true: create the raft log, which must not exist; false: open it
 	VoterTimeout time.Duration // see consensus.Options
 	Listener     net.Listener  // for brokers and operators; closed by Run
 	PeerListener net.Listener  // for the other members; closed by Run
-	Validate     Validate      // of documents to publish
+	Validate     ValidateFunc  // for documents to publish
 	Logger       *slog.Logger
 }
 
-// ErrNoLog is the error of Run if the folder has no log and Options.Create is false.
-var ErrNoLog = errors.New("there is no log")
+// ErrNoLog is the error of Run if the folder has no raft log and Options.Create is false.
+var ErrNoLog = errors.New("raft log does not exist")
 
 // Run runs a control machine until the context ends or a component fails. Its error is that of the component, of the
-// options or of the log; nothing was acknowledged that is not persisted. It closes the listeners, so its options serve
-// one call.
+// options or of the raft log. Everything that was acknowledged has been persisted. It closes the listeners of the options,
+// so they cannot be used for another call.
 func Run(ctx context.Context, o Options) error {
 	defer o.Listener.Close()
 	defer o.PeerListener.Close()
@@ -64,14 +64,14 @@
 	if err != nil {
 		return err
 	}
-	m, err := newMachine(o, self, peers, log)
+	m, err := newControlMachine(o, self, peers, log)
 	if err == nil {
 		err = m.serve(ctx)
 	}
 	return errors.Join(err, log.Close())
 }
 
-// resolveMembers returns this machine and the addresses of the others.
+// resolveMembers returns this control machine and the addresses of the others.
 func (o Options) resolveMembers() (self Member, peers []peerAddress, err error) {
 	for _, m := range o.Members {
 		if m.Name == o.Name {
@@ -86,15 +86,15 @@
 	return self, peers, nil
 }
 
-// openLog opens or creates the log of the member with an id.
+// openLog opens or creates the raft log of the member with the given raft id.
 func (o Options) openLog(id uint64) (*raftlog.Log, error) {
 	path := filepath.Join(o.Folder, LogFileName)
 	options := raftlog.Options{Identity: raftlog.Identity{Fleet: plane.FleetFingerprint(o.Fleet), Node: id}}
 	if !o.Create {
 		log, err := raftlog.Open(path, options)
 		if errors.Is(err, raftlog.ErrNotExist) {
-			return nil, fmt.Errorf("%w in %s: a new one is made with --create, when the fleet of control machines is "+
-				"new; a machine that has lost its log must not come back with an empty one", ErrNoLog, o.Folder)
+			return nil, fmt.Errorf("%w in %s: use --create only for a new fleet of control machines; a control machine that "+
+				"has lost its log must not rejoin with an empty one", ErrNoLog, o.Folder)
 		}
 		return log, wrapLogError(path, err)
 	}
@@ -110,10 +110,10 @@
 	return log, wrapLogError(path, err)
 }
 
-// wrapLogError adds the path of the log to an error.
+// wrapLogError adds the path of the raft log to an error.
 func wrapLogError(path string, err error) error {
 	if err == nil {
 		return nil
 	}
-	return fmt.Errorf("the log %s: %w", path, err)
+	return fmt.Errorf("raft log %s: %w", path, err)
 }
--- a/internal/controlplane/controlserver/server_test.go
+++ b/internal/controlplane/controlserver/server_test.go
@@ -18,43 +18,43 @@
 	"mothrouter/internal/controlplane/revision"
 )
 
-// testMachines is control machines in this process.
-type testMachines struct {
+// testCluster is a cluster of control machines in this process.
+type testCluster struct {
 	members []Member
 	clients []configpb.ControlClient
-	ended   []chan error
+	ended   []chan error // receives the result of Run, by machine
 }
 
-// startMachines starts machines that validate with rejectBad.
-func startMachines(t *testing.T, count int) *testMachines {
-	r := &testMachines{}
+// startCluster starts control machines that validate documents with rejectBad.
+func startCluster(t *testing.T, count int) *testCluster {
+	cluster := &testCluster{}
 	var listeners [][2]net.Listener
 	for i := range count {
 		pair := [2]net.Listener{listen(t, "127.0.0.1:0"), listen(t, "127.0.0.1:0")}
 		listeners = append(listeners, pair)
-		r.members = append(r.members, Member{Name: fmt.Sprint("m", i+1), ID: uint64(i + 1), Voter: true,
+		cluster.members = append(cluster.members, Member{Name: fmt.Sprint("m", i+1), ID: uint64(i + 1), Voter: true,
 			Address: pair[0].Addr().String(), PeerAddress: pair[1].Addr().String()})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
+	var running sync.WaitGroup
 	t.Cleanup(func() {
 		cancel()
-		all.Wait()
+		running.Wait()
 	})
-	for i, m := range r.members {
+	for i, m := range cluster.members {
 		options := Options{
-			Fleet: "test", Name: m.Name, Members: r.members, Folder: t.TempDir(), Create: true, VoterTimeout: time.Minute,
-			Listener: listeners[i][0], PeerListener: listeners[i][1], Validate: rejectBad, Logger: quiet(),
+			Fleet: "test", Name: m.Name, Members: cluster.members, Folder: t.TempDir(), Create: true, VoterTimeout: time.Minute,
+			Listener: listeners[i][0], PeerListener: listeners[i][1], Validate: rejectBad, Logger: discardLogger(),
 		}
 		ended := make(chan error, 1)
-		r.ended = append(r.ended, ended)
-		all.Go(func() { ended <- Run(ctx, options) })
+		cluster.ended = append(cluster.ended, ended)
+		running.Go(func() { ended <- Run(ctx, options) })
 		conn, err := dial(m.Address)
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
-		r.clients = append(r.clients, configpb.NewControlClient(conn))
+		cluster.clients = append(cluster.clients, configpb.NewControlClient(conn))
 	}
-	return r
+	return cluster
 }
 
 // rejectBad rejects documents that begin with "bad".
@@ -65,19 +65,19 @@
 	return nil
 }
 
-// leader waits until all machines report the same leader, and returns its index.
-func (r *testMachines) leader(t *testing.T) int {
+// leader waits until all control machines report the same leader, and returns its index.
+func (c *testCluster) leader(t *testing.T) int {
 	leader := -1
 	require.Eventually(t, func() bool {
 		names := map[string]bool{}
-		for _, client := range r.clients {
+		for _, client := range c.clients {
 			s, err := client.Status(t.Context(), &configpb.StatusRequest{})
 			if err != nil {
 				return false
 			}
 			names[s.GetLeader()] = true
 		}
-		for i, m := range r.members {
+		for i, m := range c.members {
 			if len(names) == 1 && names[m.Name] {
 				leader = i
 				return true
@@ -94,7 +94,7 @@
 	return response.GetNumber(), err
 }
 
-// requireRejected requires the code and the key of a rejection.
+// requireRejected checks the status code of a rejection and its key.
 func requireRejected(t *testing.T, err error, code codes.Code, key string) {
 	t.Helper()
 	require.Equal(t, code, status.Code(err), "%v", err)
@@ -105,24 +105,24 @@
 	require.Equal(t, key, rejection.GetKey())
 }
 
-func TestPublishAtLeaderAndFollower(t *testing.T) {
+func TestPublishAtLeaderAndRaftFollower(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	t.Run("machines", func(t *testing.T) {
-		r := startMachines(t, 3)
-		leader := r.leader(t)
-		follower := r.clients[(leader+1)%3]
+	t.Run("cluster", func(t *testing.T) {
+		cluster := startCluster(t, 3)
+		leader := cluster.leader(t)
+		raftFollower := cluster.clients[(leader+1)%3]
 
-		number, err := publishTo(t, follower, 1, 0, "one")
-		require.NoError(t, err, "a follower forwards it to the leader")
+		number, err := publishTo(t, raftFollower, 1, 0, "one")
+		require.NoError(t, err, "a raft follower forwards it to the leader")
 		require.Equal(t, uint64(1), number)
-		number, err = publishTo(t, r.clients[leader], 1, 0, "one")
+		number, err = publishTo(t, cluster.clients[leader], 1, 0, "one")
 		require.NoError(t, err, "a retry")
 		require.Equal(t, uint64(1), number)
-		number, err = publishTo(t, r.clients[leader], 2, 1, "two")
+		number, err = publishTo(t, cluster.clients[leader], 2, 1, "two")
 		require.NoError(t, err)
 		require.Equal(t, uint64(2), number)
 
-		for _, client := range []configpb.ControlClient{r.clients[leader], follower} {
+		for _, client := range []configpb.ControlClient{cluster.clients[leader], raftFollower} {
 			_, err = publishTo(t, client, 3, 1, "three")
 			requireRejected(t, err, codes.FailedPrecondition, "expected")
 			_, err = publishTo(t, client, 1, 0, "another")
@@ -137,51 +137,51 @@
 			requireRejected(t, err, codes.InvalidArgument, "settings.bad")
 		}
 
-		newest, err := r.clients[leader].Get(t.Context(), &configpb.GetRequest{})
+		newest, err := cluster.clients[leader].Get(t.Context(), &configpb.GetRequest{})
 		require.NoError(t, err)
 		require.Equal(t, uint64(2), newest.GetNumber())
 		require.Equal(t, "two", string(newest.GetDocument()))
-		_, err = r.clients[leader].Get(t.Context(), &configpb.GetRequest{Number: 3})
+		_, err = cluster.clients[leader].Get(t.Context(), &configpb.GetRequest{Number: 3})
 		require.Equal(t, codes.NotFound, status.Code(err))
 	})
 }
 
-func TestStatusNamesReachableMembers(t *testing.T) {
-	r := startMachines(t, 3)
-	leader := r.leader(t)
+func TestStatusReportsReachableMembers(t *testing.T) {
+	cluster := startCluster(t, 3)
+	leader := cluster.leader(t)
 	require.Eventually(t, func() bool {
-		s, err := r.clients[leader].Status(t.Context(), &configpb.StatusRequest{})
+		s, err := cluster.clients[leader].Status(t.Context(), &configpb.StatusRequest{})
 		if err != nil || s.GetConfirmedMs() > 2000 || len(s.GetMembers()) != 3 {
 			return false
 		}
 		for i, m := range s.GetMembers() {
-			matches := m.GetName() == r.members[i].Name && m.GetAddress() == r.members[i].Address && m.GetVoter()
+			matches := m.GetName() == cluster.members[i].Name && m.GetAddress() == cluster.members[i].Address && m.GetVoter()
 			if !matches || !m.GetReachable() {
 				return false
 			}
 		}
-		return s.GetName() == r.members[leader].Name
+		return s.GetName() == cluster.members[leader].Name
 	}, eventTimeout, 20*time.Millisecond)
 }
 
-// TestPublishWithoutQuorumIsNotAppended publishes at a machine whose peers are of another fleet or unreachable.
+// TestPublishWithoutQuorumIsNotAppended publishes at a control machine whose peers belong to another fleet or are
+// unreachable.
 func TestPublishWithoutQuorumIsNotAppended(t *testing.T) {
-	r := startMachines(t, 1)
-	alone := r.members[0]
-	l := listen(t, "127.0.0.1:0")
-	peers := listen(t, "127.0.0.1:0")
+	otherFleet := startCluster(t, 1).members[0]
+	listener := listen(t, "127.0.0.1:0")
+	peerListener := listen(t, "127.0.0.1:0")
 	members := []Member{
-		{Name: "x", ID: 1, Voter: true, Address: l.Addr().String(), PeerAddress: peers.Addr().String()},
-		{Name: "y", ID: 2, Voter: true, Address: alone.Address, PeerAddress: alone.PeerAddress}, // of another fleet
+		{Name: "x", ID: 1, Voter: true, Address: listener.Addr().String(), PeerAddress: peerListener.Addr().String()},
+		{Name: "y", ID: 2, Voter: true, Address: otherFleet.Address, PeerAddress: otherFleet.PeerAddress},
 		{Name: "z", ID: 3, Voter: true, Address: "127.0.0.1:1", PeerAddress: "127.0.0.1:1"},
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() {
 		ended <- Run(ctx, Options{Fleet: "another", Name: "x", Members: members, Folder: t.TempDir(), Create: true,
-			VoterTimeout: time.Minute, Listener: l, PeerListener: peers, Validate: rejectBad, Logger: quiet()})
+			VoterTimeout: time.Minute, Listener: listener, PeerListener: peerListener, Validate: rejectBad, Logger: discardLogger()})
 	}()
-	conn, err := dial(l.Addr().String())
+	conn, err := dial(listener.Addr().String())
 	require.NoError(t, err)
 	defer conn.Close()
 	_, err = publishTo(t, configpb.NewControlClient(conn), 1, 0, "one")
@@ -201,7 +201,7 @@
 		cancel()
 		return Run(ctx, Options{Fleet: "f", Name: "x", Members: members, Folder: folder, Create: create,
 			VoterTimeout: time.Minute, Listener: listen(t, "127.0.0.1:0"), PeerListener: listen(t, "127.0.0.1:0"),
-			Validate: rejectBad, Logger: quiet()})
+			Validate: rejectBad, Logger: discardLogger()})
 	}
 	require.ErrorIs(t, run(false), ErrNoLog)
 	require.NoError(t, run(true))
--- a/internal/controlplane/controlserver/transport.go
+++ b/internal/controlplane/controlserver/transport.go
@@ -24,13 +24,14 @@
 	// reachableTimeout is the time after its last envelope for which a peer counts as reachable: three keepalives.
 	reachableTimeout = 3 * keepaliveInterval
 
-	// Backoff between attempts to reach a peer, by gRPC for connections and by the transport for streams. There are three
-	// peers, so a short backoff costs little.
+	// Bounds of the backoff between attempts to reach a peer, by gRPC for connections and by the transport for streams. There
+	// are three peers, so a short backoff costs little.
 	minReconnectDelay = 100 * time.Millisecond
 	maxReconnectDelay = 2 * time.Second
-	connectTimeout    = 3 * time.Second // of one connection attempt
+	connectTimeout    = 3 * time.Second // minimum timeout of one connection attempt
 
-	// A connection without a response to a keepalive ping is closed after the sum of both. 10 s is gRPC's minimum.
+	// A connection whose peer does not respond to a keepalive ping is closed after pingInterval and pingTimeout. 10 s is
+	// gRPC's minimum.
 	pingInterval = 10 * time.Second
 	pingTimeout  = 3 * time.Second
 )
@@ -42,7 +43,7 @@
 	conn   *grpc.ClientConn
 }
 
-// transport sends raft messages to the other control machines, by one stream for each.
+// transport sends raft messages to the other control machines, over one stream to each.
 type transport struct {
 	fleet  uint64 // fingerprint
 	self   uint64 // raft id
@@ -60,7 +61,7 @@
 	address string // host:port
 }
 
-// newTransport connects to the peers and starts their streams. The transport has to be closed.
+// newTransport creates the connections to the peers and starts their streams. The caller must close the transport.
 func newTransport(fleet, self uint64, peers []peerAddress, log *slog.Logger) (*transport, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t := &transport{fleet: fleet, self: self, logger: log, peers: map[uint64]*peer{}, cancel: cancel}
@@ -68,7 +69,7 @@
 		conn, err := dial(p.address)
 		if err != nil {
 			t.close()
-			return nil, fmt.Errorf("control machine %s at %s: %w", p.name, p.address, err)
+			return nil, fmt.Errorf("creating the connection to control machine %s at %s: %w", p.name, p.address, err)
 		}
 		t.peers[p.id] = &peer{name: p.name, outbox: newOutbox(), conn: conn}
 	}
@@ -82,7 +83,7 @@
 	return t, nil
 }
 
-// dial returns a connection to a control machine that reconnects by itself.
+// dial returns a connection to a control machine that reconnects automatically.
 func dial(address string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
@@ -106,7 +107,7 @@
 	t.streams.Wait()
 }
 
-// send queues a message for its receiver and does not block. A message to a machine that is no peer is dropped.
+// send queues a message for its receiver and does not block. A message to an unknown peer is dropped.
 func (t *transport) send(message *raftpb.Message) {
 	p := t.peers[message.GetTo()]
 	if p == nil {
@@ -114,12 +115,12 @@
 	}
 	data, err := consensus.EncodeMessage(message)
 	if err != nil {
-		panic(fmt.Sprintf("controlserver: encoding a message to %d: %v", message.GetTo(), err))
+		panic(fmt.Sprintf("controlserver: encoding a message to member %d: %v", message.GetTo(), err))
 	}
 	p.outbox.push(data)
 }
 
-// run reopens the stream to a peer until the context ends.
+// run keeps a stream to a peer open, with backoff after a failure, until the context ends.
 func (t *transport) run(ctx context.Context, p *peer) {
 	backoffDelay := minReconnectDelay
 	for ctx.Err() == nil {
@@ -140,7 +141,7 @@
 	}
 }
 
-// runStream opens one stream and sends the queued messages until it fails. It returns the error of the stream.
+// runStream opens one stream and sends queued messages until the stream fails. It returns the error of the stream.
 func (t *transport) runStream(ctx context.Context, p *peer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -149,7 +150,7 @@
 		return err
 	}
 	ended := make(chan error, 1)
-	go func() { // detects the end of the stream while there is nothing to send
+	go func() { // detects the end of the stream even if there is nothing to send
 		ended <- stream.RecvMsg(&configpb.Received{})
 		cancel()
 	}()
@@ -158,18 +159,18 @@
 	return <-ended
 }
 
-// sendQueued sends the queued messages and keepalives until the stream or the context ends.
+// sendQueued sends queued messages, and keepalives in between, until the stream or the context ends.
 func (t *transport) sendQueued(ctx context.Context, p *peer,
 	stream grpc.ClientStreamingClient[configpb.Envelope, configpb.Received]) {
-	keepalive := time.NewTicker(keepaliveInterval)
-	defer keepalive.Stop()
+	keepaliveTicker := time.NewTicker(keepaliveInterval)
+	defer keepaliveTicker.Stop()
 	for {
 		message, ok := p.outbox.pop()
 		if !ok {
 			select {
 			case <-p.outbox.ready:
 				continue
-			case <-keepalive.C: // an envelope without a message
+			case <-keepaliveTicker.C: // sends an envelope without a message
 			case <-ctx.Done():
 				return
 			}
--- a/internal/controlplane/controlserver/transport_test.go
+++ b/internal/controlplane/controlserver/transport_test.go
@@ -14,7 +14,7 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-const eventTimeout = 10 * time.Second // for an event that has to happen
+const eventTimeout = 10 * time.Second // limit for waiting for an expected event
 
 func listen(t *testing.T, address string) net.Listener {
 	l, err := net.Listen("tcp", address)
@@ -23,10 +23,10 @@
 	return l
 }
 
-func quiet() *slog.Logger { return slog.New(slog.DiscardHandler) }
+func discardLogger() *slog.Logger { return slog.New(slog.DiscardHandler) }
 
 func newTestTransport(t *testing.T, address string) *transport {
-	sender, err := newTransport(7, 2, []peerAddress{{id: 1, name: "one", address: address}}, quiet())
+	sender, err := newTransport(7, 2, []peerAddress{{id: 1, name: "one", address: address}}, discardLogger())
 	require.NoError(t, err)
 	t.Cleanup(sender.close)
 	return sender
@@ -37,7 +37,7 @@
 		Commit: new(commit)}
 }
 
-// serve serves the Consensus service until stop is called.
+// serve runs a server of the Consensus service until stop is called.
 func serve(l net.Listener, deliver func(context.Context, *raftpb.Message) error) (stop func()) {
 	server := grpc.NewServer(grpc.MaxRecvMsgSize(maxPeerMessageBytes))
 	configpb.RegisterConsensusServer(server, newReceiver(7, 1, []peerAddress{{id: 2}}, deliver))
@@ -60,7 +60,7 @@
 	stop()
 	l = listen(t, address)
 	defer serve(l, deliver)()
-	sender.send(heartbeatTo(9, 5)) // no peer has this id
+	sender.send(heartbeatTo(9, 5)) // not a peer: dropped
 	require.Eventually(t, func() bool {
 		sender.send(heartbeatTo(1, 2))
 		return len(received) > 0
@@ -78,20 +78,20 @@
 	}
 }
 
-// TestTransportBoundsQueueOfStuckPeer sends to a peer that accepts connections and reads no messages: send does not block,
-// and the oldest messages are dropped.
+// TestTransportBoundsQueueOfStuckPeer sends to a peer that accepts connections but does not read messages. send must not
+// block, and the oldest messages must be dropped.
 func TestTransportBoundsQueueOfStuckPeer(t *testing.T) {
-	stuck := make(chan struct{})
+	unblock := make(chan struct{})
 	l := listen(t, "127.0.0.1:0")
 	stop := serve(l, func(ctx context.Context, _ *raftpb.Message) error {
 		select {
-		case <-stuck:
+		case <-unblock:
 		case <-ctx.Done():
 		}
 		return ctx.Err()
 	})
 	defer stop()
-	defer close(stuck)
+	defer close(unblock)
 	sender := newTestTransport(t, l.Addr().String())
 	message := heartbeatTo(1, 1)
 	message.Context = make([]byte, 1<<20)
@@ -102,8 +102,8 @@
 	}
 	require.Less(t, time.Since(startedAt), eventTimeout)
 	require.Greater(t, sender.droppedCount(), uint64(sent/2))
-	box := sender.peers[1].outbox
-	box.mu.Lock()
-	defer box.mu.Unlock()
-	require.LessOrEqual(t, box.bytes, MaxQueuedBytes)
+	queue := sender.peers[1].outbox
+	queue.mu.Lock()
+	defer queue.mu.Unlock()
+	require.LessOrEqual(t, queue.bytes, MaxQueuedBytes)
 }
--- a/internal/harness/controlplanetest/disk_test.go
+++ b/internal/harness/controlplanetest/disk_test.go
@@ -82,7 +82,7 @@
 	require.NoError(t, os.Remove(path))
 	require.NoError(t, m.Start())
 	require.Equal(t, 1, waitForEnd(t, m), "missing")
-	require.Contains(t, m.Log(), "there is no log")
+	require.Contains(t, m.Log(), "raft log does not exist")
 
 	require.NoError(t, os.WriteFile(path, intact, 0o600))
 	require.NoError(t, m.Start())
