--- a/cmd/mothrouter/configuration_test.go
+++ b/cmd/mothrouter/configuration_test.go
@@ -180,7 +180,7 @@
 
 			again := startServingBroker(t, flags...) // the control machine is down
 			require.Contains(t, again.dial().roundTrip(queryRequest("by-the-file")), " 200 ")
-			again.waitForLog("serving by the file of the start")
+			again.waitForLog("serving with the startup configuration")
 		})
 	}
 }
--- a/internal/controlplane/configfollower/client_test.go
+++ b/internal/controlplane/configfollower/client_test.go
@@ -19,7 +19,7 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// controlMachine is a control machine on loopback that serves Follow only.
+// controlMachine is a control machine on the loopback interface that implements only Follow.
 type controlMachine struct {
 	configpb.UnimplementedControlServer
 	hub     *confighub.Hub
@@ -27,33 +27,33 @@
 	address string
 }
 
-func (s *controlMachine) Follow(stream grpc.BidiStreamingServer[configpb.Report, configpb.Update]) error {
-	return s.hub.Follow(stream)
+func (m *controlMachine) Follow(stream grpc.BidiStreamingServer[configpb.Report, configpb.Update]) error {
+	return m.hub.Follow(stream)
 }
 
-// startControlMachine serves at an address until the test ends or grpc is stopped.
+// startControlMachine starts a control machine at an address. It runs until the test ends or its gRPC server is stopped.
 func startControlMachine(t testing.TB, address string) *controlMachine {
 	listener, err := net.Listen("tcp", address)
 	require.NoError(t, err)
-	s := &controlMachine{
+	m := &controlMachine{
 		hub:     confighub.New(slog.New(slog.DiscardHandler)),
 		grpc:    grpc.NewServer(confighub.ServerOptions()...),
 		address: listener.Addr().String(),
 	}
-	configpb.RegisterControlServer(s.grpc, s)
+	configpb.RegisterControlServer(m.grpc, m)
 	served := make(chan struct{})
 	go func() {
 		defer close(served)
-		_ = s.grpc.Serve(listener)
+		_ = m.grpc.Serve(listener)
 	}()
 	t.Cleanup(func() {
-		s.grpc.Stop()
+		m.grpc.Stop()
 		<-served
 	})
-	return s
+	return m
 }
 
-func revisionOf(number uint64, document string) *configpb.Revision {
+func newRevision(number uint64, document string) *configpb.Revision {
 	return &configpb.Revision{
 		Number:          number,
 		Checksum:        configpb.Checksum([]byte(document)),
@@ -62,17 +62,17 @@
 	}
 }
 
-// broker is a client that records the revisions which it applies.
+// broker is a client that records the revisions that it applies.
 type broker struct {
 	*configfollower.Client
-	applyLock  sync.Mutex                   // a test holds it to block apply
-	rejections map[uint64]*configpb.Refusal // by revision; the others are applied
+	applyLock  sync.Mutex                   // held by a test to block apply
+	rejections map[uint64]*configpb.Refusal // by revision number; other revisions are applied
 
 	mu      sync.Mutex // guards applied
-	applied []uint64   // numbers, in order
+	applied []uint64   // revision numbers, in order of application
 }
 
-// apply is the client's Options.Apply.
+// apply implements Options.Apply.
 func (b *broker) apply(revision *configpb.Revision) *configpb.Refusal {
 	b.applyLock.Lock()
 	defer b.applyLock.Unlock()
@@ -125,19 +125,19 @@
 func TestClientAppliesAndRejectsRevisionsAndReportsThem(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("", func(t *testing.T) {
-		s := startControlMachine(t, "127.0.0.1:0")
-		require.NoError(t, s.hub.SetNewest(revisionOf(1, "one"), time.Now()))
+		m := startControlMachine(t, "127.0.0.1:0")
+		require.NoError(t, m.hub.SetNewest(newRevision(1, "one"), time.Now()))
 		rejection := &configpb.Refusal{Key: "settings.port", Reason: "needs a restart"}
-		b := startBroker(t, map[uint64]*configpb.Refusal{2: rejection}, s.address)
+		b := startBroker(t, map[uint64]*configpb.Refusal{2: rejection}, m.address)
 		require.Eventually(t, func() bool { return b.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
-		require.NoError(t, s.hub.SetNewest(revisionOf(2, "two"), time.Now()))
+		require.NoError(t, m.hub.SetNewest(newRevision(2, "two"), time.Now()))
 		require.Eventually(t, func() bool { return b.Status().Rejection.GetNumber() == 2 }, 5*time.Second, 5*time.Millisecond)
 		require.Eventually(t, func() bool {
-			report := s.hub.Status().Brokers[0].GetReport()
+			report := m.hub.Status().Brokers[0].GetReport()
 			return report.GetInForce() == 1 && report.GetRefusal().GetKey() == "settings.port"
 		}, 5*time.Second, 5*time.Millisecond)
-		require.NoError(t, s.hub.SetNewest(revisionOf(3, "three"), time.Now()))
-		require.Eventually(t, func() bool { return s.hub.Status().InForce[0].GetEverywhereUnixMs() != 0 },
+		require.NoError(t, m.hub.SetNewest(newRevision(3, "three"), time.Now()))
+		require.Eventually(t, func() bool { return m.hub.Status().InForce[0].GetEverywhereUnixMs() != 0 },
 			5*time.Second, 5*time.Millisecond)
 		require.Equal(t, []uint64{1, 3}, b.appliedNumbers())
 		require.Nil(t, b.Status().Rejection)
@@ -150,28 +150,28 @@
 func TestClientFailsOverToAnotherControlMachine(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("", func(t *testing.T) {
-		var servers []*controlMachine
+		var machines []*controlMachine
 		var addresses []string
 		for range 2 {
-			s := startControlMachine(t, "127.0.0.1:0")
-			require.NoError(t, s.hub.SetNewest(revisionOf(1, "one"), time.Now()))
-			servers, addresses = append(servers, s), append(addresses, s.address)
+			m := startControlMachine(t, "127.0.0.1:0")
+			require.NoError(t, m.hub.SetNewest(newRevision(1, "one"), time.Now()))
+			machines, addresses = append(machines, m), append(addresses, m.address)
 		}
 		b := startBroker(t, nil, addresses...)
 		require.Eventually(t, func() bool { return b.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
-		for _, s := range servers {
-			if s.address == b.Status().Control {
-				s.grpc.Stop()
+		for _, m := range machines {
+			if m.address == b.Status().Control {
+				m.grpc.Stop()
 				continue
 			}
-			require.NoError(t, s.hub.SetNewest(revisionOf(2, "two"), time.Now()))
+			require.NoError(t, m.hub.SetNewest(newRevision(2, "two"), time.Now()))
 		}
 		require.Eventually(t, func() bool { return b.Status().InForce == 2 }, 8*time.Second, 5*time.Millisecond)
 		require.Equal(t, []uint64{1, 2}, b.appliedNumbers())
 	})
 }
 
-func TestClientConnectsOnceAControlMachineStarts(t *testing.T) {
+func TestClientConnectsOnceControlMachineStarts(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("", func(t *testing.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -183,8 +183,8 @@
 		require.False(t, b.Status().StalenessKnown)
 		require.Zero(t, b.Status().InForce)
 
-		s := startControlMachine(t, address)
-		require.NoError(t, s.hub.SetNewest(revisionOf(7, "seven"), time.Now()))
+		m := startControlMachine(t, address)
+		require.NoError(t, m.hub.SetNewest(newRevision(7, "seven"), time.Now()))
 		require.Eventually(t, func() bool { return b.Status().InForce == 7 }, 8*time.Second, 5*time.Millisecond,
 			fmt.Sprint(b.Status()))
 	})
@@ -193,11 +193,11 @@
 func TestClientReceivesWhileApplyBlocksAndSkipsToNewest(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("", func(t *testing.T) {
-		s := startControlMachine(t, "127.0.0.1:0")
-		b := startBroker(t, nil, s.address)
+		m := startControlMachine(t, "127.0.0.1:0")
+		b := startBroker(t, nil, m.address)
 		b.applyLock.Lock()
 		for number := uint64(1); number <= 5; number++ {
-			require.NoError(t, s.hub.SetNewest(revisionOf(number, fmt.Sprint(number)), time.Now()))
+			require.NoError(t, m.hub.SetNewest(newRevision(number, fmt.Sprint(number)), time.Now()))
 			require.Eventually(t, func() bool { return b.Status().Newest == number }, 5*time.Second, 5*time.Millisecond)
 		}
 		updates := b.Status().Counts.Updates
@@ -209,17 +209,17 @@
 	})
 }
 
-func TestRestartedClientSupersedesFormerStream(t *testing.T) {
+func TestStreamOfRestartedClientReplacesPreviousStream(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	t.Run("", func(t *testing.T) {
-		s := startControlMachine(t, "127.0.0.1:0")
-		require.NoError(t, s.hub.SetNewest(revisionOf(1, "one"), time.Now()))
-		old := startBroker(t, nil, s.address)
-		require.Eventually(t, func() bool { return old.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
-		time.Sleep(2 * time.Millisecond) // instances differ by the millisecond of their start
-		restarted := startBroker(t, nil, s.address)
+		m := startControlMachine(t, "127.0.0.1:0")
+		require.NoError(t, m.hub.SetNewest(newRevision(1, "one"), time.Now()))
+		previous := startBroker(t, nil, m.address)
+		require.Eventually(t, func() bool { return previous.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
+		time.Sleep(2 * time.Millisecond) // instances are distinguished by their start time in milliseconds
+		restarted := startBroker(t, nil, m.address)
 		require.Eventually(t, func() bool { return restarted.Status().InForce == 1 }, 5*time.Second, 5*time.Millisecond)
-		require.Eventually(t, func() bool { return old.Status().Counts.StreamsEnded > 0 }, 8*time.Second, 5*time.Millisecond)
-		require.Len(t, s.hub.Status().Brokers, 1)
+		require.Eventually(t, func() bool { return previous.Status().Counts.StreamsEnded > 0 }, 8*time.Second, 5*time.Millisecond)
+		require.Len(t, m.hub.Status().Brokers, 1)
 	})
 }
--- a/internal/controlplane/configfollower/cost_test.go
+++ b/internal/controlplane/configfollower/cost_test.go
@@ -30,33 +30,34 @@
 )
 
 var (
-	costBrokers  = flag.Int("cost", 0, "brokers of the measurement of cost; 0: it does not run")
-	costDuration = flag.Duration("cost-for", 30*time.Second, "how long cost is measured")
+	costBrokers  = flag.Int("cost", 0, "number of brokers in TestPropagationCost; 0: skip it")
+	costDuration = flag.Duration("cost-for", 30*time.Second, "duration of the measurement in TestPropagationCost")
 )
 
 const (
 	costHubs            = 4
-	costDocument        = 16 << 10 // bytes
+	costDocumentBytes   = 16 << 10
 	costConfirmInterval = 250 * time.Millisecond
-	costPublishInterval = 3200 * time.Millisecond // ten times 2,700 changes a day
-	costHubsVariable    = "CONFIG_COST_HUBS"      // environment variable, set in the process of the hubs
+	costPublishInterval = 3200 * time.Millisecond // ten times the rate of 2,700 changes a day
+	costHubsVariable    = "CONFIG_COST_HUBS"      // environment variable that is set in the hub process
 )
 
-// hubUsage is the usage of the process of the hubs, as it prints it.
+// hubUsage is the resource usage that the hub process prints.
 type hubUsage struct {
 	ProcessorSeconds float64 `json:"processor_seconds"`
 	BytesIn          int64   `json:"bytes_in"`
 	BytesOut         int64   `json:"bytes_out"`
 	Revisions        int     `json:"revisions"`
-	EverywhereMS     []int64 `json:"everywhere_ms"` // for each hub and revision, from publication to in force at all its brokers
+	EverywhereMS     []int64 `json:"everywhere_ms"` // per hub and revision, from publication until in force at all its brokers
 }
 
-// countingListener adds the bytes of its connections to two counters.
+// countingListener counts the bytes that its connections read and write.
 type countingListener struct {
 	net.Listener
 	in, out *atomic.Int64
 }
 
+// countingConn adds the bytes that it reads and writes to two counters.
 type countingConn struct {
 	net.Conn
 	in, out *atomic.Int64
@@ -82,7 +83,7 @@
 	return n, err
 }
 
-// cpuSeconds returns the processor time of this process, in user and in system mode.
+// cpuSeconds returns the CPU time of this process in user and in kernel mode.
 func cpuSeconds() float64 {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -91,21 +92,21 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()).Seconds()
 }
 
-// TestPropagationCostHubProcess is the process of the hubs, which TestPropagationCost starts. It prints the hubs'
-// addresses, measures from the first line of its input to the end of the input, and prints its usage.
+// TestPropagationCostHubProcess is the hub process, which TestPropagationCost starts. It prints the addresses of the hubs,
+// measures its resource usage from the first line on standard input to the end of the input, and prints it.
 func TestPropagationCostHubProcess(t *testing.T) {
 	if os.Getenv(costHubsVariable) == "" {
-		t.Skip("only as the second process of TestPropagationCost")
+		t.Skip("runs only as the second process of TestPropagationCost")
 	}
 	p := &hubProcess{}
 	p.startHubs(t)
 	commands := readLines(os.Stdin)
-	confirm, publish := time.NewTicker(costConfirmInterval), time.NewTicker(costPublishInterval)
+	confirmTicker, publishTicker := time.NewTicker(costConfirmInterval), time.NewTicker(costPublishInterval)
 	for {
 		select {
-		case <-confirm.C:
+		case <-confirmTicker.C:
 			p.confirm(t)
-		case <-publish.C:
+		case <-publishTicker.C:
 			p.publish(t)
 		case _, more := <-commands:
 			if more {
@@ -122,12 +123,12 @@
 
 // hubProcess is the state of TestPropagationCostHubProcess.
 type hubProcess struct {
-	in, out   atomic.Int64 // bytes of all connections
+	in, out   atomic.Int64 // bytes read and written by all connections
 	hubs      []*confighub.Hub
 	newest    uint64 // number of the newest revision
 	measuring bool
-	start     hubUsage // at the start of the measurement
-	revisions int      // published during the measurement
+	start     hubUsage // counters at the start of the measurement
+	revisions int      // number of revisions published during the measurement
 }
 
 func (p *hubProcess) startHubs(t *testing.T) {
@@ -153,7 +154,7 @@
 
 func (p *hubProcess) publish(t *testing.T) {
 	p.newest++
-	revision := revisionOf(p.newest, fmt.Sprint(p.newest)+strings.Repeat("x", costDocument))
+	revision := newRevision(p.newest, fmt.Sprint(p.newest)+strings.Repeat("x", costDocumentBytes))
 	for _, hub := range p.hubs {
 		require.NoError(t, hub.SetNewest(revision, time.Now()))
 	}
@@ -167,7 +168,7 @@
 	p.start = hubUsage{ProcessorSeconds: cpuSeconds(), BytesIn: p.in.Load(), BytesOut: p.out.Load()}
 }
 
-// usage returns what the hubs have used since the start of the measurement.
+// usage returns the resource usage of the hubs since the start of the measurement.
 func (p *hubProcess) usage() hubUsage {
 	usage := hubUsage{
 		ProcessorSeconds: cpuSeconds() - p.start.ProcessorSeconds,
@@ -176,16 +177,16 @@
 		Revisions:        p.revisions,
 	}
 	for _, hub := range p.hubs {
-		for _, x := range hub.Status().InForce {
-			if int(p.newest-x.GetNumber()) < p.revisions && x.GetEverywhereUnixMs() != 0 {
-				usage.EverywhereMS = append(usage.EverywhereMS, x.GetEverywhereUnixMs()-x.GetPublishedUnixMs())
+		for _, revision := range hub.Status().InForce {
+			if int(p.newest-revision.GetNumber()) < p.revisions && revision.GetEverywhereUnixMs() != 0 {
+				usage.EverywhereMS = append(usage.EverywhereMS, revision.GetEverywhereUnixMs()-revision.GetPublishedUnixMs())
 			}
 		}
 	}
 	return usage
 }
 
-// readLines sends the lines of a reader, and closes the channel at its end.
+// readLines returns a channel that receives the lines of a reader and is closed at its end.
 func readLines(reader io.Reader) <-chan string {
 	lines := make(chan string)
 	go func() {
@@ -198,45 +199,45 @@
 	return lines
 }
 
-// TestPropagationCost measures the processor time, memory and bytes of many clients and four hubs, in two processes on
-// loopback. It runs only with the flag -cost.
+// TestPropagationCost measures the CPU time, memory and network traffic of many configuration followers and four hubs, in
+// two processes on the loopback interface. It runs only with the flag -cost.
 func TestPropagationCost(t *testing.T) {
 	brokers := *costBrokers
 	if brokers == 0 {
-		t.Skip("run it by -cost BROKERS")
+		t.Skip("runs only with -cost BROKERS")
 	}
 	hubs := startHubProcess(t)
 	defer func() { _ = hubs.command.Wait() }()
 	defer hubs.input.Close()
 	machines := hubs.readAddresses(t)
 
-	heapBefore := heapInUse()
+	memoryBefore := memoryInUse()
 	fleet := startCostFleet(t, brokers, machines)
 	defer fleet.stop()
 	require.Eventually(t, func() bool { return fleet.inForce() == brokers }, 20*time.Second, 200*time.Millisecond)
 
 	fmt.Fprintln(hubs.input, "measure")
-	seconds, applied := cpuSeconds(), fleet.applied.Load()
+	cpu, applied := cpuSeconds(), fleet.applied.Load()
 	time.Sleep(*costDuration)
-	seconds, applied = cpuSeconds()-seconds, fleet.applied.Load()-applied
-	heap := heapInUse() - heapBefore
+	cpu, applied = cpuSeconds()-cpu, fleet.applied.Load()-applied
+	memory := memoryInUse() - memoryBefore
 	usage := hubs.readUsage(t)
-	perBroker := func(x float64) float64 { return x / float64(brokers) / costDuration.Seconds() }
+	perBrokerSecond := func(total float64) float64 { return total / float64(brokers) / costDuration.Seconds() }
 	result, err := json.Marshal(map[string]any{
-		"brokers": brokers, "hubs": costHubs, "seconds": costDuration.Seconds(), "document_bytes": costDocument,
+		"brokers": brokers, "hubs": costHubs, "seconds": costDuration.Seconds(), "document_bytes": costDocumentBytes,
 		"change_every_s": costPublishInterval.Seconds(), "revisions": usage.Revisions, "applied": applied,
-		"broker_core_percent":       100 * perBroker(seconds),
+		"broker_core_percent":       100 * perBrokerSecond(cpu),
 		"hub_core_percent_each":     100 * usage.ProcessorSeconds / costHubs / costDuration.Seconds(),
-		"broker_bytes_in_a_second":  perBroker(float64(usage.BytesOut)),
-		"broker_bytes_out_a_second": perBroker(float64(usage.BytesIn)),
-		"broker_heap_bytes":         float64(heap) / float64(brokers),
+		"broker_bytes_in_a_second":  perBrokerSecond(float64(usage.BytesOut)),
+		"broker_bytes_out_a_second": perBrokerSecond(float64(usage.BytesIn)),
+		"broker_heap_bytes":         float64(memory) / float64(brokers),
 		"everywhere_ms":             usage.EverywhereMS,
 	})
 	require.NoError(t, err)
 	fmt.Println("RESULT", string(result))
 }
 
-// hubCommand is the process of the hubs, as seen by TestPropagationCost.
+// hubCommand is the hub process as started by TestPropagationCost.
 type hubCommand struct {
 	command *exec.Cmd
 	input   io.WriteCloser
@@ -254,7 +255,7 @@
 	return &hubCommand{command: command, input: input, output: bufio.NewScanner(output)}
 }
 
-// readAddresses returns the addresses that the process prints at its start.
+// readAddresses returns the addresses that the hub process prints at its start.
 func (c *hubCommand) readAddresses(t *testing.T) []distribution.ControlMachine {
 	var machines []distribution.ControlMachine
 	for len(machines) < costHubs && c.output.Scan() {
@@ -266,7 +267,7 @@
 	return machines
 }
 
-// readUsage ends the process, and returns the usage that it prints.
+// readUsage tells the hub process to end, and returns the resource usage that it prints.
 func (c *hubCommand) readUsage(t *testing.T) hubUsage {
 	require.NoError(t, c.input.Close())
 	var usage hubUsage
@@ -279,10 +280,10 @@
 	return usage
 }
 
-// costFleet is the clients of TestPropagationCost.
+// costFleet holds the clients of TestPropagationCost.
 type costFleet struct {
 	clients []*configfollower.Client
-	applied atomic.Int64 // revisions, by all clients
+	applied atomic.Int64 // number of revisions applied by all clients
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 }
@@ -311,7 +312,7 @@
 	return f
 }
 
-// stop stops the clients and waits for their end.
+// stop stops the clients and waits until they have stopped.
 func (f *costFleet) stop() {
 	f.cancel()
 	f.running.Wait()
@@ -327,8 +328,8 @@
 	return count
 }
 
-// heapInUse returns the bytes of the heap and of the stacks, after a garbage collection.
-func heapInUse() int64 {
+// memoryInUse returns the size of the heap and the stacks after a garbage collection, in bytes.
+func memoryInUse() int64 {
 	runtime.GC()
 	debug.FreeOSMemory()
 	var stats runtime.MemStats
--- a/internal/controlplane/configfollower/run.go
+++ b/internal/controlplane/configfollower/run.go
@@ -9,7 +9,8 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// Run follows control machines until ctx ends, and returns once all its goroutines have ended. It may be called once.
+// Run follows the control machines until ctx ends. It returns once all its goroutines have ended, and must be called at most
+// once.
 func (c *Client) Run(ctx context.Context) {
 	r := runner{
 		client:    c,
@@ -43,18 +44,18 @@
 type runner struct {
 	client     *Client
 	goroutines sync.WaitGroup
-	revisions  chan *configpb.Revision // of capacity 1: the follower returns one revision at a time to apply
-	stream     *stream                 // the latest one; nil: none was opened
+	revisions  chan *configpb.Revision // capacity 1: the follower returns one revision at a time to apply
+	stream     *stream                 // the latest stream; nil: none has been opened
 	statusLog  *statusLogger
 }
 
-// perform does the follower's work, in the order that distribution.Ready demands.
+// perform executes the follower's pending actions in the order that distribution.Ready specifies.
 func (r *runner) perform(ctx context.Context, ready distribution.Ready) {
 	if ready.Close != 0 {
 		r.stream.close()
 	}
 	if ready.Open != nil {
-		r.stream.close() // the stream before may have ended by itself
+		r.stream.close() // the previous stream may already have ended
 		opened := newStream(ctx, *ready.Open)
 		r.stream = opened
 		r.goroutines.Go(func() { r.client.runStream(ctx, opened) })
--- a/internal/controlplane/configfollower/statuslog.go
+++ b/internal/controlplane/configfollower/statuslog.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// startupGrace is how long a broker may be without a confirmation after its start before this is logged.
+	// startupGrace is how long after its start a broker may lack a confirmed configuration before this is logged.
 	startupGrace = 5 * time.Second
 	// stalenessThreshold is the staleness above which the configuration is logged as stale.
 	stalenessThreshold = 15 * time.Second
-	// staleLogInterval is the interval at which a configuration that stays stale or unconfirmed is logged again.
+	// staleLogInterval is the interval at which a configuration that remains stale or unconfirmed is logged again.
 	staleLogInterval = 5 * time.Minute
-	// dropLogInterval is the shortest interval between two log lines on dropped updates.
+	// dropLogInterval is the minimum interval between two log lines about dropped updates.
 	dropLogInterval = 10 * time.Second
 )
 
-// statusLogger logs the changes from one status of the follower to the next.
+// statusLogger logs the changes from one status of the configuration follower to the next.
 type statusLogger struct {
 	log           *slog.Logger
 	startedAt     time.Time
 	previous      distribution.FollowerStatus
 	loggedCounts  distribution.UpdateCounts // at dropLoggedAt
-	dropLoggedAt  time.Time                 // last log line on dropped updates; zero: none
-	staleLoggedAt time.Time                 // last log line on a stale configuration; zero: none since it was confirmed
+	dropLoggedAt  time.Time                 // last log line about dropped updates; zero: none
+	staleLoggedAt time.Time                 // last log line about a stale configuration; zero: none since it was last confirmed
 }
 
 func newStatusLogger(log *slog.Logger, now time.Time) *statusLogger {
@@ -41,7 +41,7 @@
 	l.previous = status
 }
 
-// logConnection logs that a control machine is followed, or that none is any more.
+// logConnection logs a new connection to a control machine, or the loss of the connection.
 func (l *statusLogger) logConnection(status distribution.FollowerStatus) {
 	connected := !status.LastUpdateAt.IsZero()
 	wasConnected := !l.previous.LastUpdateAt.IsZero()
@@ -53,7 +53,7 @@
 	}
 }
 
-// logRevision logs a revision that is in force or rejected now.
+// logRevision logs a revision that has been put in force or rejected.
 func (l *statusLogger) logRevision(status distribution.FollowerStatus) {
 	if status.InForce != l.previous.InForce {
 		l.log.Info("revision in force", "number", status.InForce, "before", l.previous.InForce)
@@ -65,7 +65,7 @@
 	}
 }
 
-// logDropped logs the updates dropped since the last log line, at most once in dropLogInterval.
+// logDropped logs the number of updates dropped since the last log line, at most once per dropLogInterval.
 func (l *statusLogger) logDropped(now time.Time, status distribution.FollowerStatus) {
 	if now.Sub(l.dropLoggedAt) < dropLogInterval {
 		return
@@ -77,10 +77,11 @@
 	corrupt := counts.Corrupt - l.loggedCounts.Corrupt
 	invalid := malformed + oversized + corrupt
 	if conflicts > 0 {
-		l.log.Error("revision content conflicts with the one in hand", "control", status.Control, "updates", conflicts)
+		l.log.Error("checksum of the latest accepted revision differs from the control machine's", "control", status.Control,
+			"updates", conflicts)
 	}
 	if invalid > 0 {
-		l.log.Warn("updates dropped", "malformed", malformed, "oversized", oversized, "torn", corrupt,
+		l.log.Warn("dropped invalid updates", "malformed", malformed, "oversized", oversized, "torn", corrupt,
 			"control", status.Control)
 	}
 	if conflicts > 0 || invalid > 0 {
@@ -89,8 +90,8 @@
 	}
 }
 
-// logStale logs that the configuration is stale or unconfirmed, again every staleLogInterval, and that it is confirmed
-// again.
+// logStale logs that the configuration is stale or unconfirmed, repeats this every staleLogInterval, and logs when the
+// configuration is confirmed again.
 func (l *statusLogger) logStale(now time.Time, status distribution.FollowerStatus) {
 	stale := status.Staleness > stalenessThreshold
 	if !status.StalenessKnown {
@@ -108,7 +109,7 @@
 	}
 	l.staleLoggedAt = now
 	if !status.StalenessKnown {
-		l.log.Warn("configuration unconfirmed, serving by the file of the start")
+		l.log.Warn("configuration unconfirmed, serving with the startup configuration")
 		return
 	}
 	l.log.Warn("configuration may be stale", "behind", status.Staleness.Round(time.Second),
--- a/internal/controlplane/configfollower/stream.go
+++ b/internal/controlplane/configfollower/stream.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// flowControlWindow is the HTTP/2 window of the stream and of its connection, in bytes: one document. gRPC does not
-	// enlarge a window that is set.
+	// flowControlWindow is the HTTP/2 flow-control window of the stream and of its connection, in bytes. It holds one
+	// document. gRPC does not grow a window whose size is set explicitly.
 	flowControlWindow = 64 << 10
-	// connectionBuffer is the size of the connection's read buffer and of its write buffer, in bytes.
-	connectionBuffer = 4 << 10
-	// noReconnect is a backoff of gRPC that no connection lives to see: the follower opens a new one before.
-	noReconnect = time.Minute
+	// connectionBufferSize is the size of the connection's read and write buffer, in bytes.
+	connectionBufferSize = 4 << 10
+	// reconnectDelay is gRPC's backoff before it reconnects. It exceeds the time for which a failed connection is kept, so
+	// that gRPC never reconnects: the follower opens a new connection earlier.
+	reconnectDelay = time.Minute
 )
 
-// stream is one Follow call on a connection of its own. It needs no keepalive: the follower closes it when its updates
-// time out.
+// stream is one Follow call on its own connection. It needs no keepalive: the follower closes it if no update arrives in
+// time.
 type stream struct {
 	distribution.StreamTarget
 	ctx     context.Context
 	cancel  context.CancelFunc
-	reports chan *configpb.Report // of capacity 1: the latest report that is not sent yet
+	reports chan *configpb.Report // capacity 1: the latest report, if it has not been sent yet
 }
 
 func newStream(ctx context.Context, target distribution.StreamTarget) *stream {
@@ -37,14 +38,14 @@
 	return s
 }
 
-// close closes a stream. It has no effect on one that is nil or closed.
+// close closes the stream. It has no effect if the stream is nil or closed.
 func (s *stream) close() {
 	if s != nil {
 		s.cancel()
 	}
 }
 
-// sendReport queues a report, replacing one that is not sent yet. It must not be called concurrently.
+// sendReport queues a report, and replaces one that has not been sent yet. It must not be called concurrently.
 func (s *stream) sendReport(report *configpb.Report) {
 	select {
 	case <-s.reports:
@@ -53,17 +54,17 @@
 	s.reports <- report
 }
 
-// runStream runs a stream until it ends, and posts its end unless ctx has ended.
+// runStream runs a stream until it ends, and then posts this to Run unless ctx has ended.
 func (c *Client) runStream(ctx context.Context, s *stream) {
 	defer s.cancel()
 	err := c.receive(s)
 	if s.ctx.Err() == nil {
-		c.options.Log.Debug("the stream of the configuration has ended", "control", s.Address, "error", err)
+		c.options.Log.Debug("configuration stream ended", "control", s.Address, "error", err)
 	}
 	c.post(ctx, func(now time.Time, f *distribution.Follower) { f.StreamEnded(now, s.Stream) })
 }
 
-// receive connects, starts the sender of reports, and posts updates until the stream ends.
+// receive connects, starts a goroutine that sends reports, and posts the received updates to Run until the stream ends.
 func (c *Client) receive(s *stream) error {
 	conn, err := dial(s.Address)
 	if err != nil {
@@ -100,26 +101,26 @@
 			return
 		case report := <-s.reports:
 			if call.Send(report) != nil {
-				return // Recv returns the error
+				return // the error is returned by Recv
 			}
 		}
 	}
 }
 
-// dial returns a connection that neither retries calls nor reconnects: the follower decides when to connect.
+// dial returns a connection that neither retries calls nor reconnects: the follower decides when to reconnect.
 func dial(address string) (*grpc.ClientConn, error) {
 	return grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDisableRetry(),
 		grpc.WithDisableServiceConfig(),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff:           backoff.Config{BaseDelay: noReconnect, Multiplier: 1, MaxDelay: noReconnect},
+			Backoff:           backoff.Config{BaseDelay: reconnectDelay, Multiplier: 1, MaxDelay: reconnectDelay},
 			MinConnectTimeout: distribution.ConnectTimeout,
 		}),
 		grpc.WithInitialWindowSize(flowControlWindow),
 		grpc.WithInitialConnWindowSize(flowControlWindow),
-		grpc.WithReadBufferSize(connectionBuffer),
-		grpc.WithWriteBufferSize(connectionBuffer),
+		grpc.WithReadBufferSize(connectionBufferSize),
+		grpc.WithWriteBufferSize(connectionBufferSize),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(distribution.MaxMessage)),
 	)
 }
