--- a/internal/controlplane/configstatus/configstatus.go
+++ b/internal/controlplane/configstatus/configstatus.go
@@ -1,7 +1,8 @@
 // Package configstatus merges the status of several control machines into one view of the replicated log and of the
 // brokers, and renders it as a table for operators. It does no I/O and takes the time as an argument.
 //
-// JSON keys and the table keep the operators' words: behind for lagging, cut off for disconnected, refused for rejected.
+// The JSON keys and the table use the terms that operators know instead of those of the code: behind for lagging, cut off for
+// disconnected, refused for rejected.
 package configstatus
 
 import (
@@ -17,32 +18,32 @@
 type Answer struct {
 	Address string                   // host:port
 	Status  *configpb.StatusResponse // nil: the request failed
-	Err     error                    // of a failed request
+	Err     error                    // why the request failed
 }
 
 // View is the merged status of all control machines that answered.
 type View struct {
-	Leader       string      `json:"leader"`       // name; "": unknown to the machines that answered
-	Newest       uint64      `json:"newest"`       // highest number at any machine; 0: none
-	ConfirmedMs  int64       `json:"confirmed_ms"` // lowest of the machines' confirmation ages, in milliseconds; -1: never confirmed
+	Leader       string      `json:"leader"`       // name; "": unknown to the control machines that answered
+	Newest       uint64      `json:"newest"`       // highest revision number at any control machine; 0: none
+	ConfirmedMs  int64       `json:"confirmed_ms"` // lowest confirmation age, in milliseconds; -1: never confirmed
 	Machines     []Machine   `json:"machines"`
 	Connected    int         `json:"connected"` // number of brokers
 	Lagging      []Broker    `json:"behind"`    // connected, without Newest in force
-	Disconnected []Broker    `json:"cut_off"`   // connected to none of the machines that answered
+	Disconnected []Broker    `json:"cut_off"`   // not connected to any control machine that answered
 	Rejections   []Rejection `json:"refusals"`
 	Revisions    []Revision  `json:"revisions"` // newest first
 }
 
 // Machine is one control machine: a member of the replicated log, or an address that did not answer.
 type Machine struct {
-	Name        string `json:"name"` // "": no member has this address
+	Name        string `json:"name"` // "": the address of no member
 	Address     string `json:"address"`
 	Role        string `json:"role"` // "voter", "spare"; "": unknown
 	Answered    bool   `json:"answered"`
 	Error       string `json:"error,omitempty"`
-	ReachableBy int    `json:"reachable_by"` // number of other machines that answered and reach it
-	Newest      uint64 `json:"newest"`       // of its answer; 0: none, or no answer
-	ConfirmedMs int64  `json:"confirmed_ms"` // of its answer, in milliseconds; -1: never, or no answer
+	ReachableBy int    `json:"reachable_by"` // number of other control machines that answered and reach it
+	Newest      uint64 `json:"newest"`       // revision number in its answer; 0: none, or no answer
+	ConfirmedMs int64  `json:"confirmed_ms"` // confirmation age in its answer, in milliseconds; -1: never, or no answer
 	Brokers     int    `json:"brokers"`      // number of brokers connected to it
 }
 
@@ -50,15 +51,15 @@
 type Broker struct {
 	Name     string `json:"name"`
 	Zone     string `json:"zone"`
-	InForce  uint64 `json:"in_force"`  // number; 0: the configuration file of its start
-	SilentMs uint32 `json:"silent_ms"` // milliseconds since the report; if disconnected, since the end of the session
-	Control  string `json:"control"`   // name of the machine that received the report
+	InForce  uint64 `json:"in_force"`  // revision number; 0: the startup configuration file
+	SilentMs uint32 `json:"silent_ms"` // milliseconds since the report, or since the end of the session if disconnected
+	Control  string `json:"control"`   // name of the control machine that received the report
 }
 
-// Rejection is a revision that brokers rejected for one key and reason.
+// Rejection lists the brokers that rejected a revision for the same key and reason.
 type Rejection struct {
-	Number  uint64   `json:"number"`
-	Key     string   `json:"key"` // of the document
+	Number  uint64   `json:"number"` // of the revision
+	Key     string   `json:"key"`    // in the document
 	Reason  string   `json:"reason"`
 	Brokers []string `json:"brokers"` // names
 }
@@ -67,13 +68,13 @@
 type Revision struct {
 	Number       uint64    `json:"number"`
 	PublishedAt  time.Time `json:"published"`
-	EverywhereAt time.Time `json:"everywhere,omitzero"` // when it was in force at all connected brokers; zero: not yet
+	EverywhereAt time.Time `json:"everywhere,omitzero"` // when all connected brokers had it in force; zero: not yet
 	EverywhereMs int64     `json:"everywhere_ms"`       // milliseconds from publication to EverywhereAt; -1: not yet
 	Brokers      uint32    `json:"brokers"`             // number of connected brokers that have it in force
-	Lagging      uint32    `json:"lagging"`             // number of connected brokers past distribution.PropagationDeadline
+	Lagging      uint32    `json:"lagging"`             // number of connected brokers without it after distribution.PropagationDeadline
 }
 
-// Merge merges the answers. For a broker that several machines have a report of, the most recent one is used.
+// Merge merges the answers. If several control machines have a report of the same broker, the most recent one is used.
 func Merge(answers []Answer) View {
 	view := View{ConfirmedMs: -1}
 	statuses := answeredStatuses(answers)
@@ -92,7 +93,7 @@
 	return view
 }
 
-// answeredStatuses returns the statuses of the machines that answered.
+// answeredStatuses returns the statuses of the control machines that answered.
 func answeredStatuses(answers []Answer) (statuses []*configpb.StatusResponse) {
 	for _, a := range answers {
 		if a.Status != nil {
@@ -102,8 +103,8 @@
 	return statuses
 }
 
-// mostRecentlyConfirmed returns the status with the lowest confirmation age, whose leader is the most likely one; nil:
-// there is no status.
+// mostRecentlyConfirmed returns the status with the lowest confirmation age, whose leader is most likely the current one. It
+// returns nil if there is no status.
 func mostRecentlyConfirmed(statuses []*configpb.StatusResponse) (best *configpb.StatusResponse) {
 	for _, s := range statuses {
 		if best == nil || s.GetConfirmedMs() < best.GetConfirmedMs() {
@@ -113,7 +114,7 @@
 	return best
 }
 
-// confirmationAge returns the milliseconds since a quorum confirmed a machine's newest revision; -1: none has.
+// confirmationAge returns the milliseconds since a quorum last confirmed a control machine's newest revision; -1: never.
 func confirmationAge(s *configpb.StatusResponse) int64 {
 	if s.GetConfirmedMs() == distribution.NeverConfirmed {
 		return -1
@@ -121,7 +122,7 @@
 	return int64(s.GetConfirmedMs())
 }
 
-// reportedBroker is a broker with the name of the machine that reported it.
+// reportedBroker is a broker with the name of the control machine that reported it.
 type reportedBroker struct {
 	*configpb.Broker
 	machine string
@@ -133,7 +134,7 @@
 	for _, s := range statuses {
 		for _, b := range s.GetBrokers() {
 			name := b.GetReport().GetName()
-			if before, ok := byName[name]; !ok || moreRecent(b, before.Broker) {
+			if previous, ok := byName[name]; !ok || moreRecent(b, previous.Broker) {
 				byName[name] = reportedBroker{b, s.GetName()}
 			}
 		}
@@ -148,8 +149,8 @@
 	return list
 }
 
-// moreRecent reports whether a is more recent than b, for one broker: a later start of the broker comes first, then an
-// open session, then the shorter silence.
+// moreRecent reports whether a is more recent than b, for one broker. The later start of the broker's process decides, then
+// the open session, then the shorter time since the report.
 func moreRecent(a, b *configpb.Broker) bool {
 	if a, b := a.GetReport().GetStartedUnixMs(), b.GetReport().GetStartedUnixMs(); a != b {
 		return a > b
--- a/internal/controlplane/configstatus/configstatus_test.go
+++ b/internal/controlplane/configstatus/configstatus_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// answers returns the answers of a and b; c does not answer and d was not asked.
+// answers returns answers of a and b, and failed requests to c and to an unknown address; d was not asked.
 func answers() []configstatus.Answer {
 	rejecting := broker("n3", 6, true, 300)
 	rejecting.Report.Refusal = &configpb.Refusal{Number: 7, Key: "settings.classes", Reason: "needs a restart"}
@@ -75,12 +75,12 @@
 	}, v.Rejections)
 }
 
-func TestMergeInForceEverywhereNeedsAllMachinesWithBrokers(t *testing.T) {
+func TestMergeInForceEverywhereRequiresAllMachinesWithBrokers(t *testing.T) {
 	v := configstatus.Merge(answers())
 	require.Len(t, v.Revisions, 2)
 	require.Equal(t, uint64(7), v.Revisions[0].Number)
-	require.Equal(t, int64(-1), v.Revisions[0].EverywhereMs, "b has brokers and lacks 7")
-	require.Equal(t, int64(80), v.Revisions[1].EverywhereMs, "the later of both machines")
+	require.Equal(t, int64(-1), v.Revisions[0].EverywhereMs, "b has brokers but not revision 7")
+	require.Equal(t, int64(80), v.Revisions[1].EverywhereMs, "the later time of both control machines")
 	require.Equal(t, uint32(3), v.Revisions[1].Brokers)
 
 	withoutBrokers := answers()
@@ -89,7 +89,7 @@
 	require.Equal(t, int64(propagationMs), v.Revisions[0].EverywhereMs)
 }
 
-func TestMergeListsMachinesWithoutAnswer(t *testing.T) {
+func TestMergeListsMachinesThatDidNotAnswer(t *testing.T) {
 	v := configstatus.Merge(answers())
 	require.Equal(t, []configstatus.Machine{
 		{Name: "a", Address: "127.0.0.1:1", Role: "voter", Answered: true, ReachableBy: 1, Newest: 7, ConfirmedMs: 40,
@@ -102,7 +102,7 @@
 	}, v.Machines)
 }
 
-func TestMergeWithoutAnyAnswer(t *testing.T) {
+func TestMergeWithoutAnswers(t *testing.T) {
 	v := configstatus.Merge([]configstatus.Answer{{Address: "127.0.0.1:1", Err: errors.New("timeout")}})
 	require.Empty(t, v.Leader)
 	require.Equal(t, int64(-1), v.ConfirmedMs)
--- a/internal/controlplane/configstatus/machines.go
+++ b/internal/controlplane/configstatus/machines.go
@@ -7,8 +7,8 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// mergeMachines returns the members of all answers, sorted by name, and then the addresses that did not answer and that
-// no member has. If the answers differ on a member, the one with the lowest confirmation age is used.
+// mergeMachines returns the members in all answers, sorted by name, followed by the addresses that did not answer and belong
+// to no member. If the answers differ about a member, the one with the lowest confirmation age is used.
 func mergeMachines(answers []Answer) []Machine {
 	statuses := answeredStatuses(answers)
 	slices.SortStableFunc(statuses, func(a, b *configpb.StatusResponse) int {
@@ -23,7 +23,7 @@
 	}
 	for _, s := range statuses {
 		for _, m := range s.GetMembers() {
-			row := find(func(x Machine) bool { return x.Name == m.GetName() })
+			row := find(func(listed Machine) bool { return listed.Name == m.GetName() })
 			if row == nil {
 				list = append(list, Machine{Name: m.GetName(), Address: m.GetAddress(), Role: role(m), ConfirmedMs: -1})
 				row = &list[len(list)-1]
@@ -35,11 +35,11 @@
 	}
 	slices.SortFunc(list, func(a, b Machine) int { return cmp.Compare(a.Name, b.Name) })
 	for _, a := range answers {
-		row := find(func(x Machine) bool {
+		row := find(func(listed Machine) bool {
 			if a.Status != nil {
-				return x.Name == a.Status.GetName()
+				return listed.Name == a.Status.GetName()
 			}
-			return x.Address == a.Address
+			return listed.Address == a.Address
 		})
 		if row == nil {
 			list = append(list, Machine{Name: a.Status.GetName(), Address: a.Address, ConfirmedMs: -1})
@@ -58,7 +58,7 @@
 	return "spare"
 }
 
-// addAnswer adds a machine's own answer.
+// addAnswer adds the control machine's own answer.
 func (m *Machine) addAnswer(a Answer) {
 	if a.Status == nil {
 		if !m.Answered && a.Err != nil {
@@ -71,7 +71,7 @@
 	m.Brokers = countConnected(a.Status)
 }
 
-// countConnected returns the number of brokers connected to a machine.
+// countConnected returns the number of brokers connected to a control machine.
 func countConnected(s *configpb.StatusResponse) (count int) {
 	for _, b := range s.GetBrokers() {
 		if b.GetConnected() {
--- a/internal/controlplane/configstatus/revisions.go
+++ b/internal/controlplane/configstatus/revisions.go
@@ -8,18 +8,18 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// mergeRevisions returns the propagation of each tracked revision over all machines, newest first.
+// mergeRevisions returns the propagation of each tracked revision, summed over all control machines, newest first.
 func mergeRevisions(statuses []*configpb.StatusResponse) []Revision {
 	byNumber := map[uint64]*Revision{}
 	for _, s := range statuses {
-		for _, x := range s.GetInForce() {
-			r := byNumber[x.GetNumber()]
+		for _, tracked := range s.GetInForce() {
+			r := byNumber[tracked.GetNumber()]
 			if r == nil {
-				r = &Revision{Number: x.GetNumber(), PublishedAt: time.UnixMilli(x.GetPublishedUnixMs())}
-				byNumber[x.GetNumber()] = r
+				r = &Revision{Number: tracked.GetNumber(), PublishedAt: time.UnixMilli(tracked.GetPublishedUnixMs())}
+				byNumber[tracked.GetNumber()] = r
 			}
-			r.Brokers += x.GetBrokers()
-			r.Lagging += x.GetLagging()
+			r.Brokers += tracked.GetBrokers()
+			r.Lagging += tracked.GetLagging()
 		}
 	}
 	list := make([]Revision, 0, len(byNumber))
@@ -27,7 +27,7 @@
 		r.EverywhereMs = -1
 		if at, ok := inForceEverywhereAt(statuses, r.Number); ok {
 			r.EverywhereAt = at
-			r.EverywhereMs = max(at.Sub(r.PublishedAt).Milliseconds(), 0) // the machines' clocks differ
+			r.EverywhereMs = max(at.Sub(r.PublishedAt).Milliseconds(), 0) // the control machines' clocks may differ
 		}
 		list = append(list, *r)
 	}
@@ -35,17 +35,18 @@
 	return list
 }
 
-// inForceEverywhereAt returns when a revision was in force at all brokers of the last machine, and false if it is not
-// yet. A machine without brokers is ignored; one that has brokers and not the revision counts as not yet.
+// inForceEverywhereAt returns when all connected brokers had a revision in force, which is the latest time that a control
+// machine reports. It returns false if not all of them have it in force yet. A control machine that reports no time is
+// ignored if it has no connected brokers or no longer tracks the revision; otherwise the revision is not in force everywhere.
 func inForceEverywhereAt(statuses []*configpb.StatusResponse, number uint64) (at time.Time, ok bool) {
 	for _, s := range statuses {
-		i := slices.IndexFunc(s.GetInForce(), func(x *configpb.InForce) bool { return x.GetNumber() == number })
+		i := slices.IndexFunc(s.GetInForce(), func(tracked *configpb.InForce) bool { return tracked.GetNumber() == number })
 		var unixMs int64
 		if i >= 0 {
 			unixMs = s.GetInForce()[i].GetEverywhereUnixMs()
 		}
 		if unixMs == 0 {
-			if countConnected(s) > 0 && !droppedByTracking(s, number) {
+			if countConnected(s) > 0 && !noLongerTracked(s, number) {
 				return time.Time{}, false
 			}
 			continue
@@ -58,8 +59,8 @@
 	return at, ok
 }
 
-// droppedByTracking reports whether a machine no longer tracks a revision, but only later ones.
-func droppedByTracking(s *configpb.StatusResponse, number uint64) bool {
+// noLongerTracked reports whether a control machine tracks only revisions later than the given one.
+func noLongerTracked(s *configpb.StatusResponse, number uint64) bool {
 	tracked := s.GetInForce()
 	return len(tracked) > 0 && number < tracked[len(tracked)-1].GetNumber()
 }
--- a/internal/controlplane/configstatus/table.go
+++ b/internal/controlplane/configstatus/table.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// maxListedNames is the largest number of names in a line of the table; the JSON form has all.
+// maxListedNames is the maximum number of names in one line of the table; the JSON output has all names.
 const maxListedNames = 10
 
-// Write writes the view as a table, with the newest maxRevisions revisions at most. Ages are relative to now. Errors:
-// those of out.
+// Write writes the view as a table with at most maxRevisions revisions, the newest first. Ages are relative to now. Its
+// errors are those of out.
 func (v View) Write(out io.Writer, now time.Time, maxRevisions int) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "newest revision %d, leader %s, confirmed by a quorum %s\n\n",
@@ -71,7 +71,7 @@
 	}
 }
 
-// formatBrokers returns the brokers' names and revisions, as joinNames does.
+// formatBrokers returns the brokers' names, with the revisions in force, joined by joinNames.
 func formatBrokers(brokers []Broker) string {
 	list := make([]string, len(brokers))
 	for i, b := range brokers {
@@ -80,7 +80,7 @@
 	return joinNames(list)
 }
 
-// joinNames returns the first maxListedNames names and the number of the others.
+// joinNames returns the first maxListedNames names, and the number of the remaining ones.
 func joinNames(list []string) string {
 	if len(list) <= maxListedNames {
 		return strings.Join(list, ", ")
@@ -88,7 +88,7 @@
 	return fmt.Sprintf("%s and %d more", strings.Join(list[:maxListedNames], ", "), len(list)-maxListedNames)
 }
 
-// formatAge returns an age in seconds; "never" for a negative one.
+// formatAge formats an age in seconds, or returns "never" if it is negative.
 func formatAge(milliseconds int64) string {
 	if milliseconds < 0 {
 		return "never"
@@ -96,10 +96,10 @@
 	return fmt.Sprintf("%.1f s ago", float64(milliseconds)/1e3)
 }
 
-// orDefault returns s, or a default if s is empty.
-func orDefault(s, otherwise string) string {
+// orDefault returns s, or the default value if s is empty.
+func orDefault(s, defaultValue string) string {
 	if s == "" {
-		return otherwise
+		return defaultValue
 	}
 	return s
 }
