--- a/internal/controlplane/operatorclient/errors.go
+++ b/internal/controlplane/operatorclient/errors.go
@@ -5,17 +5,17 @@
 	"fmt"
 )
 
-// RejectedError is the rejection of a publication. The document is in no revision.
+// RejectedError is returned if a publication was rejected. The document was not committed.
 type RejectedError struct {
-	Key    string // of the document at fault; or "document", "expected", "request"
+	Key    string // invalid key in the document; or "document", "expected" or "request"
 	Reason string
 }
 
 // Error implements error.
 func (e *RejectedError) Error() string { return fmt.Sprintf("refused by %s: %s", e.Key, e.Reason) }
 
-// UnavailableError is returned if certainly no control machine has accepted a publication. The document is in no
-// revision.
+// UnavailableError is returned if certainly no control machine has accepted a publication. The document was not
+// committed.
 type UnavailableError struct {
 	Last error // of the last attempt
 }
@@ -28,8 +28,8 @@
 // Unwrap returns the error of the last attempt.
 func (e *UnavailableError) Unwrap() error { return e.Last }
 
-// OutcomeUnknownError is returned if a publication may be committed, now or later. It is safe to publish the same document
-// again under the same request id: it becomes one revision.
+// OutcomeUnknownError is returned if a publication may have been committed or may still be. It is safe to publish the same
+// document again with the same request id: it becomes only one revision.
 type OutcomeUnknownError struct {
 	Last error // of the last attempt
 }
--- a/internal/controlplane/operatorclient/operatorclient.go
+++ b/internal/controlplane/operatorclient/operatorclient.go
@@ -1,5 +1,5 @@
-// Package operatorclient calls control machines for the operators' commands: it publishes a document under one request
-// id until the outcome is known, and reads status and revisions.
+// Package operatorclient is the client of the control machines for the operators' commands. It publishes documents, with
+// retries under one request id until the outcome is known, and reads status and revisions.
 package operatorclient
 
 import (
@@ -17,12 +17,13 @@
 )
 
 const (
-	// MaxStatusBytes is the largest status accepted, in bytes: 3,000 brokers with at most 2 KiB each, rejection included.
+	// MaxStatusBytes is the maximum size of a received status, in bytes. It holds 3,000 brokers with at most 2 KiB each,
+	// including their rejections.
 	MaxStatusBytes = 8 << 20
 
-	// connectTimeout is how long a connection may take: several times three round trips between regions.
+	// connectTimeout is the maximum duration of a connection attempt: several times three round trips between regions.
 	connectTimeout = time.Second
-	// callTimeout is how long one control machine may take to answer Publish or Get, before the next one is tried.
+	// callTimeout is how long one control machine may take to respond to Publish or Get before the next one is tried.
 	callTimeout = 5 * time.Second
 )
 
@@ -41,8 +42,8 @@
 	return response, nil
 }
 
-// Get returns a revision from the first control machine that has it; for number 0, the newest revision of the first
-// machine that answers. The error is that of the last machine, with its address.
+// Get returns a revision from the first control machine that has it, or for number 0 the newest revision of the first
+// control machine that responds. The error is that of the last control machine, with its address.
 func Get(ctx context.Context, addresses []string, number uint64) (*configpb.Revision, error) {
 	lastErr := errNoAddress
 	for _, address := range addresses {
@@ -71,7 +72,7 @@
 	return revision, nil
 }
 
-// connect returns a connection that is ready. If it fails, no request has been sent.
+// connect returns a connection that is ready for requests. If it returns an error, no request has been sent.
 func connect(ctx context.Context, address string) (*grpc.ClientConn, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
--- a/internal/controlplane/operatorclient/operatorclient_test.go
+++ b/internal/controlplane/operatorclient/operatorclient_test.go
@@ -17,21 +17,21 @@
 	"mothrouter/internal/controlplane/operatorclient"
 )
 
-// machine is a control machine that answers publications by a script, and repeats its last answer.
-type machine struct {
+// fakeControlMachine returns the given results to successive publications, and repeats the last one.
+type fakeControlMachine struct {
 	configpb.UnimplementedControlServer
-	script   []func() (*configpb.PublishResponse, error)
-	requests []uint64 // request ids received; calls are not concurrent
+	results  []func() (*configpb.PublishResponse, error)
+	requests []uint64 // received request ids; calls are not concurrent
 }
 
-func (m *machine) Publish(_ context.Context, r *configpb.PublishRequest) (*configpb.PublishResponse, error) {
+func (m *fakeControlMachine) Publish(_ context.Context, r *configpb.PublishRequest) (*configpb.PublishResponse, error) {
 	m.requests = append(m.requests, r.GetRequest())
-	return m.script[min(len(m.requests), len(m.script))-1]()
+	return m.results[min(len(m.requests), len(m.results))-1]()
 }
 
 func committed() (*configpb.PublishResponse, error) { return &configpb.PublishResponse{Number: 7}, nil }
 
-func unknown() (*configpb.PublishResponse, error) {
+func outcomeUnknown() (*configpb.PublishResponse, error) {
 	return nil, status.Error(codes.DeadlineExceeded, "committed or not")
 }
 
@@ -46,10 +46,11 @@
 	return nil, errors.Join(err, s.Err())
 }
 
-func start(t *testing.T, script ...func() (*configpb.PublishResponse, error)) (*machine, string) {
+func startControlMachine(t *testing.T, results ...func() (*configpb.PublishResponse, error)) (
+	*fakeControlMachine, string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	m := &machine{script: script}
+	m := &fakeControlMachine{results: results}
 	server := grpc.NewServer()
 	configpb.RegisterControlServer(server, m)
 	go server.Serve(listener)
@@ -57,18 +58,18 @@
 	return m, listener.Addr().String()
 }
 
-func publish(t *testing.T, within time.Duration, addresses ...string) (uint64, error) {
-	ctx, cancel := context.WithTimeout(t.Context(), within)
+func publish(t *testing.T, timeout time.Duration, addresses ...string) (uint64, error) {
+	ctx, cancel := context.WithTimeout(t.Context(), timeout)
 	defer cancel()
 	return operatorclient.Publish(ctx, addresses, &configpb.PublishRequest{Request: 5, Document: []byte("x")})
 }
 
-const long = 10 * time.Second
+const longTimeout = 10 * time.Second
 
 func TestPublishRetriesWithSameRequestUntilOutcomeIsKnown(t *testing.T) {
-	first, firstAddress := start(t, notAppended, unknown)
-	second, secondAddress := start(t, unknown, committed)
-	number, err := publish(t, long, "127.0.0.1:1", firstAddress, secondAddress)
+	first, firstAddress := startControlMachine(t, notAppended, outcomeUnknown)
+	second, secondAddress := startControlMachine(t, outcomeUnknown, committed)
+	number, err := publish(t, longTimeout, "127.0.0.1:1", firstAddress, secondAddress)
 	require.NoError(t, err)
 	require.Equal(t, uint64(7), number)
 	require.Equal(t, []uint64{5, 5}, first.requests)
@@ -76,8 +77,8 @@
 }
 
 func TestPublishReturnsRejectionWithoutRetry(t *testing.T) {
-	m, address := start(t, rejected)
-	_, err := publish(t, long, address)
+	m, address := startControlMachine(t, rejected)
+	_, err := publish(t, longTimeout, address)
 	var rejection *operatorclient.RejectedError
 	require.ErrorAs(t, err, &rejection)
 	require.Equal(t, operatorclient.RejectedError{Key: "settings.x", Reason: "is odd"}, *rejection)
@@ -85,17 +86,17 @@
 }
 
 func TestPublishDistinguishesUnavailableFromUnknown(t *testing.T) {
-	const short = 500 * time.Millisecond
-	_, never := start(t, notAppended)
-	_, err := publish(t, short, never, "127.0.0.1:1")
+	const shortTimeout = 500 * time.Millisecond
+	_, notAppending := startControlMachine(t, notAppended)
+	_, err := publish(t, shortTimeout, notAppending, "127.0.0.1:1")
 	var unavailable *operatorclient.UnavailableError
 	require.ErrorAs(t, err, &unavailable)
 
-	_, once := start(t, unknown, notAppended)
-	_, err = publish(t, short, once)
+	_, unknownOnce := startControlMachine(t, outcomeUnknown, notAppended)
+	_, err = publish(t, shortTimeout, unknownOnce)
 	var unknownOutcome *operatorclient.OutcomeUnknownError
-	require.ErrorAs(t, err, &unknownOutcome, "one unknown outcome is not undone by a later one that is known")
+	require.ErrorAs(t, err, &unknownOutcome, "a later attempt that is not appended does not resolve an unknown outcome")
 
-	_, err = publish(t, short)
+	_, err = publish(t, shortTimeout)
 	require.ErrorAs(t, err, &unavailable, "no address")
 }
--- a/internal/controlplane/operatorclient/publish.go
+++ b/internal/controlplane/operatorclient/publish.go
@@ -14,24 +14,25 @@
 )
 
 const (
-	// minRetryBackoff and maxRetryBackoff bound the doubling backoff between two rounds over all control machines.
+	// minRetryBackoff and maxRetryBackoff are the bounds of the exponential backoff between two rounds over all control
+	// machines.
 	minRetryBackoff = 100 * time.Millisecond
 	maxRetryBackoff = time.Second
 )
 
-// Publish publishes a document and returns the number of its revision. It tries the control machines in turn, under
-// the same request id, until the outcome is known or ctx ends. Errors: *RejectedError, *UnavailableError and
+// Publish publishes a document and returns the number of its revision. It tries the control machines in turn, with the
+// same request id, until the outcome is known or ctx ends. Its errors are *RejectedError, *UnavailableError and
 // *OutcomeUnknownError.
 func Publish(ctx context.Context, addresses []string, request *configpb.PublishRequest) (uint64, error) {
 	if len(addresses) == 0 {
 		return 0, &UnavailableError{errNoAddress}
 	}
 	var lastErr error
-	mayBeCommitted := false // by an attempt with an unknown outcome
+	mayBeCommitted := false // an attempt had an unknown outcome
 	for backoff := minRetryBackoff; ; backoff = min(2*backoff, maxRetryBackoff) {
 		for _, address := range addresses {
 			if ctx.Err() != nil {
-				return 0, unresolved(mayBeCommitted, lastErr)
+				return 0, contextEndedError(mayBeCommitted, lastErr)
 			}
 			number, err := publishTo(ctx, address, request)
 			var rejected *RejectedError
@@ -51,8 +52,8 @@
 	}
 }
 
-// unresolved returns the error of a publication whose context has ended.
-func unresolved(mayBeCommitted bool, lastErr error) error {
+// contextEndedError returns the error of a publication whose context has ended.
+func contextEndedError(mayBeCommitted bool, lastErr error) error {
 	if lastErr == nil {
 		lastErr = context.DeadlineExceeded
 	}
@@ -62,8 +63,8 @@
 	return &UnavailableError{lastErr}
 }
 
-// publishTo publishes at one control machine. Errors: *RejectedError and *OutcomeUnknownError; any other one means that the
-// machine has certainly not accepted the publication.
+// publishTo publishes a document at one control machine. Its errors are *RejectedError and *OutcomeUnknownError; any other
+// error means that the control machine has certainly not accepted the publication.
 func publishTo(ctx context.Context, address string, request *configpb.PublishRequest) (uint64, error) {
 	conn, err := connect(ctx, address)
 	if err != nil {
@@ -79,7 +80,7 @@
 	return response.GetNumber(), nil
 }
 
-// publishError returns the error of publishTo for a gRPC error.
+// publishError converts a gRPC error to an error of publishTo.
 func publishError(err error) error {
 	s := status.Convert(err)
 	for _, detail := range s.Details() {
@@ -93,7 +94,7 @@
 		}
 	}
 	switch s.Code() {
-	case codes.ResourceExhausted: // the message exceeds the server's limit
+	case codes.ResourceExhausted: // the request exceeds the server's message size limit
 		return &RejectedError{Key: "document", Reason: s.Message()}
 	case codes.Unimplemented: // the server is not a control machine
 		return errors.New(s.Message())
