--- a/internal/controlplane/configpb/bounds.go
+++ b/internal/controlplane/configpb/bounds.go
@@ -1,5 +1,5 @@
-// Package configpb is the wire form of configuration revisions and the reports of brokers on them, with its bounds and
-// errors. The .pb.go files are generated from config.proto.
+// Package configpb defines the gRPC services and messages of the control plane, with their size limits and error reasons.
+// The .pb.go files are generated from config.proto.
 package configpb
 
 import (
@@ -8,23 +8,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds of messages, in bytes. They hold for all who make, store and take them.
+// Maximum sizes of message fields, in bytes. Every process that creates, stores or receives a message enforces them.
 const (
 	MaxDocument        = 64 << 10
 	MaxRejectionKey    = 256
 	MaxRejectionReason = 1024
 )
 
-// Checksum returns the checksum of a document, as Revision names it.
+// Checksum returns the checksum of a document, as in Revision.checksum.
 func Checksum(document []byte) uint64 { return xxhash.Sum64(document) }
 
-// NewRejection returns a refusal within its bounds: texts are cut, and made valid UTF-8.
+// NewRejection returns a rejection within its size limits: the key and the reason are made valid UTF-8 and truncated.
 func NewRejection(number uint64, key, reason string) *Refusal {
-	return &Refusal{Number: number, Key: cut(key, MaxRejectionKey), Reason: cut(reason, MaxRejectionReason)}
+	return &Refusal{Number: number, Key: truncate(key, MaxRejectionKey), Reason: truncate(reason, MaxRejectionReason)}
 }
 
-// cut replaces invalid UTF-8 of s and shortens it to at most maxSize bytes, between two characters.
-func cut(s string, maxSize int) string {
+// truncate replaces invalid UTF-8 in s and shortens s to at most maxSize bytes, without splitting a character.
+func truncate(s string, maxSize int) string {
 	s = strings.ToValidUTF8(s, "?")
 	if len(s) > maxSize {
 		s = strings.ToValidUTF8(s[:maxSize], "")
--- a/internal/controlplane/configstatus/configstatus.go
+++ b/internal/controlplane/configstatus/configstatus.go
@@ -71,7 +71,7 @@
 	EverywhereAt time.Time `json:"everywhere,omitzero"` // when all connected brokers had it in force; zero: not yet
 	EverywhereMs int64     `json:"everywhere_ms"`       // milliseconds from publication to EverywhereAt; -1: not yet
 	Brokers      uint32    `json:"brokers"`             // number of connected brokers that have it in force
-	Lagging      uint32    `json:"lagging"`             // number of connected brokers without it after distribution.PropagationDeadline
+	Lagging      uint32    `json:"lagging"`             // connected brokers without it after distribution.PropagationDeadline
 }
 
 // Merge merges the answers. If several control machines have a report of the same broker, the most recent one is used.
