--- a/internal/controlplane/configstatus/configstatus.go
+++ b/internal/controlplane/configstatus/configstatus.go
@@ -27,7 +27,7 @@
 	Newest       uint64      `json:"newest"`       // highest revision number at any control machine; 0: none
 	ConfirmedMs  int64       `json:"confirmed_ms"` // lowest confirmation age, in milliseconds; -1: never confirmed
 	Machines     []Machine   `json:"machines"`
-	Connected    int         `json:"connected"` // number of brokers
+	Connected    int         `json:"connected"` // number of connected brokers
 	Lagging      []Broker    `json:"behind"`    // connected, without Newest in force
 	Disconnected []Broker    `json:"cut_off"`   // not connected to any control machine that answered
 	Rejections   []Rejection `json:"refusals"`
@@ -122,10 +122,10 @@
 	return int64(s.GetConfirmedMs())
 }
 
-// reportedBroker is a broker with the name of the control machine that reported it.
+// reportedBroker is a broker as reported by a control machine.
 type reportedBroker struct {
 	*configpb.Broker
-	machine string
+	controlMachine string // name
 }
 
 // mergeBrokers returns the most recent report of each broker, sorted by name.
@@ -169,7 +169,7 @@
 		Zone:     report.GetZone(),
 		InForce:  report.GetInForce(),
 		SilentMs: b.GetSilentMs(),
-		Control:  b.machine,
+		Control:  b.controlMachine,
 	}
 	switch {
 	case !b.GetConnected():
--- a/internal/controlplane/controlserver/receive_test.go
+++ b/internal/controlplane/controlserver/receive_test.go
@@ -33,7 +33,7 @@
 		{"other fleet", &configpb.Envelope{Fleet: fleet + 1, From: 2, Message: heartbeat(t, 2, 1)},
 			EnvelopeCounts{Foreign: 1}},
 		{"unknown sender", &configpb.Envelope{Fleet: fleet, From: 9, Message: heartbeat(t, 9, 1)}, EnvelopeCounts{Foreign: 1}},
-		{"sent by this machine", &configpb.Envelope{Fleet: fleet, From: 1, Message: heartbeat(t, 1, 1)},
+		{"sent by this control machine", &configpb.Envelope{Fleet: fleet, From: 1, Message: heartbeat(t, 1, 1)},
 			EnvelopeCounts{Foreign: 1}},
 		{"message of another sender", &configpb.Envelope{Fleet: fleet, From: 2, Message: heartbeat(t, 3, 1)},
 			EnvelopeCounts{Foreign: 1}},
--- a/internal/controlplane/controlserver/server_test.go
+++ b/internal/controlplane/controlserver/server_test.go
@@ -22,7 +22,7 @@
 type testCluster struct {
 	members []Member
 	clients []configpb.ControlClient
-	ended   []chan error // receives the result of Run, by machine
+	ended   []chan error // each receives the result of Run, in the order of members
 }
 
 // startCluster starts control machines that validate documents with rejectBad.
