--- a/internal/controlplane/configfollower/client_test.go
+++ b/internal/controlplane/configfollower/client_test.go
@@ -91,8 +91,8 @@
 	return append([]uint64(nil), b.applied...)
 }
 
-// startBroker runs the broker b1 until the test ends. Tests start it in a subtest, so that its cleanup runs before goleak checks
-// for leaked goroutines.
+// startBroker runs the broker b1 until the test ends. Tests start it in a subtest, so that its cleanup runs before goleak
+// checks for leaked goroutines.
 func startBroker(t testing.TB, rejections map[uint64]*configpb.Refusal, addresses ...string) *broker {
 	b := &broker{rejections: rejections}
 	var machines []distribution.ControlMachine
