--- a/internal/controlplane/operatorclient/operatorclient_test.go
+++ b/internal/controlplane/operatorclient/operatorclient_test.go
@@ -42,7 +42,8 @@
 }
 
 func rejected() (*configpb.PublishResponse, error) {
-	s, err := status.New(codes.InvalidArgument, "no").WithDetails(&configpb.Refusal{Key: "settings.x", Reason: "is odd"})
+	s, err := status.New(codes.InvalidArgument, "rejected").WithDetails(
+		&configpb.Refusal{Key: "settings.x", Reason: "must be positive"})
 	return nil, errors.Join(err, s.Err())
 }
 
@@ -81,7 +82,7 @@
 	_, err := publish(t, longTimeout, address)
 	var rejection *operatorclient.RejectedError
 	require.ErrorAs(t, err, &rejection)
-	require.Equal(t, operatorclient.RejectedError{Key: "settings.x", Reason: "is odd"}, *rejection)
+	require.Equal(t, operatorclient.RejectedError{Key: "settings.x", Reason: "must be positive"}, *rejection)
 	require.Len(t, m.requests, 1)
 }
 
