--- a/cmd/mothrouter/flight_server_test.go
+++ b/cmd/mothrouter/flight_server_test.go
@@ -132,7 +132,7 @@
 
 type flightAnswer struct {
 	values  map[int32]string
-	closing *mothflight.Closing // nil: the answer was truncated
+	closing *mothflight.AnswerMetadata // nil: the answer was truncated
 	schema  *arrow.Schema
 }
 
@@ -159,7 +159,7 @@
 		return a, err
 	}
 	if len(last) > 0 {
-		a.closing = &mothflight.Closing{}
+		a.closing = &mothflight.AnswerMetadata{}
 		err = json.Unmarshal(last, a.closing)
 	}
 	return a, err
--- a/cmd/mothrouter/flight_test.go
+++ b/cmd/mothrouter/flight_test.go
@@ -29,7 +29,7 @@
 	a, err := fetchAnswer(shortContext(t), c, queryTicket("q1", "tariff-report", 5))
 	require.NoError(t, err)
 	require.Equal(t, map[int32]string{0: "v0", 1: "v1", 2: "v2", 3: "v3", 4: "v4"}, a.values)
-	require.Equal(t, &mothflight.Closing{ID: "q1", Class: "tariff-report", Complete: true, Parts: 5}, a.closing)
+	require.Equal(t, &mothflight.AnswerMetadata{ID: "q1", Class: "tariff-report", Complete: true, Parts: 5}, a.closing)
 	md := a.schema.Metadata()
 	require.Equal(t, map[string]string{"mothrouter.id": "q1", "mothrouter.class": "tariff-report"}, md.ToMap())
 	require.Len(t, s0.parts(), 5)
@@ -251,7 +251,7 @@
 	c := p.startFlight(`"s0"`, "s0")
 	a, err := fetchAnswer(shortContext(t), c, queryTicket("q1", "tariff-report", 5))
 	require.NoError(t, err)
-	require.Equal(t, &mothflight.Closing{ID: "q1", Class: "tariff-report", Parts: 4}, a.closing)
+	require.Equal(t, &mothflight.AnswerMetadata{ID: "q1", Class: "tariff-report", Parts: 4}, a.closing)
 
 	stream, err := c.DoGet(shortContext(t), &flight.Ticket{Ticket: queryTicket("q2", "tariff-report", 4)})
 	require.NoError(t, err)
--- a/internal/endpoints/discovery/call.go
+++ b/internal/endpoints/discovery/call.go
@@ -35,7 +35,7 @@
 	messages chan<- message // receives what the call has received, and its end
 
 	lines  httpwire.LineReader
-	object httpwire.Object // the message that is being received
+	object httpwire.ObjectAssembler // the message that is being received
 }
 
 // run makes the call and sends its messages until it ends or ctx does.
--- a/internal/transport/flight/flight.go
+++ b/internal/transport/flight/flight.go
@@ -58,8 +58,8 @@
 	return t
 }
 
-// Closing is the metadata of an answer's last message. An answer without it is truncated.
-type Closing struct {
+// AnswerMetadata is the metadata of an answer's last message. An answer without it is truncated.
+type AnswerMetadata struct {
 	ID       string `json:"id"`
 	Class    string `json:"class"`
 	Complete bool   `json:"whole"`
--- a/internal/transport/flight/front.go
+++ b/internal/transport/flight/front.go
@@ -134,7 +134,7 @@
 // Finish implements broker.Client.
 func (c client) Finish(r broker.Result) { c <- r }
 
-// DoGet serves one query: a row for each part that answered, then the Closing metadata.
+// DoGet serves one query: a row for each part that answered, then the AnswerMetadata.
 func (f *Front) DoGet(ticket *flight.Ticket, stream flight.FlightService_DoGetServer) error {
 	ctx := stream.Context()
 	r, t, err := f.request(ctx, ticket.GetTicket())
@@ -172,9 +172,9 @@
 	if err := w.Write(rec); err != nil {
 		return status.Error(codes.Aborted, err.Error())
 	}
-	closing, err := json.Marshal(Closing{ID: t.ID, Class: t.Class, Complete: res.Complete, Parts: len(res.Values)})
+	metadata, err := json.Marshal(AnswerMetadata{ID: t.ID, Class: t.Class, Complete: res.Complete, Parts: len(res.Values)})
 	if err == nil {
-		err = w.WriteMetadata(closing)
+		err = w.WriteMetadata(metadata)
 	}
 	if err == nil {
 		err = w.Close()
--- a/internal/transport/httpwire/httpwire.go
+++ b/internal/transport/httpwire/httpwire.go
@@ -15,7 +15,7 @@
 	maxHead       = 8 << 10  // bytes of a start line and its header, also of a trailer
 	maxChunkLine  = 64       // bytes of a chunk-size line
 	maxLine       = 1 << 20  // bytes of a line or object of a watch: a full list of a few thousand servers
-	maxIdleObject = 16 << 10 // bytes that an Object keeps for the next one
+	maxIdleObject = 16 << 10 // bytes of memory that an ObjectAssembler keeps for the next object
 )
 
 // Error is input that breaks the protocol, with the status that answers it. Error's text goes to the client.
--- a/internal/transport/wiretest/wiretest.go
+++ b/internal/transport/wiretest/wiretest.go
@@ -10,14 +10,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Machine is a state machine that receives bytes.
-type Machine interface {
+// StateMachine is a state machine that receives bytes.
+type StateMachine interface {
 	Grow() []byte
 	Advance(n int)
 }
 
-// Feed passes input to m, size bytes at a time. After each piece it calls next until that returns false.
-func Feed(m Machine, input []byte, size int, next func() (more bool)) {
+// Feed passes input to m, size bytes at a time. After each piece it calls next until next returns false.
+func Feed(m StateMachine, input []byte, size int, next func() (more bool)) {
 	for len(input) > 0 {
 		n := copy(m.Grow(), input[:min(size, len(input))])
 		m.Advance(n)
