--- a/internal/transport/frame/append.go
+++ b/internal/transport/frame/append.go
@@ -11,9 +11,9 @@
 	Shard          int
 	WaitMS         int    // how long the broker waits, in milliseconds
 	Payload        []byte // the query's text
-	SecondPhase    bool   // a part of a second phase, which states the result of the first:
-	AnsweredShards []int  // the shards that answered, ascending
-	FirstComplete  bool   // whether its answer was complete
+	SecondPhase    bool   // the part belongs to a second phase; only then the fields below are set
+	AnsweredShards []int  // the shards that answered in the first phase, ascending
+	FirstComplete  bool   // whether the answer of the first phase was complete
 }
 
 // AppendCall appends a frame of TypeCall with one part to b.
@@ -35,7 +35,7 @@
 	return setLength(b, start)
 }
 
-// appendFirstPhase appends the result of the first phase to a list of options.
+// appendFirstPhase appends the result of the first phase to the options of a TypeCall frame.
 func appendFirstPhase(b []byte, answeredShards []int, complete bool) []byte {
 	b = append(b, ",from="...)
 	for i, shard := range answeredShards {
@@ -50,7 +50,7 @@
 	return append(b, ",whole=0"...)
 }
 
-// Append appends a frame of any other type to b.
+// Append appends a frame of a type other than TypeCall to b.
 func Append(b []byte, messageType byte, body string) []byte {
 	start := len(b)
 	b = appendHeader(b, messageType)
@@ -58,7 +58,7 @@
 	return setLength(b, start)
 }
 
-// appendHeader appends a frame's header, whose length setLength sets later, and its type.
+// appendHeader appends a frame's length, which setLength sets later, and its type.
 func appendHeader(b []byte, messageType byte) []byte {
 	return append(b, 0, 0, 0, 0, messageType)
 }
--- a/internal/transport/frame/frame.go
+++ b/internal/transport/frame/frame.go
@@ -1,29 +1,31 @@
-// Package frame is the protocol of record servers as a state machine without a socket. A driver reads into the slice that Grow
-// returns, reports the count to Advance and takes complete messages by Next. What Next returns are slices of the buffer, valid
-// until the next call of Grow. A frame is its length as four bytes, big endian, a byte of type, and the body.
+// Package frame implements the wire protocol of record servers as a state machine that does no I/O. A driver reads into the
+// slice that Grow returns, reports the number of bytes read to Advance, and takes complete messages from Next. The slices in a
+// message refer to the buffer and are valid until the next call of Grow.
+//
+// A frame is a length of four bytes, big endian, then a type byte and the body, which the length counts.
 package frame
 
 import "strconv"
 
 const (
-	// MaxFrame is the longest frame in bytes that is read: the largest value of an answer, and its line.
+	// MaxFrame is the largest length in bytes that a received frame may state: the first line of a reply and the largest value.
 	MaxFrame = 64<<10 + 1024
 
-	headerSize   = 4   // bytes of a frame's length
+	headerSize   = 4   // bytes of the length field
 	maxReplyLine = 512 // bytes of the first line of a reply: an id, a status, a score and a load report
 )
 
-// The types of messages.
+// Message types.
 const (
-	TypeCall       byte = 'S' // to a server: parts to serve
+	TypeCall       byte = 'S' // to a server: a part to serve
 	TypeCancel     byte = 'C' // to a server: the id of a part whose answer is not needed
-	TypeReply      byte = 'R' // from a server: how a part ended
-	TypeHealth     byte = 'H' // a health check, and its answer
-	TypeLoadReport byte = 'M' // a health check that asks for a load report, and its answer
+	TypeReply      byte = 'R' // from a server: the result of a part
+	TypeHealth     byte = 'H' // to a server: a health check; from a server: its answer
+	TypeLoadReport byte = 'M' // the same with a load report in the answer
 	TypeRejected   byte = 'F' // from a server: it could not parse a frame
 )
 
-// secondPhaseSuffix ends the ids of a second phase's parts.
+// secondPhaseSuffix is appended to the ids of parts of a second phase.
 const secondPhaseSuffix = ".p2"
 
 // PartID returns the id of a part: the query's id, a dot and the shard, with a suffix in a second phase.
--- a/internal/transport/frame/loadreport.go
+++ b/internal/transport/frame/loadreport.go
@@ -9,8 +9,8 @@
 	"mothrouter/internal/decision"
 )
 
-// ParseLoadReport parses a load report: name=value pairs separated by commas, or "-" for none. The settings of a deployment
-// (report.columns) name the values differently from the protocol; names of both are known here, any other is ignored.
+// ParseLoadReport parses a load report: name=value pairs separated by commas, or "-" for none. The setting report.columns of a
+// deployment names the values differently from the protocol; the names of both are recognized, any other is ignored.
 func ParseLoadReport(text []byte) (decision.LoadReport, error) {
 	report := decision.NoLoadReport
 	for len(text) > 0 && string(text) != "-" {
@@ -19,14 +19,14 @@
 		name, number, ok := bytes.Cut(pair, []byte{'='})
 		value, err := strconv.ParseFloat(string(number), 64)
 		if !ok || err != nil || math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
-			return decision.NoLoadReport, fmt.Errorf("load report: cannot read %q", pair)
+			return decision.NoLoadReport, fmt.Errorf("load report: %q, want NAME=VALUE with a finite VALUE of at least 0", pair)
 		}
 		setLoad(&report, name, value)
 	}
 	return report, nil
 }
 
-// setLoad sets the value of a report that name stands for.
+// setLoad sets the field of a report that has the name.
 func setLoad(report *decision.LoadReport, name []byte, value float64) {
 	switch string(name) {
 	case "inflight", "rif":
--- a/internal/transport/frame/reader.go
+++ b/internal/transport/frame/reader.go
@@ -9,18 +9,18 @@
 	"mothrouter/internal/transport/buffer"
 )
 
-// Error is input that breaks the protocol. The connection cannot be read on.
+// Error reports input that violates the protocol. Nothing more can be read from the connection.
 type Error struct {
 	Reason string
-	Limit  int   // bound in bytes that the input exceeds; 0: it exceeds none
-	Offset int64 // bytes of the connection that precede the frame at fault
+	Limit  int   // limit in bytes that the input exceeds; 0: it exceeds none
+	Offset int64 // bytes received on the connection before the invalid frame
 }
 
 func (e *Error) Error() string { return e.Reason }
 
 func newError(format string, args ...any) *Error { return &Error{Reason: fmt.Sprintf(format, args...)} }
 
-// withOffset sets the offset of an error that this package has just made.
+// withOffset sets the offset of an *Error that has just been created.
 func withOffset(err error, offset int64) error {
 	if e, ok := errors.AsType[*Error](err); ok {
 		e.Offset = offset
@@ -30,18 +30,18 @@
 
 // Message is one frame from a record server.
 type Message struct {
-	Type  byte   // TypeReply and so on
-	Reply Reply  // of TypeReply
-	Body  []byte // of all types, without the byte of type
+	Type  byte   // TypeReply etc.
+	Reply Reply  // the parsed Body of a TypeReply message
+	Body  []byte // the frame without its length and type
 }
 
-// Reader reads frames. The zero value is ready to read.
+// Reader parses the frames of one connection. The zero value is ready to use.
 type Reader struct {
 	buffer buffer.Buffer
 	err    error
 }
 
-// Grow returns the slice to read the next bytes into. Messages returned earlier are invalid from now on.
+// Grow returns the slice to read the next bytes into. It invalidates messages returned earlier.
 func (r *Reader) Grow() []byte {
 	r.buffer.StartMessage()
 	r.buffer.Compact()
@@ -51,11 +51,11 @@
 // Advance marks the first n bytes of the slice that Grow returned as received.
 func (r *Reader) Advance(n int) { r.buffer.Advance(n) }
 
-// Receiving reports whether a frame has been received in part.
+// Receiving reports whether part of a frame has been received.
 func (r *Reader) Receiving() bool { return len(r.buffer.Unread()) > 0 }
 
-// Next returns the next message. ok is false where more bytes must be received first. After an error, which is an *Error, the
-// connection cannot be read on.
+// Next returns the next message. ok is false if more bytes must be received first. An error is an *Error, which all later calls
+// return too.
 func (r *Reader) Next() (m Message, ok bool, err error) {
 	if r.err != nil {
 		return Message{}, false, r.err
@@ -99,8 +99,8 @@
 	return true, nil
 }
 
-// checkStart checks what has been received of a frame behind its length. Noise that reads as a length would take the valid
-// answers behind it for the rest of a frame, so that such a frame must fail before it is complete.
+// checkStart checks the received part of a frame, without its length. Corrupt bytes that parse as a length would swallow the
+// valid replies after them as the rest of a frame, so such a frame must fail before it is complete.
 func checkStart(received []byte) error {
 	if len(received) == 0 {
 		return nil
--- a/internal/transport/frame/reader_test.go
+++ b/internal/transport/frame/reader_test.go
@@ -12,7 +12,7 @@
 	"mothrouter/internal/transport/wiretest"
 )
 
-// readMessages returns a line for each message that a reader returns for the input, and one for its error.
+// readMessages feeds input to a Reader, size bytes at a time, and returns a line for each message and one for the error.
 func readMessages(input []byte, size int) string {
 	var r frame.Reader
 	var out strings.Builder
@@ -24,14 +24,14 @@
 			fmt.Fprintf(&out, "error: %v\n", err)
 		}
 		if ok {
-			out.WriteString(describe(m))
+			out.WriteString(formatMessage(m))
 		}
 		return ok
 	})
 	return out.String()
 }
 
-func describe(m frame.Message) string {
+func formatMessage(m frame.Message) string {
 	if m.Type != frame.TypeReply {
 		return fmt.Sprintf("%c %q\n", m.Type, m.Body)
 	}
@@ -72,7 +72,7 @@
 	f.Add([]byte("\x00\x00\x00\x0bRq.1 done 1 -\n"))
 	f.Fuzz(func(t *testing.T, input []byte) {
 		if want := readMessages(input, max(len(input), 1)); want != readMessages(input, 1) {
-			t.Errorf("byte by byte the messages differ from %q", want)
+			t.Errorf("messages differ when input is fed byte by byte: want %q", want)
 		}
 	})
 }
--- a/internal/transport/frame/reply.go
+++ b/internal/transport/frame/reply.go
@@ -7,23 +7,23 @@
 	"mothrouter/internal/decision"
 )
 
-// Reply is how a part ended.
+// Reply is the result of a part.
 type Reply struct {
 	ID         []byte
 	Status     decision.Status
-	Score      int64 // ranks the shards for the second phase
-	Scored     bool  // the score could be parsed
+	Score      int64 // the second phase goes to the shards with the highest scores
+	Scored     bool  // the reply has a valid score
 	LoadReport decision.LoadReport
 	Value      []byte
 }
 
-// replyStatuses are the protocol's names of how a part ended.
+// replyStatuses maps the status names of the protocol.
 var replyStatuses = map[string]decision.Status{
 	"done": decision.OK, "failed": decision.Error, "full": decision.Overloaded,
 }
 
-// parseReply parses the body of a frame of TypeReply into reply: a line "id status score report", then the value. A score or load report
-// that cannot be parsed counts as absent: the value is valid all the same.
+// parseReply parses the body of a TypeReply frame into reply: a line "id status score report", then the value. A score or load
+// report that cannot be parsed counts as absent, since the value is valid nevertheless.
 func parseReply(reply *Reply, body []byte) error {
 	line, value, ok := bytes.Cut(body, []byte{'\n'})
 	if !ok {
