--- a/internal/transport/httpwire/chunked.go
+++ b/internal/transport/httpwire/chunked.go
@@ -9,7 +9,7 @@
 // chunkedDecoder removes the framing of a chunked body.
 type chunkedDecoder struct {
 	state         chunkState
-	remaining     int // bytes of the current chunk
+	remaining     int // bytes of the current chunk that are not decoded
 	trailerLength int // bytes of the trailer so far
 }
 
@@ -25,8 +25,8 @@
 
 func (d *chunkedDecoder) done() bool { return d.state == chunkDone }
 
-// decode consumes the front of the unread bytes: data of a chunk, or one line of framing, which isData distinguishes. It
-// returns how many bytes that are, 0 where more must be received first.
+// decode decodes the start of the unread bytes: chunk data if isData, else one line of framing. It returns how many bytes it
+// has used; 0 if more must be received first or the body has ended.
 func (d *chunkedDecoder) decode(unread []byte) (used int, isData bool, err error) {
 	switch d.state {
 	case chunkDone:
@@ -44,7 +44,7 @@
 		limit = maxHead
 	}
 	end := bytes.IndexByte(unread, '\n')
-	// The limit holds for a line that is still incomplete too, so that the result does not depend on how the bytes arrived.
+	// The limit also applies to an incomplete line, so that the result does not depend on how the input is split into reads.
 	if end > limit || end < 0 && len(unread) > limit {
 		return 0, false, tooLarge(400, limit, "a line of the chunked body is too long")
 	}
@@ -58,7 +58,7 @@
 	return used, false, nil
 }
 
-// parseLine parses one line of framing, which takes size bytes with its end.
+// parseLine parses one line of framing; size is its length in bytes with the line end.
 func (d *chunkedDecoder) parseLine(line []byte, size int) error {
 	switch d.state {
 	case chunkSize:
--- a/internal/transport/httpwire/head.go
+++ b/internal/transport/httpwire/head.go
@@ -12,14 +12,14 @@
 
 const headEnd = "\r\n\r\n"
 
-// head is a parsed start line with its header.
+// head is a start line and a parsed header.
 type head struct {
 	startLine string
 	header    textproto.MIMEHeader
-	offset    int64 // bytes of the connection that precede the head
+	offset    int64 // bytes received on the connection before the head
 }
 
-// readHead consumes and returns the next head, or nil where more bytes must be received first.
+// readHead consumes and returns the next head, or nil if more bytes must be received first.
 func readHead(b *buffer.Buffer) (*head, error) {
 	skipEmptyLines(b)
 	text := b.Unread()
@@ -59,8 +59,8 @@
 	b.Skip(n)
 }
 
-// checkLines rejects what implementations parse differently, since a second request could be smuggled in a body by it: a
-// field name such as "Transfer-Encoding " and a line that ends in a bare line feed.
+// checkLines rejects syntax that HTTP implementations parse differently, which would allow request smuggling: whitespace in a
+// field name, such as "Transfer-Encoding ", and a line that ends in a bare line feed.
 func checkLines(text []byte) error {
 	startLine := true
 	for line := range bytes.Lines(text) {
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// closes reports whether the sender of the header ends the connection after this message.
+// closes reports whether the sender of the header closes the connection after this message.
 func (h *head) closes(version string) bool {
 	for _, value := range h.header["Connection"] {
 		for option := range strings.SplitSeq(value, ",") {
@@ -91,15 +91,15 @@
 	return version == "HTTP/1.0"
 }
 
-// bodyFraming is how the end of a body is found.
+// bodyFraming states how the end of a body is determined.
 type bodyFraming struct {
 	chunked bool
-	length  int // bytes of a body that is not chunked; unstatedLength: the header has none
+	length  int // bytes of a body that is not chunked; unstatedLength: the header does not state it
 }
 
 const unstatedLength = -1
 
-// framing parses the header fields that say where the body ends.
+// framing parses the header fields that determine where the body ends.
 func (h *head) framing() (bodyFraming, error) {
 	codings, lengths := h.header["Transfer-Encoding"], h.header["Content-Length"]
 	switch {
--- a/internal/transport/httpwire/linereader.go
+++ b/internal/transport/httpwire/linereader.go
@@ -8,18 +8,18 @@
 	"mothrouter/internal/transport/buffer"
 )
 
-// LineReader reads one response whose body is lines of JSON, as a watch of discovery is. The zero value is ready to read.
+// LineReader reads one response whose body is lines of JSON, such as a discovery watch. The zero value is ready to use.
 type LineReader struct {
-	buffer  buffer.Buffer // its message is the body's lines that Next has not returned
+	buffer  buffer.Buffer // its message is the decoded part of the body that Next has not returned
 	started bool          // the head is complete
 	status  int
-	framing bodyFraming // length: what remains; unstatedLength: until the connection ends
+	framing bodyFraming // its length is what remains; with unstatedLength the body ends with the connection
 	chunked chunkedDecoder
 	done    bool
 	err     error
 }
 
-// Grow returns the slice to read the next bytes into. Lines returned earlier are invalid from now on.
+// Grow returns the slice to read the next bytes into. It invalidates lines returned earlier.
 func (r *LineReader) Grow() []byte {
 	if !r.started {
 		r.buffer.StartMessage()
@@ -36,8 +36,8 @@
 // Done reports whether the body has ended.
 func (r *LineReader) Done() bool { return r.done }
 
-// Next returns the next line without its end. ok is false where more bytes must be received first. After an error, which is an
-// *Error, the connection cannot be read on.
+// Next returns the next line without its line end. ok is false if more bytes must be received first or the body has ended. An
+// error is an *Error, which all later calls return too: the connection cannot be read any further.
 func (r *LineReader) Next() (line []byte, ok bool, err error) {
 	if r.err == nil && !r.started {
 		r.err = r.readStart()
@@ -50,7 +50,7 @@
 	return line, ok, r.err
 }
 
-// nextLine decodes the body until it holds a line.
+// nextLine decodes the body until a line is complete.
 func (r *LineReader) nextLine() (line []byte, ok bool, err error) {
 	for !r.done {
 		if line, ok := r.cutLine(); ok {
@@ -65,7 +65,7 @@
 		}
 		if rest := r.buffer.Message(); r.bodyEnded() && bytes.IndexByte(rest, '\n') < 0 {
 			r.done = true
-			return rest, len(rest) > 0, nil // the last line may lack its end
+			return rest, len(rest) > 0, nil // the last line may have no line end
 		}
 		if used == 0 {
 			break
@@ -74,7 +74,7 @@
 	return nil, false, nil
 }
 
-// cutLine removes the first line from the decoded body.
+// cutLine removes and returns the first line of the decoded body.
 func (r *LineReader) cutLine() (line []byte, ok bool) {
 	line, _, ok = bytes.Cut(r.buffer.Message(), []byte{'\n'})
 	if !ok {
@@ -84,7 +84,7 @@
 	return bytes.TrimSuffix(line, []byte("\r")), true
 }
 
-// decodeBody moves unread bytes of the body to its lines and returns how many it has consumed, framing included.
+// decodeBody moves unread bytes of the body to the decoded part and returns how many it has consumed, framing included.
 func (r *LineReader) decodeBody() (used int, err error) {
 	unread := r.buffer.Unread()
 	switch {
@@ -122,7 +122,7 @@
 	return withOffset(r.startResponse(h), h.offset)
 }
 
-// startResponse takes up the response that a head begins.
+// startResponse starts the response that begins with h.
 func (r *LineReader) startResponse(h *head) (err error) {
 	version, rest, _ := strings.Cut(h.startLine, " ")
 	code, _, _ := strings.Cut(rest, " ")
--- a/internal/transport/httpwire/object.go
+++ b/internal/transport/httpwire/object.go
@@ -19,11 +19,11 @@
 	}
 	a.scan(line)
 	if a.depth < 0 || a.quoted { // a JSON string never spans lines
-		return nil, false, malformed("an object that cannot be read")
+		return nil, false, malformed("JSON object: unmatched bracket or unterminated string in %.80q", line)
 	}
 	a.text = append(a.text, line...)
 	if len(a.text) > maxLine {
-		return nil, false, tooLarge(400, maxLine, "an object is too long")
+		return nil, false, tooLarge(400, maxLine, "a JSON object is too long")
 	}
 	return bytes.TrimSpace(a.text), a.depth == 0, nil
 }
--- a/internal/transport/httpwire/query.go
+++ b/internal/transport/httpwire/query.go
@@ -27,7 +27,7 @@
 	Route     string  `json:"route"`  // routing key in hex digits; empty: none
 }
 
-// Parts returns the targets as the broker's parts. Its errors name the target's key.
+// Parts converts the targets to the broker's parts. Its errors name the JSON field.
 func (b *Body) Parts() ([]broker.Part, error) {
 	parts := make([]broker.Part, 0, len(b.Targets))
 	for i, t := range b.Targets {
@@ -49,8 +49,8 @@
 	return class
 }
 
-// ParseQuery parses a query's request, except for its class. The result does not refer to the reader's buffer. Its errors are
-// *Error.
+// ParseQuery parses the request of a query; it does not set the class. The result does not refer to the reader's buffer. Its
+// errors are *Error.
 func ParseQuery(r *Request) (*broker.Request, error) {
 	if class := r.Header.Get("X-Class"); class != "" && class != r.Class() {
 		return nil, malformed("X-Class is %q, but the path says %q", class, r.Class())
@@ -74,8 +74,8 @@
 	return q, nil
 }
 
-// parseKey returns the routing key of a query from the parameter obj, 0 where there is none. Keys are only compared: the
-// platform's are hex digits, any other text is hashed.
+// parseKey returns the routing key of a query from the parameter obj, 0 if there is none. Keys are only compared for equality:
+// hex digits, as the clients send them, are parsed as a number, any other text is hashed.
 func parseKey(parameters string) (uint64, error) {
 	values, err := url.ParseQuery(parameters)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return xxhash.Sum64String(key), nil
 }
 
-// parseDeadline parses a duration in the platform's notation: a number, then m for milliseconds or u for microseconds.
+// parseDeadline parses the value of X-Deadline: a number, then m for milliseconds or u for microseconds.
 func parseDeadline(s string) (time.Duration, error) {
 	unit := time.Millisecond
 	number, ok := strings.CutSuffix(s, "m")
--- a/internal/transport/httpwire/query_test.go
+++ b/internal/transport/httpwire/query_test.go
@@ -8,7 +8,7 @@
 	"mothrouter/internal/transport/httpwire"
 )
 
-// queryKey returns the routing key of a query that is sent to a target.
+// queryKey returns the routing key of a query whose request has the target.
 func queryKey(t *testing.T, target string) (uint64, error) {
 	var reader httpwire.RequestReader
 	text := "POST " + target + " HTTP/1.1\r\nX-Request-Id: q\r\nX-Deadline: 10m\r\nContent-Length: 2\r\n\r\n{}"
@@ -23,7 +23,7 @@
 	return query.Key, nil
 }
 
-// The key is the parameter obj. Keys are only compared, so that any text is valid.
+// The key is the parameter obj. Keys are only compared for equality, so any text is valid.
 func TestParseQueryKey(t *testing.T) {
 	for target, want := range map[string]uint64{
 		"/c": 0, "/c?": 0, "/c?obj=": 0, "/c?other=1": 0,
--- a/internal/transport/httpwire/reader_test.go
+++ b/internal/transport/httpwire/reader_test.go
@@ -12,7 +12,7 @@
 	"mothrouter/internal/transport/wiretest"
 )
 
-// readRequests returns a line for each request that a reader returns for the input, and one for its error.
+// readRequests feeds input to a RequestReader, size bytes at a time, and returns a line for each request and one for the error.
 func readRequests(input []byte, size int) string {
 	var r httpwire.RequestReader
 	var out strings.Builder
@@ -32,7 +32,8 @@
 	return out.String()
 }
 
-// readLines returns the status and text of each line that a reader returns for the input, its error, and whether it is done.
+// readLines feeds input to a LineReader, size bytes at a time, and returns the status and text of each line, the error, and
+// whether the body has ended.
 func readLines(input []byte, size int) string {
 	var r httpwire.LineReader
 	var out strings.Builder
@@ -93,7 +94,7 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\na\nbcd"))
 	f.Fuzz(func(t *testing.T, input []byte) {
 		if want := readRequests(input, 512); want != readRequests(input, 1) {
-			t.Errorf("byte by byte requests differ from %q", want)
+			t.Errorf("requests differ when input is fed byte by byte: want %q", want)
 		}
 		readLines(input, 1)
 		readLines(input, 512)
--- a/internal/transport/httpwire/request.go
+++ b/internal/transport/httpwire/request.go
@@ -17,26 +17,27 @@
 	Close  bool   // the client ends the connection after this request
 }
 
-// RequestReader reads requests, one after the other. The zero value is ready to read.
+// RequestReader parses the requests of one connection. The zero value is ready to use.
 type RequestReader struct {
 	buffer          buffer.Buffer // its message is the body of request
-	request         *Request      // whose head is complete and whose body is not; nil: none
+	request         *Request      // has a complete head and an incomplete body; nil: none
 	framing         bodyFraming
 	chunked         chunkedDecoder
 	expectsContinue bool // the client waits for a 100 (Continue) before it sends the body
 	err             error
 }
 
-// ExpectsContinue reports, once a request, whether its client waits for a 100 (Continue) before it sends the body.
+// ExpectsContinue reports whether the client waits for a 100 (Continue) before it sends the body. It returns true at most once
+// for each request.
 func (r *RequestReader) ExpectsContinue() bool {
-	waits := r.expectsContinue && r.request != nil && r.Unread() == 0
-	if waits {
+	expects := r.expectsContinue && r.request != nil && r.Unread() == 0
+	if expects {
 		r.expectsContinue = false
 	}
-	return waits
+	return expects
 }
 
-// Grow returns the slice to read the next bytes into. Requests returned earlier are invalid from now on.
+// Grow returns the slice to read the next bytes into. It invalidates requests returned earlier.
 func (r *RequestReader) Grow() []byte {
 	if r.request == nil {
 		r.buffer.StartMessage()
@@ -50,17 +51,18 @@
 // Buffered returns the memory in bytes that the reader holds.
 func (r *RequestReader) Buffered() int { return r.buffer.Cap() }
 
-// Unread returns how many received bytes are not consumed. Between requests they belong to none that Next has returned.
+// Unread returns how many received bytes are not consumed. Between requests they belong to later requests.
 func (r *RequestReader) Unread() int { return len(r.buffer.Unread()) }
 
-// Receiving reports whether a part of a request has been received that Next has not returned.
+// Receiving reports whether part of a request has been received that Next has not returned yet.
 func (r *RequestReader) Receiving() bool { return r.request != nil || r.Unread() > 0 }
 
-// Full reports whether a request of the largest size may be unread: the driver must not read more before Next has taken it.
+// Full reports whether the unread bytes may hold a request of the largest size. The driver must not read more until Next has
+// consumed it.
 func (r *RequestReader) Full() bool { return r.Unread() > maxHead+MaxBody }
 
-// Next returns the next request, or nil where more bytes must be received first. After an error, which is an *Error, the
-// connection cannot be read on.
+// Next returns the next request, or nil if more bytes must be received first. An error is an *Error, which all later calls
+// return too: the connection cannot be read any further.
 func (r *RequestReader) Next() (*Request, error) {
 	if r.err == nil && r.request == nil {
 		r.err = r.readStart()
@@ -90,7 +92,7 @@
 	return withOffset(r.startRequest(h), h.offset)
 }
 
-// startRequest takes up the request that a head begins.
+// startRequest starts the request that begins with h.
 func (r *RequestReader) startRequest(h *head) (err error) {
 	method, rest, _ := strings.Cut(h.startLine, " ")
 	target, version, ok := strings.Cut(rest, " ")
@@ -113,7 +115,7 @@
 	return nil
 }
 
-// decodeBody consumes what has been received of the body and reports whether it is complete.
+// decodeBody consumes the received part of the body and reports whether it is complete.
 func (r *RequestReader) decodeBody() (complete bool, err error) {
 	if !r.framing.chunked {
 		if r.Unread() < r.framing.length {
--- a/internal/transport/httpwire/response.go
+++ b/internal/transport/httpwire/response.go
@@ -12,13 +12,13 @@
 	Results  []Hit `json:"results"`
 }
 
-// Hit is the value of one part.
+// Hit is the result of one part.
 type Hit struct {
 	Partition int    `json:"partition"` // the shard
 	Value     string `json:"value"`
 }
 
-// reasonPhrases are the statuses that a front writes.
+// reasonPhrases maps the statuses that the front sends.
 var reasonPhrases = map[int]string{
 	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict",
@@ -27,7 +27,7 @@
 	505: "HTTP Version Not Supported",
 }
 
-// Response is a response of a front.
+// Response is a response of the front.
 type Response struct {
 	Status     int
 	Body       any     // written as JSON; nil: none
