--- a/internal/transport/buffer/buffer.go
+++ b/internal/transport/buffer/buffer.go
@@ -1,16 +1,16 @@
-// Package buffer is the receive buffer of the transport's state machines. A driver reads into the slice that Grow
-// returns and reports the count to Advance; a state machine consumes what is unread. All slices refer to the buffer's
+// Package buffer provides the receive buffer of the transport's state machines. A driver reads into the slice that Grow returns
+// and reports the number of bytes read to Advance; a state machine consumes the unread bytes. All slices refer to the buffer's
 // memory and are valid until the next call of Grow.
 package buffer
 
 const (
 	minAllocation = 4 << 10           // bytes of the first allocation
-	minReadSize   = minAllocation / 2 // bytes that Grow offers at least: less would make small reads
-	maxIdle       = 16 << 10          // bytes that an empty buffer keeps for the next message
+	minReadSize   = minAllocation / 2 // minimum bytes that Grow returns; less would cause small reads
+	maxIdle       = 16 << 10          // bytes of memory that an empty buffer keeps for the next message
 )
 
-// Buffer holds received bytes until a state machine has consumed them. In front of the unread bytes it keeps the message
-// that is being assembled from them. The zero value is an empty buffer.
+// Buffer holds received bytes until a state machine has consumed them. Before the unread bytes it keeps the message that is
+// being assembled from them. The zero value is an empty buffer.
 //
 //	bytes: [ discarded | message | consumed | unread | free ]
 type Buffer struct {
@@ -19,7 +19,7 @@
 	messageEnd   int
 	readOffset   int
 	writeOffset  int
-	consumed     int64 // bytes since the buffer was first used
+	consumed     int64 // total bytes, since the buffer was first used
 }
 
 // Grow returns free memory for the next bytes, minReadSize or more. It invalidates every slice returned earlier. An empty
@@ -57,7 +57,7 @@
 }
 
 // closeGap moves the unread bytes to the end of the message. The framing that Skip consumes leaves a gap between them, which
-// would grow with every chunk.
+// otherwise grows with every chunk.
 func (b *Buffer) closeGap() {
 	if b.readOffset == b.messageEnd {
 		return
@@ -94,6 +94,6 @@
 // Cap returns the size of the memory in bytes.
 func (b *Buffer) Cap() int { return len(b.bytes) }
 
-// Consumed returns how many bytes were consumed since the buffer was first used: the offset of the first unread byte in the
-// stream.
+// Consumed returns how many bytes have been consumed since the buffer was first used: the offset of the first unread byte in
+// the stream.
 func (b *Buffer) Consumed() int64 { return b.consumed }
--- a/internal/transport/buffer/buffer_test.go
+++ b/internal/transport/buffer/buffer_test.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	firstSize = 4 << 10
-	idleSize  = 16 << 10
+	firstSize = 4 << 10  // bytes of the first allocation
+	idleSize  = 16 << 10 // bytes of memory that an empty buffer keeps
 )
 
+// receive adds text to the unread bytes, in as many reads as Grow requires.
 func receive(b *buffer.Buffer, text string) {
 	for len(text) > 0 {
 		n := copy(b.Grow(), text)
@@ -37,7 +38,7 @@
 	require.EqualValues(t, 11, b.Consumed())
 }
 
-func TestMessageCannotOverwriteUnreadBytes(t *testing.T) {
+func TestAppendingToMessageKeepsUnreadBytes(t *testing.T) {
 	var b buffer.Buffer
 	b.StartMessage()
 	receive(&b, "abcd")
@@ -46,7 +47,7 @@
 	require.Equal(t, "cd", string(b.Unread()))
 }
 
-func TestDiscardRemovesFromTheStartOfTheMessage(t *testing.T) {
+func TestDiscardRemovesStartOfMessage(t *testing.T) {
 	var b buffer.Buffer
 	b.StartMessage()
 	receive(&b, "line1line2")
@@ -68,7 +69,7 @@
 	require.Equal(t, "end", string(unread[firstSize-1:]))
 }
 
-func TestGrowReusesConsumedSpaceBeforeItAllocates(t *testing.T) {
+func TestGrowReusesConsumedSpace(t *testing.T) {
 	var b buffer.Buffer
 	for range 100 {
 		receive(&b, string(make([]byte, firstSize/2)))
@@ -78,7 +79,7 @@
 	require.Equal(t, firstSize, b.Cap())
 }
 
-func TestGrowDropsLargeMemoryOnlyOnceEmpty(t *testing.T) {
+func TestGrowReleasesLargeMemoryOnlyWhenEmpty(t *testing.T) {
 	var b buffer.Buffer
 	receive(&b, string(make([]byte, 2*idleSize)))
 	require.Greater(t, b.Cap(), idleSize)
