--- a/internal/transport/upstream/conn.go
+++ b/internal/transport/upstream/conn.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	idleFraction   = 0.8  // of the servers' idle time-out: no call is written to a connection that they close
-	maxAnsweredIDs = 64   // ids of the latest answered calls kept; a duplicate answer follows the first directly
-	maxAbandoned   = 1024 // ids of cancelled calls kept; a connection with more is retired
+	idleFraction   = 0.8  // of the servers' idle timeout: no call may be written to a connection that the server is closing
+	maxAnsweredIDs = 64   // ids of recently answered calls that are kept; a duplicate answer directly follows the first
+	maxAbandoned   = 1024 // ids of cancelled calls that are kept; a connection with more is retired
 )
 
 // job is one call or health check on a connection.
@@ -22,7 +22,7 @@
 	healthCheck *broker.HealthCheck // nil: a call
 	id          string              // of the part; empty for a health check
 	state       jobState
-	writtenAt   time.Time // zero: not yet
+	writtenAt   time.Time // when the write of its frame returned; zero: not yet
 }
 
 type jobState int
@@ -34,29 +34,29 @@
 	jobFinished
 )
 
-// conn is one connection. The link's mu guards its fields.
+// conn is one connection to a record server. The link's mu guards its fields.
 type conn struct {
 	link           *Link
 	addr           string
-	server         *broker.Server // as of the first job
-	sock           net.Conn       // nil until it is up
-	retired        bool           // it takes no more jobs
-	closeErr       error          // why it ended; nil: it has not
-	queue          []*job         // to be written, in order
-	pendingCancels []string       // ids of calls
-	calls          map[string]*job
-	abandoned      map[string]bool // ids that were written, then cancelled, and are unanswered so far
-	answered       map[string]bool // ids that were answered lately
-	answeredIDs    []string        // the same, in order
-	healthChecks   []*job          // written and unanswered, in order
-	lastReceived   time.Time       // of the last message; zero: none yet
-	writingSince   time.Time       // since when bytes are being written; zero: none are
-	awaitingSince  time.Time       // since when an answer is due and nothing was received; zero: none is due
+	server         *broker.Server  // as of the first job
+	sock           net.Conn        // nil until connected
+	retired        bool            // it accepts no more jobs
+	closeErr       error           // why it ended; nil: it has not
+	queue          []*job          // jobs to be written, in order
+	pendingCancels []string        // ids of cancels to be written
+	calls          map[string]*job // queued or in flight, by id
+	abandoned      map[string]bool // ids that were written, then cancelled, and are not answered yet
+	answered       map[string]bool // ids of recently answered calls
+	answeredIDs    []string        // the same ids, oldest answer first
+	healthChecks   []*job          // written and not answered yet, in order
+	lastReceived   time.Time       // when the last message was received; zero: none yet
+	writingSince   time.Time       // when the latest write started; zero: none yet
+	awaitingSince  time.Time       // since when an answer is outstanding and nothing was received; zero: none is outstanding
 	wake           chan struct{}   // wakes the writer, cap 1
-	idleTimer      *time.Timer     // runs while nothing is in flight
+	idleTimer      *time.Timer     // runs while nothing is in flight; nil: stopped
 }
 
-// partID returns the id that the frames of a call carry; all attempts of a part share it.
+// partID returns the id in the frames of a call, which is the same for all attempts of a part.
 func partID(c *broker.Call) string { return frame.PartID(c.Query, c.Shard, c.FirstPhase != nil) }
 
 func newConn(l *Link, addr string, server *broker.Server) *conn {
@@ -71,12 +71,12 @@
 	}
 }
 
-// hasUsed reports whether an answer on this connection might belong to an earlier attempt of the id.
+// hasUsed reports whether an answer with the id on this connection might belong to an earlier attempt. The caller holds mu.
 func (cn *conn) hasUsed(id string) bool {
 	return cn.calls[id] != nil || cn.abandoned[id] || cn.answered[id]
 }
 
-// markAnswered remembers that a call of the id has had its answer. The caller holds mu.
+// markAnswered records that the call with the id has been answered. The caller holds mu.
 func (cn *conn) markAnswered(id string) {
 	if len(cn.answeredIDs) == maxAnsweredIDs {
 		delete(cn.answered, cn.answeredIDs[0])
@@ -107,19 +107,19 @@
 	}
 }
 
-// cancel ends the wait for a call's answer. The caller holds mu.
+// cancel stops waiting for a call's answer. The caller holds mu.
 func (cn *conn) cancel(j *job) {
 	delete(cn.calls, j.id)
 	if j.state == jobWriting && time.Since(cn.writingSince) > stallTimeout {
-		// Guards against a peer that takes no bytes: the rest of the frame would reach it long after another attempt has
-		// started, with the cancel behind it. A reset takes back what is not delivered.
+		// The server accepts no bytes: the rest of the frame, and the cancel after it, would reach it long after another
+		// attempt has started. A reset drops the undelivered bytes.
 		j.state = jobFinished
 		cn.reset()
 		return
 	}
 	if j.state == jobWriting || j.state == jobWritten {
-		// A server behind a partition leaves its connections open and silent, and what is written to them may have run. A new
-		// connection fails instead, which proves that nothing ran.
+		// A partitioned server leaves its connections open and silent, and a call written to one of them may have run.
+		// Connecting anew fails, which proves that the call did not run.
 		if cn.isSilent(cn.link.silenceTimeout() / 2) {
 			cn.retired = true
 		}
@@ -137,7 +137,7 @@
 	cn.startIdleTimer()
 }
 
-// startIdleTimer starts the idle timer once nothing is in flight. The caller holds mu.
+// startIdleTimer starts the idle timer if nothing is in flight. The caller holds mu.
 func (cn *conn) startIdleTimer() {
 	if cn.isBusy() || cn.closeErr != nil || cn.idleTimer != nil {
 		return
@@ -155,13 +155,13 @@
 	})
 }
 
-// Why connections end.
+// Reasons why connections end.
 var (
-	errIdle          = errors.New("the connection was idle")
-	errWriteStalled  = errors.New("the server takes no bytes")
-	errFrameRejected = errors.New("the server could not use a frame")
-	errProtocol      = errors.New("the server sent what cannot be read")
-	errAbandoned     = errors.New("no call waits for the connection any more")
+	errIdle          = errors.New("idle connection closed")
+	errWriteStalled  = errors.New("the record server accepts no bytes")
+	errFrameRejected = errors.New("the record server rejected a frame")
+	errProtocol      = errors.New("the record server violated the protocol")
+	errAbandoned     = errors.New("the connection is no longer needed")
 )
 
 // run connects, then reads until the connection ends. A second goroutine writes; it ends with the connection.
@@ -186,8 +186,8 @@
 	cn.link.mu.Unlock()
 }
 
-// fail ends the connection and all jobs on it. What was not written completely cannot have run. A job that is being written
-// is left to the writer, which knows how much of it went out. The caller holds mu.
+// fail ends the connection and all jobs on it. A call whose frame was not written completely cannot have run. A job that is
+// being written is left to the writer, which knows how many bytes were written. The caller holds mu.
 func (cn *conn) fail(err error) {
 	if cn.closeErr != nil {
 		return
@@ -218,8 +218,8 @@
 	cn.signal()
 }
 
-// failQueue ends the jobs that were not written. After a protocol error the server is alive and has not received them: those
-// that still wait move to another connection. The caller holds mu.
+// failQueue finishes the jobs that were not written. After a protocol error the server is alive and has not received them, so
+// those that are still queued move to another connection. The caller holds mu.
 func (cn *conn) failQueue(protocolError bool) {
 	for _, j := range cn.queue {
 		if j.state == jobQueued && protocolError {
@@ -231,7 +231,7 @@
 	}
 }
 
-// reset ends a connection whose peer accepts no bytes by a TCP reset, which drops what is not delivered. The caller holds mu.
+// reset ends a connection whose server accepts no bytes with a TCP reset, which drops undelivered bytes. The caller holds mu.
 func (cn *conn) reset() {
 	if t, ok := cn.sock.(*net.TCPConn); ok {
 		t.SetLinger(0)
@@ -239,8 +239,8 @@
 	cn.fail(errWriteStalled)
 }
 
-// lostStatus returns the status of a call that was in flight when the connection ended. A server that broke the protocol is
-// alive, which the decisions distinguish from a reset. Either way the call may have run.
+// lostStatus returns the status of a call that was in flight when the connection ended. A server that violated the protocol is
+// alive, which the Decider distinguishes from a reset. In both cases the call may have run.
 func (cn *conn) lostStatus() decision.Status {
 	if errors.Is(cn.closeErr, errProtocol) {
 		return decision.Error
@@ -248,7 +248,7 @@
 	return decision.Reset
 }
 
-// finishJob reports the status of a job without an answer to the broker. The caller holds mu.
+// finishJob finishes a job that got no answer with a status. The caller holds mu.
 func (cn *conn) finishJob(j *job, status decision.Status) {
 	if j.state == jobFinished {
 		return
--- a/internal/transport/upstream/connread.go
+++ b/internal/transport/upstream/connread.go
@@ -12,7 +12,7 @@
 	"mothrouter/internal/transport/frame"
 )
 
-const frameTimeout = 400 * time.Millisecond // to receive the rest of a frame: one that takes longer may be noise
+const frameTimeout = 400 * time.Millisecond // to receive the rest of a frame: one that takes longer may have a corrupt length
 
 // readLoop reads frames until the connection ends.
 func (cn *conn) readLoop() error {
@@ -20,7 +20,7 @@
 	for {
 		n, err := cn.sock.Read(in.Grow())
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return fmt.Errorf("%w: a frame did not come whole within %v", errProtocol, frameTimeout)
+			return fmt.Errorf("%w: incomplete frame after %v", errProtocol, frameTimeout)
 		}
 		if err != nil {
 			return err
@@ -29,11 +29,11 @@
 		if err := cn.handleFrames(&in); err != nil {
 			return err
 		}
-		// A partial frame behind the last answer would make the next call's answer read as its rest.
+		// If a partial frame follows the last answer, the next call's answer would be parsed as the rest of it.
 		var deadline time.Time
 		if in.Receiving() {
 			if !cn.awaitsAnswer() {
-				return fmt.Errorf("%w: bytes behind the last answer that is due", errProtocol)
+				return fmt.Errorf("%w: unexpected bytes after the last outstanding answer", errProtocol)
 			}
 			deadline = time.Now().Add(frameTimeout)
 		}
@@ -41,14 +41,14 @@
 	}
 }
 
-// awaitsAnswer reports whether an answer is outstanding, also to a call that was cancelled.
+// awaitsAnswer reports whether an answer is outstanding, including one to a cancelled call.
 func (cn *conn) awaitsAnswer() bool {
 	cn.link.mu.Lock()
 	defer cn.link.mu.Unlock()
 	return len(cn.calls)+len(cn.healthChecks)+len(cn.abandoned) > 0
 }
 
-// handleFrames handles the complete frames.
+// handleFrames handles the complete frames that have been received.
 func (cn *conn) handleFrames(in *frame.Reader) error {
 	for {
 		m, ok, err := in.Next()
@@ -92,10 +92,10 @@
 	case frame.TypeHealth, frame.TypeLoadReport:
 		return cn.handleHealth(m)
 	}
-	return fmt.Errorf("%w: a frame of the letter %q", errProtocol, m.Type)
+	return fmt.Errorf("%w: unexpected message type %q", errProtocol, m.Type)
 }
 
-// handleReply handles an answer to a call.
+// handleReply handles an answer to a call. The caller holds mu.
 func (cn *conn) handleReply(reply *frame.Reply) error {
 	id := string(reply.ID)
 	j := cn.calls[id]
@@ -104,7 +104,7 @@
 	}
 	r := broker.CallResult{Status: reply.Status, Score: reply.Score, Scored: reply.Scored, LoadReport: reply.LoadReport}
 	if r.Status == decision.OK && !utf8.Valid(reply.Value) {
-		return fmt.Errorf("%w: a value that is not UTF-8", errProtocol)
+		return fmt.Errorf("%w: the value of %q is not UTF-8", errProtocol, id)
 	}
 	delete(cn.calls, id)
 	cn.markAnswered(id)
@@ -114,29 +114,29 @@
 		if writeRecorded {
 			cn.link.recordLatency(time.Since(j.writtenAt))
 		}
-		r.Value = append([]byte{}, reply.Value...) // it outlives the buffer
+		r.Value = append([]byte{}, reply.Value...) // copied, since it outlives the buffer
 	}
 	j.call.Finish(r)
 	return nil
 }
 
-// handleUnexpectedReply handles an answer that no call awaits. One to a cancelled call and a duplicate are ignored; any other
-// is a protocol error.
+// handleUnexpectedReply handles an answer that no call awaits. An answer to a cancelled call and a duplicate are ignored; any
+// other is a protocol error. The caller holds mu.
 func (cn *conn) handleUnexpectedReply(id string) error {
 	switch {
 	case cn.abandoned[id]:
 		delete(cn.abandoned, id)
 		cn.markAnswered(id)
 	case !cn.answered[id]:
-		return fmt.Errorf("%w: an answer to %q, which was never sent here", errProtocol, id)
+		return fmt.Errorf("%w: an answer to %q, which was not sent on this connection", errProtocol, id)
 	}
 	return nil
 }
 
-// handleHealth handles an answer to a health check. A server answers them in order.
+// handleHealth handles an answer to a health check. A server answers them in order. The caller holds mu.
 func (cn *conn) handleHealth(m frame.Message) error {
 	if len(cn.healthChecks) == 0 {
-		return fmt.Errorf("%w: an answer to no health check", errProtocol)
+		return fmt.Errorf("%w: a health check answer without a health check", errProtocol)
 	}
 	j := cn.healthChecks[0]
 	cn.healthChecks = cn.healthChecks[1:]
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// setLoadReport sets the load report of a result. One that cannot be parsed counts as absent.
+// setLoadReport sets the load report of a result. A report that cannot be parsed counts as absent.
 func setLoadReport(r *broker.CallResult, body []byte) {
 	report, err := frame.ParseLoadReport(body)
 	if err == nil {
--- a/internal/transport/upstream/connwrite.go
+++ b/internal/transport/upstream/connwrite.go
@@ -11,11 +11,11 @@
 
 const (
 	writeTimeout = 2 * time.Second        // for a server to accept a frame, else the connection is reset
-	stallTimeout = 20 * time.Millisecond  // the same once the call being written is cancelled
-	maxFrameAge  = 100 * time.Millisecond // age of the time left in a call's frame; the rules allow 150 ms
+	stallTimeout = 20 * time.Millisecond  // the same for a frame whose call has been cancelled
+	maxFrameAge  = 100 * time.Millisecond // since the time left that a call's frame states was computed; the rules allow 150 ms
 )
 
-// writeLoop writes what is queued, until the connection ends.
+// writeLoop writes the queued frames until the connection ends.
 func (cn *conn) writeLoop() {
 	var buf []byte
 	for {
@@ -37,9 +37,8 @@
 	}
 }
 
-// nextWrite waits for frames to write and appends them to buf: cancels first, since they save servers work, else a job's
-// frame. The job is nil for cancels, and nothing is appended for a job that may no longer start. ok is false where the
-// connection has ended.
+// nextWrite waits for frames to write and appends them to buf: cancels first, since they save servers work, else a job's frame.
+// The job is nil for cancels. Nothing is appended for a job that may no longer start. ok is false if the connection has ended.
 func (cn *conn) nextWrite(buf []byte) (j *job, frames []byte, ok bool) {
 	for {
 		cn.link.mu.Lock()
@@ -68,7 +67,7 @@
 	}
 }
 
-// finishWrite records that a job's frame has been written, completely or not, and ends the connection after an error.
+// finishWrite records that a job's frame has been written, completely or in part, and ends the connection after an error.
 func (cn *conn) finishWrite(j *job, complete bool, err error) {
 	cn.link.mu.Lock()
 	defer cn.link.mu.Unlock()
@@ -79,7 +78,7 @@
 			cn.awaitingSince = j.writtenAt
 		}
 		if cn.closeErr != nil || err != nil {
-			// The connection ended meanwhile: it may have run only if its last byte was written.
+			// The connection has ended: the call may have run only if the last byte of its frame was written.
 			status := cn.lostStatus()
 			if !complete {
 				status = decision.Unreachable
@@ -125,7 +124,7 @@
 	return frame.Append(buf, messageType, "")
 }
 
-// appendCall appends a call's frame with the time that is left now.
+// appendCall appends a call's frame, which states the time that is left now.
 func (j *job) appendCall(buf []byte) []byte {
 	wait := max(int(time.Until(j.call.Deadline)/time.Millisecond), 1)
 	call := frame.Call{ID: j.id, Shard: j.call.Shard, WaitMS: wait, Payload: j.call.Payload}
@@ -137,9 +136,9 @@
 	return frame.AppendCall(buf, call)
 }
 
-// writeFrame writes frames; j is nil for cancels. A call's frame states the time that is left, so it is rebuilt every
-// maxFrameAge, for writeTimeout at most, while the server accepts no byte of it; one that was written in part is not. A call
-// that may no longer start is not written. It returns the number of bytes that were written.
+// writeFrame writes frames and returns the number of bytes written; j is nil for cancels. A call's frame states the time that
+// is left, so it is rebuilt every maxFrameAge, for writeTimeout at most, while the server accepts no byte of it. A frame that
+// was written in part is not rebuilt, and a call that may no longer start is not written.
 func (cn *conn) writeFrame(j *job, buf []byte) (n int, err error) {
 	limit := time.Now().Add(writeTimeout)
 	if j == nil || j.call == nil {
--- a/internal/transport/upstream/connwrite_test.go
+++ b/internal/transport/upstream/connwrite_test.go
@@ -12,14 +12,14 @@
 	"mothrouter/internal/transport/frame"
 )
 
-// stalledSocket accepts no bytes until stalledUntil, and then all but the last withheld bytes of each write.
+// stalledSocket accepts no bytes until stalledUntil, and then all but the last rejectedBytes bytes of each write.
 type stalledSocket struct {
 	net.Conn
-	stalledUntil time.Time
-	withheld     int
-	deadline     time.Time
-	written      []byte
-	writtenAt    time.Time // of the latest write that was accepted
+	stalledUntil  time.Time
+	rejectedBytes int
+	deadline      time.Time
+	written       []byte
+	writtenAt     time.Time // of the latest write that was accepted
 }
 
 func (s *stalledSocket) SetWriteDeadline(t time.Time) error {
@@ -34,14 +34,14 @@
 	}
 	time.Sleep(time.Until(s.stalledUntil))
 	s.writtenAt = time.Now()
-	s.written = append(s.written, p[:len(p)-s.withheld]...)
-	if s.withheld > 0 {
-		return len(p) - s.withheld, os.ErrDeadlineExceeded
+	s.written = append(s.written, p[:len(p)-s.rejectedBytes]...)
+	if s.rejectedBytes > 0 {
+		return len(p) - s.rejectedBytes, os.ErrDeadlineExceeded
 	}
 	return len(p), nil
 }
 
-// A call's frame states at most the time left when it is written, with 0.15 s of slack, however long the socket was stalled.
+// The time left that a call's frame states exceeds that at the write by 0.15 s at most, however long the socket was stalled.
 func TestWriteFrameStatesTimeLeftAtWrite(t *testing.T) {
 	const slack = 150 * time.Millisecond
 	for _, stall := range []time.Duration{0, 90 * time.Millisecond, 550 * time.Millisecond} {
@@ -58,10 +58,10 @@
 	}
 }
 
-// A frame that was written in part is neither continued nor rebuilt, and the write returns how much was accepted.
+// A frame that was written in part is neither continued nor rebuilt, and writeFrame returns how many bytes were accepted.
 func TestWriteFrameDoesNotRetryPartialWrite(t *testing.T) {
 	j := &job{call: newCall(t, 2*time.Second), id: "q.0"}
-	sock := &stalledSocket{withheld: 3}
+	sock := &stalledSocket{rejectedBytes: 3}
 	complete := j.appendCall(nil)
 	n, err := (&conn{sock: sock}).writeFrame(j, complete)
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
@@ -77,7 +77,7 @@
 	require.Empty(t, sock.written)
 }
 
-// statedWait returns the milliseconds that a call's frame states as its time left.
+// statedWait returns the time left that a call's frame states, in milliseconds.
 func statedWait(t *testing.T, data []byte) int {
 	t.Helper()
 	const headerSize = 5 // length and message type
--- a/internal/transport/upstream/fixture_test.go
+++ b/internal/transport/upstream/fixture_test.go
@@ -48,7 +48,7 @@
 	nonIdempotentClass
 )
 
-// fixture is a core with a scripted Decider, a link under test and one record server at a listener.
+// fixture is a broker with a scripted Decider, the link under test, and the listener of one fake record server.
 type fixture struct {
 	*testing.T
 	scriptedDecider
@@ -62,7 +62,7 @@
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); l.Close() })
-	x := &fixture{T: t, listener: l, scriptedDecider: scriptedDecider{
+	f := &fixture{T: t, listener: l, scriptedDecider: scriptedDecider{
 		parts:       make(chan decision.Part, 9),
 		finished:    make(chan decision.AttemptFinished, 999),
 		nextActions: make(chan []decision.Action, 9),
@@ -75,30 +75,30 @@
 		ReplicationFactor: 1,
 		Classes:           []decision.Class{idempotentClass: idempotent, nonIdempotentClass: nonIdempotent},
 	}
-	x.broker = broker.New(broker.Options{Settings: settings}, x.scriptedDecider, upstream.New(ctx, opt))
-	go x.broker.Run(ctx)
-	x.endpoints = broker.EndpointUpdate{
+	f.broker = broker.New(broker.Options{Settings: settings}, f.scriptedDecider, upstream.New(ctx, opt))
+	go f.broker.Run(ctx)
+	f.endpoints = broker.EndpointUpdate{
 		Mode:    decision.FullUpdate,
 		Servers: []broker.Endpoint{{Server: decision.Server{ID: "s0"}, Addr: l.Addr().String()}},
 	}
-	x.broker.Update(x.endpoints)
-	return x
+	f.broker.Update(f.endpoints)
+	return f
 }
 
-// act has the Decider return the actions; the endpoint update makes the core call it.
-func (x *fixture) act(a ...decision.Action) {
-	x.nextActions <- a
-	x.broker.Update(x.endpoints)
+// act makes the Decider return the actions; the endpoint update makes the broker call it.
+func (f *fixture) act(a ...decision.Action) {
+	f.nextActions <- a
+	f.broker.Update(f.endpoints)
 }
 
 // submit submits an idempotent query of one part and returns the part's id.
-func (x *fixture) submit(name string) decision.RequestID {
-	return x.submitOfClass(idempotentClass, name)
+func (f *fixture) submit(name string) decision.RequestID {
+	return f.submitOfClass(idempotentClass, name)
 }
 
 // submitOfClass submits a query of a class with one part and returns the part's id.
-func (x *fixture) submitOfClass(class int, name string) decision.RequestID {
-	return x.submitRequest(&broker.Request{
+func (f *fixture) submitOfClass(class int, name string) decision.RequestID {
+	return f.submitRequest(&broker.Request{
 		ID:         name,
 		Class:      class,
 		ReceivedAt: time.Now(),
@@ -108,59 +108,59 @@
 }
 
 // submitRequest submits a request with one part and returns the part's id.
-func (x *fixture) submitRequest(r *broker.Request) decision.RequestID {
+func (f *fixture) submitRequest(r *broker.Request) decision.RequestID {
 	r.Parts = []broker.Part{{Weight: 1}}
-	x.broker.Submit(r, discardClient{})
-	return (<-x.parts).ID
+	f.broker.Submit(r, discardClient{})
+	return (<-f.parts).ID
 }
 
-// sendOnNewConn submits a query, sends its part and awaits the frame on a new connection.
-func (x *fixture) sendOnNewConn(name string) (decision.RequestID, *serverConn) {
-	x.Helper()
-	id := x.submit(name)
-	x.act(send(id))
-	conn := x.accept()
+// sendOnNewConn submits a query, sends its part and awaits the frame, which must arrive on a new connection.
+func (f *fixture) sendOnNewConn(name string) (decision.RequestID, *serverConn) {
+	f.Helper()
+	id := f.submit(name)
+	f.act(send(id))
+	conn := f.accept()
 	conn.expectFrame('S', name+".0 0 d=")
 	return id, conn
 }
 
-// serverConn is the record server's end of a connection.
+// serverConn is the fake record server's end of a connection.
 type serverConn struct {
 	*testing.T
 	net.Conn
 	in frame.Reader // of the frames that the link sends
 }
 
-// accept returns the next connection of the link, which must come within 2 s.
-func (x *fixture) accept() *serverConn {
-	require.NoError(x, x.listener.(*net.TCPListener).SetDeadline(time.Now().Add(2*time.Second)))
-	c, err := x.listener.Accept()
-	require.NoError(x, err)
-	x.Cleanup(func() { c.Close() })
-	return &serverConn{T: x.T, Conn: c}
+// accept returns the next connection that the link opens, which must happen within 2 s.
+func (f *fixture) accept() *serverConn {
+	require.NoError(f, f.listener.(*net.TCPListener).SetDeadline(time.Now().Add(2*time.Second)))
+	c, err := f.listener.Accept()
+	require.NoError(f, err)
+	f.Cleanup(func() { c.Close() })
+	return &serverConn{T: f.T, Conn: c}
 }
 
 // expectFrame requires that the next frame has the message type and that its body contains text.
-func (p *serverConn) expectFrame(messageType byte, text string) {
-	p.Helper()
+func (s *serverConn) expectFrame(messageType byte, text string) {
+	s.Helper()
 	for {
-		m, ok, err := p.in.Next()
-		require.NoError(p, err)
+		m, ok, err := s.in.Next()
+		require.NoError(s, err)
 		if ok {
-			require.Equal(p, string(messageType), string(m.Type))
-			require.Contains(p, string(m.Body), text)
+			require.Equal(s, string(messageType), string(m.Type))
+			require.Contains(s, string(m.Body), text)
 			return
 		}
-		require.NoError(p, p.SetReadDeadline(time.Now().Add(2*time.Second)))
-		n, err := p.Read(p.in.Grow())
-		require.NoError(p, err)
-		p.in.Advance(n)
+		require.NoError(s, s.SetReadDeadline(time.Now().Add(2*time.Second)))
+		n, err := s.Read(s.in.Grow())
+		require.NoError(s, err)
+		s.in.Advance(n)
 	}
 }
 
-func (p *serverConn) sendFrame(messageType byte, body string) {
-	_, err := p.Write(frame.Append(nil, messageType, body))
-	require.NoError(p, err)
+func (s *serverConn) sendFrame(messageType byte, body string) {
+	_, err := s.Write(frame.Append(nil, messageType, body))
+	require.NoError(s, err)
 }
 
 // send returns the action that sends a part to the only server.
--- a/internal/transport/upstream/liveness.go
+++ b/internal/transport/upstream/liveness.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// A non-idempotent part fails with its connection, so it uses one that is proven alive, else a new one. On the platform,
-// connections idle for 100 ms or more were reset at the next request.
+// A non-idempotent part fails if its connection does, so it uses a connection that is proven alive, else a new one. In
+// production, connections that had been idle for 100 ms or more were reset at the next request.
 const (
 	minQuietTime   = 2 * time.Millisecond // since the last answer: servers close some connections right after one
 	provenAliveFor = 80 * time.Millisecond
 )
 
-// A connection that awaits answers and has received nothing for longer than answers take gets no more calls: the server or
-// the path of this connection may be partitioned off, which TCP does not report.
+// A connection that awaits answers and has received nothing for longer than answers take gets no more calls: the server, or the
+// network path of this connection, may be partitioned, which TCP does not report.
 const (
-	// MaxSilence is the longest such time, which also holds before the first answer is measured.
+	// MaxSilence is the upper bound of this time, and its value until the first answer is measured.
 	MaxSilence = 400 * time.Millisecond
 
 	minSilence    = 20 * time.Millisecond
-	silenceFactor = 8    // multiple of the mean latency of answers
+	silenceFactor = 8    // multiple of the mean latency of answers after which a connection counts as silent
 	latencyWeight = 0.05 // weight of one answer in that mean
 )
 
@@ -47,7 +47,7 @@
 	return len(cn.calls)+len(cn.healthChecks)+len(cn.queue)+len(cn.pendingCancels) > 0
 }
 
-// recordLatency records how long an answer took. The caller holds mu.
+// recordLatency adds the latency of an answer to the mean. The caller holds mu.
 func (l *Link) recordLatency(took time.Duration) {
 	if l.meanLatency == 0 {
 		l.meanLatency = took
--- a/internal/transport/upstream/liveness_test.go
+++ b/internal/transport/upstream/liveness_test.go
@@ -56,9 +56,9 @@
 	return <-calls
 }
 
-// An answer may be read before the writer records the write. It must not count as a latency since the zero time, which would
+// An answer may be read before the writer records the write. Its latency must not be measured from the zero time, which would
 // keep silenceTimeout at its maximum.
-func TestAnswerBeforeWriteReturnsHasNoLatency(t *testing.T) {
+func TestAnswerReadBeforeWriteIsRecordedHasNoLatency(t *testing.T) {
 	l := New(t.Context(), Options{})
 	cn := newConn(l, "a", nil)
 	j := &job{call: newCall(t, time.Second), id: "q.0", state: jobWriting}
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -1,4 +1,5 @@
-// Package upstream is the link to record servers that speak frames: a driver of few, shared connections.
+// Package upstream is the link to record servers that speak the protocol of package frame. It multiplexes calls over few
+// connections to each server.
 package upstream
 
 import (
@@ -15,10 +16,10 @@
 type Options struct {
 	MaxStreams     int             // calls in flight on one connection
 	MaxConns       int             // connections to all servers; 0: no bound
-	IdleTimeout    time.Duration   // record servers close connections that are idle for so long
-	ConnectTimeout time.Duration   // for a TCP connection to be established
+	IdleTimeout    time.Duration   // after which record servers close idle connections
+	ConnectTimeout time.Duration   // for establishing a TCP connection
 	ProvenAliveFor time.Duration   // for how long after a message a connection counts as proven alive; 0: 80 ms
-	OnSent         func(class int) // called for each call that was written completely; nil: it is not
+	OnSent         func(class int) // called for each call that was written completely; may be nil
 }
 
 // Link is the link to all record servers.
@@ -26,10 +27,10 @@
 	opt Options
 	ctx context.Context
 
-	mu          sync.Mutex         // guards what follows, and the fields of the conns
+	mu          sync.Mutex         // guards the fields below and those of the conns
 	conns       map[string][]*conn // by address
-	openConns   int                // of all servers
-	meanLatency time.Duration      // of answers, exponentially weighted; 0: there was none
+	openConns   int                // to all servers
+	meanLatency time.Duration      // of answers, exponentially weighted; 0: none was measured
 }
 
 // New returns a link whose connections end with ctx.
@@ -41,21 +42,21 @@
 	return &Link{opt: opt, ctx: ctx, conns: map[string][]*conn{}}
 }
 
-// Send starts a call on a connection that takes one more, or on a new one.
+// Send starts a call on an open connection that accepts it, or on a new one.
 func (l *Link) Send(c *broker.Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.enqueue(c.Addr, c.Server, &job{call: c, id: partID(c)})
 }
 
-// CheckHealth asks a server for its health, on a connection like a call's.
-func (l *Link) CheckHealth(p *broker.HealthCheck) {
+// CheckHealth starts a health check. Its connection is chosen like that of a call.
+func (l *Link) CheckHealth(check *broker.HealthCheck) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.enqueue(p.Addr, p.Server, &job{healthCheck: p})
+	l.enqueue(check.Addr, check.Server, &job{healthCheck: check})
 }
 
-// Cancel ends the wait for a call's answer. If its frame may have been written, the server is notified.
+// Cancel stops waiting for a call's answer. If bytes of its frame may have been written, the server is sent a cancel.
 func (l *Link) Cancel(c *broker.Call) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,7 +75,7 @@
 		cn.enqueue(j)
 		return
 	}
-	// No descriptor is left for it, so nothing can have run, and nothing is known of the server.
+	// No descriptor is left for a new connection. Nothing can have run, and this says nothing about the server.
 	if j.healthCheck != nil {
 		j.healthCheck.Finish(broker.ResultOf(decision.NotSent))
 	} else {
@@ -82,14 +83,14 @@
 	}
 }
 
-// pickConn returns the connection for a job; nil: none may be opened. A part's id repeats with each attempt: an attempt never
-// shares a connection with an earlier one whose answer may still come, so that an R names one attempt only. A part that must
-// not run twice shares with no other: an answer that breaks the protocol ends its connection and all jobs on it, and this one
-// could not be sent again. The caller holds mu.
+// pickConn returns the connection for a job, or nil if none may be opened. All attempts of a part have the same id, so an
+// attempt never shares a connection with an earlier one whose answer may still arrive: the id of a reply then identifies one
+// attempt. A non-idempotent part shares its connection with no other call: an answer that violates the protocol ends the
+// connection and all jobs on it, and this part could not be sent again. The caller holds mu.
 func (l *Link) pickConn(addr string, server *broker.Server, j *job) *conn {
 	full := l.opt.MaxConns > 0 && l.openConns >= l.opt.MaxConns
 	nonIdempotent := j.call != nil && j.call.NonIdempotent
-	var best, other, idle *conn
+	var best, fallback, idle *conn
 	for _, cn := range l.conns[addr] {
 		if !l.acceptsJob(cn, j) {
 			continue
@@ -97,24 +98,24 @@
 		if !cn.isBusy() && time.Since(cn.lastReceived) > l.opt.ProvenAliveFor {
 			idle = cn
 		}
-		suits := !cn.isReserved()
+		suitable := !cn.isReserved()
 		if nonIdempotent {
-			suits = cn.isProvenAlive()
+			suitable = cn.isProvenAlive()
 		}
-		if suits && (best == nil || cn.lastReceived.After(best.lastReceived)) {
+		if suitable && (best == nil || cn.lastReceived.After(best.lastReceived)) {
 			best = cn
 		}
-		if other == nil || cn.lastReceived.After(other.lastReceived) {
-			other = cn
+		if fallback == nil || cn.lastReceived.After(fallback.lastReceived) {
+			fallback = cn
 		}
 	}
 	if best != nil {
 		return best
 	}
 	if nonIdempotent && idle != nil && len(l.conns[addr]) > 1 {
-		idle.fail(errIdle) // few connections: the new one takes its place
+		idle.fail(errIdle) // the new one replaces it, to keep connections few
 	} else if full && !l.evictIdle() {
-		return other // any connection is better than none
+		return fallback // no connection can be opened: an unsuitable one is better than none
 	}
 	cn := newConn(l, addr, server)
 	l.conns[addr] = append(l.conns[addr], cn)
@@ -123,7 +124,7 @@
 	return cn
 }
 
-// acceptsJob reports whether a connection may carry a job beside those that it has. The caller holds mu.
+// acceptsJob reports whether a connection may carry a job in addition to those that it has. The caller holds mu.
 func (l *Link) acceptsJob(cn *conn, j *job) bool {
 	if cn.retired || len(cn.calls) >= l.opt.MaxStreams {
 		return false
@@ -131,28 +132,29 @@
 	return !cn.hasUsed(j.id) && !cn.isSilent(l.silenceTimeout())
 }
 
-// evictIdle closes an idle connection, one to an unavailable server if there is any, and reports whether it found one. With as
-// many servers as descriptors, those that are used last could not be reached otherwise. It does not pick the longest idle: a
-// query of many parts visits all servers in turn, and would close just what its next parts need. The caller holds mu.
+// evictIdle closes an idle connection, preferably one to an unavailable server, and reports whether it found one. With as many
+// servers as descriptors, the servers that are used last could not be reached otherwise. It does not evict the connection that
+// is idle longest (LRU): a query of many parts visits all servers in turn, and would close exactly the connections that its
+// next parts need. The caller holds mu.
 func (l *Link) evictIdle() bool {
-	var spare *conn
-	for _, conns := range l.conns { // in no order
+	var victim *conn
+	for _, conns := range l.conns { // in random order
 		for _, cn := range conns {
-			if cn.sock != nil && !cn.isBusy() && (spare == nil || cn.server.Unavailable()) {
-				spare = cn
+			if cn.sock != nil && !cn.isBusy() && (victim == nil || cn.server.Unavailable()) {
+				victim = cn
 			}
 		}
-		if spare != nil && spare.server.Unavailable() {
+		if victim != nil && victim.server.Unavailable() {
 			break
 		}
 	}
-	if spare != nil {
-		spare.fail(errIdle)
+	if victim != nil {
+		victim.fail(errIdle)
 	}
-	return spare != nil
+	return victim != nil
 }
 
-// remove forgets a connection. The caller holds mu.
+// remove removes a connection that has ended. The caller holds mu.
 func (l *Link) remove(cn *conn) {
 	list := l.conns[cn.addr]
 	for i, other := range list {
@@ -168,7 +170,7 @@
 	}
 }
 
-// dial connects to addr within ConnectTimeout, or until the link ends.
+// dial connects to addr. It fails after ConnectTimeout, or when the context of the link ends.
 func (l *Link) dial(addr string) (net.Conn, error) {
 	d := net.Dialer{Timeout: l.opt.ConnectTimeout, KeepAlive: -1}
 	return d.DialContext(l.ctx, "tcp", addr)
--- a/internal/transport/upstream/upstream_test.go
+++ b/internal/transport/upstream/upstream_test.go
@@ -16,89 +16,89 @@
 	"mothrouter/internal/transport/upstream"
 )
 
-// An attempt never uses a connection on which an answer to an earlier attempt of its id may still arrive.
+// An attempt never uses a connection on which an answer to an earlier attempt of the same part may still arrive.
 func TestAttemptAvoidsConnectionOfCancelledAttempt(t *testing.T) {
-	x := newFixture(t, defaultOptions)
-	id, first := x.sendOnNewConn("q")
-	x.act(decision.Cancel{ID: id})
+	f := newFixture(t, defaultOptions)
+	id, first := f.sendOnNewConn("q")
+	f.act(decision.Cancel{ID: id})
 	first.expectFrame('C', "q.0")
-	require.Equal(t, decision.Cancelled, (<-x.finished).Status)
-	x.act(send(id))
-	second := x.accept()
+	require.Equal(t, decision.Cancelled, (<-f.finished).Status)
+	f.act(send(id))
+	second := f.accept()
 	second.expectFrame('S', "q.0 0 d=")
-	first.sendFrame('R', "q.0 done 1 -\nold") // late: must not end the newer attempt
-	other := x.submit("other")
-	x.act(send(other))
-	first.expectFrame('S', "other.0") // other ids may still use the first connection
+	first.sendFrame('R', "q.0 done 1 -\nold") // late answer, which must not finish the second attempt
+	other := f.submit("other")
+	f.act(send(other))
+	first.expectFrame('S', "other.0") // other parts may still use the first connection
 	first.sendFrame('R', "other.0 failed 1 inflight=3\n")
-	e := <-x.finished
+	e := <-f.finished
 	require.Equal(t, []any{other, decision.Error, 3.0}, []any{e.ID, e.Status, e.LoadReport.InFlight})
 	second.sendFrame('R', "q.0 done 1 -\nnew")
-	e = <-x.finished
+	e = <-f.finished
 	require.Equal(t, []any{id, 1, decision.OK}, []any{e.ID, e.Attempt, e.Status})
 }
 
 // Calls share a connection up to MaxStreams. A connection that ends resets its calls; a refused connect is Unreachable.
 func TestConnectionCarriesUpToMaxStreams(t *testing.T) {
-	x := newFixture(t, defaultOptions)
-	_, first := x.sendOnNewConn("a")
-	x.act(send(x.submit("b")))
+	f := newFixture(t, defaultOptions)
+	_, first := f.sendOnNewConn("a")
+	f.act(send(f.submit("b")))
 	first.expectFrame('S', "b.0")
-	_, second := x.sendOnNewConn("c")
+	_, second := f.sendOnNewConn("c")
 	require.NoError(t, second.Close())
-	require.Equal(t, decision.Reset, (<-x.finished).Status) // its frame was written completely
+	require.Equal(t, decision.Reset, (<-f.finished).Status) // its frame was written completely
 	first.sendFrame('F', "no such frame")
-	require.Equal(t, decision.Reset, (<-x.finished).Status)
-	require.Equal(t, decision.Reset, (<-x.finished).Status)
-	require.NoError(t, x.listener.Close())
-	x.act(send(x.submit("d")))
-	require.Equal(t, decision.Unreachable, (<-x.finished).Status)
+	require.Equal(t, decision.Reset, (<-f.finished).Status)
+	require.Equal(t, decision.Reset, (<-f.finished).Status)
+	require.NoError(t, f.listener.Close())
+	f.act(send(f.submit("d")))
+	require.Equal(t, decision.Unreachable, (<-f.finished).Status)
 }
 
 // A partitioned server leaves connections open and silent. A connection that is silent when a call on it is cancelled gets no
-// further call: a failed connect proves that nothing can have run.
+// further call: connecting anew fails, which proves that the next call did not run.
 func TestCancelRetiresSilentConnection(t *testing.T) {
-	x := newFixture(t, defaultOptions)
-	id, _ := x.sendOnNewConn("q")
+	f := newFixture(t, defaultOptions)
+	id, _ := f.sendOnNewConn("q")
 	time.Sleep(upstream.MaxSilence + 50*time.Millisecond)
-	x.act(decision.Cancel{ID: id})
-	<-x.finished
-	x.sendOnNewConn("next")
+	f.act(decision.Cancel{ID: id})
+	<-f.finished
+	f.sendOnNewConn("next")
 }
 
-// A call uses the connection of an answered health check.
+// A call uses the connection on which a health check was answered.
 func TestHealthCheckKeepsConnectionUsable(t *testing.T) {
-	x := newFixture(t, defaultOptions)
-	x.act(decision.CheckHealth{Server: "s0"})
-	p := x.accept()
-	p.expectFrame('H', "")
-	p.sendFrame('H', "done")
-	x.act(send(x.submit("q"))) // on the same connection
-	p.expectFrame('S', "q.0")
+	f := newFixture(t, defaultOptions)
+	f.act(decision.CheckHealth{Server: "s0"})
+	conn := f.accept()
+	conn.expectFrame('H', "")
+	conn.sendFrame('H', "done")
+	f.act(send(f.submit("q"))) // on the same connection
+	conn.expectFrame('S', "q.0")
 }
 
 // A connection on which an answer is outstanding for eight times the mean latency gets no further call until it receives
 // something.
 func TestCallsAvoidSilentConnection(t *testing.T) {
-	x := newFixture(t, upstream.Options{MaxStreams: 9, IdleTimeout: time.Minute, ConnectTimeout: time.Second})
+	f := newFixture(t, upstream.Options{MaxStreams: 9, IdleTimeout: time.Minute, ConnectTimeout: time.Second})
 	submittedAt := time.Now()
-	_, first := x.sendOnNewConn("a")
+	_, first := f.sendOnNewConn("a")
 	time.Sleep(20 * time.Millisecond) // an answer read before the write is recorded has no latency
 	first.sendFrame('R', "a.0 done 1 -\nv")
-	<-x.finished
+	<-f.finished
 	elapsed := time.Since(submittedAt) // at least the latency that the link measured
-	x.act(send(x.submit("lost")))
+	f.act(send(f.submit("lost")))
 	first.expectFrame('S', "lost.0")
 	time.Sleep(100*time.Millisecond + 8*elapsed)
-	x.sendOnNewConn("next")
+	f.sendOnNewConn("next")
 	first.sendFrame('R', "lost.0 done 1 -\nv") // the connection may be used again
-	require.Equal(t, decision.OK, (<-x.finished).Status)
-	x.act(send(x.submit("more")))
+	require.Equal(t, decision.OK, (<-f.finished).Status)
+	f.act(send(f.submit("more")))
 	first.expectFrame('S', "more.0")
 }
 
 // A protocol error ends the connection: all calls in flight on it fail at once with Error, since they may have run and the
-// server is reachable. An answer read before it counts.
+// server is reachable. An answer before the invalid bytes is valid.
 func TestProtocolErrorsFailAttempts(t *testing.T) {
 	const good = "\x00\x00\x00\x0fRa.0 done 1 -\nv"
 	for name, malformed := range map[string]string{
@@ -111,133 +111,133 @@
 		"truncated frame":          "\x00\x00\x00\x40Rb.0 done 1 -\nv",
 	} {
 		t.Run(name, func(t *testing.T) {
-			x := newFixture(t, defaultOptions)
-			a, b := x.submit("a"), x.submit("b")
-			x.act(send(a), send(b))
-			p := x.accept()
-			p.expectFrame('S', "a.0")
-			p.expectFrame('S', "b.0")
-			_, err := p.Write([]byte(good + malformed))
+			f := newFixture(t, defaultOptions)
+			a, b := f.submit("a"), f.submit("b")
+			f.act(send(a), send(b))
+			conn := f.accept()
+			conn.expectFrame('S', "a.0")
+			conn.expectFrame('S', "b.0")
+			_, err := conn.Write([]byte(good + malformed))
 			require.NoError(t, err)
-			e := <-x.finished
+			e := <-f.finished
 			require.Equal(t, []any{a, decision.OK}, []any{e.ID, e.Status})
-			e = <-x.finished
+			e = <-f.finished
 			require.Equal(t, []any{b, decision.Error}, []any{e.ID, e.Status})
-			x.sendOnNewConn("next")
+			f.sendOnNewConn("next")
 		})
 	}
 }
 
-// Bytes behind the last answer, a duplicate or a partial frame, are not read as the answer to the id's next attempt.
-func TestBytesBehindLastAnswerDoNotReachNextCall(t *testing.T) {
+// Bytes after the last answer, a duplicate or a partial frame, are not parsed as the answer to the next attempt of the part.
+func TestBytesAfterLastAnswerDoNotReachNextCall(t *testing.T) {
 	const good = "\x00\x00\x00\x11Ra.0 failed 1 -\nv"
-	for name, more := range map[string]string{"duplicate answer": good, "partial frame": "\x00\x00\x00\x40R"} {
+	for name, extra := range map[string]string{"duplicate answer": good, "partial frame": "\x00\x00\x00\x40R"} {
 		t.Run(name, func(t *testing.T) {
-			x := newFixture(t, defaultOptions)
-			a, first := x.sendOnNewConn("a")
-			_, err := first.Write([]byte(good + more))
+			f := newFixture(t, defaultOptions)
+			a, first := f.sendOnNewConn("a")
+			_, err := first.Write([]byte(good + extra))
 			require.NoError(t, err)
-			require.Equal(t, decision.Error, (<-x.finished).Status)
-			x.act(send(a))
-			second := x.accept()
+			require.Equal(t, decision.Error, (<-f.finished).Status)
+			f.act(send(a))
+			second := f.accept()
 			second.expectFrame('S', "a.0")
 			second.sendFrame('R', "a.0 done 1 -\nv")
-			e := <-x.finished
+			e := <-f.finished
 			require.Equal(t, []any{1, decision.OK}, []any{e.Attempt, e.Status})
 		})
 	}
 }
 
-// A non-idempotent call fails with its connection, so it uses one that is proven alive, or a new one, and shares it with no
-// other call. An idle connection is closed for the new one.
+// A non-idempotent call fails if its connection does, so it uses a connection that is proven alive, or a new one, and shares it
+// with no other call. The new connection replaces an idle one.
 func TestNonIdempotentCallsUseProvenConnectionsAlone(t *testing.T) {
-	x := newFixture(t, upstream.Options{
+	f := newFixture(t, upstream.Options{
 		MaxStreams:     9,
 		IdleTimeout:    time.Minute,
 		ConnectTimeout: time.Second,
 		ProvenAliveFor: time.Second,
 	})
-	_, first := x.sendOnNewConn("safe")
-	x.act(send(x.submitOfClass(nonIdempotentClass, "alone")))
-	second := x.accept()
+	_, first := f.sendOnNewConn("safe")
+	f.act(send(f.submitOfClass(nonIdempotentClass, "alone")))
+	second := f.accept()
 	second.expectFrame('S', "alone.0")
-	x.act(send(x.submit("other"))) // must not share its connection
+	f.act(send(f.submit("other"))) // must not share its connection
 	first.expectFrame('S', "other.0")
 	second.sendFrame('R', "alone.0 done 1 -\nv")
-	<-x.finished
+	<-f.finished
 	time.Sleep(20 * time.Millisecond)
-	x.act(send(x.submitOfClass(nonIdempotentClass, "soon")))
+	f.act(send(f.submitOfClass(nonIdempotentClass, "soon")))
 	second.expectFrame('S', "soon.0")
 	second.sendFrame('R', "soon.0 done 1 -\nv")
-	<-x.finished
+	<-f.finished
 	time.Sleep(1100 * time.Millisecond)
-	x.act(send(x.submitOfClass(nonIdempotentClass, "later")))
-	x.accept().expectFrame('S', "later.0")
+	f.act(send(f.submitOfClass(nonIdempotentClass, "later")))
+	f.accept().expectFrame('S', "later.0")
 	_, err := second.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 }
 
-// Beyond MaxConns without an idle connection, a call ends with NotSent.
+// A call that needs a connection beyond MaxConns, with none idle, ends with NotSent.
 func TestMaxConnsBoundsConnections(t *testing.T) {
-	x := newFixture(t, upstream.Options{MaxStreams: 1, MaxConns: 1, IdleTimeout: time.Minute, ConnectTimeout: time.Second})
-	_, p := x.sendOnNewConn("a")
-	x.act(send(x.submit("b")))
-	require.Equal(t, decision.NotSent, (<-x.finished).Status) // the server is not at fault
-	p.sendFrame('R', "a.0 done 1 -\nv")
-	require.Equal(t, decision.OK, (<-x.finished).Status)
-	x.act(send(x.submit("c")))
-	p.expectFrame('S', "c.0")
+	f := newFixture(t, upstream.Options{MaxStreams: 1, MaxConns: 1, IdleTimeout: time.Minute, ConnectTimeout: time.Second})
+	_, conn := f.sendOnNewConn("a")
+	f.act(send(f.submit("b")))
+	require.Equal(t, decision.NotSent, (<-f.finished).Status) // this says nothing about the server
+	conn.sendFrame('R', "a.0 done 1 -\nv")
+	require.Equal(t, decision.OK, (<-f.finished).Status)
+	f.act(send(f.submit("c")))
+	conn.expectFrame('S', "c.0")
 }
 
 // At MaxConns, an idle connection to a removed server is closed for one to another server.
 func TestIdleConnectionIsEvictedForAnother(t *testing.T) {
-	x := newFixture(t, upstream.Options{MaxStreams: 1, MaxConns: 1, IdleTimeout: time.Minute, ConnectTimeout: time.Second})
-	_, p := x.sendOnNewConn("a")
-	p.sendFrame('R', "a.0 done 1 -\nv")
-	<-x.finished
+	f := newFixture(t, upstream.Options{MaxStreams: 1, MaxConns: 1, IdleTimeout: time.Minute, ConnectTimeout: time.Second})
+	_, conn := f.sendOnNewConn("a")
+	conn.sendFrame('R', "a.0 done 1 -\nv")
+	<-f.finished
 	next, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer next.Close()
-	x.endpoints.Servers[0] = broker.Endpoint{Server: decision.Server{ID: "s1"}, Addr: next.Addr().String()}
-	x.broker.Update(x.endpoints)
-	x.listener = next
-	x.act(decision.Send{ID: x.submit("b"), Server: "s1"})
-	x.accept().expectFrame('S', "b.0")
-	_, err = p.Read(make([]byte, 1))
+	f.endpoints.Servers[0] = broker.Endpoint{Server: decision.Server{ID: "s1"}, Addr: next.Addr().String()}
+	f.broker.Update(f.endpoints)
+	f.listener = next
+	f.act(decision.Send{ID: f.submit("b"), Server: "s1"})
+	f.accept().expectFrame('S', "b.0")
+	_, err = conn.Read(make([]byte, 1))
 	require.ErrorIs(t, err, io.EOF)
 }
 
 // Cancelling a call whose frame is stalled in the socket resets the connection, so that the rest of the frame is not delivered
 // while another attempt may be in flight.
 func TestCancelDuringStalledWriteResetsConnection(t *testing.T) {
-	x := newFixture(t, upstream.Options{MaxStreams: 1000, IdleTimeout: time.Minute, ConnectTimeout: 250 * time.Millisecond})
+	f := newFixture(t, upstream.Options{MaxStreams: 1000, IdleTimeout: time.Minute, ConnectTimeout: 250 * time.Millisecond})
 	text := bytes.Repeat([]byte("x"), 60<<10)
 	var ids []decision.RequestID
 	for i := range 300 { // more bytes than the socket buffers accept
-		id := x.submitRequest(&broker.Request{
+		id := f.submitRequest(&broker.Request{
 			ID:         fmt.Sprint("q", i),
 			ReceivedAt: time.Now(),
 			Timeout:    9 * time.Second,
 			Payload:    text,
 		})
-		x.act(send(id))
+		f.act(send(id))
 		ids = append(ids, id)
 	}
-	p := x.accept()
+	conn := f.accept()
 	time.Sleep(300 * time.Millisecond)
 	for _, id := range ids {
-		x.act(decision.Cancel{ID: id})
-		require.NotEqual(t, decision.OK, (<-x.finished).Status)
+		f.act(decision.Cancel{ID: id})
+		require.NotEqual(t, decision.OK, (<-f.finished).Status)
 	}
-	require.NoError(t, p.SetReadDeadline(time.Now().Add(5*time.Second)))
+	require.NoError(t, conn.SetReadDeadline(time.Now().Add(5*time.Second)))
 	var err error
 	complete := 0
 	for err == nil {
 		var n int
-		n, err = p.Read(p.in.Grow())
-		p.in.Advance(n)
+		n, err = conn.Read(conn.in.Grow())
+		conn.in.Advance(n)
 		for {
-			m, ok, parseErr := p.in.Next()
+			m, ok, parseErr := conn.in.Next()
 			require.NoError(t, parseErr)
 			if !ok {
 				break
