--- a/internal/transport/front/arrival.go
+++ b/internal/transport/front/arrival.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// maxReads bounds the reads that a readLog remembers apart.
+// maxReads bounds the reads that a readLog records separately.
 const maxReads = 64
 
-// readLog remembers when the bytes of a connection were received, so that each request counts from its own last byte,
-// also where bytes of later requests have followed while it waited for its turn.
+// readLog records when the bytes of a connection were received, so that the time of each request counts from its own last byte,
+// even if bytes of later requests have followed while it waited for its turn.
 type readLog struct {
 	received int64 // bytes since the connection began
 	reads    []socketRead
 }
 
-// socketRead is one read that received bytes, or several adjacent ones under the time of the first.
+// socketRead is one read that received bytes, or several successive ones with the time of the first.
 type socketRead struct {
 	end int64 // bytes received up to and including this read
 	at  time.Time
 }
 
-// add records a read of n bytes. Past maxReads it joins the latest read, which is earlier: a request may then be given
-// less time than it has, but never more.
+// add records a read of n bytes. Beyond maxReads it is merged into the latest recorded read, which is earlier: a request may
+// then be given less time than it has, but never more.
 func (l *readLog) add(n int, at time.Time) {
 	if n <= 0 {
 		return
@@ -32,8 +32,8 @@
 	l.reads = append(l.reads, socketRead{end: l.received, at: at})
 }
 
-// lastByte returns when the last byte of a request was received that leaves unread bytes behind it. Earlier reads are
-// dropped, so that calls must follow the order of the requests.
+// lastByte returns when the last byte of a request was received, after which unread more bytes have followed. It drops earlier
+// reads, so it must be called in the order of the requests.
 func (l *readLog) lastByte(unread int) time.Time {
 	end := l.received - int64(unread)
 	for len(l.reads) > 1 && l.reads[0].end < end {
--- a/internal/transport/front/arrival_test.go
+++ b/internal/transport/front/arrival_test.go
@@ -10,25 +10,25 @@
 	"mothrouter/internal/broker"
 )
 
-// A pipelined request counts from when it was received, not from the response to the request before it.
-func TestReceivedAtOfPipelinedRequestPrecedesItsTurn(t *testing.T) {
-	x := newFixture(t, Options{MaxConns: 8})
-	c, in, _ := x.dial()
+// The time of a pipelined request counts from when it was received, not from the response to the request before it.
+func TestReceivedAtOfPipelinedRequestPrecedesPreviousResponse(t *testing.T) {
+	f := newFixture(t, Options{MaxConns: 8})
+	c, in, _ := f.dial()
 	fmt.Fprint(c, requestText("q1"), requestText("q2"))
-	q := <-x.submissions
+	q1 := <-f.submissions
 	time.Sleep(50 * time.Millisecond)
-	q.Finish(broker.Result{Complete: true})
+	q1.Finish(broker.Result{Complete: true})
 	require.Equal(t, "HTTP/1.1 200 OK", readStatusLine(t, in))
-	q2 := <-x.submissions
-	require.Less(t, q2.ReceivedAt.Sub(q.ReceivedAt), 40*time.Millisecond)
+	q2 := <-f.submissions
+	require.Less(t, q2.ReceivedAt.Sub(q1.ReceivedAt), 40*time.Millisecond)
 }
 
-// A request that waits for its turn counts from its own last byte, not from bytes received behind it.
+// The time of a pipelined request counts from its own last byte, even if bytes of later requests follow before its turn.
 func TestReceivedAtIsTimeOfRequestsLastByte(t *testing.T) {
-	x := newFixture(t, Options{MaxConns: 8})
-	c, in, _ := x.dial()
+	f := newFixture(t, Options{MaxConns: 8})
+	c, in, _ := f.dial()
 	fmt.Fprint(c, requestText("q1"), requestText("q2"))
-	q1 := <-x.submissions
+	q := <-f.submissions
 	third := requestText("q3")
 	for range 2 {
 		time.Sleep(60 * time.Millisecond)
@@ -36,13 +36,13 @@
 		third = third[len(third)/2:]
 	}
 	time.Sleep(20 * time.Millisecond)
-	receivedAt := []time.Time{q1.ReceivedAt}
-	for q := range 2 {
-		q1.Finish(broker.Result{Complete: true})
-		require.Equal(t, "HTTP/1.1 200 OK", readStatusLine(t, in), "request %d", q)
-		q1 = <-x.submissions
-		receivedAt = append(receivedAt, q1.ReceivedAt)
-		if q == 0 {
+	receivedAt := []time.Time{q.ReceivedAt}
+	for i := range 2 {
+		q.Finish(broker.Result{Complete: true})
+		require.Equal(t, "HTTP/1.1 200 OK", readStatusLine(t, in), "request %d", i)
+		q = <-f.submissions
+		receivedAt = append(receivedAt, q.ReceivedAt)
+		if i == 0 {
 			fmt.Fprint(c, third)
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -51,7 +51,7 @@
 	require.Greater(t, receivedAt[2].Sub(receivedAt[0]), 120*time.Millisecond)
 }
 
-// Beyond maxReads, reads are merged, and lastByte returns the time of an earlier read, never of a later one.
+// Beyond maxReads, reads are merged, and lastByte may return the time of an earlier read, never of a later one.
 func TestReadLogIsBoundedAndNeverReturnsLaterTime(t *testing.T) {
 	var l readLog
 	begin := time.Now()
--- a/internal/transport/front/capacity.go
+++ b/internal/transport/front/capacity.go
@@ -4,8 +4,9 @@
 	"time"
 )
 
-// rejectOverCapacity answers 503 on a connection without a slot. Closing with its request unread would reset the connection and
-// lose the answer, so that it lingers; only maxRejecting do at once, since descriptors are short.
+// rejectOverCapacity answers 503 on a connection that got no slot. Closing it with its request unread would reset the
+// connection and lose the answer, so it lingers. At most maxRejecting connections do so concurrently, since descriptors are
+// scarce; more are closed without an answer.
 func (f *Front) rejectOverCapacity(c *conn) {
 	select {
 	case f.rejecting <- struct{}{}:
@@ -20,9 +21,8 @@
 	})
 }
 
-// admit takes a slot for one more connection. It guards usual clients against those that connect and send nothing, send half
-// a request or never close: such a connection, which awaits no answer, is evicted where no slot is free. Only requests in
-// flight can fill the front.
+// admit takes a slot for a new connection. If none is free, it evicts a connection that awaits no answer, so that clients that
+// send nothing, send half a request or never close cannot lock out others: only requests in flight can use up the slots.
 func (f *Front) admit() bool {
 	select {
 	case f.slots <- struct{}{}:
@@ -42,8 +42,9 @@
 	}
 }
 
-// reserveBuffer sets the bytes of requests that a connection holds, and reports whether the sum stays within MaxBufferedBytes;
-// fewer than before always do. It bounds the memory of many large requests, each of which is within its own bound.
+// reserveBuffer records that a connection holds n bytes of requests, and reports whether the sum of all connections is within
+// MaxBufferedBytes. A reservation that does not grow always succeeds. This bounds the memory of many large requests, each of
+// which is within its own limit.
 func (f *Front) reserveBuffer(c *conn, n int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/transport/front/capacity_test.go
+++ b/internal/transport/front/capacity_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Beyond MaxIdleConns the longest idle connection is evicted, and no other; a request that was read revokes the eviction.
+// Beyond MaxIdleConns only the connection that is idle longest is evicted; a request that was read revokes the eviction.
 func TestMarkIdleEvictsLongestIdle(t *testing.T) {
 	f := New(Options{MaxConns: 9, MaxIdleConns: 2}, nil, nil)
 	var conns []*conn
@@ -17,7 +17,7 @@
 		c := &conn{front: f, sock: sock}
 		f.markIdle(c)
 		conns = append(conns, c)
-		if len(conns) == 2 { // a further request: the first is no longer the longest idle
+		if len(conns) == 2 { // after another request, the first is no longer the one that is idle longest
 			f.markBusy(conns[0])
 			f.markIdle(conns[0])
 		}
@@ -27,12 +27,12 @@
 		evicted = append(evicted, c.evicted)
 	}
 	require.Equal(t, []bool{true, true, false, false}, evicted)
-	f.markBusy(conns[1]) // a request was read before the connection ended
+	f.markBusy(conns[1]) // a request was read before the eviction took effect
 	require.False(t, conns[1].evicted)
 	require.Equal(t, 2, f.idleConns.Len())
 }
 
-// A reservation that would exceed MaxBufferedBytes is refused; one that shrinks succeeds and frees bytes for others.
+// A reservation beyond MaxBufferedBytes fails; one that shrinks succeeds and frees bytes for other connections.
 func TestReserveBufferBoundsSum(t *testing.T) {
 	f := New(Options{MaxConns: 2, MaxBufferedBytes: 100}, nil, nil)
 	a, b := &conn{front: f}, &conn{front: f}
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -19,24 +19,24 @@
 	wake  chan struct{}      // the stage of a shutdown or drain has changed, or the connection is evicted
 
 	reader       httpwire.RequestReader
-	readBuffers  chan []byte     // where the reader reads to
-	readResults  chan readResult // what it read
+	readBuffers  chan []byte     // passes buffers to the reading goroutine
+	readResults  chan readResult // passes back the results of its reads
 	reading      bool            // a read is in progress
 	discarding   bool            // the read in progress is for bytes that are discarded
 	received     readLog         // when the bytes of requests were received
 	disconnected atomic.Bool     // the client has closed the connection
 
 	request    *broker.Request // in flight; nil: none
-	closeAfter bool            // the connection closes after the answer to it
-	discarded  int             // bytes discarded behind it
+	closeAfter bool            // the connection closes after the answer to request
+	discarded  int             // pipelined bytes discarded after request
 	hadRequest bool            // a complete request has been received
-	receiving  bool            // a request has been received in part
-	timer      *time.Timer     // idleTimeout, requestTimeout or FirstRequestTimeout, whichever holds
+	receiving  bool            // part of the next request has been received
+	timer      *time.Timer     // idleTimeout, requestTimeout or FirstRequestTimeout, whichever applies
 	expired    bool            // timer has fired
 	out        []byte          // buffer for answers
 
 	// The front's mu guards these.
-	list     *list.List // of Front that contains it; nil: it has a request in flight
+	list     *list.List // the list of Front that contains it; nil: none, such as while a request is in flight
 	element  *list.Element
 	listedAt time.Time
 	evicted  bool // it must end to free its slot
@@ -55,7 +55,7 @@
 // Finish implements broker.Client.
 func (c *conn) Finish(r broker.Result) { c.reply <- r }
 
-// serve drives the connection until it ends. A read is always in progress, so that the reader's goroutine detects at once that
+// serve serves the connection until it ends. A read is always in progress, so that the reading goroutine detects at once that
 // a waiting client has closed the connection.
 func (c *conn) serve() {
 	defer c.startReader()()
@@ -70,8 +70,8 @@
 	}
 }
 
-// awaitEvent waits for the next event: bytes, an answer, a time-out, or a wake-up. It returns false where the connection
-// has ended.
+// awaitEvent waits for the next event: a read, an answer, a timeout, or a wake-up. It returns false if the connection has
+// ended.
 func (c *conn) awaitEvent() bool {
 	select {
 	case r := <-c.readResults:
@@ -85,7 +85,7 @@
 	return true
 }
 
-// onResult answers the request in flight. It returns false where the connection has ended.
+// onResult answers the request in flight. It returns false if the connection has ended.
 func (c *conn) onResult(r broker.Result) bool {
 	resp := responseTo(r, c.closeAfter)
 	c.front.opt.Metrics.RecordResponse(c.request.Class, resp.Status)
@@ -101,8 +101,8 @@
 	return true
 }
 
-// advance serves what has been received and then ends the connection if it should end, until it waits for something. It
-// returns false where the connection has ended.
+// advance serves the requests that have been received, until one is in flight or more bytes must be received first, and then
+// ends the connection if it must end. It returns false if the connection has ended.
 func (c *conn) advance() bool {
 	for {
 		if !c.serveRequests() {
@@ -116,8 +116,8 @@
 		if !evicted && !c.mustEnd() {
 			return true
 		}
-		// It ends between requests. What the reader has read from the socket by now is served, since the client cannot
-		// know that it would be dropped. A request that arrives later was never read, and the client resends it.
+		// The connection ends between requests. A request that has already been read from the socket is served, since the
+		// client could not know that it was dropped. A request that arrives later is never read, and the client resends it.
 		n, ok := c.interruptRead()
 		if !ok {
 			return false
@@ -129,7 +129,7 @@
 	}
 }
 
-// mustEnd reports whether a connection between requests must end: its time is up, or a shutdown or drain requires it.
+// mustEnd reports whether a connection between requests must end: its timer has fired, or a shutdown or drain requires it.
 func (c *conn) mustEnd() bool {
 	if c.expired {
 		return true
@@ -138,8 +138,8 @@
 	return stage.closeAll || stage.closeIdle && !c.receiving
 }
 
-// serveRequests serves requests until one is in flight or more bytes must be received first. It returns false where the
-// connection has ended.
+// serveRequests serves requests until one is in flight or more bytes must be received first. It returns false if the connection
+// has ended.
 func (c *conn) serveRequests() bool {
 	for c.request == nil {
 		req, err := c.reader.Next()
@@ -166,7 +166,7 @@
 	return true
 }
 
-// noteReceiving records that a further request has been received in part, and limits the time to receive the rest.
+// noteReceiving records that part of the next request has been received, and limits the time to receive the rest.
 func (c *conn) noteReceiving() {
 	if c.receiving || !c.reader.Receiving() {
 		return
@@ -174,12 +174,12 @@
 	c.front.markReceiving(c)
 	c.receiving = true
 	c.expired = false
-	if c.hadRequest { // the first one's time counts from the start
+	if c.hadRequest { // the timeout of the first request runs from the start of the connection
 		c.timer.Reset(requestTimeout)
 	}
 }
 
-// endBetweenRequests answers a request received in part; without one, it lingers unless the slot is needed now.
+// endBetweenRequests rejects a request received in part. Without one, it lingers unless the slot is needed now.
 func (c *conn) endBetweenRequests(evicted bool) {
 	switch {
 	case c.receiving && evicted:
--- a/internal/transport/front/conn_test.go
+++ b/internal/transport/front/conn_test.go
@@ -14,23 +14,23 @@
 	"mothrouter/internal/drain"
 )
 
-// A request that was read from an idle connection just as the connection is evicted, or must end by a shutdown or drain, is
-// served: its client cannot know that it was not processed.
+// A request that is read from an idle connection just as the connection is evicted, or ended by a shutdown or drain, is served:
+// its client could not know that it was not processed.
 func TestConnServesRequestReadWhileEnding(t *testing.T) {
-	for name, end := range map[string]func(x *fixture){
-		"eviction for a slot": func(x *fixture) { x.dial() },
-		"too many idle connections": func(x *fixture) {
-			c, in, _ := x.dial()
-			x.roundTrip(c, in, "other")
+	for name, end := range map[string]func(f *fixture){
+		"eviction for a slot": func(f *fixture) { f.dial() },
+		"too many idle connections": func(f *fixture) {
+			c, in, _ := f.dial()
+			f.roundTrip(c, in, "other")
 		},
-		"shutdown": func(x *fixture) {
-			go x.front.Shutdown(x.Context(), drain.ShutdownPlan{AnswerBy: time.Second})
+		"shutdown": func(f *fixture) {
+			go f.front.Shutdown(f.Context(), drain.ShutdownPlan{AnswerBy: time.Second})
 		},
-		"drain": func(x *fixture) {
-			x.front.mu.Lock()
-			x.front.drain.Start(time.Now().Add(-drain.CloseIdleDelay()))
-			x.front.mu.Unlock()
-			x.front.wakeAll()
+		"drain": func(f *fixture) {
+			f.front.mu.Lock()
+			f.front.drain.Start(time.Now().Add(-drain.CloseIdleDelay()))
+			f.front.mu.Unlock()
+			f.front.wakeAll()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -38,28 +38,28 @@
 			if name == "too many idle connections" {
 				opt = Options{MaxConns: 2, MaxIdleConns: 1}
 			}
-			x := newFixture(t, opt)
-			c, in, serverConn := x.dial()
-			x.roundTrip(c, in, "first")
-			x.awaitIdle(1)
+			f := newFixture(t, opt)
+			c, in, serverConn := f.dial()
+			f.roundTrip(c, in, "first")
+			f.awaitIdle(1)
 			close(serverConn.pauseNext)
 			fmt.Fprint(c, requestText("second"))
 			<-serverConn.paused
-			end(x)
-			x.answerNext(in, "second")
+			end(f)
+			f.answerNext(in, "second")
 		})
 	}
 }
 
-// Pipelined bytes behind the last request must not reset the connection before the client has read the response and EOF.
+// Pipelined bytes after the last request must not reset the connection before the client has read the response and EOF.
 func TestLingeringCloseDeliversLastResponse(t *testing.T) {
-	for name, behind := range map[string]int{"300 bytes": 300, "200 KiB": 200 << 10} {
+	for name, pipelined := range map[string]int{"300 bytes": 300, "200 KiB": 200 << 10} {
 		t.Run(name, func(t *testing.T) {
-			x := newFixture(t, Options{MaxConns: 9})
-			c, in, _ := x.dial()
+			f := newFixture(t, Options{MaxConns: 9})
+			c, in, _ := f.dial()
 			fmt.Fprint(c, requestText("q", "Connection: close\r\n"))
-			q := <-x.submissions
-			_, err := c.Write(make([]byte, behind))
+			q := <-f.submissions
+			_, err := c.Write(make([]byte, pipelined))
 			require.NoError(t, err)
 			q.Finish(broker.Result{Complete: true, Values: []broker.Value{{Data: []byte("v")}}})
 			time.Sleep(20 * time.Millisecond)
@@ -69,23 +69,23 @@
 			require.Equal(t, "HTTP/1.1 200 OK", readStatusLine(t, in))
 			_, err = in.ReadByte()
 			require.ErrorIs(t, err, io.EOF)
-			require.Empty(t, x.submissions, "a request behind the close was submitted")
+			require.Empty(t, f.submissions, "a request after Connection: close was submitted")
 		})
 	}
 }
 
-// A client's close is detected, and its query disconnected, also behind pipelined bytes that are discarded.
-func TestConnDetectsCloseBehindDiscardedBytes(t *testing.T) {
-	x := newFixture(t, Options{MaxConns: 9})
-	c, _, _ := x.dial()
+// A client's close is detected, and its query disconnected, even after pipelined bytes that are discarded.
+func TestConnDetectsCloseAfterDiscardedBytes(t *testing.T) {
+	f := newFixture(t, Options{MaxConns: 9})
+	c, _, _ := f.dial()
 	fmt.Fprint(c, requestText("q"))
-	q := <-x.submissions
+	q := <-f.submissions
 	_, err := c.Write(make([]byte, 300<<10))
 	require.NoError(t, err)
 	require.NoError(t, c.SetLinger(0))
 	require.NoError(t, c.Close())
 	select {
-	case r := <-x.disconnected:
+	case r := <-f.disconnected:
 		require.Same(t, q.Request, r)
 		require.True(t, r.Disconnected.Load())
 	case <-time.After(time.Second):
@@ -93,12 +93,12 @@
 	}
 }
 
-// A client that pipelines more than maxPipelinedBytes behind a request in flight gets 413, and its query is disconnected.
+// A client that pipelines more than maxPipelinedBytes during a request gets 413, and its query is disconnected.
 func TestConnRejectsExcessivePipelining(t *testing.T) {
-	x := newFixture(t, Options{MaxConns: 9})
-	c, in, _ := x.dial()
+	f := newFixture(t, Options{MaxConns: 9})
+	c, in, _ := f.dial()
 	fmt.Fprint(c, requestText("q"))
-	q := <-x.submissions
+	q := <-f.submissions
 	go func() {
 		for {
 			if _, err := c.Write(make([]byte, 64<<10)); err != nil {
@@ -106,16 +106,16 @@
 			}
 		}
 	}()
-	require.Same(t, q.Request, <-x.disconnected)
+	require.Same(t, q.Request, <-f.disconnected)
 	require.Equal(t, "HTTP/1.1 413 Content Too Large", readStatusLine(t, in))
 }
 
-// New connections get the slots of idle and lingering ones without delay, and their requests are served.
+// New connections get the slots of idle and lingering ones without waiting for their timeouts, and their requests are served.
 func TestAdmitEvictsIdleAndLingeringConnections(t *testing.T) {
-	x := newFixture(t, Options{MaxConns: 8})
+	f := newFixture(t, Options{MaxConns: 8})
 	began := time.Now()
 	for i := range 200 {
-		c, in, _ := x.dial()
+		c, in, _ := f.dial()
 		if i%20 == 19 {
 			fmt.Fprint(c, "GET /up HTTP/1.1\r\nHost: n1\r\n\r\n")
 			require.Equal(t, "HTTP/1.1 200 OK", readStatusLine(t, in))
@@ -124,22 +124,23 @@
 	require.Less(t, time.Since(began), 2*time.Second)
 }
 
-// During a shutdown, a request read behind the one in flight, completely or in part, is served before the connection closes.
+// During a shutdown, a request that follows the one in flight, read completely or in part, is served before the connection
+// closes.
 func TestShutdownServesPipelinedRequest(t *testing.T) {
 	for name, second := range map[string]string{"complete": requestText("q2"), "in part": requestText("q2")[:60]} {
 		t.Run(name, func(t *testing.T) {
-			x := newFixture(t, Options{MaxConns: 8})
-			c, in, _ := x.dial()
+			f := newFixture(t, Options{MaxConns: 8})
+			c, in, _ := f.dial()
 			fmt.Fprint(c, requestText("q1"))
-			q := <-x.submissions
+			q := <-f.submissions
 			fmt.Fprint(c, second)
 			time.Sleep(20 * time.Millisecond)
-			go x.front.Shutdown(x.Context(), drain.ShutdownPlan{AnswerBy: time.Second, CloseIdle: 500 * time.Millisecond})
-			require.Eventually(t, func() bool { return x.front.stage().announceClose }, time.Second, time.Millisecond)
+			go f.front.Shutdown(f.Context(), drain.ShutdownPlan{AnswerBy: time.Second, CloseIdle: 500 * time.Millisecond})
+			require.Eventually(t, func() bool { return f.front.stage().announceClose }, time.Second, time.Millisecond)
 			q.Finish(broker.Result{Complete: true})
 			require.Equal(t, "HTTP/1.1 200 OK", readStatusLine(t, in))
 			fmt.Fprint(c, requestText("q2")[len(second):])
-			x.answerNext(in, "q2")
+			f.answerNext(in, "q2")
 			_, err := in.ReadByte()
 			require.ErrorIs(t, err, io.EOF)
 		})
@@ -148,25 +149,25 @@
 
 // A connection that is evicted after a part of a request was read gets 503.
 func TestEvictionAnswersPartialRequest(t *testing.T) {
-	x := newFixture(t, Options{MaxConns: 1})
-	c, in, _ := x.dial()
-	x.roundTrip(c, in, "first")
+	f := newFixture(t, Options{MaxConns: 1})
+	c, in, _ := f.dial()
+	f.roundTrip(c, in, "first")
 	fmt.Fprint(c, requestText("second")[:60])
 	require.Eventually(t, func() bool {
-		x.front.mu.Lock()
-		defer x.front.mu.Unlock()
-		return x.front.receiving.Len() == 1
+		f.front.mu.Lock()
+		defer f.front.mu.Unlock()
+		return f.front.receiving.Len() == 1
 	}, time.Second, time.Millisecond)
-	newcomer, newcomerIn, _ := x.dial()
+	next, nextIn, _ := f.dial()
 	require.Equal(t, "HTTP/1.1 503 Service Unavailable", readStatusLine(t, in))
-	x.roundTrip(newcomer, newcomerIn, "third")
+	f.roundTrip(next, nextIn, "third")
 }
 
-// A shutdown waits for the rest of a request received in part until AnswerBy, and then answers 408.
+// A shutdown waits until AnswerBy for the rest of a request that was received in part, and then answers 408.
 func TestShutdownAwaitsPartialRequestUntilAnswerBy(t *testing.T) {
-	x := newFixture(t, Options{MaxConns: 8})
-	c, in, _ := x.dial()
-	stalled, stalledIn, _ := x.dial()
+	f := newFixture(t, Options{MaxConns: 8})
+	c, in, _ := f.dial()
+	stalled, stalledIn, _ := f.dial()
 	text := requestText("q")
 	fmt.Fprint(c, text[:40])
 	fmt.Fprint(stalled, text[:40])
@@ -174,26 +175,26 @@
 	ended := make(chan time.Time, 1)
 	began := time.Now()
 	go func() {
-		x.front.Shutdown(x.Context(), drain.ShutdownPlan{AnswerBy: 300 * time.Millisecond, CloseIdle: 50 * time.Millisecond})
+		f.front.Shutdown(f.Context(), drain.ShutdownPlan{AnswerBy: 300 * time.Millisecond, CloseIdle: 50 * time.Millisecond})
 		ended <- time.Now()
 	}()
 	time.Sleep(100 * time.Millisecond)
 	fmt.Fprint(c, text[40:])
-	x.answerNext(in, "q")
+	f.answerNext(in, "q")
 	require.Equal(t, "HTTP/1.1 408 Request Timeout", readStatusLine(t, stalledIn))
 	c.Close()
 	stalled.Close()
 	require.Less(t, (<-ended).Sub(began), time.Second)
 }
 
-// While requests in flight hold all slots, a further connection gets 503 with Retry-After, and no reset loses the response.
+// While requests in flight hold all slots, another connection gets 503 with Retry-After, and no reset loses the response.
 func TestConnectionOverCapacityGets503WithRetryAfter(t *testing.T) {
-	x := newFixture(t, Options{MaxConns: 1})
-	c, in, _ := x.dial()
+	f := newFixture(t, Options{MaxConns: 1})
+	c, in, _ := f.dial()
 	fmt.Fprint(c, requestText("q"))
-	q := <-x.submissions
-	for range 10 { // more than maxRejecting: each frees its slot
-		s, err := net.Dial("tcp", x.listener.Addr().String())
+	q := <-f.submissions
+	for range 10 { // more than maxRejecting, so each must free its place
+		s, err := net.Dial("tcp", f.listener.Addr().String())
 		require.NoError(t, err)
 		defer s.Close()
 		s.SetDeadline(time.Now().Add(2 * time.Second))
@@ -210,5 +211,5 @@
 	}
 	q.Finish(broker.Result{Complete: true})
 	require.Equal(t, "HTTP/1.1 200 OK", readStatusLine(t, in))
-	require.Empty(t, x.submissions)
+	require.Empty(t, f.submissions)
 }
--- a/internal/transport/front/connlists.go
+++ b/internal/transport/front/connlists.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// evictOne evicts the connection that is least likely to have a request under way, and reports whether it found one.
+// evictOne evicts the connection that is least likely to be sending a request, and reports whether it found one.
 func (f *Front) evictOne() bool {
 	switch {
 	case f.evict(&f.lingering, 0):
@@ -19,8 +19,8 @@
 	return true
 }
 
-// evict asks the first connection of a list to end, if it has been there for minAge, and reports whether it did. The
-// connection ends itself: only its own goroutine knows whether a request has just been read.
+// evict asks the first connection of a list to end, if it has been in the list for minAge, and reports whether it did. The
+// connection ends itself, since only its own goroutine knows whether a request has just been read.
 func (f *Front) evict(l *list.List, minAge time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,7 +45,7 @@
 	return c.evicted
 }
 
-// markLingering adds a connection to the lingering ones, unless it has no slot to free.
+// markLingering adds a connection to the lingering ones, if it has a slot to free.
 func (f *Front) markLingering(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,8 +54,8 @@
 	}
 }
 
-// markReceiving records that a request has been received in part. After an earlier request, its connection is the last to be
-// evicted.
+// markReceiving records that part of a request has been received. If it is not the first of its connection, the connection
+// joins those that are evicted last.
 func (f *Front) markReceiving(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,7 +65,7 @@
 	}
 }
 
-// moveTo moves a connection to the end of a list, or, with nil, out of its own. The caller holds mu.
+// moveTo moves a connection to the end of a list; with nil it only removes it from its current one. The caller holds mu.
 func (f *Front) moveTo(c *conn, l *list.List) {
 	if c.list != nil {
 		c.list.Remove(c.element)
@@ -78,21 +78,22 @@
 	c.element = l.PushBack(c)
 }
 
-// markIdle adds a connection to those between requests, and evicts the longest idle one above MaxIdleConns. The clients share a
-// bound on connections to a broker: without eviction, some that send one request and stay connected would lock the others out.
+// markIdle adds a connection to those between requests, and evicts the one that is idle longest if there are more than
+// MaxIdleConns. Clients share a limit on connections to a broker: without eviction, clients that send one request and stay
+// connected would lock the others out.
 func (f *Front) markIdle(c *conn) {
 	f.mu.Lock()
 	if !c.evicted {
 		f.moveTo(c, &f.idleConns)
 	}
-	many := f.opt.MaxIdleConns > 0 && f.idleConns.Len() > f.opt.MaxIdleConns
+	tooMany := f.opt.MaxIdleConns > 0 && f.idleConns.Len() > f.opt.MaxIdleConns
 	f.mu.Unlock()
-	if many {
+	if tooMany {
 		f.evict(&f.idleConns, 0)
 	}
 }
 
-// markBusy removes a connection from the lists, since its request is complete, and revokes an eviction.
+// markBusy removes a connection from the lists, since a complete request has been received, and revokes an eviction.
 func (f *Front) markBusy(c *conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/transport/front/connread.go
+++ b/internal/transport/front/connread.go
@@ -13,8 +13,8 @@
 	at  time.Time // when the read returned
 }
 
-// startRead starts a read unless one is in progress. It returns false where there is no memory for more of a request: the
-// connection has ended.
+// startRead starts a read unless one is in progress. If MaxBufferedBytes leaves no memory for more of a request, it ends the
+// connection and returns false.
 func (c *conn) startRead() bool {
 	if c.reading {
 		return true
@@ -29,7 +29,7 @@
 	return true
 }
 
-// startReader starts the reader; the returned function ends it, and the connection.
+// startReader starts the reading goroutine. The returned function closes the connection, which ends the goroutine.
 func (c *conn) startReader() (end func()) {
 	c.readBuffers = make(chan []byte, 1)
 	c.readResults = make(chan readResult, 1)
@@ -40,8 +40,8 @@
 	}
 }
 
-// readLoop reads to each of readBuffers until the channel is closed. An error other than the deadline that interruptRead sets
-// marks the client as disconnected.
+// readLoop reads into each buffer from readBuffers until the channel is closed. An error other than the deadline that
+// interruptRead sets marks the client as disconnected.
 func (c *conn) readLoop() {
 	for buffer := range c.readBuffers {
 		n, err := c.sock.Read(buffer)
@@ -63,21 +63,21 @@
 	return c.reader.Grow()
 }
 
-// onRead processes the result of a read. It returns false where the connection has ended.
-func (c *conn) onRead(e readResult) bool {
+// onRead processes the result of a read. It returns false if the connection has ended.
+func (c *conn) onRead(r readResult) bool {
 	c.reading = false
 	if c.discarding {
-		c.discarded += e.n
+		c.discarded += r.n
 	} else {
-		c.reader.Advance(e.n)
-		c.received.add(e.n, e.at)
+		c.reader.Advance(r.n)
+		c.received.add(r.n, r.at)
 	}
 	if c.discarding && c.discarded > maxPipelinedBytes {
 		c.front.core.Disconnect(c.request)
 		c.rejectAndClose(errTooMuchPipelined)
 		return false
 	}
-	if e.err != nil && !errors.Is(e.err, os.ErrDeadlineExceeded) {
+	if r.err != nil && !errors.Is(r.err, os.ErrDeadlineExceeded) {
 		if c.request != nil {
 			c.front.core.Disconnect(c.request)
 		}
@@ -86,18 +86,18 @@
 	return true
 }
 
-// interruptRead ends the read in progress and returns how many bytes it received. ok is false where the connection has ended.
+// interruptRead ends the read in progress and returns how many bytes it received. ok is false if the connection has ended.
 func (c *conn) interruptRead() (n int, ok bool) {
 	if !c.reading {
 		return 0, true
 	}
 	c.sock.SetReadDeadline(time.Unix(1, 0))
-	e := <-c.readResults
+	r := <-c.readResults
 	c.sock.SetReadDeadline(time.Time{})
-	return e.n, c.onRead(e)
+	return r.n, c.onRead(r)
 }
 
-// bufferedBytes returns how many bytes of requests the connection holds beyond the maxIdleBuffer that each may.
+// bufferedBytes returns how many bytes of requests the connection holds beyond the maxIdleBuffer that every one may hold.
 func (c *conn) bufferedBytes() int {
 	n := c.reader.Buffered()
 	if c.request != nil {
--- a/internal/transport/front/drain.go
+++ b/internal/transport/front/drain.go
@@ -6,7 +6,7 @@
 	"mothrouter/internal/drain"
 )
 
-// Drain makes clients move to other brokers while the process keeps running. Rejoin ends the drain.
+// Drain starts a drain: clients move to other brokers while the process keeps running. Rejoin ends the drain.
 func (f *Front) Drain() {
 	f.mu.Lock()
 	f.drain.Start(time.Now())
@@ -35,7 +35,7 @@
 	return rejects
 }
 
-// drainState returns whether a drain marks the process as down for clients, and whether it rejects requests.
+// drainState reports whether a drain marks the process as down for clients, and whether it rejects requests.
 func (f *Front) drainState() (down, rejects bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/transport/front/fixture_test.go
+++ b/internal/transport/front/fixture_test.go
@@ -40,7 +40,7 @@
 }
 
 // pausableConn is a TCP connection that, once pauseNext is closed, holds its next read after the bytes have been received,
-// until a read deadline is set or the connection is closed. So a test acts at the moment between the read and its processing.
+// until a read deadline is set or the connection is closed. This lets a test act between the read and its processing.
 type pausableConn struct {
 	*net.TCPConn
 	pauseNext  chan struct{} // closed by the test: the next read that receives bytes is held
@@ -104,84 +104,84 @@
 	opt.RetryAfter = 0.5
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	x := &fixture{
+	f := &fixture{
 		T:        t,
 		fakeCore: fakeCore{make(chan submission, 9), make(chan *broker.Request, 9)},
 		listener: &pausableListener{TCPListener: l.(*net.TCPListener)},
 	}
-	x.front = New(opt, x.fakeCore, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	go x.front.Serve(x.listener)
+	f.front = New(opt, f.fakeCore, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	go f.front.Serve(f.listener)
 	t.Cleanup(func() { l.Close() })
-	return x
-}
-
-// dial opens a client's connection; serverConn is the front's end of it.
-func (x *fixture) dial() (c *net.TCPConn, in *bufio.Reader, serverConn *pausableConn) {
-	s, err := net.Dial("tcp", x.listener.Addr().String())
-	require.NoError(x, err)
-	x.Cleanup(func() { s.Close() })
-	s.SetDeadline(time.Now().Add(5 * time.Second))
-	require.Eventually(x, func() bool {
-		x.listener.mu.Lock()
-		defer x.listener.mu.Unlock()
-		for _, accepted := range x.listener.conns {
-			if accepted.RemoteAddr().String() == s.LocalAddr().String() {
+	return f
+}
+
+// dial opens a client connection and returns it, a reader of it, and the front's end of it.
+func (f *fixture) dial() (c *net.TCPConn, in *bufio.Reader, serverConn *pausableConn) {
+	sock, err := net.Dial("tcp", f.listener.Addr().String())
+	require.NoError(f, err)
+	f.Cleanup(func() { sock.Close() })
+	sock.SetDeadline(time.Now().Add(5 * time.Second))
+	require.Eventually(f, func() bool {
+		f.listener.mu.Lock()
+		defer f.listener.mu.Unlock()
+		for _, accepted := range f.listener.conns {
+			if accepted.RemoteAddr().String() == sock.LocalAddr().String() {
 				serverConn = accepted
 			}
 		}
 		return serverConn != nil
 	}, time.Second, time.Millisecond)
-	return s.(*net.TCPConn), bufio.NewReader(s), serverConn
+	return sock.(*net.TCPConn), bufio.NewReader(sock), serverConn
 }
 
-// requestText returns a query of one part with the id, and with the further header lines in head, each ended by CRLF.
-func requestText(id string, head ...string) string {
+// requestText returns the request of a query of one part. The extra header lines must each end in CRLF.
+func requestText(id string, headerLines ...string) string {
 	body := `{"targets":[{"partition":0,"share":1}],"query":"x"}`
 	const format = "POST /look HTTP/1.1\r\nX-Request-Id: %s\r\nX-Deadline: 2000m\r\nContent-Length: %d\r\n%s\r\n%s"
-	return fmt.Sprintf(format, id, len(body), strings.Join(head, ""), body)
+	return fmt.Sprintf(format, id, len(body), strings.Join(headerLines, ""), body)
 }
 
 // roundTrip sends a request, answers it and reads the response.
-func (x *fixture) roundTrip(c net.Conn, in *bufio.Reader, id string) {
-	x.Helper()
+func (f *fixture) roundTrip(c net.Conn, in *bufio.Reader, id string) {
+	f.Helper()
 	fmt.Fprint(c, requestText(id))
-	x.answerNext(in, id)
+	f.answerNext(in, id)
 }
 
 // answerNext awaits the submission of the request with the id, answers it and reads the response.
-func (x *fixture) answerNext(in *bufio.Reader, id string) {
-	x.Helper()
+func (f *fixture) answerNext(in *bufio.Reader, id string) {
+	f.Helper()
 	select {
-	case q := <-x.submissions:
-		require.Equal(x, id, q.ID)
+	case q := <-f.submissions:
+		require.Equal(f, id, q.ID)
 		q.Finish(broker.Result{Complete: true, Values: []broker.Value{{Data: []byte("v")}}})
 	case <-time.After(2 * time.Second):
-		require.FailNow(x, "the request was not submitted within 2 s")
+		require.FailNow(f, "the request was not submitted within 2 s")
 	}
-	require.Equal(x, "HTTP/1.1 200 OK", readStatusLine(x.T, in))
+	require.Equal(f, "HTTP/1.1 200 OK", readStatusLine(f.T, in))
 }
 
-// awaitIdle waits until n connections are between requests: the client reads its response slightly earlier.
-func (x *fixture) awaitIdle(n int) {
-	x.Helper()
-	require.Eventually(x, func() bool {
-		x.front.mu.Lock()
-		defer x.front.mu.Unlock()
-		return x.front.idleConns.Len() == n
+// awaitIdle waits until n connections are between requests, which is slightly after their clients have read the responses.
+func (f *fixture) awaitIdle(n int) {
+	f.Helper()
+	require.Eventually(f, func() bool {
+		f.front.mu.Lock()
+		defer f.front.mu.Unlock()
+		return f.front.idleConns.Len() == n
 	}, 2*time.Second, time.Millisecond)
 }
 
 // readStatusLine reads a response and returns its status line.
 func readStatusLine(t *testing.T, in *bufio.Reader) string {
 	t.Helper()
-	first := ""
+	statusLine := ""
 	length := 0
 	for {
 		line, err := in.ReadString('\n')
 		require.NoError(t, err)
 		line = strings.TrimSpace(line)
-		if first == "" {
-			first = line
+		if statusLine == "" {
+			statusLine = line
 		}
 		fmt.Sscanf(line, "Content-Length: %d", &length)
 		if line == "" {
@@ -190,5 +190,5 @@
 	}
 	_, err := io.CopyN(io.Discard, in, int64(length))
 	require.NoError(t, err)
-	return first
+	return statusLine
 }
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -1,5 +1,5 @@
-// Package front is the HTTP/1.1 front for the platform's clients: a thin driver of httpwire's state machine over sockets.
-// Each connection has a goroutine that serves it, which owns it, and one that reads; both end with the connection.
+// Package front is the HTTP/1.1 front for clients: it connects the state machines of package httpwire to sockets. Each
+// connection has a goroutine that owns and serves it and one that only reads; both end with the connection.
 package front
 
 import (
@@ -21,7 +21,7 @@
 	Submit(*broker.Request, broker.Client)
 	// Disconnect reports that the client of a request has disconnected. It does not block.
 	Disconnect(*broker.Request)
-	// Ready reports whether the broker can serve: it has had an endpoint list, and its loop runs.
+	// Ready reports whether the broker can serve: it has received an endpoint list, and its loop runs.
 	Ready() bool
 }
 
@@ -30,10 +30,10 @@
 	Classes          map[string]int    // class by name
 	Shards           int               // partitions of the data; 0: not stated
 	MaxConns         int               // client connections at once
-	MaxIdleConns     int               // of these between requests; 0: no bound
-	MaxBufferedBytes int               // of requests, beside a few KiB for each connection
-	RetryAfter       float64           // seconds after which a client that is rejected should retry; 0: no advice
-	Metrics          *metrics.Counters // counts requests by how they ended; nil: they are not counted
+	MaxIdleConns     int               // client connections between requests; 0: no bound
+	MaxBufferedBytes int               // memory for requests, in addition to a few KiB for each connection
+	RetryAfter       float64           // seconds after which a rejected client should retry; 0: not stated
+	Metrics          *metrics.Counters // counts requests by class and HTTP status; nil: they are not counted
 }
 
 // Front serves client connections.
@@ -41,7 +41,7 @@
 	opt       Options
 	core      Core
 	log       *slog.Logger
-	slots     chan struct{} // one for each connection that is served; MaxConns in all
+	slots     chan struct{} // one for each connection that is served, MaxConns in total
 	rejecting chan struct{} // slots of connections that are rejected over capacity
 	wg        sync.WaitGroup
 
@@ -52,8 +52,8 @@
 	lingering     list.List          // conns that linger, earliest first
 	newConns      list.List          // conns without a complete request, earliest accept first
 	idleConns     list.List          // conns between requests, longest idle first
-	receiving     list.List          // conns whose next request is received in part, earliest first byte first
-	bufferedBytes int                // of requests
+	receiving     list.List          // conns with a part of their next request, earliest first byte first
+	bufferedBytes int                // sum of the reserved fields of conns
 	listener      net.Listener       // nil before Serve
 
 	accepted chan struct{} // closed once Serve accepts no more connections
@@ -83,7 +83,7 @@
 		}
 		if err != nil {
 			f.log.Warn("accept failed", "error", err)
-			time.Sleep(acceptBackoff) // out of descriptors: some will be freed
+			time.Sleep(acceptBackoff) // out of descriptors, until connections end
 			continue
 		}
 		c := newConn(f, sock)
--- a/internal/transport/front/limits.go
+++ b/internal/transport/front/limits.go
@@ -10,14 +10,14 @@
 	requestTimeout  = 2200 * time.Millisecond // from the first to the last byte of a later request
 	idleTimeout     = 30 * time.Second        // between requests
 	writeTimeout    = 2 * time.Second         // for a client to read a response
-	newConnGrace    = 250 * time.Millisecond  // a client that has just connected is about to send
+	newConnGrace    = 250 * time.Millisecond  // a client that has just connected is about to send: others are evicted first
 	evictionTimeout = 20 * time.Millisecond   // for an evicted connection to end; no other is accepted meanwhile
 	lingerTimeout   = 500 * time.Millisecond  // for a client to read its last answer and close
 	acceptBackoff   = 10 * time.Millisecond   // after a failed accept
 
 	maxLingerBytes    = 256 << 10 // read and discarded while a connection lingers
-	maxPipelinedBytes = 1 << 20   // pipelined bytes read and discarded during a request, beyond what is kept
+	maxPipelinedBytes = 1 << 20   // pipelined bytes read and discarded during a request, beyond those that are kept
 	discardSize       = 16 << 10  // bytes of one read that is discarded
 	maxIdleBuffer     = 16 << 10  // bytes kept in a connection's buffers between requests
-	maxRejecting      = 4         // connections over capacity that are answered at once; more are closed
+	maxRejecting      = 4         // connections over capacity that are answered concurrently; more are closed
 )
--- a/internal/transport/front/respond.go
+++ b/internal/transport/front/respond.go
@@ -8,7 +8,7 @@
 	"mothrouter/internal/transport/httpwire"
 )
 
-// Errors of clients' input, with the statuses that answer them.
+// Errors that are sent to clients, with their HTTP statuses.
 var (
 	errRequestTimeout   = &httpwire.Error{Status: 408, Reason: "the request did not come whole in time"}
 	errTooMuchPipelined = &httpwire.Error{Status: 413, Reason: "too much came behind a request that is not answered yet"}
@@ -16,7 +16,7 @@
 	errBufferFull       = &httpwire.Error{Status: 503, Reason: "no room for a request of this size now"}
 )
 
-// handle answers a request or submits it to the broker. It returns false where the connection ends.
+// handle answers a request or submits it to the broker. It returns false if the connection ends.
 func (c *conn) handle(req *httpwire.Request) bool {
 	resp := httpwire.Response{Close: req.Close, NoBody: req.Method == "HEAD"}
 	index, known := c.front.opt.Classes[req.Class()]
@@ -49,8 +49,8 @@
 	}
 }
 
-// handleQuery submits a query to the broker. One that is invalid, or that arrives while a drain rejects requests, is answered
-// by resp. It returns false where the connection ends.
+// handleQuery submits a query to the broker. A query that is invalid, or that arrives while a drain rejects requests, is
+// answered with resp. It returns false if the connection ends.
 func (c *conn) handleQuery(req *httpwire.Request, class int, resp httpwire.Response) bool {
 	rejects := c.front.RejectsRequests()
 	r, err := c.newRequest(req, class)
@@ -88,13 +88,13 @@
 	return r, nil
 }
 
-// rejectAndClose answers input that breaks the protocol; the connection ends after it.
+// rejectAndClose answers input that cannot be served, and ends the connection.
 func (c *conn) rejectAndClose(err error) {
 	c.write(c.finalError(err))
 	c.linger()
 }
 
-// rejectEvicted answers a request that was read in part, since the rest will not be read. The slot is needed now: the
+// rejectEvicted answers a request that was read in part and whose rest will not be read. The slot is needed now, so the
 // connection neither lingers nor waits for a client that does not read.
 func (c *conn) rejectEvicted() {
 	resp := c.finalError(errOverCapacity)
@@ -121,14 +121,14 @@
 }
 
 // linger is a lingering close: it closes the sending side and gives the client lingerTimeout to read the answer and to close.
-// Closing with bytes unread would reset the connection, and the answer could be lost with it. What is received meanwhile is
-// discarded. A lingering connection is the first to be evicted.
+// Closing with bytes unread would reset the connection, and the answer could be lost with it. Bytes received meanwhile are
+// discarded. Lingering connections are evicted first.
 func (c *conn) linger() {
-	half, ok := c.sock.(interface{ CloseWrite() error })
+	halfCloser, ok := c.sock.(interface{ CloseWrite() error })
 	if !ok || c.disconnected.Load() {
 		return
 	}
-	_ = half.CloseWrite() // a socket on which it fails has ended
+	_ = halfCloser.CloseWrite() // fails only if the connection has ended
 	c.front.markLingering(c)
 	wait := time.NewTimer(lingerTimeout)
 	defer wait.Stop()
@@ -145,22 +145,22 @@
 			if c.front.isEvicted(c) {
 				return
 			}
-		case e := <-c.readResults:
+		case r := <-c.readResults:
 			c.reading = false
-			if e.err != nil {
+			if r.err != nil {
 				return
 			}
-			remaining -= e.n
+			remaining -= r.n
 		}
 	}
 }
 
-// problem is the body of an answer that is not 200.
+// problem is the JSON body of a response other than 200.
 type problem struct {
 	Error string `json:"error"`
 }
 
-// responseTo returns the response for a query's final result.
+// responseTo returns the response for the final result of a query.
 func responseTo(r broker.Result, closes bool) httpwire.Response {
 	resp := httpwire.Response{Close: closes}
 	switch r.Outcome {
@@ -207,16 +207,16 @@
 
 // isLastResponse reports whether the response that is about to be written is the connection's last. During a shutdown or
 // drain, a request of which bytes have been read is still served: its client could not know that it was dropped. ok is false
-// where the client has closed the connection.
+// if the client has closed the connection.
 func (c *conn) isLastResponse() (last, ok bool) {
-	end := c.front.stage()
-	if c.closeAfter || !end.announceClose {
+	stage := c.front.stage()
+	if c.closeAfter || !stage.announceClose {
 		return c.closeAfter, true
 	}
 	if _, ok := c.interruptRead(); !ok {
 		return true, false
 	}
-	return end.closeAll || c.closeAfter || !c.reader.Receiving(), true
+	return stage.closeAll || c.closeAfter || !c.reader.Receiving(), true
 }
 
 // send writes b and reports whether all of it was written.
--- a/internal/transport/front/shutdown.go
+++ b/internal/transport/front/shutdown.go
@@ -13,28 +13,28 @@
 type shutdownStage struct {
 	announceClose bool // answers say Connection: close
 	closeIdle     bool // connections between requests end
-	closeAll      bool // so do those that have received a request in part
+	closeAll      bool // connections that have received part of a request end too
 }
 
-// Shutdown ends the front in the stages of the plan. From now on answers announce that the connection closes, and clients may
-// use each once more: closing all at once would make every client reconnect at the same moment, perhaps without a broker to
-// connect to. Then the listener closes and idle connections end, the others after their answers. It returns when all have
-// ended or ctx is done.
+// Shutdown ends the front in the stages of the plan. First, answers announce that the connection closes, and clients may use
+// each connection once more: closing all at once would make every client reconnect at the same moment, perhaps without a broker
+// to connect to. Then the listener and idle connections close, the others after their answers. At AnswerBy, those that have
+// received part of a request end too. It returns when all have ended or ctx is done.
 func (f *Front) Shutdown(ctx context.Context, plan drain.ShutdownPlan) {
 	f.advanceShutdown(func() { f.shutdown.announceClose = true })
 	sleep(ctx, plan.CloseIdle-plan.AnnounceClose)
 	f.advanceShutdown(f.closeListener)
-	last := time.AfterFunc(plan.AnswerBy-plan.CloseIdle, func() {
+	closeAllTimer := time.AfterFunc(plan.AnswerBy-plan.CloseIdle, func() {
 		f.advanceShutdown(func() { f.shutdown.closeAll = true })
 	})
-	defer last.Stop()
+	defer closeAllTimer.Stop()
 	select {
 	case <-f.ended():
 	case <-ctx.Done():
 	}
 }
 
-// advanceShutdown changes the stage by change, called with mu held, and wakes all connections to check it.
+// advanceShutdown calls change, which changes the stage, with mu held, and makes all connections check the stage.
 func (f *Front) advanceShutdown(change func()) {
 	f.mu.Lock()
 	change()
@@ -52,7 +52,7 @@
 	}
 }
 
-// closeListener starts the stage at which no connection is accepted and idle ones end. The caller holds mu.
+// closeListener starts the stage in which no connection is accepted and idle ones end. The caller holds mu.
 func (f *Front) closeListener() {
 	f.shutdown.closeIdle = true
 	if f.listener == nil {
@@ -92,7 +92,7 @@
 	}
 }
 
-// stage returns the stage of the shutdown or the drain, whichever is later.
+// stage returns the stage of the shutdown or of the drain, whichever is further.
 func (f *Front) stage() shutdownStage {
 	f.mu.Lock()
 	defer f.mu.Unlock()
