--- a/internal/transport/flight/channel.go
+++ b/internal/transport/flight/channel.go
@@ -11,12 +11,12 @@
 	"google.golang.org/grpc/credentials/insecure"
 )
 
-// channel is one gRPC connection and the calls on it.
+// channel is one gRPC connection to a record server.
 type channel struct {
 	conn      *grpc.ClientConn
 	client    flight.Client
 	calls     int         // in flight
-	idleTimer *time.Timer // closes the connection; nil: there are calls
+	idleTimer *time.Timer // closes the connection; nil while calls are in flight
 }
 
 // stopIdleTimer stops the idle timer, if it runs.
@@ -27,7 +27,7 @@
 	}
 }
 
-// acquire reserves a stream on a connection to addr, which it opens if all are full.
+// acquire reserves a stream on a connection to addr. If all connections are full, it opens one; errNoConn: none may be opened.
 func (l *Link) acquire(addr string) (*channel, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +49,7 @@
 func (l *Link) open(addr string) (*channel, error) {
 	conn, err := grpc.NewClient("passthrough:///"+addr,
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		// The broker decides on the attempts of a part: gRPC must not retry by itself.
+		// The broker decides on all attempts of a part, so gRPC must not retry.
 		grpc.WithDisableRetry(),
 		grpc.WithDisableServiceConfig(),
 		grpc.WithIdleTimeout(l.idleLimit()),
@@ -68,9 +68,9 @@
 	return ch, nil
 }
 
-var errNoConn = errors.New("no connection is left")
+var errNoConn = errors.New("all connections to record servers are in use")
 
-// evictIdle closes a connection without calls and reports whether it found one. The caller holds mu.
+// evictIdle closes a connection without calls in flight and reports whether it found one. The caller holds mu.
 func (l *Link) evictIdle() bool {
 	for addr, list := range l.conns {
 		for _, ch := range list {
@@ -83,8 +83,8 @@
 	return false
 }
 
-// release ends a call on a connection. A connection without calls is closed: at once where the server has another, else after
-// the idle time, so that removed servers leave none behind.
+// release ends a call on a connection. A connection without calls in flight is closed: at once if there is another one to the
+// server, else after idleLimit, so that none to removed servers stay open.
 func (l *Link) release(addr string, ch *channel) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +98,7 @@
 	}
 }
 
-// removeIdle removes a connection unless a call has begun on it.
+// removeIdle removes a connection unless a call is in flight on it.
 func (l *Link) removeIdle(addr string, ch *channel) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/flight/flight.go
+++ b/internal/transport/flight/flight.go
@@ -1,5 +1,5 @@
-// Package flight is the Arrow Flight side of mothrouter: a front for partner billing systems and a link to
-// record servers that speak Flight. docs/flight.md describes the tickets, schemas, metadata and statuses.
+// Package flight implements Arrow Flight: a front for partner billing systems, and a link to record servers that speak Flight.
+// docs/flight.md describes the tickets, schemas, metadata and statuses.
 package flight
 
 import (
@@ -18,11 +18,11 @@
 	"mothrouter/internal/transport/httpwire"
 )
 
-// maxMessageSize is the largest gRPC message in bytes: a query's body and its envelope.
+// maxMessageSize is the largest gRPC message in bytes: the body of a query and the fields around it.
 const maxMessageSize = httpwire.MaxBody + 4<<10
 
-// Ticket requests a query from a broker: the platform's body with the fields of its header. The client's deadline is that of
-// the gRPC call.
+// Ticket requests a query from a broker: the body of an HTTP query with the values of its headers. The client's deadline is
+// that of the gRPC call.
 type Ticket struct {
 	ID    string `json:"id"`
 	Class string `json:"class"`
@@ -35,11 +35,11 @@
 	ID        string `json:"id"` // the query's id, a dot and the partition; with the suffix ".p2" in a second phase
 	Partition int    `json:"partition"`
 	Query     string `json:"query"`
-	// FirstPhase is the result of the first phase, in a part of a second phase; absent: a part of the first.
+	// FirstPhase is the result of the first phase, for a part of a second phase; absent for a part of the first.
 	FirstPhase *FirstPhase `json:"first_step,omitempty"`
 }
 
-// FirstPhase is the result of the first phase as the parts of a second phase state it.
+// FirstPhase is the result of the first phase in the ticket of a part of the second.
 type FirstPhase struct {
 	AnsweredShards []int `json:"from"` // the partitions that answered, ascending
 	Complete       bool  `json:"whole"`
@@ -58,7 +58,7 @@
 	return t
 }
 
-// AnswerMetadata is the metadata of an answer's last message. An answer without it is truncated.
+// AnswerMetadata is the application metadata of the last message of an answer. An answer without it is truncated.
 type AnswerMetadata struct {
 	ID       string `json:"id"`
 	Class    string `json:"class"`
@@ -66,7 +66,7 @@
 	Parts    int    `json:"parts"` // rows of the answer
 }
 
-// The schema's metadata carries these keys.
+// Keys of the schema's metadata.
 const (
 	idKey    = "mothrouter.id"
 	classKey = "mothrouter.class"
@@ -81,8 +81,8 @@
 	}, &md)
 }
 
-// codeOf maps outcomes to gRPC statuses. UNAVAILABLE with RetryInfo means that a retry is safe; gRPC itself returns UNAVAILABLE
-// for a broken connection, without RetryInfo.
+// codeOf maps outcomes to gRPC status codes. UNAVAILABLE with RetryInfo means that a retry is safe; gRPC itself returns
+// UNAVAILABLE for a broken connection, without RetryInfo.
 var codeOf = map[broker.Outcome]codes.Code{
 	broker.Rejected:         codes.Unavailable,
 	broker.Failed:           codes.Aborted,
@@ -107,7 +107,7 @@
 	detailed, err := s.WithDetails(&errdetails.RetryInfo{
 		RetryDelay: durationpb.New(secondsOf(r.RetryAfter)),
 	})
-	if err != nil { // without RetryInfo it must not be taken for a rejection
+	if err != nil { // UNAVAILABLE without RetryInfo would not state that a retry is safe
 		return status.Error(codes.Aborted, err.Error())
 	}
 	return detailed.Err()
--- a/internal/transport/flight/front.go
+++ b/internal/transport/flight/front.go
@@ -45,13 +45,13 @@
 	flowControlWindow = 64 << 10 // unread bytes of a stream and of a connection; a fixed value disables gRPC's dynamic window
 )
 
-// Front serves Flight clients on the same core as the platform's front.
+// Front serves Flight clients with the same core as the HTTP front.
 type Front struct {
 	flight.BaseFlightServer
 	opt    Options
 	core   Core
 	server *grpc.Server
-	slots  chan struct{} // of calls
+	slots  chan struct{} // one for each call in flight, maxCalls in total
 }
 
 // NewFront returns a front that submits queries to core.
@@ -84,7 +84,7 @@
 	stop()
 }
 
-// admit bounds the calls in flight before their tickets are read.
+// admit bounds the calls in flight to maxCalls, and rejects others before their tickets are read.
 func (f *Front) admit(srv any, stream grpc.ServerStream, _ *grpc.StreamServerInfo, next grpc.StreamHandler) error {
 	select {
 	case f.slots <- struct{}{}:
@@ -157,7 +157,7 @@
 	}
 }
 
-// writeAnswer sends the rows, and only after them the metadata that states whether they are complete.
+// writeAnswer sends the rows, and only after them the metadata that states whether the answer is complete.
 func writeAnswer(stream flight.DataStreamWriter, t *Ticket, res broker.Result) error {
 	schema := answerSchema(t.ID, t.Class)
 	w := flight.NewRecordWriter(stream, ipc.WithSchema(schema))
@@ -185,7 +185,7 @@
 	return nil
 }
 
-// GetFlightInfo returns the ticket and schema for the query in the descriptor's command. Nothing runs yet.
+// GetFlightInfo returns the ticket and schema for the query in the descriptor's command. It does not run the query.
 func (f *Front) GetFlightInfo(ctx context.Context, d *flight.FlightDescriptor) (*flight.FlightInfo, error) {
 	r, t, err := f.request(ctx, d.GetCmd())
 	if err != nil {
--- a/internal/transport/flight/front_test.go
+++ b/internal/transport/flight/front_test.go
@@ -28,7 +28,7 @@
 func (l silentLink) Cancel(*broker.Call)             {}
 func (l silentLink) CheckHealth(*broker.HealthCheck) {}
 
-// serverStream is the server's end of a DoGet without a socket; it has a context alone.
+// serverStream is the server's end of a DoGet without a connection. Only Context may be called.
 type serverStream struct {
 	flight.FlightService_DoGetServer
 	ctx context.Context
@@ -54,8 +54,8 @@
 	}
 }
 
-// A query whose non-idempotent part is in flight near the client's deadline ends with Aborted before it. The clock is
-// synctest's: on a real one a busy machine may delay the status past the deadline.
+// A query whose non-idempotent part is in flight near the client's deadline ends with Aborted before the deadline. It runs on
+// synctest's clock: with the real clock, a busy host may delay the status past the deadline.
 func TestDoGetAbortsNonIdempotentQueryBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		settings := nonIdempotentSettings()
--- a/internal/transport/flight/gate.go
+++ b/internal/transport/flight/gate.go
@@ -11,8 +11,8 @@
 )
 
 // gate decides, just before a call's header is written, whether the call may still start. It implements
-// credentials.PerRPCCredentials, whose method gRPC calls at that moment. It passes a call once: gRPC's transparent retry, of a
-// call that the server did not process, would start an attempt that the broker has not decided on.
+// credentials.PerRPCCredentials, whose GetRequestMetadata gRPC calls at that moment. It lets a call start once: gRPC's
+// transparent retry, of a call that the server did not process, would start an attempt that the broker has not decided on.
 type gate struct {
 	call    *broker.Call
 	mu      sync.Mutex
@@ -20,7 +20,7 @@
 	blocked bool // the call was stopped before anything was written
 }
 
-var errNotStarted = status.Error(codes.FailedPrecondition, "the call may not be sent any more")
+var errNotStarted = status.Error(codes.FailedPrecondition, "the call may no longer start")
 
 // GetRequestMetadata implements credentials.PerRPCCredentials. It adds no metadata.
 func (g *gate) GetRequestMetadata(context.Context, ...string) (map[string]string, error) {
--- a/internal/transport/flight/link.go
+++ b/internal/transport/flight/link.go
@@ -21,8 +21,8 @@
 type LinkOptions struct {
 	MaxStreams     int           // concurrent calls on one connection
 	MaxConns       int           // connections to all servers; 0: no bound
-	IdleTimeout    time.Duration // connections that are idle for four fifths of it are closed
-	ConnectTimeout time.Duration // for a connection to be established, at least
+	IdleTimeout    time.Duration // after which servers close idle connections; the link closes them after four fifths of it
+	ConnectTimeout time.Duration // that an attempt to connect is given at least
 }
 
 // Link is the link to record servers that speak Flight.
@@ -30,13 +30,13 @@
 	opt LinkOptions
 	ctx context.Context
 
-	mu        sync.Mutex                          // guards what follows
+	mu        sync.Mutex                          // guards the fields below
 	conns     map[string][]*channel               // by address
 	openConns int                                 // to all servers
 	calls     map[*broker.Call]context.CancelFunc // of calls in flight
 }
 
-// NewLink returns a link whose connections end with ctx.
+// NewLink returns a link. Its connections are closed when ctx is done.
 func NewLink(ctx context.Context, opt LinkOptions) *Link {
 	opt.MaxStreams = max(opt.MaxStreams, 1)
 	l := &Link{
@@ -87,11 +87,11 @@
 	}
 }
 
-// get runs one call and returns its result.
+// get makes one call and returns its result.
 func (l *Link) get(ctx context.Context, c *broker.Call) broker.CallResult {
 	ch, err := l.acquire(c.Addr)
 	if err != nil {
-		return broker.ResultOf(decision.NotSent) // the server is not at fault
+		return broker.ResultOf(decision.NotSent) // this says nothing about the server
 	}
 	defer l.release(c.Addr, ch)
 	ticket, err := json.Marshal(partTicket(c))
@@ -108,13 +108,13 @@
 	case err != nil:
 		return failedResult(err, g)
 	case !utf8.Valid(r.Value):
-		return broker.ResultOf(decision.Error) // a JSON answer cannot contain it
+		return broker.ResultOf(decision.Error) // JSON answers cannot contain the value
 	}
 	return r
 }
 
-// failedResult returns the result of a call that ended without an answer. It cannot have run if its header was never written or
-// the server rejected it; it may have run otherwise, also where the stream ended without a status.
+// failedResult returns the result of a call that ended without an answer. The call cannot have run if its header was never
+// written or the server rejected it. Otherwise it may have run, even if the stream ended without a status.
 func failedResult(err error, g *gate) broker.CallResult {
 	switch {
 	case g.blocked:
@@ -133,22 +133,22 @@
 	return broker.ResultOf(decision.Error)
 }
 
-// CheckHealth requests a load report by the action "load".
-func (l *Link) CheckHealth(p *broker.HealthCheck) {
+// CheckHealth starts a health check, which requests a load report with the Flight action "load".
+func (l *Link) CheckHealth(check *broker.HealthCheck) {
 	go func() {
-		ctx, cancel := context.WithDeadline(l.ctx, p.Deadline)
+		ctx, cancel := context.WithDeadline(l.ctx, check.Deadline)
 		defer cancel()
-		p.Finish(l.queryLoad(ctx, p))
+		check.Finish(l.queryLoad(ctx, check))
 	}()
 }
 
-// queryLoad runs one health check and returns its result.
-func (l *Link) queryLoad(ctx context.Context, p *broker.HealthCheck) broker.CallResult {
-	ch, err := l.acquire(p.Addr)
+// queryLoad makes one health check and returns its result.
+func (l *Link) queryLoad(ctx context.Context, check *broker.HealthCheck) broker.CallResult {
+	ch, err := l.acquire(check.Addr)
 	if err != nil {
 		return broker.ResultOf(decision.NotSent)
 	}
-	defer l.release(p.Addr, ch)
+	defer l.release(check.Addr, ch)
 	stream, err := ch.client.DoAction(ctx, &flight.Action{Type: "load"})
 	var result *flight.Result
 	if err == nil {
--- a/internal/transport/flight/link_test.go
+++ b/internal/transport/flight/link_test.go
@@ -12,7 +12,7 @@
 	"mothrouter/internal/decision"
 )
 
-// A call that has started may have run, whatever ended it, unless the server rejected it.
+// A call that has started may have run, however it ended, unless the server rejected it.
 func TestFailedResultStatus(t *testing.T) {
 	rejection := statusOf(broker.Result{Outcome: broker.Rejected})
 	for _, c := range []struct {
@@ -34,7 +34,7 @@
 	}
 }
 
-// A connection without calls is closed at once where the server has another, else after the idle limit.
+// A connection without calls in flight is closed at once if there is another one to the server, else after the idle limit.
 func TestReleaseClosesIdleConnections(t *testing.T) {
 	l := NewLink(t.Context(), LinkOptions{MaxStreams: 1, IdleTimeout: 50 * time.Millisecond})
 	const addr = "127.0.0.1:1" // nothing listens there
--- a/internal/transport/flight/readpart.go
+++ b/internal/transport/flight/readpart.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"errors"
+	"fmt"
 	"io"
 	"strconv"
 
@@ -15,9 +16,9 @@
 	"mothrouter/internal/transport/httpwire"
 )
 
-var errTooLong = errors.New("the value is too long")
+var errValueTooLong = fmt.Errorf("the value of the part exceeds %d bytes", httpwire.MaxBody)
 
-// readPart reads a part's stream to its status. Only a stream that ends with OK has delivered the part.
+// readPart reads the stream of a part until its status. Only a stream that ends with OK has delivered the part.
 func readPart(stream flight.FlightService_DoGetClient) (broker.CallResult, error) {
 	part := broker.CallResult{Status: decision.OK, LoadReport: decision.NoLoadReport, Value: []byte{}}
 	r, err := flight.NewRecordReader(stream)
@@ -25,19 +26,19 @@
 		return part, err
 	}
 	defer r.Release()
-	column := r.Schema().FieldIndices("value")
-	if len(column) != 1 {
-		return part, errors.New("a part's schema has one column named value")
+	columns := r.Schema().FieldIndices("value")
+	if len(columns) != 1 {
+		return part, fmt.Errorf("the schema of the part has %d columns named value, want 1", len(columns))
 	}
 	for r.Next() {
-		rows, ok := r.RecordBatch().Column(column[0]).(*array.String)
+		rows, ok := r.RecordBatch().Column(columns[0]).(*array.String)
 		if !ok {
-			return part, errors.New("a part's value is utf8")
+			return part, fmt.Errorf("the column named value has the type %v, want utf8", r.Schema().Field(columns[0]).Type)
 		}
 		for i := range rows.Len() {
 			part.Value = append(part.Value, rows.Value(i)...)
 			if len(part.Value) > httpwire.MaxBody {
-				return part, errTooLong
+				return part, errValueTooLong
 			}
 		}
 		readMetadata(r.LatestAppMetadata(), &part)
@@ -48,11 +49,11 @@
 	return part, nil
 }
 
-// scoreName is the metadata's name for the score of a part.
+// scoreName is the name of a part's score in the metadata.
 const scoreName = "score"
 
-// readMetadata parses the load report and the score in a message's metadata, name=value pairs separated by commas. A pair that
-// cannot be parsed counts as absent: the value is valid all the same.
+// readMetadata parses the load report and the score in a message's metadata, which is name=value pairs separated by commas. A
+// load report or score that cannot be parsed counts as absent, since the value of the part is valid nevertheless.
 func readMetadata(data []byte, part *broker.CallResult) {
 	if len(data) == 0 {
 		return
--- a/internal/transport/flight/selector.go
+++ b/internal/transport/flight/selector.go
@@ -4,7 +4,7 @@
 	"mothrouter/internal/broker"
 )
 
-// ProtocolSelector sends by Flight to the servers that speak it, and by Frames to all others.
+// ProtocolSelector is a link that uses Flight for the servers that speak it and Frames for all others.
 type ProtocolSelector struct {
 	Frames, Flight broker.Link
 	FlightServers  map[string]bool // ids of servers that speak Flight
