--- a/internal/transport/flight/channel.go
+++ b/internal/transport/flight/channel.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// acquire reserves a stream on a connection to addr. If all connections are full, it opens one; errNoConn: none may be opened.
+// acquire reserves a stream on a connection to addr. If all are full, it opens another, or returns errNoConn if none may be
+// opened.
 func (l *Link) acquire(addr string) (*channel, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +85,7 @@
 }
 
 // release ends a call on a connection. A connection without calls in flight is closed: at once if there is another one to the
-// server, else after idleLimit, so that none to removed servers stay open.
+// server, else after idleLimit, so that no connections to removed servers stay open.
 func (l *Link) release(addr string, ch *channel) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/flight/front.go
+++ b/internal/transport/flight/front.go
@@ -36,7 +36,7 @@
 type Options struct {
 	Classes  map[string]int // class by name
 	Shards   int            // partitions of the data; 0: not stated
-	MaxConns int            // client connections at once
+	MaxConns int            // concurrent client connections
 }
 
 const (
--- a/internal/transport/flight/link.go
+++ b/internal/transport/flight/link.go
@@ -22,7 +22,7 @@
 	MaxStreams     int           // concurrent calls on one connection
 	MaxConns       int           // connections to all servers; 0: no bound
 	IdleTimeout    time.Duration // after which servers close idle connections; the link closes them after four fifths of it
-	ConnectTimeout time.Duration // that an attempt to connect is given at least
+	ConnectTimeout time.Duration // minimum time for each attempt to connect
 }
 
 // Link is the link to record servers that speak Flight.
--- a/internal/transport/frame/frame.go
+++ b/internal/transport/frame/frame.go
@@ -8,7 +8,8 @@
 import "strconv"
 
 const (
-	// MaxFrame is the largest length in bytes that a received frame may state: the first line of a reply and the largest value.
+	// MaxFrame is the largest length in bytes that a received frame may state: it fits the first line of a reply and the
+	// largest value.
 	MaxFrame = 64<<10 + 1024
 
 	headerSize   = 4   // bytes of the length field
@@ -21,7 +22,7 @@
 	TypeCancel     byte = 'C' // to a server: the id of a part whose answer is not needed
 	TypeReply      byte = 'R' // from a server: the result of a part
 	TypeHealth     byte = 'H' // to a server: a health check; from a server: its answer
-	TypeLoadReport byte = 'M' // the same with a load report in the answer
+	TypeLoadReport byte = 'M' // to a server: a health check that requests a load report; from a server: its answer
 	TypeRejected   byte = 'F' // from a server: it could not parse a frame
 )
 
--- a/internal/transport/front/arrival_test.go
+++ b/internal/transport/front/arrival_test.go
@@ -13,8 +13,8 @@
 // The time of a pipelined request counts from when it was received, not from the response to the request before it.
 func TestReceivedAtOfPipelinedRequestPrecedesPreviousResponse(t *testing.T) {
 	f := newFixture(t, Options{MaxConns: 8})
-	c, in, _ := f.dial()
-	fmt.Fprint(c, requestText("q1"), requestText("q2"))
+	client, in, _ := f.dial()
+	fmt.Fprint(client, requestText("q1"), requestText("q2"))
 	q1 := <-f.submissions
 	time.Sleep(50 * time.Millisecond)
 	q1.Finish(broker.Result{Complete: true})
@@ -26,13 +26,13 @@
 // The time of a pipelined request counts from its own last byte, even if bytes of later requests follow before its turn.
 func TestReceivedAtIsTimeOfRequestsLastByte(t *testing.T) {
 	f := newFixture(t, Options{MaxConns: 8})
-	c, in, _ := f.dial()
-	fmt.Fprint(c, requestText("q1"), requestText("q2"))
+	client, in, _ := f.dial()
+	fmt.Fprint(client, requestText("q1"), requestText("q2"))
 	q := <-f.submissions
 	third := requestText("q3")
 	for range 2 {
 		time.Sleep(60 * time.Millisecond)
-		fmt.Fprint(c, third[:len(third)/2])
+		fmt.Fprint(client, third[:len(third)/2])
 		third = third[len(third)/2:]
 	}
 	time.Sleep(20 * time.Millisecond)
@@ -43,7 +43,7 @@
 		q = <-f.submissions
 		receivedAt = append(receivedAt, q.ReceivedAt)
 		if i == 0 {
-			fmt.Fprint(c, third)
+			fmt.Fprint(client, third)
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -16,7 +16,7 @@
 	front *Front
 	sock  net.Conn
 	reply chan broker.Result // cap 1: a connection has one query at a time
-	wake  chan struct{}      // the stage of a shutdown or drain has changed, or the connection is evicted
+	wake  chan struct{}      // wakes serve: the stage of a shutdown or drain has changed, or the connection is evicted
 
 	reader       httpwire.RequestReader
 	readBuffers  chan []byte     // passes buffers to the reading goroutine
--- a/internal/transport/front/conn_test.go
+++ b/internal/transport/front/conn_test.go
@@ -20,8 +20,8 @@
 	for name, end := range map[string]func(f *fixture){
 		"eviction for a slot": func(f *fixture) { f.dial() },
 		"too many idle connections": func(f *fixture) {
-			c, in, _ := f.dial()
-			f.roundTrip(c, in, "other")
+			client, in, _ := f.dial()
+			f.roundTrip(client, in, "other")
 		},
 		"shutdown": func(f *fixture) {
 			go f.front.Shutdown(f.Context(), drain.ShutdownPlan{AnswerBy: time.Second})
@@ -39,11 +39,11 @@
 				opt = Options{MaxConns: 2, MaxIdleConns: 1}
 			}
 			f := newFixture(t, opt)
-			c, in, serverConn := f.dial()
-			f.roundTrip(c, in, "first")
+			client, in, serverConn := f.dial()
+			f.roundTrip(client, in, "first")
 			f.awaitIdle(1)
 			close(serverConn.pauseNext)
-			fmt.Fprint(c, requestText("second"))
+			fmt.Fprint(client, requestText("second"))
 			<-serverConn.paused
 			end(f)
 			f.answerNext(in, "second")
@@ -56,14 +56,14 @@
 	for name, pipelined := range map[string]int{"300 bytes": 300, "200 KiB": 200 << 10} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, Options{MaxConns: 9})
-			c, in, _ := f.dial()
-			fmt.Fprint(c, requestText("q", "Connection: close\r\n"))
+			client, in, _ := f.dial()
+			fmt.Fprint(client, requestText("q", "Connection: close\r\n"))
 			q := <-f.submissions
-			_, err := c.Write(make([]byte, pipelined))
+			_, err := client.Write(make([]byte, pipelined))
 			require.NoError(t, err)
 			q.Finish(broker.Result{Complete: true, Values: []broker.Value{{Data: []byte("v")}}})
 			time.Sleep(20 * time.Millisecond)
-			_, err = fmt.Fprint(c, requestText("late")) // arrives after the close
+			_, err = fmt.Fprint(client, requestText("late")) // arrives after the close
 			require.NoError(t, err)
 			time.Sleep(20 * time.Millisecond)
 			require.Equal(t, "HTTP/1.1 200 OK", readStatusLine(t, in))
@@ -77,13 +77,13 @@
 // A client's close is detected, and its query disconnected, even after pipelined bytes that are discarded.
 func TestConnDetectsCloseAfterDiscardedBytes(t *testing.T) {
 	f := newFixture(t, Options{MaxConns: 9})
-	c, _, _ := f.dial()
-	fmt.Fprint(c, requestText("q"))
+	client, _, _ := f.dial()
+	fmt.Fprint(client, requestText("q"))
 	q := <-f.submissions
-	_, err := c.Write(make([]byte, 300<<10))
+	_, err := client.Write(make([]byte, 300<<10))
 	require.NoError(t, err)
-	require.NoError(t, c.SetLinger(0))
-	require.NoError(t, c.Close())
+	require.NoError(t, client.SetLinger(0))
+	require.NoError(t, client.Close())
 	select {
 	case r := <-f.disconnected:
 		require.Same(t, q.Request, r)
@@ -96,12 +96,12 @@
 // A client that pipelines more than maxPipelinedBytes during a request gets 413, and its query is disconnected.
 func TestConnRejectsExcessivePipelining(t *testing.T) {
 	f := newFixture(t, Options{MaxConns: 9})
-	c, in, _ := f.dial()
-	fmt.Fprint(c, requestText("q"))
+	client, in, _ := f.dial()
+	fmt.Fprint(client, requestText("q"))
 	q := <-f.submissions
 	go func() {
 		for {
-			if _, err := c.Write(make([]byte, 64<<10)); err != nil {
+			if _, err := client.Write(make([]byte, 64<<10)); err != nil {
 				return
 			}
 		}
@@ -115,9 +115,9 @@
 	f := newFixture(t, Options{MaxConns: 8})
 	began := time.Now()
 	for i := range 200 {
-		c, in, _ := f.dial()
+		client, in, _ := f.dial()
 		if i%20 == 19 {
-			fmt.Fprint(c, "GET /up HTTP/1.1\r\nHost: n1\r\n\r\n")
+			fmt.Fprint(client, "GET /up HTTP/1.1\r\nHost: n1\r\n\r\n")
 			require.Equal(t, "HTTP/1.1 200 OK", readStatusLine(t, in))
 		}
 	}
@@ -130,16 +130,16 @@
 	for name, second := range map[string]string{"complete": requestText("q2"), "in part": requestText("q2")[:60]} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, Options{MaxConns: 8})
-			c, in, _ := f.dial()
-			fmt.Fprint(c, requestText("q1"))
+			client, in, _ := f.dial()
+			fmt.Fprint(client, requestText("q1"))
 			q := <-f.submissions
-			fmt.Fprint(c, second)
+			fmt.Fprint(client, second)
 			time.Sleep(20 * time.Millisecond)
 			go f.front.Shutdown(f.Context(), drain.ShutdownPlan{AnswerBy: time.Second, CloseIdle: 500 * time.Millisecond})
 			require.Eventually(t, func() bool { return f.front.stage().announceClose }, time.Second, time.Millisecond)
 			q.Finish(broker.Result{Complete: true})
 			require.Equal(t, "HTTP/1.1 200 OK", readStatusLine(t, in))
-			fmt.Fprint(c, requestText("q2")[len(second):])
+			fmt.Fprint(client, requestText("q2")[len(second):])
 			f.answerNext(in, "q2")
 			_, err := in.ReadByte()
 			require.ErrorIs(t, err, io.EOF)
@@ -150,9 +150,9 @@
 // A connection that is evicted after a part of a request was read gets 503.
 func TestEvictionAnswersPartialRequest(t *testing.T) {
 	f := newFixture(t, Options{MaxConns: 1})
-	c, in, _ := f.dial()
-	f.roundTrip(c, in, "first")
-	fmt.Fprint(c, requestText("second")[:60])
+	client, in, _ := f.dial()
+	f.roundTrip(client, in, "first")
+	fmt.Fprint(client, requestText("second")[:60])
 	require.Eventually(t, func() bool {
 		f.front.mu.Lock()
 		defer f.front.mu.Unlock()
@@ -166,10 +166,10 @@
 // A shutdown waits until AnswerBy for the rest of a request that was received in part, and then answers 408.
 func TestShutdownAwaitsPartialRequestUntilAnswerBy(t *testing.T) {
 	f := newFixture(t, Options{MaxConns: 8})
-	c, in, _ := f.dial()
+	client, in, _ := f.dial()
 	stalled, stalledIn, _ := f.dial()
 	text := requestText("q")
-	fmt.Fprint(c, text[:40])
+	fmt.Fprint(client, text[:40])
 	fmt.Fprint(stalled, text[:40])
 	time.Sleep(20 * time.Millisecond)
 	ended := make(chan time.Time, 1)
@@ -179,10 +179,10 @@
 		ended <- time.Now()
 	}()
 	time.Sleep(100 * time.Millisecond)
-	fmt.Fprint(c, text[40:])
+	fmt.Fprint(client, text[40:])
 	f.answerNext(in, "q")
 	require.Equal(t, "HTTP/1.1 408 Request Timeout", readStatusLine(t, stalledIn))
-	c.Close()
+	client.Close()
 	stalled.Close()
 	require.Less(t, (<-ended).Sub(began), time.Second)
 }
@@ -190,8 +190,8 @@
 // While requests in flight hold all slots, another connection gets 503 with Retry-After, and no reset loses the response.
 func TestConnectionOverCapacityGets503WithRetryAfter(t *testing.T) {
 	f := newFixture(t, Options{MaxConns: 1})
-	c, in, _ := f.dial()
-	fmt.Fprint(c, requestText("q"))
+	client, in, _ := f.dial()
+	fmt.Fprint(client, requestText("q"))
 	q := <-f.submissions
 	for range 10 { // more than maxRejecting, so each must free its place
 		s, err := net.Dial("tcp", f.listener.Addr().String())
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -29,7 +29,7 @@
 type Options struct {
 	Classes          map[string]int    // class by name
 	Shards           int               // partitions of the data; 0: not stated
-	MaxConns         int               // client connections at once
+	MaxConns         int               // concurrent client connections
 	MaxIdleConns     int               // client connections between requests; 0: no bound
 	MaxBufferedBytes int               // memory for requests, in addition to a few KiB for each connection
 	RetryAfter       float64           // seconds after which a rejected client should retry; 0: not stated
@@ -83,7 +83,7 @@
 		}
 		if err != nil {
 			f.log.Warn("accept failed", "error", err)
-			time.Sleep(acceptBackoff) // out of descriptors, until connections end
+			time.Sleep(acceptBackoff) // out of descriptors: some are freed as connections end
 			continue
 		}
 		c := newConn(f, sock)
--- a/internal/transport/front/respond.go
+++ b/internal/transport/front/respond.go
@@ -165,9 +165,9 @@
 	resp := httpwire.Response{Close: closes}
 	switch r.Outcome {
 	case broker.Answered:
-		a := httpwire.Answer{Complete: r.Complete, Results: make([]httpwire.Hit, 0, len(r.Values))}
+		a := httpwire.Answer{Complete: r.Complete, Results: make([]httpwire.PartResult, 0, len(r.Values))}
 		for _, v := range r.Values {
-			a.Results = append(a.Results, httpwire.Hit{Partition: v.Shard, Value: string(v.Data)})
+			a.Results = append(a.Results, httpwire.PartResult{Partition: v.Shard, Value: string(v.Data)})
 		}
 		resp.Status = 200
 		resp.Body = a
--- a/internal/transport/httpwire/object.go
+++ b/internal/transport/httpwire/object.go
@@ -11,7 +11,7 @@
 	escaped bool // after a backslash within a string
 }
 
-// Add adds one line, which has no line end. Once an object is complete it returns the object's text, valid until the next
+// Add adds one line without its line end. Once an object is complete it returns the object's text, valid until the next
 // call; an empty line between objects is complete and has an empty text. Its errors are *Error.
 func (a *ObjectAssembler) Add(line []byte) (text []byte, complete bool, err error) {
 	if a.depth == 0 {
--- a/internal/transport/httpwire/response.go
+++ b/internal/transport/httpwire/response.go
@@ -8,12 +8,12 @@
 
 // Answer is the JSON body of an answered query.
 type Answer struct {
-	Complete bool  `json:"whole"`
-	Results  []Hit `json:"results"`
+	Complete bool         `json:"whole"`
+	Results  []PartResult `json:"results"`
 }
 
-// Hit is the result of one part.
-type Hit struct {
+// PartResult is the result of one part.
+type PartResult struct {
 	Partition int    `json:"partition"` // the shard
 	Value     string `json:"value"`
 }
--- a/internal/transport/upstream/connwrite.go
+++ b/internal/transport/upstream/connwrite.go
@@ -12,7 +12,7 @@
 const (
 	writeTimeout = 2 * time.Second        // for a server to accept a frame, else the connection is reset
 	stallTimeout = 20 * time.Millisecond  // the same for a frame whose call has been cancelled
-	maxFrameAge  = 100 * time.Millisecond // since the time left that a call's frame states was computed; the rules allow 150 ms
+	maxFrameAge  = 100 * time.Millisecond // age limit of the time left that a call's frame states; required: at most 150 ms
 )
 
 // writeLoop writes the queued frames until the connection ends.
