--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -32,10 +32,10 @@
 
 // admissionStats holds statistics of earlier queries and clients that admission uses.
 type admissionStats struct {
-	patience    clientpatience.Estimate // how long clients wait before they disconnect
-	waits       clientpatience.Waits    // longest waits by class, used to recognize retries
-	totalWeight float64                 // sum of the priority weights of the queries so far
-	totalParts  float64                 // sum of the parts that complete answers to these queries need
+	patience    clientpatience.Estimator     // how long clients wait before they disconnect
+	waits       clientpatience.RetryDetector // longest waits by class, used to recognize retries
+	totalWeight float64                      // sum of the priority weights of the queries so far
+	totalParts  float64                      // sum of the parts that complete answers to these queries need
 }
 
 // expectedDelay returns the expected time in seconds until an additional part of a shard would be answered.
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -107,7 +107,7 @@
 // send starts an attempt of a part at a server.
 func (p *Policy) send(pt *part, s *server) {
 	if len(pt.attempts) > 0 {
-		p.retryBudget.Retry(p.now)
+		p.retryBudget.RecordRetry(p.now)
 	}
 	pt.attempts = append(pt.attempts, attempt{
 		server:      s,
