--- a/internal/transport/flight/flight_test.go
+++ b/internal/transport/flight/flight_test.go
@@ -10,7 +10,7 @@
 	"mothrouter/internal/broker"
 )
 
-// Each outcome has a gRPC code of its own, and only Rejected is recognized as a rejection.
+// Each outcome has its own gRPC code, and only Rejected is recognized as a rejection.
 func TestStatusOfDistinguishesOutcomes(t *testing.T) {
 	seen := map[codes.Code]bool{}
 	for _, o := range []broker.Outcome{broker.Rejected, broker.Failed, broker.DeadlineExceeded, broker.Duplicate} {
--- a/internal/transport/flight/readpart.go
+++ b/internal/transport/flight/readpart.go
@@ -53,7 +53,7 @@
 const scoreName = "score"
 
 // readMetadata parses the load report and the score in a message's metadata, which is name=value pairs separated by commas. A
-// load report or score that cannot be parsed counts as absent, since the value of the part is valid nevertheless.
+// load report or score that cannot be parsed counts as absent, since the value of the part is still valid.
 func readMetadata(data []byte, part *broker.CallResult) {
 	if len(data) == 0 {
 		return
--- a/internal/transport/frame/reply.go
+++ b/internal/transport/frame/reply.go
@@ -23,7 +23,7 @@
 }
 
 // parseReply parses the body of a TypeReply frame into reply: a line "id status score report", then the value. A score or load
-// report that cannot be parsed counts as absent, since the value is valid nevertheless.
+// report that cannot be parsed counts as absent, since the value is still valid.
 func parseReply(reply *Reply, body []byte) error {
 	line, value, ok := bytes.Cut(body, []byte{'\n'})
 	if !ok {
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// start serves an admitted connection in a goroutine of its own, which frees the slot when the connection ends.
+// start serves an admitted connection in its own goroutine, which frees the slot when the connection ends.
 func (f *Front) start(c *conn) {
 	f.addConn(c)
 	f.wg.Go(func() {
--- a/internal/transport/front/limits.go
+++ b/internal/transport/front/limits.go
@@ -11,7 +11,7 @@
 	idleTimeout     = 30 * time.Second        // between requests
 	writeTimeout    = 2 * time.Second         // for a client to read a response
 	newConnGrace    = 250 * time.Millisecond  // a client that has just connected is about to send: others are evicted first
-	evictionTimeout = 20 * time.Millisecond   // for an evicted connection to end; no other is accepted meanwhile
+	evictionTimeout = 20 * time.Millisecond   // for an evicted connection to end, during which none is accepted
 	lingerTimeout   = 500 * time.Millisecond  // for a client to read its last answer and close
 	acceptBackoff   = 10 * time.Millisecond   // after a failed accept
 
--- a/internal/transport/httpwire/response.go
+++ b/internal/transport/httpwire/response.go
@@ -50,7 +50,7 @@
 	return append(b, body...)
 }
 
-// encodeBody returns the body as JSON without HTML escapes, empty where there is none.
+// encodeBody returns the body as JSON without HTML escapes, empty if there is none.
 func (r *Response) encodeBody() ([]byte, error) {
 	if r.Body == nil {
 		return nil, nil
--- a/internal/transport/upstream/conn.go
+++ b/internal/transport/upstream/conn.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	idleFraction   = 0.8  // of the servers' idle timeout: no call may be written to a connection that the server is closing
+	idleFraction   = 0.8  // of the servers' idle timeout, after which a connection is closed, so that no call meets a server's close
 	maxAnsweredIDs = 64   // ids of recently answered calls that are kept; a duplicate answer directly follows the first
 	maxAbandoned   = 1024 // ids of cancelled calls that are kept; a connection with more is retired
 )
@@ -119,7 +119,7 @@
 	}
 	if j.state == jobWriting || j.state == jobWritten {
 		// A partitioned server leaves its connections open and silent, and a call written to one of them may have run.
-		// Connecting anew fails, which proves that the call did not run.
+		// Opening a new connection fails instead, which proves that the call did not run.
 		if cn.isSilent(cn.link.silenceTimeout() / 2) {
 			cn.retired = true
 		}
--- a/internal/transport/upstream/upstream_test.go
+++ b/internal/transport/upstream/upstream_test.go
@@ -56,7 +56,7 @@
 }
 
 // A partitioned server leaves connections open and silent. A connection that is silent when a call on it is cancelled gets no
-// further call: connecting anew fails, which proves that the next call did not run.
+// further call: opening a new connection fails instead, which proves that the next call did not run.
 func TestCancelRetiresSilentConnection(t *testing.T) {
 	f := newFixture(t, defaultOptions)
 	id, _ := f.sendOnNewConn("q")
