--- a/internal/transport/upstream/conn.go
+++ b/internal/transport/upstream/conn.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	idleFraction   = 0.8  // of the servers' idle timeout; connections idle for longer are closed, so that no call races with a server's close
+	idleFraction   = 0.8  // of the servers' idle timeout, so that no call is written to a connection that a server is closing
 	maxAnsweredIDs = 64   // ids of recently answered calls that are kept; a duplicate answer directly follows the first
 	maxAbandoned   = 1024 // ids of cancelled calls that are kept; a connection with more is retired
 )
