--- a/cmd/mothrouter/flight_server_test.go
+++ b/cmd/mothrouter/flight_server_test.go
@@ -139,9 +139,9 @@
 
 // flightAnswer is the answer to a query over Flight.
 type flightAnswer struct {
-	values  map[int32]string    // by partition
-	closing *mothflight.Closing // nil: the answer was truncated
-	schema  *arrow.Schema
+	values   map[int32]string           // by partition
+	metadata *mothflight.AnswerMetadata // nil: the answer was truncated
+	schema   *arrow.Schema
 }
 
 // fetchAnswer sends a query and reads its stream to the end.
@@ -167,8 +167,8 @@
 		return a, err
 	}
 	if len(last) > 0 {
-		a.closing = &mothflight.Closing{}
-		err = json.Unmarshal(last, a.closing)
+		a.metadata = &mothflight.AnswerMetadata{}
+		err = json.Unmarshal(last, a.metadata)
 	}
 	return a, err
 }
--- a/cmd/mothrouter/flight_test.go
+++ b/cmd/mothrouter/flight_test.go
@@ -29,7 +29,7 @@
 	answer, err := fetchAnswer(shortContext(t), client, queryTicket("q1", "tariff-report", 5))
 	require.NoError(t, err)
 	require.Equal(t, map[int32]string{0: "v0", 1: "v1", 2: "v2", 3: "v3", 4: "v4"}, answer.values)
-	require.Equal(t, &mothflight.Closing{ID: "q1", Class: "tariff-report", Complete: true, Parts: 5}, answer.closing)
+	require.Equal(t, &mothflight.AnswerMetadata{ID: "q1", Class: "tariff-report", Complete: true, Parts: 5}, answer.metadata)
 	md := answer.schema.Metadata()
 	require.Equal(t, map[string]string{"mothrouter.id": "q1", "mothrouter.class": "tariff-report"}, md.ToMap())
 	require.Len(t, s0.receivedParts(), 5)
@@ -38,7 +38,7 @@
 	require.NoError(t, err)
 	answer, err = fetchAnswer(shortContext(t), client, info.Endpoint[0].Ticket.Ticket)
 	require.NoError(t, err)
-	require.True(t, answer.closing.Complete)
+	require.True(t, answer.metadata.Complete)
 }
 
 func TestFlightReturnsStatusCodes(t *testing.T) {
@@ -104,7 +104,7 @@
 	answer, err := fetchAnswer(shortContext(t), client, queryTicket("q1", "tariff-report", 1))
 	require.NoError(t, err)
 	require.Equal(t, map[int32]string{0: "v0"}, answer.values)
-	require.True(t, answer.closing.Complete)
+	require.True(t, answer.metadata.Complete)
 	require.Equal(t, []string{"q1.0", "q1.0"}, append(servers[0].receivedParts(), servers[1].receivedParts()...))
 }
 
@@ -146,7 +146,7 @@
 	client := replayer.startFlight(`"s0", "s1", "s2"`, "s0", "s1")
 	answer, err := fetchAnswer(shortContext(t), client, queryTicket("q1", "charge-post", 1))
 	require.NoError(t, err)
-	require.True(t, answer.closing.Complete)
+	require.True(t, answer.metadata.Complete)
 	require.Len(t, append(s0.receivedParts(), s1.receivedParts()...), 2)
 
 	replayer = newReplayer(t)
@@ -194,7 +194,7 @@
 		return !isRejection(err)
 	}, waitTimeout, time.Millisecond)
 	require.NoError(t, err)
-	require.True(t, answer.closing.Complete)
+	require.True(t, answer.metadata.Complete)
 	require.Equal(t, []string{"q1.0", "q1.0"}, s0.receivedParts(), "a part of a rejected query was sent")
 }
 
@@ -241,7 +241,7 @@
 	}
 }
 
-// An answer that lacks parts is marked as incomplete; a truncated one has no closing metadata.
+// An answer that lacks parts is marked as incomplete; a truncated one has no answer metadata.
 func TestFlightMarksIncompleteAnswers(t *testing.T) {
 	replayer := newReplayer(t)
 	replayer.startFlightServer("s0", func(part mothflight.PartTicket, stream flight.FlightService_DoGetServer) error {
@@ -254,7 +254,7 @@
 	client := replayer.startFlight(`"s0"`, "s0")
 	answer, err := fetchAnswer(shortContext(t), client, queryTicket("q1", "tariff-report", 5))
 	require.NoError(t, err)
-	require.Equal(t, &mothflight.Closing{ID: "q1", Class: "tariff-report", Parts: 4}, answer.closing)
+	require.Equal(t, &mothflight.AnswerMetadata{ID: "q1", Class: "tariff-report", Parts: 4}, answer.metadata)
 
 	stream, err := client.DoGet(shortContext(t), &flight.Ticket{Ticket: queryTicket("q2", "tariff-report", 4)})
 	require.NoError(t, err)
--- a/cmd/mothrouter/mixed_protocols_test.go
+++ b/cmd/mothrouter/mixed_protocols_test.go
@@ -98,7 +98,7 @@
 func flightQuery(t *testing.T, client flight.Client) queryFunc {
 	return func(id, class string, parts int) bool {
 		a, err := fetchAnswer(shortContext(t), client, queryTicket(id, class, parts))
-		return err == nil && a.closing.Complete && len(a.values) == parts
+		return err == nil && a.metadata.Complete && len(a.values) == parts
 	}
 }
 
--- a/internal/endpoints/discovery/call.go
+++ b/internal/endpoints/discovery/call.go
@@ -38,7 +38,7 @@
 	events chan<- callEvent // receives the call's messages and its end
 
 	lines  httpwire.LineReader
-	object httpwire.Object // the message being received
+	object httpwire.ObjectAssembler // the message being received
 }
 
 // run makes the call and sends its events until the call ends or ctx is cancelled.
