--- a/internal/harness/scale/child.go
+++ b/internal/harness/scale/child.go
@@ -14,25 +14,27 @@
 	"mothrouter/internal/harness/recordservertest"
 )
 
-// A child is a second process of the test binary that plays the other side of an experiment, so that its processor time
-// and memory are not counted. It ends when its standard input does. The environment names its role and size.
+// A child is another process of the test binary that runs the remote side of an experiment, so that the CPU time and
+// memory of that side are not counted. It exits when its standard input is closed. The environment variables childRoleEnv
+// and childSizeEnv set its role and size.
 const (
-	childRole         = "SCALE_CHILD"
-	childSize         = "SCALE_CHILD_SIZE"
+	childRoleEnv      = "SCALE_CHILD"
+	childSizeEnv      = "SCALE_CHILD_SIZE"
 	roleServers       = "record-servers"
 	roleDiscovery     = "discovery"
 	roleHub           = "configuration-hub"
 	roleFollowers     = "configuration-followers"
 	childReady        = "ready"
 	childStartTimeout = 30 * time.Second
-	maxChildLine      = 1 << 20 // bytes of a line that a child writes
-	maxRequestHead    = 4096    // bytes of a watch's request head
+	maxChildLine      = 1 << 20 // maximum bytes of a line that a child writes
+	maxRequestHead    = 4096    // buffer size for a watch's HTTP request head, in bytes
 )
 
-// ServeChild runs the process as a child until its parent ends it. It reports false at once if the process is no child.
+// ServeChild runs the process as a child until its parent closes its standard input. If the process is not a child, it
+// returns false immediately.
 func ServeChild() (isChild bool, err error) {
-	size, err := strconv.Atoi(os.Getenv(childSize))
-	switch os.Getenv(childRole) {
+	size, err := strconv.Atoi(os.Getenv(childSizeEnv))
+	switch os.Getenv(childRoleEnv) {
 	case roleServers:
 		if err != nil {
 			return true, err
@@ -54,7 +56,8 @@
 	return false, nil
 }
 
-// serveRecords runs fake record servers and writes their addresses.
+// serveRecords runs fake record servers until standard input is closed, after it has written their addresses to standard
+// output.
 func serveRecords(servers int) error {
 	f, err := recordservertest.New(recordservertest.Options{
 		Servers: servers, ReplicationFactor: AssumedReplicationFactor, ServiceTime: childServiceTime, Seed: 1,
@@ -71,21 +74,22 @@
 	return err
 }
 
-// childServiceTime is the mean time of a part at a fake record server. It is short, since many share the machine.
+// childServiceTime is the mean service time of a part at a fake record server. It is short because many fake servers
+// share the machine.
 const childServiceTime = 2 * time.Millisecond
 
-// child is a child process as its parent sees it.
+// child is the parent's handle of a child process.
 type child struct {
 	cmd        *exec.Cmd
 	in         io.WriteCloser
 	out        *bufio.Scanner
-	startLines []string // written before it was ready
+	startLines []string // lines that the child wrote before childReady
 }
 
-// startChild starts a child and waits until it is ready.
+// startChild starts a child and waits until it is ready, at most childStartTimeout.
 func startChild(role string, size int) (*child, error) {
 	c := &child{cmd: exec.Command(os.Args[0])}
-	c.cmd.Env = append(os.Environ(), childRole+"="+role, childSize+"="+strconv.Itoa(size))
+	c.cmd.Env = append(os.Environ(), childRoleEnv+"="+role, childSizeEnv+"="+strconv.Itoa(size))
 	c.cmd.Stderr = os.Stderr
 	var err error
 	if c.in, err = c.cmd.StdinPipe(); err != nil {
@@ -109,10 +113,11 @@
 		c.startLines = append(c.startLines, c.out.Text())
 	}
 	c.in.Close()
-	return nil, errors.Join(errors.New("scale: a child was not ready"), c.cmd.Wait())
+	return nil, errors.Join(
+		fmt.Errorf("scale: child %q exited before it was ready (start timeout %v)", role, childStartTimeout), c.cmd.Wait())
 }
 
-// stop ends the child and returns its processor time. It can be called again.
+// stop ends the child and returns its CPU time. It may be called more than once.
 func (c *child) stop() (time.Duration, error) {
 	c.in.Close()
 	var err error
@@ -122,19 +127,20 @@
 	return c.cmd.ProcessState.UserTime() + c.cmd.ProcessState.SystemTime(), err
 }
 
-// request sends a command as one line of JSON and reads the answer, which is another line.
-func (c *child) request(command, answer any) error {
+// request sends a command as a line of JSON and reads the response, which is a line of JSON as well.
+func (c *child) request(command, response any) error {
 	if err := json.NewEncoder(c.in).Encode(command); err != nil {
 		return err
 	}
 	if !c.out.Scan() {
-		return errors.Join(errors.New("scale: a child has ended"), c.out.Err())
+		return errors.Join(errors.New("scale: child closed its output instead of responding to a command"), c.out.Err())
 	}
-	return json.Unmarshal(c.out.Bytes(), answer)
+	return json.Unmarshal(c.out.Bytes(), response)
 }
 
-// serveCommands is the child's side of request: it answers each command until the parent closes its standard input.
-func serveCommands[Command, Answer any](handle func(Command) (Answer, error)) error {
+// serveCommands is the child's side of request. It responds to commands until the parent closes the child's standard
+// input.
+func serveCommands[Command, Response any](handle func(Command) (Response, error)) error {
 	in, out := json.NewDecoder(os.Stdin), json.NewEncoder(os.Stdout)
 	for {
 		var command Command
@@ -143,11 +149,11 @@
 		} else if err != nil {
 			return err
 		}
-		answer, err := handle(command)
+		response, err := handle(command)
 		if err != nil {
 			return err
 		}
-		if err := out.Encode(answer); err != nil {
+		if err := out.Encode(response); err != nil {
 			return err
 		}
 	}
--- a/internal/harness/scale/configuration.go
+++ b/internal/harness/scale/configuration.go
@@ -9,7 +9,7 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// Axes of the distribution of configuration.
+// Names of axes of the configuration experiment.
 const (
 	axisControl  = "control_machines"
 	axisDocument = "document_kb"
@@ -17,73 +17,77 @@
 
 const (
 	followersTimeout = 25 * time.Second // for all followers to connect, or to have a revision in force
-	quietDuration    = 3 * time.Second  // measured without changes
-	countedChanges   = 4                // measured with changes
+	quietDuration    = 3 * time.Second  // length of the measured period without changes
+	measuredChanges  = 4                // revisions published in the measured period with changes
 	// publishInterval is a tenth of the target's mean interval: 2,700 changes in the 86,400 s of a day are 32 s apart.
 	publishInterval = 3200 * time.Millisecond
 	smallSpeedup    = 16 // divides quietDuration and publishInterval for the small fleets of CI
 )
 
-// configurationProvenance is the provenance of the experiment.
+// configurationProvenance is the provenance of the configuration experiment.
 var configurationProvenance = Provenance{
 	Real: "internal/controlplane/confighub and internal/controlplane/configfollower (gRPC) with distribution's Hub and " +
 		"Follower over loopback, each document checked completely by internal/config; bytes are counted on the hubs' " +
 		"connections",
-	Hollow: "followers without a core to configure, all in one process; each hub in a process of its own, fed by the " +
+	Simulated: "followers without a core to configure, all in one process; each hub in a process of its own, fed by the " +
 		"experiment as if by the log: the replicated log is not in this run",
 }
 
-// smallConfiguration returns the point that CI measures.
+// smallConfiguration returns the only point of the configuration experiment that CI measures.
 func smallConfiguration() []Sizes {
 	return axis(axisBrokers, []float64{10}, Size{axisControl, 1}, Size{axisDocument, 4})
 }
 
 func configurationExperiment() Experiment {
 	return Experiment{
-		Name: "configuration", Provenance: configurationProvenance, Play: playConfiguration, Small: smallConfiguration(),
-		Large: axis(axisBrokers, brokerSizes, Size{axisControl, ControlMachines}, Size{axisDocument, 16}),
+		Name:         "configuration",
+		Provenance:   configurationProvenance,
+		SmallPoints:  smallConfiguration(),
+		LargePoints:  axis(axisBrokers, brokerSizes, Size{axisControl, ControlMachines}, Size{axisDocument, 16}),
+		MeasurePoint: measureConfiguration,
 	}
 }
 
-// regionName returns the region of a broker or a control machine by its index: they are dealt to the target's regions.
+// regionName returns the region of the broker or control machine with an index. Brokers and control machines are assigned
+// round-robin to the target's regions.
 func regionName(i int) string { return fmt.Sprint("region-", i%TargetRegions) }
 
-// distributionRun is a run of the experiment, with a child for each hub and one for all followers.
+// distributionRun is a run of the configuration experiment, with a child process for each hub and one for all followers.
 type distributionRun struct {
 	hubs          []*child
 	followers     *child
-	followerCount float64 // of followers
-	documentBytes int     // of a document
-	newest        uint64  // number of the newest revision
+	followerCount float64
+	documentBytes int    // size of each document
+	newest        uint64 // number of the newest revision
 }
 
-func playConfiguration(at Sizes, seed uint64) ([]Reading, error) {
+func measureConfiguration(at Sizes, seed uint64) ([]Reading, error) {
 	d := &distributionRun{followerCount: at.Of(axisBrokers), documentBytes: int(at.Of(axisDocument)) * bytesPerKB}
 	defer d.stop()
 	if err := d.startChildren(int(at.Of(axisControl))); err != nil {
 		return nil, err
 	}
-	readings, err := d.startAtOnce(seed)
+	readings, err := d.startAllFollowers(seed)
 	if err != nil {
 		return nil, err
 	}
-	quiet, apart := quietDuration, publishInterval
+	quiet, interval := quietDuration, publishInterval
 	if d.followerCount < brokerSizes[0] {
-		quiet, apart = quiet/smallSpeedup, apart/smallSpeedup
+		quiet, interval = quiet/smallSpeedup, interval/smallSpeedup
 	}
-	counted, err := d.measureTraffic(quiet, apart)
+	trafficReadings, err := d.measureTraffic(quiet, interval)
 	if err != nil {
 		return nil, err
 	}
-	readings = append(readings, counted...)
+	readings = append(readings, trafficReadings...)
 	if len(d.hubs) < ControlMachines {
-		return readings, nil // too few to lose one
+		return readings, nil // too few hubs for the loss of one
 	}
 	lost, err := d.measureHubLoss()
 	return append(readings, lost...), err
 }
 
-// startChildren starts the hubs and the process of the followers, which do not run yet.
+// startChildren starts the processes of the hubs and of the followers. The followers start with followersCommand.Start.
 func (d *distributionRun) startChildren(hubs int) error {
 	for range hubs {
 		hub, err := startChild(roleHub, 0)
@@ -108,37 +112,38 @@
 }
 
 // requestHubs sends the same command to all hubs, one after the other.
-func (d *distributionRun) requestHubs(command hubCommand) ([]hubAnswer, error) {
-	answers := make([]hubAnswer, len(d.hubs))
+func (d *distributionRun) requestHubs(command hubCommand) ([]hubResponse, error) {
+	responses := make([]hubResponse, len(d.hubs))
 	for i, hub := range d.hubs {
-		if err := hub.request(command, &answers[i]); err != nil {
+		if err := hub.request(command, &responses[i]); err != nil {
 			return nil, err
 		}
 	}
-	return answers, nil
+	return responses, nil
 }
 
-func (d *distributionRun) requestFollowers(command followersCommand) (answer followersAnswer, err error) {
-	err = d.followers.request(command, &answer)
-	return answer, err
+func (d *distributionRun) requestFollowers(command followersCommand) (response followersResponse, err error) {
+	err = d.followers.request(command, &response)
+	return response, err
 }
 
-// publish publishes the next revision at all hubs and returns when the first of them got it, in Unix nanoseconds.
+// publish publishes the next revision at all hubs, one after the other, and returns the time in Unix nanoseconds at which
+// the first hub published it.
 func (d *distributionRun) publish() (int64, error) {
 	d.newest++
-	answers, err := d.requestHubs(hubCommand{Publish: d.newest, Bytes: d.documentBytes})
+	responses, err := d.requestHubs(hubCommand{Publish: d.newest, Bytes: d.documentBytes})
 	if err != nil {
 		return 0, err
 	}
-	return answers[0].PublishedAt, nil
+	return responses[0].PublishedAt, nil
 }
 
-// startAtOnce starts all followers at once and measures until all have a revision in force.
-func (d *distributionRun) startAtOnce(seed uint64) ([]Reading, error) {
+// startAllFollowers starts all followers at the same time and measures until all of them have a revision in force.
+func (d *distributionRun) startAllFollowers(seed uint64) ([]Reading, error) {
 	if _, err := d.publish(); err != nil {
 		return nil, err
 	}
-	empty, err := d.requestFollowers(followersCommand{Memory: true})
+	before, err := d.requestFollowers(followersCommand{Memory: true})
 	if err != nil {
 		return nil, err
 	}
@@ -154,38 +159,38 @@
 	if err != nil {
 		return nil, err
 	}
-	full, err := d.requestFollowers(followersCommand{Memory: true})
+	after, err := d.requestFollowers(followersCommand{Memory: true})
 	if err != nil {
 		return nil, err
 	}
 	return []Reading{
 		{"start at once: all follow", "s", seconds(started.DoneAt - started.StartedAt)},
 		{"start at once: connections of one hub", "connections in its busiest second",
-			maxOfHubs(hubs, func(h hubAnswer) float64 { return float64(h.MaxAcceptsPerSecond) })},
-		{"start at once: processor", "µs a broker", micros(started.Processor-empty.Processor) / d.followerCount},
-		{"memory", "bytes a broker", max((full.Memory-empty.Memory)/d.followerCount, 1)},
-		{"memory of the busiest hub", "bytes", maxOfHubs(hubs, func(h hubAnswer) float64 { return h.Memory })},
-		{"streams of the busiest hub", "streams", maxOfHubs(hubs, func(h hubAnswer) float64 { return float64(h.Streams) })},
+			maxOfHubs(hubs, func(h hubResponse) float64 { return float64(h.MaxAcceptsPerSecond) })},
+		{"start at once: processor", "µs a broker", micros(started.Processor-before.Processor) / d.followerCount},
+		{"memory", "bytes a broker", max((after.Memory-before.Memory)/d.followerCount, 1)},
+		{"memory of the busiest hub", "bytes", maxOfHubs(hubs, func(h hubResponse) float64 { return h.Memory })},
+		{"streams of the busiest hub", "streams", maxOfHubs(hubs, func(h hubResponse) float64 { return float64(h.Streams) })},
 	}, nil
 }
 
-// usageSnapshot is what all children have used up to a time.
+// usageSnapshot holds the resource usage of all children from their start until a time.
 type usageSnapshot struct {
 	at        time.Time
-	hubs      []hubAnswer
-	followers followersAnswer
+	hubs      []hubResponse
+	followers followersResponse
 }
 
-func (d *distributionRun) takeSnapshot() (m usageSnapshot, err error) {
-	if m.hubs, err = d.requestHubs(hubCommand{}); err != nil {
-		return m, err
+func (d *distributionRun) takeSnapshot() (s usageSnapshot, err error) {
+	if s.hubs, err = d.requestHubs(hubCommand{}); err != nil {
+		return s, err
 	}
-	m.followers, err = d.requestFollowers(followersCommand{})
-	m.at = time.Now()
-	return m, err
+	s.followers, err = d.requestFollowers(followersCommand{})
+	s.at = time.Now()
+	return s, err
 }
 
-// measureTraffic measures a period without changes and one with them.
+// measureTraffic measures a period without changes and then one with changes.
 func (d *distributionRun) measureTraffic(quiet, interval time.Duration) ([]Reading, error) {
 	before, err := d.takeSnapshot()
 	if err != nil {
@@ -209,43 +214,42 @@
 		{"read at all", "s", slices.Max(delays.received)},
 		{"in force at 99 in 100", "s", percentile99(delays.applied)},
 		{"in force at all", "s", slices.Max(delays.applied)},
-		{"processor for a change", "µs a broker", d.processorPerChange(before, between, after)},
+		{"processor for a change", "µs a broker", d.cpuTimePerChange(before, between, after)},
 	}
 	readings = append(readings, d.usageReadings("without changes: ", before, between)...)
 	return append(readings, d.usageReadings("", between, after)...), nil
 }
 
-// processorPerChange returns the followers' processor time with changes beyond that without, in µs per change and
+// cpuTimePerChange returns how much more CPU time the followers use with changes than without, in µs per change and
 // broker.
-func (d *distributionRun) processorPerChange(before, between, after usageSnapshot) float64 {
-	quiet := micros(between.followers.Processor-before.followers.Processor) / between.at.Sub(before.at).Seconds()
+func (d *distributionRun) cpuTimePerChange(before, between, after usageSnapshot) float64 {
+	quietRate := micros(between.followers.Processor-before.followers.Processor) / between.at.Sub(before.at).Seconds()
 	used := micros(after.followers.Processor - between.followers.Processor)
-	return max(used-quiet*after.at.Sub(between.at).Seconds(), 1) / d.followerCount / countedChanges
+	return max(used-quietRate*after.at.Sub(between.at).Seconds(), 1) / d.followerCount / measuredChanges
 }
 
-// propagationDelays are the times from when the first hub got a revision until a follower had it, in seconds and
-// ascending.
+// propagationDelays are the times in seconds, in ascending order, from the publication of a revision at the first hub.
 type propagationDelays struct {
-	received []float64 // read by the follower
-	applied  []float64 // in force at the follower
+	received []float64 // until a follower read the revision
+	applied  []float64 // until the revision was in force at a follower
 }
 
-// publishChanges publishes revisions at an interval and returns their delays at all followers.
+// publishChanges publishes measuredChanges revisions at an interval and returns their propagation delays to all followers.
 func (d *distributionRun) publishChanges(interval time.Duration) (delays propagationDelays, err error) {
-	for range countedChanges {
+	for range measuredChanges {
 		next := time.Now().Add(interval)
 		publishedAt, err := d.publish()
 		if err != nil {
 			return delays, err
 		}
-		time.Sleep(time.Until(next) - interval/10) // so that all followers are polled only in the last tenth
-		answer, err := d.requestFollowers(followersCommand{InForce: d.newest})
+		time.Sleep(time.Until(next) - interval/10) // polls the followers only in the last tenth of the interval
+		response, err := d.requestFollowers(followersCommand{InForce: d.newest})
 		if err != nil {
 			return delays, err
 		}
-		for i := range answer.AppliedAt {
-			delays.received = append(delays.received, seconds(answer.ReceivedAt[i]-publishedAt))
-			delays.applied = append(delays.applied, seconds(answer.AppliedAt[i]-publishedAt))
+		for i := range response.AppliedAt {
+			delays.received = append(delays.received, seconds(response.ReceivedAt[i]-publishedAt))
+			delays.applied = append(delays.applied, seconds(response.AppliedAt[i]-publishedAt))
 		}
 		time.Sleep(time.Until(next))
 	}
@@ -254,37 +258,39 @@
 	return delays, nil
 }
 
-// percentile99 returns the 99th percentile of ascending values.
+// percentile99 returns the 99th percentile of values in ascending order.
 func percentile99(values []float64) float64 { return values[len(values)*99/100] }
 
-// usageReadings returns what the children used between two snapshots. The label is put before each reading's name.
-func (d *distributionRun) usageReadings(label string, from, to usageSnapshot) []Reading {
+// usageReadings returns the resource usage of the children between two snapshots. The prefix is prepended to the name of
+// each reading.
+func (d *distributionRun) usageReadings(prefix string, from, to usageSnapshot) []Reading {
 	wall := to.at.Sub(from.at).Seconds()
-	var in, out, processor, maxOut, maxIn, maxProcessor float64
+	var in, out, cpuTime, maxIn, maxOut, maxCPUTime float64
 	for i := range to.hubs {
 		hubIn := float64(to.hubs[i].In-from.hubs[i].In) / wall
 		hubOut := float64(to.hubs[i].Out-from.hubs[i].Out) / wall
-		hubProcessor := micros(to.hubs[i].Processor-from.hubs[i].Processor) / wall
-		in, out, processor = in+hubIn, out+hubOut, processor+hubProcessor
-		maxIn, maxOut, maxProcessor = max(maxIn, hubIn), max(maxOut, hubOut), max(maxProcessor, hubProcessor)
+		hubCPUTime := micros(to.hubs[i].Processor-from.hubs[i].Processor) / wall
+		in, out, cpuTime = in+hubIn, out+hubOut, cpuTime+hubCPUTime
+		maxIn, maxOut, maxCPUTime = max(maxIn, hubIn), max(maxOut, hubOut), max(maxCPUTime, hubCPUTime)
 	}
 	used := micros(to.followers.Processor-from.followers.Processor) / wall
 	return []Reading{
-		{label + "processor", "µs a broker and second", used / d.followerCount},
-		{label + "bytes in", "bytes a broker and second", out / d.followerCount}, // what the hubs send
-		{label + "bytes out", "bytes a broker and second", in / d.followerCount},
-		{label + "processor of a hub", "µs a second", processor / float64(len(to.hubs))},
-		{label + "processor of the busiest hub", "µs a second", maxProcessor},
-		{label + "bytes out of the busiest hub", "bytes a second", maxOut},
-		{label + "bytes in of the busiest hub", "bytes a second", maxIn},
+		{prefix + "processor", "µs a broker and second", used / d.followerCount},
+		{prefix + "bytes in", "bytes a broker and second", out / d.followerCount}, // the bytes that the hubs send
+		{prefix + "bytes out", "bytes a broker and second", in / d.followerCount},
+		{prefix + "processor of a hub", "µs a second", cpuTime / float64(len(to.hubs))},
+		{prefix + "processor of the busiest hub", "µs a second", maxCPUTime},
+		{prefix + "bytes out of the busiest hub", "bytes a second", maxOut},
+		{prefix + "bytes in of the busiest hub", "bytes a second", maxIn},
 	}
 }
 
-// lostHubIndex is the hub that is lost: the only one of its region, so that its followers connect to other regions.
+// lostHubIndex is the index of the hub that is lost. It is the only hub in its region, so its followers have to connect to
+// other regions.
 const lostHubIndex = 1
 
-// measureHubLoss pauses a hub's process, as if its machine hung: its connections stay open, and its address accepts new
-// ones that are never served.
+// measureHubLoss stops a hub's process with SIGSTOP, as if its machine hung: its connections stay open, and its address
+// accepts new connections that are never served.
 func (d *distributionRun) measureHubLoss() ([]Reading, error) {
 	lost := d.hubs[lostHubIndex]
 	if _, err := d.requestHubs(hubCommand{}); err != nil { // resets MaxAcceptsPerSecond
@@ -307,7 +313,7 @@
 	return []Reading{
 		{"hub lost: all follow again", "s", seconds(reconnected.DoneAt - reconnected.StartedAt)},
 		{"hub lost: connections of one hub", "connections in its busiest second",
-			maxOfHubs(hubs, func(h hubAnswer) float64 { return float64(h.MaxAcceptsPerSecond) })},
+			maxOfHubs(hubs, func(h hubResponse) float64 { return float64(h.MaxAcceptsPerSecond) })},
 	}, nil
 }
 
@@ -315,7 +321,7 @@
 
 func micros(d time.Duration) float64 { return d.Seconds() * 1e6 }
 
-func maxOfHubs(hubs []hubAnswer, value func(hubAnswer) float64) float64 {
+func maxOfHubs(hubs []hubResponse, value func(hubResponse) float64) float64 {
 	largest := 0.0
 	for _, hub := range hubs {
 		largest = max(largest, value(hub))
--- a/internal/harness/scale/configuration_document.go
+++ b/internal/harness/scale/configuration_document.go
@@ -10,14 +10,15 @@
 
 const (
 	bytesPerKB = 1 << 10
-	// classBytes is the maximum size of a class: 116 bytes of its own and 3 in each of four arrays.
+	// classBytes is the maximum size of a class: 116 bytes for its object and 3 bytes in each of four arrays.
 	classBytes = 140
 	// documentFrameBytes is the maximum size of a document without its classes.
 	documentFrameBytes = 1200
 )
 
-// newDocument returns a document of a size in bytes, 2 KiB at least: the example's settings with as many classes as fit,
-// padded by spaces. The latency objective of the classes differs between consecutive numbers.
+// newDocument returns a configuration document of a size in bytes, which must be at least 2 KiB. It has the settings of
+// the example configuration with as many classes as fit, padded with spaces. The latency objective of the classes differs
+// between consecutive numbers, so that each revision is a change.
 func newDocument(number uint64, size int) []byte {
 	classes := (size - documentFrameBytes) / classBytes
 	var b bytes.Buffer
@@ -54,7 +55,7 @@
 	return ","
 }
 
-// newRevision returns a revision with a document of a size in bytes, as the replicated log would commit it.
+// newRevision returns a revision with a document of a size in bytes, as it would be committed by the replicated log.
 func newRevision(number uint64, size int) *configpb.Revision {
 	document := newDocument(number, size)
 	return &configpb.Revision{Number: number, Checksum: configpb.Checksum(document), Document: document,
--- a/internal/harness/scale/configuration_followers.go
+++ b/internal/harness/scale/configuration_followers.go
@@ -14,38 +14,38 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-const followersPollInterval = 20 * time.Millisecond // of the conditions that a command waits for
+const followersPollInterval = 20 * time.Millisecond // between two checks of the condition that a command waits for
 
-// followersCommand is a command to the followers. At most one of Start, InForce and Lost is set.
+// followersCommand is a command to the child that runs the followers. At most one of Start, InForce and Lost is set.
 type followersCommand struct {
-	Start   []distribution.ControlMachine // start all at once at these machines, then wait as for InForce 1
-	Bytes   int                           // of the document of the start
-	Seed    uint64                        // of the start
+	Start   []distribution.ControlMachine // start all followers with these control machines, then wait as for InForce 1
+	Bytes   int                           // with Start: size of the startup configuration
+	Seed    uint64                        // with Start: base of the followers' seeds
 	InForce uint64                        // wait until this revision is in force at all followers
-	Lost    string                        // wait until all follow another machine than that at this address
+	Lost    string                        // wait until no follower is connected to this address and each is to another
 	Memory  bool                          // measure the memory in use
 }
 
-// followersAnswer is the answer to a followersCommand.
-type followersAnswer struct {
-	Processor  time.Duration // of the process since its start
-	StartedAt  int64         // Unix nanoseconds, of the command
-	DoneAt     int64         // Unix nanoseconds: when the condition was met
-	ReceivedAt []int64       // for InForce, of each follower: when the revision was read
-	AppliedAt  []int64       // for InForce, of each follower: when it was in force
-	Memory     float64       // bytes; 0 without the command's Memory
+// followersResponse is the response to a followersCommand.
+type followersResponse struct {
+	Processor  time.Duration // CPU time of the process since its start
+	StartedAt  int64         // Unix nanoseconds at which the command started
+	DoneAt     int64         // Unix nanoseconds at which the command's condition was met
+	ReceivedAt []int64       // with InForce: Unix nanoseconds at which each follower read the revision
+	AppliedAt  []int64       // with InForce: Unix nanoseconds at which it was in force at each follower
+	Memory     float64       // bytes; 0 unless the command has Memory set
 }
 
-// follower is a broker without a core: it reads and checks each document and compares it with the start's, as a broker
-// does, and applies it nowhere.
+// follower is a configuration follower without a broker core. Like a broker, it reads and checks each document and compares
+// it with the startup configuration, but it does not apply the settings.
 type follower struct {
 	*configfollower.Client
-	start *config.Document
+	startup *config.Document
 
 	mu         sync.Mutex
-	number     uint64 // of the revision in force
-	receivedAt int64  // Unix nanoseconds: before it was checked
-	appliedAt  int64  // Unix nanoseconds
+	number     uint64 // number of the revision in force
+	receivedAt int64  // Unix nanoseconds before the revision was checked
+	appliedAt  int64  // Unix nanoseconds after the revision was checked
 }
 
 // apply checks a revision and records it as in force, or returns the rejection.
@@ -53,7 +53,7 @@
 	receivedAt := time.Now().UnixNano()
 	document, err := config.ParseDocument(revision.GetDocument())
 	if err == nil {
-		err = document.CheckChangeFrom(f.start)
+		err = document.CheckChangeFrom(f.startup)
 	}
 	if err != nil {
 		return &configpb.Refusal{Number: revision.GetNumber(), Key: "document", Reason: err.Error()}
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// inForceSince returns when a revision, or a later one, was read and put in force, in Unix nanoseconds, or 0 if it is
-// not in force.
+// inForceSince returns the Unix nanoseconds at which the revision in force was read and put in force if its number is the
+// given one or a later one, and zeros otherwise.
 func (f *follower) inForceSince(number uint64) (receivedAt, appliedAt int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,27 +75,27 @@
 	return f.receivedAt, f.appliedAt
 }
 
-// hasInForce reports whether a revision, or a later one, is in force.
+// hasInForce reports whether the revision of a number or a later one is in force.
 func (f *follower) hasInForce(number uint64) bool {
-	_, applied := f.inForceSince(number)
-	return applied != 0
+	_, appliedAt := f.inForceSince(number)
+	return appliedAt != 0
 }
 
-// followersChild is the child that runs all followers.
+// followersChild is the state of the child that runs all followers.
 type followersChild struct {
 	followers []*follower
 	brokers   int
 }
 
-// serveFollowers runs the child of the followers.
+// serveFollowers runs the followers' child until its standard input is closed.
 func serveFollowers(brokers int) error {
 	fmt.Println(childReady)
 	return serveCommands((&followersChild{brokers: brokers}).handle)
 }
 
-// handle carries out a command and waits for its condition.
-func (c *followersChild) handle(command followersCommand) (answer followersAnswer, err error) {
-	answer.StartedAt = time.Now().UnixNano()
+// handle executes a command and waits until its condition is met. The error is errTimeout after followersTimeout.
+func (c *followersChild) handle(command followersCommand) (response followersResponse, err error) {
+	response.StartedAt = time.Now().UnixNano()
 	switch {
 	case command.Start != nil:
 		if err = c.start(command); err == nil {
@@ -105,8 +105,8 @@
 		err = c.waitUntilAll(func(f *follower) bool { return f.hasInForce(command.InForce) })
 		for _, f := range c.followers {
 			receivedAt, appliedAt := f.inForceSince(command.InForce)
-			answer.ReceivedAt = append(answer.ReceivedAt, receivedAt)
-			answer.AppliedAt = append(answer.AppliedAt, appliedAt)
+			response.ReceivedAt = append(response.ReceivedAt, receivedAt)
+			response.AppliedAt = append(response.AppliedAt, appliedAt)
 		}
 	case command.Lost != "":
 		err = c.waitUntilAll(func(f *follower) bool {
@@ -114,24 +114,25 @@
 			return status.Control != "" && status.Control != command.Lost && !status.LastUpdateAt.IsZero()
 		})
 	}
-	answer.DoneAt, answer.Processor = time.Now().UnixNano(), processorTime()
+	response.DoneAt, response.Processor = time.Now().UnixNano(), cpuTime()
 	if command.Memory {
-		answer.Memory = memoryInUse()
+		response.Memory = memoryInUse()
 	}
-	return answer, err
+	return response, err
 }
 
-// start starts all followers at once, dealt to the target's zones and regions.
+// start starts all followers at the same time, assigned round-robin to the target's zones and regions.
 func (c *followersChild) start(command followersCommand) error {
-	start, err := config.ParseDocument(newDocument(0, command.Bytes))
+	startup, err := config.ParseDocument(newDocument(0, command.Bytes))
 	if err != nil {
 		return err
 	}
 	for i := range c.brokers {
-		f := &follower{start: start}
+		f := &follower{startup: startup}
 		f.Client, err = configfollower.New(configfollower.Options{
 			Name: fmt.Sprint("n", i), StartedAt: time.Now(), Region: regionName(i), Zone: fmt.Sprint("zone-", i%TargetZones),
-			Machines: command.Start, FleetSize: c.brokers, Seed: command.Seed + uint64(i)*watcherSeedStep, Log: discardLog, Apply: f.apply,
+			Machines: command.Start, FleetSize: c.brokers, Seed: command.Seed + uint64(i)*watcherSeedStep,
+			Log: discardLog, Apply: f.apply,
 		})
 		if err != nil {
 			return err
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// waitUntilAll waits until all followers meet a condition.
+// waitUntilAll waits until all followers meet a condition. The error is errTimeout after followersTimeout.
 func (c *followersChild) waitUntilAll(condition func(*follower) bool) error {
 	for end := time.Now().Add(followersTimeout); time.Now().Before(end); time.Sleep(followersPollInterval) {
 		if !slices.ContainsFunc(c.followers, func(f *follower) bool { return !condition(f) }) {
@@ -157,5 +158,5 @@
 			missing++
 		}
 	}
-	return errors.Join(errTimeout, fmt.Errorf("%d followers of %d do not meet the condition", missing, len(c.followers)))
+	return errors.Join(errTimeout, fmt.Errorf("%d of %d followers do not meet the condition", missing, len(c.followers)))
 }
--- a/internal/harness/scale/configuration_hub.go
+++ b/internal/harness/scale/configuration_hub.go
@@ -14,45 +14,45 @@
 )
 
 const (
-	confirmInterval    = 100 * time.Millisecond // of the leader's confirmation that it knows the newest revision
-	maxRecordedAccepts = 1 << 14                // between two answers
+	confirmInterval    = 100 * time.Millisecond // between the leader's confirmations of the newest revision
+	maxRecordedAccepts = 1 << 14                // maximum connections recorded between two responses
 )
 
-// hubCommand is a command to a hub.
+// hubCommand is a command to a hub's child.
 type hubCommand struct {
 	Publish uint64 // number of a revision to publish; 0: none
-	Bytes   int    // of its document
-	Memory  bool   // measure the memory in use, which collects garbage first
+	Bytes   int    // size of the published document
+	Memory  bool   // run a garbage collection and measure the memory in use
 }
 
-// hubAnswer is what a hub has used since its start; MaxAcceptsPerSecond is since the previous answer.
-type hubAnswer struct {
-	Processor           time.Duration
-	In, Out             int64   // bytes on its connections
-	Streams             int     // brokers connected
-	Accepts             int     // connections accepted
-	MaxAcceptsPerSecond int     // connections accepted within any one second
-	Memory              float64 // bytes; 0 without the command's Memory
-	PublishedAt         int64   // Unix nanoseconds: before the revision was handed to the hub
+// hubResponse reports the state of a hub and what it has used since its start.
+type hubResponse struct {
+	Processor           time.Duration // CPU time of the process
+	In, Out             int64         // bytes received and sent on its connections
+	Streams             int           // brokers connected now
+	Accepts             int           // connections accepted
+	MaxAcceptsPerSecond int           // connections accepted in the busiest second since the previous response
+	Memory              float64       // bytes; 0 unless the command has Memory set
+	PublishedAt         int64         // Unix nanoseconds just before the revision was passed to the hub
 }
 
-// hubChild is a control machine without the replicated log.
+// hubChild is a control machine without the replicated log, run in a child.
 type hubChild struct {
 	configpb.UnimplementedControlServer
-	hub     *confighub.Hub
-	network *countingListener
+	hub      *confighub.Hub
+	listener *countingListener
 }
 
-// serveHub runs the child of a hub.
+// serveHub runs a hub's child until its standard input is closed.
 func serveHub() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
-	h := &hubChild{hub: confighub.New(discardLog), network: &countingListener{Listener: listener}}
+	h := &hubChild{hub: confighub.New(discardLog), listener: &countingListener{Listener: listener}}
 	server := grpc.NewServer(confighub.ServerOptions()...)
 	configpb.RegisterControlServer(server, h)
-	go server.Serve(h.network)
+	go server.Serve(h.listener)
 	defer server.Stop()
 	go h.confirm()
 	fmt.Println(listener.Addr())
@@ -64,46 +64,47 @@
 	return h.hub.Follow(stream)
 }
 
-// confirm confirms the newest revision at each interval, as the log does while it has a leader, until the process ends.
+// confirm confirms the newest revision at each confirmInterval until the process exits, as the replicated log does while it
+// has a leader.
 func (h *hubChild) confirm() {
 	for {
-		_ = h.hub.SetNewest(nil, time.Now()) // fails only with a revision
+		_ = h.hub.SetNewest(nil, time.Now()) // returns an error only if a revision is passed
 		time.Sleep(confirmInterval)
 	}
 }
 
-// handle carries out a command.
-func (h *hubChild) handle(command hubCommand) (hubAnswer, error) {
-	answer := hubAnswer{PublishedAt: time.Now().UnixNano()}
+// handle executes a command.
+func (h *hubChild) handle(command hubCommand) (hubResponse, error) {
+	response := hubResponse{PublishedAt: time.Now().UnixNano()}
 	if command.Publish != 0 {
 		revision := newRevision(command.Publish, command.Bytes)
-		answer.PublishedAt = time.Now().UnixNano()
+		response.PublishedAt = time.Now().UnixNano()
 		if err := h.hub.SetNewest(revision, time.Now()); err != nil {
-			return hubAnswer{}, err
+			return hubResponse{}, err
 		}
 	}
-	answer.Processor = processorTime()
-	answer.In, answer.Out = h.network.in.Load(), h.network.out.Load()
-	answer.Accepts, answer.MaxAcceptsPerSecond = h.network.acceptCounts()
+	response.Processor = cpuTime()
+	response.In, response.Out = h.listener.in.Load(), h.listener.out.Load()
+	response.Accepts, response.MaxAcceptsPerSecond = h.listener.acceptCounts()
 	for _, broker := range h.hub.Status().Brokers {
 		if broker.GetConnected() {
-			answer.Streams++
+			response.Streams++
 		}
 	}
 	if command.Memory {
-		answer.Memory = memoryInUse()
+		response.Memory = memoryInUse()
 	}
-	return answer, nil
+	return response, nil
 }
 
-// countingListener counts the bytes and connections of a server.
+// countingListener counts accepted connections and the bytes received and sent on them.
 type countingListener struct {
 	net.Listener
 	in, out atomic.Int64
 
 	mu      sync.Mutex
-	total   int
-	accepts []time.Time // since the last call of acceptCounts
+	total   int         // connections accepted
+	accepts []time.Time // accept times since the last call of acceptCounts
 }
 
 func (l *countingListener) Accept() (net.Conn, error) {
@@ -120,7 +121,8 @@
 	return &countingConn{conn, l}, nil
 }
 
-// acceptCounts returns how many connections were accepted in all, and the most within one second since the last call.
+// acceptCounts returns the number of connections accepted since the start, and the largest number accepted within one
+// second since the last call.
 func (l *countingListener) acceptCounts() (total, maxPerSecond int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,7 +137,7 @@
 	return l.total, maxPerSecond
 }
 
-// countingConn counts the bytes of its listener.
+// countingConn adds the bytes that it reads and writes to the counts of its listener.
 type countingConn struct {
 	net.Conn
 	listener *countingListener
--- a/internal/harness/scale/configuration_test.go
+++ b/internal/harness/scale/configuration_test.go
@@ -10,7 +10,8 @@
 	"mothrouter/internal/controlplane/configpb"
 )
 
-// Documents have the size asked for, are valid, and may follow each other in service.
+// Documents of consecutive numbers have the requested size, are valid, and differ only in settings that a running broker
+// accepts.
 func TestNewDocumentIsValidAndHasRequestedSize(t *testing.T) {
 	for _, kb := range []int{2, 4, 16, 32, 64} {
 		size := kb * bytesPerKB
@@ -21,21 +22,21 @@
 		require.NoError(t, err)
 		require.NoError(t, second.CheckChangeFrom(first))
 		require.NotEqual(t, first.Classes, second.Classes)
-		// The document consists of settings, not of padding.
+		// The document consists mostly of settings and not of padding.
 		require.Greater(t, float64(len(first.Classes)), 0.75*float64(size-documentFrameBytes)/classBytes)
 	}
 }
 
-// A follower rejects what a broker rejects, and keeps the revision in force.
+// A follower rejects documents that a broker rejects, and keeps its revision in force.
 func TestFollowerRejectsInvalidDocuments(t *testing.T) {
 	const size = 4 * bytesPerKB
-	start, err := config.ParseDocument(newDocument(0, size))
+	startup, err := config.ParseDocument(newDocument(0, size))
 	require.NoError(t, err)
-	f := &follower{start: start}
+	f := &follower{startup: startup}
 	require.Nil(t, f.apply(newRevision(1, size)))
 	require.True(t, f.hasInForce(1))
-	torn := &configpb.Revision{Number: 2, Document: newDocument(2, size)[:size/2]}
-	require.NotNil(t, f.apply(torn))
+	truncated := &configpb.Revision{Number: 2, Document: newDocument(2, size)[:size/2]}
+	require.NotNil(t, f.apply(truncated))
 	otherClasses := &configpb.Revision{Number: 2, Document: newDocument(2, 2*size)}
 	require.NotNil(t, f.apply(otherClasses))
 	require.False(t, f.hasInForce(2))
@@ -49,16 +50,16 @@
 	}
 	total, maxPerSecond := l.acceptCounts()
 	require.Equal(t, 6, total)
-	require.Equal(t, 4, maxPerSecond, "those at 400, 999, 1,000 and 1,399 ms")
+	require.Equal(t, 4, maxPerSecond, "the connections accepted at 400, 999, 1,000 and 1,399 ms")
 	_, maxPerSecond = l.acceptCounts()
-	require.Zero(t, maxPerSecond, "each call starts from zero")
+	require.Zero(t, maxPerSecond, "each call resets the maximum")
 }
 
-// In a small run all followers are connected, the bytes of a change are about those of the document, and a change is
-// read before it is in force.
-func TestPlayConfigurationReadingsAreConsistent(t *testing.T) {
+// In a small run all followers are connected, a change transfers about the bytes of its document, and a change is read
+// before it is in force.
+func TestMeasureConfigurationReadingsAreConsistent(t *testing.T) {
 	at := smallConfiguration()[0]
-	readings, err := playConfiguration(at, 1)
+	readings, err := measureConfiguration(at, 1)
 	require.NoError(t, err)
 	value := map[string]float64{}
 	for _, r := range readings {
@@ -67,22 +68,22 @@
 	brokers, document := at.Of(axisBrokers), at.Of(axisDocument)*bytesPerKB
 	require.Equal(t, brokers, value["streams of the busiest hub"])
 	require.Positive(t, value["start at once: all follow"])
-	require.Less(t, value["in force at all"], TargetInForce)
+	require.Less(t, value["in force at all"], TargetPropagationTime)
 	require.LessOrEqual(t, value["read at all"], value["in force at all"])
 	require.LessOrEqual(t, value["in force at 99 in 100"], value["in force at all"])
-	sent := document * smallSpeedup / publishInterval.Seconds()
-	require.Greater(t, value["bytes in"], sent/2)
-	require.Less(t, value["bytes in"], sent*2)
+	expectedBytes := document * smallSpeedup / publishInterval.Seconds() // per second
+	require.Greater(t, value["bytes in"], expectedBytes/2)
+	require.Less(t, value["bytes in"], expectedBytes*2)
 	require.InDelta(t, brokers*value["bytes in"], value["bytes out of the busiest hub"], 1)
 	require.Positive(t, value["processor"])
 	require.Positive(t, value["processor of the busiest hub"])
 }
 
-// The verdict follows the measured values at each of its limits.
+// The verdict holds for values equal to the limits and changes when any one of them exceeds its limit.
 func TestDistributionVerdictAtEachLimit(t *testing.T) {
-	none, err := page{}.distributionVerdict()
+	verdictWithoutRecord, err := page{}.distributionVerdict()
 	require.NoError(t, err)
-	require.Equal(t, notRun, none)
+	require.Equal(t, notRun, verdictWithoutRecord)
 	for _, test := range []struct {
 		inForce, processor, in, out float64
 		verdict                     string
--- a/internal/harness/scale/decision.go
+++ b/internal/harness/scale/decision.go
@@ -9,31 +9,32 @@
 	"mothrouter/internal/estimate/slowstart"
 )
 
-// Axes.
+// Names of axes.
 const (
 	axisServers         = "servers"
 	axisParts           = "parts"
 	axisBrokers         = "brokers"
-	axisCut             = "cut_s"
-	axisInterval        = "restart_interval_s"
+	axisPartition       = "cut_s"
+	axisRestartInterval = "restart_interval_s"
 	axisMinCompleteness = "floor"
 )
 
 var (
 	serverSizes = []float64{200, 500, 1000, 2300, TargetServers}
 	partSizes   = []float64{36, 100, TargetParts}
-	// largeFanoutServerSizes are the sizes for queries of 300 parts, which need 300 record servers at least.
+	// largeFanoutServerSizes are the server counts for queries of 300 parts, which need at least 300 record servers.
 	largeFanoutServerSizes = []float64{320, 500, 1000, 2300, TargetServers}
 	brokerSizes            = []float64{40, 100, 300, TargetBrokers, 1200}
 )
 
 const (
-	replicaSetsPerZone = 460 // each of one server: a tenth of the target's
-	warmQueries        = 60  // before the measurement
-	countedQueries     = 300 // measured
+	replicaSetsPerZone = 460 // of one server each: a tenth of TargetServers
+	warmUpQueries      = 60  // run before the measurement
+	measuredQueries    = 300
 )
 
-// targetSettings returns the module's settings at the target: each server is a replica set, and three hold a shard.
+// targetSettings returns the settings of the decision package at the target. Each server is a replica set of its own, and
+// each shard is replicated on three replica sets.
 func targetSettings(servers, brokers int) decision.Settings {
 	class := decision.Class{
 		LatencyObjective: TargetLatency, Deadline: 4 * TargetLatency, PriorityWeight: 1, CompletenessThreshold: 1,
@@ -51,7 +52,7 @@
 	}
 }
 
-// targetServers returns ready servers, dealt to the target's zones.
+// targetServers returns ready servers, distributed over the target's zones.
 func targetServers(servers int) []decision.Server {
 	list := make([]decision.Server, servers)
 	for i := range list {
@@ -62,110 +63,113 @@
 
 func serverID(i int) string { return fmt.Sprintf("record-%04d", i) }
 
-// moduleClient drives one decision module on virtual time: queries arrive at a constant interval, by the target's rate,
+// policyDriver drives a decision.Policy on virtual time. Queries arrive at a constant interval given by the target's rate,
 // parts are answered after a random service time, and the events of one batch interval are handled together.
-type moduleClient struct {
-	module   *decision.Policy
+type policyDriver struct {
+	policy   *decision.Policy
 	rng      *rand.Rand
 	servers  int
 	parts    int
 	now      float64 // seconds
 	nextID   decision.RequestID
-	number   int64 // of the last query
+	number   int64 // number of the last query
 	pending  pendingAnswers
-	attempts map[decision.RequestID]int // by part, those sent so far
+	attempts map[decision.RequestID]int // number of attempts sent so far, by part
 
-	batches, sends, answers int // so far; answers since the start of run
+	batches         int
+	sends           int
+	answeredQueries int // since the last call of run
 }
 
-// pendingAnswer is a part's answer that arrives later.
+// pendingAnswer is the answer to a part that will arrive at a later virtual time.
 type pendingAnswer struct {
-	at       float64
+	at       float64 // seconds
 	finished decision.AttemptFinished
 }
 
-// pendingAnswers is a heap by time.
+// pendingAnswers is a heap ordered by arrival time.
 type pendingAnswers []pendingAnswer
 
-func (d pendingAnswers) Len() int           { return len(d) }
-func (d pendingAnswers) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d pendingAnswers) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *pendingAnswers) Push(v any)        { *d = append(*d, v.(pendingAnswer)) }
-func (d *pendingAnswers) Pop() any {
-	old := *d
+func (p pendingAnswers) Len() int           { return len(p) }
+func (p pendingAnswers) Less(i, j int) bool { return p[i].at < p[j].at }
+func (p pendingAnswers) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
+func (p *pendingAnswers) Push(v any)        { *p = append(*p, v.(pendingAnswer)) }
+func (p *pendingAnswers) Pop() any {
+	old := *p
 	last := old[len(old)-1]
-	*d = old[:len(old)-1]
+	*p = old[:len(old)-1]
 	return last
 }
 
-func newClient(servers, parts int, seed uint64) *moduleClient {
-	c := &moduleClient{module: decision.New(targetSettings(servers, TargetBrokers), seed),
+func newPolicyDriver(servers, parts int, seed uint64) *policyDriver {
+	d := &policyDriver{policy: decision.New(targetSettings(servers, TargetBrokers), seed),
 		rng: rand.New(rand.NewPCG(seed, 11)), servers: servers, parts: parts, now: 100,
 		attempts: map[decision.RequestID]int{}}
-	c.handle([]decision.Event{decision.EndpointUpdate{Mode: decision.FullUpdate, Version: 1, Servers: targetServers(servers)}})
-	return c
+	d.handle([]decision.Event{decision.EndpointUpdate{Mode: decision.FullUpdate, Version: 1, Servers: targetServers(servers)}})
+	return d
 }
 
-// queryEvents returns the events of a new query over consecutive shards from a random one on.
-func (c *moduleClient) queryEvents() []decision.Event {
-	c.number++
-	c.nextID++
-	events := []decision.Event{decision.Query{ID: c.nextID, Number: c.number, Parts: c.parts,
-		Deadline: c.now + 4*TargetLatency}}
-	first := c.rng.IntN(c.servers)
-	for i := range c.parts {
-		c.nextID++
-		events = append(events, decision.Part{ID: c.nextID, QueryNumber: c.number, Shard: (first + i) % c.servers,
-			Weight: 1 / float64(c.parts)})
+// queryEvents returns the events of a new query over consecutive shards, starting at a random shard.
+func (d *policyDriver) queryEvents() []decision.Event {
+	d.number++
+	d.nextID++
+	events := []decision.Event{decision.Query{ID: d.nextID, Number: d.number, Parts: d.parts,
+		Deadline: d.now + 4*TargetLatency}}
+	first := d.rng.IntN(d.servers)
+	for i := range d.parts {
+		d.nextID++
+		events = append(events, decision.Part{ID: d.nextID, QueryNumber: d.number, Shard: (first + i) % d.servers,
+			Weight: 1 / float64(d.parts)})
 	}
 	return events
 }
 
-// run runs until a number of queries is answered, with a batch at each AssumedBatchInterval.
-func (c *moduleClient) run(queries int) {
-	step := 1 / QueriesPerBroker(TargetBrokers)
-	next := c.now
-	for c.answers = 0; c.answers < queries; {
-		c.now += AssumedBatchInterval
+// run advances the virtual time in steps of AssumedBatchInterval until a number of queries are answered. Each step with
+// events hands them to the policy as one batch.
+func (d *policyDriver) run(queries int) {
+	queryInterval := 1 / QueriesPerBroker(TargetBrokers)
+	next := d.now
+	for d.answeredQueries = 0; d.answeredQueries < queries; {
+		d.now += AssumedBatchInterval
 		var events []decision.Event
-		for len(c.pending) > 0 && c.pending[0].at <= c.now {
-			events = append(events, heap.Pop(&c.pending).(pendingAnswer).finished)
+		for len(d.pending) > 0 && d.pending[0].at <= d.now {
+			events = append(events, heap.Pop(&d.pending).(pendingAnswer).finished)
 		}
-		for ; next <= c.now; next += step {
-			events = append(events, c.queryEvents()...)
+		for ; next <= d.now; next += queryInterval {
+			events = append(events, d.queryEvents()...)
 		}
 		if len(events) > 0 {
-			c.handle(events)
+			d.handle(events)
 		}
 	}
 }
 
-// handle hands a batch to the module and carries out its actions.
-func (c *moduleClient) handle(events []decision.Event) {
-	c.batches++
-	for _, a := range c.module.Handle(c.now, events) {
+// handle passes a batch of events to the policy and executes the returned actions.
+func (d *policyDriver) handle(events []decision.Event) {
+	d.batches++
+	for _, a := range d.policy.Handle(d.now, events) {
 		switch a := a.(type) {
 		case decision.Send:
-			c.sends++
-			latency := AssumedServiceTime * (0.5 + c.rng.Float64())
+			d.sends++
+			latency := AssumedServiceTime * (0.5 + d.rng.Float64())
 			finished := decision.AttemptFinished{
-				ID: a.ID, Attempt: c.attempts[a.ID], Server: a.Server, Status: decision.OK, Latency: latency,
+				ID: a.ID, Attempt: d.attempts[a.ID], Server: a.Server, Status: decision.OK, Latency: latency,
 				PartConcluded: true, LoadReport: piggybackedReport,
 			}
-			heap.Push(&c.pending, pendingAnswer{c.now + latency, finished})
-			c.attempts[a.ID]++
+			heap.Push(&d.pending, pendingAnswer{d.now + latency, finished})
+			d.attempts[a.ID]++
 		case decision.Respond:
-			c.answers++
+			d.answeredQueries++
 		}
 	}
 }
 
-// piggybackedReport is the load that each answer reports; -1 is not reported.
+// piggybackedReport is the load report in each answer; -1 marks a value that is not reported.
 var piggybackedReport = decision.LoadReport{
 	InFlight: 1, QueueLength: -1, Utilization: 0.3, Latency: -1, Rate: -1, ErrorRate: -1,
 }
 
-// serversAndParts returns the points over the numbers of record servers and of parts per query.
+// serversAndParts returns the points of all combinations of record server counts and parts per query.
 func serversAndParts() []Sizes {
 	points := grid(axisServers, serverSizes, axisParts, partSizes[:2])
 	return append(points, grid(axisServers, largeFanoutServerSizes, axisParts, partSizes[2:])...)
@@ -173,49 +177,49 @@
 
 func decisionExperiment() Experiment {
 	return Experiment{
-		Name:       "decision",
-		Provenance: Provenance{Real: "internal/decision", Virtual: "clock, record servers and clients"},
-		Small:      grid(axisServers, []float64{50, 100, 200}, axisParts, []float64{12}),
-		Large:      serversAndParts(),
-		Play:       playDecision,
+		Name:         "decision",
+		Provenance:   Provenance{Real: "internal/decision", Virtual: "clock, record servers and clients"},
+		SmallPoints:  grid(axisServers, []float64{50, 100, 200}, axisParts, []float64{12}),
+		LargePoints:  serversAndParts(),
+		MeasurePoint: measureDecision,
 	}
 }
 
-func playDecision(at Sizes, seed uint64) ([]Reading, error) {
+func measureDecision(at Sizes, seed uint64) ([]Reading, error) {
 	servers, parts := int(at.Of(axisServers)), int(at.Of(axisParts))
 	before := memoryInUse()
-	c := newClient(servers, parts, seed)
-	c.run(warmQueries)
-	counted := countedQueries
+	d := newPolicyDriver(servers, parts, seed)
+	d.run(warmUpQueries)
+	queries := measuredQueries
 	if servers <= 200 && parts <= 12 {
-		counted = warmQueries
+		queries = warmUpQueries
 	}
-	batches, sends := c.batches, c.sends
+	batches, sends := d.batches, d.sends
 	meter := StartMeter()
-	c.run(counted)
+	d.run(queries)
 	used := meter.Stop()
-	batches, sends = c.batches-batches, c.sends-sends
-	held := memoryInUse() - before
-	empty := emptyBatch(c)
-	micros := used.Processor.Seconds() * 1e6 / float64(counted)
+	batches, sends = d.batches-batches, d.sends-sends
+	memoryGrowth := memoryInUse() - before
+	emptyBatch := emptyBatchTime(d)
+	microsPerQuery := used.CPUTime.Seconds() * 1e6 / float64(queries)
 	return []Reading{
-		{"processor a query", "µs", micros},
-		{"processor an empty batch", "µs", empty},
-		{"allocated a query", "bytes", float64(used.Allocated) / float64(counted)},
-		{"objects a query", "objects", float64(used.Objects) / float64(counted)},
-		{"sends a part", "sends", float64(sends) / float64(counted) / float64(parts)},
-		{"batches a query", "batches", float64(batches) / float64(counted)},
-		{"memory", "bytes", max(held, 1)},
+		{"processor a query", "µs", microsPerQuery},
+		{"processor an empty batch", "µs", emptyBatch},
+		{"allocated a query", "bytes", float64(used.AllocatedBytes) / float64(queries)},
+		{"objects a query", "objects", float64(used.Allocations) / float64(queries)},
+		{"sends a part", "sends", float64(sends) / float64(queries) / float64(parts)},
+		{"batches a query", "batches", float64(batches) / float64(queries)},
+		{"memory", "bytes", max(memoryGrowth, 1)},
 	}, nil
 }
 
-// emptyBatch returns the processor time of a batch without events in µs.
-func emptyBatch(c *moduleClient) float64 {
-	const rounds = 400
+// emptyBatchTime returns the CPU time in µs of a batch without events.
+func emptyBatchTime(d *policyDriver) float64 {
+	const batches = 400
 	meter := StartMeter()
-	for range rounds {
-		c.now += 1e-6
-		c.module.Handle(c.now, nil)
+	for range batches {
+		d.now += 1e-6
+		d.policy.Handle(d.now, nil)
 	}
-	return meter.Stop().Processor.Seconds() * 1e6 / rounds
+	return meter.Stop().CPUTime.Seconds() * 1e6 / batches
 }
--- a/internal/harness/scale/experiment.go
+++ b/internal/harness/scale/experiment.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Experiment measures a component at several points.
+// Experiment measures a component at several points, which are combinations of sizes.
 type Experiment struct {
-	Name       string
-	Provenance Provenance
-	Small      []Sizes // points that CI measures
-	Large      []Sizes // points of a record in docs/capacity
-	// Play measures once at a point. Equal seeds do equal work.
-	Play func(at Sizes, seed uint64) ([]Reading, error)
+	Name        string
+	Provenance  Provenance
+	SmallPoints []Sizes // measured by CI
+	LargePoints []Sizes // measured for a record in docs/capacity
+	// MeasurePoint measures a point once. Calls with equal seeds do the same work.
+	MeasurePoint func(at Sizes, seed uint64) ([]Reading, error)
 }
 
-// Plan configures a run.
+// Plan configures the run of an experiment.
 type Plan struct {
 	Points      []Sizes
-	Repetitions int    // of each point
-	Seed        uint64 // of the first repetition; each later one has the next
-	Commit      string // that is measured
-	Command     string // that starts the run
+	Repetitions int    // measurements of each point
+	Seed        uint64 // seed of the first repetition; each following repetition increments it
+	Commit      string // commit of the measured code
+	Command     string // command that started the run
 }
 
-// Run runs an experiment: all points once, then all again, so that other load on the machine affects all of them. It
-// resumes the record that an earlier call left incomplete, if before is not nil, and stops between two points after the
-// end; a zero end is none. The returned record is complete if Check returns nil. The error is ErrRecord if before is the
-// record of another run.
-func Run(e Experiment, plan Plan, before *Record, end time.Time) (*Record, error) {
-	r := before
+// Run runs an experiment. It measures all points once, then all again, so that other load on the machine affects all of
+// them. If previous is not nil, Run resumes that incomplete record. After the deadline it stops between two points; a zero
+// deadline means none. The returned record is complete if its Check returns nil. The error is ErrInvalidRecord if previous
+// belongs to another run.
+func Run(e Experiment, plan Plan, previous *Record, deadline time.Time) (*Record, error) {
+	r := previous
 	if r == nil {
 		r = &Record{Experiment: e.Name, Command: plan.Command, Commit: plan.Commit, Began: time.Now().UTC(),
 			Machine: ThisMachine(), Seed: plan.Seed, Repetitions: plan.Repetitions, Provenance: e.Provenance}
@@ -38,17 +38,19 @@
 		}
 	}
 	if r.Experiment != e.Name || r.Commit != plan.Commit || r.Seed != plan.Seed || len(r.Points) != len(plan.Points) {
-		return nil, fmt.Errorf("%w: the run to resume is another one", ErrRecord)
+		return nil, fmt.Errorf("%w: cannot resume %s at commit %s (seed %d, %d points): the record is of %s at commit %s "+
+			"(seed %d, %d points)", ErrInvalidRecord, e.Name, plan.Commit, plan.Seed, len(plan.Points),
+			r.Experiment, r.Commit, r.Seed, len(r.Points))
 	}
-	for turn := range plan.Repetitions {
+	for repetition := range plan.Repetitions {
 		for i, at := range plan.Points {
-			if r.Points[i].repetitions() > turn {
+			if r.Points[i].repetitions() > repetition {
 				continue
 			}
-			if !end.IsZero() && time.Now().After(end) {
+			if !deadline.IsZero() && time.Now().After(deadline) {
 				return r, nil
 			}
-			readings, err := e.Play(at, plan.Seed+uint64(turn))
+			readings, err := e.MeasurePoint(at, plan.Seed+uint64(repetition))
 			if err != nil {
 				return nil, fmt.Errorf("%s at %v: %w", e.Name, at, err)
 			}
@@ -58,7 +60,7 @@
 	return r, r.Check()
 }
 
-// axis returns points along one axis, with fixed sizes on others.
+// axis returns one point for each value on an axis, with fixed sizes on the other axes.
 func axis(name string, values []float64, fixed ...Size) []Sizes {
 	var points []Sizes
 	for _, v := range values {
@@ -67,11 +69,11 @@
 	return points
 }
 
-// grid returns all combinations of values on two axes.
-func grid(one string, ones []float64, two string, twos []float64) []Sizes {
+// grid returns the points of all combinations of values on two axes.
+func grid(axis1 string, values1 []float64, axis2 string, values2 []float64) []Sizes {
 	var points []Sizes
-	for _, v := range twos {
-		points = append(points, axis(one, ones, Size{two, v})...)
+	for _, v := range values2 {
+		points = append(points, axis(axis1, values1, Size{axis2, v})...)
 	}
 	return points
 }
@@ -80,17 +82,17 @@
 func Experiments() []Experiment {
 	return []Experiment{
 		decisionExperiment(), serviceExperiment(), meshExperiment(), listExperiment(), watchExperiment(),
-		membershipExperiment(), faultExperiment(), cutExperiment(), restartExperiment(), returnExperiment(),
-		hollowExperiment(), slowStartExperiment(), quantileExperiment(), configurationExperiment(),
+		membershipExperiment(), faultExperiment(), partitionExperiment(), rollingRestartExperiment(), singleRestartExperiment(),
+		simulatedFleetExperiment(), slowStartExperiment(), quantileExperiment(), configurationExperiment(),
 	}
 }
 
-// FindExperiment returns an experiment by its name.
+// FindExperiment returns the experiment of a name, or an error if there is none.
 func FindExperiment(name string) (Experiment, error) {
 	for _, e := range Experiments() {
 		if e.Name == name {
 			return e, nil
 		}
 	}
-	return Experiment{}, fmt.Errorf("scale: no experiment %q", name)
+	return Experiment{}, fmt.Errorf("scale: experiment %q does not exist", name)
 }
--- a/internal/harness/scale/experiments_test.go
+++ b/internal/harness/scale/experiments_test.go
@@ -16,8 +16,8 @@
 
 var (
 	experimentName = flag.String("play", "", "experiment to run at its large sizes; its record is saved at -out")
-	out            = flag.String("out", "../../../docs/capacity", "directory of the records")
-	state          = flag.String("state", "", "file of a run that is resumed over several calls")
+	recordDir      = flag.String("out", "../../../docs/capacity", "directory of the records")
+	statePath      = flag.String("state", "", "file of a run that is resumed over several calls")
 	callDuration   = flag.Duration("within", 70*time.Second, "time of one call, after which the run stops between points")
 	repetitions    = flag.Int("repetitions", 5, "of each point")
 	seed           = flag.Uint64("seed", 1, "of the first repetition; each later one has the next")
@@ -35,14 +35,14 @@
 	os.Exit(m.Run())
 }
 
-// Every experiment runs at its small sizes and returns a complete record.
+// Every experiment completes at its small sizes with a complete record.
 func TestExperimentsAtSmallSizes(t *testing.T) {
 	for _, e := range scale.Experiments() {
 		t.Run(e.Name, func(t *testing.T) {
-			r, err := scale.Run(e, scale.Plan{Points: e.Small, Repetitions: 1, Seed: 1, Commit: "test", Command: "go test"},
+			r, err := scale.Run(e, scale.Plan{Points: e.SmallPoints, Repetitions: 1, Seed: 1, Commit: "test", Command: "go test"},
 				nil, time.Time{})
 			require.NoError(t, err)
-			require.Len(t, r.Points, len(e.Small))
+			require.Len(t, r.Points, len(e.SmallPoints))
 			path, err := r.Save(t.TempDir())
 			require.NoError(t, err)
 			require.FileExists(t, path)
@@ -53,36 +53,36 @@
 // TestRecord runs an experiment at its large sizes and saves the record. It is skipped without -play.
 func TestRecord(t *testing.T) {
 	if *experimentName == "" {
-		t.Skip("no -play")
+		t.Skip("-play is not set")
 	}
 	e, err := scale.FindExperiment(*experimentName)
 	require.NoError(t, err)
-	var before *scale.Record
-	if *state != "" {
-		before, err = scale.ReadState(*state)
+	var previous *scale.Record
+	if *statePath != "" {
+		previous, err = scale.ReadState(*statePath)
 		require.NoError(t, err)
 	}
-	r, err := scale.Run(e, scale.Plan{Points: e.Large, Repetitions: *repetitions, Seed: *seed, Commit: commit(t),
+	r, err := scale.Run(e, scale.Plan{Points: e.LargePoints, Repetitions: *repetitions, Seed: *seed, Commit: commit(t),
 		Command: fmt.Sprintf("go test ./internal/harness/scale -run TestRecord -play %s -repetitions %d -seed %d", *experimentName,
-			*repetitions, *seed)}, before, time.Now().Add(*callDuration))
+			*repetitions, *seed)}, previous, time.Now().Add(*callDuration))
 	require.NoError(t, err)
 	if r.Check() == nil {
-		path, err := r.Save(*out)
+		path, err := r.Save(*recordDir)
 		require.NoError(t, err)
-		t.Log("recorded ", path)
+		t.Log("saved record ", path)
 		return
 	}
-	require.NotEmpty(t, *state, "the time is over, and no -state keeps what was measured")
-	require.NoError(t, r.SaveState(*state))
-	t.Log("not done yet; call again")
+	require.NotEmpty(t, *statePath, "run is incomplete after the -within time, and without -state its measurements are lost")
+	require.NoError(t, r.SaveState(*statePath))
+	t.Log("run is incomplete; repeat the command to resume it")
 }
 
-// commit returns the commit that is measured. The code must have no uncommitted changes.
+// commit returns the abbreviated hash of the measured commit. The test fails if the code has uncommitted changes.
 func commit(t *testing.T) string {
-	text, err := exec.Command("git", "rev-parse", "--short=8", "HEAD").Output()
+	hash, err := exec.Command("git", "rev-parse", "--short=8", "HEAD").Output()
 	require.NoError(t, err)
-	dirty, err := exec.Command("git", "status", "--porcelain", "--", "../../../internal", "../../../cmd").Output()
+	changes, err := exec.Command("git", "status", "--porcelain", "--", "../../../internal", "../../../cmd").Output()
 	require.NoError(t, err)
-	require.Empty(t, strings.TrimSpace(string(dirty)), "commit first: a record names what it measured")
-	return strings.TrimSpace(string(text))
+	require.Empty(t, strings.TrimSpace(string(changes)), "uncommitted changes: a record must name the commit that it measured")
+	return strings.TrimSpace(string(hash))
 }
--- a/internal/harness/scale/fake_discovery.go
+++ b/internal/harness/scale/fake_discovery.go
@@ -13,20 +13,21 @@
 
 const (
 	changeInterval    = 100 * time.Millisecond
-	maxChanges        = 20
-	listTimeout       = 10 * time.Second // for all watchers to receive the list
-	heartbeatInterval = 2 * time.Second  // between the empty lines that discovery sends
+	changeCount       = 20
+	listTimeout       = 10 * time.Second // for all watchers to receive the full list
+	heartbeatInterval = 2 * time.Second  // between the empty lines that the discovery service sends
 	maxWatchers       = 4096
 )
 
-// startChanges has a fake discovery service send its changes.
+// startChanges tells the child, which runs a fake discovery service, to start sending changes.
 func (c *child) startChanges() error {
 	_, err := io.WriteString(c.in, "change\n")
 	return err
 }
 
-// serveDiscovery runs a fake discovery service, which sends a list of servers to each watch and, once its parent has
-// written a line, changes of one server. A change's version is the time at which it is sent, in Unix nanoseconds.
+// serveDiscovery runs a fake discovery service until its standard input is closed. The service sends a full list of servers
+// to each watch and, after its parent has written a line, changes of one server. The version of a change is the time at
+// which it is sent, in Unix nanoseconds.
 func serveDiscovery(servers int) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,14 +41,14 @@
 	go d.sendHeartbeats()
 	in := bufio.NewReader(os.Stdin)
 	if _, err := in.ReadString('\n'); err != nil {
-		return nil // the parent has closed the input without startChanges
+		return nil // the parent closed the input without calling startChanges
 	}
 	go d.sendChanges()
 	_, err = io.Copy(io.Discard, in)
 	return err
 }
 
-// fakeDiscovery is a discovery service with a fixed list.
+// fakeDiscovery is a fake discovery service with a fixed list of servers.
 type fakeDiscovery struct {
 	fullList []byte
 	mu       sync.Mutex
@@ -64,7 +65,8 @@
 	}
 }
 
-// serveWatch reads a watch's request, sends the list and registers the watch for changes.
+// serveWatch reads the request of a watch, sends the full list and registers the watch for changes. Watches beyond
+// maxWatchers are not registered.
 func (d *fakeDiscovery) serveWatch(c net.Conn) {
 	if err := readRequestHead(c); err != nil {
 		c.Close()
@@ -82,7 +84,7 @@
 	}
 }
 
-// readRequestHead reads a request up to the empty line.
+// readRequestHead reads an HTTP request up to the empty line that ends its head.
 func readRequestHead(c net.Conn) error {
 	in := bufio.NewReaderSize(c, maxRequestHead)
 	for {
@@ -98,15 +100,15 @@
 
 func encodeChunk(data []byte) []byte { return fmt.Appendf(nil, "%x\r\n%s\r\n", len(data), data) }
 
-// sendChanges sends all changes.
+// sendChanges sends changeCount changes to all watches, one at each changeInterval.
 func (d *fakeDiscovery) sendChanges() {
-	for range maxChanges {
+	for range changeCount {
 		time.Sleep(changeInterval)
 		d.broadcast(encodeChange(0, time.Now().UnixNano()))
 	}
 }
 
-// sendHeartbeats sends an empty line to all watches at each interval, until the process ends.
+// sendHeartbeats sends an empty line to all watches at each heartbeatInterval until the process exits.
 func (d *fakeDiscovery) sendHeartbeats() {
 	for {
 		time.Sleep(heartbeatInterval)
@@ -114,7 +116,7 @@
 	}
 }
 
-// broadcast sends a chunk to all watches.
+// broadcast sends data to all watches as one chunk.
 func (d *fakeDiscovery) broadcast(data []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/harness/scale/fit.go
+++ b/internal/harness/scale/fit.go
@@ -10,17 +10,18 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Confidence is the confidence level of every interval: two-sided, by Student's t.
+// Confidence is the confidence level of all intervals, which are two-sided and use Student's t-distribution.
 const Confidence = 0.95
 
-// MissLimit is the relative error of a prediction up to which the page relies on it; beyond, it uses the measured value.
-const MissLimit = 0.2
+// MaxRelativeError is the largest relative error of a prediction with which docs/CAPACITY.md relies on the fitted model.
+// Above it, the page uses the measured value.
+const MaxRelativeError = 0.2
 
-// aicMargin is by how much the AIC of a growing form has to be below that of the constant one. A difference below two is
-// commonly regarded as none.
+// aicMargin is how far the AIC of a growing form must be below that of the constant form. A difference of less than 2 is
+// commonly regarded as insignificant.
 const aicMargin = 2
 
-// Form is how a cost grows with a size.
+// Form is the functional form of a cost over a size.
 type Form int
 
 // The forms that Fit tries.
@@ -35,7 +36,7 @@
 	return [...]string{"constant", "linear", "n log n", "quadratic"}[f]
 }
 
-// basis returns the growing term at a size.
+// basis returns the size-dependent term of the form at a size, and 0 for Constant.
 func (f Form) basis(x float64) float64 {
 	switch f {
 	case Linear:
@@ -48,44 +49,45 @@
 	return 0
 }
 
-// Sample is one measured value at one size.
+// Sample is a measured cost Y at a size X.
 type Sample struct{ X, Y float64 }
 
-// Interval is a closed interval.
+// Interval is a confidence interval with inclusive bounds.
 type Interval struct{ Low, High float64 }
 
-// Slope is a fitted cost: Base + Rate·basis(x).
-type Slope struct {
+// CostModel is a fitted cost function: Base + Rate·basis(x) for a size x.
+type CostModel struct {
 	Form Form
-	Base float64 // at size zero
-	Rate float64 // per unit of the form's basis; 0 if Form is Constant
+	Base float64 // cost where the form's basis is zero
+	Rate float64 // cost per unit of the form's basis; 0 if Form is Constant
 	// RateInterval is the confidence interval of Rate, or of Base if Form is Constant.
 	RateInterval Interval
 	AIC          float64 // Akaike's information criterion
 }
 
-// At returns the cost at a size.
-func (s Slope) At(x float64) float64 { return s.Base + s.Rate*s.Form.basis(x) }
+// At returns the model's cost at a size.
+func (m CostModel) At(x float64) float64 { return m.Base + m.Rate*m.Form.basis(x) }
 
-// Errors of a fit.
+// Errors returned by Fit, FitExponent and Predict.
 var (
-	ErrTooFew = errors.New("scale: a fit needs samples at three sizes at least")
-	ErrValue  = errors.New("scale: a fit needs positive, finite sizes and costs")
+	ErrTooFewSizes   = errors.New("scale: a fit needs samples at three sizes at least")
+	ErrInvalidSample = errors.New("scale: a fit needs positive, finite sizes and costs")
 )
 
-// Fit returns the slope whose form explains the samples best by Akaike's criterion. Samples are weighted by the inverse
-// square of their size's mean, as costs vary in proportion to themselves. A growing form is chosen only if its rate's
-// interval is above zero; otherwise the cost is constant. The error is ErrTooFew or ErrValue.
-func Fit(samples []Sample) (Slope, error) {
+// Fit returns the cost model whose form explains the samples best by Akaike's information criterion. Each sample is
+// weighted by the inverse square of the mean cost at its size, because the spread of a cost is proportional to the cost. A
+// growing form is chosen only if the confidence interval of its rate is above zero; otherwise the model is constant. The
+// error is ErrTooFewSizes or ErrInvalidSample.
+func Fit(samples []Sample) (CostModel, error) {
 	weights, err := sampleWeights(samples)
 	if err != nil {
-		return Slope{}, err
+		return CostModel{}, err
 	}
 	best := fitForm(Constant, samples, weights)
 	best.AIC -= aicMargin
 	for _, form := range []Form{Linear, LogLinear, Quadratic} {
-		if s := fitForm(form, samples, weights); s.RateInterval.Low > 0 && s.AIC < best.AIC {
-			best = s
+		if model := fitForm(form, samples, weights); model.RateInterval.Low > 0 && model.AIC < best.AIC {
+			best = model
 		}
 	}
 	return best, nil
@@ -96,13 +98,13 @@
 	sum, count := map[float64]float64{}, map[float64]float64{}
 	for _, s := range samples {
 		if !(s.X > 0 && s.Y > 0) || math.IsInf(s.X, 0) || math.IsInf(s.Y, 0) {
-			return nil, fmt.Errorf("%w: %v", ErrValue, s)
+			return nil, fmt.Errorf("%w: %v", ErrInvalidSample, s)
 		}
 		sum[s.X] += s.Y
 		count[s.X]++
 	}
 	if len(sum) < 3 {
-		return nil, ErrTooFew
+		return nil, ErrTooFewSizes
 	}
 	weights := make([]float64, len(samples))
 	for i, s := range samples {
@@ -112,65 +114,67 @@
 	return weights, nil
 }
 
-// fitForm fits one form by weighted least squares.
-func fitForm(form Form, samples []Sample, weights []float64) Slope {
+// fitForm fits a cost model of one form by weighted least squares.
+func fitForm(form Form, samples []Sample, weights []float64) CostModel {
 	xs, ys := make([]float64, len(samples)), make([]float64, len(samples))
 	for i, s := range samples {
 		xs[i], ys[i] = form.basis(s.X), s.Y
 	}
-	slope, free := Slope{Form: form}, 2
+	model, coefficients := CostModel{Form: form}, 2
 	if form == Constant {
-		slope.Base, free = stat.Mean(ys, weights), 1
+		model.Base, coefficients = stat.Mean(ys, weights), 1
 	} else {
-		slope.Base, slope.Rate = stat.LinearRegression(xs, ys, weights, false)
+		model.Base, model.Rate = stat.LinearRegression(xs, ys, weights, false)
 	}
-	residual, total, spread := 0.0, 0.0, 0.0
+	residual, total, sumSquaresX := 0.0, 0.0, 0.0
 	center := stat.Mean(xs, weights)
 	for i, w := range weights {
-		residual += w * square(ys[i]-slope.Base-slope.Rate*xs[i])
+		residual += w * square(ys[i]-model.Base-model.Rate*xs[i])
 		total += w
-		spread += w * square(xs[i]-center)
+		sumSquaresX += w * square(xs[i]-center)
 	}
 	n := float64(len(samples))
-	variance := residual / (n - float64(free))
-	half := studentHalf(n - float64(free))
+	variance := residual / (n - float64(coefficients))
+	critical := studentCriticalValue(n - float64(coefficients))
 	if form == Constant {
-		slope.RateInterval = intervalAround(slope.Base, half*math.Sqrt(variance/total))
+		model.RateInterval = intervalAround(model.Base, critical*math.Sqrt(variance/total))
 	} else {
-		slope.RateInterval = intervalAround(slope.Rate, half*math.Sqrt(variance/spread))
+		model.RateInterval = intervalAround(model.Rate, critical*math.Sqrt(variance/sumSquaresX))
 	}
-	slope.AIC = akaike(residual, n, float64(free+1)) // the variance is a parameter too
-	return slope
+	model.AIC = akaike(residual, n, float64(coefficients+1)) // the variance is an estimated parameter as well
+	return model
 }
 
-// correctFrom is the number of samples from which the criterion is corrected for small samples. With five, one at each
-// size, the correction would outweigh any residual, and every cost would be constant.
-const correctFrom = 10
+// smallSampleCorrectionFrom is the number of samples from which AIC is corrected for small samples (AICc). With five
+// samples, one at each size, the correction would outweigh any residual, and every cost would be fitted as constant.
+const smallSampleCorrectionFrom = 10
 
-// akaike returns the criterion of a least-squares fit, corrected for small samples from correctFrom samples on.
+// akaike returns the AIC of a least-squares fit, or the AICc if n is at least smallSampleCorrectionFrom.
 func akaike(residual, n, parameters float64) float64 {
-	const exact = 1e-18 // least residual, so that its logarithm is finite
-	criterion := n*math.Log(max(residual, exact)/n) + 2*parameters
-	if n >= correctFrom {
+	const minResidual = 1e-18 // keeps the logarithm of a perfect fit finite
+	criterion := n*math.Log(max(residual, minResidual)/n) + 2*parameters
+	if n >= smallSampleCorrectionFrom {
 		criterion += 2 * parameters * (parameters + 1) / (n - parameters - 1)
 	}
 	return criterion
 }
 
-// studentHalf returns the half width of an interval in standard errors, for a number of degrees of freedom.
-func studentHalf(freedom float64) float64 {
-	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: freedom}.Quantile((1 + Confidence) / 2)
+// studentCriticalValue returns the half width of an interval in standard errors, for a number of degrees of freedom.
+func studentCriticalValue(degreesOfFreedom float64) float64 {
+	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile((1 + Confidence) / 2)
 }
 
-func intervalAround(center, half float64) Interval { return Interval{center - half, center + half} }
+func intervalAround(center, halfWidth float64) Interval {
+	return Interval{center - halfWidth, center + halfWidth}
+}
 
-// Exponent is the power of the size with which the cost grows, by a straight line through logarithms.
+// Exponent is the power of the size with which a cost grows: the slope of a straight line fitted to the logarithms.
 type Exponent struct {
 	Value    float64
 	Interval Interval
 }
 
-// FitExponent returns the exponent of the samples.
+// FitExponent fits the exponent of the samples. The error is ErrTooFewSizes or ErrInvalidSample.
 func FitExponent(samples []Sample) (Exponent, error) {
 	if _, err := sampleWeights(samples); err != nil {
 		return Exponent{}, err
@@ -183,21 +187,21 @@
 	return Exponent{line.Rate, line.RateInterval}, nil
 }
 
-// Prediction compares the largest size with what the smaller ones say of it.
+// Prediction compares the cost measured at the largest size with the cost that a model of the smaller sizes predicts.
 type Prediction struct {
-	X         float64
-	Predicted float64
-	Measured  float64 // mean
-	Miss      float64 // (predicted - measured) / measured
+	X             float64 // the largest size
+	Predicted     float64
+	Measured      float64 // mean of the samples at X
+	RelativeError float64 // (Predicted - Measured) / Measured
 }
 
-// WithinMissLimit reports whether the prediction misses by no more than MissLimit.
-func (p Prediction) WithinMissLimit() bool { return math.Abs(p.Miss) <= MissLimit }
+// WithinErrorLimit reports whether the magnitude of the relative error is at most MaxRelativeError.
+func (p Prediction) WithinErrorLimit() bool { return math.Abs(p.RelativeError) <= MaxRelativeError }
 
-// Predict fits all sizes but the largest and predicts the cost at that one. The error is that of Fit.
+// Predict fits a model to all sizes except the largest and predicts the cost at the largest. The error is that of Fit.
 func Predict(samples []Sample) (Prediction, error) {
 	if len(samples) == 0 {
-		return Prediction{}, ErrTooFew
+		return Prediction{}, ErrTooFewSizes
 	}
 	largest := slices.MaxFunc(samples, func(a, b Sample) int { return int(math.Copysign(1, a.X-b.X)) }).X
 	var smaller []Sample
@@ -209,24 +213,24 @@
 			smaller = append(smaller, s)
 		}
 	}
-	slope, err := Fit(smaller)
+	model, err := Fit(smaller)
 	if err != nil {
 		return Prediction{}, err
 	}
-	p := Prediction{X: largest, Predicted: slope.At(largest), Measured: stat.Mean(measured, nil)}
-	p.Miss = (p.Predicted - p.Measured) / p.Measured
+	p := Prediction{X: largest, Predicted: model.At(largest), Measured: stat.Mean(measured, nil)}
+	p.RelativeError = (p.Predicted - p.Measured) / p.Measured
 	return p, nil
 }
 
-// MeanInterval returns the mean of repeated values with its confidence interval, which is the value itself if there is
-// only one.
+// MeanInterval returns the mean of repeated values and its confidence interval. The interval of a single value has zero
+// width.
 func MeanInterval(values []float64) (mean float64, interval Interval) {
 	mean = stat.Mean(values, nil)
 	if len(values) < 2 {
 		return mean, Interval{mean, mean}
 	}
 	n := float64(len(values))
-	return mean, intervalAround(mean, studentHalf(n-1)*stat.StdDev(values, nil)/math.Sqrt(n))
+	return mean, intervalAround(mean, studentCriticalValue(n-1)*stat.StdDev(values, nil)/math.Sqrt(n))
 }
 
 func square(x float64) float64 { return x * x }
--- a/internal/harness/scale/list.go
+++ b/internal/harness/scale/list.go
@@ -19,7 +19,7 @@
 
 var (
 	nameTable  = discovery.NameTable{Zones: zones(), Kinds: []string{"record-large"}}
-	errTimeout = errors.New("scale: condition not met in time")
+	errTimeout = errors.New("scale: timed out")
 	discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 )
 
@@ -31,7 +31,7 @@
 	return list
 }
 
-// serverEntry returns a server's entry on the endpoint list.
+// serverEntry returns the endpoint list entry of a server by its index.
 func serverEntry(i int) discovery.Entry {
 	return discovery.Entry{
 		ID: serverID(i), Addr: fmt.Sprintf("10.%d.%d.%d:9000", i>>16&255, i>>8&255, i&255),
@@ -40,24 +40,24 @@
 	}
 }
 
-// encodeList returns a full endpoint list as discovery sends it.
+// encodeList returns a full endpoint list, encoded as the discovery service sends it.
 func encodeList(servers int, version int64) []byte {
 	m := discovery.Message{Version: version, Full: true}
 	for i := range servers {
 		m.Servers = append(m.Servers, serverEntry(i))
 	}
-	return encode(m)
+	return encodeMessage(m)
 }
 
-// encodeChange returns a change of one server as discovery sends it.
+// encodeChange returns an incremental update of one server, encoded as the discovery service sends it.
 func encodeChange(server int, version int64) []byte {
-	return encode(discovery.Message{Version: version, Servers: []discovery.Entry{serverEntry(server)}})
+	return encodeMessage(discovery.Message{Version: version, Servers: []discovery.Entry{serverEntry(server)}})
 }
 
-func encode(m discovery.Message) []byte {
+func encodeMessage(m discovery.Message) []byte {
 	text, err := json.Marshal(m)
 	if err != nil {
-		panic(err) // the fields are plain values
+		panic(err) // cannot happen: all fields are plain values
 	}
 	return append(text, '\n')
 }
@@ -67,167 +67,170 @@
 		Name: "list",
 		Provenance: Provenance{Real: "internal/endpoints/discovery (Message, Names), internal/broker (Servers), internal/decision",
 			Virtual: "no socket"},
-		Small: axis(axisServers, []float64{50, 100, 200}),
-		Large: axis(axisServers, serverSizes),
-		Play:  playList,
+		SmallPoints:  axis(axisServers, []float64{50, 100, 200}),
+		LargePoints:  axis(axisServers, serverSizes),
+		MeasurePoint: measureList,
 	}
 }
 
-// playList applies full lists and then changes of one server, as a broker does.
-func playList(at Sizes, seed uint64) ([]Reading, error) {
+// measureList applies full endpoint lists and then incremental updates of one server, as a broker does.
+func measureList(at Sizes, seed uint64) ([]Reading, error) {
 	const fullLists, changes = 6, 60
 	servers := int(at.Of(axisServers))
 	list := encodeList(servers, 1)
-	module := decision.New(targetSettings(servers, TargetBrokers), seed)
-	known := broker.NewEndpoints()
+	policy := decision.New(targetSettings(servers, TargetBrokers), seed)
+	endpoints := broker.NewEndpoints()
 	before := memoryInUse()
 	meter := StartMeter()
 	for range fullLists {
-		if err := receiveList(list, known, module); err != nil {
+		if err := applyMessage(list, endpoints, policy); err != nil {
 			return nil, err
 		}
 	}
-	listCost := meter.Stop()
-	held := memoryInUse() - before
+	listUsage := meter.Stop()
+	memoryGrowth := memoryInUse() - before
 	meter = StartMeter()
 	for i := range changes {
-		if err := receiveList(encodeChange(i%servers, int64(i+2)), known, module); err != nil {
+		if err := applyMessage(encodeChange(i%servers, int64(i+2)), endpoints, policy); err != nil {
 			return nil, err
 		}
 	}
-	changeCost := meter.Stop()
-	entries, _ := known.Counts()
-	if entries != servers {
-		return nil, fmt.Errorf("scale: %d servers are known of %d", entries, servers)
+	changeUsage := meter.Stop()
+	known, _ := endpoints.Counts()
+	if known != servers {
+		return nil, fmt.Errorf("scale: %d of %d servers are on the applied endpoint list", known, servers)
 	}
 	return []Reading{
 		{"size of the list", "bytes", float64(len(list))},
 		{"size of a change", "bytes", float64(len(encodeChange(0, 1)))},
-		{"processor for the list", "µs", listCost.Processor.Seconds() * 1e6 / fullLists},
-		{"processor for a change", "µs", changeCost.Processor.Seconds() * 1e6 / changes},
-		{"allocated for the list", "bytes", float64(listCost.Allocated) / fullLists},
-		{"memory", "bytes", max(held, 1)},
+		{"processor for the list", "µs", listUsage.CPUTime.Seconds() * 1e6 / fullLists},
+		{"processor for a change", "µs", changeUsage.CPUTime.Seconds() * 1e6 / changes},
+		{"allocated for the list", "bytes", float64(listUsage.AllocatedBytes) / fullLists},
+		{"memory", "bytes", max(memoryGrowth, 1)},
 	}, nil
 }
 
-// receiveList applies one message of the watch as a broker does.
-func receiveList(data []byte, known *broker.Endpoints, module *decision.Policy) error {
-	var m discovery.Message
-	if err := json.Unmarshal(data, &m); err != nil {
+// applyMessage decodes one message of the endpoint watch and applies it as a broker does.
+func applyMessage(data []byte, endpoints *broker.Endpoints, policy *decision.Policy) error {
+	var message discovery.Message
+	if err := json.Unmarshal(data, &message); err != nil {
 		return err
 	}
-	l, err := nameTable.EndpointUpdate(m)
+	update, err := nameTable.EndpointUpdate(message)
 	if err != nil {
 		return err
 	}
-	known.Apply(l)
-	module.Handle(float64(m.Version), []decision.Event{l.Event()})
+	endpoints.Apply(update)
+	policy.Handle(float64(message.Version), []decision.Event{update.Event()})
 	return nil
 }
 
-// watchServers is the size of the list in experiments with many watchers, which share one machine's cores.
-const watchServers = 500
+// watchListSize is the number of servers on the list in experiments with many watchers. It is small because all watchers
+// share the cores of one machine.
+const watchListSize = 500
 
 func watchExperiment() Experiment {
 	return Experiment{
 		Name: "watch",
 		Provenance: Provenance{Real: "internal/endpoints/discovery (Watcher), listwatch and backoff over loopback",
-			Hollow: "brokers without clients; a fake discovery service in a process of its own, 500 servers on its list"},
-		Small: axis(axisBrokers, []float64{10}),
-		Large: axis(axisBrokers, brokerSizes),
-		Play:  playWatch,
+			Simulated: "brokers without clients; a fake discovery service in a process of its own, 500 servers on its list"},
+		SmallPoints:  axis(axisBrokers, []float64{10}),
+		LargePoints:  axis(axisBrokers, brokerSizes),
+		MeasurePoint: measureWatch,
 	}
 }
 
-// watcherSeedStep is the difference between the seeds of two brokers' backoffs, a prime.
+// watcherSeedStep is the difference between the seeds of consecutive brokers, a prime.
 const watcherSeedStep = 7919
 
-// newWatcher returns the endpoint watch of one of a number of brokers.
+// newWatcher returns an endpoint watcher for one broker in a fleet of a size.
 func newWatcher(addr string, update func(broker.EndpointUpdate), brokers int, seed uint64) *discovery.Watcher {
 	return &discovery.Watcher{
 		Addr: addr, NameTable: nameTable, Update: update, Log: discardLog, Backoff: backoff.New(brokers, seed),
 	}
 }
 
-// updateCounter counts the updates that all watchers receive.
+// updateCounter counts the endpoint updates that all watchers receive.
 type updateCounter struct {
 	mu        sync.Mutex
 	fullLists int
 	changes   int
-	delays    []float64 // seconds from when a change was sent until it was received
+	delays    []float64 // seconds from sending each change until it was received
 }
 
-// update counts an update. The version of a change is when it was sent, in Unix nanoseconds.
-func (t *updateCounter) update(l broker.EndpointUpdate) {
+// update counts an endpoint update. The version of a change is the time at which it was sent, in Unix nanoseconds.
+func (c *updateCounter) update(update broker.EndpointUpdate) {
 	now := time.Now()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if l.Mode == decision.FullUpdate {
-		t.fullLists++
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if update.Mode == decision.FullUpdate {
+		c.fullLists++
 		return
 	}
-	t.changes++
-	t.delays = append(t.delays, now.Sub(time.Unix(0, l.Version)).Seconds())
+	c.changes++
+	c.delays = append(c.delays, now.Sub(time.Unix(0, update.Version)).Seconds())
 }
 
-// waitForCounts waits until enough full lists and changes were received. The error is errTimeout.
-func (t *updateCounter) waitForCounts(fullLists, changes int, timeout time.Duration) error {
+// waitForCounts waits until the given numbers of full lists and changes have been received. The error is errTimeout.
+func (c *updateCounter) waitForCounts(fullLists, changes int, timeout time.Duration) error {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		t.mu.Lock()
-		done := t.fullLists >= fullLists && t.changes >= changes
-		t.mu.Unlock()
+		c.mu.Lock()
+		done := c.fullLists >= fullLists && c.changes >= changes
+		c.mu.Unlock()
 		if done {
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: %d lists of %d, %d changes of %d", errTimeout, t.fullLists, fullLists, t.changes, changes)
+	return fmt.Errorf("%w: received %d of %d full lists and %d of %d changes", errTimeout, c.fullLists, fullLists,
+		c.changes, changes)
 }
 
-// playWatch has brokers watch the endpoint list, first until all have it, then while it changes.
-func playWatch(at Sizes, seed uint64) ([]Reading, error) {
+// measureWatch starts the endpoint watches of all brokers. It measures until all brokers have the full list, and then while
+// the list changes.
+func measureWatch(at Sizes, seed uint64) ([]Reading, error) {
 	brokers := int(at.Of(axisBrokers))
-	c, err := startChild(roleDiscovery, watchServers)
+	discoveryService, err := startChild(roleDiscovery, watchListSize)
 	if err != nil {
 		return nil, err
 	}
-	defer c.stop()
+	defer discoveryService.stop()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	t := &updateCounter{}
+	counter := &updateCounter{}
 	before := memoryInUse()
 	meter := StartMeter()
 	for i := range brokers {
-		w := newWatcher(c.startLines[0], t.update, brokers, seed+uint64(i)*watcherSeedStep)
+		w := newWatcher(discoveryService.startLines[0], counter.update, brokers, seed+uint64(i)*watcherSeedStep)
 		go w.Run(ctx)
 	}
-	if err := t.waitForCounts(brokers, 0, listTimeout); err != nil {
+	if err := counter.waitForCounts(brokers, 0, listTimeout); err != nil {
 		return nil, err
 	}
-	start := meter.Stop()
-	held := memoryInUse() - before
+	listUsage := meter.Stop()
+	memoryGrowth := memoryInUse() - before
 	meter = StartMeter()
-	if err := c.startChanges(); err != nil {
+	if err := discoveryService.startChanges(); err != nil {
 		return nil, err
 	}
-	if err := t.waitForCounts(brokers, brokers*maxChanges, maxChanges*changeInterval+listTimeout); err != nil {
+	if err := counter.waitForCounts(brokers, brokers*changeCount, changeCount*changeInterval+listTimeout); err != nil {
 		return nil, err
 	}
-	changes := meter.Stop()
+	changeUsage := meter.Stop()
 	cancel()
-	far, err := c.stop()
+	discoveryTime, err := discoveryService.stop()
 	if err != nil {
 		return nil, err
 	}
-	slices.Sort(t.delays)
-	each := float64(brokers)
+	slices.Sort(counter.delays)
+	watchers := float64(brokers)
 	return []Reading{
-		{"all have the list", "s", start.Wall.Seconds()},
-		{"processor for the list", "µs a broker", start.Processor.Seconds() * 1e6 / each},
-		{"processor for a change", "µs a broker", changes.Processor.Seconds() * 1e6 / each / maxChanges},
-		{"memory", "bytes a broker", max(held/each, 1)},
-		{"a change has come to 99 in 100", "s", t.delays[len(t.delays)*99/100]},
-		{"a change has come to all", "s", t.delays[len(t.delays)-1]},
-		{"processor of the stand-in", "µs a broker", far.Seconds() * 1e6 / each},
-		{"lists told", "lists", float64(t.fullLists)},
+		{"all have the list", "s", listUsage.Wall.Seconds()},
+		{"processor for the list", "µs a broker", listUsage.CPUTime.Seconds() * 1e6 / watchers},
+		{"processor for a change", "µs a broker", changeUsage.CPUTime.Seconds() * 1e6 / watchers / changeCount},
+		{"memory", "bytes a broker", max(memoryGrowth/watchers, 1)},
+		{"a change has come to 99 in 100", "s", counter.delays[len(counter.delays)*99/100]},
+		{"a change has come to all", "s", counter.delays[len(counter.delays)-1]},
+		{"processor of the stand-in", "µs a broker", discoveryTime.Seconds() * 1e6 / watchers},
+		{"lists told", "lists", float64(counter.fullLists)},
 	}, nil
 }
--- a/internal/harness/scale/membership_faults.go
+++ b/internal/harness/scale/membership_faults.go
@@ -4,114 +4,116 @@
 
 func faultExperiment() Experiment {
 	return Experiment{
-		Name:       "faults",
-		Provenance: virtualProvenance("a rack, a zone and single machines die at once and come back"),
-		Small:      axis(axisBrokers, []float64{20, 30, 40}),
-		Large:      axis(axisBrokers, membershipSizes),
-		Play:       playFaults,
+		Name:         "faults",
+		Provenance:   virtualProvenance("a rack, a zone and single machines die at once and come back"),
+		SmallPoints:  axis(axisBrokers, []float64{20, 30, 40}),
+		LargePoints:  axis(axisBrokers, membershipSizes),
+		MeasurePoint: measureFaults,
 	}
 }
 
-// playFaults kills a rack, restarts it, and then kills a zone.
-func playFaults(at Sizes, seed uint64) ([]Reading, error) {
+// measureFaults kills the brokers of a rack, restarts them, and then kills the brokers of a zone.
+func measureFaults(at Sizes, seed uint64) ([]Reading, error) {
 	brokers := int(at.Of(axisBrokers))
-	w, _, err := newSettledNetwork(brokers, seed)
+	network, _, err := newSettledNetwork(brokers, seed)
 	if err != nil {
 		return nil, err
 	}
-	rack := w.kill(func(x *node) bool { return x.number >= seedsOfFleet }, min(TargetRack, brokers/maxRackDivisor))
-	rackLost, err := w.afterFault()
+	rack := network.kill(func(node *virtualNode) bool { return node.number >= seedCount }, min(TargetRackSize, brokers/minRacks))
+	rackLost, err := network.afterFault()
 	if err != nil {
 		return nil, err
 	}
-	for _, i := range rack {
-		w.start(i)
+	for _, number := range rack {
+		network.start(number)
 	}
-	rackBack, err := w.runUntilAgreed()
+	rackRestored, err := network.runUntilConverged()
 	if err != nil {
 		return nil, err
 	}
-	w.kill(func(x *node) bool { return x.zone == TargetZones-1 }, brokers)
-	zoneLost, err := w.afterFault()
+	network.kill(func(node *virtualNode) bool { return node.zone == TargetZones-1 }, brokers)
+	zoneLost, err := network.afterFault()
 	if err != nil {
 		return nil, err
 	}
 	return []Reading{
-		{"rack lost: one view", "s", rackLost.agreedAfter},
+		{"rack lost: one view", "s", rackLost.convergenceTime},
 		{"rack lost: bytes sent", "B/s a broker", rackLost.sentBytes},
-		{"rack back: one view", "s", max(rackBack, 0.001)},
-		{"zone lost: one view", "s", zoneLost.agreedAfter},
+		{"rack back: one view", "s", max(rackRestored, 0.001)},
+		{"zone lost: one view", "s", zoneLost.convergenceTime},
 		{"zone lost: bytes sent", "B/s a broker", zoneLost.sentBytes},
 		{"zone lost: bytes sent by the busiest", "B/s", zoneLost.maxSentBytes},
 	}, nil
 }
 
-// afterFault returns the traffic right after a fault, and runs until the running nodes agree.
-func (w *virtualNetwork) afterFault() (faultTraffic, error) {
-	from := w.now
-	t, err := w.recordFaultTraffic(faultDuration)
-	if err != nil || t.agreedAfter != 0 {
+// afterFault returns the traffic in the faultDuration after a fault, and runs until the running nodes have converged.
+func (n *virtualNetwork) afterFault() (faultTraffic, error) {
+	from := n.now
+	t, err := n.recordFaultTraffic(faultDuration)
+	if err != nil || t.convergenceTime != 0 {
 		return t, err
 	}
-	if _, err := w.runUntilAgreed(); err != nil {
+	if _, err := n.runUntilConverged(); err != nil {
 		return t, err
 	}
-	t.agreedAfter = (w.now - from).Seconds()
+	t.convergenceTime = (n.now - from).Seconds()
 	return t, nil
 }
 
 // faultTraffic is the traffic after a fault.
 type faultTraffic struct {
 	traffic
-	agreedAfter float64 // seconds from the fault until all running nodes agreed; 0: not yet
+	convergenceTime float64 // seconds from the fault until all running nodes converged; 0 if they have not yet
 }
 
-// recordFaultTraffic runs for a period, returns its traffic and checks meanwhile whether all running nodes agree.
-func (w *virtualNetwork) recordFaultTraffic(period time.Duration) (faultTraffic, error) {
-	var f faultTraffic
-	from, intervals := w.now, 0.0
-	for w.now-from < period {
-		t, err := w.recordTraffic(agreementPollInterval)
+// recordFaultTraffic runs for a period and returns its traffic. It checks at each convergencePollInterval whether all
+// running nodes have converged.
+func (n *virtualNetwork) recordFaultTraffic(period time.Duration) (faultTraffic, error) {
+	var total faultTraffic
+	from, intervals := n.now, 0.0
+	for n.now-from < period {
+		t, err := n.recordTraffic(convergencePollInterval)
 		if err != nil {
-			return f, err
+			return total, err
 		}
-		f.sentBytes += t.sentBytes
-		f.maxSentBytes = max(f.maxSentBytes, t.maxSentBytes)
+		total.sentBytes += t.sentBytes
+		total.maxSentBytes = max(total.maxSentBytes, t.maxSentBytes)
 		intervals++
-		if f.agreedAfter == 0 && w.allAgree(nil) {
-			f.agreedAfter = (w.now - from).Seconds()
+		if total.convergenceTime == 0 && n.converged(nil) {
+			total.convergenceTime = (n.now - from).Seconds()
 		}
 	}
-	f.sentBytes /= intervals
-	return f, nil
+	total.sentBytes /= intervals
+	return total, nil
 }
 
-func cutExperiment() Experiment {
+func partitionExperiment() Experiment {
 	return Experiment{
-		Name:       "cut",
-		Provenance: virtualProvenance("one region of three cut off, 40 brokers"),
-		Small:      axis(axisCut, []float64{5, 10, 30}),
-		Large:      axis(axisCut, []float64{60, 300, 540, 900, HourS}),
-		Play:       playCut,
+		Name:         "cut",
+		Provenance:   virtualProvenance("one region of three cut off, 40 brokers"),
+		SmallPoints:  axis(axisPartition, []float64{5, 10, 30}),
+		LargePoints:  axis(axisPartition, []float64{60, 300, 540, 900, SecondsPerHour}),
+		MeasurePoint: measurePartition,
 	}
 }
 
-// playCut cuts a region off and connects it again. The seeds are in three zones and so in all regions.
-func playCut(at Sizes, seed uint64) ([]Reading, error) {
-	w := newNetwork(cutBrokers, seed)
-	if _, err := w.runUntilAgreed(); err != nil {
+// measurePartition partitions one region from the others for a time and then heals the partition. The seeds are in three
+// zones, and so in all regions.
+func measurePartition(at Sizes, seed uint64) ([]Reading, error) {
+	network := newNetwork(partitionBrokers, seed)
+	if _, err := network.runUntilConverged(); err != nil {
 		return nil, err
 	}
-	cutOff := func(x *node) bool { return x.region == TargetRegions-1 }
-	w.cut = func(from, to *node) bool { return cutOff(from) != cutOff(to) }
-	t, err := w.recordTraffic(time.Duration(at.Of(axisCut) * float64(time.Second)))
+	isolated := func(node *virtualNode) bool { return node.region == TargetRegions-1 }
+	network.isLost = func(from, to *virtualNode) bool { return isolated(from) != isolated(to) }
+	during, err := network.recordTraffic(time.Duration(at.Of(axisPartition) * float64(time.Second)))
 	if err != nil {
 		return nil, err
 	}
-	minority := summarize(w.alive(cutOff))
-	majority := summarize(w.alive(func(x *node) bool { return !cutOff(x) }))
-	w.cut = func(_, _ *node) bool { return false }
-	healed, err := w.runUntilAgreed()
+	minority := summarizeViews(network.runningNodes(isolated))
+	majority := summarizeViews(network.runningNodes(func(node *virtualNode) bool { return !isolated(node) }))
+	network.isLost = func(_, _ *virtualNode) bool { return false }
+	healed, err := network.runUntilConverged()
 	if err != nil {
 		return nil, err
 	}
@@ -120,22 +122,22 @@
 		{"fenced in the region", "share", minority.fenced / minority.nodes},
 		{"fenced elsewhere", "share", majority.fenced / majority.nodes},
 		{"known in the region", "brokers a view", minority.known / minority.nodes},
-		{"bytes sent", "B/s a broker", t.sentBytes},
-		{"bytes sent by the busiest", "B/s", t.maxSentBytes},
+		{"bytes sent", "B/s a broker", during.sentBytes},
+		{"bytes sent by the busiest", "B/s", during.maxSentBytes},
 		{"one view after the heal", "s", max(healed, 0.001)},
 	}, nil
 }
 
-// summary counts the nodes of a set.
-type summary struct {
-	nodes  float64
-	fenced float64
-	known  float64 // sum over the nodes of the members that each knows
+// viewSummary summarizes the membership views of some nodes.
+type viewSummary struct {
+	nodes  float64 // number of nodes
+	fenced float64 // number of fenced nodes
+	known  float64 // number of members known to a node, summed over the nodes
 }
 
-func summarize(nodes []*node) (s summary) {
-	for _, x := range nodes {
-		size := x.FleetSize()
+func summarizeViews(nodes []*virtualNode) (s viewSummary) {
+	for _, node := range nodes {
+		size := node.FleetSize()
 		s.nodes++
 		s.known += float64(size.Known)
 		if size.Fenced {
--- a/internal/harness/scale/membership_processes.go
+++ b/internal/harness/scale/membership_processes.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	hollowAgreeTimeout  = 60 * time.Second
-	hollowMeasured      = 8 * time.Second      // without faults
-	hollowSpeedup       = 8                    // divides hollowMeasured for the small fleets of CI
-	hollowStartInterval = 5 * time.Millisecond // between the starts of two brokers
+	fleetConvergenceTimeout = 60 * time.Second
+	fleetMeasureDuration    = 8 * time.Second      // measured period without faults
+	smallFleetSpeedup       = 8                    // divides fleetMeasureDuration for the small fleets of CI
+	fleetStartInterval      = 5 * time.Millisecond // between the starts of two brokers
 )
 
-func hollowExperiment() Experiment {
+func simulatedFleetExperiment() Experiment {
 	return Experiment{
 		Name: "hollow",
 		Provenance: Provenance{Real: "internal/cluster/fleet, membership, plane, discovery, listwatch and backoff over loopback",
-			Hollow: "brokers without clients, all in one process; a fake discovery service in another"},
-		Small: axis(axisBrokers, []float64{8}),
-		Large: axis(axisBrokers, membershipSizes),
-		Play:  playHollow,
+			Simulated: "brokers without clients, all in one process; a fake discovery service in another"},
+		SmallPoints:  axis(axisBrokers, []float64{8}),
+		LargePoints:  axis(axisBrokers, membershipSizes),
+		MeasurePoint: measureSimulatedFleet,
 	}
 }
 
-// unusedAddresses returns addresses on loopback at which no process listens for datagrams.
+// unusedAddresses returns loopback addresses with UDP ports that no process uses.
 func unusedAddresses(n int) (list []netip.AddrPort, err error) {
 	for range n {
 		conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
@@ -42,22 +42,22 @@
 	return list, nil
 }
 
-// hollowFleet runs the membership and the endpoint watch of brokers without clients.
-type hollowFleet struct {
+// simulatedFleet runs the membership agents and the endpoint watches of brokers that have no clients.
+type simulatedFleet struct {
 	agents  []*fleet.Agent
 	updates updateCounter
 	running sync.WaitGroup
 }
 
-// start starts brokers one after the other, which run until ctx ends.
-func (f *hollowFleet) start(ctx context.Context, brokers int, discoveryAddr string, seed uint64) error {
+// start starts brokers one after another. They run until ctx is canceled.
+func (f *simulatedFleet) start(ctx context.Context, brokers int, discoveryAddr string, seed uint64) error {
 	addrs, err := unusedAddresses(brokers)
 	if err != nil {
 		return err
 	}
 	for i, addr := range addrs {
 		agent, err := fleet.Listen(fleet.Options{
-			Listen: addr, Fleet: "scale", Name: fmt.Sprint("n", i), Seeds: addrs[:min(seedsOfFleet, brokers)],
+			Listen: addr, Fleet: "scale", Name: fmt.Sprint("n", i), Seeds: addrs[:min(seedCount, brokers)],
 			Seed: seed + uint64(i), Log: discardLog,
 		})
 		if err != nil {
@@ -67,21 +67,22 @@
 		f.running.Go(func() { agent.Run(ctx) })
 		w := newWatcher(discoveryAddr, f.updates.update, brokers, seed+uint64(i)*watcherSeedStep)
 		f.running.Go(func() { w.Run(ctx) })
-		time.Sleep(hollowStartInterval)
+		time.Sleep(fleetStartInterval)
 	}
 	return nil
 }
 
-// playHollow starts a fleet, waits until all brokers see all others, and measures it without faults.
-func playHollow(at Sizes, seed uint64) ([]Reading, error) {
+// measureSimulatedFleet starts a fleet, waits until each broker sees all others as alive, and measures the cost without
+// faults.
+func measureSimulatedFleet(at Sizes, seed uint64) ([]Reading, error) {
 	brokers := int(at.Of(axisBrokers))
-	c, err := startChild(roleDiscovery, watchServers)
+	c, err := startChild(roleDiscovery, watchListSize)
 	if err != nil {
 		return nil, err
 	}
 	defer c.stop()
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &hollowFleet{}
+	f := &simulatedFleet{}
 	defer func() {
 		cancel()
 		f.running.Wait()
@@ -91,35 +92,35 @@
 		return nil, err
 	}
 	started := time.Now()
-	if err := f.waitUntilAllAlive(hollowAgreeTimeout); err != nil {
+	if err := f.waitUntilAllAlive(fleetConvergenceTimeout); err != nil {
 		return nil, err
 	}
-	agreedAfter := time.Since(started)
+	convergenceTime := time.Since(started)
 	if err := f.updates.waitForCounts(brokers, 0, listTimeout); err != nil {
 		return nil, err
 	}
-	measured := hollowMeasured
+	measuredPeriod := fleetMeasureDuration
 	if brokers < int(membershipSizes[0]) {
-		measured /= hollowSpeedup
+		measuredPeriod /= smallFleetSpeedup
 	}
 	meter := StartMeter()
-	time.Sleep(measured)
+	time.Sleep(measuredPeriod)
 	used := meter.Stop()
-	held := memoryInUse() - before
+	memoryGrowth := memoryInUse() - before
 	if err := f.waitUntilAllAlive(time.Second); err != nil {
-		return nil, err // the measured period was not without faults
+		return nil, err // a fault occurred in the measured period
 	}
-	seconds := measured.Seconds() * float64(brokers)
+	brokerSeconds := measuredPeriod.Seconds() * float64(brokers)
 	return []Reading{
-		{"one view after the last start", "s", max(agreedAfter.Seconds(), 0.001)},
-		{"processor", "µs a broker and second", used.Processor.Seconds() * 1e6 / seconds},
-		{"objects", "objects a broker and second", float64(used.Objects) / seconds},
-		{"memory", "bytes a broker", max(held/float64(brokers), 1)},
+		{"one view after the last start", "s", max(convergenceTime.Seconds(), 0.001)},
+		{"processor", "µs a broker and second", used.CPUTime.Seconds() * 1e6 / brokerSeconds},
+		{"objects", "objects a broker and second", float64(used.Allocations) / brokerSeconds},
+		{"memory", "bytes a broker", max(memoryGrowth/float64(brokers), 1)},
 	}, nil
 }
 
-// waitUntilAllAlive waits until every broker sees all of them alive. The error is errTimeout.
-func (f *hollowFleet) waitUntilAllAlive(timeout time.Duration) error {
+// waitUntilAllAlive waits until every broker sees all brokers as alive. The error is errTimeout.
+func (f *simulatedFleet) waitUntilAllAlive(timeout time.Duration) error {
 	alive := 0
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		alive = len(f.agents)
@@ -130,5 +131,5 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("%w: a broker sees %d of %d", errTimeout, alive, len(f.agents))
+	return fmt.Errorf("%w: a broker sees only %d of %d brokers as alive", errTimeout, alive, len(f.agents))
 }
--- a/internal/harness/scale/membership_restarts.go
+++ b/internal/harness/scale/membership_restarts.go
@@ -2,61 +2,61 @@
 
 import "time"
 
-func restartExperiment() Experiment {
+func rollingRestartExperiment() Experiment {
 	const brokers = 200
 	return Experiment{
-		Name:       "restarts",
-		Provenance: virtualProvenance("one broker after the other is killed and started a second later"),
-		Small:      axis(axisInterval, []float64{20, 10, 5}, Size{axisBrokers, 20}),
-		Large:      axis(axisInterval, []float64{30, 10, 6, 3, 1}, Size{axisBrokers, brokers}),
-		Play:       playRestarts,
+		Name:         "restarts",
+		Provenance:   virtualProvenance("one broker after the other is killed and started a second later"),
+		SmallPoints:  axis(axisRestartInterval, []float64{20, 10, 5}, Size{axisBrokers, 20}),
+		LargePoints:  axis(axisRestartInterval, []float64{30, 10, 6, 3, 1}, Size{axisBrokers, brokers}),
+		MeasurePoint: measureRollingRestart,
 	}
 }
 
-// playRestarts restarts one broker after the other at an interval.
-func playRestarts(at Sizes, seed uint64) ([]Reading, error) {
+// measureRollingRestart restarts one broker after another at an interval.
+func measureRollingRestart(at Sizes, seed uint64) ([]Reading, error) {
 	brokers := int(at.Of(axisBrokers))
-	interval := time.Duration(at.Of(axisInterval) * float64(time.Second))
-	w, _, err := newSettledNetwork(brokers, seed)
+	interval := time.Duration(at.Of(axisRestartInterval) * float64(time.Second))
+	network, _, err := newSettledNetwork(brokers, seed)
 	if err != nil {
 		return nil, err
 	}
 	var total trafficTotal
 	downtime := min(restartDowntime, interval/2)
-	end, next := w.now+restartsDuration, seedsOfFleet
-	for w.now < end {
-		i := next % brokers
+	end, next := network.now+restartsDuration, seedCount
+	for network.now < end {
+		number := next % brokers
 		next++
-		w.nodes[i].dead = true
-		if err := total.record(w, downtime); err != nil {
+		network.nodes[number].killed = true
+		if err := total.record(network, downtime); err != nil {
 			return nil, err
 		}
-		w.start(i)
-		if err := total.record(w, interval-downtime); err != nil {
+		network.start(number)
+		if err := total.record(network, interval-downtime); err != nil {
 			return nil, err
 		}
 	}
-	agreedAfter, err := w.runUntilAgreed()
+	convergenceTime, err := network.runUntilConverged()
 	if err != nil {
 		return nil, err
 	}
 	return []Reading{
 		{"bytes sent", "B/s a broker", total.sentBytes / total.seconds},
 		{"bytes sent by the busiest", "B/s", total.maxSentBytes},
-		{"one view after the last", "s", max(agreedAfter, 0.001)},
+		{"one view after the last", "s", max(convergenceTime, 0.001)},
 	}, nil
 }
 
-// trafficTotal sums up the traffic of several periods.
+// trafficTotal accumulates the traffic of several periods.
 type trafficTotal struct {
-	sentBytes    float64 // per node
-	maxSentBytes float64 // per second, of the busiest node in any period
-	seconds      float64
+	sentBytes    float64 // mean over the nodes, summed over the periods
+	maxSentBytes float64 // per second, the largest value of any node in any period
+	seconds      float64 // total length of the periods
 }
 
-// record runs for a period and adds its traffic.
-func (total *trafficTotal) record(w *virtualNetwork, period time.Duration) error {
-	t, err := w.recordTraffic(period)
+// record runs the network for a period and adds its traffic.
+func (total *trafficTotal) record(network *virtualNetwork, period time.Duration) error {
+	t, err := network.recordTraffic(period)
 	if err != nil {
 		return err
 	}
@@ -66,33 +66,33 @@
 	return nil
 }
 
-func returnExperiment() Experiment {
+func singleRestartExperiment() Experiment {
 	return Experiment{
-		Name:       "return",
-		Provenance: virtualProvenance("one broker is killed and started a second later at its address"),
-		Small:      axis(axisBrokers, []float64{10, 20, 30}),
-		Large:      axis(axisBrokers, membershipSizes),
-		Play:       playReturn,
+		Name:         "return",
+		Provenance:   virtualProvenance("one broker is killed and started a second later at its address"),
+		SmallPoints:  axis(axisBrokers, []float64{10, 20, 30}),
+		LargePoints:  axis(axisBrokers, membershipSizes),
+		MeasurePoint: measureSingleRestart,
 	}
 }
 
-// playReturn restarts one broker and measures what it sends: until its previous instance is forgotten, all others go on
-// to ping that one at the same address.
-func playReturn(at Sizes, seed uint64) ([]Reading, error) {
-	w, _, err := newSettledNetwork(int(at.Of(axisBrokers)), seed)
+// measureSingleRestart restarts one broker and measures its outgoing traffic. Until its previous instance is forgotten, all
+// other brokers keep pinging that instance at the same address.
+func measureSingleRestart(at Sizes, seed uint64) ([]Reading, error) {
+	network, _, err := newSettledNetwork(int(at.Of(axisBrokers)), seed)
 	if err != nil {
 		return nil, err
 	}
-	w.nodes[seedsOfFleet].dead = true
-	if err := w.run(w.now + restartDowntime); err != nil {
+	network.nodes[seedCount].killed = true
+	if err := network.run(network.now + restartDowntime); err != nil {
 		return nil, err
 	}
-	w.start(seedsOfFleet)
-	restarted := w.nodes[seedsOfFleet]
+	network.start(seedCount)
+	restarted := network.nodes[seedCount]
 	maxBytes, maxDatagrams := 0, 0
 	for range int(2 * faultDuration / time.Second) {
 		before := restarted.counters
-		if err := w.run(w.now + time.Second); err != nil {
+		if err := network.run(network.now + time.Second); err != nil {
 			return nil, err
 		}
 		maxBytes = max(maxBytes, restarted.counters.sentBytes-before.sentBytes)
--- a/internal/harness/scale/network.go
+++ b/internal/harness/scale/network.go
@@ -2,7 +2,6 @@
 
 import (
 	"container/heap"
-	"errors"
 	"fmt"
 	"math/rand/v2"
 	"net/netip"
@@ -13,75 +12,86 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-// The virtual network delays a datagram by a uniform time between half of its longest delay and that.
+// The virtual network delays each datagram by a uniformly distributed time between half of the maximum delay and the
+// maximum delay.
 const (
 	maxDelayInZone         = 1 * time.Millisecond
 	maxDelayInRegion       = 3 * time.Millisecond
 	maxDelayBetweenRegions = 50 * time.Millisecond
-	fleetName              = 7
-	agreementPollInterval  = 200 * time.Millisecond // virtual time
-	seedsOfFleet           = 3
-	maxQueue               = 1 << 22 // events
-	brokersPerAddrByte     = 250
 )
 
-// virtualNetwork runs the membership of many brokers on virtual time. Equal seeds give equal runs. Brokers are dealt to
-// zones, and zones to regions.
+const (
+	fleetID                 = 7                      // fleet fingerprint in datagrams
+	seedCount               = 3                      // brokers 0 to seedCount-1 are the seeds of the fleet
+	convergencePollInterval = 200 * time.Millisecond // virtual time
+	maxQueuedEvents         = 1 << 22
+	brokersPerAddrByte      = 250 // brokers with equal second bytes of their addresses
+)
+
+// virtualNetwork runs the membership protocol of many brokers on virtual time. Runs with equal seeds are equal. Brokers are
+// assigned round-robin to zones, and zones round-robin to regions.
 type virtualNetwork struct {
 	rng    *rand.Rand
-	now    time.Duration // since the start
-	nodes  []*node       // by the broker's number
-	byAddr map[netip.AddrPort]*node
+	now    time.Duration  // virtual time since the start
+	nodes  []*virtualNode // indexed by broker number
+	byAddr map[netip.AddrPort]*virtualNode
 	queue  eventQueue
-	cut    func(from, to *node) bool // reports whether datagrams from one node to another are lost
+	isLost func(from, to *virtualNode) bool // reports whether datagrams between two nodes are lost
 }
 
-// nodeCounters are the traffic of a node so far.
-type nodeCounters struct{ sentBytes, sentDatagrams, receivedBytes, receivedDatagrams int }
+// nodeCounters count the traffic of a node since its start.
+type nodeCounters struct {
+	sentBytes         int
+	sentDatagrams     int
+	receivedBytes     int
+	receivedDatagrams int
+}
 
-// node is one broker's membership.
-type node struct {
+// virtualNode is the membership view of one broker instance on the virtual network.
+type virtualNode struct {
 	*membership.View
-	number, zone, region int
-	addr                 netip.AddrPort
-	dead                 bool
-	startedAt            time.Duration // when its own clock was zero
-	counters             nodeCounters
+	number    int // of the broker
+	zone      int
+	region    int
+	addr      netip.AddrPort
+	killed    bool
+	startedAt time.Duration // virtual time at which the node's own clock is zero
+	counters  nodeCounters
 }
 
-// networkEvent is the arrival of a datagram at a node, or a tick of it.
+// networkEvent is the arrival of a datagram at a node, or a timer tick of the node.
 type networkEvent struct {
 	at   time.Duration
-	to   *node
+	to   *virtualNode
 	from netip.AddrPort
-	data *planepb.Datagram // nil: a tick
+	data *planepb.Datagram // nil for a tick
 }
 
-// eventQueue is a heap by time.
+// eventQueue is a heap ordered by time.
 type eventQueue []networkEvent
 
-func (a eventQueue) Len() int           { return len(a) }
-func (a eventQueue) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a eventQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *eventQueue) Push(v any)        { *a = append(*a, v.(networkEvent)) }
-func (a *eventQueue) Pop() any {
-	old := *a
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(v any)        { *q = append(*q, v.(networkEvent)) }
+func (q *eventQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
 	old[len(old)-1] = networkEvent{}
-	*a = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
-var errQueue = errors.New("scale: the virtual network holds too many datagrams")
+var errQueueFull = fmt.Errorf("scale: more than %d events queued on the virtual network", maxQueuedEvents)
 
-// newNetwork returns a network on which a number of brokers start at once.
+// newNetwork returns a network on which a number of brokers start at the same time.
 func newNetwork(brokers int, seed uint64) *virtualNetwork {
-	w := &virtualNetwork{rng: rand.New(rand.NewPCG(seed, 5)), byAddr: map[netip.AddrPort]*node{},
-		cut: func(_, _ *node) bool { return false }}
+	network := &virtualNetwork{rng: rand.New(rand.NewPCG(seed, 5)), byAddr: map[netip.AddrPort]*virtualNode{},
+		isLost: func(_, _ *virtualNode) bool { return false }}
 	for i := range brokers {
-		w.start(i)
+		network.start(i)
 	}
-	return w
+	return network
 }
 
 func brokerAddr(i int) netip.AddrPort {
@@ -89,100 +99,101 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(bytes), 7946)
 }
 
-// start starts the broker of a number, or restarts it as a new instance at its address.
-func (w *virtualNetwork) start(i int) {
-	x := &node{number: i, zone: i % TargetZones, region: i % TargetZones % TargetRegions, addr: brokerAddr(i),
-		startedAt: w.now}
+// start starts the broker with a number, or restarts it as a new instance at the same address.
+func (n *virtualNetwork) start(i int) {
+	node := &virtualNode{number: i, zone: i % TargetZones, region: i % TargetZones % TargetRegions, addr: brokerAddr(i),
+		startedAt: n.now}
 	var seeds []netip.AddrPort
-	for s := range seedsOfFleet {
+	for s := range seedCount {
 		seeds = append(seeds, brokerAddr(s))
 	}
-	x.View = membership.New(membership.Options{
-		Self:  membership.Instance{Name: fmt.Sprint("n", i), Start: uint64(w.now) + 1, Addr: x.addr},
-		Fleet: fleetName, Seeds: seeds, Seed: w.rng.Uint64(),
+	node.View = membership.New(membership.Options{
+		Self:  membership.Instance{Name: fmt.Sprint("n", i), Start: uint64(n.now) + 1, Addr: node.addr},
+		Fleet: fleetID, Seeds: seeds, Seed: n.rng.Uint64(),
 	})
-	if i < len(w.nodes) {
-		w.nodes[i].dead = true
-		w.nodes[i] = x
+	if i < len(n.nodes) {
+		n.nodes[i].killed = true
+		n.nodes[i] = node
 	} else {
-		w.nodes = append(w.nodes, x)
+		n.nodes = append(n.nodes, node)
 	}
-	w.byAddr[x.addr] = x
-	heap.Push(&w.queue, networkEvent{at: w.now + time.Duration(w.rng.Int64N(int64(membership.TickInterval))), to: x})
+	n.byAddr[node.addr] = node
+	heap.Push(&n.queue, networkEvent{at: n.now + time.Duration(n.rng.Int64N(int64(membership.TickInterval))), to: node})
 }
 
-// run runs all events up to a time. The error is errQueue.
-func (w *virtualNetwork) run(to time.Duration) error {
-	for len(w.queue) > 0 && w.queue[0].at <= to {
-		if len(w.queue) > maxQueue {
-			return errQueue
+// run processes all events up to a virtual time. The error is errQueueFull.
+func (n *virtualNetwork) run(to time.Duration) error {
+	for len(n.queue) > 0 && n.queue[0].at <= to {
+		if len(n.queue) > maxQueuedEvents {
+			return errQueueFull
 		}
-		e := heap.Pop(&w.queue).(networkEvent)
-		w.now = e.at
-		x := e.to
+		e := heap.Pop(&n.queue).(networkEvent)
+		n.now = e.at
+		node := e.to
 		switch {
-		case x.dead:
+		case node.killed:
 		case e.data == nil:
-			w.send(x, x.Tick(w.now-x.startedAt))
-			heap.Push(&w.queue, networkEvent{at: w.now + membership.TickInterval, to: x})
+			n.send(node, node.Tick(n.now-node.startedAt))
+			heap.Push(&n.queue, networkEvent{at: n.now + membership.TickInterval, to: node})
 		default:
-			x.counters.receivedBytes += plane.WireSize(e.data)
-			x.counters.receivedDatagrams++
-			w.send(x, x.Receive(w.now-x.startedAt, e.from, e.data))
+			node.counters.receivedBytes += plane.WireSize(e.data)
+			node.counters.receivedDatagrams++
+			n.send(node, node.Receive(n.now-node.startedAt, e.from, e.data))
 		}
 	}
-	w.now = to
+	n.now = to
 	return nil
 }
 
-// send sends a node's datagrams, of which those to dead or cut-off nodes are lost.
-func (w *virtualNetwork) send(from *node, out []membership.Send) {
+// send counts a node's outgoing datagrams and queues their arrival, except at unknown or killed nodes and where isLost
+// reports true.
+func (n *virtualNetwork) send(from *virtualNode, out []membership.Send) {
 	for _, s := range out {
 		from.counters.sentBytes += plane.WireSize(s.Data)
 		from.counters.sentDatagrams++
-		to := w.byAddr[s.Addr]
-		if to == nil || to.dead || w.cut(from, to) {
+		to := n.byAddr[s.Addr]
+		if to == nil || to.killed || n.isLost(from, to) {
 			continue
 		}
-		heap.Push(&w.queue, networkEvent{at: w.now + w.delay(from, to), to: to, from: from.addr, data: s.Data})
+		heap.Push(&n.queue, networkEvent{at: n.now + n.delay(from, to), to: to, from: from.addr, data: s.Data})
 	}
 }
 
-// delay draws the delay of a datagram.
-func (w *virtualNetwork) delay(from, to *node) time.Duration {
-	longest := maxDelayBetweenRegions
+// delay returns a random delay for a datagram between two nodes.
+func (n *virtualNetwork) delay(from, to *virtualNode) time.Duration {
+	maxDelay := maxDelayBetweenRegions
 	if from.zone == to.zone {
-		longest = maxDelayInZone
+		maxDelay = maxDelayInZone
 	} else if from.region == to.region {
-		longest = maxDelayInRegion
+		maxDelay = maxDelayInRegion
 	}
-	return longest/2 + time.Duration(w.rng.Int64N(int64(longest/2)))
+	return maxDelay/2 + time.Duration(n.rng.Int64N(int64(maxDelay/2)))
 }
 
-// alive returns the running nodes of a set, or of all if in is nil.
-func (w *virtualNetwork) alive(in func(*node) bool) (list []*node) {
-	for _, x := range w.nodes {
-		if !x.dead && (in == nil || in(x)) {
-			list = append(list, x)
+// runningNodes returns the running nodes that a filter includes, or all running nodes if the filter is nil.
+func (n *virtualNetwork) runningNodes(include func(*virtualNode) bool) (list []*virtualNode) {
+	for _, node := range n.nodes {
+		if !node.killed && (include == nil || include(node)) {
+			list = append(list, node)
 		}
 	}
 	return list
 }
 
-// allAgree reports whether each running node of a set sees exactly the running nodes of the set as alive.
-func (w *virtualNetwork) allAgree(in func(*node) bool) bool {
-	live := w.alive(in)
-	for _, x := range live {
-		if x.FleetSize().Alive != len(live) {
+// converged reports whether each included running node sees exactly the included running nodes as alive.
+func (n *virtualNetwork) converged(include func(*virtualNode) bool) bool {
+	running := n.runningNodes(include)
+	for _, node := range running {
+		if node.FleetSize().Alive != len(running) {
 			return false
 		}
 	}
 	names := map[string]bool{}
-	for _, x := range live {
-		names[fmt.Sprint("n", x.number)] = true
+	for _, node := range running {
+		names[fmt.Sprint("n", node.number)] = true
 	}
-	for _, x := range live {
-		for _, m := range x.Members() {
+	for _, node := range running {
+		for _, m := range node.Members() {
 			if m.Status == membership.Alive && !names[m.Name] {
 				return false
 			}
@@ -191,60 +202,64 @@
 	return true
 }
 
-// runUntilAgreed runs until all nodes agree and returns how many seconds that took. It stops after agreeTimeout.
-func (w *virtualNetwork) runUntilAgreed() (float64, error) {
-	from := w.now
-	for !w.allAgree(nil) && w.now-from < agreeTimeout {
-		if err := w.run(w.now + agreementPollInterval); err != nil {
+// runUntilConverged runs until all running nodes have the same view and returns how many seconds that took. It stops after
+// convergenceTimeout.
+func (n *virtualNetwork) runUntilConverged() (float64, error) {
+	from := n.now
+	for !n.converged(nil) && n.now-from < convergenceTimeout {
+		if err := n.run(n.now + convergencePollInterval); err != nil {
 			return 0, err
 		}
 	}
-	return (w.now - from).Seconds(), nil
+	return (n.now - from).Seconds(), nil
 }
 
-// traffic is what the nodes sent and received in a period, per second and node.
+// traffic is the mean traffic per second and node in a period.
 type traffic struct {
-	sentBytes, sentDatagrams, receivedBytes, receivedDatagrams float64
+	sentBytes         float64
+	sentDatagrams     float64
+	receivedBytes     float64
+	receivedDatagrams float64
 
-	maxSentBytes float64 // of the busiest node, per second
+	maxSentBytes float64 // per second, of the node that sent most
 }
 
-// recordTraffic runs for a period and returns the traffic of the nodes that were running throughout.
-func (w *virtualNetwork) recordTraffic(period time.Duration) (traffic, error) {
-	before, from := map[*node]nodeCounters{}, w.now
-	for _, x := range w.alive(nil) {
-		before[x] = x.counters
+// recordTraffic runs for a period and returns the traffic of the nodes that were running throughout the period.
+func (n *virtualNetwork) recordTraffic(period time.Duration) (traffic, error) {
+	before, from := map[*virtualNode]nodeCounters{}, n.now
+	for _, node := range n.runningNodes(nil) {
+		before[node] = node.counters
 	}
-	if err := w.run(w.now + period); err != nil {
+	if err := n.run(n.now + period); err != nil {
 		return traffic{}, err
 	}
 	var t traffic
-	n, seconds := 0.0, (w.now - from).Seconds()
-	for x, c := range before {
-		if x.dead {
+	nodes, seconds := 0.0, (n.now - from).Seconds()
+	for node, c := range before {
+		if node.killed {
 			continue
 		}
-		n++
-		sentBytes := float64(x.counters.sentBytes - c.sentBytes)
+		nodes++
+		sentBytes := float64(node.counters.sentBytes - c.sentBytes)
 		t.sentBytes += sentBytes
 		t.maxSentBytes = max(t.maxSentBytes, sentBytes/seconds)
-		t.sentDatagrams += float64(x.counters.sentDatagrams - c.sentDatagrams)
-		t.receivedBytes += float64(x.counters.receivedBytes - c.receivedBytes)
-		t.receivedDatagrams += float64(x.counters.receivedDatagrams - c.receivedDatagrams)
+		t.sentDatagrams += float64(node.counters.sentDatagrams - c.sentDatagrams)
+		t.receivedBytes += float64(node.counters.receivedBytes - c.receivedBytes)
+		t.receivedDatagrams += float64(node.counters.receivedDatagrams - c.receivedDatagrams)
 	}
-	per := max(n, 1) * seconds
-	t.sentBytes, t.sentDatagrams = t.sentBytes/per, t.sentDatagrams/per
-	t.receivedBytes, t.receivedDatagrams = t.receivedBytes/per, t.receivedDatagrams/per
+	nodeSeconds := max(nodes, 1) * seconds
+	t.sentBytes, t.sentDatagrams = t.sentBytes/nodeSeconds, t.sentDatagrams/nodeSeconds
+	t.receivedBytes, t.receivedDatagrams = t.receivedBytes/nodeSeconds, t.receivedDatagrams/nodeSeconds
 	return t, nil
 }
 
-// kill kills the nodes of a set, maxNodes at most, and returns their numbers.
-func (w *virtualNetwork) kill(in func(*node) bool, maxNodes int) (killed []int) {
-	for _, x := range w.alive(in) {
-		if len(killed) < maxNodes {
-			x.dead = true
-			killed = append(killed, x.number)
+// kill kills the included running nodes, at most maxNodes, and returns their numbers.
+func (n *virtualNetwork) kill(include func(*virtualNode) bool, maxNodes int) (numbers []int) {
+	for _, node := range n.runningNodes(include) {
+		if len(numbers) < maxNodes {
+			node.killed = true
+			numbers = append(numbers, node.number)
 		}
 	}
-	return killed
+	return numbers
 }
--- a/internal/harness/scale/page_slopes.go
+++ b/internal/harness/scale/page_slopes.go
@@ -7,8 +7,10 @@
 	"strconv"
 )
 
-func (p page) samples(experiment, name, axis, fixed string) ([]Sample, *Record, error) {
-	at, err := parseSizes(fixed)
+// samples returns the samples of a measure along an axis, at the points with fixed sizes on other axes, and their record.
+// Both are nil if the experiment has no record.
+func (p page) samples(experiment, name, axis, fixedSizes string) ([]Sample, *Record, error) {
+	at, err := parseSizes(fixedSizes)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -21,55 +23,57 @@
 	return r.Samples(name, axis, at...), r, nil
 }
 
-// slope returns a row of the table of slopes: the measure, its axis, form, exponent, rate and prediction, and the cost
-// at the target's size.
-func (p page) slope(experiment, name, axis, fixed string, target float64) (string, error) {
-	samples, r, err := p.samples(experiment, name, axis, fixed)
+// slopeRow returns a row of the table of fitted cost models: the measure, its axis, the model's form, exponent and rate, the
+// error of its prediction, and the cost at the target's size.
+func (p page) slopeRow(experiment, name, axis, fixedSizes string, target float64) (string, error) {
+	samples, r, err := p.samples(experiment, name, axis, fixedSizes)
 	if err != nil {
 		return "", err
 	}
 	label := fmt.Sprintf("| %s: %s | %s", experiment, name, axis)
-	if fixed != "" {
-		label += ", " + fixed
+	if fixedSizes != "" {
+		label += ", " + fixedSizes
 	}
 	if samples == nil {
 		return label + " | " + notRun + " | | | | |", nil
 	}
-	slope, err := Fit(samples)
+	model, err := Fit(samples)
 	if err != nil {
-		return "", fmt.Errorf("%s %s: %w", experiment, name, err)
+		return "", fmt.Errorf("fit %q of experiment %s: %w", name, experiment, err)
 	}
 	exponent, err := FitExponent(samples)
 	if err != nil {
 		return "", err
 	}
-	check := "too few sizes"
+	predictionError := "too few sizes"
 	prediction, err := Predict(samples)
 	if err == nil {
-		check = fmt.Sprintf("%+.0f %%", 100*prediction.Miss)
-		if !prediction.WithinMissLimit() {
-			check += ", **measured is used**"
+		predictionError = fmt.Sprintf("%+.0f %%", 100*prediction.RelativeError)
+		if !prediction.WithinErrorLimit() {
+			predictionError += ", **measured is used**"
 		}
-	} else if !errors.Is(err, ErrTooFew) {
+	} else if !errors.Is(err, ErrTooFewSizes) {
 		return "", err
 	}
-	value, how := p.valueAt(samples, slope, target)
+	value, source := p.costAt(samples, model, target)
 	const row = "%s | %s | %.2f (%.2f to %.2f) | %s (%s to %s) | %s | %s %s at %s, %s | `%s-%s` |"
-	return fmt.Sprintf(row, label, slope.Form, exponent.Value, exponent.Interval.Low, exponent.Interval.High,
-		slopeRate(slope), formatRate(slope.RateInterval.Low),
-		formatRate(slope.RateInterval.High), check, formatNumber(value), unitOf(r, name), formatNumber(target), how, r.Experiment, r.Commit), nil
+	return fmt.Sprintf(row, label, model.Form, exponent.Value, exponent.Interval.Low, exponent.Interval.High,
+		formatModelRate(model), formatRate(model.RateInterval.Low), formatRate(model.RateInterval.High), predictionError,
+		formatNumber(value), unitOfMeasure(r, name), formatNumber(target), source, r.Experiment, r.Commit), nil
 }
 
-func slopeRate(s Slope) string {
-	if s.Form == Constant {
-		return formatRate(s.Base)
+// formatModelRate formats the model's rate, or its base if its form is Constant.
+func formatModelRate(m CostModel) string {
+	if m.Form == Constant {
+		return formatRate(m.Base)
 	}
-	return formatRate(s.Rate)
+	return formatRate(m.Rate)
 }
 
-func formatRate(x float64) string { return strconv.FormatFloat(x, 'g', 3, 64) }
+func formatRate(rate float64) string { return strconv.FormatFloat(rate, 'g', 3, 64) }
 
-func unitOf(r *Record, name string) string {
+// unitOfMeasure returns the unit of a measure, or "" if the record's first point does not have it.
+func unitOfMeasure(r *Record, name string) string {
 	for _, m := range r.Points[0].Measures {
 		if m.Name == name {
 			return m.Unit
@@ -78,9 +82,9 @@
 	return ""
 }
 
-// valueAt returns the cost at a size, which is the measured mean if there is one and else that of the slope, and how it
-// was obtained.
-func (p page) valueAt(samples []Sample, slope Slope, x float64) (value float64, how string) {
+// costAt returns the cost at a size x and how it was obtained. The cost is the measured mean if x was measured, and that of
+// the model otherwise.
+func (p page) costAt(samples []Sample, model CostModel, x float64) (value float64, source string) {
 	var measured []float64
 	for _, s := range samples {
 		if s.X == x {
@@ -93,47 +97,49 @@
 	}
 	prediction, err := Predict(samples)
 	if err != nil {
-		return slope.At(x), "computed, unchecked: too few sizes to know"
+		return model.At(x), "computed, unchecked: too few sizes to know"
 	}
-	if !prediction.WithinMissLimit() {
-		return slope.At(x), "computed beyond what was measured, by a slope that missed"
+	if !prediction.WithinErrorLimit() {
+		return model.At(x), "computed beyond what was measured, by a slope that missed"
 	}
-	return slope.At(x), "computed"
+	return model.At(x), "computed"
 }
 
-// fitted returns the samples of a cost with their slope, or nil samples if the experiment was not run.
-func (p page) fitted(experiment, name, axis, fixed string) (samples []Sample, slope Slope, err error) {
-	if samples, _, err = p.samples(experiment, name, axis, fixed); samples != nil {
-		slope, err = Fit(samples)
+// fitSamples returns the samples of a cost and their fitted model. The samples are nil if the experiment has no record.
+func (p page) fitSamples(experiment, name, axis, fixedSizes string) (samples []Sample, model CostModel, err error) {
+	if samples, _, err = p.samples(experiment, name, axis, fixedSizes); samples != nil {
+		model, err = Fit(samples)
 	}
-	return samples, slope, err
+	return samples, model, err
 }
 
-// valueBeyond returns the cost at a size, measured or by the slope, or NaN if the experiment was not run.
-func (p page) valueBeyond(experiment, name, axis, fixed string, x float64) (float64, error) {
-	samples, slope, err := p.fitted(experiment, name, axis, fixed)
+// estimatedCost returns the cost at a size x, measured or computed by the fitted model, or NaN if the experiment has no
+// record.
+func (p page) estimatedCost(experiment, name, axis, fixedSizes string, x float64) (float64, error) {
+	samples, model, err := p.fitSamples(experiment, name, axis, fixedSizes)
 	if err != nil || samples == nil {
 		return math.NaN(), err
 	}
-	value, _ := p.valueAt(samples, slope, x)
+	value, _ := p.costAt(samples, model, x)
 	return value, nil
 }
 
-// maxSize is the largest size that sizeAtLimit considers.
+// maxSize is the largest size that sizeAtLimit searches.
 const maxSize = 1e7
 
-// sizeAtLimit returns the least size at which a cost reaches a limit by its slope, or +Inf if that is beyond maxSize.
-func (p page) sizeAtLimit(experiment, name, axis, fixed string, limit float64) (float64, error) {
-	samples, slope, err := p.fitted(experiment, name, axis, fixed)
+// sizeAtLimit returns the smallest size at which the cost computed by the fitted model reaches a limit. It returns +Inf if
+// that size is above maxSize, and NaN if the experiment has no record.
+func (p page) sizeAtLimit(experiment, name, axis, fixedSizes string, limit float64) (float64, error) {
+	samples, model, err := p.fitSamples(experiment, name, axis, fixedSizes)
 	if err != nil || samples == nil {
 		return math.NaN(), err
 	}
-	if slope.At(maxSize) < limit {
+	if model.At(maxSize) < limit {
 		return math.Inf(1), nil
 	}
 	low, high := 1.0, maxSize
 	for range 100 {
-		if mid := (low + high) / 2; slope.At(mid) < limit {
+		if mid := (low + high) / 2; model.At(mid) < limit {
 			low = mid
 		} else {
 			high = mid
--- a/internal/harness/scale/page_test.go
+++ b/internal/harness/scale/page_test.go
@@ -18,7 +18,7 @@
 	recordsDir = "../../../docs/capacity"
 )
 
-// The page is the one rendered from the records.
+// docs/CAPACITY.md must equal the page rendered from the records.
 func TestPageMatchesRecords(t *testing.T) {
 	records, err := scale.ReadRecords(recordsDir)
 	require.NoError(t, err)
@@ -30,14 +30,15 @@
 	}
 	committed, err := os.ReadFile(pagePath)
 	require.NoError(t, err)
-	want, have := strings.Split(string(page), "\n"), strings.Split(string(committed), "\n")
-	for i := range min(len(want), len(have)) {
-		require.Equal(t, want[i], have[i], "line %d; go test ./internal/harness/scale -run TestPage -update", i+1)
+	want, got := strings.Split(string(page), "\n"), strings.Split(string(committed), "\n")
+	for i := range min(len(want), len(got)) {
+		require.Equal(t, want[i], got[i],
+			"line %d; run `go test ./internal/harness/scale -run TestPage -update` to render the page again", i+1)
 	}
-	require.Len(t, have, len(want))
+	require.Len(t, got, len(want))
 }
 
-// Changing the values of any record changes the page: none is left out or written by hand.
+// Changing the values of any record changes the page, so that no record is left out and no figure is written by hand.
 func TestPageDependsOnEveryRecord(t *testing.T) {
 	records, err := scale.ReadRecords(recordsDir)
 	require.NoError(t, err)
--- a/internal/harness/scale/quantile.go
+++ b/internal/harness/scale/quantile.go
@@ -6,25 +6,25 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// hedgeAt is the quantile of a part's latency after which its hedge is sent.
-const hedgeAt = 0.95
+// hedgeQuantile is the latency quantile of a part at which its hedge is sent.
+const hedgeQuantile = 0.95
 
 func quantileExperiment() Experiment {
 	points := grid(axisParts, partSizes, axisMinCompleteness, []float64{1, 0.99, 0.95, 0.8})
 	return Experiment{
-		Name:       "quantile",
-		Provenance: Provenance{Computed: "parts' latencies taken for independent of each other"},
-		Small:      points, Large: points,
-		Play: playQuantile,
+		Name:        "quantile",
+		Provenance:  Provenance{Computed: "parts' latencies taken for independent of each other"},
+		SmallPoints: points, LargePoints: points,
+		MeasurePoint: measureQuantile,
 	}
 }
 
-// playQuantile computes which fraction of parts has to be in time so that TargetQuantile of queries are.
-func playQuantile(at Sizes, _ uint64) ([]Reading, error) {
+// measureQuantile computes the fraction of parts that must be in time for TargetQuantile of the queries to be in time.
+func measureQuantile(at Sizes, _ uint64) ([]Reading, error) {
 	late := 1 - PartQuantile(int(at.Of(axisParts)), at.Of(axisMinCompleteness))
-	// A hedged part is late if both attempts are. The hedge has only the rest of the time; the probability that it is late
-	// is assumed to be that of a first attempt beyond hedgeAt, which is conservative.
-	hedged := late / (1 - hedgeAt)
+	// A hedged part is late if both attempts are late. The hedge has only the time that remains after hedgeQuantile; its
+	// probability of being late is assumed to be that of a first attempt to exceed hedgeQuantile, which is conservative.
+	hedged := late / (1 - hedgeQuantile)
 	return []Reading{
 		{"quantile of a part", "share", 1 - late},
 		{"late parts", "parts in a million", late * 1e6},
@@ -32,16 +32,16 @@
 	}, nil
 }
 
-// PartQuantile returns the least fraction of parts that has to be in time, so that the minimum completeness of a query's
-// parts is in time for TargetQuantile of all queries. Parts are assumed to be independent.
+// PartQuantile returns the smallest fraction of parts in time with which TargetQuantile of all queries reach their
+// minimum completeness in time. It assumes that the latencies of parts are independent.
 func PartQuantile(parts int, minCompleteness float64) float64 {
 	const (
-		rounding = 1e-9 // of the product of two floats
-		halvings = 200  // more than the digits of a float64
+		roundingError = 1e-9 // bound on that of the product of two float64 values
+		bisections    = 200  // more than the digits of a float64
 	)
-	required := math.Ceil(float64(parts)*minCompleteness - rounding)
+	required := math.Ceil(float64(parts)*minCompleteness - roundingError)
 	low, high := 0.0, 1.0
-	for range halvings {
+	for range bisections {
 		mid := (low + high) / 2
 		if inTimeProbability(parts, required, mid) < TargetQuantile {
 			low = mid
@@ -52,8 +52,8 @@
 	return high
 }
 
-// inTimeProbability returns the probability that at least the required parts of a query are in time, each with the
-// probability partInTime. It counts the late parts, which are few, for precision.
+// inTimeProbability returns the probability that at least the required number of a query's parts are in time, if each part
+// is in time with the probability partInTime. It uses the distribution of the late parts, which are few, for precision.
 func inTimeProbability(parts int, required, partInTime float64) float64 {
 	late := distuv.Binomial{N: float64(parts), P: 1 - partInTime}
 	return late.CDF(float64(parts) - required)
--- a/internal/harness/scale/record.go
+++ b/internal/harness/scale/record.go
@@ -10,25 +10,25 @@
 	"time"
 )
 
-// Provenance describes which components of a run were real and which were replaced. A field is empty if it does not
-// apply.
+// Provenance describes which components of a run were real and which were simulated or computed. A field is empty if it
+// does not apply.
 type Provenance struct {
-	Real     string `json:"real,omitempty"`     // the program's own code on real sockets or a real clock
-	Hollow   string `json:"hollow,omitempty"`   // the program's state machines and drivers without clients or work
-	Virtual  string `json:"virtual,omitempty"`  // on a virtual network or clock
-	Computed string `json:"computed,omitempty"` // by arithmetic or random draws
+	Real      string `json:"real,omitempty"`     // the program's own code on real sockets or a real clock
+	Simulated string `json:"hollow,omitempty"`   // state machines and drivers without clients or work, or fake servers
+	Virtual   string `json:"virtual,omitempty"`  // run on a virtual network or clock
+	Computed  string `json:"computed,omitempty"` // determined by arithmetic or random draws
 }
 
-// Size is the value of one axis at a point.
+// Size is a parameter of a measured workload, such as 4,600 on the axis "servers".
 type Size struct {
 	Axis  string  `json:"axis"`
 	Value float64 `json:"value"`
 }
 
-// Sizes are a point's values on all axes.
+// Sizes identify a point of an experiment by one size per axis.
 type Sizes []Size
 
-// Of returns the value on an axis, or 0 if there is none.
+// Of returns the size on an axis, or 0 if the point has none.
 func (s Sizes) Of(axis string) float64 {
 	for _, size := range s {
 		if size.Axis == axis {
@@ -38,27 +38,27 @@
 	return 0
 }
 
-// Reading is one measured value.
+// Reading is one value of a measure, from one repetition.
 type Reading struct {
 	Name  string
 	Unit  string
 	Value float64
 }
 
-// Measure is a quantity that was measured at a point, with a value for each repetition.
+// Measure is a quantity that was measured at a point, with one value per repetition.
 type Measure struct {
 	Name   string    `json:"name"`
 	Unit   string    `json:"unit"`
 	Values []float64 `json:"values"`
 }
 
-// Point is what was measured at one combination of sizes.
+// Point holds the measures at one combination of sizes.
 type Point struct {
 	Sizes    Sizes     `json:"sizes"`
 	Measures []Measure `json:"measures"`
 }
 
-// Values returns the values of a measure, or nil if it was not measured.
+// Values returns the values of a measure, or nil if the point has no such measure.
 func (p Point) Values(name string) []float64 {
 	for _, m := range p.Measures {
 		if m.Name == name {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// repetitions returns how often the point was measured.
+// repetitions returns how many times the point was measured.
 func (p Point) repetitions() int {
 	if len(p.Measures) == 0 {
 		return 0
@@ -76,7 +76,7 @@
 	return len(p.Measures[0].Values)
 }
 
-// add adds the readings of one repetition.
+// add appends the readings of one repetition to the point's measures.
 func (p *Point) add(readings []Reading) {
 	for _, r := range readings {
 		i := slices.IndexFunc(p.Measures, func(m Measure) bool { return m.Name == r.Name })
@@ -94,7 +94,7 @@
 	Cores     int     `json:"cores"`
 	MemoryGB  float64 `json:"memory_gb"`
 	Go        string  `json:"go"`
-	Shared    bool    `json:"shared"` // other processes ran beside it
+	Shared    bool    `json:"shared"` // other processes ran at the same time
 }
 
 // Record is one run of an experiment at all of its points.
@@ -110,29 +110,31 @@
 	Points      []Point    `json:"points"`
 }
 
-// ErrRecord is the error of a record that lacks something or belongs to another run.
-var ErrRecord = errors.New("scale: a record is incomplete")
+// ErrInvalidRecord is returned for a record that is incomplete or belongs to another run.
+var ErrInvalidRecord = errors.New("scale: invalid record")
 
-// errNoRecord is the error of an experiment without a record.
+// errNoRecord is returned if no run of an experiment is recorded.
 var errNoRecord = errors.New("scale: no record")
 
-// Check returns nil for a complete record, or else ErrRecord with what it lacks.
+// Check returns nil if the record is complete, and otherwise an ErrInvalidRecord that says what is missing.
 func (r *Record) Check() error {
 	switch {
 	case r.Experiment == "" || r.Commit == "" || r.Command == "" || r.Began.IsZero() || r.Machine.Cores == 0:
-		return fmt.Errorf("%w: experiment, commit, command, time and machine are required", ErrRecord)
+		return fmt.Errorf("%w: experiment, commit, command, began and machine are required", ErrInvalidRecord)
 	case r.Provenance == Provenance{}:
-		return fmt.Errorf("%w: the provenance is required", ErrRecord)
+		return fmt.Errorf("%w: provenance is required", ErrInvalidRecord)
 	case r.Repetitions < 1 || len(r.Points) == 0:
-		return fmt.Errorf("%w: no point or no repetition", ErrRecord)
+		return fmt.Errorf("%w: %d points and %d repetitions, want at least one of each", ErrInvalidRecord, len(r.Points),
+			r.Repetitions)
 	}
 	for _, p := range r.Points {
 		if len(p.Sizes) == 0 || len(p.Measures) == 0 {
-			return fmt.Errorf("%w: a point without sizes or measures", ErrRecord)
+			return fmt.Errorf("%w: point %v has %d sizes and %d measures, want at least one of each", ErrInvalidRecord, p.Sizes,
+				len(p.Sizes), len(p.Measures))
 		}
 		for _, m := range p.Measures {
 			if len(m.Values) != r.Repetitions {
-				return fmt.Errorf("%w: %s at %v has %d values for %d repetitions", ErrRecord, m.Name, p.Sizes,
+				return fmt.Errorf("%w: measure %q at %v has %d values for %d repetitions", ErrInvalidRecord, m.Name, p.Sizes,
 					len(m.Values), r.Repetitions)
 			}
 		}
@@ -140,12 +142,12 @@
 	return nil
 }
 
-// Samples returns the values of a measure along one axis, at the points that have the fixed sizes on other axes.
+// Samples returns the values of a measure along one axis, at the points that have the given sizes on other axes.
 func (r *Record) Samples(name, axis string, fixed ...Size) []Sample {
 	var samples []Sample
 	for _, p := range r.Points {
-		off := func(f Size) bool { return p.Sizes.Of(f.Axis) != f.Value }
-		if slices.ContainsFunc(fixed, off) {
+		differs := func(f Size) bool { return p.Sizes.Of(f.Axis) != f.Value }
+		if slices.ContainsFunc(fixed, differs) {
 			continue
 		}
 		for _, v := range p.Values(name) {
@@ -155,26 +157,28 @@
 	return samples
 }
 
-// At returns the values of a measure at the one point with the given sizes. It is an error if none or several match.
+// At returns the values of a measure at the point with the given sizes. It returns an error unless exactly one point with
+// that measure matches.
 func (r *Record) At(name string, sizes ...Size) ([]float64, error) {
 	var found []float64
 	for _, p := range r.Points {
-		off := func(f Size) bool { return p.Sizes.Of(f.Axis) != f.Value }
-		if slices.ContainsFunc(sizes, off) {
+		differs := func(f Size) bool { return p.Sizes.Of(f.Axis) != f.Value }
+		if slices.ContainsFunc(sizes, differs) {
 			continue
 		}
 		if found != nil {
-			return nil, fmt.Errorf("scale: %s: several points at %v", r.Experiment, sizes)
+			return nil, fmt.Errorf("scale: experiment %s has several points at %v, want one", r.Experiment, sizes)
 		}
 		found = p.Values(name)
 	}
 	if found == nil {
-		return nil, fmt.Errorf("scale: %s: no %q at %v", r.Experiment, name, sizes)
+		return nil, fmt.Errorf("scale: experiment %s has no measure %q at %v", r.Experiment, name, sizes)
 	}
 	return found, nil
 }
 
-// Save writes a complete record to a file in a directory, named by experiment and commit, and returns its path.
+// Save writes a complete record to a file in a directory and returns the file's path. The file is named after the
+// experiment and the commit.
 func (r *Record) Save(dir string) (string, error) {
 	if err := r.Check(); err != nil {
 		return "", err
@@ -187,13 +191,13 @@
 	return path, os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// ReadRecords reads the records of a directory, in the order of their file names.
+// ReadRecords reads and checks all records of a directory, in the order of their file names.
 func ReadRecords(dir string) ([]*Record, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil {
 		return nil, err
 	}
-	var all []*Record
+	var records []*Record
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		if err != nil {
@@ -206,26 +210,26 @@
 		if err := r.Check(); err != nil {
 			return nil, fmt.Errorf("%s: %w", path, err)
 		}
-		all = append(all, r)
+		records = append(records, r)
 	}
-	return all, nil
+	return records, nil
 }
 
-// Latest returns the record of an experiment that was started last. The error is errNoRecord if there is none.
-func Latest(all []*Record, experiment string) (*Record, error) {
+// Latest returns the record of an experiment's most recently started run. The error is errNoRecord if there is none.
+func Latest(records []*Record, experiment string) (*Record, error) {
 	var latest *Record
-	for _, r := range all {
+	for _, r := range records {
 		if r.Experiment == experiment && (latest == nil || r.Began.After(latest.Began)) {
 			latest = r
 		}
 	}
 	if latest == nil {
-		return nil, fmt.Errorf("%w of %q", errNoRecord, experiment)
+		return nil, fmt.Errorf("%w of experiment %q", errNoRecord, experiment)
 	}
 	return latest, nil
 }
 
-// SaveState writes an incomplete record to a file for ReadState.
+// SaveState writes an incomplete record to a file, from which ReadState restores it.
 func (r *Record) SaveState(path string) error {
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -234,7 +238,7 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// ReadState reads an incomplete record. It returns nil if the file does not exist.
+// ReadState reads a record written by SaveState. It returns nil if the file does not exist.
 func ReadState(path string) (*Record, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
--- a/internal/harness/scale/service.go
+++ b/internal/harness/scale/service.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	serviceConcurrency  = 4                // queries in flight
-	servicePartsCounted = 24_000           // parts measured at least
-	serviceDeadline     = 20 * time.Second // long enough that no query ends by it
-	servicePayloadSize  = 64               // bytes of a part's text
-	openTimeout         = 30 * time.Second
+	serviceConcurrency   = 4                // maximum queries in flight
+	serviceMeasuredParts = 24_000           // minimum number of measured parts
+	serviceDeadline      = 20 * time.Second // long enough that no query exceeds it
+	servicePayloadSize   = 64               // bytes of a part's payload
+	openTimeout          = 30 * time.Second
 )
 
-// brokerCore is a broker's core and link, without a front, with record servers in a child.
+// brokerCore is a broker core with its link but without a front. Its record servers run in a child.
 type brokerCore struct {
 	*broker.Broker
 	child     *child
@@ -29,17 +29,19 @@
 	endpoints []broker.Endpoint
 }
 
-func startCore(servers int, reports decision.ReportMode, seed uint64) (*brokerCore, error) {
+// startCore starts a broker core and the child with its record servers. The core does not know the servers before update.
+func startCore(servers int, reportMode decision.ReportMode, seed uint64) (*brokerCore, error) {
 	c, err := startChild(roleServers, servers)
 	if err != nil {
 		return nil, err
 	}
-	set := targetSettings(servers, TargetBrokers)
-	set.ReportMode = reports
-	set.Classes[0].LatencyObjective, set.Classes[0].Deadline = serviceDeadline.Seconds(), serviceDeadline.Seconds()
+	settings := targetSettings(servers, TargetBrokers)
+	settings.ReportMode = reportMode
+	settings.Classes[0].LatencyObjective, settings.Classes[0].Deadline = serviceDeadline.Seconds(), serviceDeadline.Seconds()
 	ctx, cancel := context.WithCancel(context.Background())
 	link := upstream.New(ctx, upstream.Options{MaxStreams: 100, IdleTimeout: time.Hour, ConnectTimeout: 5 * time.Second})
-	b := broker.New(broker.Options{Settings: set, Log: discardLog, HealthCheckTimeout: openTimeout}, decision.New(set, seed), link)
+	b := broker.New(broker.Options{Settings: settings, Log: discardLog, HealthCheckTimeout: openTimeout},
+		decision.New(settings, seed), link)
 	go b.Run(ctx)
 	return &brokerCore{b, c, cancel, c.endpoints()}, nil
 }
@@ -56,19 +58,19 @@
 	return list
 }
 
-// update hands the full endpoint list to the core.
+// update passes the full endpoint list to the core.
 func (c *brokerCore) update() {
 	c.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Version: 1, Servers: c.endpoints})
 }
 
-// stop ends the core and its child.
+// stop stops the core and its child.
 func (c *brokerCore) stop() error {
 	c.cancel()
 	_, err := c.child.stop()
 	return err
 }
 
-// kill ends the core and its child after an error. After stop it does nothing.
+// kill stops the core and its child and ignores errors. It has no effect after stop.
 func (c *brokerCore) kill() {
 	c.cancel()
 	c.child.stop()
@@ -77,9 +79,10 @@
 // resultChannel receives the results of queries.
 type resultChannel chan broker.Result
 
-func (f resultChannel) Finish(r broker.Result) { f <- r }
+func (c resultChannel) Finish(result broker.Result) { c <- result }
 
-// runQueries runs queries, serviceConcurrency at once, and returns an error if one is not answered completely.
+// runQueries runs a number of queries, at most serviceConcurrency at a time. It returns an error if a query does not get a
+// complete answer.
 func (c *brokerCore) runQueries(name string, queries, parts int, rng *rand.Rand) error {
 	payload := bytes.Repeat([]byte{'x'}, servicePayloadSize)
 	results := make(resultChannel, serviceConcurrency)
@@ -91,13 +94,14 @@
 		}
 		result := <-results
 		if result.Outcome != broker.Answered || !result.Complete {
-			return fmt.Errorf("scale: a query ended as %d, complete: %t", result.Outcome, result.Complete)
+			return fmt.Errorf("scale: query ended with outcome %d, complete %t, want outcome %d and a complete answer",
+				result.Outcome, result.Complete, broker.Answered)
 		}
 	}
 	return nil
 }
 
-// newRequest returns a query over consecutive shards from a random one on.
+// newRequest returns a request for consecutive shards, starting at a random shard.
 func (c *brokerCore) newRequest(id string, payload []byte, parts int, rng *rand.Rand) *broker.Request {
 	r := &broker.Request{ID: id, ReceivedAt: time.Now(), Timeout: serviceDeadline, Payload: payload}
 	first := rng.IntN(len(c.endpoints))
@@ -111,14 +115,14 @@
 	return Experiment{
 		Name: "service",
 		Provenance: Provenance{Real: "internal/broker, decision and upstream (frames) over loopback; no front",
-			Hollow: "record servers: internal/harness/recordservertest in a process of its own, 2 ms a part, 4 queries at once"},
-		Small: grid(axisServers, []float64{20, 40, 60}, axisParts, []float64{12}),
-		Large: serversAndParts(),
-		Play:  playService,
+			Simulated: "record servers: internal/harness/recordservertest in a process of its own, 2 ms a part, 4 queries at once"},
+		SmallPoints:  grid(axisServers, []float64{20, 40, 60}, axisParts, []float64{12}),
+		LargePoints:  serversAndParts(),
+		MeasurePoint: measureService,
 	}
 }
 
-func playService(at Sizes, seed uint64) ([]Reading, error) {
+func measureService(at Sizes, seed uint64) ([]Reading, error) {
 	servers, parts := int(at.Of(axisServers)), int(at.Of(axisParts))
 	c, err := startCore(servers, decision.ReportPiggyback, seed)
 	if err != nil {
@@ -127,15 +131,15 @@
 	defer c.kill()
 	c.update()
 	rng := rand.New(rand.NewPCG(seed, 17))
-	warm := 3*servers/parts + 10 // three parts per server, so that most connections are open
-	if err := c.runQueries("warm", warm, parts, rng); err != nil {
+	warmUpQueries := 3*servers/parts + 10 // three parts per server, so that most connections are open
+	if err := c.runQueries("warm", warmUpQueries, parts, rng); err != nil {
 		return nil, err
 	}
-	counted := servicePartsCounted
+	measuredParts := serviceMeasuredParts
 	if servers < 200 {
-		counted /= 10
+		measuredParts /= 10
 	}
-	queries := max(counted/parts, 20)
+	queries := max(measuredParts/parts, 20)
 	meter := StartMeter()
 	if err := c.runQueries("q", queries, parts, rng); err != nil {
 		return nil, err
@@ -144,13 +148,12 @@
 	if err := c.stop(); err != nil {
 		return nil, err
 	}
-	n := float64(queries)
-	micros := used.Processor.Seconds() * 1e6 / n
+	microsPerQuery := used.CPUTime.Seconds() * 1e6 / float64(queries)
 	return []Reading{
-		{"processor a query", "µs", micros},
-		{"processor a part", "µs", micros / float64(parts)},
-		{"allocated a query", "bytes", float64(used.Allocated) / n},
-		{"objects a query", "objects", float64(used.Objects) / n},
+		{"processor a query", "µs", microsPerQuery},
+		{"processor a part", "µs", microsPerQuery / float64(parts)},
+		{"allocated a query", "bytes", float64(used.AllocatedBytes) / float64(queries)},
+		{"objects a query", "objects", float64(used.Allocations) / float64(queries)},
 	}, nil
 }
 
@@ -158,69 +161,69 @@
 	return Experiment{
 		Name: "mesh",
 		Provenance: Provenance{Real: "internal/transport/upstream: one connection to each record server, over loopback",
-			Hollow: "record servers: internal/harness/recordservertest in a process of its own"},
-		Small: axis(axisServers, []float64{40}),
-		Large: axis(axisServers, serverSizes),
-		Play:  playMesh,
+			Simulated: "record servers: internal/harness/recordservertest in a process of its own"},
+		SmallPoints:  axis(axisServers, []float64{40}),
+		LargePoints:  axis(axisServers, serverSizes),
+		MeasurePoint: measureMesh,
 	}
 }
 
-// playMesh has the module health-check every server once, which opens a connection to each.
-func playMesh(at Sizes, seed uint64) ([]Reading, error) {
+// measureMesh lets the decision policy health-check every record server once, which opens a connection to each server.
+func measureMesh(at Sizes, seed uint64) ([]Reading, error) {
 	servers := int(at.Of(axisServers))
 	c, err := startCore(servers, decision.ReportPull, seed)
 	if err != nil {
 		return nil, err
 	}
 	defer c.kill()
-	descriptors, err := openDescriptors()
+	descriptorsBefore, err := openDescriptors()
 	if err != nil {
 		return nil, err
 	}
 	before := memoryInUse()
 	meter := StartMeter()
 	c.update()
-	if err := waitForDescriptors(descriptors + servers); err != nil {
+	if err := waitForDescriptors(descriptorsBefore + servers); err != nil {
 		return nil, err
 	}
-	time.Sleep(500 * time.Millisecond) // for the answers to the health checks
+	time.Sleep(500 * time.Millisecond) // time for the answers to the health checks
 	used := meter.Stop()
-	held := memoryInUse() - before
-	now, err := openDescriptors()
+	memoryGrowth := memoryInUse() - before
+	descriptors, err := openDescriptors()
 	if err != nil {
 		return nil, err
 	}
-	c.Gauges() // keeps the broker reachable until its memory was measured
+	c.Gauges() // keeps the broker reachable until its memory is measured
 	if err := c.stop(); err != nil {
 		return nil, err
 	}
-	n := float64(servers)
+	connections := float64(servers)
 	return []Reading{
-		{"memory", "bytes", held},
-		{"memory a connection", "bytes", held / n},
-		{"processor to open", "µs a connection", used.Processor.Seconds() * 1e6 / n},
-		{"descriptors", "descriptors", float64(now - descriptors)},
+		{"memory", "bytes", memoryGrowth},
+		{"memory a connection", "bytes", memoryGrowth / connections},
+		{"processor to open", "µs a connection", used.CPUTime.Seconds() * 1e6 / connections},
+		{"descriptors", "descriptors", float64(descriptors - descriptorsBefore)},
 	}, nil
 }
 
-// waitForDescriptors waits until this process has a number of open descriptors. The error is errTimeout.
+// waitForDescriptors waits until this process has at least a number of open file descriptors. The error is errTimeout.
 func waitForDescriptors(want int) error {
 	for end := time.Now().Add(openTimeout); ; time.Sleep(50 * time.Millisecond) {
-		now, err := openDescriptors()
+		descriptors, err := openDescriptors()
 		if err != nil {
 			return err
 		}
-		if now >= want {
+		if descriptors >= want {
 			return nil
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%w: %d open descriptors of %d", errTimeout, now, want)
+			return fmt.Errorf("%w: %d open file descriptors, want %d", errTimeout, descriptors, want)
 		}
 	}
 }
 
-// openDescriptors returns the number of this process's open descriptors.
+// openDescriptors returns the number of open file descriptors of this process.
 func openDescriptors() (int, error) {
-	list, err := os.ReadDir("/proc/self/fd")
-	return len(list), err
+	entries, err := os.ReadDir("/proc/self/fd")
+	return len(entries), err
 }
--- a/internal/harness/scale/usage.go
+++ b/internal/harness/scale/usage.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// Usage is what this process used in a period.
+// Usage holds the resources that this process used in a period.
 type Usage struct {
-	Processor time.Duration // user and system, of all threads
-	Allocated uint64        // bytes
-	Objects   uint64        // allocations
-	Wall      time.Duration
+	CPUTime        time.Duration // user and system time of all threads
+	AllocatedBytes uint64
+	Allocations    uint64 // number of allocated objects
+	Wall           time.Duration
 }
 
-// Meter measures the usage from StartMeter on.
+// Meter measures the resource usage of this process since StartMeter.
 type Meter struct {
-	processor time.Duration
+	cpuTime   time.Duration
 	memory    runtime.MemStats
 	startedAt time.Time
 }
@@ -29,21 +29,21 @@
 func StartMeter() *Meter {
 	m := &Meter{}
 	runtime.ReadMemStats(&m.memory)
-	m.startedAt, m.processor = time.Now(), processorTime()
+	m.startedAt, m.cpuTime = time.Now(), cpuTime()
 	return m
 }
 
 // Stop returns the usage since the start.
 func (m *Meter) Stop() Usage {
-	l := Usage{Processor: processorTime() - m.processor, Wall: time.Since(m.startedAt)}
+	used := Usage{CPUTime: cpuTime() - m.cpuTime, Wall: time.Since(m.startedAt)}
 	var now runtime.MemStats
 	runtime.ReadMemStats(&now)
-	l.Allocated, l.Objects = now.TotalAlloc-m.memory.TotalAlloc, now.Mallocs-m.memory.Mallocs
-	return l
+	used.AllocatedBytes, used.Allocations = now.TotalAlloc-m.memory.TotalAlloc, now.Mallocs-m.memory.Mallocs
+	return used
 }
 
-// processorTime returns the processor time of this process so far, without that of its children.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that this process has used since its start, excluding its children, or 0 on an error.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -51,10 +51,10 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// memoryInUse returns the size of the heap and the stacks of this process after a garbage collection, in bytes.
+// memoryInUse returns the bytes of heap objects and stacks of this process after a garbage collection.
 func memoryInUse() float64 {
 	runtime.GC()
-	runtime.GC() // frees what finalizers released
+	runtime.GC() // frees objects whose finalizers ran after the first collection
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc + m.StackInuse)
@@ -66,6 +66,7 @@
 		MemoryGB: memoryTotal(), Go: runtime.Version(), Shared: true}
 }
 
+// memoryTotal returns the machine's memory in whole GiB, or 0 if it cannot be read.
 func memoryTotal() float64 {
 	kb, _, _ := strings.Cut(procField("/proc/meminfo", "MemTotal"), " ")
 	n, err := strconv.ParseFloat(kb, 64)
@@ -76,7 +77,8 @@
 	return float64(int(n / kbPerGB))
 }
 
-// procField returns the first value of a name in a file of "name: value" lines, or "".
+// procField returns the first value of a field in a file of "name: value" lines, or "" if the file has no such field or
+// cannot be read.
 func procField(path, name string) string {
 	f, err := os.Open(path)
 	if err != nil {
