--- a/internal/harness/scale/configuration.go
+++ b/internal/harness/scale/configuration.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// regionName returns the region of the broker or control machine with an index. Brokers and control machines are assigned
-// round-robin to the target's regions.
+// regionName returns the region of the broker or control machine with the given index. Brokers and control machines are
+// assigned round-robin to the target's regions.
 func regionName(i int) string { return fmt.Sprint("region-", i%TargetRegions) }
 
 // distributionRun is a run of the configuration experiment, with a child process for each hub and one for all followers.
--- a/internal/harness/scale/configuration_document.go
+++ b/internal/harness/scale/configuration_document.go
@@ -16,7 +16,7 @@
 	documentFrameBytes = 1200
 )
 
-// newDocument returns a configuration document of a size in bytes, which must be at least 2 KiB. It has the settings of
+// newDocument returns a configuration document of the given size in bytes, which must be at least 2 KiB. It has the settings of
 // the example configuration with as many classes as fit, padded with spaces. The latency objective of the classes differs
 // between consecutive numbers, so that each revision is a change.
 func newDocument(number uint64, size int) []byte {
@@ -55,7 +55,7 @@
 	return ","
 }
 
-// newRevision returns a revision with a document of a size in bytes, as it would be committed by the replicated log.
+// newRevision returns a revision with a document of the given size in bytes, as it would be committed by the replicated log.
 func newRevision(number uint64, size int) *configpb.Revision {
 	document := newDocument(number, size)
 	return &configpb.Revision{Number: number, Checksum: configpb.Checksum(document), Document: document,
--- a/internal/harness/scale/configuration_followers.go
+++ b/internal/harness/scale/configuration_followers.go
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// inForceSince returns the Unix nanoseconds at which the revision in force was read and put in force if its number is the
-// given one or a later one, and zeros otherwise.
+// inForceSince returns the times in Unix nanoseconds at which the revision in force was read and put in force. It returns
+// zeros if that revision is older than the given number.
 func (f *follower) inForceSince(number uint64) (receivedAt, appliedAt int64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,7 +75,7 @@
 	return f.receivedAt, f.appliedAt
 }
 
-// hasInForce reports whether the revision of a number or a later one is in force.
+// hasInForce reports whether the revision with the given number or a later one is in force.
 func (f *follower) hasInForce(number uint64) bool {
 	_, appliedAt := f.inForceSince(number)
 	return appliedAt != 0
--- a/internal/harness/scale/decision.go
+++ b/internal/harness/scale/decision.go
@@ -124,8 +124,8 @@
 	return events
 }
 
-// run advances the virtual time in steps of AssumedBatchInterval until a number of queries are answered. Each step with
-// events hands them to the policy as one batch.
+// run advances the virtual time in steps of AssumedBatchInterval until the given number of queries have been
+// answered. The events of each step are passed to the policy as one batch.
 func (d *policyDriver) run(queries int) {
 	queryInterval := 1 / QueriesPerBroker(TargetBrokers)
 	next := d.now
--- a/internal/harness/scale/experiment.go
+++ b/internal/harness/scale/experiment.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// FindExperiment returns the experiment of a name, or an error if there is none.
+// FindExperiment returns the experiment with the given name, or an error if there is none.
 func FindExperiment(name string) (Experiment, error) {
 	for _, e := range Experiments() {
 		if e.Name == name {
--- a/internal/harness/scale/fit.go
+++ b/internal/harness/scale/fit.go
@@ -126,18 +126,18 @@
 	} else {
 		model.Base, model.Rate = stat.LinearRegression(xs, ys, weights, false)
 	}
-	residual, total, sumSquaresX := 0.0, 0.0, 0.0
+	residual, weightSum, sumSquaresX := 0.0, 0.0, 0.0
 	center := stat.Mean(xs, weights)
 	for i, w := range weights {
 		residual += w * square(ys[i]-model.Base-model.Rate*xs[i])
-		total += w
+		weightSum += w
 		sumSquaresX += w * square(xs[i]-center)
 	}
 	n := float64(len(samples))
 	variance := residual / (n - float64(coefficients))
 	critical := studentCriticalValue(n - float64(coefficients))
 	if form == Constant {
-		model.RateInterval = intervalAround(model.Base, critical*math.Sqrt(variance/total))
+		model.RateInterval = intervalAround(model.Base, critical*math.Sqrt(variance/weightSum))
 	} else {
 		model.RateInterval = intervalAround(model.Rate, critical*math.Sqrt(variance/sumSquaresX))
 	}
@@ -159,7 +159,8 @@
 	return criterion
 }
 
-// studentCriticalValue returns the half width of an interval in standard errors, for a number of degrees of freedom.
+// studentCriticalValue returns the critical value of Student's t-distribution at Confidence, which is half the width of a
+// confidence interval in standard errors.
 func studentCriticalValue(degreesOfFreedom float64) float64 {
 	return distuv.StudentsT{Mu: 0, Sigma: 1, Nu: degreesOfFreedom}.Quantile((1 + Confidence) / 2)
 }
--- a/internal/harness/scale/list.go
+++ b/internal/harness/scale/list.go
@@ -31,7 +31,7 @@
 	return list
 }
 
-// serverEntry returns the endpoint list entry of a server by its index.
+// serverEntry returns the endpoint list entry of the server with the given index.
 func serverEntry(i int) discovery.Entry {
 	return discovery.Entry{
 		ID: serverID(i), Addr: fmt.Sprintf("10.%d.%d.%d:9000", i>>16&255, i>>8&255, i&255),
@@ -42,11 +42,11 @@
 
 // encodeList returns a full endpoint list, encoded as the discovery service sends it.
 func encodeList(servers int, version int64) []byte {
-	m := discovery.Message{Version: version, Full: true}
+	message := discovery.Message{Version: version, Full: true}
 	for i := range servers {
-		m.Servers = append(m.Servers, serverEntry(i))
+		message.Servers = append(message.Servers, serverEntry(i))
 	}
-	return encodeMessage(m)
+	return encodeMessage(message)
 }
 
 // encodeChange returns an incremental update of one server, encoded as the discovery service sends it.
@@ -54,6 +54,7 @@
 	return encodeMessage(discovery.Message{Version: version, Servers: []discovery.Entry{serverEntry(server)}})
 }
 
+// encodeMessage encodes a message as a line of JSON.
 func encodeMessage(m discovery.Message) []byte {
 	text, err := json.Marshal(m)
 	if err != nil {
@@ -143,7 +144,7 @@
 // watcherSeedStep is the difference between the seeds of consecutive brokers, a prime.
 const watcherSeedStep = 7919
 
-// newWatcher returns an endpoint watcher for one broker in a fleet of a size.
+// newWatcher returns an endpoint watcher for one broker of a fleet with the given number of brokers.
 func newWatcher(addr string, update func(broker.EndpointUpdate), brokers int, seed uint64) *discovery.Watcher {
 	return &discovery.Watcher{
 		Addr: addr, NameTable: nameTable, Update: update, Log: discardLog, Backoff: backoff.New(brokers, seed),
--- a/internal/harness/scale/network.go
+++ b/internal/harness/scale/network.go
@@ -84,7 +84,7 @@
 
 var errQueueFull = fmt.Errorf("scale: more than %d events queued on the virtual network", maxQueuedEvents)
 
-// newNetwork returns a network on which a number of brokers start at the same time.
+// newNetwork returns a network on which the given number of brokers start at the same time.
 func newNetwork(brokers int, seed uint64) *virtualNetwork {
 	network := &virtualNetwork{rng: rand.New(rand.NewPCG(seed, 5)), byAddr: map[netip.AddrPort]*virtualNode{},
 		isLost: func(_, _ *virtualNode) bool { return false }}
@@ -99,7 +99,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(bytes), 7946)
 }
 
-// start starts the broker with a number, or restarts it as a new instance at the same address.
+// start starts the broker with the given number, or restarts it as a new instance at the same address.
 func (n *virtualNetwork) start(i int) {
 	node := &virtualNode{number: i, zone: i % TargetZones, region: i % TargetZones % TargetRegions, addr: brokerAddr(i),
 		startedAt: n.now}
--- a/internal/harness/scale/record.go
+++ b/internal/harness/scale/record.go
@@ -13,8 +13,9 @@
 // Provenance describes which components of a run were real and which were simulated or computed. A field is empty if it
 // does not apply.
 type Provenance struct {
-	Real      string `json:"real,omitempty"`     // the program's own code on real sockets or a real clock
-	Simulated string `json:"hollow,omitempty"`   // state machines and drivers without clients or work, or fake servers
+	Real string `json:"real,omitempty"` // the program's own code on real sockets or a real clock
+	// Simulated names the program's state machines and drivers that ran without clients or work, and fake servers.
+	Simulated string `json:"hollow,omitempty"`
 	Virtual   string `json:"virtual,omitempty"`  // run on a virtual network or clock
 	Computed  string `json:"computed,omitempty"` // determined by arithmetic or random draws
 }
--- a/internal/harness/scale/service.go
+++ b/internal/harness/scale/service.go
@@ -81,8 +81,8 @@
 
 func (c resultChannel) Finish(result broker.Result) { c <- result }
 
-// runQueries runs a number of queries, at most serviceConcurrency at a time. It returns an error if a query does not get a
-// complete answer.
+// runQueries runs the given number of queries, at most serviceConcurrency at a time. It returns an error if a query does not
+// get a complete answer.
 func (c *brokerCore) runQueries(name string, queries, parts int, rng *rand.Rand) error {
 	payload := bytes.Repeat([]byte{'x'}, servicePayloadSize)
 	results := make(resultChannel, serviceConcurrency)
@@ -206,7 +206,7 @@
 	}, nil
 }
 
-// waitForDescriptors waits until this process has at least a number of open file descriptors. The error is errTimeout.
+// waitForDescriptors waits until this process has at least the given number of open file descriptors. The error is errTimeout.
 func waitForDescriptors(want int) error {
 	for end := time.Now().Add(openTimeout); ; time.Sleep(50 * time.Millisecond) {
 		descriptors, err := openDescriptors()
--- a/internal/harness/scale/slow_start.go
+++ b/internal/harness/scale/slow_start.go
@@ -68,8 +68,8 @@
 	}, nil
 }
 
-// learnCapacity returns the capacity estimate of one broker in a fleet of a size after learningTime, and that time in
-// seconds.
+// learnCapacity returns the capacity estimate that one broker of a fleet with the given number of brokers has after
+// learningTime, and that time in seconds.
 func learnCapacity(brokers int, rng *rand.Rand) (estimate *lease.CapacityEstimate, now float64) {
 	settings := slowstart.Settings{
 		InitialFraction: slowStartFraction, Duration: slowStartDuration,
--- a/internal/harness/scale/target.go
+++ b/internal/harness/scale/target.go
@@ -36,7 +36,7 @@
 	SecondsPerHour           = 3600.0
 )
 
-// QueriesPerBroker returns the target's queries per second at each of a number of brokers.
+// QueriesPerBroker returns the target's queries per second at each of the given number of brokers.
 func QueriesPerBroker(brokers float64) float64 { return TargetQueries / brokers }
 
 // PartsPerPair returns how many parts per second one broker sends to one record server at the target's load.
