--- a/internal/harness/recordservertest/conn.go
+++ b/internal/harness/recordservertest/conn.go
@@ -10,19 +10,20 @@
 	"mothrouter/internal/transport/frame"
 )
 
-// loadReport is the load that all servers report.
+// loadReport is the load report of all servers: one part in flight and a utilization of 30%.
 const loadReport = "inflight=1,util=0.3"
 
-// serverConn is a connection of a broker to a server. One goroutine reads; each attempt has its own.
+// serverConn is a connection of a broker to a server. One goroutine reads frames, and each attempt runs in a goroutine of
+// its own.
 type serverConn struct {
 	net.Conn
 	server   *Server
-	writing  sync.Mutex // held while a frame is written
+	writeMu  sync.Mutex // held while a frame is written
 	attempts sync.WaitGroup
-	cancels  map[string]chan struct{} // by part id; closed when the attempt is canceled
+	cancels  map[string]chan struct{} // by part id; a channel is closed when its attempt is canceled
 }
 
-// serve reads frames until the connection ends, which cancels the attempts in flight.
+// serve handles frames until the connection is closed, and then cancels the attempts in flight.
 func (c *serverConn) serve() {
 	defer func() {
 		c.Close()
@@ -33,17 +34,18 @@
 	c.cancelAll()
 }
 
-// ReadFrames reads from a connection until it ends, and calls handle with each frame. It reads on after an invalid frame.
+// ReadFrames reads from a connection until it is closed or fails, and calls handle with each frame. After an invalid frame
+// it keeps reading.
 func ReadFrames(conn net.Conn, handle func(frame.Message)) {
-	var in frame.Reader
+	var reader frame.Reader
 	for {
-		n, err := conn.Read(in.Grow())
+		n, err := conn.Read(reader.Grow())
 		if err != nil {
 			return
 		}
-		in.Advance(n)
+		reader.Advance(n)
 		for {
-			message, ok, err := in.Next()
+			message, ok, err := reader.Next()
 			if err != nil || !ok {
 				break
 			}
@@ -52,7 +54,8 @@
 	}
 }
 
-// handle handles one frame: an attempt ('S'), a cancel ('C'), a health check ('H') or a load request ('M').
+// handle processes one frame: the start of an attempt ('S'), its cancellation ('C'), a health check ('H') or a request for a
+// load report ('M').
 func (c *serverConn) handle(message frame.Message) {
 	switch message.Type {
 	case 'S':
@@ -68,7 +71,8 @@
 	}
 }
 
-// startAttempt starts the attempt of a send frame, whose first line is the part's id, its shard and a list of fields.
+// startAttempt starts the attempt that a send frame asks for. The first line of the frame's body has the part's id, its shard
+// and a list of fields.
 func (c *serverConn) startAttempt(body []byte) {
 	line, _, _ := bytes.Cut(body, []byte{'\n'})
 	fields := strings.Fields(string(line))
@@ -81,23 +85,25 @@
 	c.attempts.Go(func() { c.respond(a, cancel) })
 }
 
-// respond works on an attempt and writes its response, if it has one.
+// respond runs an attempt and writes its response unless the attempt was canceled.
 func (c *serverConn) respond(a attempt, canceled <-chan struct{}) {
-	end, answered := c.server.run(a, canceled)
+	outcome, answered := c.server.run(a, canceled)
 	if !answered {
 		return
 	}
-	c.server.fleet.recordAnswer(a.id, a.shard, end)
-	score := strconv.FormatInt(Score(queryOf(a.id, a.shard), a.shard), 10)
-	c.write('R', a.id+" "+end+" "+score+" "+loadReport+"\nv")
+	c.server.fleet.recordAnswer(a.id, a.shard, outcome)
+	score := strconv.FormatInt(Score(queryID(a.id, a.shard), a.shard), 10)
+	c.write('R', a.id+" "+outcome+" "+score+" "+loadReport+"\nv")
 }
 
+// write writes one frame. It can be called concurrently.
 func (c *serverConn) write(messageType byte, body string) {
-	c.writing.Lock()
-	defer c.writing.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.Write(frame.Append(nil, messageType, body))
 }
 
+// cancelAll cancels all attempts in flight.
 func (c *serverConn) cancelAll() {
 	for _, cancel := range c.cancels {
 		close(cancel)
--- a/internal/harness/recordservertest/fleet.go
+++ b/internal/harness/recordservertest/fleet.go
@@ -1,6 +1,6 @@
-// Package recordservertest provides fake record servers on loopback for tests and measurements. They speak the
-// platform's frames, and can be slow, fail, hang, restart or drain. A fleet of them checks the rules that bind brokers.
-// No production code imports it.
+// Package recordservertest provides fake record servers on loopback for tests and measurements. They speak the frame protocol
+// of record servers, and can be slow, fail, hang, restart or drain. A fleet of them records how brokers violate the
+// protocol's rules. No production code imports this package.
 package recordservertest
 
 import (
@@ -15,54 +15,56 @@
 )
 
 const (
-	// drainGrace is how long after a drain a server accepts new parts: the rule's 250 ms and 50 ms for sockets.
+	// drainGrace is how long after its drain a server may still receive new parts: the 250 ms that the protocol allows, and
+	// 50 ms for delivery through sockets.
 	drainGrace = 300 * time.Millisecond
-	// cancelGrace is how long an attempt may stay in flight after another server got the part: its cancel uses another
-	// connection than the new attempt.
+	// cancelGrace is how long an attempt may stay in flight after another server has received the part: its cancellation is
+	// sent on another connection than the new attempt.
 	cancelGrace = 50 * time.Millisecond
-	// maxViolations is how many violations a fleet keeps.
+	// maxViolations is the maximum number of violations that a fleet keeps.
 	maxViolations = 20
 )
 
 // Options configure a fleet.
 type Options struct {
 	Servers           int
-	ReplicationFactor int                  // servers that hold a shard, consecutive on a ring
-	ServiceTime       time.Duration        // mean time of a part; times are uniform from half of it to one and a half
-	NonIdempotent     func(id string) bool // reports whether a part may run only once; nil: no part
+	ReplicationFactor int                  // number of servers that hold a shard; they are consecutive on a ring
+	ServiceTime       time.Duration        // mean service time of a part; uniform between half and one and a half of it
+	NonIdempotent     func(id string) bool // reports whether a part may run only once; nil: all parts may run again
 	Seed              uint64
-	SecondPhaseFanout int // parts of a query's second phase; 0: queries have one phase
+	SecondPhaseFanout int // number of parts in a query's second phase; 0: queries have one phase
 }
 
-// Fleet is a set of fake record servers and the record of what they received. Its methods are safe for concurrent use.
+// Fleet is a set of fake record servers. It records the attempts that they receive and checks them against the protocol's
+// rules. Its methods are safe for concurrent use.
 type Fleet struct {
 	Servers []*Server
 	options Options
 
-	mu             sync.Mutex // guards what follows
-	parts          map[string]*partAttempts
-	answeredShards map[string]map[int]bool // by query, the shards whose first phase was answered
+	mu             sync.Mutex               // guards the fields below
+	parts          map[string]*partAttempts // by part id
+	answeredShards map[string]map[int]bool  // by query id: the shards whose first phase was answered
 	violations     []string
-	received       int // attempts
+	received       int // number of attempts
 }
 
 // partAttempts counts the attempts of one part.
 type partAttempts struct {
 	inFlight int
-	ran      int // attempts that have run or may have
+	ran      int // attempts that have run or may have run
 }
 
-// New starts a fleet. The caller has to close it.
+// New starts a fleet. The caller must close it.
 func New(options Options) (*Fleet, error) {
 	f := &Fleet{options: options, parts: map[string]*partAttempts{}, answeredShards: map[string]map[int]bool{}}
 	for i := range options.Servers {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			f.Close()
 			return nil, err
 		}
 		s := &Server{
-			ID: fmt.Sprintf("s-%03d", i), Addr: l.Addr().String(), ReplicaSet: i, fleet: f, listener: l,
+			ID: fmt.Sprintf("s-%03d", i), Addr: listener.Addr().String(), ReplicaSet: i, fleet: f, listener: listener,
 			serviceTime: options.ServiceTime, rng: rand.New(rand.NewPCG(options.Seed, uint64(i))),
 			conns: map[net.Conn]struct{}{},
 		}
@@ -80,7 +82,7 @@
 	}
 }
 
-// Endpoints returns the endpoint list, with all servers ready.
+// Endpoints returns the endpoint list, in which all servers are ready.
 func (f *Fleet) Endpoints() (list []broker.Endpoint) {
 	for _, s := range f.Servers {
 		list = append(list, s.Endpoint(decision.Ready))
@@ -88,7 +90,8 @@
 	return list
 }
 
-// Violations returns the first violations of rules, 20 at most, and how many attempts the servers have received.
+// Violations returns the first violations of the protocol's rules, at most 20, and the number of attempts that the servers
+// have received.
 func (f *Fleet) Violations() (violations []string, attempts int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +105,8 @@
 	}
 }
 
-// recordAttempt records an attempt that a server has received, and checks the rules that bind it.
+// recordAttempt records an attempt that a server has received. A violation is an attempt for a shard that the server does not
+// hold, a repeated attempt of a part that may run only once, or, after cancelGrace, a second attempt in flight.
 func (f *Fleet) recordAttempt(s *Server, id string, shard int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,30 +122,30 @@
 	}
 	part.ran++
 	if part.ran > 1 && f.options.NonIdempotent != nil && f.options.NonIdempotent(id) {
-		f.recordViolation("%s: must not run twice", id)
+		f.recordViolation("%s: a part that is not idempotent was sent twice", id)
 	}
 	if !f.holdsShard(s, shard) {
 		f.recordViolation("%s: sent to %s, which does not hold shard %d", id, s.ID, shard)
 	}
 }
 
-// checkSingleAttempt records a violation if a part has several attempts in flight.
+// checkSingleAttempt records a violation if a part has more than one attempt in flight.
 func (f *Fleet) checkSingleAttempt(id string, part *partAttempts) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if part.inFlight > 1 {
-		f.recordViolation("%s: two attempts are in flight", id)
+		f.recordViolation("%s: %d attempts are in flight, want at most 1", id, part.inFlight)
 	}
 }
 
-// checkDrain records a violation if an attempt has arrived too long after a server's drain.
+// checkDrain records a violation if an attempt has arrived more than drainGrace after the server's drain.
 func (f *Fleet) checkDrain(s *Server, id string, sinceDrain time.Duration) {
 	if sinceDrain <= drainGrace {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.recordViolation("%s: sent to %s %v after its drain", id, s.ID, sinceDrain)
+	f.recordViolation("%s: sent to %s %v after its drain, want at most %v", id, s.ID, sinceDrain, drainGrace)
 }
 
 // recordEnd records that an attempt has ended, answered or not.
@@ -151,8 +155,8 @@
 	f.parts[id].inFlight--
 }
 
-// holdsShard reports whether a server holds a shard: server i holds shard i and those before it on the ring, as many as
-// the replication factor.
+// holdsShard reports whether a server holds a shard. With a replication factor of r, server i holds shard i and the r-1 shards
+// before it on the ring.
 func (f *Fleet) holdsShard(s *Server, shard int) bool {
 	n := len(f.Servers)
 	distance := (s.ReplicaSet - shard%n + n) % n
--- a/internal/harness/recordservertest/second_phase.go
+++ b/internal/harness/recordservertest/second_phase.go
@@ -12,24 +12,24 @@
 	"mothrouter/internal/transport/frame"
 )
 
-// Score returns the score with which a server answers the part of a query at a shard. A second phase goes to the shards
+// Score returns the score that the servers of a shard return for a query. The second phase of a query is sent to the shards
 // with the highest scores.
 func Score(query string, shard int) int64 {
 	return int64(xxhash.Sum64String(frame.PartID(query, shard, false)) >> 33)
 }
 
-// queryOf returns the id of the query that a part at a shard belongs to.
-func queryOf(id string, shard int) string {
+// queryID returns the id of the query to which a part at a shard belongs, in either phase.
+func queryID(id string, shard int) string {
 	if query, ok := strings.CutSuffix(id, frame.PartID("", shard, true)); ok {
 		return query
 	}
 	return strings.TrimSuffix(id, frame.PartID("", shard, false))
 }
 
-// recordAnswer records that a part of a first phase is about to be answered.
-func (f *Fleet) recordAnswer(id string, shard int, end string) {
-	query := queryOf(id, shard)
-	if f.options.SecondPhaseFanout == 0 || end != "done" || id == frame.PartID(query, shard, true) {
+// recordAnswer records that a part is about to be answered with an outcome. Only parts of a first phase that succeeded count.
+func (f *Fleet) recordAnswer(id string, shard int, outcome string) {
+	query := queryID(id, shard)
+	if f.options.SecondPhaseFanout == 0 || outcome != "done" || id == frame.PartID(query, shard, true) {
 		return
 	}
 	f.mu.Lock()
@@ -40,50 +40,50 @@
 	f.answeredShards[query][shard] = true
 }
 
-// checkSecondPhase checks a part of a second phase against what the servers answered in the first: the shards that its
-// fields name were answered, and it goes to one of those with the highest scores. Other parts are valid.
-func (f *Fleet) checkSecondPhase(id string, shard int, list string) {
-	query := queryOf(id, shard)
+// checkSecondPhase checks a part of a second phase against the answers of the first phase: each shard listed in its fields must
+// have been answered, and the part must be sent to one of those with the highest scores. It ignores parts of a first phase.
+func (f *Fleet) checkSecondPhase(id string, shard int, fieldList string) {
+	query := queryID(id, shard)
 	if id != frame.PartID(query, shard, true) {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	fields, err := parseSecondPhase(list)
+	fields, err := parseSecondPhase(fieldList)
 	if err != nil {
 		f.recordViolation("%s: %v", id, err)
 		return
 	}
 	if fields.complete != "0" && fields.complete != "1" {
-		f.recordViolation("%s: whole=%q", id, fields.complete)
+		f.recordViolation("%s: whole=%q, want 0 or 1", id, fields.complete)
 	}
 	for _, n := range fields.from {
 		if !f.answeredShards[query][n] {
-			f.recordViolation("%s: shard %d is in from=, and was not answered", id, n)
+			f.recordViolation("%s: shard %d is listed in from= but was not answered", id, n)
 		}
 	}
 	best := bestShards(query, fields.from, f.options.SecondPhaseFanout)
 	if !slices.Contains(best, shard) {
-		f.recordViolation("%s: shard %d is none of the best %v of %v", id, shard, best, fields.from)
+		f.recordViolation("%s: shard %d is not among the best %v of shards %v", id, shard, best, fields.from)
 	}
 }
 
-// secondPhaseFields are the fields of a second phase's send frame.
+// secondPhaseFields are the fields of a send frame that only a second phase has.
 type secondPhaseFields struct {
-	from     []int  // shards whose first phase was answered
-	complete string // "1" if all shards were answered, "0" if not; "" if the field is missing
+	from     []int  // field from: the shards whose first phase was answered
+	complete string // field whole: "1" if all shards were answered, "0" if not; "" if the field is missing
 }
 
 // parseSecondPhase parses fields such as "d=9,from=1+2+3,whole=1".
-func parseSecondPhase(list string) (fields secondPhaseFields, err error) {
-	for pair := range strings.SplitSeq(list, ",") {
+func parseSecondPhase(fieldList string) (fields secondPhaseFields, err error) {
+	for pair := range strings.SplitSeq(fieldList, ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		switch name {
 		case "from":
 			for shard := range strings.SplitSeq(value, "+") {
 				n, err := strconv.Atoi(shard)
 				if err != nil {
-					return secondPhaseFields{}, fmt.Errorf("from=%s cannot be read", value)
+					return secondPhaseFields{}, fmt.Errorf("invalid shard %q in from=%s", shard, value)
 				}
 				fields.from = append(fields.from, n)
 			}
@@ -94,7 +94,8 @@
 	return fields, nil
 }
 
-// bestShards returns the n shards with the highest scores; of equal ones, the lower shard.
+// bestShards returns the n shards with the highest scores for a query. Of shards with equal scores it prefers the lower
+// number.
 func bestShards(query string, shards []int, n int) []int {
 	best := slices.Clone(shards)
 	slices.SortFunc(best, func(a, b int) int {
--- a/internal/harness/recordservertest/server.go
+++ b/internal/harness/recordservertest/server.go
@@ -19,64 +19,64 @@
 	fleet    *Fleet
 	listener net.Listener
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	rng          *rand.Rand
-	serviceTime  time.Duration // mean
-	hanging      bool
-	failureRatio float64
-	startedAt    time.Time // zero: long ago, so that the server is warm
-	drainedAt    time.Time // zero: not draining
-	arrivals     []time.Time
+	serviceTime  time.Duration // mean of a part's service time
+	hanging      bool          // accept parts and never answer
+	failureRatio float64       // fraction of parts that fail
+	startedAt    time.Time     // zero: long ago, so that the server is past slow start
+	drainedAt    time.Time     // zero: not draining
+	arrivals     []time.Time   // of attempts since the last restart
 	conns        map[net.Conn]struct{}
 }
 
-// Endpoint returns the server's entry on the endpoint list, in a state.
+// Endpoint returns the server's entry in the endpoint list, with a state.
 func (s *Server) Endpoint(state decision.State) broker.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	server := decision.Server{ID: s.ID, ReplicaSet: s.ReplicaSet, State: state, Capacity: 1}
-	e := broker.Endpoint{Addr: s.Addr, Server: server}
+	endpoint := broker.Endpoint{Addr: s.Addr, Server: server}
 	if !s.startedAt.IsZero() {
-		e.Started = float64(s.startedAt.UnixNano()) / 1e9
+		endpoint.Started = float64(s.startedAt.UnixNano()) / 1e9
 	}
-	return e
+	return endpoint
 }
 
-// SetServiceTime sets the mean time of a part.
+// SetServiceTime sets the mean service time of a part.
 func (s *Server) SetServiceTime(d time.Duration) { s.update(func() { s.serviceTime = d }) }
 
 // SetHanging sets whether the server accepts parts and never answers.
 func (s *Server) SetHanging(hanging bool) { s.update(func() { s.hanging = hanging }) }
 
-// SetFailureRatio sets the fraction of parts that fail at once.
+// SetFailureRatio sets the fraction of parts that fail immediately.
 func (s *Server) SetFailureRatio(ratio float64) { s.update(func() { s.failureRatio = ratio }) }
 
-// Restart makes the server one that has just started: not hanging, without arrivals or connections.
+// Restart simulates a restart of the server: it starts now, is not hanging, and has no arrivals or connections.
 func (s *Server) Restart() {
 	s.update(func() { s.startedAt, s.arrivals, s.hanging = time.Now(), nil, false })
 	s.ResetConnections()
 }
 
-// RecordDrain records that the broker has been notified now of the server's drain. Attempts that arrive more than
-// 300 ms later are violations.
+// RecordDrain records that the broker has just been notified of the server's drain. Attempts that arrive more than 300 ms
+// later are violations.
 func (s *Server) RecordDrain() { s.update(func() { s.drainedAt = time.Now() }) }
 
-// update changes the server's state under its lock.
+// update calls change with the server's lock held.
 func (s *Server) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// ResetConnections resets all connections.
+// ResetConnections closes all connections with a TCP reset.
 func (s *Server) ResetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.conns {
-		if t, ok := c.(*net.TCPConn); ok {
-			t.SetLinger(0)
+	for conn := range s.conns {
+		if tcpConn, ok := conn.(*net.TCPConn); ok {
+			tcpConn.SetLinger(0)
 		}
-		c.Close()
+		conn.Close()
 	}
 }
 
@@ -87,16 +87,17 @@
 	return len(s.conns)
 }
 
-// MaxArrivals returns the largest number of parts that arrived within any window of a length since the last restart.
+// MaxArrivals returns the maximum number of parts that have arrived within any window of the given length since the last
+// restart.
 func (s *Server) MaxArrivals(window time.Duration) (maxParts int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	from := 0
-	for i, at := range s.arrivals {
-		for at.Sub(s.arrivals[from]) > window {
-			from++
+	first := 0 // index of the first arrival in the window that ends with arrival i
+	for i, arrivedAt := range s.arrivals {
+		for arrivedAt.Sub(s.arrivals[first]) > window {
+			first++
 		}
-		maxParts = max(maxParts, i-from+1)
+		maxParts = max(maxParts, i-first+1)
 	}
 	return maxParts
 }
@@ -111,17 +112,17 @@
 // accept serves connections until the listener is closed.
 func (s *Server) accept() {
 	for {
-		c, err := s.listener.Accept()
+		netConn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		s.update(func() { s.conns[c] = struct{}{} })
-		conn := &serverConn{Conn: c, server: s, cancels: map[string]chan struct{}{}}
+		s.update(func() { s.conns[netConn] = struct{}{} })
+		conn := &serverConn{Conn: netConn, server: s, cancels: map[string]chan struct{}{}}
 		go conn.serve()
 	}
 }
 
-// attempt is how the server will treat an attempt that it has received.
+// attempt is an attempt that a server has received, and how the server will run it.
 type attempt struct {
 	id          string
 	shard       int
@@ -130,7 +131,8 @@
 	fails       bool
 }
 
-// receive draws how an attempt that has arrived will go, records it and checks the rules that bind it.
+// receive chooses at random how an attempt that has arrived will run, records the attempt and checks it against the protocol's
+// rules.
 func (s *Server) receive(id string, shard int) attempt {
 	now := time.Now()
 	s.mu.Lock()
@@ -149,9 +151,9 @@
 	return a
 }
 
-// run works on an attempt and returns its end as in a response frame. It reports false if there is no answer because
-// the attempt was canceled.
-func (s *Server) run(a attempt, canceled <-chan struct{}) (end string, answered bool) {
+// run runs an attempt and returns its outcome as response frames have it. It returns answered = false if the attempt was
+// canceled, which gets no response.
+func (s *Server) run(a attempt, canceled <-chan struct{}) (outcome string, answered bool) {
 	defer s.fleet.recordEnd(a.id)
 	if a.hangs {
 		<-canceled
@@ -160,10 +162,10 @@
 	if a.fails {
 		return "failed", true
 	}
-	work := time.NewTimer(a.serviceTime)
-	defer work.Stop()
+	timer := time.NewTimer(a.serviceTime)
+	defer timer.Stop()
 	select {
-	case <-work.C:
+	case <-timer.C:
 		return "done", true
 	case <-canceled:
 		return "", false
