--- a/internal/harness/controlplanetest/disk_test.go
+++ b/internal/harness/controlplanetest/disk_test.go
@@ -15,7 +15,7 @@
 // waitForEnd returns the exit status of a machine whose process has to exit by itself.
 func waitForEnd(t *testing.T, m *controlplanetest.Machine) int {
 	select {
-	case <-m.Ended():
+	case <-m.Exited():
 	case <-time.After(waitTimeout):
 		t.Fatalf("%s does not end", m.Name)
 	}
@@ -37,7 +37,7 @@
 	for _, m := range cluster.Machines {
 		if m != full {
 			select {
-			case <-m.Ended():
+			case <-m.Exited():
 				t.Fatalf("%s has ended too", m.Name)
 			default:
 			}
--- a/internal/harness/logtest/buffer.go
+++ b/internal/harness/logtest/buffer.go
@@ -1,4 +1,4 @@
-// Package logtest holds what tests need to read the logs of code under test.
+// Package logtest provides a buffer in which tests collect the log of the code under test.
 package logtest
 
 import (
@@ -6,10 +6,10 @@
 	"sync"
 )
 
-// Buffer collects a log, as the writer of a handler or the output of a process. Its zero value is empty and ready to
-// use. It is safe for concurrent use.
+// Buffer collects a log. It can be the writer of a slog handler or the output of a process. Its zero value is empty and ready
+// to use. It is safe for concurrent use.
 type Buffer struct {
-	mu   sync.Mutex
+	mu   sync.Mutex // guards data
 	data bytes.Buffer
 }
 
@@ -20,7 +20,7 @@
 	return b.data.Write(p)
 }
 
-// String returns what has been written so far.
+// String returns all data written so far.
 func (b *Buffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/harness/logtest/buffer_test.go
+++ b/internal/harness/logtest/buffer_test.go
@@ -12,18 +12,21 @@
 )
 
 func TestBufferKeepsLinesOfConcurrentWriters(t *testing.T) {
-	const writers, lines = 4, 50
+	const (
+		writers        = 4
+		linesPerWriter = 50
+	)
 	var log logtest.Buffer
 	require.Empty(t, log.String())
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	for range writers {
-		running.Go(func() {
-			for range lines {
+		wg.Go(func() {
+			for range linesPerWriter {
 				fmt.Fprintln(&log, "line")
 				_ = log.String()
 			}
 		})
 	}
-	running.Wait()
-	require.Equal(t, strings.Repeat("line\n", writers*lines), log.String())
+	wg.Wait()
+	require.Equal(t, strings.Repeat("line\n", writers*linesPerWriter), log.String())
 }
--- a/internal/harness/processtest/broker.go
+++ b/internal/harness/processtest/broker.go
@@ -16,34 +16,34 @@
 	"mothrouter/internal/harness/process"
 )
 
-// Broker is one broker of the fleet: its name and addresses, and the process that runs under them.
+// Broker is one broker of the fleet: its name, its addresses and the process that runs with them.
 type Broker struct {
 	process.Process
-	Index   int
+	Index   int // in Fleet.Brokers
 	Name    string
 	Listen  string // address for clients
 	Control string // address for operators
 
 	fleet        *Fleet
-	address      netip.AddrPort // of its membership socket
-	proxyAddress netip.AddrPort // at which the others reach it
-	proxy        *net.UDPConn
+	address      netip.AddrPort // of the process's membership socket
+	proxyAddress netip.AddrPort // address that the broker advertises to the others
+	proxy        *net.UDPConn   // listens at proxyAddress
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	view      View
-	removed   []string
+	removed   []string // names of the brokers that this one has marked as lost, in order
 	sentBytes int
 }
 
-// View is the fleet as a broker's process has logged it last.
+// View is a broker's view of the fleet, as its process has last logged it.
 type View struct {
-	Alive   int // brokers
-	Known   int // brokers, lost ones included
-	Sharing int // brokers that share budgets
-	Fenced  bool
+	Alive   int  // number of brokers that are alive
+	Known   int  // number of brokers, lost ones included
+	Sharing int  // number of brokers that share the fleet's budgets
+	Fenced  bool // the broker is fenced because it sees only a minority of the fleet
 }
 
-// Start writes the broker's files and starts its process.
+// Start writes the broker's configuration files and starts its process.
 func (b *Broker) Start() error {
 	options := b.fleet.options
 	configPath := filepath.Join(options.Folder, b.Name+".json")
@@ -62,23 +62,24 @@
 	return b.Run(cmd)
 }
 
-// fleetFile returns the text of the operator file for -fleet.
+// fleetFile returns the content of the file for the flag -fleet.
 func (b *Broker) fleetFile() []byte {
 	var seeds []string
-	for _, s := range b.fleet.Brokers[:min(seedCount, len(b.fleet.Brokers))] {
-		seeds = append(seeds, strconv.Quote(s.proxyAddress.String()))
+	for _, seed := range b.fleet.Brokers[:min(seedCount, len(b.fleet.Brokers))] {
+		seeds = append(seeds, strconv.Quote(seed.proxyAddress.String()))
 	}
 	return fmt.Appendf(nil, "fleet = %q\nname = %q\nlisten = %q\nadvertise = %q\nseeds = [%s]\n",
 		fleetName, b.Name, b.address, b.proxyAddress, strings.Join(seeds, ", "))
 }
 
+// Patterns of the log lines that readLogLine parses.
 var (
 	fleetSizeLine  = regexp.MustCompile(`msg="fleet size changed" .*alive=(\d+) known=(\d+) sharing=(\d+) fenced=(\w+)`)
 	memberLostLine = regexp.MustCompile(`msg="fleet member changed" .*member=(\S+) .*is=lost`)
 )
 
-// readLine reads the process's view of the fleet from a line of its log.
-func (b *Broker) readLine(line string) {
+// readLogLine updates the view and the list of removed brokers from a line of the process's log.
+func (b *Broker) readLogLine(line string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if m := fleetSizeLine.FindStringSubmatch(line); m != nil {
@@ -89,13 +90,13 @@
 	}
 }
 
-// parseInt parses digits that a pattern has matched.
+// parseInt parses the digits of a pattern's match.
 func parseInt(s string) int {
 	n, _ := strconv.Atoi(s)
 	return n
 }
 
-// View returns the fleet as the broker's process has logged it last.
+// View returns the broker's view of the fleet, as its process has last logged it.
 func (b *Broker) View() View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -109,6 +110,7 @@
 	return append([]string(nil), b.removed...)
 }
 
+// resetRemoved empties the list that Removed returns.
 func (b *Broker) resetRemoved() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -122,7 +124,8 @@
 	b.sentBytes += n + plane.Overhead
 }
 
-// SentBytes returns how many bytes all processes of the broker have sent, IP and UDP headers included.
+// SentBytes returns the number of bytes that all processes of the broker have sent in membership datagrams, including IP and
+// UDP headers.
 func (b *Broker) SentBytes() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/harness/processtest/fleet.go
+++ b/internal/harness/processtest/fleet.go
@@ -1,6 +1,7 @@
 // Package processtest runs a fleet of broker processes on loopback, with a UDP proxy between each directed pair of them.
-// The proxy loses, duplicates, delays, reorders and cuts membership datagrams by a seeded generator. Tests pause, kill and
-// restart the processes and read from their logs how each sees the fleet. No production code imports it.
+// The proxies drop, duplicate, delay and reorder membership datagrams with a seeded random generator, and can cut a direction
+// completely. Tests pause, kill and restart the processes and read from their logs how each sees the fleet. No production
+// code imports this package.
 package processtest
 
 import (
@@ -16,19 +17,19 @@
 type Options struct {
 	Program string // path of the built program
 	Folder  string // for configuration files
-	Brokers int
-	Seed    uint64 // of the faults and, modulo 256, of the addresses: fleets that run side by side need different ones
-	// Config returns the text of a broker's configuration file, with its name and the addresses it listens at.
+	Brokers int    // number of brokers
+	Seed    uint64 // of the faults and, modulo 256, of the addresses: fleets that run concurrently need different seeds
+	// Config returns the text of a broker's configuration file, with the broker's name and the addresses at which it listens.
 	Config func(name, listen, control string) string
-	Flags  []string // more flags, the same for all brokers
+	Flags  []string // additional flags, the same for all brokers
 }
 
-// Faults are what happens to the datagrams of one directed pair of brokers.
+// Faults are the faults that a proxy injects into the datagrams from one broker to another.
 type Faults struct {
-	LossRatio      float64       // fraction of datagrams that are lost
-	DuplicateRatio float64       // fraction that is delivered twice
-	MaxDelay       time.Duration // each is delayed by a uniform time up to this, so that they overtake each other
-	Cut            bool          // all are lost
+	LossRatio      float64       // fraction of datagrams that are dropped
+	DuplicateRatio float64       // fraction of datagrams that are delivered twice
+	MaxDelay       time.Duration // maximum of a datagram's delay, which is uniform and reorders datagrams
+	Cut            bool          // all datagrams are dropped
 }
 
 // Fleet is a set of brokers and the proxies between them. Its methods are safe for concurrent use.
@@ -36,27 +37,27 @@
 	Brokers []*Broker
 	options Options
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	rng           *rand.Rand
 	faults        map[direction]Faults
-	defaultFaults Faults // of pairs without faults of their own
+	defaultFaults Faults // of directions that are not in faults
 	closed        bool
-	deliveries    sync.WaitGroup // delayed datagrams
+	deliveries    sync.WaitGroup // delayed datagrams that are still to be sent
 }
 
-// direction is a directed pair of brokers, by index.
+// direction is an ordered pair of brokers, given by their indexes.
 type direction struct{ from, to int }
 
 const (
 	fleetName = "processtest"
-	seedCount = 3 // brokers whose addresses all others are configured with
+	seedCount = 3 // number of brokers that all brokers are configured with as seeds
 
 	clientPort     = "8080"
 	controlPort    = "8081"
 	membershipPort = "7946"
 )
 
-// New starts a fleet. The caller has to close it.
+// New starts a fleet. The caller must close it.
 func New(options Options) (*Fleet, error) {
 	f := &Fleet{
 		options: options, rng: rand.New(rand.NewPCG(options.Seed, 0x9b05688c2b3e6c1f)), faults: map[direction]Faults{},
@@ -81,7 +82,7 @@
 	return f, nil
 }
 
-// newBroker returns a broker whose proxy listens, and whose process is not started.
+// newBroker returns a broker whose proxy is listening and whose process has not been started.
 func (f *Fleet) newBroker(index int) (*Broker, error) {
 	host := fmt.Sprintf("127.77.%d.%d", f.options.Seed%256, index+1)
 	proxyHost := fmt.Sprintf("127.78.%d.%d", f.options.Seed%256, index+1)
@@ -91,7 +92,7 @@
 		address:      netip.MustParseAddrPort(host + ":" + membershipPort),
 		proxyAddress: netip.MustParseAddrPort(proxyHost + ":" + membershipPort),
 	}
-	b.OnLine = b.readLine
+	b.OnLogLine = b.readLogLine
 	var err error
 	b.proxy, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(b.proxyAddress))
 	return b, err
@@ -111,14 +112,14 @@
 	}
 }
 
-// SetFaults sets the faults of datagrams from one broker to another.
+// SetFaults sets the faults of datagrams from one broker to another, given by their indexes.
 func (f *Fleet) SetFaults(from, to int, faults Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults[direction{from, to}] = faults
 }
 
-// SetAllFaults sets the faults between all brokers. It replaces those of SetFaults.
+// SetAllFaults sets the faults between all brokers. It replaces all earlier faults, including those of SetFaults.
 func (f *Fleet) SetAllFaults(faults Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,7 +127,7 @@
 	clear(f.faults)
 }
 
-// ResetRemoved empties what Removed returns for each broker.
+// ResetRemoved empties the list that Removed returns, for each broker.
 func (f *Fleet) ResetRemoved() {
 	for _, b := range f.Brokers {
 		b.resetRemoved()
--- a/internal/harness/processtest/fleet_test.go
+++ b/internal/harness/processtest/fleet_test.go
@@ -29,6 +29,7 @@
 	os.Exit(code)
 }
 
+// config returns a broker's configuration file with a single record server, which does not exist.
 func config(name, listen, control string) string {
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"control":%q,"discovery":"127.0.0.1:1","seed":"7","limits":{"memory_mb":64,"sockets":256},
 		"known":{"version":1,"full":true,"servers":[{"id":"s","addr":"127.0.0.1:2","cell":0,"state":"active"}]},
@@ -38,7 +39,7 @@
 
 const fleetSize = 6
 
-// startFleet starts a fleet and waits until each broker sees all others.
+// startFleet starts a fleet and waits until each broker sees all brokers alive.
 func startFleet(t *testing.T, seed uint64) *processtest.Fleet {
 	t.Parallel()
 	f, err := processtest.New(processtest.Options{Program: program, Folder: t.TempDir(), Brokers: fleetSize, Seed: seed, Config: config})
@@ -51,16 +52,17 @@
 			}
 		}
 	})
-	waitForAlive(t, f, 20*time.Second, seenByAll)
+	waitForAlive(t, f, 20*time.Second, expectAllAlive)
 	f.ResetRemoved()
 	return f
 }
 
-// seenByAll expects each broker to see all others.
-func seenByAll(*processtest.Broker) int { return fleetSize }
+// expectAllAlive returns the number of live brokers that a broker has to see if all are alive.
+func expectAllAlive(*processtest.Broker) int { return fleetSize }
 
-// seenWithout expects all brokers but one to see a fleet without that one.
-func seenWithout(index int) func(*processtest.Broker) int {
+// expectAllAliveExcept returns the numbers of live brokers that the others have to see if one broker is not alive. That broker
+// itself may see any number.
+func expectAllAliveExcept(index int) func(*processtest.Broker) int {
 	return func(b *processtest.Broker) int {
 		if b.Index == index {
 			return 0
@@ -69,11 +71,11 @@
 	}
 }
 
-// waitForAlive waits until each broker sees the wanted number of brokers alive, and returns how long that took. A broker
-// for which want returns 0 may see any number.
+// waitForAlive waits until each broker sees the number of live brokers that want returns for it, and returns how long that took.
+// A broker for which want returns 0 may see any number.
 func waitForAlive(t *testing.T, f *processtest.Fleet, within time.Duration, want func(*processtest.Broker) int) time.Duration {
 	t.Helper()
-	began := time.Now()
+	startedAt := time.Now()
 	require.Eventually(t, func() bool {
 		for _, b := range f.Brokers {
 			if n := want(b); n > 0 && b.View().Alive != n {
@@ -82,15 +84,15 @@
 		}
 		return true
 	}, within, 20*time.Millisecond)
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
-// requireNoneRemoved checks that brokers have marked none as lost but those named.
+// requireNoneRemoved checks that brokers have marked no broker as lost except the named ones.
 func requireNoneRemoved(t *testing.T, f *processtest.Fleet, except ...string) {
 	t.Helper()
 	for _, b := range f.Brokers {
 		for _, name := range b.Removed() {
-			require.Contains(t, except, name, "%s marked it as lost", b.Name)
+			require.Contains(t, except, name, "%s has marked a live broker as lost", b.Name)
 		}
 	}
 }
@@ -98,22 +100,22 @@
 func TestKilledBrokerIsRemovedAndRejoins(t *testing.T) {
 	f := startFleet(t, 1)
 	f.Brokers[4].Kill()
-	took := waitForAlive(t, f, 8*time.Second, seenWithout(4))
-	t.Logf("known to all after %v", took)
-	require.Less(t, took, 6*time.Second) // 5 s, and 1 s for a busy machine
+	took := waitForAlive(t, f, 8*time.Second, expectAllAliveExcept(4))
+	t.Logf("all brokers have removed the killed one after %v", took)
+	require.Less(t, took, 6*time.Second) // the limit is 5 s; 1 s more for a busy machine
 	require.NoError(t, f.Brokers[4].Start())
-	waitForAlive(t, f, 10*time.Second, seenByAll)
+	waitForAlive(t, f, 10*time.Second, expectAllAlive)
 	requireNoneRemoved(t, f, "n4")
-	f.Brokers[5].Terminate() // it announces that it leaves
-	took = waitForAlive(t, f, 8*time.Second, seenWithout(5))
+	f.Brokers[5].Terminate() // on SIGTERM a broker announces that it leaves
+	took = waitForAlive(t, f, 8*time.Second, expectAllAliveExcept(5))
 	require.Less(t, took, 2*time.Second)
 }
 
 func TestFaultyNetworkAndShortPausesRemoveNoBroker(t *testing.T) {
 	f := startFleet(t, 2)
 	f.SetAllFaults(processtest.Faults{LossRatio: 0.2, DuplicateRatio: 0.2, MaxDelay: 60 * time.Millisecond})
-	sent := f.Brokers[0].SentBytes()
-	began := time.Now()
+	sentBefore := f.Brokers[0].SentBytes()
+	startedAt := time.Now()
 	for i := range 3 {
 		b := f.Brokers[i+1]
 		b.Pause()
@@ -122,23 +124,23 @@
 		time.Sleep(time.Second)
 	}
 	requireNoneRemoved(t, f)
-	require.Less(t, float64(f.Brokers[0].SentBytes()-sent)/time.Since(began).Seconds(), 4000.)
+	require.Less(t, float64(f.Brokers[0].SentBytes()-sentBefore)/time.Since(startedAt).Seconds(), 4000., "bytes per second")
 }
 
 func TestLongPauseRemovesBrokerUntilItContinues(t *testing.T) {
 	f := startFleet(t, 3)
 	f.Brokers[2].Pause()
-	waitForAlive(t, f, 8*time.Second, seenWithout(2))
+	waitForAlive(t, f, 8*time.Second, expectAllAliveExcept(2))
 	time.Sleep(2 * time.Second)
 	f.Brokers[2].Continue()
-	took := waitForAlive(t, f, 6*time.Second, seenByAll)
+	took := waitForAlive(t, f, 6*time.Second, expectAllAlive)
 	require.Less(t, took, 4*time.Second)
 	requireNoneRemoved(t, f, "n2")
-	require.Empty(t, f.Brokers[2].Removed(), "a broker that continues removes none")
+	require.Empty(t, f.Brokers[2].Removed(), "a broker that continues after a pause must not mark others as lost")
 }
 
 func TestPartitionFencesMinorityAndCutPairRemovesNoBroker(t *testing.T) {
-	const minority = 2 // brokers that are cut off from the others
+	const minority = 2 // number of brokers that are cut off from the others
 	f := startFleet(t, 4)
 	cut := processtest.Faults{Cut: true}
 	f.SetFaults(0, 1, cut)
@@ -160,19 +162,19 @@
 		return fleetSize - minority
 	})
 	for _, b := range f.Brokers {
-		require.Equal(t, fleetSize, b.View().Sharing, "lost brokers keep their share")
+		require.Equal(t, fleetSize, b.View().Sharing, "lost brokers must keep their share of the budgets")
 	}
 	require.Eventually(t, func() bool { return f.Brokers[0].View().Fenced && f.Brokers[1].View().Fenced }, 30*time.Second, 50*time.Millisecond)
 	require.False(t, f.Brokers[3].View().Fenced)
 	f.SetAllFaults(processtest.Faults{})
-	took := waitForAlive(t, f, 8*time.Second, seenByAll)
+	took := waitForAlive(t, f, 8*time.Second, expectAllAlive)
 	require.Less(t, took, 6*time.Second)
 	require.Eventually(t, func() bool { return !f.Brokers[0].View().Fenced }, 2*time.Second, 20*time.Millisecond)
 }
 
-// Four of six brokers are killed at once and restarted under their names: each counts as one broker, whatever the
-// others still know of the killed processes.
-func TestMajorityRestartsAtOnce(t *testing.T) {
+// Four of six brokers are killed at once and restarted under the same names. Each must count as one broker, even while the
+// others still have entries of the killed processes.
+func TestSimultaneousRestartOfMajority(t *testing.T) {
 	f := startFleet(t, 5)
 	for _, b := range f.Brokers[1:5] {
 		b.Kill()
@@ -180,5 +182,5 @@
 	for _, b := range f.Brokers[1:5] {
 		require.NoError(t, b.Start())
 	}
-	waitForAlive(t, f, 15*time.Second, seenByAll)
+	waitForAlive(t, f, 15*time.Second, expectAllAlive)
 }
--- a/internal/harness/processtest/proxy.go
+++ b/internal/harness/processtest/proxy.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// maxDatagram is the proxies' buffer in bytes, more than a broker sends in one datagram.
-const maxDatagram = 2048
+// maxDatagramSize is the size of a proxy's buffer in bytes. Datagrams of brokers are smaller.
+const maxDatagramSize = 2048
 
-// relay delivers the datagrams that arrive at a broker's proxy, with the faults of their sender's direction. It forwards
-// them from the sender's own proxy, so that an answer passes through a proxy too.
+// relay forwards the datagrams that arrive at the broker's proxy, with the faults of the direction from their sender, until the
+// proxy is closed. It sends them from the sender's proxy, so that a reply passes through a proxy as well.
 func (b *Broker) relay() {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramSize)
 	for {
-		n, from, err := b.proxy.ReadFromUDPAddrPort(buffer)
+		n, source, err := b.proxy.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -22,7 +22,7 @@
 			continue
 		}
 		for _, sender := range b.fleet.Brokers {
-			if sender.address == from {
+			if sender.address == source {
 				sender.recordSent(n)
 				b.fleet.forward(sender, b, append([]byte(nil), buffer[:n]...))
 			}
@@ -30,7 +30,7 @@
 	}
 }
 
-// forward delivers a datagram once, twice or not at all.
+// forward delivers a datagram once or twice, or drops it, according to the faults of its direction.
 func (f *Fleet) forward(from, to *Broker, datagram []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -50,7 +50,7 @@
 	}
 }
 
-// deliver delivers a datagram after a random delay. The caller holds mu.
+// deliver sends a datagram after a random delay of up to maxDelay. The caller holds mu.
 func (f *Fleet) deliver(from, to *Broker, datagram []byte, maxDelay time.Duration) {
 	send := func() { from.proxy.WriteToUDPAddrPort(datagram, to.address) }
 	if maxDelay <= 0 {
