--- a/docs/architecture_test.go
+++ b/docs/architecture_test.go
@@ -1,4 +1,5 @@
-// Package docs_test holds the pages of this folder against the code that they describe.
+// Package docs_test checks that the pages of this folder agree with the code: the names, tests and links on the pages must
+// exist, and the packages must follow the rules of the architecture.
 package docs_test
 
 import (
@@ -18,11 +19,11 @@
 )
 
 const (
-	root   = ".."
-	module = "mothrouter/"
+	root         = ".."          // the repository, from this folder
+	modulePrefix = "mothrouter/" // of the import paths of this module
 )
 
-// deciders are the packages that decide. They do no I/O and import no driver, directly or through others.
+// deciders are the packages that make decisions. They do no I/O, and they import no driver, directly or indirectly.
 var deciders = []string{
 	"internal/decision", "internal/completeness", "internal/backoff", "internal/drain",
 	"internal/estimate/clientpatience", "internal/estimate/failures", "internal/estimate/queueing",
@@ -37,7 +38,7 @@
 	"internal/workers/lease", "internal/workers/observations", "internal/workers/placement",
 }
 
-// drivers are the packages with sockets, files, goroutines or the clock.
+// drivers are the packages that use sockets, files, goroutines or the clock.
 var drivers = []string{
 	"internal/admin", "internal/assembly", "internal/broker",
 	"internal/cluster/fleet",
@@ -49,32 +50,33 @@
 	"internal/workers/cores",
 }
 
-// source is what the Go files outside tests declare.
-type source struct {
-	folders  map[string]bool            // paths from the root, and their last elements
-	members  map[string]map[string]bool // by package or type name: what it declares, fields and methods included
-	imports  map[string][]string        // by folder
-	commands map[string]bool            // subcommands of the programs
+// codeIndex holds the names that the Go files outside tests declare.
+type codeIndex struct {
+	folders  map[string]bool            // paths relative to the root, also without internal/, and their last elements
+	members  map[string]map[string]bool // by package or type name: the names declared in it, fields and methods included
+	imports  map[string][]string        // import paths by folder
+	commands map[string]bool            // names of the programs' subcommands
 }
 
-func readSource(t *testing.T) *source {
-	s := &source{
+// readCode indexes the Go files of all programs and packages.
+func readCode(t *testing.T) *codeIndex {
+	index := &codeIndex{
 		folders:  map[string]bool{},
 		members:  map[string]map[string]bool{},
 		imports:  map[string][]string{},
 		commands: map[string]bool{},
 	}
-	parseGoFiles(t, func(path string) bool { return !strings.HasSuffix(path, "_test.go") }, s.readFile)
-	return s
+	parseGoFiles(t, func(path string) bool { return !strings.HasSuffix(path, "_test.go") }, index.addFile)
+	return index
 }
 
-// parseGoFiles parses the Go files of the programs and packages that are wanted, by path, and hands each to visit with its
-// folder.
-func parseGoFiles(t *testing.T, wanted func(path string) bool, visit func(folder string, file *ast.File)) {
+// parseGoFiles parses the Go files of the programs and packages whose path include accepts, and calls visit with each file and
+// its folder.
+func parseGoFiles(t *testing.T, include func(path string) bool, visit func(folder string, file *ast.File)) {
 	t.Helper()
 	for _, top := range []string{"cmd", "internal"} {
 		err := filepath.WalkDir(filepath.Join(root, top), func(path string, entry fs.DirEntry, err error) error {
-			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || !wanted(path) {
+			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || !include(path) {
 				return err
 			}
 			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
@@ -92,164 +94,169 @@
 	}
 }
 
-func (s *source) readFile(folder string, file *ast.File) {
-	for f := folder; f != "."; f = filepath.Dir(f) {
-		s.folders[f] = true
-		s.folders[filepath.Base(f)] = true
-		s.folders[strings.TrimPrefix(f, "internal/")] = true
+// addFile adds the folder, imports and declarations of a file.
+func (c *codeIndex) addFile(folder string, file *ast.File) {
+	for parent := folder; parent != "."; parent = filepath.Dir(parent) {
+		c.folders[parent] = true
+		c.folders[filepath.Base(parent)] = true
+		c.folders[strings.TrimPrefix(parent, "internal/")] = true
 	}
 	for _, spec := range file.Imports {
-		s.imports[folder] = append(s.imports[folder], strings.Trim(spec.Path.Value, `"`))
+		c.imports[folder] = append(c.imports[folder], strings.Trim(spec.Path.Value, `"`))
 	}
 	ast.Inspect(file, func(node ast.Node) bool {
-		s.readNode(file.Name.Name, node)
+		c.addNode(file.Name.Name, node)
 		return true
 	})
 }
 
-func (s *source) declare(owner, name string) {
-	if s.members[owner] == nil {
-		s.members[owner] = map[string]bool{}
+// addMember adds a name that a package or type declares.
+func (c *codeIndex) addMember(owner, name string) {
+	if c.members[owner] == nil {
+		c.members[owner] = map[string]bool{}
 	}
-	s.members[owner][name] = true
+	c.members[owner][name] = true
 }
 
-func (s *source) readNode(pkg string, node ast.Node) {
+// addNode adds the names that a node declares. A field Use with a string literal is taken as the usage line of a subcommand.
+func (c *codeIndex) addNode(pkg string, node ast.Node) {
 	switch n := node.(type) {
 	case *ast.FuncDecl:
-		s.declare(pkg, n.Name.Name)
+		c.addMember(pkg, n.Name.Name)
 		if n.Recv != nil {
-			s.declare(receiver(n.Recv.List[0].Type), n.Name.Name)
+			c.addMember(receiverType(n.Recv.List[0].Type), n.Name.Name)
 		}
 	case *ast.TypeSpec:
-		s.declare(pkg, n.Name.Name)
+		c.addMember(pkg, n.Name.Name)
 		if t, ok := n.Type.(*ast.StructType); ok {
-			s.declareFields(n.Name.Name, t.Fields)
+			c.addFields(n.Name.Name, t.Fields)
 		}
 		if t, ok := n.Type.(*ast.InterfaceType); ok {
-			s.declareFields(n.Name.Name, t.Methods)
+			c.addFields(n.Name.Name, t.Methods)
 		}
 	case *ast.ValueSpec:
 		for _, name := range n.Names {
-			s.declare(pkg, name.Name)
+			c.addMember(pkg, name.Name)
 		}
 	case *ast.KeyValueExpr:
 		key, _ := n.Key.(*ast.Ident)
 		value, _ := n.Value.(*ast.BasicLit)
 		if key != nil && value != nil && key.Name == "Use" {
-			s.commands[strings.Fields(strings.Trim(value.Value, `"`))[0]] = true
+			c.commands[strings.Fields(strings.Trim(value.Value, `"`))[0]] = true
 		}
 	}
 }
 
-func (s *source) declareFields(owner string, fields *ast.FieldList) {
+// addFields adds the names of a type's fields or methods.
+func (c *codeIndex) addFields(owner string, fields *ast.FieldList) {
 	for _, field := range fields.List {
 		for _, name := range field.Names {
-			s.declare(owner, name.Name)
+			c.addMember(owner, name.Name)
 		}
 	}
 }
 
-// receiver returns the name of a receiver's type.
-func receiver(e ast.Expr) string {
-	switch t := e.(type) {
+// receiverType returns the name of a receiver's type, without pointers and type parameters.
+func receiverType(expr ast.Expr) string {
+	switch t := expr.(type) {
 	case *ast.StarExpr:
-		return receiver(t.X)
+		return receiverType(t.X)
 	case *ast.IndexExpr:
-		return receiver(t.X)
+		return receiverType(t.X)
 	case *ast.Ident:
 		return t.Name
 	}
 	return ""
 }
 
-// resolves reports whether a name in backticks stands for something in the code: a folder, a subcommand, a declared name,
-// or a chain of those such as package.Type.Method.
-func (s *source) resolves(name string) bool {
-	if s.folders[strings.TrimSuffix(name, "/")] || s.commands[name] {
+// resolves reports whether a code span names something that exists in the code: a folder, a subcommand, a declared name, or a
+// qualified name such as package.Type.Method.
+func (c *codeIndex) resolves(name string) bool {
+	if c.folders[strings.TrimSuffix(name, "/")] || c.commands[name] {
 		return true
 	}
 	if words := strings.Fields(name); len(words) == 2 {
-		return s.folders[words[0]] && s.commands[words[1]]
+		return c.folders[words[0]] && c.commands[words[1]]
 	}
-	chain := strings.Split(strings.TrimSuffix(name, "()"), ".")
-	if len(chain) == 1 {
-		for _, members := range s.members {
+	elements := strings.Split(strings.TrimSuffix(name, "()"), ".")
+	if len(elements) == 1 {
+		for _, members := range c.members {
 			if members[name] {
 				return true
 			}
 		}
 		return false
 	}
-	for i := range chain[1:] {
-		if !s.members[chain[i]][chain[i+1]] {
+	for i := range elements[1:] {
+		if !c.members[elements[i]][elements[i+1]] {
 			return false
 		}
 	}
 	return true
 }
 
-// codeSpan is a name in backticks within a line.
-var codeSpan = regexp.MustCompile("`([^`\n]+)`")
+// codeSpanPattern matches a Markdown code span, which is text in backticks within a line.
+var codeSpanPattern = regexp.MustCompile("`([^`\n]+)`")
 
 func TestArchitectureNamesResolve(t *testing.T) {
-	s := readSource(t)
-	require.True(t, s.resolves("broker.Broker.Submit"))
-	require.False(t, s.resolves("broker.Broker.NoSuchMethod"), "an unknown name must not resolve")
+	code := readCode(t)
+	require.True(t, code.resolves("broker.Broker.Submit"))
+	require.False(t, code.resolves("broker.Broker.NoSuchMethod"), "an unknown name must not resolve")
 	text, err := os.ReadFile("architecture.md")
 	require.NoError(t, err)
-	spans := codeSpan.FindAllStringSubmatch(string(text), -1)
+	spans := codeSpanPattern.FindAllStringSubmatch(string(text), -1)
 	require.NotEmpty(t, spans)
 	for _, span := range spans {
-		if !s.resolves(span[1]) {
-			t.Errorf("architecture.md names `%s`, which the code does not have", span[1])
+		if !code.resolves(span[1]) {
+			t.Errorf("architecture.md names `%s`, which does not exist in the code", span[1])
 		}
 	}
 }
 
 func TestArchitectureIsOnePage(t *testing.T) {
+	const maxLines = 110
 	text, err := os.ReadFile("architecture.md")
 	require.NoError(t, err)
-	require.LessOrEqual(t, strings.Count(string(text), "\n"), 110)
+	require.LessOrEqual(t, strings.Count(string(text), "\n"), maxLines)
 }
 
 func TestDecidersImportNoDriver(t *testing.T) {
-	s := readSource(t)
+	code := readCode(t)
 	for _, folder := range append(slices.Clone(deciders), drivers...) {
-		require.True(t, s.folders[folder], "%s is not a package", folder)
+		require.True(t, code.folders[folder], "package %s does not exist", folder)
 	}
 	for _, folder := range deciders {
-		require.NotContains(t, s.imports[folder], "net", folder)
-		require.NotContains(t, s.imports[folder], "os", folder)
-		for _, reached := range s.reachable(folder) {
-			if slices.Contains(drivers, reached) {
-				t.Errorf("%s decides and reaches the driver %s", folder, reached)
+		require.NotContains(t, code.imports[folder], "net", folder)
+		require.NotContains(t, code.imports[folder], "os", folder)
+		for _, dependency := range code.dependencies(folder) {
+			if slices.Contains(drivers, dependency) {
+				t.Errorf("decider %s imports driver %s, directly or indirectly", folder, dependency)
 			}
 		}
 	}
 }
 
-// reachable returns the folders of this module that a folder imports, directly or through others.
-func (s *source) reachable(folder string) (reached []string) {
+// dependencies returns the folders of this module that a folder imports, directly or indirectly.
+func (c *codeIndex) dependencies(folder string) (list []string) {
 	seen := map[string]bool{}
 	var visit func(string)
-	visit = func(from string) {
-		for _, path := range s.imports[from] {
-			to, own := strings.CutPrefix(path, module)
-			if !own || seen[to] {
+	visit = func(importer string) {
+		for _, path := range c.imports[importer] {
+			imported, inModule := strings.CutPrefix(path, modulePrefix)
+			if !inModule || seen[imported] {
 				continue
 			}
-			seen[to] = true
-			reached = append(reached, to)
-			visit(to)
+			seen[imported] = true
+			list = append(list, imported)
+			visit(imported)
 		}
 	}
 	visit(folder)
-	return reached
+	return list
 }
 
-// link is a Markdown link to a file of this repository.
-var link = regexp.MustCompile(`\]\(([^)#:]+)(#[^)]*)?\)`)
+// linkPattern matches a Markdown link to a file of this repository.
+var linkPattern = regexp.MustCompile(`\]\(([^)#:]+)(#[^)]*)?\)`)
 
 func TestLinksResolve(t *testing.T) {
 	pages, err := filepath.Glob("*.md")
@@ -259,18 +266,18 @@
 	for _, page := range pages {
 		text, err := os.ReadFile(page)
 		require.NoError(t, err)
-		for _, target := range link.FindAllStringSubmatch(string(text), -1) {
+		for _, target := range linkPattern.FindAllStringSubmatch(string(text), -1) {
 			checked++
 			if _, err := os.Stat(filepath.Join(filepath.Dir(page), target[1])); err != nil {
-				t.Errorf("%s links to %s, which is not there", page, target[1])
+				t.Errorf("%s links to %s, which cannot be found: %v", page, target[1], err)
 			}
 		}
 	}
-	require.Greater(t, checked, 20)
+	require.Greater(t, checked, 20, "too few links found on the pages")
 }
 
-// testName is the name of a test function in a page. Behind -run it may be the beginning of several.
-var testName = regexp.MustCompile(`(-run )?\b(Test[A-Z]\w+)`)
+// testNamePattern matches the name of a test function on a page. After -run it may be a prefix of several names.
+var testNamePattern = regexp.MustCompile(`(-run )?\b(Test[A-Z]\w+)`)
 
 func TestNamedTestsExist(t *testing.T) {
 	declared := map[string]bool{}
@@ -287,16 +294,16 @@
 	require.NoError(t, err)
 	for _, page := range pages {
 		if page == "ROADMAP.md" {
-			continue // it names tests of earlier programs
+			continue // it names tests of earlier programs, which no longer exist
 		}
 		text, err := os.ReadFile(page)
 		require.NoError(t, err)
-		for _, match := range testName.FindAllStringSubmatch(string(text), -1) {
+		for _, match := range testNamePattern.FindAllStringSubmatch(string(text), -1) {
 			name := match[2]
 			isPattern := match[1] != ""
-			begins := func(test string) bool { return isPattern && strings.HasPrefix(test, name) }
-			if !declared[name] && !slices.ContainsFunc(names, begins) {
-				t.Errorf("%s names the test %s, which is not there", page, name)
+			matches := func(test string) bool { return isPattern && strings.HasPrefix(test, name) }
+			if !declared[name] && !slices.ContainsFunc(names, matches) {
+				t.Errorf("%s names the test %s, which does not exist", page, name)
 			}
 		}
 	}
--- a/internal/harness/controlplanetest/broker_test.go
+++ b/internal/harness/controlplanetest/broker_test.go
@@ -16,7 +16,7 @@
 	"mothrouter/internal/harness/controlplanetest"
 )
 
-// startBroker starts a process of a broker that follows all machines.
+// startBroker starts a broker process that follows all control machines of a cluster.
 func startBroker(t *testing.T, cluster *controlplanetest.Cluster, name string) {
 	folder := t.TempDir()
 	var control strings.Builder
@@ -52,27 +52,27 @@
 func mergedStatus(t *testing.T, cluster *controlplanetest.Cluster) configstatus.View {
 	var answers []configstatus.Answer
 	for _, address := range cluster.Addresses() {
-		got, err := operatorclient.Status(t.Context(), address)
-		answers = append(answers, configstatus.Answer{Address: address, Status: got, Err: err})
+		status, err := operatorclient.Status(t.Context(), address)
+		answers = append(answers, configstatus.Answer{Address: address, Status: status, Err: err})
 	}
 	return configstatus.Merge(answers)
 }
 
-// Broker processes put each revision in force in time, also while the leader is killed.
+// Broker processes must put each revision in force in time, even if the leader is killed between two publications.
 func TestBrokersPutRevisionsInForceInTime(t *testing.T) {
 	const brokers = 3
 	cluster := startCluster(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
 	for i := range brokers {
 		startBroker(t, cluster, fmt.Sprint("broker-", i))
 	}
-	all := len(controlplanetest.Regions)*followersPerRegion + brokers
-	require.Eventually(t, func() bool { return mergedStatus(t, cluster).Connected == all }, waitTimeout, 50*time.Millisecond)
+	clients := len(controlplanetest.Regions)*followersPerRegion + brokers
+	require.Eventually(t, func() bool { return mergedStatus(t, cluster).Connected == clients }, waitTimeout, 50*time.Millisecond)
 	for round := range 3 {
 		number, err := cluster.Publish(t.Context(), cluster.Addresses())
 		require.NoError(t, err)
 		require.Eventually(t, func() bool {
 			view := mergedStatus(t, cluster)
-			return view.Newest == number && view.Connected == all && len(view.Lagging) == 0 && len(view.Rejections) == 0
+			return view.Newest == number && view.Connected == clients && len(view.Lagging) == 0 && len(view.Rejections) == 0
 		}, inForceWithin, 50*time.Millisecond, "revision %d", number)
 		if round == 0 {
 			leader := waitForLeader(t, cluster)
--- a/internal/harness/controlplanetest/cluster.go
+++ b/internal/harness/controlplanetest/cluster.go
@@ -1,7 +1,7 @@
-// Package controlplanetest runs a cluster of control machines, which are processes of the built program on loopback,
-// with followers in the test process. A Network between them cuts and delays directed pairs of sites; tests kill, pause
-// and restart the processes. History records what publishers, followers and machines saw and checks the promises of the
-// control plane on it. No production code imports it.
+// Package controlplanetest runs a cluster of control machines, which are processes of the built program on loopback, with
+// configuration followers in the test process. A Network between them cuts and delays the connections from one site to
+// another; tests kill, pause and restart the processes. History records what publishers, followers and machines observed, and
+// checks it against the guarantees of the control plane. No production code imports this package.
 package controlplanetest
 
 import (
@@ -19,49 +19,49 @@
 	"mothrouter/internal/controlplane/operatorclient"
 )
 
-// machineSites are the machines: three voters in three regions, and a spare in the region of the first.
+// machineSites are the control machines: three voters in three regions, and a spare in the region of the first voter.
 var machineSites = []struct{ name, region, role string }{
 	{"a", "north", "voter"}, {"b", "south", "voter"}, {"c", "west", "voter"}, {"d", "north", "spare"},
 }
 
-// Regions are those of the machines.
+// Regions are the regions of the control machines and of their followers.
 var Regions = []string{"north", "south", "west"}
 
 // Options configure a cluster.
 type Options struct {
 	Program      string        // path of the built program
-	Folder       string        // for configuration files and the machines' replicated logs
-	PromoteAfter time.Duration // how long a voter is lost before the spare replaces it
+	Folder       string        // for configuration files and the machines' raft logs
+	PromoteAfter time.Duration // how long a voter must be lost before the spare replaces it
 	Seed         uint64        // of request ids and of the followers
 }
 
-// Cluster is a set of control machines, the network between them, and followers. New creates it.
+// Cluster is a set of control machines, the network between them, and configuration followers. New creates it.
 type Cluster struct {
 	options  Options
 	Network  *Network
 	Machines []*Machine
 
-	mu        sync.Mutex // guards what follows
-	history   History
-	followers []*follower
-	documents atomic.Uint64
-	padding   atomic.Int64
+	mu            sync.Mutex // guards history and followers
+	history       History
+	followers     []*follower
+	documentCount atomic.Uint64 // number of documents created by Publish
+	padding       atomic.Int64  // number of bytes appended to each document
 }
 
-// subnets counts the clusters of this process. Each has a loopback subnet of its own, which also depends on the process
-// id, so that test processes can run side by side.
-var subnets atomic.Uint32
+// lastSubnet is the number of clusters that this process has created. Each cluster has its own loopback subnet, which also
+// depends on the process id, so that several test processes can run at the same time.
+var lastSubnet atomic.Uint32
 
-// New starts the machines with new logs. The caller has to close the cluster.
+// New starts the control machines with new raft logs. The caller must close the cluster.
 func New(options Options) (*Cluster, error) {
 	c := &Cluster{options: options, Network: NewNetwork()}
-	process, subnet := os.Getpid(), subnets.Add(1)
-	for i, place := range machineSites {
-		host := fmt.Sprintf("127.%d.%d.%d", 100+process%100, process/100%250, 8*subnet+uint32(i))
+	pid, subnet := os.Getpid(), lastSubnet.Add(1)
+	for i, site := range machineSites {
+		host := fmt.Sprintf("127.%d.%d.%d", 100+pid%100, pid/100%250, 8*subnet+uint32(i))
 		m := &Machine{
-			cluster: c, Name: place.name, Region: place.region, role: place.role,
+			cluster: c, Name: site.name, Region: site.region, role: site.role,
 			Address: host + ":7950", peerAddress: host + ":7951",
-			Folder: filepath.Join(options.Folder, place.name),
+			Folder: filepath.Join(options.Folder, site.name),
 		}
 		c.Machines = append(c.Machines, m)
 		c.history.Machines = append(c.history.Machines, m.Name)
@@ -70,7 +70,7 @@
 		}
 	}
 	for _, m := range c.Machines {
-		if err := c.writeFile(m); err != nil {
+		if err := c.writeConfig(m); err != nil {
 			c.Close()
 			return nil, err
 		}
@@ -84,8 +84,8 @@
 	return c, nil
 }
 
-// writeFile writes the configuration file of one machine, which reaches the others through relays of its own.
-func (c *Cluster) writeFile(m *Machine) error {
+// writeConfig writes the configuration file of a machine. It starts the relays through which the machine reaches the others.
+func (c *Cluster) writeConfig(m *Machine) error {
 	var text strings.Builder
 	fmt.Fprintf(&text, "fleet = \"test\"\nname = %q\nlisten = %q\nlisten_peers = %q\nfolder = %q\npromote_after_s = %f\n",
 		m.Name, m.Address, m.peerAddress, m.Folder, c.options.PromoteAfter.Seconds())
@@ -112,7 +112,7 @@
 	c.Network.Close()
 }
 
-// Addresses returns the addresses at which operators reach the machines.
+// Addresses returns the addresses of the control machines for brokers and operators.
 func (c *Cluster) Addresses() (list []string) {
 	for _, m := range c.Machines {
 		list = append(list, m.Address)
@@ -120,17 +120,18 @@
 	return list
 }
 
-// Machine returns a machine by its name. It panics if there is none.
+// Machine returns the machine with the given name. It panics if there is none.
 func (c *Cluster) Machine(name string) *Machine {
 	for _, m := range c.Machines {
 		if m.Name == name {
 			return m
 		}
 	}
-	panic("controlplanetest: there is no machine " + name)
+	panic(fmt.Sprintf("controlplanetest: machine %q does not exist", name))
 }
 
-// Leader returns the machine that reports itself as the leader, confirmed by a quorum within the last second, or nil.
+// Leader returns the machine that reports itself as the leader and was confirmed by a quorum within the last second, or nil if
+// there is none.
 func (c *Cluster) Leader(ctx context.Context) *Machine {
 	for _, m := range c.Machines {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
@@ -143,38 +144,39 @@
 	return nil
 }
 
-// SetPadding makes each later document larger by a number of bytes.
+// SetPadding sets the number of bytes that Publish appends to each document.
 func (c *Cluster) SetPadding(bytes int64) { c.padding.Store(bytes) }
 
-// Publish publishes a new document at any of the addresses and records the publication, acknowledged or not.
+// Publish publishes a new document through one of the control machines at addresses. It records the publication in the history,
+// acknowledged or not, and returns the number of the revision.
 func (c *Cluster) Publish(ctx context.Context, addresses []string) (number uint64, err error) {
-	n := c.documents.Add(1)
+	n := c.documentCount.Add(1)
 	document := fmt.Appendf(nil, documentFormat, 100+n%1_000_000, float64(n%900)/1000+0.1)
 	document = append(document, bytes.Repeat([]byte(" "), int(c.padding.Load()))...)
-	p := Publication{Request: c.options.Seed<<32 + n, Checksum: configpb.Checksum(document), StartedAt: time.Now()}
-	p.Number, err = operatorclient.Publish(ctx, addresses,
-		&configpb.PublishRequest{Document: document, Request: p.Request})
-	p.EndedAt = time.Now()
+	publication := Publication{Request: c.options.Seed<<32 + n, Checksum: configpb.Checksum(document), StartedAt: time.Now()}
+	publication.Number, err = operatorclient.Publish(ctx, addresses,
+		&configpb.PublishRequest{Document: document, Request: publication.Request})
+	publication.EndedAt = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.history.Publications = append(c.history.Publications, p)
-	return p.Number, err
+	c.history.Publications = append(c.history.Publications, publication)
+	return publication.Number, err
 }
 
-// documentFormat is a document without its open cap and the latency objective of its class, which differ between
-// documents.
+// documentFormat is the format of a document. Its arguments are the open cap and the latency objective of the document's class,
+// which differ between documents.
 const documentFormat = `{"discovery":"127.0.0.1:1","settings":{"peersTotal":3,"classes":[{"name":"c","deadlineS":2,` +
 	`"objectiveS":%[2]g,"semantics":"free"}],"familyInfo":{"cells":1,"slabs":1},"caps":{"openCap":%[1]d}}}`
 
-// RecordStored records the revisions that each machine has stored, from 1 to the newest.
+// RecordStored fetches the revisions from 1 to newest from each machine and records them as stored.
 func (c *Cluster) RecordStored(ctx context.Context, newest uint64) error {
 	for _, m := range c.Machines {
 		for number := uint64(1); number <= newest; number++ {
-			got, err := operatorclient.Get(ctx, []string{m.Address}, number)
+			revision, err := operatorclient.Get(ctx, []string{m.Address}, number)
 			if err != nil {
-				return fmt.Errorf("%s, revision %d: %w", m.Name, number, err)
+				return fmt.Errorf("get revision %d from %s: %w", number, m.Name, err)
 			}
-			stored := Stored{Machine: m.Name, Number: got.GetNumber(), Checksum: configpb.Checksum(got.GetDocument())}
+			stored := StoredRevision{Machine: m.Name, Number: revision.GetNumber(), Checksum: configpb.Checksum(revision.GetDocument())}
 			c.mu.Lock()
 			c.history.Stored = append(c.history.Stored, stored)
 			c.mu.Unlock()
@@ -183,7 +185,7 @@
 	return nil
 }
 
-// RecordDisconnection records a time in which the followers of a region can reach no machine that has a quorum.
+// RecordDisconnection records a period in which the followers of a region cannot reach any machine that has a quorum.
 func (c *Cluster) RecordDisconnection(region string, from, to time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -194,17 +196,17 @@
 	}
 }
 
-// History returns a copy of what was recorded so far.
+// History returns a copy of the history recorded so far.
 func (c *Cluster) History() *History {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	h := c.history
-	h.Publications = append([]Publication(nil), h.Publications...)
-	h.Applied = append([]Applied(nil), h.Applied...)
-	return &h
+	history := c.history
+	history.Publications = append([]Publication(nil), history.Publications...)
+	history.Applied = append([]AppliedRevision(nil), history.Applied...)
+	return &history
 }
 
-// SetRegionCut cuts a region's machines and followers off from all others, or connects them again.
+// SetRegionCut cuts a region's machines and followers off from all other regions, or connects them again.
 func (c *Cluster) SetRegionCut(region string, cut bool) {
 	fault := Fault{Cut: cut}
 	var inside, outside []string
@@ -222,10 +224,10 @@
 			outside = append(outside, other)
 		}
 	}
-	for _, a := range inside {
-		for _, b := range outside {
-			c.Network.SetFault(a, b, fault)
-			c.Network.SetFault(b, a, fault)
+	for _, insideSite := range inside {
+		for _, outsideSite := range outside {
+			c.Network.SetFault(insideSite, outsideSite, fault)
+			c.Network.SetFault(outsideSite, insideSite, fault)
 		}
 	}
 }
--- a/internal/harness/controlplanetest/command_test.go
+++ b/internal/harness/controlplanetest/command_test.go
@@ -24,9 +24,9 @@
 
 // commandResult is what a command wrote to its standard output and standard error, and its exit status.
 type commandResult struct {
-	out      string
-	messages string
-	status   int
+	stdout string
+	stderr string
+	status int
 }
 
 // runConfigCommand runs `mothrouter config`.
@@ -35,13 +35,14 @@
 	var stdout, stderr bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &stdout, &stderr
 	err := cmd.Run()
-	var exit *exec.ExitError
-	if err != nil && !errors.As(err, &exit) {
+	var exitErr *exec.ExitError
+	if err != nil && !errors.As(err, &exitErr) {
 		t.Fatal(err)
 	}
-	return commandResult{out: stdout.String(), messages: stderr.String(), status: cmd.ProcessState.ExitCode()}
+	return commandResult{stdout: stdout.String(), stderr: stderr.String(), status: cmd.ProcessState.ExitCode()}
 }
 
+// commandDocument is the document that the tests of the commands publish first.
 const commandDocument = `{"discovery":"127.0.0.1:1","settings":{"peersTotal":3,"classes":[{"name":"c","deadlineS":2,` +
 	`"objectiveS":1,"semantics":"free"}],"familyInfo":{"cells":1,"slabs":1},"caps":{"openCap":50}}}`
 
@@ -57,67 +58,68 @@
 	return path
 }
 
-// The commands are run one after the other against one cluster: each step builds on the revisions of those before it.
+// The steps run in order against one cluster, and each depends on the revisions that the steps before it have published.
 func TestConfigCommands(t *testing.T) {
 	cluster := startCluster(t, controlplanetest.Options{PromoteAfter: time.Minute, Seed: *seed})
 	control := "--control=" + strings.Join(cluster.Addresses(), ",")
 	checkPublish(t, cluster, control)
 	checkShow(t, control)
 	checkStatus(t, control)
-	checkPublishWithoutMachines(t, cluster, control)
+	checkPublishWhilePaused(t, cluster, control)
 }
 
-// checkPublish publishes revisions 1 and 2 and has documents rejected.
+// checkPublish publishes revisions 1 and 2, and documents that must be rejected.
 func checkPublish(t *testing.T, cluster *controlplanetest.Cluster, control string) {
 	document, changed := writeDocument(t, commandDocument), writeDocument(t, changedDocument())
 	needsRestart := writeDocument(t, strings.Replace(commandDocument, `"peersTotal":3`, `"peersTotal":4`, 1))
 
 	got := runConfigCommand(t, "publish", control, document)
-	require.Equal(t, "committed as 1\n", got.out)
+	require.Equal(t, "committed as 1\n", got.stdout)
 	require.Zero(t, got.status)
 	got = runConfigCommand(t, "publish", control, needsRestart)
-	require.Contains(t, got.messages, "refused by settings.peersTotal: ")
+	require.Contains(t, got.stderr, "refused by settings.peersTotal: ")
 	require.Equal(t, 1, got.status)
 	got = runConfigCommand(t, "publish", "--control="+cluster.Machine("d").Address, changed, "--expect=1", "--request=abc")
-	require.Equal(t, "committed as 2\n", got.out, "by the spare alone")
+	require.Equal(t, "committed as 2\n", got.stdout, "published through the spare alone")
 	require.Zero(t, got.status)
 	got = runConfigCommand(t, "publish", control, changed, "--expect=1", "--request=abc")
-	require.Equal(t, "committed as 2\n", got.out, "the same again")
+	require.Equal(t, "committed as 2\n", got.stdout, "a repeated request must not commit another revision")
 	got = runConfigCommand(t, "publish", control, document, "--expect=1")
-	require.Contains(t, got.messages, "refused by expected: the newest revision is 2")
+	require.Contains(t, got.stderr, "refused by expected: the newest revision is 2")
 	require.Equal(t, 1, got.status)
 }
 
-// checkShow shows the newest revision, the first, and one that does not exist.
+// checkShow runs show for the newest revision, the first, and one that does not exist.
 func checkShow(t *testing.T, control string) {
 	got := runConfigCommand(t, "show", control)
-	require.Equal(t, changedDocument(), got.out)
-	require.Contains(t, got.messages, "revision 2, ")
+	require.Equal(t, changedDocument(), got.stdout)
+	require.Contains(t, got.stderr, "revision 2, ")
 	require.Zero(t, got.status)
 	got = runConfigCommand(t, "show", "1", control)
-	require.Equal(t, commandDocument, got.out)
+	require.Equal(t, commandDocument, got.stdout)
 	got = runConfigCommand(t, "show", "3", control)
-	require.Contains(t, got.messages, "does not have revision 3")
+	require.Contains(t, got.stderr, "does not have revision 3")
 	require.Equal(t, 1, got.status)
 }
 
-// checkStatus waits until the status says that revision 2 is in force at all followers.
+// checkStatus waits until status reports that revision 2 is in force at all followers.
 func checkStatus(t *testing.T, control string) {
 	require.Eventually(t, func() bool {
 		got := runConfigCommand(t, "status", control, "--json")
 		var view configstatus.View
-		require.NoError(t, json.Unmarshal([]byte(got.out), &view))
+		require.NoError(t, json.Unmarshal([]byte(got.stdout), &view))
 		require.Zero(t, got.status)
-		everywhere := len(view.Revisions) == 2 && view.Revisions[0].EverywhereMs >= 0
-		return everywhere && view.Newest == 2 && view.Connected == 6 && len(view.Lagging) == 0 && len(view.Machines) == 4
+		inForceEverywhere := len(view.Revisions) == 2 && view.Revisions[0].EverywhereMs >= 0
+		return inForceEverywhere && view.Newest == 2 && view.Connected == 6 && len(view.Lagging) == 0 && len(view.Machines) == 4
 	}, waitTimeout, 100*time.Millisecond)
 	got := runConfigCommand(t, "status", control)
-	require.Regexp(t, `newest revision 2, leader [abc], confirmed by a quorum \d`, got.out)
-	require.Contains(t, got.out, "brokers: 6 connected, 0 behind, 0 cut off")
+	require.Regexp(t, `newest revision 2, leader [abc], confirmed by a quorum \d`, got.stdout)
+	require.Contains(t, got.stdout, "brokers: 6 connected, 0 behind, 0 cut off")
 }
 
-// checkPublishWithoutMachines publishes while all machines are paused, which fails, and the same request after that.
-func checkPublishWithoutMachines(t *testing.T, cluster *controlplanetest.Cluster, control string) {
+// checkPublishWhilePaused publishes while all control machines are paused, which must fail. Then it repeats the request, which
+// must succeed.
+func checkPublishWhilePaused(t *testing.T, cluster *controlplanetest.Cluster, control string) {
 	document := writeDocument(t, commandDocument)
 	for _, m := range cluster.Machines {
 		m.Pause()
@@ -126,30 +128,32 @@
 	for _, m := range cluster.Machines {
 		m.Continue()
 	}
-	require.Contains(t, got.messages, "not taken by any control machine")
+	require.Contains(t, got.stderr, "not taken by any control machine")
 	require.Equal(t, 1, got.status)
 	got = runConfigCommand(t, "publish", control, document, "--request=123")
-	require.Equal(t, "committed as 3\n", got.out)
+	require.Equal(t, "committed as 3\n", got.stdout)
 	require.Zero(t, got.status)
 }
 
-// hangingMachine is a control machine that receives publications and never answers.
+// hangingMachine is a fake control machine that receives publications and never answers.
 type hangingMachine struct {
 	configpb.UnimplementedControlServer
-	requests chan uint64
+	requests chan uint64 // ids of the received requests
 }
 
-func (h *hangingMachine) Publish(ctx context.Context, r *configpb.PublishRequest) (*configpb.PublishResponse, error) {
-	h.requests <- r.GetRequest()
+func (h *hangingMachine) Publish(ctx context.Context, request *configpb.PublishRequest) (*configpb.PublishResponse, error) {
+	h.requests <- request.GetRequest()
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
+// The publish command distinguishes a document that no control machine has received, with exit status 1, from one that may be
+// committed, with exit status 3.
 func TestPublishCommandOutcomes(t *testing.T) {
 	t.Parallel()
 	path := writeDocument(t, commandDocument)
 	got := runConfigCommand(t, "publish", "--control=127.0.0.1:1", path, "--timeout=1s")
-	require.Contains(t, got.messages, "not taken by any control machine")
+	require.Contains(t, got.stderr, "not taken by any control machine")
 	require.Equal(t, 1, got.status)
 
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -160,7 +164,7 @@
 	go server.Serve(listener)
 	defer server.Stop()
 	got = runConfigCommand(t, "publish", "--control="+listener.Addr().String(), path, "--timeout=1s")
-	require.Contains(t, got.messages, fmt.Sprintf("run again with --request %016x", <-machine.requests))
-	require.Contains(t, got.messages, "unknown: the log may still take it")
+	require.Contains(t, got.stderr, fmt.Sprintf("run again with --request %016x", <-machine.requests))
+	require.Contains(t, got.stderr, "unknown: the log may still take it")
 	require.Equal(t, 3, got.status)
 }
--- a/internal/harness/controlplanetest/follower.go
+++ b/internal/harness/controlplanetest/follower.go
@@ -13,27 +13,29 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// follower is a client of the control machines as a broker has it, which records each revision that it applies.
+// follower is a configuration follower, the client of the control machines that a broker runs. It records each revision that it
+// applies in the cluster's history.
 type follower struct {
-	name, region string
-	client       *configfollower.Client
-	cancel       context.CancelFunc
-	running      sync.WaitGroup
+	name    string
+	region  string
+	client  *configfollower.Client
+	cancel  context.CancelFunc // stops the client
+	running sync.WaitGroup     // the client's goroutine
 }
 
-// StartFollowers starts a number of followers in each region. They reach the machines through relays of their region.
+// StartFollowers starts a number of followers in each region. They reach the control machines through relays of their region.
 func (c *Cluster) StartFollowers(perRegion int) error {
 	for _, region := range Regions {
-		var control []distribution.ControlMachine
+		var machines []distribution.ControlMachine
 		for _, m := range c.Machines {
 			address, err := c.Network.Relay(region, m.Name, m.Address)
 			if err != nil {
 				return err
 			}
-			control = append(control, distribution.ControlMachine{Address: address, Zone: m.Region, Region: m.Region})
+			machines = append(machines, distribution.ControlMachine{Address: address, Zone: m.Region, Region: m.Region})
 		}
 		for i := range perRegion {
-			if err := c.startFollower(fmt.Sprintf("%s-%d", region, i), region, control); err != nil {
+			if err := c.startFollower(fmt.Sprintf("%s-%d", region, i), region, machines); err != nil {
 				return err
 			}
 		}
@@ -41,17 +43,18 @@
 	return nil
 }
 
-func (c *Cluster) startFollower(name, region string, control []distribution.ControlMachine) error {
+// startFollower starts a follower that connects to machines, and adds it to the history.
+func (c *Cluster) startFollower(name, region string, machines []distribution.ControlMachine) error {
 	f := &follower{name: name, region: region}
 	var err error
 	f.client, err = configfollower.New(configfollower.Options{
-		Name: name, StartedAt: time.Now(), Zone: region, Region: region, Machines: control, FleetSize: 600,
+		Name: name, StartedAt: time.Now(), Zone: region, Region: region, Machines: machines, FleetSize: 600,
 		Seed: c.options.Seed + uint64(len(c.followers)), Log: slog.New(slog.DiscardHandler),
-		Apply: func(got *configpb.Revision) *configpb.Refusal {
+		Apply: func(revision *configpb.Revision) *configpb.Refusal {
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			c.history.Applied = append(c.history.Applied, Applied{Follower: name, Number: got.GetNumber(),
-				Checksum: configpb.Checksum(got.GetDocument()), At: time.Now()})
+			c.history.Applied = append(c.history.Applied, AppliedRevision{Follower: name, Number: revision.GetNumber(),
+				Checksum: configpb.Checksum(revision.GetDocument()), At: time.Now()})
 			return nil
 		},
 	})
@@ -68,7 +71,7 @@
 	return nil
 }
 
-// MinInForce returns the lowest revision that is in force at any follower, and that follower's name.
+// MinInForce returns the lowest revision in force of all followers, and the name of a follower that has it in force.
 func (c *Cluster) MinInForce() (number uint64, follower string) {
 	number = math.MaxUint64
 	for _, f := range c.followers {
@@ -79,6 +82,7 @@
 	return number, follower
 }
 
+// stopFollowers stops all followers and waits until they have stopped.
 func (c *Cluster) stopFollowers() {
 	for _, f := range c.followers {
 		f.cancel()
--- a/internal/harness/controlplanetest/history.go
+++ b/internal/harness/controlplanetest/history.go
@@ -6,199 +6,203 @@
 	"time"
 )
 
-// Publication is one request to publish a document.
+// Publication is one request to publish a document, with its outcome.
 type Publication struct {
-	Request   uint64
-	Checksum  uint64 // of its document
+	Request   uint64 // id of the request
+	Checksum  uint64 // of the document
 	StartedAt time.Time
-	EndedAt   time.Time
-	Number    uint64 // of its acknowledgement; 0: there was none, it may be committed or not
+	EndedAt   time.Time // of the acknowledgement or the error
+	Number    uint64    // number of the acknowledged revision; 0: not acknowledged, it may be committed or not
 }
 
-// Applied is a revision that a follower has put in force.
-type Applied struct {
+// AppliedRevision is a revision that a follower has put in force.
+type AppliedRevision struct {
 	Follower string
 	Number   uint64
-	Checksum uint64
+	Checksum uint64 // of the document
 	At       time.Time
 }
 
-// Stored is a revision that a control machine had stored at the end of the test.
-type Stored struct {
+// StoredRevision is a revision that a control machine had stored at the end of the test.
+type StoredRevision struct {
 	Machine  string
 	Number   uint64
-	Checksum uint64
+	Checksum uint64 // of the document
 }
 
-// Disconnection is a time in which a follower could reach no control machine that has a quorum.
+// Disconnection is a period in which a follower could not reach any control machine that has a quorum.
 type Disconnection struct {
 	Follower string
 	From, To time.Time
 }
 
-// History is what publishers, followers and machines saw during a test.
+// History is what publishers, followers and control machines observed during a test.
 type History struct {
 	Publications   []Publication
-	Applied        []Applied // in the order of time for each follower
-	Stored         []Stored
-	Machines       []string // that have to hold all revisions at the end
-	Followers      []string
-	Disconnections []Disconnection
+	Applied        []AppliedRevision // for each follower in the order in which it applied them
+	Stored         []StoredRevision
+	Machines       []string        // names of the machines, which must have stored all revisions at the end
+	Followers      []string        // names of the followers
+	Disconnections []Disconnection // sorted by time
 }
 
-// Check returns the violations that all checkers find.
-func (h *History) Check(inForceWithin time.Duration) (faults []error) {
-	faults = append(faults, h.CheckUniqueContents()...)
-	faults = append(faults, h.CheckUniqueNumbers()...)
-	faults = append(faults, h.CheckPublicationOrder()...)
-	faults = append(faults, h.CheckNoRollback()...)
-	faults = append(faults, h.CheckNoRevisionLost()...)
-	return append(faults, h.CheckInForce(inForceWithin)...)
+// Check returns the violations that all checks find.
+func (h *History) Check(inForceWithin time.Duration) (violations []error) {
+	violations = append(violations, h.CheckConsistentContents()...)
+	violations = append(violations, h.CheckUniqueNumbers()...)
+	violations = append(violations, h.CheckPublicationOrder()...)
+	violations = append(violations, h.CheckNoRollback()...)
+	violations = append(violations, h.CheckNoRevisionLost()...)
+	return append(violations, h.CheckInForce(inForceWithin)...)
 }
 
-// claim is the statement of a publisher, follower or machine that a revision's number has a content.
-type claim struct {
-	holder           string
-	number, checksum uint64
+// observation is the checksum of a revision's document, as observed by a publisher, follower or control machine.
+type observation struct {
+	observer string
+	number   uint64
+	checksum uint64
 }
 
-func (h *History) claims() (list []claim) {
+// observations returns the observations of all publishers with an acknowledgement, all followers and all machines.
+func (h *History) observations() (list []observation) {
 	for _, p := range h.Publications {
 		if p.Number != 0 {
-			list = append(list, claim{fmt.Sprintf("publisher of request %x", p.Request), p.Number, p.Checksum})
+			list = append(list, observation{fmt.Sprintf("publisher of request %x", p.Request), p.Number, p.Checksum})
 		}
 	}
 	for _, a := range h.Applied {
-		list = append(list, claim{a.Follower, a.Number, a.Checksum})
+		list = append(list, observation{a.Follower, a.Number, a.Checksum})
 	}
-	for _, x := range h.Stored {
-		list = append(list, claim{x.Machine, x.Number, x.Checksum})
+	for _, stored := range h.Stored {
+		list = append(list, observation{stored.Machine, stored.Number, stored.Checksum})
 	}
 	return list
 }
 
-// CheckUniqueContents checks that each number has the same content at all publishers, followers and machines, and that
-// this content was published.
-func (h *History) CheckUniqueContents() (faults []error) {
+// CheckConsistentContents checks that each revision has the same document at all publishers, followers and machines, and that
+// this document was published.
+func (h *History) CheckConsistentContents() (violations []error) {
 	published := map[uint64]bool{}
 	for _, p := range h.Publications {
 		published[p.Checksum] = true
 	}
-	first := map[uint64]claim{}
-	for _, c := range h.claims() {
-		if !published[c.checksum] {
-			faults = append(faults, fmt.Errorf("%s has revision %d with content %x that was not published", c.holder, c.number,
-				c.checksum))
+	firstByNumber := map[uint64]observation{}
+	for _, o := range h.observations() {
+		if !published[o.checksum] {
+			violations = append(violations, fmt.Errorf("%s has revision %d with checksum %x, which was not published",
+				o.observer, o.number, o.checksum))
 		}
-		before, found := first[c.number]
+		first, found := firstByNumber[o.number]
 		if !found {
-			first[c.number] = c
-		} else if before.checksum != c.checksum {
-			faults = append(faults, fmt.Errorf("revision %d has content %x at %s and %x at %s", c.number, before.checksum,
-				before.holder, c.checksum, c.holder))
+			firstByNumber[o.number] = o
+		} else if first.checksum != o.checksum {
+			violations = append(violations, fmt.Errorf("revision %d has checksum %x at %s and %x at %s", o.number,
+				first.checksum, first.observer, o.checksum, o.observer))
 		}
 	}
-	return faults
+	return violations
 }
 
 // CheckUniqueNumbers checks that no two requests to publish were acknowledged with the same number.
-func (h *History) CheckUniqueNumbers() (faults []error) {
-	requests := map[uint64]uint64{} // by number
+func (h *History) CheckUniqueNumbers() (violations []error) {
+	requests := map[uint64]uint64{} // request ids by revision number
 	for _, p := range h.Publications {
 		if p.Number == 0 {
 			continue
 		}
-		if before, found := requests[p.Number]; found && before != p.Request {
-			faults = append(faults, fmt.Errorf("requests %x and %x both have number %d", before, p.Request, p.Number))
+		if other, found := requests[p.Number]; found && other != p.Request {
+			violations = append(violations, fmt.Errorf("requests %x and %x were both acknowledged as revision %d", other, p.Request,
+				p.Number))
 		}
 		requests[p.Number] = p.Request
 	}
-	return faults
+	return violations
 }
 
-// CheckPublicationOrder checks that a revision that was acknowledged before another publication began has the lower
-// number.
-func (h *History) CheckPublicationOrder() (faults []error) {
-	for _, a := range h.Publications {
-		for _, b := range h.Publications {
-			if a.Number != 0 && b.Number != 0 && a.EndedAt.Before(b.StartedAt) && a.Number >= b.Number {
-				faults = append(faults, fmt.Errorf("revision %d was acknowledged before the publication of %d began",
-					a.Number, b.Number))
+// CheckPublicationOrder checks that a revision that was acknowledged before another publication started has the lower number of
+// the two.
+func (h *History) CheckPublicationOrder() (violations []error) {
+	for _, earlier := range h.Publications {
+		for _, later := range h.Publications {
+			if earlier.Number != 0 && later.Number != 0 && earlier.EndedAt.Before(later.StartedAt) &&
+				earlier.Number >= later.Number {
+				violations = append(violations, fmt.Errorf("revision %d was acknowledged before the publication of revision %d started",
+					earlier.Number, later.Number))
 			}
 		}
 	}
-	return faults
+	return violations
 }
 
-// CheckNoRollback checks that numbers increase at each follower.
-func (h *History) CheckNoRollback() (faults []error) {
+// CheckNoRollback checks that each follower applies revisions with increasing numbers.
+func (h *History) CheckNoRollback() (violations []error) {
 	newest := map[string]uint64{}
 	for _, a := range h.Applied {
 		if a.Number <= newest[a.Follower] {
-			faults = append(faults, fmt.Errorf("%s put revision %d in force after %d", a.Follower, a.Number,
+			violations = append(violations, fmt.Errorf("%s put revision %d in force after revision %d", a.Follower, a.Number,
 				newest[a.Follower]))
 		}
 		newest[a.Follower] = max(newest[a.Follower], a.Number)
 	}
-	return faults
+	return violations
 }
 
-// CheckNoRevisionLost checks that at the end each machine has stored all revisions without gaps, up to the newest that
-// any publisher, follower or machine knows.
-func (h *History) CheckNoRevisionLost() (faults []error) {
+// CheckNoRevisionLost checks that at the end each machine has stored all revisions without gaps, up to the newest revision that
+// any publisher, follower or machine has observed.
+func (h *History) CheckNoRevisionLost() (violations []error) {
 	newest := uint64(0)
-	for _, c := range h.claims() {
-		newest = max(newest, c.number)
+	for _, o := range h.observations() {
+		newest = max(newest, o.number)
 	}
-	held := map[string]map[uint64]bool{}
-	for _, x := range h.Stored {
-		if held[x.Machine] == nil {
-			held[x.Machine] = map[uint64]bool{}
+	stored := map[string]map[uint64]bool{} // revision numbers by machine
+	for _, revision := range h.Stored {
+		if stored[revision.Machine] == nil {
+			stored[revision.Machine] = map[uint64]bool{}
 		}
-		held[x.Machine][x.Number] = true
+		stored[revision.Machine][revision.Number] = true
 	}
 	for _, machine := range h.Machines {
 		for number := uint64(1); number <= newest; number++ {
-			if !held[machine][number] {
-				faults = append(faults, fmt.Errorf("%s has lost revision %d of %d", machine, number, newest))
+			if !stored[machine][number] {
+				violations = append(violations, fmt.Errorf("%s has not stored revision %d, the newest is %d", machine, number, newest))
 			}
 		}
 	}
-	return faults
+	return violations
 }
 
-// CheckInForce checks that each acknowledged revision, or a later one, is in force at each follower within a time of its
-// acknowledgement, or of the end of a disconnection that overlaps this time.
-func (h *History) CheckInForce(within time.Duration) (faults []error) {
+// CheckInForce checks that each acknowledged revision, or a later one, is in force at each follower within the given time after
+// its acknowledgement, or after the end of a disconnection that overlaps this time.
+func (h *History) CheckInForce(within time.Duration) (violations []error) {
 	for _, p := range h.Publications {
 		if p.Number == 0 {
 			continue
 		}
 		for _, follower := range h.Followers {
-			due := h.due(follower, p.EndedAt, within)
-			i := slices.IndexFunc(h.Applied, func(a Applied) bool {
+			deadline := h.inForceDeadline(follower, p.EndedAt, within)
+			i := slices.IndexFunc(h.Applied, func(a AppliedRevision) bool {
 				return a.Follower == follower && a.Number >= p.Number
 			})
 			switch {
 			case i < 0:
-				faults = append(faults, fmt.Errorf("%s never had revision %d in force", follower, p.Number))
-			case h.Applied[i].At.After(due):
-				faults = append(faults, fmt.Errorf("%s had revision %d in force %v after it was due", follower, p.Number,
-					h.Applied[i].At.Sub(due)))
+				violations = append(violations, fmt.Errorf("%s never put revision %d or a later one in force", follower, p.Number))
+			case h.Applied[i].At.After(deadline):
+				violations = append(violations, fmt.Errorf("%s put revision %d in force %v after the deadline", follower, p.Number,
+					h.Applied[i].At.Sub(deadline)))
 			}
 		}
 	}
-	return faults
+	return violations
 }
 
-// due returns when a revision has to be in force at a follower. Disconnections are in the order of time.
-func (h *History) due(follower string, acknowledged time.Time, within time.Duration) time.Time {
-	due := acknowledged.Add(within)
-	for _, x := range h.Disconnections {
-		overlaps := x.From.Before(due) && x.To.After(acknowledged)
-		if x.Follower == follower && overlaps && x.To.Add(within).After(due) {
-			due = x.To.Add(within)
+// inForceDeadline returns the time by which a revision must be in force at a follower.
+func (h *History) inForceDeadline(follower string, acknowledgedAt time.Time, within time.Duration) time.Time {
+	deadline := acknowledgedAt.Add(within)
+	for _, d := range h.Disconnections { // sorted by time, because each one can extend the deadline into the next
+		overlaps := d.From.Before(deadline) && d.To.After(acknowledgedAt)
+		if d.Follower == follower && overlaps && d.To.Add(within).After(deadline) {
+			deadline = d.To.Add(within)
 		}
 	}
-	return due
+	return deadline
 }
--- a/internal/harness/controlplanetest/network.go
+++ b/internal/harness/controlplanetest/network.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// Fault is what happens to the bytes from one site to another.
+// Fault is the fault that relays inject into the bytes from one site to another. The zero value is no fault.
 type Fault struct {
-	Cut   bool          // bytes are held until the cut ends, as if packets were lost; connections stay open
-	Delay time.Duration // of each chunk that a relay reads
+	Cut   bool          // bytes are held back until the cut ends, as if packets were lost; connections stay open
+	Delay time.Duration // added to each chunk of bytes that a relay reads
 }
 
 const (
-	chunkBytes = 32 << 10 // what a relay reads at most at once
-	maxChunks  = 64       // in flight in one direction of a connection; then the relay reads no more
+	chunkSize = 32 << 10 // maximum number of bytes in one read of a relay
+	maxChunks = 64       // maximum number of chunks in flight in one direction of a connection; then the relay stops reading
 )
 
-// Network connects sites, such as machines and regions, by relays, with a Fault for each directed pair of sites.
+// Network connects sites, such as control machines and regions, through TCP relays. It has a Fault for each ordered pair of
+// sites.
 type Network struct {
-	mu      sync.Mutex // guards what follows
-	faults  map[[2]string]Fault
-	changed chan struct{} // closed and replaced with each change
+	mu      sync.Mutex          // guards the fields below
+	faults  map[[2]string]Fault // by source and destination
+	changed chan struct{}       // closed and replaced when faults changes
 	relays  []net.Listener
-	conns   map[net.Conn]bool
-	closed  chan struct{}
-	running sync.WaitGroup
+	conns   map[net.Conn]bool // open connections on both sides of the relays
+	closed  chan struct{}     // closed by Close
+	running sync.WaitGroup    // goroutines that accept and serve connections
 }
 
-// NewNetwork returns a network without faults. It has to be closed.
+// NewNetwork returns a network without faults. The caller must close it.
 func NewNetwork() *Network {
 	return &Network{
 		faults: map[[2]string]Fault{}, changed: make(chan struct{}), conns: map[net.Conn]bool{},
@@ -36,7 +37,7 @@
 	}
 }
 
-// SetFault sets the fault of the bytes from one site to another.
+// SetFault sets the fault of the direction from one site to another. It applies to open connections as well.
 func (n *Network) SetFault(from, to string, fault Fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -45,13 +46,14 @@
 	n.changed = make(chan struct{})
 }
 
+// fault returns the fault of a direction, and a channel that is closed when any fault changes.
 func (n *Network) fault(from, to string) (fault Fault, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.faults[[2]string{from, to}], n.changed
 }
 
-// Relay starts a relay for connections from one site to an address at another, and returns the address at which it
+// Relay starts a relay for connections from one site to an address at another site, and returns the address at which the relay
 // listens.
 func (n *Network) Relay(from, to, address string) (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -87,27 +89,28 @@
 	n.running.Wait()
 }
 
-// serve forwards one connection until either side has closed it. It dials the far side once the direction is not cut.
-func (n *Network) serve(near net.Conn, from, to, address string) {
-	defer n.untrack(near)
-	if !n.track(near) || !n.waitUntilOpen(from, to) {
+// serve forwards both directions of a client's connection until both are closed. It dials the server once the direction to the
+// server is not cut.
+func (n *Network) serve(client net.Conn, from, to, address string) {
+	defer n.untrack(client)
+	if !n.track(client) || !n.waitUntilOpen(from, to) {
 		return
 	}
-	far, err := net.DialTimeout("tcp", address, time.Second)
+	server, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
 		return
 	}
-	defer n.untrack(far)
-	if !n.track(far) {
+	defer n.untrack(server)
+	if !n.track(server) {
 		return
 	}
-	var both sync.WaitGroup
-	both.Go(func() { n.forward(far, near, from, to) })
-	both.Go(func() { n.forward(near, far, to, from) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { n.forward(server, client, from, to) })
+	directions.Go(func() { n.forward(client, server, to, from) })
+	directions.Wait()
 }
 
-// track registers a connection to be closed with the network. It reports false once the network is closed.
+// track registers a connection so that Close closes it. It returns false if the network is closed already.
 func (n *Network) track(conn net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,6 +123,7 @@
 	}
 }
 
+// untrack closes a connection and removes it from conns.
 func (n *Network) untrack(conn net.Conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -127,7 +131,7 @@
 	conn.Close()
 }
 
-// waitUntilOpen waits until a direction is not cut. It reports false if the network is closed first.
+// waitUntilOpen waits until a direction is not cut. It returns false if the network is closed while it waits.
 func (n *Network) waitUntilOpen(from, to string) bool {
 	for {
 		fault, changed := n.fault(from, to)
@@ -142,39 +146,39 @@
 	}
 }
 
-// chunk is bytes in flight.
+// chunk is the result of one read of a relay, and the time at which the relay writes it.
 type chunk struct {
 	data      []byte
 	deliverAt time.Time
 }
 
-// forward forwards one direction until the source ends or the sink fails. The end of the source passes as bytes do: not
-// while the direction is cut.
-func (n *Network) forward(sink, source net.Conn, from, to string) {
+// forward copies bytes in one direction until the source ends or a write to the destination fails. Then it closes the
+// destination. While the direction is cut, it holds back the end of the source as well as the bytes.
+func (n *Network) forward(destination, source net.Conn, from, to string) {
 	chunks := make(chan chunk, maxChunks)
-	var reading sync.WaitGroup
-	reading.Go(func() { n.readChunks(source, from, to, chunks) })
+	var reader sync.WaitGroup
+	reader.Go(func() { n.readChunks(source, from, to, chunks) })
 	failed := false
-	for c := range chunks {
-		time.Sleep(time.Until(c.deliverAt))
+	for received := range chunks {
+		time.Sleep(time.Until(received.deliverAt))
 		if failed || !n.waitUntilOpen(from, to) {
 			continue
 		}
-		if _, err := sink.Write(c.data); err != nil {
+		if _, err := destination.Write(received.data); err != nil {
 			failed = true
 			source.Close()
 		}
 	}
-	reading.Wait()
+	reader.Wait()
 	n.waitUntilOpen(from, to)
-	sink.Close()
+	destination.Close()
 }
 
-// readChunks sends what it reads, with the time of its delivery, until the source ends. Then it closes chunks.
+// readChunks reads from the source until it ends and sends each chunk with the time of its delivery. Then it closes chunks.
 func (n *Network) readChunks(source net.Conn, from, to string, chunks chan<- chunk) {
 	defer close(chunks)
 	for {
-		buffer := make([]byte, chunkBytes)
+		buffer := make([]byte, chunkSize)
 		length, err := source.Read(buffer)
 		fault, _ := n.fault(from, to)
 		if length > 0 {
--- a/internal/harness/controlplanetest/network_test.go
+++ b/internal/harness/controlplanetest/network_test.go
@@ -11,7 +11,7 @@
 	"mothrouter/internal/harness/controlplanetest"
 )
 
-// dialEchoServer connects to a server that sends back what it gets, through a relay from "here" to "there".
+// dialEchoServer starts a server that echoes all bytes, and connects to it through a relay from site "client" to site "server".
 func dialEchoServer(t *testing.T) (*controlplanetest.Network, net.Conn) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -28,7 +28,7 @@
 		}
 	}()
 	network := controlplanetest.NewNetwork()
-	address, err := network.Relay("here", "there", server.Addr().String())
+	address, err := network.Relay("client", "server", server.Addr().String())
 	require.NoError(t, err)
 	conn, err := net.Dial("tcp", address)
 	require.NoError(t, err)
@@ -40,6 +40,7 @@
 	return network, conn
 }
 
+// echoByte sends one byte and returns the error of reading its echo within a time.
 func echoByte(t *testing.T, conn net.Conn, within time.Duration) error {
 	_, err := conn.Write([]byte("x"))
 	require.NoError(t, err)
@@ -48,8 +49,8 @@
 	return err
 }
 
-func TestRelayCutHoldsBytesOfOneDirection(t *testing.T) {
-	for _, pair := range [][2]string{{"here", "there"}, {"there", "here"}} {
+func TestCutHoldsBackBytesOfOneDirection(t *testing.T) {
+	for _, pair := range [][2]string{{"client", "server"}, {"server", "client"}} {
 		network, conn := dialEchoServer(t)
 		require.NoError(t, echoByte(t, conn, 2*time.Second))
 		network.SetFault(pair[0], pair[1], controlplanetest.Fault{Cut: true})
@@ -64,8 +65,8 @@
 func TestRelayDelaysOneDirection(t *testing.T) {
 	network, conn := dialEchoServer(t)
 	require.NoError(t, echoByte(t, conn, 2*time.Second))
-	network.SetFault("there", "here", controlplanetest.Fault{Delay: 200 * time.Millisecond})
-	began := time.Now()
+	network.SetFault("server", "client", controlplanetest.Fault{Delay: 200 * time.Millisecond})
+	startedAt := time.Now()
 	require.NoError(t, echoByte(t, conn, 2*time.Second))
-	require.GreaterOrEqual(t, time.Since(began), 200*time.Millisecond)
+	require.GreaterOrEqual(t, time.Since(startedAt), 200*time.Millisecond)
 }
--- a/internal/harness/processtest/broker.go
+++ b/internal/harness/processtest/broker.go
@@ -40,7 +40,7 @@
 	Alive   int  // number of brokers that are alive
 	Known   int  // number of brokers, lost ones included
 	Sharing int  // number of brokers that share the fleet's budgets
-	Fenced  bool // the broker is fenced because it sees only a minority of the fleet
+	Fenced  bool // the broker must not use any share of the shared budgets
 }
 
 // Start writes the broker's configuration files and starts its process.
--- a/internal/harness/processtest/fleet_test.go
+++ b/internal/harness/processtest/fleet_test.go
@@ -60,8 +60,8 @@
 // expectAllAlive returns the number of live brokers that a broker has to see if all are alive.
 func expectAllAlive(*processtest.Broker) int { return fleetSize }
 
-// expectAllAliveExcept returns the numbers of live brokers that the others have to see if one broker is not alive. That broker
-// itself may see any number.
+// expectAllAliveExcept returns an argument for waitForAlive with which all brokers but one have to see a fleet without that
+// one. The excluded broker itself may see any number.
 func expectAllAliveExcept(index int) func(*processtest.Broker) int {
 	return func(b *processtest.Broker) int {
 		if b.Index == index {
@@ -83,7 +83,7 @@
 			}
 		}
 		return true
-	}, within, 20*time.Millisecond)
+	}, within, 20*time.Millisecond, "a broker does not see the expected number of live brokers")
 	return time.Since(startedAt)
 }
 
--- a/internal/harness/recordservertest/fleet.go
+++ b/internal/harness/recordservertest/fleet.go
@@ -29,7 +29,7 @@
 type Options struct {
 	Servers           int
 	ReplicationFactor int                  // number of servers that hold a shard; they are consecutive on a ring
-	ServiceTime       time.Duration        // mean service time of a part; uniform between half and one and a half of it
+	ServiceTime       time.Duration        // mean service time of a part; uniform from 0.5 to 1.5 times the mean
 	NonIdempotent     func(id string) bool // reports whether a part may run only once; nil: all parts may run again
 	Seed              uint64
 	SecondPhaseFanout int // number of parts in a query's second phase; 0: queries have one phase
--- a/internal/harness/recordservertest/second_phase.go
+++ b/internal/harness/recordservertest/second_phase.go
@@ -26,7 +26,8 @@
 	return strings.TrimSuffix(id, frame.PartID("", shard, false))
 }
 
-// recordAnswer records that a part is about to be answered with an outcome. Only parts of a first phase that succeeded count.
+// recordAnswer records that a part of a first phase is about to be answered with success. It ignores failed parts and parts of a
+// second phase.
 func (f *Fleet) recordAnswer(id string, shard int, outcome string) {
 	query := queryID(id, shard)
 	if f.options.SecondPhaseFanout == 0 || outcome != "done" || id == frame.PartID(query, shard, true) {
--- a/internal/harness/recordservertest/server.go
+++ b/internal/harness/recordservertest/server.go
@@ -14,7 +14,7 @@
 type Server struct {
 	ID         string
 	Addr       string
-	ReplicaSet int // index on the ring, which is also its lowest shard
+	ReplicaSet int // index on the ring; the server holds the shard of this number and those before it
 
 	fleet    *Fleet
 	listener net.Listener
@@ -22,7 +22,7 @@
 	mu           sync.Mutex // guards the fields below
 	rng          *rand.Rand
 	serviceTime  time.Duration // mean of a part's service time
-	hanging      bool          // accept parts and never answer
+	hanging      bool          // accepts parts and never answers them
 	failureRatio float64       // fraction of parts that fail
 	startedAt    time.Time     // zero: long ago, so that the server is past slow start
 	drainedAt    time.Time     // zero: not draining
@@ -30,7 +30,7 @@
 	conns        map[net.Conn]struct{}
 }
 
-// Endpoint returns the server's entry in the endpoint list, with a state.
+// Endpoint returns the server's entry in the endpoint list, with the given state.
 func (s *Server) Endpoint(state decision.State) broker.Endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,8 +151,8 @@
 	return a
 }
 
-// run runs an attempt and returns its outcome as response frames have it. It returns answered = false if the attempt was
-// canceled, which gets no response.
+// run executes an attempt and returns its outcome as written in response frames, "done" or "failed". answered is false if the
+// attempt was canceled and gets no response.
 func (s *Server) run(a attempt, canceled <-chan struct{}) (outcome string, answered bool) {
 	defer s.fleet.recordEnd(a.id)
 	if a.hangs {
