--- a/internal/harness/processtest/fleet_test.go
+++ b/internal/harness/processtest/fleet_test.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// waitForAlive waits until each broker sees the number of live brokers that want returns for it, and returns how long that took.
-// A broker for which want returns 0 may see any number.
+// waitForAlive waits until each broker sees the number of live brokers that want returns for it, and returns how long that
+// took. A broker for which want returns 0 may see any number.
 func waitForAlive(t *testing.T, f *processtest.Fleet, within time.Duration, want func(*processtest.Broker) int) time.Duration {
 	t.Helper()
 	startedAt := time.Now()
--- a/internal/transport/httpwire/response.go
+++ b/internal/transport/httpwire/response.go
@@ -8,17 +8,17 @@
 
 // Answer is the JSON body of an answered query.
 type Answer struct {
-	Complete bool  `json:"whole"`
-	Results  []Hit `json:"results"`
+	Complete bool         `json:"whole"`
+	Results  []PartResult `json:"results"`
 }
 
-// Hit is the value of one part.
-type Hit struct {
+// PartResult is the result of one part.
+type PartResult struct {
 	Partition int    `json:"partition"` // the shard
 	Value     string `json:"value"`
 }
 
-// reasonPhrases are the statuses that a front writes.
+// reasonPhrases maps the statuses that the front sends.
 var reasonPhrases = map[int]string{
 	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict",
@@ -27,7 +27,7 @@
 	505: "HTTP Version Not Supported",
 }
 
-// Response is a response of a front.
+// Response is a response of the front.
 type Response struct {
 	Status     int
 	Body       any     // written as JSON; nil: none
@@ -50,7 +50,7 @@
 	return append(b, body...)
 }
 
-// encodeBody returns the body as JSON without HTML escapes, empty where there is none.
+// encodeBody returns the body as JSON without HTML escapes, empty if there is none.
 func (r *Response) encodeBody() ([]byte, error) {
 	if r.Body == nil {
 		return nil, nil
