--- a/cmd/mothrouter/exchange_replayer_test.go
+++ b/cmd/mothrouter/exchange_replayer_test.go
@@ -29,6 +29,7 @@
 	readers    map[string]*bufio.Reader                     // of conns
 	onMessage  func(peer string, sent bool, message string) // called for each message, sent or received
 	flags      []string                                     // of the program
+	objective  float64                                      // latency objective of usage-lookup in seconds; 0: the default
 }
 
 func newReplayer(t *testing.T) *exchangeReplayer {
@@ -65,7 +66,7 @@
 func (r *exchangeReplayer) start(known []string, openCap, sockets int, idleTimeout float64, flags ...string) {
 	options := brokerOptions{
 		listen: r.listen, discovery: r.listener("discovery").Addr().String(),
-		openCap: openCap, sockets: sockets, idleTimeout: idleTimeout, flags: flags,
+		openCap: openCap, sockets: sockets, idleTimeout: idleTimeout, objective: r.objective, flags: flags,
 	}
 	for _, name := range known {
 		options.servers = append(options.servers, r.endpointEntry(name, "active"))
@@ -161,7 +162,8 @@
 	}
 }
 
-// startKnown starts the program. The arguments are names of known record servers, cap=N, sockets=N and idle=SECONDS.
+// startKnown starts the program. The arguments are names of known record servers, cap=N, sockets=N, idle=SECONDS and
+// objective=SECONDS.
 func (r *exchangeReplayer) startKnown(arguments []string) {
 	openCap, sockets, idleTimeout := 100, 1024, defaultIdleTimeout
 	var known []string
@@ -174,6 +176,8 @@
 			sockets, _ = strconv.Atoi(value)
 		case "idle":
 			idleTimeout, _ = strconv.ParseFloat(value, 64)
+		case "objective":
+			r.objective, _ = strconv.ParseFloat(value, 64)
 		default:
 			known = append(known, argument)
 		}
--- a/cmd/mothrouter/program_test.go
+++ b/cmd/mothrouter/program_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"net"
@@ -45,10 +46,10 @@
 	os.Exit(code)
 }
 
-// settingsFormat is the format of a broker's settings. Its arguments are connIdleS and openCap.
+// settingsFormat is the format of a broker's settings. Its arguments are connIdleS, openCap and the objectiveS of usage-lookup.
 const settingsFormat = `{"caps":{"cancel":true,"connIdleS":%g,"connectTimeoutS":0.25,"maxRetryAfterS":0.5,"openCap":%d,
 "probes":false,"retryAfter":true,"secondCopies":false,"sendCap":4,"streamsPerConn":100},
-"classes":[{"name":"usage-lookup","deadlineS":4,"objectiveS":1,"lateWorth":0,"semantics":"free","worth":1},
+"classes":[{"name":"usage-lookup","deadlineS":4,"objectiveS":%g,"lateWorth":0,"semantics":"free","worth":1},
 {"name":"charge-post","deadlineS":5,"objectiveS":1,"lateWorth":0,"semantics":"single_shot","worth":2},
 {"name":"tariff-report","deadlineS":6,"objectiveS":1,"lateWorth":0.1,"semantics":"free","worth":3},
 {"name":"docket-report","deadlineS":4,"objectiveS":1,"lateWorth":0.1,"semantics":"free","worth":3},
@@ -67,6 +68,7 @@
 	openCap     int
 	sockets     int
 	idleTimeout float64 // seconds until an idle connection to a record server is closed
+	objective   float64 // latency objective of usage-lookup in seconds; 0: defaultObjective
 	flags       []string
 	env         []string
 	files       []*os.File // inherited as descriptors 3 and up
@@ -75,6 +77,7 @@
 const (
 	defaultOpenCap     = 400
 	defaultIdleTimeout = 15. // seconds
+	defaultObjective   = 1.  // seconds
 	memoryMB           = 192
 )
 
@@ -83,7 +86,7 @@
 	text := fmt.Appendf(nil, `{"name":"n1","listen":%q,"discovery":%q,"control":%q,"seed":"1",
 		"limits":{"memory_mb":%d,"sockets":%d},"known":{"version":41,"full":true,"servers":[%s]},"settings":%s}`,
 		o.listen, o.discovery, o.control, memoryMB, o.sockets, strings.Join(o.servers, ","),
-		fmt.Sprintf(settingsFormat, o.idleTimeout, o.openCap))
+		fmt.Sprintf(settingsFormat, o.idleTimeout, o.openCap, cmp.Or(o.objective, defaultObjective)))
 	if o.control == "" {
 		text = bytes.Replace(text, []byte(`"control":"",`), nil, 1)
 	}
@@ -123,7 +126,7 @@
 // returns the output.
 func runRejected(t *testing.T, flags, env []string) string {
 	config := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":%s}`,
-		fmt.Sprintf(settingsFormat, defaultIdleTimeout, defaultOpenCap))
+		fmt.Sprintf(settingsFormat, defaultIdleTimeout, defaultOpenCap, defaultObjective))
 	require.True(t, json.Valid([]byte(config)))
 	path := filepath.Join(t.TempDir(), "config.json")
 	require.NoError(t, os.WriteFile(path, []byte(config), 0o600))
