--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -13,8 +13,10 @@
 )
 
 const (
-	minRetryLimit = 100 * time.Millisecond // minimum limit of the first wait after a failure, which is in its upper half
-	callDuration  = 25 * time.Millisecond  // assumed time that the service takes to serve one call
+	// minRetryLimit is the minimum limit of the first wait after a failure. The wait is in the upper half of its limit.
+	minRetryLimit = 100 * time.Millisecond
+	// callDuration is the assumed time that the service takes to serve one call.
+	callDuration = 25 * time.Millisecond
 
 	// maxInitialLimit limits the wait before the very first call. The endpoint list that a caller has when it starts may be out of
 	// date, and a drain that the first call would have received takes effect after 250 ms, so the limit is below that. Updates
@@ -50,8 +52,8 @@
 	firstLimit   atomic.Int64 // limit of the wait after a success, in nanoseconds
 	longestLimit atomic.Int64 // limit of all waits after a failure, in nanoseconds
 
-	// limit is half the limit of the next wait, unless longestLimit is less. It is 0 if Next has not been called since the latest
-	// success.
+	// limit is doubled by Next, up to longestLimit, to get the limit of the next wait after a failure. It is 0 if Next has not
+	// been called since the latest success.
 	limit time.Duration
 }
 
@@ -66,9 +68,9 @@
 // SetCallers sets the number of callers. It may be called from any goroutine.
 func (b *Backoff) SetCallers(callers int) {
 	callers, _ = ClampCallers(callers)
-	serveAll := time.Duration(callers) * callDuration
-	b.firstLimit.Store(int64(min(serveAll, maxFirstLimit)))
-	b.longestLimit.Store(int64(min(max(longestLimitFactor*serveAll, minLongestLimit), maxLongestLimit)))
+	serveAllTime := time.Duration(callers) * callDuration
+	b.firstLimit.Store(int64(min(serveAllTime, maxFirstLimit)))
+	b.longestLimit.Store(int64(min(max(longestLimitFactor*serveAllTime, minLongestLimit), maxLongestLimit)))
 }
 
 // Next returns the wait before the next call. The first wait, initially and after a success, is random between 0 and a limit.
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -39,17 +39,17 @@
 ) (servedAt []time.Duration, calls int) {
 	const callTimeout = 2 * time.Second
 	servedAt = make([]time.Duration, callers)
-	var due callHeap
+	var pendingCalls callHeap
 	for i := range callers {
-		due = append(due, call{nextWait(i), i})
+		pendingCalls = append(pendingCalls, call{nextWait(i), i})
 	}
-	heap.Init(&due)
+	heap.Init(&pendingCalls)
 	freeAt := time.Duration(0) // when discovery can serve the next call
 	for waiting := callers; waiting > 0 && calls < 100*callers; calls++ {
-		c := heap.Pop(&due).(call)
+		c := heap.Pop(&pendingCalls).(call)
 		start := max(freeAt, c.at)
 		if start > c.at+callTimeout {
-			heap.Push(&due, call{c.at + callTimeout + nextWait(c.caller), c.caller})
+			heap.Push(&pendingCalls, call{c.at + callTimeout + nextWait(c.caller), c.caller})
 			if queueingTime := start - c.at; queueingTime > 2*callTimeout {
 				continue // the queue is full: the call is rejected, which takes no time
 			}
--- a/internal/broker/attempt_test.go
+++ b/internal/broker/attempt_test.go
@@ -16,7 +16,7 @@
 	cancelled := h.send(part, "s1")
 	require.True(t, cancelled.TryStart())
 	h.perform(decision.Cancel{ID: part, Attempt: 0})
-	require.Equal(t, cancelled, <-h.cancelled)
+	require.Equal(t, cancelled, <-h.cancelledCalls)
 	require.Equal(t, decision.Cancelled, awaitEvent[decision.AttemptFinished](h).Status)
 	current := h.send(part, "s2")
 	cancelled.Finish(broker.CallResult{Status: decision.OK, Value: []byte("old")})
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -31,7 +31,7 @@
 	parts            map[decision.RequestID]*part  // of queries in flight, and finished parts with an attempt in flight
 	byExternalID     map[string]*query             // queries in flight by Request.ID
 	endpoints        *Endpoints
-	timers           map[*time.Timer]struct{} // pending timers of after: neither fired nor stopped
+	timers           map[*time.Timer]struct{} // timers created by after that have neither fired nor been stopped
 	idleWaiters      []chan struct{}          // closed once no query is in flight
 	shutdownDeadline time.Time                // by when all queries must be answered; zero: not shutting down
 
@@ -133,11 +133,11 @@
 // Ready reports whether a record server has been available since startup, so that the broker can serve. It returns false once
 // the loop has ended.
 func (b *Broker) Ready() bool {
-	ready := make(chan bool, 1)
-	b.post(func() { ready <- b.endpoints.EverAvailable() })
+	readiness := make(chan bool, 1)
+	b.post(func() { readiness <- b.endpoints.EverAvailable() })
 	select {
-	case r := <-ready:
-		return r
+	case ready := <-readiness:
+		return ready
 	case <-b.stopped:
 		return false
 	}
--- a/internal/broker/call.go
+++ b/internal/broker/call.go
@@ -51,8 +51,7 @@
 
 // TryStart marks the call as started and reports whether its first byte may be written. The link calls it immediately before
 // the write. If it returns false, nothing may be sent: either the call had already finished, or MayStart returned false and the
-// call finishes as NotSent. A call that has waited for a connection longer than the rules
-// allow is therefore never sent.
+// call finishes as NotSent. A call that has waited for a connection longer than the rules allow is therefore never sent.
 func (c *Call) TryStart() bool {
 	if !c.MayStart() {
 		c.Finish(ResultOf(decision.NotSent))
--- a/internal/broker/call_test.go
+++ b/internal/broker/call_test.go
@@ -15,7 +15,7 @@
 	h := newHarness(t)
 	_, part, _, _ := h.submit("q", nonIdempotent, 1, time.Second)
 	h.perform(decision.Send{ID: part, Server: "s1", Timeout: 0.02})
-	queued := <-h.sent
+	queued := <-h.sentCalls
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	require.False(t, queued.TryStart())
 	h.send(part, "s2")
@@ -31,7 +31,7 @@
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	awaitEvent[decision.ClientDisconnected](h)
 	require.False(t, queued.TryStart())
-	require.Same(t, queued, <-h.cancelled)
+	require.Same(t, queued, <-h.cancelledCalls)
 
 	_, part, _, request = h.submit("q2", idempotent, 1, time.Second)
 	request.Disconnected = new(atomic.Bool)
@@ -41,7 +41,7 @@
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	h.perform(decision.Send{ID: part, Server: "s2"})
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
-	require.Empty(t, h.sent)
+	require.Empty(t, h.sentCalls)
 	h.broker.Disconnect(request)
 	awaitEvent[decision.ClientDisconnected](h)
 
@@ -74,13 +74,13 @@
 	require.True(t, first.TryStart())
 	first.Finish(callResult(decision.Reset))
 	awaitEvent[decision.AttemptFinished](h)
-	retry := h.send(part, "s2") // within the window of 0.2 s
+	retry := h.send(part, "s2") // within the idempotency window, which ends 0.2 s after the first attempt was sent
 	time.Sleep(220 * time.Millisecond)
 	require.False(t, retry.TryStart())
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
 	h.perform(decision.Send{ID: part, Server: "s1"})
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
-	require.Empty(t, h.sent)
+	require.Empty(t, h.sentCalls)
 
 	_, part, _, _ = h.submit("q2", idempotentWithKey, 1, 2*time.Second)
 	h.send(part, "s1").Finish(callResult(decision.Unreachable)) // cannot have run, so no window begins
--- a/internal/broker/configure.go
+++ b/internal/broker/configure.go
@@ -99,11 +99,11 @@
 // LongestDeadline returns the longest deadline among the classes in force and the classes of queries in flight. The shutdown
 // plan of the process depends on it. It is 0 if the loop has ended.
 func (b *Broker) LongestDeadline() time.Duration {
-	longest := make(chan float64, 1)
-	b.post(func() { longest <- b.longestDeadline() })
+	seconds := make(chan float64, 1)
+	b.post(func() { seconds <- b.longestDeadline() })
 	select {
-	case deadline := <-longest:
-		return secondsToDuration(deadline)
+	case longest := <-seconds:
+		return secondsToDuration(longest)
 	case <-b.stopped:
 		return 0
 	}
--- a/internal/broker/configure_test.go
+++ b/internal/broker/configure_test.go
@@ -34,14 +34,14 @@
 // pausingDecider is a Decider that records all batches. It blocks on a batch with a TimerFired until the test resumes it.
 type pausingDecider struct {
 	batches chan []decision.Event
-	resumed chan struct{}
+	resume  chan struct{}          // receives a value when the test resumes the Decider
 	actions chan []decision.Action // returned after a pause
 }
 
 func (d *pausingDecider) Handle(_ float64, events []decision.Event) []decision.Action {
 	d.batches <- slices.Clone(events)
 	if slices.ContainsFunc(events, func(e decision.Event) bool { _, ok := e.(decision.TimerFired); return ok }) {
-		<-d.resumed
+		<-d.resume
 		return <-d.actions
 	}
 	return nil
@@ -80,7 +80,7 @@
 		if slices.Contains(batch, decision.Event(decision.TimerFired{Token: 7})) {
 			return func(actions ...decision.Action) {
 				p.actions <- actions
-				p.resumed <- struct{}{}
+				p.resume <- struct{}{}
 			}
 		}
 	}
@@ -132,16 +132,16 @@
 func TestConfigureAppliesInInboxOrder(t *testing.T) {
 	p := newPausableBroker(t)
 	resume := p.pause()
-	accepted := p.submit("accepted", 0, 1)
-	tooLarge := p.submit("beyond-the-old-limit", 0, 2)
-	atOldLimit := p.submit("at-the-old-limit", 1, 1)
+	acceptedQuery := p.submit("accepted", 0, 1)
+	tooLargeQuery := p.submit("beyond-the-old-limit", 0, 2)
+	queryAtOldLimit := p.submit("at-the-old-limit", 1, 1)
 	wait := p.configureAsync(broker.Change{Classes: classes(newDeadline), ConcurrencyLimit: newLimit})
-	atNewLimit := p.submit("at-the-new-limit", 0, 2)
+	queryAtNewLimit := p.submit("at-the-new-limit", 0, 2)
 	resume()
 	require.NoError(t, wait())
-	require.Equal(t, broker.Rejected, p.awaitResult(tooLarge).Outcome)
-	require.Equal(t, broker.Rejected, p.awaitResult(atOldLimit).Outcome, "the accepted query uses the whole old limit")
-	require.Equal(t, broker.Rejected, p.awaitResult(atNewLimit).Outcome, "the query in flight counts against the new limit")
+	require.Equal(t, broker.Rejected, p.awaitResult(tooLargeQuery).Outcome)
+	require.Equal(t, broker.Rejected, p.awaitResult(queryAtOldLimit).Outcome, "the accepted query uses the whole old limit")
+	require.Equal(t, broker.Rejected, p.awaitResult(queryAtNewLimit).Outcome, "the query in flight counts against the new limit")
 	batch := p.nextBatch()
 	queryAt := slices.IndexFunc(batch, func(e decision.Event) bool { _, ok := e.(decision.Query); return ok })
 	changeAt := slices.IndexFunc(batch, func(e decision.Event) bool { _, ok := e.(decision.ClassesChanged); return ok })
@@ -149,9 +149,9 @@
 	require.Equal(t, classes(newDeadline), batch[changeAt].(decision.ClassesChanged).Classes)
 	queryBefore := batch[queryAt].(decision.Query)
 	require.InDelta(t, oldDeadline, queryBefore.Deadline-queryBefore.ReceivedAt, 1e-3)
-	require.Equal(t, broker.DeadlineExceeded, p.awaitResult(accepted).Outcome)
+	require.Equal(t, broker.DeadlineExceeded, p.awaitResult(acceptedQuery).Outcome)
 
-	after := p.submit("after", 0, 2)
+	laterQuery := p.submit("after", 0, 2)
 	var queryAfter *decision.Query
 	for queryAfter == nil {
 		for _, e := range p.nextBatch() {
@@ -162,7 +162,7 @@
 	}
 	require.Equal(t, 2, queryAfter.Parts)
 	require.InDelta(t, newDeadline, queryAfter.Deadline-queryAfter.ReceivedAt, 1e-3)
-	require.Equal(t, broker.DeadlineExceeded, p.awaitResult(after).Outcome)
+	require.Equal(t, broker.DeadlineExceeded, p.awaitResult(laterQuery).Outcome)
 }
 
 // A query that precedes a change in the inbox is accepted or rejected, and timed out, under the old settings, whether the
@@ -204,8 +204,8 @@
 			p.broker.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Servers: []broker.Endpoint{
 				{Addr: "s0", Server: decision.Server{ID: "s0"}}}})
 			start := time.Now()
-			unanswered := p.submit("unanswered", 0, 1)
-			halfAnswered := p.submit("half-answered", 1, 2)
+			unansweredQuery := p.submit("unanswered", 0, 1)
+			halfAnsweredQuery := p.submit("half-answered", 1, 2)
 			var queryID, partID decision.RequestID
 			for partID == 0 {
 				for _, e := range p.nextBatch() {
@@ -220,15 +220,15 @@
 			require.NoError(t, p.broker.Configure(broker.Change{Classes: classes(tc.new), ConcurrencyLimit: 20}))
 			require.Equal(t, newDeadline, p.broker.LongestDeadline().Seconds(), "the longest deadline of the classes in force and of queries in flight")
 			p.pause()(decision.Send{ID: partID, Server: "s0"})
-			call := <-p.sent
+			call := <-p.sentCalls
 			require.InDelta(t, tc.old, call.Deadline.Sub(start).Seconds(), 0.2)
 			require.True(t, call.TryStart())
 			call.Finish(callResult(decision.OK))
 			p.pause()(decision.Respond{ID: queryID, Complete: true})
-			answered := p.awaitResult(halfAnswered)
-			require.Equal(t, broker.Answered, answered.Outcome, "one of two equal parts reaches the minimum completeness of 0.5")
-			require.Len(t, answered.Values, 1)
-			require.Equal(t, broker.DeadlineExceeded, p.awaitResult(unanswered).Outcome)
+			answer := p.awaitResult(halfAnsweredQuery)
+			require.Equal(t, broker.Answered, answer.Outcome, "one of two equal parts reaches the minimum completeness of 0.5")
+			require.Len(t, answer.Values, 1)
+			require.Equal(t, broker.DeadlineExceeded, p.awaitResult(unansweredQuery).Outcome)
 			require.InDelta(t, tc.old, time.Since(start).Seconds(), 0.25)
 			require.Equal(t, tc.new, p.broker.LongestDeadline().Seconds(), "no query is in flight")
 		})
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -13,7 +13,7 @@
 	Addr string // HOST:PORT
 }
 
-// EndpointUpdate is an update of the endpoint list, received from its watch.
+// EndpointUpdate is an update of the endpoint list, received from the endpoint watch.
 type EndpointUpdate struct {
 	Mode    decision.UpdateMode
 	Version int64
@@ -35,18 +35,18 @@
 }
 
 // Endpoints holds the listed record servers. Links and loops share its Server objects, one per server. In a process with a
-// single loop the loop owns its Endpoints. Several loops share one, which is updated before any of them, so that a busy loop
-// does not delay a drain. It is safe for concurrent use.
+// single loop the loop owns its Endpoints. Several loops share one Endpoints, which is updated before any of the loops,
+// so that a busy loop does not delay a drain. It is safe for concurrent use.
 type Endpoints struct {
 	mu            sync.RWMutex
 	byID          map[string]*Server // available servers
-	draining      map[string]bool    // ids of draining servers, which are not in byID
+	drainingIDs   map[string]bool    // ids of draining servers, which are not in byID
 	everAvailable bool               // whether any server has been available since startup
 }
 
 // NewEndpoints returns Endpoints without servers.
 func NewEndpoints() *Endpoints {
-	return &Endpoints{byID: map[string]*Server{}, draining: map[string]bool{}}
+	return &Endpoints{byID: map[string]*Server{}, drainingIDs: map[string]bool{}}
 }
 
 // Apply applies an update. Once it has returned, no attempt starts at a server that the update drains or removes.
@@ -54,19 +54,19 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if u.replacesAll() {
-		clear(e.draining)
+		clear(e.drainingIDs)
 	}
-	ready := map[string]bool{}
+	isReady := map[string]bool{}
 	for id := range e.byID {
-		ready[id] = !u.replacesAll()
+		isReady[id] = !u.replacesAll()
 	}
 	for _, endpoint := range u.Servers {
 		e.put(endpoint)
-		ready[endpoint.ID] = endpoint.State == decision.Ready
+		isReady[endpoint.ID] = endpoint.State == decision.Ready
 	}
 	for id, server := range e.byID {
-		server.unavailable.Store(!ready[id])
-		if ready[id] {
+		server.unavailable.Store(!isReady[id])
+		if isReady[id] {
 			e.everAvailable = true
 		} else {
 			delete(e.byID, id)
@@ -84,9 +84,9 @@
 	if server == nil || changed {
 		e.byID[endpoint.ID] = &Server{ID: endpoint.ID, Addr: endpoint.Addr, ReplicaSet: endpoint.ReplicaSet}
 	}
-	delete(e.draining, endpoint.ID)
+	delete(e.drainingIDs, endpoint.ID)
 	if endpoint.State == decision.Draining {
-		e.draining[endpoint.ID] = true
+		e.drainingIDs[endpoint.ID] = true
 	}
 }
 
@@ -103,13 +103,13 @@
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	now := time.Now()
-	avoided = len(e.draining)
+	avoided = len(e.drainingIDs)
 	for _, server := range e.byID {
 		if server.avoided(now) {
 			avoided++
 		}
 	}
-	listed = len(e.byID) + len(e.draining)
+	listed = len(e.byID) + len(e.drainingIDs)
 	return listed, avoided
 }
 
@@ -133,13 +133,13 @@
 	}
 }
 
-// UpdateAsync passes an update to the loop without waiting. The channel is closed once the loop has received it. It does not
-// change the Endpoints.
+// UpdateAsync passes an update to the loop without waiting. The channel is closed once the loop has received the
+// update. UpdateAsync does not change the Endpoints.
 func (b *Broker) UpdateAsync(u EndpointUpdate) <-chan struct{} {
-	received := make(chan struct{})
+	done := make(chan struct{})
 	b.post(func() {
 		b.enqueueEvent(u.Event())
-		close(received)
+		close(done)
 	})
-	return received
+	return done
 }
--- a/internal/broker/endpoints_test.go
+++ b/internal/broker/endpoints_test.go
@@ -22,7 +22,7 @@
 	h.updateEndpoints(decision.FullUpdate, "s1", 1, decision.Ready) // s1 is ready again; s0 and s2 are removed
 	h.perform(decision.Send{ID: part, Server: "s2"})
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
-	require.Empty(t, h.sent)
+	require.Empty(t, h.sentCalls)
 }
 
 // A busy loop does not delay a drain: links see it as soon as Update is called.
--- a/internal/broker/harness_test.go
+++ b/internal/broker/harness_test.go
@@ -32,11 +32,11 @@
 }
 
 // link is a fake Link. It records sent and cancelled calls, and answers each health check with OK.
-type link struct{ sent, cancelled chan *broker.Call }
+type link struct{ sentCalls, cancelledCalls chan *broker.Call }
 
-func (l link) Send(c *broker.Call) { l.sent <- c }
+func (l link) Send(c *broker.Call) { l.sentCalls <- c }
 
-func (l link) Cancel(c *broker.Call) { l.cancelled <- c }
+func (l link) Cancel(c *broker.Call) { l.cancelledCalls <- c }
 
 func (l link) CheckHealth(check *broker.HealthCheck) {
 	check.Finish(broker.ResultOf(decision.OK))
@@ -146,7 +146,7 @@
 // send makes the Decider send an attempt of a part to a server, and returns the call that the link receives.
 func (h *harness) send(id decision.RequestID, server string) *broker.Call {
 	h.perform(decision.Send{ID: id, Server: server})
-	return <-h.sent
+	return <-h.sentCalls
 }
 
 // callResult returns a call result with a status, the value "v" and no score.
--- a/internal/broker/inbox.go
+++ b/internal/broker/inbox.go
@@ -28,7 +28,7 @@
 	i.closed = true
 }
 
-// post queues f to run on the loop and reports whether the inbox accepted it. After Abort it accepts none.
+// post queues f to run on the loop and reports whether the inbox accepted it. After Abort the inbox accepts none.
 func (b *Broker) post(f func()) bool {
 	b.inbox.mu.Lock()
 	closed := b.inbox.closed
--- a/internal/broker/phase.go
+++ b/internal/broker/phase.go
@@ -11,8 +11,8 @@
 	Complete       bool  // the answered parts reach the class's completeness threshold
 }
 
-// awaitsSecondPhase reports whether the query has a second phase that has not begun. Until it has, there is no answer to give,
-// since an answer consists of the second phase's values.
+// awaitsSecondPhase reports whether the query has a second phase that has not begun. Such a query cannot be answered yet, since
+// the answer consists of the values of the second phase.
 func (q *query) awaitsSecondPhase() bool {
 	return q.class.SecondPhaseFanout > 0 && q.firstPhase == nil
 }
--- a/internal/broker/phase_test.go
+++ b/internal/broker/phase_test.go
@@ -143,7 +143,7 @@
 	require.Equal(t, query, awaitEvent[decision.ClientDisconnected](h).ID)
 	require.False(t, queued.TryStart())
 	h.perform(decision.Send{ID: other, Server: "s2"}, decision.Respond{ID: query, Complete: true})
-	require.Empty(t, h.sent)
+	require.Empty(t, h.sentCalls)
 	require.Empty(t, answer)
 	h.submit("q", twoPhase, 6, time.Second) // the id and the slots have been released
 }
@@ -212,7 +212,7 @@
 	late.Finish(scoredResult(9, "late"))
 	require.Equal(t, first+2, awaitEvent[decision.AttemptFinished](h).ID)
 	h.perform(decision.Send{ID: first + 2, Server: "s3"})
-	require.Empty(t, h.sent)
+	require.Empty(t, h.sentCalls)
 	for _, pt := range []decision.Part{a, b} {
 		h.send(pt.ID, serverOf(pt.Shard)).Finish(scoredResult(0, "second"))
 		awaitEvent[decision.AttemptFinished](h)
@@ -228,13 +228,13 @@
 func TestSecondPhaseReleasesSlots(t *testing.T) {
 	h := newHarness(t)
 	query, answer, _ := h.firstPhase(twoPhase, 6)
-	full := make(client, 1)
-	h.broker.Submit(&broker.Request{ID: "q2", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, full)
-	require.Equal(t, broker.Rejected, (<-full).Outcome)
+	rejectedAnswer := make(client, 1)
+	h.broker.Submit(&broker.Request{ID: "q2", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, rejectedAnswer)
+	require.Equal(t, broker.Rejected, (<-rejectedAnswer).Outcome)
 	h.perform(decision.Respond{ID: query, Complete: true})
 	h.submit("q3", idempotent, 3, time.Second)
-	h.broker.Submit(&broker.Request{ID: "q4", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, full)
-	require.Equal(t, broker.Rejected, (<-full).Outcome)
+	h.broker.Submit(&broker.Request{ID: "q4", ReceivedAt: time.Now(), Timeout: time.Second, Parts: make([]broker.Part, 1)}, rejectedAnswer)
+	require.Equal(t, broker.Rejected, (<-rejectedAnswer).Outcome)
 	h.perform(decision.Reject{ID: query})
 	require.Equal(t, broker.Rejected, (<-answer).Outcome)
 	h.submit("q5", idempotent, 2, time.Second)
--- a/internal/broker/query.go
+++ b/internal/broker/query.go
@@ -18,7 +18,7 @@
 	id         decision.RequestID
 	class      decision.Class // as configured when the query was accepted
 	parts      []*part        // of the current phase
-	firstPhase *FirstPhase    // result of the first phase; nil while that is the current phase
+	firstPhase *FirstPhase    // result of the first phase; nil until that phase has ended
 	deadline   time.Time      // the client's deadline, or the shutdown deadline if earlier
 	stopTimer  func()         // stops the deadline timer
 }
@@ -172,7 +172,7 @@
 	q.stopTimer = b.after(time.Until(q.deadline)-deadlineMargin, func() {
 		b.removeQuery(q) // first, so that no call can start after a rejection
 		final := Result{Outcome: DeadlineExceeded}
-		if q.deadline.Equal(b.shutdownDeadline) { // the client is still waiting
+		if q.deadline.Equal(b.shutdownDeadline) { // the client is still waiting at that time
 			final = q.bestEffortResult(b.retryAfter())
 		}
 		q.client.Finish(final)
--- a/internal/broker/rejection_test.go
+++ b/internal/broker/rejection_test.go
@@ -32,15 +32,15 @@
 	h := newHarness(t)
 	id, first, answer, _ := h.submit("q", nonIdempotent, 2, 3*time.Second)
 	calls := []*broker.Call{h.send(first, "s1"), h.send(first+1, "s2")}
-	for range cap(h.cancelled) {
-		h.cancelled <- nil // fill the channel, so that the loop blocks in Cancel of the first call
+	for range cap(h.cancelledCalls) {
+		h.cancelledCalls <- nil // fill the channel, so that the loop blocks in Cancel of the first call
 	}
 	h.perform(decision.Reject{ID: id})
 	require.Eventually(t, calls[0].Finished, 2*time.Second, time.Millisecond)
 	require.False(t, calls[0].TryStart())
 	started := calls[1].TryStart()
-	for range cap(h.cancelled) {
-		<-h.cancelled
+	for range cap(h.cancelledCalls) {
+		<-h.cancelledCalls
 	}
 	outcome := (<-answer).Outcome
 	require.False(t, started && outcome == broker.Rejected, "a call started although its query was rejected: a retry by the client could run the part twice")
--- a/internal/broker/result.go
+++ b/internal/broker/result.go
@@ -32,8 +32,9 @@
 	Data  []byte
 }
 
-// result returns the answer from the answered parts. It is a failure if they are below the class's minimum completeness, and
-// is complete only if the parts are, even if the Decider requests a complete answer.
+// result returns an answer with the values of the answered parts, or a failure if these parts do not reach the class's minimum
+// completeness. The answer is marked complete only if each phase has reached the completeness threshold, even if the Decider
+// requests a complete answer.
 func (q *query) result(complete bool) Result {
 	tally := q.tally()
 	thresholds := q.thresholds()
--- a/internal/broker/rules.go
+++ b/internal/broker/rules.go
@@ -35,7 +35,7 @@
 	errDeadlineExceeded  = errors.New("the deadline is exceeded")
 )
 
-// maxAttemptsError reports an attempt beyond Settings.MaxAttempts, which is its value.
+// maxAttemptsError reports an attempt beyond Settings.MaxAttempts. Its value is that limit.
 type maxAttemptsError int
 
 func (e maxAttemptsError) Error() string {
@@ -52,8 +52,8 @@
 	return fmt.Sprintf("replica set %d does not hold shard %d", e.replicaSet, e.shard)
 }
 
-// checkRules returns nil if an attempt of a part may be sent to a server, and a *ruleViolationError otherwise. The server is
-// the one with serverID, or nil if that is not available.
+// checkRules returns nil if an attempt of a part may be sent to a server, and a *ruleViolationError otherwise. server is
+// the available server with serverID, or nil if there is none.
 func (b *Broker) checkRules(pt *part, serverID string, server *Server) error {
 	rule := b.violatedRule(pt, server)
 	if rule == nil {
--- a/internal/broker/rules_test.go
+++ b/internal/broker/rules_test.go
@@ -41,7 +41,7 @@
 		t.Helper()
 		h.perform(decision.Send{ID: part, Server: server})
 		require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
-		require.Empty(t, h.sent)
+		require.Empty(t, h.sentCalls)
 	}
 	requireBlocked("unknown")
 	requireBlocked("s0") // shard 1 is held by replica sets 1 and 2
@@ -62,10 +62,10 @@
 		awaitEvent[decision.AttemptFinished](h)
 		h.perform(decision.Send{ID: part, Server: "s2"})
 		if retryAllowed {
-			(<-h.sent).Finish(callResult(decision.Overloaded))
+			(<-h.sentCalls).Finish(callResult(decision.Overloaded))
 		}
 		awaitEvent[decision.AttemptFinished](h)
-		require.Empty(t, h.sent)
+		require.Empty(t, h.sentCalls)
 		// A rejection tells the client that a retry is safe, so a query that may have run is not rejected.
 		h.perform(decision.Reject{ID: query, RetryAfter: 0.5})
 		want := broker.Result{Outcome: broker.Failed}
@@ -88,5 +88,5 @@
 	awaitEvent[decision.AttemptFinished](h)
 	h.perform(decision.Send{ID: part, Server: "s1"}) // beyond MaxAttempts
 	require.Equal(t, decision.NotSent, awaitEvent[decision.AttemptFinished](h).Status)
-	require.Empty(t, h.sent)
+	require.Empty(t, h.sentCalls)
 }
--- a/internal/broker/shutdown.go
+++ b/internal/broker/shutdown.go
@@ -6,7 +6,8 @@
 )
 
 // SetShutdownDeadline sets the time by which every query, in flight or accepted later, must have its final answer, because the
-// process is killed then. A query with a later deadline is answered from its answered parts, rejected or failed at that time.
+// process is killed at that time. A query with a later deadline is answered from its answered parts, rejected or failed
+// by that time.
 func (b *Broker) SetShutdownDeadline(t time.Time) {
 	b.post(func() {
 		b.shutdownDeadline = t
@@ -64,7 +65,7 @@
 	b.releaseIdleWaiters()
 }
 
-// runRecovered runs f and discards a panic: the inbox may hold another function that panics as the one that ended the loop did.
+// runRecovered runs f and discards a panic: the inbox may hold another function that panics like the one that ended the loop.
 func runRecovered(f func()) {
 	defer func() { _ = recover() }()
 	f()
