--- a/internal/endpoints/discovery/discovery.go
+++ b/internal/endpoints/discovery/discovery.go
@@ -24,7 +24,7 @@
 	Since     int64                       // version of the endpoint list that Update received last
 	Update    func(broker.EndpointUpdate) // called in the goroutine of Run
 	Log       *slog.Logger
-	Backoff   *backoff.Backoff // backoff of the calls, as all brokers share one discovery service; nil: backoff of a single broker
+	Backoff   *backoff.Backoff // waits between calls, as all brokers share one discovery service; nil: those of a single broker
 
 	once       sync.Once
 	newAddress chan string // the latest address set by ChangeAddress, until Run receives it
@@ -87,17 +87,17 @@
 
 // handleNextEvent waits for the next event and handles it.
 func (r *runState) handleNextEvent() {
-	var due <-chan time.Time
+	var wake <-chan time.Time
 	if at := r.watch.WakeAt(); !at.IsZero() {
 		timer := time.NewTimer(time.Until(at))
 		defer timer.Stop()
-		due = timer.C
+		wake = timer.C
 	}
 	select {
 	case <-r.ctx.Done():
 	case r.addr = <-r.newAddress:
 		r.perform(r.watch.AddressChanged(time.Now()))
-	case <-due:
+	case <-wake:
 		r.perform(r.watch.Tick(time.Now()))
 	case event := <-r.events:
 		r.handleCallEvent(event)
@@ -108,7 +108,7 @@
 func (r *runState) perform(actions []listwatch.Action) {
 	for _, action := range actions {
 		if action.Close {
-			r.Log.Info("silent endpoint watch closed", "since", r.Since)
+			r.Log.Info("superseded endpoint watch closed", "since", r.Since)
 			r.endCall(action.Call)
 			continue
 		}
--- a/internal/endpoints/discovery/discovery_test.go
+++ b/internal/endpoints/discovery/discovery_test.go
@@ -23,7 +23,7 @@
 	net.Listener
 	mu       sync.Mutex
 	calledAt []time.Time // time of each call since the last drop
-	open     []net.Conn  // connections of these calls
+	conns    []net.Conn  // connections of these calls
 }
 
 // newFakeDiscovery starts a fakeDiscovery that is stopped at the end of the test.
@@ -50,7 +50,7 @@
 		return
 	}
 	d.mu.Lock()
-	d.calledAt, d.open = append(d.calledAt, time.Now()), append(d.open, conn)
+	d.calledAt, d.conns = append(d.calledAt, time.Now()), append(d.conns, conn)
 	n := len(d.calledAt)
 	d.mu.Unlock()
 	line := fmt.Sprintf(`{"version":%d,"full":false,"servers":[]}`+"\n", n)
@@ -61,10 +61,10 @@
 func (d *fakeDiscovery) drop() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for _, conn := range d.open {
+	for _, conn := range d.conns {
 		conn.Close()
 	}
-	d.open, d.calledAt = nil, nil
+	d.conns, d.calledAt = nil, nil
 }
 
 // calls returns the times of the calls since the last drop.
@@ -77,13 +77,13 @@
 // Guards against a thundering herd when all brokers of a fleet lose their watch at the same time: discovery would have to serve
 // all their calls in the same millisecond.
 func TestWatchersReconnectAtDifferentTimesAfterSimultaneousLoss(t *testing.T) {
-	const fleet, brokers = 40, 20 // 20 brokers of a fleet of 40, whose calls after a loss are spread over one second
+	const fleetSize, brokers = 40, 20 // 20 brokers of a fleet of 40, whose calls after a loss are spread over one second
 	d := newFakeDiscovery(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	for i := range brokers {
 		w := &discovery.Watcher{Addr: d.Addr().String(), Update: func(broker.EndpointUpdate) {},
-			Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Backoff: backoff.New(fleet, uint64(i))}
+			Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Backoff: backoff.New(fleetSize, uint64(i))}
 		go w.Run(ctx)
 	}
 	for _, spread := range []time.Duration{100 * time.Millisecond, 500 * time.Millisecond} { // after the start and after the loss
--- a/internal/endpoints/discovery/message.go
+++ b/internal/endpoints/discovery/message.go
@@ -35,7 +35,7 @@
 	"active": decision.Ready, "leaving": decision.Draining, "left": decision.Removed,
 }
 
-// EntryError is the error of a value in a message that is not allowed.
+// EntryError reports an invalid value in an entry of a message from discovery.
 type EntryError struct {
 	Key     string // path of the value, such as servers[0].state
 	Value   string
@@ -71,7 +71,7 @@
 		return broker.Endpoint{}, &EntryError{Key: key("state"), Value: entry.State, Allowed: "one of active, leaving, left"}
 	}
 	if entry.ID == "" {
-		return broker.Endpoint{}, &EntryError{Key: key("id"), Allowed: "a text that is not empty"}
+		return broker.Endpoint{}, &EntryError{Key: key("id"), Allowed: "a non-empty string"}
 	}
 	if entry.Addr == "" && state != decision.Removed {
 		return broker.Endpoint{}, &EntryError{Key: key("addr"), Allowed: "an address host:port"}
--- a/internal/endpoints/listwatch/listwatch_test.go
+++ b/internal/endpoints/listwatch/listwatch_test.go
@@ -13,32 +13,33 @@
 	"mothrouter/internal/endpoints/listwatch"
 )
 
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// epoch is the time at which each simulation starts.
+var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // agentSimulation simulates a watch and its discovery agent in virtual time. While the agent is down, it accepts calls but
 // sends nothing. When it comes up again, an open call receives its update at once. Otherwise it sends a message every 2 s.
 type agentSimulation struct {
 	*listwatch.Watch
-	open      map[int]bool    // IDs of the open calls
+	openCalls map[int]bool    // IDs of the open calls
 	startedAt []time.Duration // start of each call; the call with ID i is at the index i-1
 	maxOpen   int             // maximum number of calls that were open at the same time
 }
 
 // newAgentSimulation returns a simulation with the watch of one of the given number of callers.
 func newAgentSimulation(callers int, seed uint64) *agentSimulation {
-	return &agentSimulation{Watch: listwatch.New(backoff.New(callers, seed), start), open: map[int]bool{}}
+	return &agentSimulation{Watch: listwatch.New(backoff.New(callers, seed), epoch), openCalls: map[int]bool{}}
 }
 
 // perform opens and closes calls.
 func (a *agentSimulation) perform(at time.Duration, actions []listwatch.Action) {
 	for _, action := range actions {
 		if action.Close {
-			delete(a.open, action.Call)
+			delete(a.openCalls, action.Call)
 			continue
 		}
-		a.open[action.Call] = true
+		a.openCalls[action.Call] = true
 		a.startedAt = append(a.startedAt, at)
-		a.maxOpen = max(a.maxOpen, len(a.open))
+		a.maxOpen = max(a.maxOpen, len(a.openCalls))
 	}
 }
 
@@ -47,7 +48,7 @@
 func (a *agentSimulation) runUntil(end, downAt, upAt time.Duration) (lastMessageAt time.Duration) {
 	lastMessageAt = -1
 	for at := time.Duration(0); at < end; at += 10 * time.Millisecond {
-		now := start.Add(at)
+		now := epoch.Add(at)
 		if wakeAt := a.WakeAt(); !wakeAt.IsZero() && !now.Before(wakeAt) {
 			a.perform(at, a.Tick(now))
 		}
@@ -58,7 +59,7 @@
 		if !callStarted && at%(2*time.Second) != 0 && at != upAt {
 			continue
 		}
-		for id := range a.open {
+		for id := range a.openCalls {
 			a.perform(at, a.MessageReceived(now, id))
 			lastMessageAt = at
 			break
@@ -88,7 +89,7 @@
 			a.runUntil(time.Second, 0, 0)
 			first := a.startedAt[0]
 			for at := time.Second; len(a.startedAt) < 2; at += 10 * time.Millisecond {
-				if now := start.Add(at); !now.Before(a.WakeAt()) {
+				if now := epoch.Add(at); !now.Before(a.WakeAt()) {
 					a.perform(at, a.Tick(now))
 				}
 			}
@@ -103,20 +104,20 @@
 		a := newAgentSimulation(300, seed)
 		a.runUntil(10*time.Second, 0, 0)
 		formerCall := len(a.startedAt)
-		a.perform(10*time.Second, a.AddressChanged(start.Add(10*time.Second)))
-		require.Len(t, a.open, 1)
+		a.perform(10*time.Second, a.AddressChanged(epoch.Add(10*time.Second)))
+		require.Len(t, a.openCalls, 1)
 		// A message of the former call does not make it the watch again.
-		a.perform(10*time.Second, a.MessageReceived(start.Add(10*time.Second), formerCall))
+		a.perform(10*time.Second, a.MessageReceived(epoch.Add(10*time.Second), formerCall))
 		at := 10 * time.Second
 		for ; len(a.startedAt) == formerCall; at += 10 * time.Millisecond {
-			if now := start.Add(at); !now.Before(a.WakeAt()) {
+			if now := epoch.Add(at); !now.Before(a.WakeAt()) {
 				a.perform(at, a.Tick(now))
 			}
 		}
 		require.Less(t, at-10*time.Second+listwatch.CallTimeout, 4*time.Second)
-		require.Len(t, a.open, 2)
-		a.perform(at, a.MessageReceived(start.Add(at), formerCall+1))
-		require.Equal(t, map[int]bool{formerCall + 1: true}, a.open)
+		require.Len(t, a.openCalls, 2)
+		a.perform(at, a.MessageReceived(epoch.Add(at), formerCall+1))
+		require.Equal(t, map[int]bool{formerCall + 1: true}, a.openCalls)
 	}
 }
 
@@ -128,18 +129,18 @@
 		lastFormerCall := 0 // calls up to this ID are to former addresses
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			at += time.Duration(rapid.IntRange(0, 900).Draw(t, "ms")) * time.Millisecond
-			now, id := start.Add(at), rapid.IntRange(1, len(a.startedAt)+1).Draw(t, "call")
+			now, id := epoch.Add(at), rapid.IntRange(1, len(a.startedAt)+1).Draw(t, "call")
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				if a.open[id] {
+				if a.openCalls[id] {
 					a.perform(at, a.MessageReceived(now, id))
 					if id > lastFormerCall {
-						require.Equal(t, map[int]bool{id: true}, a.open)
+						require.Equal(t, map[int]bool{id: true}, a.openCalls)
 						require.Equal(t, now.Add(listwatch.SilenceTimeout), a.WakeAt())
 					}
 				}
 			case 1:
-				delete(a.open, id)
+				delete(a.openCalls, id)
 				a.perform(at, a.CallEnded(now, id))
 			case 2:
 				if rapid.IntRange(0, 9).Draw(t, "changeAddress") == 0 {
@@ -152,7 +153,7 @@
 			}
 			require.False(t, a.WakeAt().IsZero(), "no time at which Tick is due")
 			require.Less(t, a.WakeAt().Sub(now), 5*time.Second)
-			require.LessOrEqual(t, len(a.open), 4)
+			require.LessOrEqual(t, len(a.openCalls), 4)
 		}
 	})
 }
@@ -178,7 +179,7 @@
 			}
 			calls := len(a.startedAt)
 			for at := time.Second; ; at += 10 * time.Millisecond {
-				now := start.Add(at)
+				now := epoch.Add(at)
 				if changeAt, ok := endAt[0]; ok && changeAt <= at {
 					delete(endAt, 0)
 					a.perform(at, a.AddressChanged(now))
@@ -186,7 +187,7 @@
 				for id, end := range endAt {
 					if id > 0 && end <= at {
 						delete(endAt, id)
-						delete(a.open, id)
+						delete(a.openCalls, id)
 						a.perform(at, a.CallEnded(now, id))
 					}
 				}
--- a/internal/workers/cores/bench_test.go
+++ b/internal/workers/cores/bench_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// BenchmarkSubmit measures the cost for a front of registering a query's name and releasing it, with a look at the workers'
-// backlogs.
+// BenchmarkSubmit measures the cost for a front of reading the workers' backlogs and of registering and releasing a query's
+// name.
 func BenchmarkSubmit(b *testing.B) {
 	g := New(Options{Workers: 4, Settings: settings(4, 0)}, nil)
 	b.ReportAllocs()
--- a/internal/workers/cores/configure.go
+++ b/internal/workers/cores/configure.go
@@ -14,8 +14,8 @@
 // are skipped. If Configure returns an error, all workers keep their previous settings: the rules for changes are the same for
 // each, so either all workers reject a change or none does.
 func (g *Group) Configure(c broker.Change) error {
-	g.configuring.Lock()
-	defer g.configuring.Unlock()
+	g.configureMu.Lock()
+	defer g.configureMu.Unlock()
 	var alive []*worker
 	for _, w := range g.workers {
 		if !w.dead.Load() {
--- a/internal/workers/cores/configure_test.go
+++ b/internal/workers/cores/configure_test.go
@@ -24,7 +24,7 @@
 	recorded []decision.Event // ClassesChanged and Query
 	silent   bool
 	resume   chan struct{} // closed to unblock the loop
-	blocked  chan struct{} // receives when a tokenBlock blocks the loop
+	blocked  chan struct{} // receives a value when a TimerFired with tokenBlock blocks the loop
 	once     sync.Once
 }
 
@@ -68,8 +68,8 @@
 type recordingGroup struct {
 	*testing.T
 	*Group
-	deciders []*recordingDecider
-	next     atomic.Int64 // number of the latest query
+	deciders        []*recordingDecider
+	lastQueryNumber atomic.Int64
 }
 
 // newRecordingGroup starts a group that runs until the test ends.
@@ -111,7 +111,7 @@
 // query submits a query with a number of parts and the default deadline of its class.
 func (r *recordingGroup) query(parts int) answer {
 	a := make(answer, 1)
-	q := &broker.Request{ID: fmt.Sprint("q", r.next.Add(1)), TimeoutUnset: true, ReceivedAt: time.Now()}
+	q := &broker.Request{ID: fmt.Sprint("q", r.lastQueryNumber.Add(1)), TimeoutUnset: true, ReceivedAt: time.Now()}
 	for i := range parts {
 		q.Parts = append(q.Parts, broker.Part{Shard: i, Weight: 1 / float64(parts)})
 	}
@@ -136,11 +136,11 @@
 func TestWorkersApplyChangesAtomically(t *testing.T) {
 	const workers, changes, clients = 4, 60, 6
 	r := newRecordingGroup(t, workers, 0, false)
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	ended := make(chan struct{})
 	var answered atomic.Int64
 	for range clients {
-		running.Go(func() {
+		wg.Go(func() {
 			for {
 				select {
 				case <-ended:
@@ -159,7 +159,7 @@
 		require.Eventually(t, func() bool { return answered.Load() > before+workers }, 5*time.Second, time.Millisecond)
 	}
 	close(ended)
-	running.Wait()
+	wg.Wait()
 	queries := 0
 	for _, d := range r.deciders {
 		deadline, changesSeen := settings(1, 0).Classes[0].Deadline, 0
@@ -196,7 +196,7 @@
 			require.NoError(t, r.Configure(broker.Change{Classes: classesWithDeadline(0.2), ConcurrencyLimit: 2}))
 			r.Notify(decision.TimerFired{Token: tokenBlock})
 			<-r.deciders[0].blocked
-			early := r.query(c.parts)
+			earlyAnswer := r.query(c.parts)
 			done := make(chan error, 1)
 			backlog := r.workers[0].broker.Backlog()
 			go func() {
@@ -204,11 +204,11 @@
 			}()
 			require.Eventually(t, func() bool { return r.workers[0].broker.Backlog() > backlog }, 5*time.Second,
 				time.Millisecond)
-			late := r.query(c.parts)
+			lateAnswer := r.query(c.parts)
 			r.deciders[0].unblock()
 			require.NoError(t, <-done)
-			require.Equal(t, c.before, r.outcome(early))
-			require.Equal(t, c.after, r.outcome(late))
+			require.Equal(t, c.before, r.outcome(earlyAnswer))
+			require.Equal(t, c.after, r.outcome(lateAnswer))
 		})
 	}
 }
--- a/internal/workers/cores/cores.go
+++ b/internal/workers/cores/cores.go
@@ -35,15 +35,15 @@
 
 // Group is a set of workers. Fronts use it as a single core.
 type Group struct {
-	log     *slog.Logger
-	servers *broker.Endpoints
-	limiter *lease.Semaphore
-	state   *processState
-	workers []*worker
-	failed  chan struct{} // closed when a worker has panicked
-	once    sync.Once     // closes failed
+	log         *slog.Logger
+	servers     *broker.Endpoints
+	limiter     *lease.Semaphore
+	state       *processState
+	workers     []*worker
+	failed      chan struct{} // closed when a worker has panicked
+	closeFailed sync.Once     // closes failed
 
-	configuring sync.Mutex // held while a change is applied, so that all workers apply changes in the same order
+	configureMu sync.Mutex // held while a change is applied, so that all workers apply changes in the same order
 
 	mu       sync.Mutex // guards registry, loads and rng
 	registry *placement.NameRegistry
@@ -89,9 +89,9 @@
 // Run runs the workers until ctx is done. If a worker panics, only that worker ends: its queries in flight fail at once, it
 // receives no more queries, and the channel of Failed is closed, so that the process can shut down cleanly.
 func (g *Group) Run(ctx context.Context) {
-	var running sync.WaitGroup
+	var loops sync.WaitGroup
 	for i, w := range g.workers {
-		running.Go(func() {
+		loops.Go(func() {
 			defer func() {
 				if reason := recover(); reason != nil {
 					g.log.Error("worker panicked", "worker", i, "panic", reason, "stack", string(debug.Stack()))
@@ -100,13 +100,13 @@
 					g.mu.Unlock()
 					w.dead.Store(true)
 					w.broker.Abort()
-					g.once.Do(func() { close(g.failed) })
+					g.closeFailed.Do(func() { close(g.failed) })
 				}
 			}()
 			w.broker.Run(ctx)
 		})
 	}
-	running.Wait()
+	loops.Wait()
 }
 
 // Failed returns a channel that is closed once a worker has panicked.
@@ -118,7 +118,7 @@
 	group  *Group
 	name   string
 	worker int
-	size   int // the query and its parts, as counted in the worker's load
+	size   int // one for the query and one for each part, as counted in the worker's load
 }
 
 // Finish implements broker.Client.
@@ -169,7 +169,7 @@
 	}
 }
 
-// Ready reports whether record servers are known and at least one worker is alive.
+// Ready reports whether a record server has been available since startup and at least one worker is alive.
 func (g *Group) Ready() bool {
 	for _, w := range g.workers {
 		if !w.dead.Load() {
@@ -186,15 +186,15 @@
 	g.state.applyUpdate(u.Event(), float64(time.Now().UnixNano())/1e9)
 	timeout := time.NewTimer(updateTimeout)
 	defer timeout.Stop()
-	var processed []<-chan struct{}
+	var acks []<-chan struct{}
 	for _, w := range g.workers {
 		if !w.dead.Load() {
-			processed = append(processed, w.broker.UpdateAsync(u))
+			acks = append(acks, w.broker.UpdateAsync(u))
 		}
 	}
-	for _, done := range processed {
+	for _, ack := range acks {
 		select {
-		case <-done:
+		case <-ack:
 		case <-timeout.C:
 			return
 		}
--- a/internal/workers/cores/cores_test.go
+++ b/internal/workers/cores/cores_test.go
@@ -26,8 +26,8 @@
 type workerGroup struct {
 	*testing.T
 	*Group
-	fleet *recordservertest.Fleet
-	next  atomic.Int64 // number of the latest query
+	fleet           *recordservertest.Fleet
+	lastQueryNumber atomic.Int64
 }
 
 type groupOptions struct {
@@ -42,10 +42,10 @@
 
 // Classes of settings.
 const (
-	usage = iota
-	charge
-	report
-	twoPhase // with a second phase of two parts
+	usage    = iota // idempotent, needs all parts
+	charge          // non-idempotent, needs all parts
+	report          // idempotent, with a minimum completeness of 0.8
+	twoPhase        // with a second phase of two parts
 )
 
 // settings returns settings with the classes above and a duration of slow start in seconds.
@@ -103,7 +103,7 @@
 
 // request returns a query with parts at consecutive shards.
 func (g *workerGroup) request(class, shard, parts int) *broker.Request {
-	n := g.next.Add(1)
+	n := g.lastQueryNumber.Add(1)
 	q := &broker.Request{ID: fmt.Sprintf("%s%d", []string{"usage", "charge", "report", "docket"}[class], n), Class: class,
 		ReceivedAt: time.Now(), Timeout: 1500 * time.Millisecond, Payload: []byte("x")}
 	for i := range parts {
@@ -123,8 +123,8 @@
 	}
 	select {
 	case res := <-a:
-		if late := time.Since(q.ReceivedAt) - q.Timeout; late > 50*time.Millisecond {
-			g.Errorf("%s was answered %v after its deadline", q.ID, late)
+		if lateness := time.Since(q.ReceivedAt) - q.Timeout; lateness > 50*time.Millisecond {
+			g.Errorf("%s was answered %v after its deadline", q.ID, lateness)
 		}
 		return res
 	case <-time.After(q.Timeout + time.Second):
@@ -137,11 +137,11 @@
 // outcome.
 func (g *workerGroup) runClients(clients int, d time.Duration, request func(client, n int) *broker.Request) (outcomes [5]int) {
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	stop := time.Now().Add(d)
+	var wg sync.WaitGroup
+	stopAt := time.Now().Add(d)
 	for c := range clients {
-		all.Go(func() {
-			for n := 0; time.Now().Before(stop); n++ {
+		wg.Go(func() {
+			for n := 0; time.Now().Before(stopAt); n++ {
 				res := g.submit(request(c, n))
 				mu.Lock()
 				outcomes[res.Outcome]++
@@ -152,12 +152,12 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	return outcomes
 }
 
-// mixed returns a query of a class that depends on the client and the number of the query.
-func (g *workerGroup) mixed(c, n int) *broker.Request {
+// mixedRequest returns a query of a class that depends on the client and the number of the query.
+func (g *workerGroup) mixedRequest(c, n int) *broker.Request {
 	return g.request([]int{usage, report, charge, usage}[(c+n)%4], c+n, []int{3, 4, 1, 3}[(c+n)%4])
 }
 
@@ -172,11 +172,11 @@
 	}
 	hanging := g.fleet.Servers[1]
 	hanging.SetHanging(true)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range 16 { // the hanging server has shards 0 and 1
-		all.Go(func() { g.submit(g.request(usage, i%2, 1), 0) })
+		wg.Go(func() { g.submit(g.request(usage, i%2, 1), 0) })
 	}
-	all.Wait()
+	wg.Wait()
 	arrivedBefore := hanging.Arrivals()
 	served := 0
 	for i := range 40 {
@@ -215,9 +215,9 @@
 	for i, workers := range []int{1, 4} {
 		g := newWorkerGroup(t, groupOptions{workers: workers, servers: 4, serviceTime: 4 * time.Millisecond, warmUp: 6})
 		g.runClients(8, 1500*time.Millisecond, func(c, n int) *broker.Request { return g.request(usage, c+n, 2) })
-		before := make([]int, 4)
+		arrivedBefore := make([]int, 4)
 		for i, s := range g.fleet.Servers {
-			before[i] = s.Arrivals()
+			arrivedBefore[i] = s.Arrivals()
 		}
 		restarted := g.fleet.Servers[2]
 		restarted.Restart()
@@ -229,7 +229,7 @@
 		require.NotZero(t, maxArrivals[i], "the server received nothing in slow start")
 		// The load of a warm server in the same time is a lower bound of a server's capacity. The limit is 2.5 times the
 		// fraction of the capacity that a server in slow start has at the end of the window.
-		warmRate := float64(g.fleet.Servers[0].Arrivals()-before[0]) / 1.6
+		warmRate := float64(g.fleet.Servers[0].Arrivals()-arrivedBefore[0]) / 1.6
 		require.Less(t, float64(maxArrivals[i]), 2.5*(0.2+0.8*1.6/6)*warmRate*1.5, "%d workers", workers)
 	}
 	t.Logf("maximum number of parts in 1.5 s: %d with one worker, %d with four", maxArrivals[0], maxArrivals[1])
@@ -240,8 +240,8 @@
 func TestEndpointUpdatesWhileLeasesAreOutstanding(t *testing.T) {
 	g := newWorkerGroup(t, groupOptions{workers: 3, servers: 6, serviceTime: 2 * time.Millisecond, warmUp: 3})
 	stop := make(chan struct{})
-	var all sync.WaitGroup
-	all.Go(func() {
+	var wg sync.WaitGroup
+	wg.Go(func() {
 		for v := int64(1); ; v++ {
 			select {
 			case <-stop:
@@ -264,9 +264,9 @@
 			}
 		}
 	})
-	outcomes := g.runClients(8, 2*time.Second, g.mixed)
+	outcomes := g.runClients(8, 2*time.Second, g.mixedRequest)
 	close(stop)
-	all.Wait()
+	wg.Wait()
 	require.NotZero(t, outcomes[broker.Answered])
 	g.state.mu.Lock()
 	defer g.state.mu.Unlock()
@@ -297,8 +297,8 @@
 			}
 			return decision.New(settings, seed)
 		}})
-	var drain sync.WaitGroup
-	drain.Go(func() {
+	var wg sync.WaitGroup
+	wg.Go(func() {
 		time.Sleep(300 * time.Millisecond)
 		busyUntil.Store(time.Now().Add(700 * time.Millisecond).UnixNano())
 		time.Sleep(50 * time.Millisecond) // now sends to all servers are decided and pending
@@ -306,12 +306,12 @@
 		s.RecordDrain()
 		g.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: 1,
 			Servers: []broker.Endpoint{s.Endpoint(decision.Draining)}})
-		if late := time.Since(time.Unix(0, busyUntil.Load())); late >= 0 {
-			t.Errorf("Update returned %v after the busy worker had resumed, want before", late)
+		if lateness := time.Since(time.Unix(0, busyUntil.Load())); lateness >= 0 {
+			t.Errorf("Update returned %v after the busy worker had resumed, want before", lateness)
 		}
 	})
 	outcomes := g.runClients(8, 1500*time.Millisecond, func(c, n int) *broker.Request { return g.request(usage, c+n, 4) })
-	drain.Wait()
+	wg.Wait()
 	require.NotZero(t, outcomes[broker.Answered])
 	require.LessOrEqual(t, updateTimeout, 200*time.Millisecond, "time that a watch may wait for a busy worker")
 }
@@ -356,8 +356,8 @@
 		s.SetFailureRatio(0.3)
 	}
 	stop := make(chan struct{})
-	var all sync.WaitGroup
-	all.Go(func() {
+	var wg sync.WaitGroup
+	wg.Go(func() {
 		for n := 0; ; n++ {
 			select {
 			case <-stop:
@@ -374,7 +374,7 @@
 		return g.request(charge, c+n, 1+n%2)
 	})
 	close(stop)
-	all.Wait()
+	wg.Wait()
 	require.NotZero(t, outcomes[broker.Answered])
 }
 
@@ -384,15 +384,15 @@
 	for range 10 {
 		q := g.request(charge, 0, 1)
 		var outcomes [5]atomic.Int64
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for range 8 {
-			all.Go(func() {
+			wg.Go(func() {
 				duplicate := *q
 				duplicate.ReceivedAt = time.Now()
 				outcomes[g.submit(&duplicate).Outcome].Add(1)
 			})
 		}
-		all.Wait()
+		wg.Wait()
 		require.Equal(t, int64(1), outcomes[broker.Answered].Load())
 		require.Equal(t, int64(7), outcomes[broker.Duplicate].Load())
 	}
@@ -414,10 +414,10 @@
 // TestConcurrencyLimitIsSharedByWorkers checks that the concurrency limit applies to all workers together.
 func TestConcurrencyLimitIsSharedByWorkers(t *testing.T) {
 	g := newWorkerGroup(t, groupOptions{workers: 4, servers: 4, concurrencyLimit: 9, serviceTime: 100 * time.Millisecond})
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	var served, rejected atomic.Int64
 	for range 8 {
-		all.Go(func() {
+		wg.Go(func() {
 			switch res := g.submit(g.request(usage, 0, 2)); res.Outcome { // each query counts as 3 of the limit of 9
 			case broker.Answered:
 				served.Add(1)
@@ -427,14 +427,14 @@
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	require.Equal(t, int64(3), served.Load())
 	require.Equal(t, int64(5), rejected.Load())
 }
 
 func TestMoreWorkersThanCores(t *testing.T) {
 	g := newWorkerGroup(t, groupOptions{workers: 3 * runtime.NumCPU(), servers: 6, serviceTime: 2 * time.Millisecond, warmUp: 3})
-	outcomes := g.runClients(24, time.Second, g.mixed)
+	outcomes := g.runClients(24, time.Second, g.mixedRequest)
 	require.Greater(t, outcomes[broker.Answered], 9*(outcomes[broker.Failed]+outcomes[broker.DeadlineExceeded]))
 }
 
@@ -442,7 +442,7 @@
 // queries.
 func TestWorkersWithFewDescriptors(t *testing.T) {
 	g := newWorkerGroup(t, groupOptions{workers: 4, servers: 4, maxConns: 6, serviceTime: 2 * time.Millisecond})
-	outcomes := g.runClients(12, time.Second, g.mixed)
+	outcomes := g.runClients(12, time.Second, g.mixedRequest)
 	require.Greater(t, outcomes[broker.Answered], 9*(outcomes[broker.Failed]+outcomes[broker.DeadlineExceeded]))
 	conns := 0
 	for _, s := range g.fleet.Servers {
--- a/internal/workers/cores/shareddecider.go
+++ b/internal/workers/cores/shareddecider.go
@@ -27,12 +27,12 @@
 func (d *sharedDecider) beforeBatch(now float64, events []decision.Event) []decision.Event {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	all := d.missedUpdates(d.seenUpdates)
-	d.seenUpdates = d.firstUpdate + len(d.updates)
+	batch := d.missedUpdates(d.seenUpdates)
+	d.seenUpdates = d.firstUpdateNumber + len(d.updates)
 	for _, e := range events {
 		switch e := e.(type) {
 		case decision.EndpointUpdate:
-			continue // it is among the missed updates, of this batch or an earlier one
+			continue // already passed on as a missed update, in this batch or an earlier one
 		case decision.AttemptFinished:
 			o := observations.Observation{Latency: e.Latency, LoadReport: e.LoadReport}
 			d.recordOutcome(d.worker, now, e.Server, e.Status, o)
@@ -42,17 +42,17 @@
 				d.recordOutcome(d.worker, now, e.Server, e.Status, o)
 			}
 		}
-		all = append(all, e)
+		batch = append(batch, e)
 	}
 	if d.observations.HasPending(d.worker) {
 		for _, o := range d.observations.Collect(d.worker, now) {
-			all = append(all, o)
+			batch = append(batch, o)
 		}
 	}
 	if len(d.warmingUp) > 0 {
-		all = d.appendLeases(d.worker, now, all)
+		batch = d.appendLeases(d.worker, now, batch)
 	}
-	return all
+	return batch
 }
 
 // afterBatch counts the parts that the worker sends against its leases, and drops health checks that another worker has
@@ -82,7 +82,7 @@
 // the lease is counted in overspent, unless it was decided before the worker received the update that announced the server.
 func (d *sharedDecider) spendLease(server string, now float64) {
 	w := d.warmingUp[server]
-	if w != nil && !w.budget.Spend(d.worker, 1, now) && w.announcedAt < d.seenUpdates {
+	if w != nil && !w.budget.Spend(d.worker, 1, now) && w.announcementNumber < d.seenUpdates {
 		d.overspent++
 	}
 }
--- a/internal/workers/cores/state.go
+++ b/internal/workers/cores/state.go
@@ -28,22 +28,24 @@
 	capacity     *lease.CapacityEstimate
 	slowStart    slowstart.Settings
 	warmingUp    map[string]*warmingServer // by server ID
-	checkedAt    map[string]float64        // by server ID, when any worker last checked its health
+	checkedAt    map[string]float64        // time of the latest health check by any worker, by server ID
 	overspent    int                       // parts sent beyond a lease by workers that knew of the lease; must stay 0
 
-	entries     map[string]decision.Server // the endpoint list, by server ID
-	started     map[string]float64         // by server ID, the latest start time of each server on the list
-	updates     []decision.EndpointUpdate  // the latest updates
-	firstUpdate int                        // number of the first of updates
+	entries   map[string]decision.Server // the endpoint list, by server ID
+	startedAt map[string]float64         // start time of the latest process of each listed server, by server ID
+
+	// updates holds the latest endpoint updates, at most maxUpdates, oldest first. All updates since startup are numbered from 0.
+	updates           []decision.EndpointUpdate
+	firstUpdateNumber int // number of updates[0]
 }
 
 // warmingServer is a server in slow start.
 type warmingServer struct {
-	budget          *lease.Budget
-	started         float64 // start time of the server's process
-	roundingVariate float64 // rounds the budget of the current window
-	windowEnd       float64 // end of the current window
-	announcedAt     int     // number of the update that announced the server
+	budget             *lease.Budget
+	startedAt          float64 // start time of the server's process
+	roundingVariate    float64 // random number from [0, 1), added to the fractional budget before rounding down
+	windowEndsAt       float64 // when the next roundingVariate is drawn: one OverloadWindow after the current one was drawn
+	announcementNumber int     // number of the endpoint update that announced the server
 }
 
 func newProcessState(workers int, settings decision.Settings, seed uint64) *processState {
@@ -52,7 +54,7 @@
 		workers: workers, observations: observations.NewShared(workers), slowStart: settings.SlowStart,
 		capacity:  lease.NewCapacityEstimate(settings.SlowStart, settings.Brokers, rng),
 		warmingUp: map[string]*warmingServer{}, checkedAt: map[string]float64{}, entries: map[string]decision.Server{},
-		started: map[string]float64{},
+		startedAt: map[string]float64{},
 	}
 }
 
@@ -86,7 +88,7 @@
 	s.updates = append(s.updates, u)
 	if len(s.updates) > maxUpdates {
 		s.updates = slices.Clone(s.updates[1:])
-		s.firstUpdate++
+		s.firstUpdateNumber++
 	}
 }
 
@@ -104,22 +106,22 @@
 }
 
 // put adds or replaces one entry of the endpoint list. If the server has started since the previous entry, its observations
-// and its slow start begin anew.
+// are dropped and its slow start begins again.
 func (s *processState) put(e decision.Server, now float64) {
-	started, known := s.started[e.ID]
+	startedAt, known := s.startedAt[e.ID]
 	s.entries[e.ID] = e
-	if known && e.Started <= started {
+	if known && e.Started <= startedAt {
 		return
 	}
 	if known {
 		s.observations.Forget(e.ID) // observations of the previous process do not apply to the new one
 	}
-	s.started[e.ID] = e.Started
+	s.startedAt[e.ID] = e.Started
 	delete(s.warmingUp, e.ID)
 	if s.slowStart.OverloadWindow > 0 && s.capacity.CapacityFraction(e.Started, now) < 1 {
 		s.warmingUp[e.ID] = &warmingServer{
-			budget:  lease.NewBudget(s.workers, s.slowStart.OverloadWindow),
-			started: e.Started, announcedAt: s.firstUpdate + len(s.updates),
+			budget:    lease.NewBudget(s.workers, s.slowStart.OverloadWindow),
+			startedAt: e.Started, announcementNumber: s.firstUpdateNumber + len(s.updates),
 		}
 	}
 }
@@ -127,18 +129,19 @@
 // remove removes a server and all data about it.
 func (s *processState) remove(id string) {
 	delete(s.entries, id)
-	delete(s.started, id)
+	delete(s.startedAt, id)
 	delete(s.warmingUp, id)
 	delete(s.checkedAt, id)
 	s.observations.Forget(id)
 }
 
-// missedUpdates returns the updates starting with number seen, or one full update if some of them are no longer kept.
+// missedUpdates returns the endpoint updates that a worker has missed if it has received the first seen updates. If some of
+// the missed updates are no longer kept, it returns one full update instead.
 func (s *processState) missedUpdates(seen int) (missed []decision.Event) {
-	if seen < s.firstUpdate {
+	if seen < s.firstUpdateNumber {
 		return []decision.Event{s.fullUpdate()}
 	}
-	for _, u := range s.updates[seen-s.firstUpdate:] {
+	for _, u := range s.updates[seen-s.firstUpdateNumber:] {
 		missed = append(missed, u)
 	}
 	return missed
@@ -178,14 +181,14 @@
 // appendLeases appends an event for each server in slow start, with the worker's lease.
 func (s *processState) appendLeases(worker int, now float64, events []decision.Event) []decision.Event {
 	for id, w := range s.warmingUp {
-		fraction := s.capacity.CapacityFraction(w.started, now)
+		fraction := s.capacity.CapacityFraction(w.startedAt, now)
 		if fraction >= 1 {
 			delete(s.warmingUp, id)
 			continue
 		}
-		if now >= w.windowEnd {
+		if now >= w.windowEndsAt {
 			w.roundingVariate = s.capacity.RoundingVariate()
-			w.windowEnd = now + s.slowStart.OverloadWindow
+			w.windowEndsAt = now + s.slowStart.OverloadWindow
 		}
 		budget := s.capacity.Budget(fraction, w.roundingVariate, now, s.warmServers())
 		l := w.budget.Renew(worker, budget, now)
--- a/internal/workers/lease/capacity.go
+++ b/internal/workers/lease/capacity.go
@@ -35,18 +35,18 @@
 	e.peak.Advance(now, float64(max(warm, 1)))
 }
 
-// CapacityFraction returns the fraction of its full capacity that a server has at least; 1: it is warm. started is the start
-// time of its process; 0 or less: long ago.
-func (e *CapacityEstimate) CapacityFraction(started, now float64) float64 {
-	if started <= 0 {
+// CapacityFraction returns a lower bound of the fraction of its full capacity that a server has; 1: the server is warm.
+// startedAt is the start time of the server's process; 0 or less: so long ago that the server is warm.
+func (e *CapacityEstimate) CapacityFraction(startedAt, now float64) float64 {
+	if startedAt <= 0 {
 		return 1
 	}
-	return e.settings.CapacityFraction(now - started)
+	return e.settings.CapacityFraction(now - startedAt)
 }
 
 // Budget returns how many parts this process may send within one window to a server that has a fraction of its full capacity.
-// A fractional budget is rounded stochastically, by a variate drawn for each window: if all brokers always rounded up, the
-// excess would add up.
+// The budget is rounded to an integer stochastically: roundingVariate, which the caller draws with RoundingVariate once per
+// window, is added before rounding down. If all brokers always rounded up, the excess would add up.
 func (e *CapacityEstimate) Budget(capacityFraction, roundingVariate, now float64, warm int) float64 {
 	e.advance(now, warm)
 	return math.Floor(e.settings.Budget(capacityFraction, e.peak.Value, e.brokers) + roundingVariate)
--- a/internal/workers/lease/lease.go
+++ b/internal/workers/lease/lease.go
@@ -18,7 +18,7 @@
 	Duration = 0.1
 
 	demandSpan    = 0.5  // time constant of the decay of a worker's demand, in seconds
-	roundingSlack = 1e-9 // absorbs the rounding error of a capacity that is an integer, in parts
+	roundingSlack = 1e-9 // tolerance for the floating-point error of an integer capacity, in parts
 	minDemand     = 0.1  // demand of an idle worker, in parts, so that it still gets a part occasionally
 )
 
@@ -32,7 +32,7 @@
 type Budget struct {
 	window     float64 // in seconds
 	workers    []workerLease
-	sent       []float64 // send times of the parts that all workers sent within the window
+	sentAt     []float64 // send times of the parts that all workers sent within the window
 	nextWorker int       // the worker that gets the next single part if there are fewer parts than workers
 }
 
@@ -40,7 +40,7 @@
 type workerLease struct {
 	lease    Lease
 	deciding bool    // the worker is between Renew and EndDecision: the lease does not expire meanwhile
-	demand   float64 // exponentially decaying count of the parts that were used or could have been
+	demand   float64 // exponentially decaying count of the parts that the worker sent or could have sent
 	demandAt float64 // when demand was last updated
 }
 
@@ -56,7 +56,7 @@
 	covered := parts <= w.lease.Parts && now <= w.lease.ExpiresAt
 	w.lease.Parts = max(w.lease.Parts-parts, 0)
 	for range parts {
-		b.sent = append(b.sent, now)
+		b.sentAt = append(b.sentAt, now)
 	}
 	w.recordDemand(float64(parts), now)
 	return covered
@@ -83,11 +83,11 @@
 	for _, w := range b.workers {
 		granted += w.lease.Parts
 	}
-	return len(b.sent), granted
+	return len(b.sentAt), granted
 }
 
 func (b *Budget) expire(now float64) {
-	b.sent = slices.DeleteFunc(b.sent, func(t float64) bool { return t <= now-b.window })
+	b.sentAt = slices.DeleteFunc(b.sentAt, func(t float64) bool { return t <= now-b.window })
 	for i := range b.workers {
 		if w := &b.workers[i]; now > w.lease.ExpiresAt && !w.deciding {
 			w.lease.Parts = 0
@@ -111,7 +111,7 @@
 			othersDemand += b.workers[i].currentDemand(now)
 		}
 	}
-	free := int(math.Floor(capacity+roundingSlack)) - len(b.sent) - granted
+	free := int(math.Floor(capacity+roundingSlack)) - len(b.sentAt) - granted
 	if free <= 0 {
 		return own.lease
 	}
--- a/internal/workers/observations/observations.go
+++ b/internal/workers/observations/observations.go
@@ -51,15 +51,15 @@
 	LoadReport decision.LoadReport // decision.NoLoadReport: none
 }
 
-// view is one worker's knowledge of one server. A time is never if nothing was observed.
+// view is one worker's knowledge of one server. A time is the constant never if nothing was observed.
 type view struct {
-	answeredAt     float64 // time of the worker's own latest answer
-	failedAt       float64 // time of the worker's own latest failure or silence
-	offeredAt      float64 // when an observation was last offered to the worker
-	newestOffered  float64 // time of the newest observation that was offered to the worker
-	unhealthy      bool    // the worker considers the server unhealthy
-	loadReportedAt float64 // time of the latest load report that the worker has
-	queued         bool    // the server is in the worker's queue
+	answeredAt        float64 // time of the worker's own latest answer
+	failedAt          float64 // time of the worker's own latest failure or silence
+	offeredAt         float64 // when an observation was last offered to the worker
+	newestOfferedTime float64 // time of the newest observation that was offered to the worker
+	unhealthy         bool    // the worker considers the server unhealthy
+	loadReportedAt    float64 // time of the latest load report that the worker has
+	queued            bool    // the server is in the worker's queue
 }
 
 // record holds the observations of one server.
@@ -91,7 +91,7 @@
 		r = &record{id: id, views: make([]view, s.workers), loadReport: decision.NoLoadReport, loadReportedAt: never,
 			answeredAt: never}
 		for i := range r.views {
-			r.views[i] = view{answeredAt: never, failedAt: never, offeredAt: never, newestOffered: never, loadReportedAt: never}
+			r.views[i] = view{answeredAt: never, failedAt: never, offeredAt: never, newestOfferedTime: never, loadReportedAt: never}
 		}
 		s.servers[id] = r
 	}
@@ -155,14 +155,14 @@
 // Collect returns the observations of other workers that are due to be offered to a worker.
 func (s *Shared) Collect(worker int, now float64) (collected []decision.PeerObservation) {
 	queue := s.queues[worker]
-	keep := queue[:0]
+	kept := queue[:0]
 	for _, r := range queue {
 		v := &r.views[worker]
 		if s.servers[r.id] != r {
 			continue // the server was forgotten
 		}
 		if len(collected) >= maxOffers || now-v.offeredAt < offerInterval {
-			keep = append(keep, r)
+			kept = append(kept, r)
 			continue
 		}
 		v.queued = false
@@ -171,8 +171,8 @@
 			collected = append(collected, o)
 		}
 	}
-	clear(queue[len(keep):])
-	s.queues[worker] = keep
+	clear(queue[len(kept):])
+	s.queues[worker] = kept
 	return collected
 }
 
@@ -187,18 +187,18 @@
 		ok = true
 	}
 	ownAt := math.Max(own.answeredAt, own.failedAt)
-	isNew := func(at float64) bool { return at > ownAt && at > own.newestOffered && now-at <= MaxAge }
+	isNew := func(at float64) bool { return at > ownAt && at > own.newestOfferedTime && now-at <= MaxAge }
 	failedAt, witnesses := r.latestFailure(worker)
 	switch {
 	case isNew(failedAt) && failedAt >= r.answeredAt && witnesses > 0:
 		o.FailureRatio, o.At = 1, failedAt
 		o.Weight = failureWeight(witnesses, now-failedAt, now-own.answeredAt)
-		own.newestOffered, own.unhealthy = failedAt, true
+		own.newestOfferedTime, own.unhealthy = failedAt, true
 		return o, true
 	case own.unhealthy && isNew(r.answeredAt):
 		o.FailureRatio, o.At = 0, r.answeredAt
 		o.Weight = maxRecoveryWeight * math.Exp2(-(now-r.answeredAt)/halfLife)
-		own.newestOffered, own.unhealthy = r.answeredAt, false
+		own.newestOfferedTime, own.unhealthy = r.answeredAt, false
 		return o, true
 	}
 	return o, ok
--- a/internal/workers/observations/observations_test.go
+++ b/internal/workers/observations/observations_test.go
@@ -20,14 +20,14 @@
 	shared := observations.NewShared(3)
 	shared.Record(0, "s", 10, observation(observations.Failed))
 	require.Empty(t, shared.Collect(0, 10.01), "a worker's own failure must not be offered to it")
-	one := shared.Collect(1, 10.01)
-	require.Len(t, one, 1)
-	require.Equal(t, 1.0, one[0].FailureRatio)
-	require.InDelta(t, 0.5, one[0].Weight, 0.01)
+	oneWitness := shared.Collect(1, 10.01)
+	require.Len(t, oneWitness, 1)
+	require.Equal(t, 1.0, oneWitness[0].FailureRatio)
+	require.InDelta(t, 0.5, oneWitness[0].Weight, 0.01)
 	shared.Record(1, "s", 10.1, observation(observations.Failed))
-	two := shared.Collect(2, 10.2)
-	require.Len(t, two, 1)
-	require.Greater(t, two[0].Weight, one[0].Weight, "a second witness must increase the weight")
+	twoWitnesses := shared.Collect(2, 10.2)
+	require.Len(t, twoWitnesses, 1)
+	require.Greater(t, twoWitnesses[0].Weight, oneWitness[0].Weight, "a second witness must increase the weight")
 	require.Empty(t, shared.Collect(2, 10.5), "an observation must not be offered twice")
 }
 
@@ -48,7 +48,7 @@
 	require.Empty(t, shared.Collect(1, 20.1))
 }
 
-func TestRecoveryIsOfferedToWorkersThatMarkedUnhealthy(t *testing.T) {
+func TestRecoveryIsOfferedToWorkersThatMarkedServerUnhealthy(t *testing.T) {
 	shared := observations.NewShared(3)
 	shared.Record(0, "s", 10, observation(observations.Failed))
 	require.Len(t, shared.Collect(1, 10.1), 1)
@@ -94,7 +94,7 @@
 		}
 	}
 	require.Greater(t, offers, 2)
-	require.Less(t, offers, 7, "each load report takes the collecting worker some time")
+	require.Less(t, offers, 7, "handling a load report costs the collecting worker time")
 }
 
 func TestForgetDropsObservations(t *testing.T) {
@@ -113,8 +113,8 @@
 		const workers, servers = 3, 4
 		shared := observations.NewShared(workers)
 		now := 10.0
-		var own [workers][servers]float64   // time of each worker's latest answer or failure
-		last := [servers][workers]float64{} // time of each worker's latest observation
+		var ownAt [workers][servers]float64   // time of each worker's latest answer or failure
+		lastAt := [servers][workers]float64{} // time of each worker's latest observation
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now += rapid.Float64Range(0, 0.5).Draw(t, "pause")
 			w, s := rapid.IntRange(0, workers-1).Draw(t, "worker"), rapid.IntRange(0, servers-1).Draw(t, "server")
@@ -124,9 +124,9 @@
 				shared.Record(w, fmt.Sprint(s), now,
 					observations.Observation{Kind: kind, Latency: latency, LoadReport: decision.NoLoadReport})
 				if kind != observations.TimedOut {
-					own[w][s] = now
+					ownAt[w][s] = now
 				}
-				last[s][w] = now
+				lastAt[s][w] = now
 				continue
 			}
 			collected := shared.Collect(w, now)
@@ -138,10 +138,10 @@
 				fmt.Sscan(o.Server, &id)
 				fromPeer := false
 				for other := range workers {
-					fromPeer = fromPeer || other != w && last[id][other] > 0 && o.At <= last[id][other]
+					fromPeer = fromPeer || other != w && lastAt[id][other] > 0 && o.At <= lastAt[id][other]
 				}
-				if !fromPeer || now-o.At > observations.MaxAge || o.At <= own[w][id] || o.Weight < 0 || o.Weight > 0.75 {
-					t.Fatalf("worker %d collects %+v at %g, its own latest observation is of %g", w, o, now, own[w][id])
+				if !fromPeer || now-o.At > observations.MaxAge || o.At <= ownAt[w][id] || o.Weight < 0 || o.Weight > 0.75 {
+					t.Fatalf("worker %d collected %+v at %g, but its own latest observation is from %g", w, o, now, ownAt[w][id])
 				}
 			}
 		}
--- a/internal/workers/placement/placement.go
+++ b/internal/workers/placement/placement.go
@@ -25,13 +25,13 @@
 // live workers (the power of two choices). Loads are slightly stale, so choosing the least loaded worker would send many
 // queries in a row to the same one.
 func Choose(loads []WorkerLoad, rng *rand.Rand) int {
-	alive := 0
+	aliveCount := 0
 	for _, l := range loads {
 		if !l.Dead {
-			alive++
+			aliveCount++
 		}
 	}
-	if alive == 0 {
+	if aliveCount == 0 {
 		return -1
 	}
 	nthAlive := func(n int) int {
@@ -45,12 +45,12 @@
 		}
 		return -1
 	}
-	n := rng.IntN(alive)
+	n := rng.IntN(aliveCount)
 	first := nthAlive(n)
-	if alive == 1 {
+	if aliveCount == 1 {
 		return first
 	}
-	second := nthAlive((n + 1 + rng.IntN(alive-1)) % alive)
+	second := nthAlive((n + 1 + rng.IntN(aliveCount-1)) % aliveCount)
 	if loads[second].cost() < loads[first].cost() {
 		return second
 	}
