--- a/internal/cluster/fleet/fleet.go
+++ b/internal/cluster/fleet/fleet.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// logDrops logs the datagrams dropped since the last call that logged, one line per reason, every dropLogInterval.
+// logDrops logs the datagrams dropped since the previous drop log, one line per reason, at most once per dropLogInterval.
 func (a *Agent) logDrops() {
 	now := time.Now()
 	if now.Sub(a.dropsLoggedAt) < dropLogInterval {
--- a/internal/cluster/membership/fleetsize_test.go
+++ b/internal/cluster/membership/fleetsize_test.go
@@ -22,7 +22,7 @@
 // countByName returns the numbers of brokers of a member list that are alive, that are known, and that were lost within twice
 // fenceDelay. It recounts them at each call.
 func countByName(v *View) (alive, known, recentlyLost int) {
-	best, latest := map[string]Status{}, map[string]time.Duration{}
+	bestStatus, lastChangeAt := map[string]Status{}, map[string]time.Duration{}
 	for _, m := range v.memberList {
 		s := m.state.status()
 		if m == v.self {
@@ -31,19 +31,19 @@
 		if s == Left {
 			continue
 		}
-		if old, ok := best[m.Name]; !ok || s < old {
-			best[m.Name] = s
+		if old, ok := bestStatus[m.Name]; !ok || s < old {
+			bestStatus[m.Name] = s
 		}
-		latest[m.Name] = max(latest[m.Name], m.stateSince)
+		lastChangeAt[m.Name] = max(lastChangeAt[m.Name], m.stateSince)
 	}
-	for name, s := range best {
+	for name, s := range bestStatus {
 		if s == Alive {
 			alive++
-		} else if v.now-latest[name] < 2*fenceDelay {
+		} else if v.now-lastChangeAt[name] < 2*fenceDelay {
 			recentlyLost++
 		}
 	}
-	return alive, len(best), recentlyLost
+	return alive, len(bestStatus), recentlyLost
 }
 
 // TestFleetSizeFollowsMemberListChanges compares the cached counts with a recount after each of many random changes.
--- a/internal/cluster/membership/fuzz_test.go
+++ b/internal/cluster/membership/fuzz_test.go
@@ -21,7 +21,7 @@
 	f.Fuzz(func(t *testing.T, script []byte) {
 		addr := func(i byte) netip.AddrPort { return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, i}), 1) }
 		v := membership.New(membership.Options{Self: membership.Instance{Name: "self", Start: 1, Addr: addr(1)},
-			Fleet: fleet, Seed: 1, Seeds: []netip.AddrPort{addr(2)}})
+			Fleet: fleetFingerprint, Seed: 1, Seeds: []netip.AddrPort{addr(2)}})
 		now, bytes, seq := time.Duration(0), 0, uint64(0)
 		countBytes := func(out []membership.Send) {
 			for _, s := range out {
--- a/internal/cluster/membership/memberlist.go
+++ b/internal/cluster/membership/memberlist.go
@@ -71,8 +71,8 @@
 }
 
 // updateDigest adds a member to the digest and to the count of live members if sign is 1, and removes it if sign is -1. The
-// XOR on the digest serves for both. It must be called before and after each change of a state and for each instance added
-// or removed.
+// digest needs no sign: a second XOR with the same hash removes the hash. updateDigest must be called with -1 before and with
+// 1 after each change of a state, with 1 for each instance added, and with -1 for each instance removed.
 func (v *View) updateDigest(m *member, sign int) {
 	v.brokersStale = true
 	v.digest.instances ^= uint32(plane.Hash(m.id))
--- a/internal/cluster/membership/membership.go
+++ b/internal/cluster/membership/membership.go
@@ -64,7 +64,7 @@
 	nextUnobservedPingAt time.Duration
 	nextIntroductionAt   time.Duration
 
-	minoritySince time.Duration // since when self has been in a minority or isolated; -1: it is neither
+	minoritySince time.Duration // since when self has been in a minority or isolated; -1: self is neither
 	lastSyncSlice uint32        // slice of the member list that the last sync request was for
 	divergedAt    time.Duration // when a digest of a different member list was last received
 	pingBudget    tokenBucket   // for pings, introductions and the datagrams of indirect pings
@@ -125,17 +125,17 @@
 }
 
 // Members returns all instances of the member list, ordered by ID, including those lost and left until their retention ends.
-// A view reports self as Alive until Leave is called, whatever state other members have for it.
+// A view reports self as Alive until Leave is called, whatever state other members have for self.
 func (v *View) Members() []Member {
-	var all []Member
+	var members []Member
 	for _, m := range v.memberList {
 		status := m.state.status()
 		if m == v.self && !v.leaving {
 			status = Alive
 		}
-		all = append(all, Member{m.Instance, status})
+		members = append(members, Member{m.Instance, status})
 	}
-	return all
+	return members
 }
 
 // Fingerprint returns a hash of the member list and its states. Two views with the same instances in the same states return
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -40,13 +40,13 @@
 func TestFailureIsDetectedWithin5Seconds(t *testing.T) {
 	forEachSeed(t, func(t *testing.T, net *network) {
 		var latencies []time.Duration
-		failed := map[string]bool{}
+		failedNames := map[string]bool{}
 		for i := range 5 {
 			n := net.nodes[net.rng.IntN(len(net.nodes))]
 			if n.dead {
 				continue
 			}
-			n.dead, failed[nameOf(n)] = true, true
+			n.dead, failedNames[nameOf(n)] = true, true
 			failedAt := net.now
 			net.run(net.now + 6*time.Second + time.Duration(i)*77*time.Millisecond)
 			for _, other := range net.nodes {
@@ -60,7 +60,7 @@
 		t.Logf("detected after %v (median), %v (99th percentile), %v (maximum)",
 			latencies[len(latencies)/2], latencies[len(latencies)*99/100], latencies[len(latencies)-1])
 		require.Less(t, latencies[len(latencies)*99/100], 5*time.Second)
-		net.requireNoLoss(failed)
+		net.requireNoLoss(failedNames)
 	})
 }
 
@@ -342,16 +342,16 @@
 
 func TestSimulationIsDeterministic(t *testing.T) {
 	t.Parallel()
-	run := func() (sums []uint64) {
+	run := func() (results []uint64) {
 		net := newNetwork(t, 20, 3)
 		net.lossRatio = 0.1
 		net.run(10 * time.Second)
 		net.nodes[4].dead = true
 		net.run(20 * time.Second)
 		for _, n := range net.nodes {
-			sums = append(sums, n.Fingerprint(), uint64(n.sentBytes))
+			results = append(results, n.Fingerprint(), uint64(n.sentBytes))
 		}
-		return sums
+		return results
 	}
 	require.Equal(t, run(), run())
 }
--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -69,7 +69,7 @@
 	return last
 }
 
-const fleet = 7
+const fleetFingerprint = 7
 
 func newNetwork(t testing.TB, nodes int, seed uint64) *network {
 	net := &network{t: t, rng: rand.New(rand.NewPCG(seed, 5)), byAddr: map[netip.AddrPort]*node{}, maxDelay: 5 * time.Millisecond,
@@ -89,7 +89,7 @@
 	n := &node{index: i, zone: i % 2, addr: addrOf(i), lostAt: map[string]time.Duration{}, aliveAt: map[string]time.Duration{}}
 	n.View = membership.New(membership.Options{
 		Self:  membership.Instance{Name: fmt.Sprint("n", i), Start: uint64(net.now) + 1, Addr: n.addr},
-		Fleet: fleet, Seeds: []netip.AddrPort{addrOf(0), addrOf(1), addrOf(2)}, Seed: net.rng.Uint64(),
+		Fleet: fleetFingerprint, Seeds: []netip.AddrPort{addrOf(0), addrOf(1), addrOf(2)}, Seed: net.rng.Uint64(),
 		Changed: func(m membership.Member) {
 			switch m.Status {
 			case membership.Lost:
@@ -191,10 +191,10 @@
 
 // viewsAgree reports whether each live node of a set (nil: all nodes) sees exactly the live nodes of the set alive, by name.
 func (net *network) viewsAgree(in func(*node) bool) bool {
-	live, liveCount := map[string]bool{}, 0
+	liveNames, liveCount := map[string]bool{}, 0
 	for _, n := range net.nodes {
 		if !n.dead && (in == nil || in(n)) {
-			live[nameOf(n)] = true
+			liveNames[nameOf(n)] = true
 			liveCount++
 		}
 	}
@@ -207,7 +207,7 @@
 			if m.Status != membership.Alive {
 				continue
 			}
-			if !live[m.Name] {
+			if !liveNames[m.Name] {
 				return false
 			}
 			seen++
@@ -221,7 +221,7 @@
 
 // describeViews returns how many live nodes see how many members alive, as a map from members to nodes.
 func (net *network) describeViews() string {
-	sizes := map[int]int{}
+	nodesByAliveCount := map[int]int{}
 	for _, n := range net.nodes {
 		if n.dead {
 			continue
@@ -232,28 +232,28 @@
 				alive++
 			}
 		}
-		sizes[alive]++
+		nodesByAliveCount[alive]++
 	}
-	return fmt.Sprint(sizes)
+	return fmt.Sprint(nodesByAliveCount)
 }
 
 // lossVerdicts returns which members were declared lost by which nodes, without the members whose names are in except.
-func (net *network) lossVerdicts(except map[string]bool) (all []string) {
+func (net *network) lossVerdicts(except map[string]bool) (verdicts []string) {
 	for _, n := range net.nodes {
 		for _, name := range n.lostNames {
 			if !except[name] {
-				all = append(all, fmt.Sprintf("%s lost according to n%d", name, n.index))
+				verdicts = append(verdicts, fmt.Sprintf("%s lost according to n%d", name, n.index))
 			}
 		}
 	}
-	return all
+	return verdicts
 }
 
 // requireNoLoss requires that no members other than those in except were declared lost.
 func (net *network) requireNoLoss(except map[string]bool) {
 	net.t.Helper()
-	all := net.lossVerdicts(except)
-	require.Empty(net.t, all[:min(len(all), 5)], "%d members declared lost", len(all))
+	verdicts := net.lossVerdicts(except)
+	require.Empty(net.t, verdicts[:min(len(verdicts), 5)], "%d loss verdicts", len(verdicts))
 }
 
 // maxSendRate runs f and returns the highest mean send rate of a node meanwhile, in bytes per second.
--- a/internal/cluster/membership/send.go
+++ b/internal/cluster/membership/send.go
@@ -33,7 +33,7 @@
 }
 
 // send fills in the header of a datagram and appends it to the outbox. It reports whether the budget covered the datagram.
-// Heartbeats, acks and leave announcements have a nil budget, since their rate is bounded otherwise.
+// Heartbeats, acks and leave announcements have a nil budget, since other limits bound their rate.
 func (v *View) send(to netip.AddrPort, d *planepb.Datagram, budget *tokenBucket) bool {
 	d.Version = plane.Version
 	d.Fleet = v.options.Fleet
--- a/internal/cluster/membership/suspicion.go
+++ b/internal/cluster/membership/suspicion.go
@@ -103,9 +103,9 @@
 	return max(len(eligible), 1)
 }
 
-// chooseRelays returns the members that receive an indirect ping request: for an adopted suspect some of its observers, and
-// for each suspect random eligible members. An observer may receive heartbeats from a suspect that receives no pings and so
-// acks none.
+// chooseRelays returns the members that receive an indirect ping request for a suspect: random eligible members, and for an
+// adopted suspect also some of its observers. A suspect that cannot receive pings does not ack any, but its observers may still
+// receive its heartbeats and so know that it is alive.
 func (v *View) chooseRelays(suspect *member) []*member {
 	ringOrder := v.rng.Perm(ringCount) // drawn for every suspect, so that adoption does not shift the following random numbers
 	var chosen []*member
--- a/internal/cluster/plane/plane_test.go
+++ b/internal/cluster/plane/plane_test.go
@@ -11,7 +11,7 @@
 	"mothrouter/internal/cluster/plane/planepb"
 )
 
-const fleet = 9
+const fleetFingerprint = 9
 
 func entry(name, addr string) *planepb.Entry {
 	b, _ := netip.MustParseAddrPort(addr).MarshalBinary()
@@ -19,7 +19,7 @@
 }
 
 func validDatagram() *planepb.Datagram {
-	return &planepb.Datagram{Version: plane.Version, Fleet: fleet, From: plane.InstanceID("n1", 5), Seq: 1,
+	return &planepb.Datagram{Version: plane.Version, Fleet: fleetFingerprint, From: plane.InstanceID("n1", 5), Seq: 1,
 		Self: entry("n1", "127.0.0.1:7946"), Entries: []*planepb.Entry{entry("n2", "[::1]:7946")}, Have: []byte{1, 2}}
 }
 
@@ -27,7 +27,7 @@
 	b, err := plane.Append(nil, validDatagram())
 	require.NoError(t, err)
 	require.Equal(t, len(b)+plane.Overhead, plane.WireSize(validDatagram()))
-	d, err := plane.Parse(b, fleet)
+	d, err := plane.Parse(b, fleetFingerprint)
 	require.NoError(t, err)
 	require.True(t, proto.Equal(validDatagram(), d))
 	require.Equal(t, netip.MustParseAddrPort("[::1]:7946"), plane.EntryAddr(d.Entries[0]))
@@ -56,14 +56,14 @@
 		c.change(d)
 		b, err := proto.Marshal(d)
 		require.NoError(t, err)
-		_, err = plane.Parse(b, fleet)
+		_, err = plane.Parse(b, fleetFingerprint)
 		require.ErrorIs(t, err, c.want, name)
 	}
 	b, err := plane.Append(nil, validDatagram())
 	require.NoError(t, err)
-	_, err = plane.Parse(b[:len(b)-1], fleet)
+	_, err = plane.Parse(b[:len(b)-1], fleetFingerprint)
 	require.ErrorIs(t, err, plane.ErrMalformed)
-	_, err = plane.Parse(make([]byte, plane.MaxDatagramSize+1), fleet)
+	_, err = plane.Parse(make([]byte, plane.MaxDatagramSize+1), fleetFingerprint)
 	require.ErrorIs(t, err, plane.ErrOversized)
 	large := validDatagram()
 	large.Vector = make([]byte, plane.MaxDatagramSize)
@@ -78,7 +78,7 @@
 	f.Add([]byte{})
 	f.Add([]byte{0x08, 0x01})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		d, err := plane.Parse(b, fleet)
+		d, err := plane.Parse(b, fleetFingerprint)
 		if err != nil {
 			require.Nil(t, d)
 			return
@@ -88,7 +88,7 @@
 			require.ErrorIs(t, err, plane.ErrOversized) // Append can encode the same message in more bytes
 			return
 		}
-		decoded, err := plane.Parse(encoded, fleet)
+		decoded, err := plane.Parse(encoded, fleetFingerprint)
 		require.NoError(t, err)
 		require.True(t, proto.Equal(d, decoded))
 	})
--- a/internal/cluster/plane/recording_test.go
+++ b/internal/cluster/plane/recording_test.go
@@ -41,7 +41,7 @@
 
 // withRecordedHeader sets the header fields that all recorded datagrams share.
 func withRecordedHeader(d *planepb.Datagram) *planepb.Datagram {
-	d.Version, d.Fleet, d.From, d.Seq = plane.Version, fleet, plane.InstanceID("n1", 5), 1<<40+3
+	d.Version, d.Fleet, d.From, d.Seq = plane.Version, fleetFingerprint, plane.InstanceID("n1", 5), 1<<40+3
 	d.Roster, d.States = 0xdeadbeef, 0x01020304
 	return d
 }
@@ -58,7 +58,7 @@
 		require.Contains(t, want, kind)
 		recorded, err := hex.DecodeString(digits)
 		require.NoError(t, err, kind)
-		d, err := plane.Parse(recorded, fleet)
+		d, err := plane.Parse(recorded, fleetFingerprint)
 		require.NoError(t, err, kind)
 		require.True(t, proto.Equal(withRecordedHeader(want[kind]), d), "%s: %v", kind, d)
 		encoded, err := plane.Append(nil, d)
