--- a/internal/broker/call_test.go
+++ b/internal/broker/call_test.go
@@ -22,7 +22,7 @@
 }
 
 // When a client disconnects while an attempt is queued for a connection, the core ends the attempt without an action of the
-// Decider. No attempt starts between the front's detection of the disconnect and its handling by the loop either.
+// Decider. Nor does an attempt start after the front has detected the disconnect and before the loop has handled it.
 func TestNoAttemptStartsAfterDisconnect(t *testing.T) {
 	h := newHarness(t)
 	_, part, _, request := h.submit("q", nonIdempotent, 1, time.Second)
--- a/internal/broker/configure_test.go
+++ b/internal/broker/configure_test.go
@@ -128,7 +128,7 @@
 }
 
 // A paused loop has queries, a change and another query in its inbox. Deadline and limit of each query follow the settings in
-// force at its position in the inbox, and the Decider gets the change after the queries before it.
+// force at its position in the inbox, and the Decider gets the change after the queries posted before the change.
 func TestConfigureAppliesInInboxOrder(t *testing.T) {
 	p := newPausableBroker(t)
 	resume := p.pause()
@@ -235,7 +235,7 @@
 	}
 }
 
-// An invalid change has no effect and is not passed to the Decider. A change with equal classes is not passed to it either.
+// An invalid change has no effect and is not passed to the Decider. Nor is a change that leaves the classes equal.
 func TestConfigureRejectsInvalidChangeWithoutEffect(t *testing.T) {
 	p := newPausableBroker(t)
 	withClass := func(modify func(*decision.Class)) broker.Change {
--- a/internal/broker/endpoints.go
+++ b/internal/broker/endpoints.go
@@ -35,8 +35,8 @@
 }
 
 // Endpoints holds the listed record servers. Links and loops share its Server objects, one per server. In a process with a
-// single loop the loop owns its Endpoints. Several loops share one Endpoints, which is updated before any of the loops,
-// so that a busy loop does not delay a drain. It is safe for concurrent use.
+// single loop the loop owns its Endpoints. Several loops share one Endpoints, which is updated before any of the loops, so that
+// a busy loop does not delay a drain. It is safe for concurrent use.
 type Endpoints struct {
 	mu            sync.RWMutex
 	byID          map[string]*Server // available servers
@@ -133,8 +133,8 @@
 	}
 }
 
-// UpdateAsync passes an update to the loop without waiting. The channel is closed once the loop has received the
-// update. UpdateAsync does not change the Endpoints.
+// UpdateAsync passes an update to the loop without waiting. The channel is closed once the loop has received the update.
+// UpdateAsync does not change the Endpoints.
 func (b *Broker) UpdateAsync(u EndpointUpdate) <-chan struct{} {
 	done := make(chan struct{})
 	b.post(func() {
--- a/internal/broker/rules.go
+++ b/internal/broker/rules.go
@@ -52,8 +52,8 @@
 	return fmt.Sprintf("replica set %d does not hold shard %d", e.replicaSet, e.shard)
 }
 
-// checkRules returns nil if an attempt of a part may be sent to a server, and a *ruleViolationError otherwise. server is
-// the available server with serverID, or nil if there is none.
+// checkRules returns nil if an attempt of a part may be sent to a server, and a *ruleViolationError otherwise. server is the
+// available server with serverID, or nil if there is none.
 func (b *Broker) checkRules(pt *part, serverID string, server *Server) error {
 	rule := b.violatedRule(pt, server)
 	if rule == nil {
--- a/internal/broker/server.go
+++ b/internal/broker/server.go
@@ -7,8 +7,8 @@
 	"mothrouter/internal/decision"
 )
 
-// The gauges count a server as avoided after avoidFailureThreshold consecutive failures, until avoidDuration after the
-// latest failure. This approximates when the Decider avoids a server. One or two failures can be chance.
+// The gauges count a server as avoided after avoidFailureThreshold consecutive failures, until avoidDuration after the latest
+// failure. This approximates when the Decider avoids a server. One or two failures can be chance.
 const (
 	avoidFailureThreshold = 3
 	avoidDuration         = 5 * time.Second
--- a/internal/broker/shutdown.go
+++ b/internal/broker/shutdown.go
@@ -6,8 +6,8 @@
 )
 
 // SetShutdownDeadline sets the time by which every query, in flight or accepted later, must have its final answer, because the
-// process is killed at that time. A query with a later deadline is answered from its answered parts, rejected or failed
-// by that time.
+// process is killed at that time. A query with a later deadline is answered from its answered parts, rejected or failed by that
+// time.
 func (b *Broker) SetShutdownDeadline(t time.Time) {
 	b.post(func() {
 		b.shutdownDeadline = t
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -99,8 +99,8 @@
 	return vector
 }
 
-// adoptOwnState adopts a later state that other members have for self, so that the digests agree until a member refutes
-// that state. Members still reports self as Alive.
+// adoptOwnState adopts a later state that other members have for self, so that the digests agree until a member refutes that
+// state. Members still reports self as Alive.
 func (v *View) adoptOwnState(s state) {
 	if s.supersedes(v.self.state) && s.status() != Left && !v.leaving {
 		v.updateDigest(v.self, -1)
--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -190,16 +190,16 @@
 }
 
 // viewsAgree reports whether each live node of a set (nil: all nodes) sees exactly the live nodes of the set alive, by name.
-func (net *network) viewsAgree(in func(*node) bool) bool {
+func (net *network) viewsAgree(inSet func(*node) bool) bool {
 	liveNames, liveCount := map[string]bool{}, 0
 	for _, n := range net.nodes {
-		if !n.dead && (in == nil || in(n)) {
+		if !n.dead && (inSet == nil || inSet(n)) {
 			liveNames[nameOf(n)] = true
 			liveCount++
 		}
 	}
 	for _, n := range net.nodes {
-		if n.dead || in != nil && !in(n) {
+		if n.dead || inSet != nil && !inSet(n) {
 			continue
 		}
 		seen := 0
--- a/internal/cluster/membership/sync.go
+++ b/internal/cluster/membership/sync.go
@@ -67,7 +67,8 @@
 	}
 }
 
-// appendEntry appends an instance's entry to a datagram if the datagram stays within maxEntriesSize. It reports whether it did.
+// appendEntry appends an instance's entry to a datagram if the datagram stays within maxEntriesSize, and reports whether it
+// appended the entry.
 func (v *View) appendEntry(d *planepb.Datagram, m *member) bool {
 	d.Entries = append(d.Entries, v.entry(m))
 	if plane.WireSize(d) <= maxEntriesSize {
--- a/internal/cluster/plane/plane_test.go
+++ b/internal/cluster/plane/plane_test.go
@@ -33,7 +33,7 @@
 	require.Equal(t, netip.MustParseAddrPort("[::1]:7946"), plane.EntryAddr(d.Entries[0]))
 }
 
-// TestParseRejectsInvalidDatagrams checks that each kind of invalid datagram yields its own error, by which it is counted.
+// TestParseRejectsInvalidDatagrams checks the error for each kind of invalid datagram. Dropped datagrams are counted by error.
 func TestParseRejectsInvalidDatagrams(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*planepb.Datagram)
--- a/internal/endpoints/discovery/call.go
+++ b/internal/endpoints/discovery/call.go
@@ -12,8 +12,8 @@
 	"mothrouter/internal/transport/httpwire"
 )
 
-// dialTimeout is the time that a call may take until its first message. It allows for a lost SYN packet, which is retransmitted
-// after a second.
+// dialTimeout limits the time to connect and the time to send the request. It is the time that a call may take until its first
+// message, and allows for a lost SYN packet, which is retransmitted after a second.
 const dialTimeout = listwatch.CallTimeout
 
 // statusOK is the only HTTP status with which a watch starts.
--- a/internal/endpoints/listwatch/listwatch.go
+++ b/internal/endpoints/listwatch/listwatch.go
@@ -67,9 +67,9 @@
 }
 
 // scheduleCall schedules the next call after a wait. The call starts no later than nextCallDeadline, or now if that has passed,
-// so that it times out before a missed update must be applied. An update that discovery could not send takes effect 6 s after
-// discovery can send again, however many calls have failed, so the increasing waits of the backoff must not delay a call beyond
-// that.
+// so that the call times out before a missed update must be applied. An update that discovery could not send takes effect 6 s
+// after discovery can send again, however many calls have failed, so the increasing waits of the backoff must not delay a call
+// beyond that.
 func (w *Watch) scheduleCall(now time.Time) {
 	timeLeft := time.Duration(0) // the wait before the first call is not limited
 	if !w.nextCallDeadline.IsZero() {
--- a/internal/workers/cores/configure.go
+++ b/internal/workers/cores/configure.go
@@ -8,11 +8,11 @@
 	"mothrouter/internal/broker"
 )
 
-// Configure applies a change to all workers, and returns once it is in force. Each worker applies it at one point of its
-// loop, and the last of them resizes the shared limit. Until then some workers accept queries under the new classes and
-// others under the old ones, all within the old limit; no query is served under a mixture of both. Workers that have panicked
-// are skipped. If Configure returns an error, all workers keep their previous settings: the rules for changes are the same for
-// each, so either all workers reject a change or none does.
+// Configure applies a change to all workers, and returns once it is in force. Each worker applies it at one point of its loop,
+// and the last worker to do so resizes the shared limit. Until then some workers accept queries under the new classes and
+// others under the old ones, all within the old limit; no query is served under a mixture of old and new settings. Workers that
+// have panicked are skipped. If Configure returns an error, all workers keep their previous settings: the rules for changes are
+// the same for each worker, so either all workers reject a change or none does.
 func (g *Group) Configure(c broker.Change) error {
 	g.configureMu.Lock()
 	defer g.configureMu.Unlock()
@@ -33,16 +33,16 @@
 	for _, w := range alive {
 		waits = append(waits, w.broker.ConfigureAsync(c, applied))
 	}
-	inForce := 0
+	appliedCount := 0
 	for _, wait := range waits {
 		switch err := wait(); {
 		case err == nil:
-			inForce++
+			appliedCount++
 		case !errors.Is(err, broker.ErrEnded):
 			return err
 		}
 	}
-	if inForce == 0 {
+	if appliedCount == 0 {
 		return broker.ErrEnded
 	}
 	// A worker that panicked during the change has not called applied, so pending may not have reached 0.
--- a/internal/workers/cores/configure_test.go
+++ b/internal/workers/cores/configure_test.go
@@ -179,12 +179,12 @@
 	require.Equal(t, answered.Load(), int64(queries))
 }
 
-// TestConcurrencyLimitChangesWithClasses checks that with one worker the classes and the concurrency limit change at one point
-// of its loop: queries submitted before the change are subject to the old limit.
+// TestConcurrencyLimitChangesWithClasses checks that with one worker the classes and the concurrency limit change at the same
+// point of its loop: queries submitted before the change are subject to the old limit.
 func TestConcurrencyLimitChangesWithClasses(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		limit         int // after the change, which starts at 2
+		limit         int // after the change; 2 before it
 		parts         int // of each query
 		before, after broker.Outcome
 	}{
@@ -234,8 +234,8 @@
 	require.False(t, r.limiter.TryAcquire(1))
 }
 
-// TestConfigureWithDeadWorker checks that neither a worker that panics during a change nor one that is already dead delays or
-// prevents it.
+// TestConfigureWithDeadWorker checks that a change is neither delayed nor prevented by a worker that panics during the change
+// or is already dead.
 func TestConfigureWithDeadWorker(t *testing.T) {
 	r := newRecordingGroup(t, 2, 2, true)
 	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenBlock})
--- a/internal/workers/cores/cores.go
+++ b/internal/workers/cores/cores.go
@@ -18,8 +18,8 @@
 	"mothrouter/internal/workers/placement"
 )
 
-// updateTimeout is the maximum time that Update waits for busy workers. It may be short, since links apply a drain before any
-// worker does.
+// updateTimeout is the maximum time that Update waits for busy workers. A short time suffices, since links apply a drain before
+// any worker does.
 const updateTimeout = 200 * time.Millisecond
 
 // Options configure a Group.
--- a/internal/workers/cores/cores_test.go
+++ b/internal/workers/cores/cores_test.go
@@ -301,7 +301,7 @@
 	wg.Go(func() {
 		time.Sleep(300 * time.Millisecond)
 		busyUntil.Store(time.Now().Add(700 * time.Millisecond).UnixNano())
-		time.Sleep(50 * time.Millisecond) // now sends to all servers are decided and pending
+		time.Sleep(50 * time.Millisecond) // by then the busy worker has decided sends to all servers, which are pending
 		s := g.fleet.Servers[1]
 		s.RecordDrain()
 		g.Update(broker.EndpointUpdate{Mode: decision.DeltaUpdate, Version: 1,
--- a/internal/workers/cores/second_phase_test.go
+++ b/internal/workers/cores/second_phase_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestSecondPhaseUnderFaults runs queries with a second phase on one worker and on three while servers fail, hang, drain and
-// reset connections. The record servers compare each part of a second phase with their answers in the first.
+// reset connections. The record servers compare each part of a second phase with their answers in the first phase.
 func TestSecondPhaseUnderFaults(t *testing.T) {
 	for _, workers := range []int{1, 3} {
 		g := newWorkerGroup(t, groupOptions{workers: workers, servers: 8, serviceTime: 2 * time.Millisecond})
--- a/internal/workers/lease/lease_test.go
+++ b/internal/workers/lease/lease_test.go
@@ -49,15 +49,15 @@
 				}
 				decisions[w] = &decision{now, l}
 			}
-			oldest := now
+			oldestAt := now
 			for _, d := range decisions {
 				if d != nil {
-					oldest = min(oldest, d.at)
+					oldestAt = min(oldestAt, d.at)
 				}
 			}
 			bound := 0
 			for _, past := range capacities {
-				if past.at >= oldest-window-lease.Duration-0.2 {
+				if past.at >= oldestAt-window-lease.Duration-0.2 {
 					bound = max(bound, past.capacity)
 				}
 			}
@@ -145,7 +145,7 @@
 	require.InDelta(t, 0.8*2.5*0.2*1.5*10*(1-1/7.4), estimate.Budget(0.2, 0, 110, 10), 1.5)
 	require.Equal(t, 1.0, estimate.CapacityFraction(0, 110), "a server without a start time is warm")
 	require.Equal(t, 0.2, estimate.CapacityFraction(110, 110))
-	require.Equal(t, 0.2, estimate.CapacityFraction(115, 110), "a start in the future, by a clock ahead of ours, means slow start")
+	require.Equal(t, 0.2, estimate.CapacityFraction(115, 110), "a start time in the future, from a clock that is ahead, means slow start")
 	require.Equal(t, 1.0, estimate.CapacityFraction(99, 110))
 	blank := lease.NewCapacityEstimate(settings, 2, rand.New(rand.NewPCG(1, 2)))
 	require.Equal(t, 0.0, blank.Budget(0.2, 0.4, 110, 10))
--- a/internal/workers/observations/observations.go
+++ b/internal/workers/observations/observations.go
@@ -4,9 +4,9 @@
 //
 // There are two goals. A worker that considers a failed server healthy learns of the failure from another worker before it
 // loses a request there. And a fault of one worker alone, such as a broken connection, does not make all workers consider a
-// healthy server unhealthy. So a peer's observation weighs less than the worker's own. Its weight increases with a second
-// witness, decreases with age, and is close to zero for a worker that has just received an answer itself. It never overrides
-// a later observation of the worker's own.
+// healthy server unhealthy. So a peer's observation weighs less than the worker's own. The weight of a peer's observation
+// increases with a second witness, decreases with age, and is close to zero for a worker that has just received an answer
+// itself. A peer's observation never overrides a later observation of the worker's own.
 package observations
 
 import (
