--- a/internal/broker/phase_test.go
+++ b/internal/broker/phase_test.go
@@ -116,7 +116,7 @@
 }
 
 // The second phase needs all its parts, or the class's minimum completeness for a partial answer. The answer is complete only
-// if both phases are. Here one of the two parts of the second phase is answered.
+// if both phases are complete. Here one of the two parts of the second phase is answered.
 func TestSecondPhaseCompleteness(t *testing.T) {
 	for class, want := range map[int]broker.Result{
 		twoPhase:        {Outcome: broker.Failed},
--- a/internal/broker/request.go
+++ b/internal/broker/request.go
@@ -55,12 +55,12 @@
 		return fmt.Errorf("targets: a query has a part at least")
 	}
 	sum := 0.0
-	seen := make(map[int]bool, len(r.Parts))
+	seenShards := make(map[int]bool, len(r.Parts))
 	for i, p := range r.Parts {
-		if err := p.validate(i, shards, seen[p.Shard]); err != nil {
+		if err := p.validate(i, shards, seenShards[p.Shard]); err != nil {
 			return err
 		}
-		seen[p.Shard] = true
+		seenShards[p.Shard] = true
 		sum += p.Weight
 	}
 	if math.Abs(sum-1) > weightSlack {
--- a/internal/cluster/membership/fleetsize.go
+++ b/internal/cluster/membership/fleetsize.go
@@ -44,19 +44,19 @@
 
 // countBrokers counts the brokers of the member list. A broker is alive if one of its instances is.
 func (v *View) countBrokers() brokerCounts {
-	alive := map[string]bool{}
+	aliveNames := map[string]bool{}
 	lostAt := map[string]time.Duration{}
 	for _, m := range v.memberList {
 		switch {
 		case m == v.self || v.isAlive(m):
-			alive[m.Name] = true
+			aliveNames[m.Name] = true
 		case m.state.status() == Lost:
 			lostAt[m.Name] = max(lostAt[m.Name], m.stateSince)
 		}
 	}
-	counts := brokerCounts{alive: len(alive)}
+	counts := brokerCounts{alive: len(aliveNames)}
 	for name, at := range lostAt {
-		if !alive[name] {
+		if !aliveNames[name] {
 			counts.lostAt = append(counts.lostAt, at)
 		}
 	}
--- a/internal/cluster/membership/network_test.go
+++ b/internal/cluster/membership/network_test.go
@@ -256,7 +256,7 @@
 	require.Empty(net.t, verdicts[:min(len(verdicts), 5)], "%d loss verdicts", len(verdicts))
 }
 
-// maxSendRate runs f and returns the highest mean send rate of a node meanwhile, in bytes per second.
+// maxSendRate runs f and returns the highest mean send rate of a node during f, in bytes per second.
 func (net *network) maxSendRate(f func()) (rate float64) {
 	startedAt, sentBefore := net.now, map[*node]int{}
 	for _, n := range net.nodes {
--- a/internal/cluster/membership/sync.go
+++ b/internal/cluster/membership/sync.go
@@ -47,15 +47,15 @@
 // sendMissingEntries answers a sync request with the entries of the requested slice that the requester lacks or has in another
 // state, as many as fit into a datagram. It starts at a random instance, since other members may answer the same request.
 func (v *View) sendMissingEntries(requester *member, request *planepb.Datagram) {
-	held := make(map[uint16]bool, len(request.Have)/2)
+	heldHashes := make(map[uint16]bool, len(request.Have)/2)
 	for i := 0; i+1 < len(request.Have); i += 2 {
-		held[uint16(request.Have[i])|uint16(request.Have[i+1])<<8] = true
+		heldHashes[uint16(request.Have[i])|uint16(request.Have[i+1])<<8] = true
 	}
 	response := &planepb.Datagram{}
 	first := v.rng.IntN(len(v.memberList))
 	for i := range v.memberList {
 		m := v.memberList[(first+i)%len(v.memberList)]
-		if sliceOf(m) != request.Slice || held[entryHash(m, request.Seq)] || v.isNearlyReaped(m) {
+		if sliceOf(m) != request.Slice || heldHashes[entryHash(m, request.Seq)] || v.isNearlyReaped(m) {
 			continue
 		}
 		if !v.appendEntry(response, m) {
--- a/internal/workers/cores/configure_test.go
+++ b/internal/workers/cores/configure_test.go
@@ -83,17 +83,17 @@
 			return d
 		}}, nil)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	runDone := make(chan struct{})
 	go func() {
 		r.Group.Run(ctx)
-		close(ended)
+		close(runDone)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		for _, d := range r.deciders {
 			d.unblock()
 		}
-		<-ended
+		<-runDone
 	})
 	return r
 }
@@ -137,13 +137,13 @@
 	const workers, changes, clients = 4, 60, 6
 	r := newRecordingGroup(t, workers, 0, false)
 	var wg sync.WaitGroup
-	ended := make(chan struct{})
+	stop := make(chan struct{})
 	var answered atomic.Int64
 	for range clients {
 		wg.Go(func() {
 			for {
 				select {
-				case <-ended:
+				case <-stop:
 					return
 				default:
 					r.outcome(r.query(1))
@@ -158,7 +158,7 @@
 		require.Equal(t, float64(10+i), r.LongestDeadline().Seconds())
 		require.Eventually(t, func() bool { return answered.Load() > before+workers }, 5*time.Second, time.Millisecond)
 	}
-	close(ended)
+	close(stop)
 	wg.Wait()
 	queries := 0
 	for _, d := range r.deciders {
--- a/internal/workers/cores/cores_test.go
+++ b/internal/workers/cores/cores_test.go
@@ -76,14 +76,14 @@
 	g := &workerGroup{T: t, fleet: fleet, Group: New(Options{Workers: o.workers, Settings: settings(o.servers, o.warmUp),
 		ConcurrencyLimit: o.concurrencyLimit, Seed: 7, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Decider: o.decider}, link)}
-	ended := make(chan struct{})
+	runDone := make(chan struct{})
 	go func() {
 		g.Group.Run(ctx)
-		close(ended)
+		close(runDone)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-runDone
 		fleet.Close()
 		violations, attempts := fleet.Violations()
 		require.Empty(t, violations)
--- a/internal/workers/cores/state.go
+++ b/internal/workers/cores/state.go
@@ -94,12 +94,12 @@
 
 // removeUnlisted removes all servers except those listed.
 func (s *processState) removeUnlisted(listed []decision.Server) {
-	keep := map[string]bool{}
+	listedIDs := map[string]bool{}
 	for _, e := range listed {
-		keep[e.ID] = true
+		listedIDs[e.ID] = true
 	}
 	for id := range s.entries {
-		if !keep[id] {
+		if !listedIDs[id] {
 			s.remove(id)
 		}
 	}
--- a/internal/workers/lease/lease.go
+++ b/internal/workers/lease/lease.go
@@ -39,7 +39,7 @@
 // workerLease is a worker's lease with the worker's demand.
 type workerLease struct {
 	lease    Lease
-	deciding bool    // the worker is between Renew and EndDecision: the lease does not expire meanwhile
+	deciding bool    // the worker is between Renew and EndDecision, so its lease does not expire
 	demand   float64 // exponentially decaying count of the parts that the worker sent or could have sent
 	demandAt float64 // when demand was last updated
 }
