--- a/internal/controlplane/configfollower/client_test.go
+++ b/internal/controlplane/configfollower/client_test.go
@@ -41,14 +41,14 @@
 		address: listener.Addr().String(),
 	}
 	configpb.RegisterControlServer(m.grpc, m)
-	served := make(chan struct{})
+	serveDone := make(chan struct{})
 	go func() {
-		defer close(served)
+		defer close(serveDone)
 		_ = m.grpc.Serve(listener)
 	}()
 	t.Cleanup(func() {
 		m.grpc.Stop()
-		<-served
+		<-serveDone
 	})
 	return m
 }
@@ -111,14 +111,14 @@
 	require.NoError(t, err)
 	b.Client = client
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	runDone := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(runDone)
 		client.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-runDone
 	})
 	return b
 }
--- a/internal/controlplane/configfollower/cost_test.go
+++ b/internal/controlplane/configfollower/cost_test.go
@@ -123,12 +123,12 @@
 
 // hubProcess is the state of TestPropagationCostHubProcess.
 type hubProcess struct {
-	in, out   atomic.Int64 // bytes read and written by all connections
-	hubs      []*confighub.Hub
-	newest    uint64 // number of the newest revision
-	measuring bool
-	start     hubUsage // counters at the start of the measurement
-	revisions int      // number of revisions published during the measurement
+	in, out      atomic.Int64 // bytes read and written by all connections
+	hubs         []*confighub.Hub
+	newest       uint64 // number of the newest revision
+	measuring    bool
+	usageAtStart hubUsage // counters at the start of the measurement
+	revisions    int      // number of revisions published during the measurement
 }
 
 func (p *hubProcess) startHubs(t *testing.T) {
@@ -165,15 +165,15 @@
 
 func (p *hubProcess) startMeasurement() {
 	p.measuring = true
-	p.start = hubUsage{ProcessorSeconds: cpuSeconds(), BytesIn: p.in.Load(), BytesOut: p.out.Load()}
+	p.usageAtStart = hubUsage{ProcessorSeconds: cpuSeconds(), BytesIn: p.in.Load(), BytesOut: p.out.Load()}
 }
 
 // usage returns the resource usage of the hubs since the start of the measurement.
 func (p *hubProcess) usage() hubUsage {
 	usage := hubUsage{
-		ProcessorSeconds: cpuSeconds() - p.start.ProcessorSeconds,
-		BytesIn:          p.in.Load() - p.start.BytesIn,
-		BytesOut:         p.out.Load() - p.start.BytesOut,
+		ProcessorSeconds: cpuSeconds() - p.usageAtStart.ProcessorSeconds,
+		BytesIn:          p.in.Load() - p.usageAtStart.BytesIn,
+		BytesOut:         p.out.Load() - p.usageAtStart.BytesOut,
 		Revisions:        p.revisions,
 	}
 	for _, hub := range p.hubs {
@@ -282,10 +282,10 @@
 
 // costFleet holds the clients of TestPropagationCost.
 type costFleet struct {
-	clients []*configfollower.Client
-	applied atomic.Int64 // number of revisions applied by all clients
-	cancel  context.CancelFunc
-	running sync.WaitGroup
+	clients    []*configfollower.Client
+	applied    atomic.Int64 // number of revisions applied by all clients
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
 func startCostFleet(t *testing.T, brokers int, machines []distribution.ControlMachine) *costFleet {
@@ -307,7 +307,7 @@
 		})
 		require.NoError(t, err)
 		f.clients = append(f.clients, client)
-		f.running.Go(func() { client.Run(ctx) })
+		f.goroutines.Go(func() { client.Run(ctx) })
 	}
 	return f
 }
@@ -315,7 +315,7 @@
 // stop stops the clients and waits until they have stopped.
 func (f *costFleet) stop() {
 	f.cancel()
-	f.running.Wait()
+	f.goroutines.Wait()
 }
 
 // inForce returns the number of clients with a revision in force.
--- a/internal/controlplane/configfollower/stream.go
+++ b/internal/controlplane/configfollower/stream.go
@@ -54,7 +54,7 @@
 	s.reports <- report
 }
 
-// runStream runs a stream until it ends, and then posts this to Run unless ctx has ended.
+// runStream runs a stream until it ends, and then posts the end of the stream to Run unless ctx has ended.
 func (c *Client) runStream(ctx context.Context, s *stream) {
 	defer s.cancel()
 	err := c.receive(s)
--- a/internal/controlplane/confighub/follow.go
+++ b/internal/controlplane/confighub/follow.go
@@ -27,14 +27,14 @@
 		return grpcError(err)
 	}
 	defer h.closeSession(id)
-	ended := make(chan error, 2) // one result per goroutine; the stream ends when Follow returns, which ends both goroutines
-	go func() { ended <- h.receive(stream, id, wake) }()
-	go func() { ended <- h.send(stream, id, wake) }()
+	results := make(chan error, 2) // one result per goroutine; the stream ends when Follow returns, which ends both goroutines
+	go func() { results <- h.receive(stream, id, wake) }()
+	go func() { results <- h.send(stream, id, wake) }()
 	check := time.NewTicker(checkInterval)
 	defer check.Stop()
 	for {
 		select {
-		case err := <-ended:
+		case err := <-results:
 			return grpcError(err)
 		case <-check.C:
 			if err := h.checkSession(id); err != nil {
--- a/internal/controlplane/configstatus/configstatus.go
+++ b/internal/controlplane/configstatus/configstatus.go
@@ -161,7 +161,7 @@
 	return a.GetSilentMs() < b.GetSilentMs()
 }
 
-// addBroker adds one broker to the lists and counts.
+// addBroker adds one broker to the view's number of connected brokers and to its lists.
 func (v *View) addBroker(b reportedBroker) {
 	report := b.GetReport()
 	row := Broker{
--- a/internal/controlplane/configstatus/machines.go
+++ b/internal/controlplane/configstatus/machines.go
@@ -58,7 +58,7 @@
 	return "spare"
 }
 
-// addAnswer adds the control machine's own answer.
+// addAnswer sets the fields that come from the control machine's own answer.
 func (m *Machine) addAnswer(a Answer) {
 	if a.Status == nil {
 		if !m.Answered && a.Err != nil {
--- a/internal/controlplane/consensus/invariants_test.go
+++ b/internal/controlplane/consensus/invariants_test.go
@@ -20,7 +20,7 @@
 	faultLostSaves                 // a crash loses the latest saves
 	faultLostVote                  // a restart loses the stored vote
 	faultLostCommitIndex           // a restart loses the stored commit index
-	faultStaleRead                 // a read has a response without a ReadIndex round
+	faultStaleRead                 // a read is answered without a ReadIndex round
 	faultCorruptDocument           // a disk changes the documents that it stores
 	faultSkippedRevision           // a member does not return a newly applied revision
 	faultNewRequestID              // a retry of a publication has a different request id
--- a/internal/controlplane/consensus/limits.go
+++ b/internal/controlplane/consensus/limits.go
@@ -7,7 +7,7 @@
 )
 
 // Timing. The leader sends a heartbeat every 200 ms; a raft follower that receives none for 1.5 to 3 s starts an election.
-// That leaves 5 s of the 8 s within which a revision has to be in force at all brokers.
+// A failed leader thus costs 3 s, which leaves 5 s of the 8 s within which a revision has to be in force at all brokers.
 const (
 	// DefaultTickInterval is the time between two ticks.
 	DefaultTickInterval = 100 * time.Millisecond
--- a/internal/controlplane/consensus/members.go
+++ b/internal/controlplane/consensus/members.go
@@ -18,7 +18,7 @@
 	lastContactAt  map[uint64]time.Time // by member id
 	snapshotSentAt map[uint64]time.Time // by member id, of the latest unacknowledged snapshot
 	confChangeAt   time.Time            // when the latest configuration change was proposed
-	lastReadSent   uint64               // highest read position in a heartbeat of this term
+	lastReadSent   uint64               // highest read position sent in a heartbeat of this term
 }
 
 func newLeaderState(ids []uint64, now time.Time) leaderState {
--- a/internal/controlplane/consensus/members_test.go
+++ b/internal/controlplane/consensus/members_test.go
@@ -16,23 +16,23 @@
 		c.nodes[id].options.snapshotEntries, c.nodes[id].options.trailingEntries = 10, 2
 	}
 	c.run(5 * time.Second)
-	lagging := c.otherVoter()
-	c.partitioned[lagging] = true
+	laggingVoter := c.otherVoter()
+	c.partitioned[laggingVoter] = true
 	for request := uint64(1); request <= 30; request++ {
 		c.propose(request, "document")
 	}
-	c.partitioned[lagging] = false
-	dropped := 0
+	c.partitioned[laggingVoter] = false
+	droppedCount := 0
 	c.drop = func(message *raftpb.Message) bool {
-		if message.GetType() == raftpb.MsgSnap && dropped == 0 {
-			dropped++
+		if message.GetType() == raftpb.MsgSnap && droppedCount == 0 {
+			droppedCount++
 			return true
 		}
 		return false
 	}
 	c.run(snapshotTimeout / 2)
-	require.Equal(t, 1, dropped)
-	require.Zero(t, c.nodes[lagging].Machine().Number())
+	require.Equal(t, 1, droppedCount)
+	require.Zero(t, c.nodes[laggingVoter].Machine().Number())
 	c.run(snapshotTimeout)
-	require.Equal(t, uint64(30), c.nodes[lagging].Machine().Number())
+	require.Equal(t, uint64(30), c.nodes[laggingVoter].Machine().Number())
 }
--- a/internal/controlplane/consensus/message.go
+++ b/internal/controlplane/consensus/message.go
@@ -43,11 +43,11 @@
 // messages.
 func (n *Node) checkMessage(message *raftpb.Message) error {
 	if message == nil {
-		return fmt.Errorf("%w: nil", ErrMalformedMessage)
+		return fmt.Errorf("%w: the message is nil", ErrMalformedMessage)
 	}
 	from := message.GetFrom()
 	if from == n.options.ID || !slices.Contains(n.options.Members, from) || message.GetTo() != n.options.ID {
-		return malformed(message, "unexpected sender or receiver: addressed to %d, this is member %d of %d", message.GetTo(),
+		return malformed(message, "receiver is %d, want this member %d, and as sender another one of the members %d", message.GetTo(),
 			n.options.ID, n.options.Members)
 	}
 	if len(message.GetResponses()) > 0 || message.GetTerm() > maxTerm {
@@ -98,8 +98,8 @@
 	return nil
 }
 
-// checkHeartbeat stops this member if it has lost entries: the commit index in a heartbeat is at most the index that the
-// member has acknowledged, and it acknowledges only persisted entries.
+// checkHeartbeat stops this member if it has lost entries. A leader never sends a commit index above the index that this
+// member has acknowledged, and this member acknowledges only persisted entries.
 func (n *Node) checkHeartbeat(message *raftpb.Message, current bool) error {
 	if len(message.GetContext()) != 0 && len(message.GetContext()) != heartbeatContextBytes {
 		return malformed(message, "context of %d bytes, want 0 or %d", len(message.GetContext()), heartbeatContextBytes)
--- a/internal/controlplane/consensus/message_test.go
+++ b/internal/controlplane/consensus/message_test.go
@@ -159,16 +159,16 @@
 	c.run(5 * time.Second)
 	c.propose(1, "kept elsewhere")
 	c.run(time.Second)
-	restarted := c.otherVoter()
-	c.storages[restarted] = raft.NewMemoryStorage()
-	require.NoError(t, c.storages[restarted].ApplySnapshot(BootstrapSnapshot(testVoters, testLearners)))
-	require.NoError(t, c.storages[restarted].SetHardState(&raftpb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}))
-	c.start(restarted)
-	err := c.nodes[restarted].Step(&raftpb.Message{
-		Type: raftpb.MsgHeartbeat.Enum(), From: new(c.leader().options.ID), To: new(restarted),
+	restartedID := c.otherVoter()
+	c.storages[restartedID] = raft.NewMemoryStorage()
+	require.NoError(t, c.storages[restartedID].ApplySnapshot(BootstrapSnapshot(testVoters, testLearners)))
+	require.NoError(t, c.storages[restartedID].SetHardState(&raftpb.HardState{Term: new(uint64(1)), Commit: new(uint64(1))}))
+	c.start(restartedID)
+	err := c.nodes[restartedID].Step(&raftpb.Message{
+		Type: raftpb.MsgHeartbeat.Enum(), From: new(c.leader().options.ID), To: new(restartedID),
 		Term: new(c.leader().leaderState.leaderTerm), Commit: new(c.leader().Machine().Applied()),
 	})
 	require.ErrorIs(t, err, ErrMissingEntries)
-	require.ErrorIs(t, c.nodes[restarted].Err(), ErrMissingEntries)
-	require.Nil(t, c.nodes[restarted].Ready())
+	require.ErrorIs(t, c.nodes[restartedID].Err(), ErrMissingEntries)
+	require.Nil(t, c.nodes[restartedID].Ready())
 }
--- a/internal/controlplane/consensus/node.go
+++ b/internal/controlplane/consensus/node.go
@@ -64,14 +64,14 @@
 
 // ProposalOutcome is the outcome of a proposal.
 type ProposalOutcome struct {
-	Request uint64          // id
+	Request uint64          // request id of the command
 	Result  revision.Result // valid if Err is nil
 	Err     error           // wraps ErrOutcomeUnknown or ErrTimeout: may or may not be applied; retry with the same request id
 }
 
 // ReadOutcome is the outcome of a read.
 type ReadOutcome struct {
-	ID     uint64
+	ID     uint64 // as passed to Read
 	Newest uint64 // number of the newest revision at some time between Read and this outcome
 	Err    error  // wraps ErrTimeout
 }
--- a/internal/controlplane/consensus/promotion_test.go
+++ b/internal/controlplane/consensus/promotion_test.go
@@ -12,31 +12,31 @@
 	c := newCluster(t)
 	c.run(5 * time.Second)
 	c.propose(1, "with all voters")
-	lost := c.otherVoter()
-	c.partitioned[lost] = true
+	lostVoter := c.otherVoter()
+	c.partitioned[lostVoter] = true
 	c.run(DefaultVoterTimeout - 5*time.Second)
 	require.ElementsMatch(t, testVoters, c.voters(), "no replacement before the voter timeout")
 	c.run(10 * time.Second)
-	require.NotContains(t, c.voters(), lost)
+	require.NotContains(t, c.voters(), lostVoter)
 	require.Contains(t, c.voters(), testLearners[0])
 	require.Empty(t, c.leader().confState.GetVotersOutgoing(), "the joint configuration has been left")
 	c.propose(2, "after the promotion")
 
-	c.partitioned[lost] = false
+	c.partitioned[lostVoter] = false
 	c.run(5 * time.Second)
-	require.Equal(t, []uint64{lost}, c.leader().confState.GetLearners(), "the replaced voter is the new learner")
-	require.Equal(t, uint64(2), c.nodes[lost].Machine().Number())
-	status := c.nodes[lost].Status(c.now)
+	require.Equal(t, []uint64{lostVoter}, c.leader().confState.GetLearners(), "the replaced voter is the new learner")
+	require.Equal(t, uint64(2), c.nodes[lostVoter].Machine().Number())
+	status := c.nodes[lostVoter].Status(c.now)
 	for _, member := range status.Members {
-		require.Equal(t, member.ID != lost, member.Voter)
+		require.Equal(t, member.ID != lostVoter, member.Voter)
 	}
 
 	// When a second voter is lost, the new learner replaces it.
-	secondLost := c.otherVoter()
-	c.partitioned[secondLost] = true
+	secondLostVoter := c.otherVoter()
+	c.partitioned[secondLostVoter] = true
 	c.run(DefaultVoterTimeout + 5*time.Second)
-	require.NotContains(t, c.voters(), secondLost)
-	require.Contains(t, c.voters(), lost)
+	require.NotContains(t, c.voters(), secondLostVoter)
+	require.Contains(t, c.voters(), lostVoter)
 	c.propose(3, "after the second promotion")
 	c.run(time.Second)
 	require.Equal(t, uint64(3), c.leader().Machine().Number())
@@ -45,10 +45,10 @@
 func TestLearnerReplacesLostLeader(t *testing.T) {
 	c := newCluster(t)
 	c.run(5 * time.Second)
-	lost := c.leader().options.ID
-	c.partitioned[lost] = true
+	lostVoter := c.leader().options.ID
+	c.partitioned[lostVoter] = true
 	c.run(DefaultVoterTimeout + 10*time.Second)
-	require.NotContains(t, c.voters(), lost)
+	require.NotContains(t, c.voters(), lostVoter)
 	require.Contains(t, c.voters(), testLearners[0])
 }
 
--- a/internal/controlplane/consensus/reads.go
+++ b/internal/controlplane/consensus/reads.go
@@ -35,7 +35,7 @@
 	deadline time.Time
 }
 
-// readIndexRound is one ReadIndex request and the reads that its response serves.
+// readIndexRound is one ReadIndex request and the reads that its response confirms.
 type readIndexRound struct {
 	sequence  uint64
 	startedAt time.Time
@@ -119,7 +119,8 @@
 	return binary.BigEndian.AppendUint64(context, sequence)
 }
 
-// mergeOldestRound moves the reads of the oldest round to the next one, whose response serves them as well.
+// mergeOldestRound moves the reads of the oldest round to the next one. That round started later, so its response also
+// confirms these reads.
 func (r *reads) mergeOldestRound() {
 	next := &r.rounds[1]
 	next.reads = append(r.rounds[0].reads, next.reads...)
@@ -141,8 +142,8 @@
 	}
 }
 
-// completeRounds completes the latest round whose read index is applied, and all rounds before it, since its response
-// serves them as well. newest is the number of the newest applied revision.
+// completeRounds completes the latest round whose read index is applied. It also completes all rounds before that one, since
+// the response to a later request confirms their reads too. newest is the number of the newest applied revision.
 func (r *reads) completeRounds(applied, newest uint64) {
 	for i := len(r.rounds) - 1; i >= 0; i-- {
 		if !r.rounds[i].answered || r.rounds[i].readIndex > applied {
--- a/internal/controlplane/consensus/reads_test.go
+++ b/internal/controlplane/consensus/reads_test.go
@@ -17,11 +17,11 @@
 		return message.GetTo() == follower && message.GetType() == raftpb.MsgApp
 	}
 	c.propose(1, "document")
-	published := c.now
+	publishedAt := c.now
 	c.run(10 * time.Second)
 	require.Zero(t, c.nodes[follower].Machine().Number(), "appends are dropped")
 	require.Equal(t, c.leader().options.ID, c.nodes[follower].Leader())
-	require.GreaterOrEqual(t, c.nodes[follower].ConfirmedAge(c.now), c.now.Sub(published))
+	require.GreaterOrEqual(t, c.nodes[follower].ConfirmedAge(c.now), c.now.Sub(publishedAt))
 	c.drop = nil
 	c.run(time.Second)
 	require.Less(t, c.nodes[follower].ConfirmedAge(c.now), time.Second)
@@ -50,14 +50,14 @@
 	require.ErrorIs(t, c.nodes[2].Read(MaxReads), ErrTooManyReads)
 	c.partitioned[2] = true
 	c.run(ReadTimeout + time.Second)
-	var timedOut int
+	var timeouts int
 	for _, applied := range c.applied[2] {
 		for _, outcome := range applied.Reads {
 			require.ErrorIs(t, outcome.Err, ErrTimeout)
-			timedOut++
+			timeouts++
 		}
 	}
-	require.Equal(t, MaxReads, timedOut)
+	require.Equal(t, MaxReads, timeouts)
 	require.NoError(t, c.nodes[2].Read(1))
 }
 
@@ -67,24 +67,24 @@
 	c := newCluster(t)
 	c.run(5 * time.Second)
 	follower := c.otherVoter()
-	var delayed []*raftpb.Message
+	var delayedResponses []*raftpb.Message
 	c.drop = func(message *raftpb.Message) bool {
 		isResponse := message.GetTo() == follower && message.GetType() == raftpb.MsgReadIndexResp
 		if isResponse {
-			delayed = append(delayed, message)
+			delayedResponses = append(delayedResponses, message)
 		}
 		return isResponse
 	}
 	c.start(follower)
 	c.run(5 * time.Second)
-	require.NotEmpty(t, delayed)
+	require.NotEmpty(t, delayedResponses)
 	c.start(follower)
 	c.run(5 * time.Second)
 	require.NotEmpty(t, c.nodes[follower].reads.rounds, "the restarted member has sent a request")
-	require.NoError(t, c.nodes[follower].Step(delayed[0]))
+	require.NoError(t, c.nodes[follower].Step(delayedResponses[0]))
 	c.deliverAll()
 	require.Equal(t, Unconfirmed, c.nodes[follower].ConfirmedAge(c.now))
-	require.NoError(t, c.nodes[follower].Step(delayed[len(delayed)-1]))
+	require.NoError(t, c.nodes[follower].Step(delayedResponses[len(delayedResponses)-1]))
 	c.deliverAll()
 	require.Less(t, c.nodes[follower].ConfirmedAge(c.now), time.Second, "the response to the latest request confirms it")
 }
--- a/internal/controlplane/consensus/ready.go
+++ b/internal/controlplane/consensus/ready.go
@@ -16,7 +16,7 @@
 		return nil
 	}
 	if n.pendingReady != nil {
-		panic("consensus: Ready before Advance")
+		panic("consensus: Ready called before Advance for the previous Ready")
 	}
 	if !n.raw.HasReady() && n.compaction == nil && !n.proposals.hasOutcomes() && !n.reads.hasOutcomes() {
 		return nil
@@ -42,7 +42,7 @@
 // It panics if Ready was not called before.
 func (n *Node) Advance() Applied {
 	if n.pendingReady == nil {
-		panic("consensus: Advance without Ready")
+		panic("consensus: Advance called without a preceding Ready")
 	}
 	ready := n.pendingReady
 	n.pendingReady = nil
--- a/internal/controlplane/consensus/simulated_client_test.go
+++ b/internal/controlplane/consensus/simulated_client_test.go
@@ -17,7 +17,7 @@
 	simulation     *simulation
 	id             int
 	newestKnown    uint64 // highest revision number in a response
-	leader         uint64 // id of the member to which it first sends a publication
+	leader         uint64 // id of the member that gets the first attempt of each publication
 	operationCount uint64 // operations started
 	inOperation    bool
 }
@@ -34,7 +34,7 @@
 	input    operation
 	command  *configpb.Command // of a publication; nil for a read
 	calledAt time.Duration     // since the start of the run
-	attempts int               // started
+	attempts int               // number of attempts started
 	finished bool
 }
 
--- a/internal/controlplane/consensus/simulated_member_test.go
+++ b/internal/controlplane/consensus/simulated_member_test.go
@@ -88,14 +88,14 @@
 	if member.node.leaderState.leaderTerm != 0 {
 		s.checker.checkLeader(member.id, member.node.leaderState.leaderTerm)
 	}
-	confirmed := member.node.ConfirmedAge(s.localTime(member))
+	confirmedAge := member.node.ConfirmedAge(s.localTime(member))
 	if s.fault == faultHeartbeatsConfirm {
-		confirmed = time.Duration(float64(s.now-member.leaderContactAt) * member.clockRate)
+		confirmedAge = time.Duration(float64(s.now-member.leaderContactAt) * member.clockRate)
 	}
-	if confirmed == Unconfirmed {
+	if confirmedAge == Unconfirmed {
 		return
 	}
-	s.checker.checkConfirmed(member.id, s.now-time.Duration(float64(confirmed)/member.clockRate), member.node.Machine().Number())
+	s.checker.checkConfirmed(member.id, s.now-time.Duration(float64(confirmedAge)/member.clockRate), member.node.Machine().Number())
 }
 
 // startSave starts to persist the next Ready of a member, unless a save is in progress.
--- a/internal/controlplane/consensus/simulator_test.go
+++ b/internal/controlplane/consensus/simulator_test.go
@@ -149,14 +149,14 @@
 	first := s.members[1].node
 	for _, id := range testMembers {
 		member := s.members[id]
-		confirmed := member.node.ConfirmedAge(s.localTime(member))
+		confirmedAge := member.node.ConfirmedAge(s.localTime(member))
 		same := member.node.Machine().Number() == first.Machine().Number() && member.node.Leader() == first.Leader() &&
 			member.node.Machine().Applied() == first.Machine().Applied()
-		if !member.up || !same || first.Leader() == 0 || confirmed > 2*time.Second {
+		if !member.up || !same || first.Leader() == 0 || confirmedAge > 2*time.Second {
 			differing = append(differing, fmt.Sprintf(
 				"member %d: up %v, applied index %d (member 1: %d), leader %d (member 1: %d), confirmed age %v",
 				id, member.up, member.node.Machine().Applied(), first.Machine().Applied(), member.node.Leader(), first.Leader(),
-				confirmed))
+				confirmedAge))
 		}
 	}
 	return differing
--- a/internal/controlplane/consensus/snapshot.go
+++ b/internal/controlplane/consensus/snapshot.go
@@ -16,8 +16,8 @@
 	bootstrapTerm  = 1
 )
 
-// BootstrapSnapshot returns the snapshot that the log of every member starts with. It contains no revision and a raft
-// configuration of the voters and learners.
+// BootstrapSnapshot returns the snapshot that the log of every member starts with. Its state machine is empty,
+// and its raft configuration has the given voters and learners.
 func BootstrapSnapshot(voters, learners []uint64) *raftpb.Snapshot {
 	machine := revision.NewStateMachine()
 	machine.Skip(bootstrapIndex)
@@ -34,7 +34,7 @@
 // restoreMachine restores the state machine in a snapshot and checks the snapshot's raft configuration against the members.
 func restoreMachine(snapshot *raftpb.Snapshot, members []uint64) (*revision.StateMachine, error) {
 	if raft.IsEmptySnap(snapshot) {
-		return nil, fmt.Errorf("%w: empty snapshot", ErrMalformedMessage)
+		return nil, fmt.Errorf("%w: the snapshot is empty", ErrMalformedMessage)
 	}
 	if err := checkConfState(snapshot.GetMetadata().GetConfState(), members); err != nil {
 		return nil, err
@@ -54,24 +54,24 @@
 // the next configuration is a voter of the outgoing configuration only; and AutoLeave is set only in a joint configuration.
 func checkConfState(state *raftpb.ConfState, members []uint64) error {
 	if len(state.GetVoters()) == 0 {
-		return fmt.Errorf("%w: configuration without voters", ErrMalformedMessage)
+		return fmt.Errorf("%w: raft configuration without voters", ErrMalformedMessage)
 	}
 	if err := checkMemberSets(state, members); err != nil {
 		return err
 	}
 	for _, id := range state.GetLearners() {
 		if slices.Contains(state.GetVoters(), id) || slices.Contains(state.GetVotersOutgoing(), id) {
-			return fmt.Errorf("%w: configuration with member %d as both learner and voter", ErrMalformedMessage, id)
+			return fmt.Errorf("%w: raft configuration with member %d as both learner and voter", ErrMalformedMessage, id)
 		}
 	}
 	for _, id := range state.GetLearnersNext() {
 		if slices.Contains(state.GetVoters(), id) || !slices.Contains(state.GetVotersOutgoing(), id) {
-			return fmt.Errorf("%w: configuration with next learner %d, want a voter of the outgoing configuration only",
-				ErrMalformedMessage, id)
+			return fmt.Errorf("%w: raft configuration with member %d in LearnersNext, want it in VotersOutgoing %d and not in Voters %d",
+				ErrMalformedMessage, id, state.GetVotersOutgoing(), state.GetVoters())
 		}
 	}
 	if state.GetAutoLeave() && len(state.GetVotersOutgoing()) == 0 {
-		return fmt.Errorf("%w: AutoLeave set in a configuration that is not joint", ErrMalformedMessage)
+		return fmt.Errorf("%w: raft configuration with AutoLeave set, but without VotersOutgoing", ErrMalformedMessage)
 	}
 	return nil
 }
@@ -83,10 +83,10 @@
 	} {
 		for i, id := range set {
 			if !slices.Contains(members, id) {
-				return fmt.Errorf("%w: configuration with unknown member %d, want one of %d", ErrMalformedMessage, id, members)
+				return fmt.Errorf("%w: raft configuration with unknown member %d, want one of %d", ErrMalformedMessage, id, members)
 			}
 			if slices.Contains(set[:i], id) {
-				return fmt.Errorf("%w: configuration with duplicate member %d", ErrMalformedMessage, id)
+				return fmt.Errorf("%w: raft configuration with duplicate member %d", ErrMalformedMessage, id)
 			}
 		}
 	}
--- a/internal/controlplane/consensus/status.go
+++ b/internal/controlplane/consensus/status.go
@@ -11,7 +11,7 @@
 // MemberStatus is the status of one member as observed by this node.
 type MemberStatus struct {
 	ID    uint64
-	Voter bool // in the current configuration or, if it is joint, in the outgoing one
+	Voter bool // is in Voters or VotersOutgoing of the raft configuration
 
 	// SinceContact is the time since the last message from the member. It is 0 for this member itself, and Unconfirmed on
 	// a node that is not the leader.
--- a/internal/controlplane/controlserver/control.go
+++ b/internal/controlplane/controlserver/control.go
@@ -17,7 +17,7 @@
 // replicaTimeout limits how long Status and Get wait for the replica's goroutine. One sync of the raft log takes far less.
 const replicaTimeout = 2 * time.Second
 
-// service is the Control service of one control machine.
+// service implements the Control service of a control machine.
 type service struct {
 	configpb.UnimplementedControlServer
 	*publisher
--- a/internal/controlplane/controlserver/drop_log.go
+++ b/internal/controlplane/controlserver/drop_log.go
@@ -2,7 +2,7 @@
 
 import "log/slog"
 
-// dropLogger periodically logs how many messages between control machines were dropped since the previous call.
+// dropLogger logs how many messages between control machines were dropped since the previous call of logNewDrops.
 type dropLogger struct {
 	envelopes EnvelopeCounts // received, at the previous call
 	dropped   uint64         // outgoing messages, at the previous call
--- a/internal/controlplane/controlserver/forward.go
+++ b/internal/controlplane/controlserver/forward.go
@@ -42,7 +42,7 @@
 }
 
 // waitForLeaderChange waits until the leader differs from the given one, or the context ends, and reports whether the
-// leader has changed. Without it a publication forwarded to a failed leader would wait for its timeout.
+// leader has changed. Without this check a publication forwarded to a failed leader would wait for publishTimeout.
 func (p *publisher) waitForLeaderChange(ctx context.Context, leader uint64) bool {
 	for {
 		select {
--- a/internal/controlplane/controlserver/machine.go
+++ b/internal/controlplane/controlserver/machine.go
@@ -103,17 +103,17 @@
 	defer m.transport.close()
 	brokerServer := newBrokerServer(m.service)
 	peerServer := newPeerServer(m.service, m.receiver)
-	failed := make(chan error, 3) // one for each component, so that none blocks
+	failures := make(chan error, 3) // one for each component, so that none blocks
 	listener := netutil.LimitListener(m.options.Listener, maxConnections)
-	go func() { failed <- brokerServer.Serve(listener) }()
+	go func() { failures <- brokerServer.Serve(listener) }()
 	peerListener := netutil.LimitListener(m.options.PeerListener, maxPeerConnections)
-	go func() { failed <- peerServer.Serve(peerListener) }()
+	go func() { failures <- peerServer.Serve(peerListener) }()
 	replicaCtx, stopReplica := context.WithCancel(context.Background())
 	defer stopReplica()
-	go func() { failed <- m.replica.run(replicaCtx) }()
+	go func() { failures <- m.replica.run(replicaCtx) }()
 	m.logStarted()
 
-	err := m.waitUntilStopped(ctx, failed)
+	err := m.waitUntilStopped(ctx, failures)
 	stopReplica()
 	<-m.replica.ended
 	brokerServer.Stop()
@@ -134,7 +134,7 @@
 
 // waitUntilStopped waits until a component fails, and returns its error, or until the context ends. After the end of the
 // context it waits at most drainTimeout for the publications in progress. It logs dropped messages every dropLogInterval.
-func (m *controlMachine) waitUntilStopped(ctx context.Context, failed <-chan error) error {
+func (m *controlMachine) waitUntilStopped(ctx context.Context, failures <-chan error) error {
 	ticker := time.NewTicker(dropLogInterval)
 	defer ticker.Stop()
 	drops := &dropLogger{}
@@ -143,7 +143,7 @@
 		case <-ctx.Done():
 			waitAtMost(m.service.drain(), drainTimeout)
 			return nil
-		case err := <-failed:
+		case err := <-failures:
 			return err
 		case <-ticker.C:
 			drops.logNewDrops(m.options.Logger, m.receiver.envelopeCounts(), m.transport.droppedCount())
--- a/internal/controlplane/controlserver/outbox.go
+++ b/internal/controlplane/controlserver/outbox.go
@@ -22,10 +22,10 @@
 	bytes    int        // total size of messages
 	dropped  uint64     // number of messages dropped so far
 
-	ready chan struct{} // capacity 1; receives a value after each push
+	wakeup chan struct{} // capacity 1; receives a value after each push
 }
 
-func newOutbox() *outbox { return &outbox{ready: make(chan struct{}, 1)} }
+func newOutbox() *outbox { return &outbox{wakeup: make(chan struct{}, 1)} }
 
 // push appends an encoded message, and drops the oldest messages while a limit is exceeded.
 func (o *outbox) push(message []byte) {
@@ -38,7 +38,7 @@
 	}
 	o.mu.Unlock()
 	select {
-	case o.ready <- struct{}{}:
+	case o.wakeup <- struct{}{}:
 	default: // already signaled
 	}
 }
--- a/internal/controlplane/controlserver/publish.go
+++ b/internal/controlplane/controlserver/publish.go
@@ -47,7 +47,7 @@
 
 	mu         sync.Mutex // guards the fields below
 	stopping   bool
-	inProgress int           // number of publications
+	inProgress int           // number of publications in progress
 	drained    chan struct{} // closed when stopping and no publication is in progress
 }
 
--- a/internal/controlplane/controlserver/receive.go
+++ b/internal/controlplane/controlserver/receive.go
@@ -102,7 +102,7 @@
 	return message
 }
 
-// updateCounts modifies the counts.
+// updateCounts calls change with the counts while it holds mu.
 func (r *receiver) updateCounts(change func(*EnvelopeCounts)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/controlplane/controlserver/replica_test.go
+++ b/internal/controlplane/controlserver/replica_test.go
@@ -46,8 +46,8 @@
 	require.NoError(t, err)
 	r := newReplica(node, disk, confighub.New(discardLogger()), discardLogger())
 	r.memberName = func(uint64) string { return "x" }
-	ended := make(chan error, 1)
-	go func() { ended <- r.run(t.Context()) }()
+	result := make(chan error, 1)
+	go func() { result <- r.run(t.Context()) }()
 	p := newPublisher(1, r, rejectBad)
 	publish := func(request uint64) error {
 		_, err := p.publish(t.Context(), &configpb.PublishRequest{Request: request, Document: []byte("one")})
@@ -56,7 +56,7 @@
 	require.Eventually(t, func() bool { return publish(1) == nil }, eventTimeout, 20*time.Millisecond)
 	close(disk.failed)
 	require.Error(t, publish(2))
-	require.ErrorIs(t, <-ended, errDisk)
+	require.ErrorIs(t, <-result, errDisk)
 	require.Equal(t, uint64(1), node.Machine().Number())
 	require.Error(t, publish(3), "a stopped replica accepts no publication")
 }
@@ -73,8 +73,8 @@
 	r := newReplica(node, log, confighub.New(discardLogger()), discardLogger())
 	r.memberName = func(uint64) string { return "x" }
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
-	go func() { ended <- r.run(ctx) }()
+	result := make(chan error, 1)
+	go func() { result <- r.run(ctx) }()
 	p := newPublisher(1, r, rejectBad)
 	p.forward = func(ctx context.Context, _ uint64, _ *configpb.PublishRequest) (*configpb.PublishResponse, error) {
 		<-ctx.Done() // the former leader does not respond
@@ -87,5 +87,5 @@
 	require.ErrorContains(t, err, errLeaderChanged.Error())
 	require.Less(t, time.Since(startedAt), eventTimeout)
 	cancel()
-	require.NoError(t, <-ended)
+	require.NoError(t, <-result)
 }
--- a/internal/controlplane/controlserver/server_test.go
+++ b/internal/controlplane/controlserver/server_test.go
@@ -22,7 +22,7 @@
 type testCluster struct {
 	members []Member
 	clients []configpb.ControlClient
-	ended   []chan error // each receives the result of Run, in the order of members
+	results []chan error // each receives the result of Run, in the order of members
 }
 
 // startCluster starts control machines that validate documents with rejectBad.
@@ -36,19 +36,19 @@
 			Address: pair[0].Addr().String(), PeerAddress: pair[1].Addr().String()})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
+	var controlMachines sync.WaitGroup
 	t.Cleanup(func() {
 		cancel()
-		running.Wait()
+		controlMachines.Wait()
 	})
 	for i, m := range cluster.members {
 		options := Options{
 			Fleet: "test", Name: m.Name, Members: cluster.members, Folder: t.TempDir(), Create: true, VoterTimeout: time.Minute,
 			Listener: listeners[i][0], PeerListener: listeners[i][1], Validate: rejectBad, Logger: discardLogger(),
 		}
-		ended := make(chan error, 1)
-		cluster.ended = append(cluster.ended, ended)
-		running.Go(func() { ended <- Run(ctx, options) })
+		result := make(chan error, 1)
+		cluster.results = append(cluster.results, result)
+		controlMachines.Go(func() { result <- Run(ctx, options) })
 		conn, err := dial(m.Address)
 		require.NoError(t, err)
 		t.Cleanup(func() { conn.Close() })
@@ -167,18 +167,18 @@
 // TestPublishWithoutQuorumIsNotAppended publishes at a control machine whose peers belong to another fleet or are
 // unreachable.
 func TestPublishWithoutQuorumIsNotAppended(t *testing.T) {
-	otherFleet := startCluster(t, 1).members[0]
+	otherFleetMember := startCluster(t, 1).members[0]
 	listener := listen(t, "127.0.0.1:0")
 	peerListener := listen(t, "127.0.0.1:0")
 	members := []Member{
 		{Name: "x", ID: 1, Voter: true, Address: listener.Addr().String(), PeerAddress: peerListener.Addr().String()},
-		{Name: "y", ID: 2, Voter: true, Address: otherFleet.Address, PeerAddress: otherFleet.PeerAddress},
+		{Name: "y", ID: 2, Voter: true, Address: otherFleetMember.Address, PeerAddress: otherFleetMember.PeerAddress},
 		{Name: "z", ID: 3, Voter: true, Address: "127.0.0.1:1", PeerAddress: "127.0.0.1:1"},
 	}
 	ctx, cancel := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
-		ended <- Run(ctx, Options{Fleet: "another", Name: "x", Members: members, Folder: t.TempDir(), Create: true,
+		result <- Run(ctx, Options{Fleet: "another", Name: "x", Members: members, Folder: t.TempDir(), Create: true,
 			VoterTimeout: time.Minute, Listener: listener, PeerListener: peerListener, Validate: rejectBad, Logger: discardLogger()})
 	}()
 	conn, err := dial(listener.Addr().String())
@@ -190,7 +190,7 @@
 	require.Len(t, details, 1, "%v", err)
 	require.Equal(t, configpb.NotAppended, details[0].(*errdetails.ErrorInfo).GetReason())
 	cancel()
-	require.NoError(t, <-ended)
+	require.NoError(t, <-result)
 }
 
 func TestRunRequiresLogUnlessCreating(t *testing.T) {
--- a/internal/controlplane/controlserver/transport.go
+++ b/internal/controlplane/controlserver/transport.go
@@ -149,14 +149,14 @@
 	if err != nil {
 		return err
 	}
-	ended := make(chan error, 1)
+	streamErr := make(chan error, 1)
 	go func() { // detects the end of the stream even if there is nothing to send
-		ended <- stream.RecvMsg(&configpb.Received{})
+		streamErr <- stream.RecvMsg(&configpb.Received{})
 		cancel()
 	}()
 	t.sendQueued(ctx, p, stream)
 	cancel()
-	return <-ended
+	return <-streamErr
 }
 
 // sendQueued sends queued messages, and keepalives in between, until the stream or the context ends.
@@ -168,7 +168,7 @@
 		message, ok := p.outbox.pop()
 		if !ok {
 			select {
-			case <-p.outbox.ready:
+			case <-p.outbox.wakeup:
 				continue
 			case <-keepaliveTicker.C: // sends an envelope without a message
 			case <-ctx.Done():
--- a/internal/controlplane/distribution/checkers_test.go
+++ b/internal/controlplane/distribution/checkers_test.go
@@ -44,18 +44,18 @@
 	expected       []expectedRevision
 	disconnectedAt time.Duration // when it last ceased to be connectable
 	catchUpTo      uint64        // newest revision when it became connectable; 0: it has caught up
-	replayed       int           // revisions below catchUpTo that it has applied since
+	replayed       int           // number of revisions below catchUpTo that it has applied since it became connectable
 }
 
 // checkers observes a simulation and collects findings.
 type checkers struct {
-	sim              *simulation
-	brokers          []*brokerRecord
-	findings         []finding
-	propagationTimes []time.Duration // from publication until in force
-	recoveryTimes    []time.Duration // from when a broker became connectable again until in force
-	recoveries       int             // revisions applied by brokers that were catching up
-	maxInFlight      int             // maximum number of revisions buffered on a stream when a fault starts
+	sim               *simulation
+	brokers           []*brokerRecord
+	findings          []finding
+	propagationTimes  []time.Duration // from publication until in force
+	recoveryTimes     []time.Duration // from when a broker became connectable again until in force
+	appliedCatchingUp int             // number of revisions applied by brokers that were catching up
+	maxInFlight       int             // maximum number of revisions buffered on a stream when a fault starts
 }
 
 func newCheckers(s *simulation) *checkers {
@@ -96,7 +96,7 @@
 		c.addFinding("corrupt", "%s applied revision %d with a document other than the published one", b.name(), number)
 	}
 	if record.catchUpTo != 0 {
-		c.recoveries++
+		c.appliedCatchingUp++
 		if number < record.catchUpTo {
 			record.replayed++
 		}
@@ -126,15 +126,15 @@
 }
 
 func (c *checkers) recordLatency(b *simBroker, expected expectedRevision) {
-	took := c.sim.now - expected.since
+	latency := c.sim.now - expected.since
 	if expected.recovery {
-		c.recoveryTimes = append(c.recoveryTimes, took)
-		if took > propagationDeadline {
-			c.addFinding("recovery", "%s put revision %d in force %v after it could reach a hub again", b.name(), expected.number, took)
+		c.recoveryTimes = append(c.recoveryTimes, latency)
+		if latency > propagationDeadline {
+			c.addFinding("recovery", "%s put revision %d in force %v after it could reach a hub again", b.name(), expected.number, latency)
 		}
 		return
 	}
-	c.propagationTimes = append(c.propagationTimes, took)
+	c.propagationTimes = append(c.propagationTimes, latency)
 }
 
 func (c *checkers) revisionPublished(number uint64) {
@@ -210,7 +210,7 @@
 		if !b.up || !status.StalenessKnown || status.Newest >= uint64(len(s.log)) {
 			continue
 		}
-		missedAt := s.publishedAt[status.Newest] // when the first revision was published that the broker does not know
+		missedAt := s.publishedAt[status.Newest] // publication of the first revision that the broker does not know
 		if confirmedAt := s.now - status.Staleness; confirmedAt > missedAt+time.Millisecond {
 			c.addFinding("staleness", "%s knows revision %d and reports a staleness of %v, want at least %v",
 				b.name(), status.Newest, status.Staleness, s.now-missedAt)
--- a/internal/controlplane/distribution/faults_test.go
+++ b/internal/controlplane/distribution/faults_test.go
@@ -96,9 +96,9 @@
 	s.healAfter(duration, b.start)
 }
 
-func (s *simulation) stopBrokers(which func(*simBroker) bool, duration time.Duration) {
+func (s *simulation) stopBrokers(selected func(*simBroker) bool, duration time.Duration) {
 	for _, b := range s.fleet {
-		if which(b) {
+		if selected(b) {
 			s.stopBroker(b, true, duration)
 		}
 	}
--- a/internal/controlplane/distribution/follower.go
+++ b/internal/controlplane/distribution/follower.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// reportHistory is the number of latest reports whose send times are kept, to determine when the updates that acknowledge
-	// them can have been sent.
+	// reportHistory is the number of latest reports whose send times are kept. They give the earliest time at which an update
+	// that acknowledges one of these reports can have been sent.
 	reportHistory = 16
 	// pauseThreshold is how late a tick must be for the process to count as paused. After a pause, updates may be waiting to be
 	// read, so the stream's timeouts are extended by one heartbeat interval.
@@ -93,8 +93,8 @@
 	counts       UpdateCounts
 }
 
-// NewFollower returns a follower without a revision in force, which opens its first stream after a random delay. It returns
-// ErrNoControlMachines, ErrTooManyControlMachines or ErrInvalidName if the options are invalid.
+// NewFollower returns a follower without a revision in force, which opens its first stream after a random delay. If the
+// options are invalid, the error is ErrNoControlMachines or wraps ErrTooManyControlMachines or ErrInvalidName.
 func NewFollower(now time.Time, options FollowerOptions) (*Follower, error) {
 	if err := options.check(); err != nil {
 		return nil, err
@@ -121,9 +121,9 @@
 	case len(o.ControlMachines) == 0:
 		return ErrNoControlMachines
 	case len(o.ControlMachines) > MaxControlMachines:
-		return ErrTooManyControlMachines
+		return fmt.Errorf("%w: %d", ErrTooManyControlMachines, len(o.ControlMachines))
 	case o.Name == "", !isValidString(o.Name, maxNameLength), !isValidString(o.Zone, maxNameLength):
-		return ErrInvalidName
+		return fmt.Errorf("%w: name %q, zone %q", ErrInvalidName, o.Name, o.Zone)
 	}
 	return nil
 }
--- a/internal/controlplane/distribution/follower_test.go
+++ b/internal/controlplane/distribution/follower_test.go
@@ -11,9 +11,9 @@
 	"mothrouter/internal/controlplane/distribution"
 )
 
-// newFollower returns a follower of a number of control machines, its first stream, and the time when that was opened.
-func newFollower(t testing.TB, count int) (*distribution.Follower, distribution.StreamID, time.Time) {
-	controlMachines := make([]distribution.ControlMachine, count)
+// newFollower returns a follower of a number of control machines, its first stream, and the time when the stream was opened.
+func newFollower(t testing.TB, machineCount int) (*distribution.Follower, distribution.StreamID, time.Time) {
+	controlMachines := make([]distribution.ControlMachine, machineCount)
 	for i := range controlMachines {
 		controlMachines[i].Address = string(rune('a' + i))
 	}
@@ -130,7 +130,7 @@
 
 func TestFollowerTriesAnotherControlMachineAfterStreamTimeout(t *testing.T) {
 	f, stream, now := newFollower(t, 2)
-	first := f.Status(now).Control
+	firstAddress := f.Status(now).Control
 	f.UpdateReceived(now, stream, heartbeat(0, 0))
 	f.Tick(now.Add(distribution.StreamTimeout - 1))
 	require.Zero(t, f.Ready(now).Close)
@@ -140,18 +140,18 @@
 	require.LessOrEqual(t, f.NextTick().Sub(now), 2*time.Second)
 	now = f.NextTick()
 	f.Tick(now)
-	require.NotEqual(t, first, f.Ready(now).Open.Address)
+	require.NotEqual(t, firstAddress, f.Ready(now).Open.Address)
 }
 
 // Guards against treating an update that was delayed by a partition or a pause as a fresh one, which understated the staleness.
 // Seed 1 of the simulation found this.
 func TestStalenessIncludesDelayOfUpdate(t *testing.T) {
-	f, stream, opened := newFollower(t, 2)
-	_, known := f.Staleness(opened)
+	f, stream, openedAt := newFollower(t, 2)
+	_, known := f.Staleness(openedAt)
 	require.False(t, known, "no update has been received")
 	update := heartbeat(0, 100)
 	update.ReportMs = 50
-	now := opened.Add(4 * time.Second)
+	now := openedAt.Add(4 * time.Second)
 	f.UpdateReceived(now, stream, update)
 	staleness, known := f.Staleness(now.Add(time.Second))
 	require.True(t, known)
@@ -182,13 +182,13 @@
 	f.StreamEnded(now, stream)
 	now = f.NextTick()
 	stream = openStream(t, f, now)
-	opened := now
+	openedAt := now
 	for f.Status(now).Counts.Failovers == 0 {
 		f.UpdateReceived(now, stream, updateOf(4))
 		f.Tick(now)
 		require.Nil(t, f.Ready(now).Apply)
 		now = now.Add(distribution.HeartbeatInterval)
-		require.LessOrEqual(t, now.Sub(opened), distribution.ConfirmationTimeout+2*distribution.HeartbeatInterval)
+		require.LessOrEqual(t, now.Sub(openedAt), distribution.ConfirmationTimeout+2*distribution.HeartbeatInterval)
 	}
 	require.EqualValues(t, 5, f.Status(now).InForce)
 }
@@ -236,12 +236,12 @@
 }
 
 func TestNewFollowerChecksOptions(t *testing.T) {
-	one := []distribution.ControlMachine{{Address: "a"}}
-	tooMany := make([]distribution.ControlMachine, distribution.MaxControlMachines+1)
+	oneMachine := []distribution.ControlMachine{{Address: "a"}}
+	tooManyMachines := make([]distribution.ControlMachine, distribution.MaxControlMachines+1)
 	for want, options := range map[error]distribution.FollowerOptions{
 		distribution.ErrNoControlMachines:      {Name: "b"},
-		distribution.ErrTooManyControlMachines: {Name: "b", ControlMachines: tooMany},
-		distribution.ErrInvalidName:            {ControlMachines: one},
+		distribution.ErrTooManyControlMachines: {Name: "b", ControlMachines: tooManyMachines},
+		distribution.ErrInvalidName:            {ControlMachines: oneMachine},
 	} {
 		_, err := distribution.NewFollower(epoch, options)
 		require.ErrorIs(t, err, want)
--- a/internal/controlplane/distribution/fuzz_test.go
+++ b/internal/controlplane/distribution/fuzz_test.go
@@ -71,11 +71,11 @@
 
 // followerOracle is a simple model of how a Follower handles revisions. It keeps every acceptable revision in a list.
 type followerOracle struct {
-	accepted []*configpb.Revision
-	started  []uint64 // numbers of the revisions returned by startNext
-	applying bool
-	inForce  uint64
-	rejected uint64 // number of the last rejected revision
+	accepted       []*configpb.Revision
+	startedNumbers []uint64 // numbers of the revisions returned by startNext
+	applying       bool
+	inForce        uint64
+	rejected       uint64 // number of the last rejected revision
 }
 
 // receive handles an update on the current stream. sequence is that of the last report sent; hasStream is false if there is no
@@ -111,18 +111,18 @@
 		return 0
 	}
 	newest := o.accepted[len(o.accepted)-1].Number
-	for _, number := range o.started {
+	for _, number := range o.startedNumbers {
 		if number == newest {
 			return 0
 		}
 	}
-	o.started = append(o.started, newest)
+	o.startedNumbers = append(o.startedNumbers, newest)
 	o.applying = true
 	return newest
 }
 
-// FuzzFollowerReceive passes updates, ends of streams and the progress of time to a follower, and compares the revisions that
-// it returns and its reports with the oracle.
+// FuzzFollowerReceive passes updates, ends of streams and the progress of time to a follower, and compares the revisions
+// that the follower returns for applying, its reports and its status with the oracle.
 func FuzzFollowerReceive(f *testing.F) {
 	f.Add([]byte{0, 2, 1, 0, 0, 0, 5, 0, 2, 2, 0, 0, 0})
 	f.Add([]byte{0, 255, 0, 3, 3, 0, 1, 0, 1, 1, 9, 1, 3, 4, 5, 6})
@@ -216,13 +216,16 @@
 	require.Less(t, r.follower.NextTick().Sub(r.now), 11*time.Second)
 }
 
-// FuzzHubReport passes reports of a few brokers on a few sessions to a hub, and compares the propagation of revisions in the
-// hub's status with the brokers in the same status.
+// FuzzHubReport passes reports of a few brokers on a few sessions to a hub. After each event it counts, from the brokers'
+// reports in the hub's status, how many connected brokers have each tracked revision in force, and compares the result with
+// the counts in Status.InForce.
 func FuzzHubReport(f *testing.F) {
 	f.Add([]byte{0, 1, 0, 0, 1, 1, 1, 1, 0, 1, 1, 1, 2, 1, 2, 0})
 	f.Add([]byte{0, 0, 1, 0, 1, 1, 1, 1, 1, 1, 1, 2, 1, 2, 2, 0, 3, 0, 4, 9})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		in, h, now := &fuzzInput{data}, distribution.NewHub(), epoch
+		in := &fuzzInput{data}
+		h := distribution.NewHub()
+		now := epoch
 		newest := uint64(0)
 		var sessions []distribution.SessionID
 		for events := 0; len(in.data) > 0 && events < maxFuzzEvents; events++ {
--- a/internal/controlplane/distribution/hub.go
+++ b/internal/controlplane/distribution/hub.go
@@ -23,7 +23,7 @@
 	TrackedRevisions = 64
 )
 
-// Errors of SetNewest, wrapped with the numbers of the revisions.
+// Errors of SetNewest, wrapped with the numbers or checksums of the two revisions.
 var (
 	ErrStaleRevision    = errors.New("the revision is older than the newest one")
 	ErrRevisionConflict = errors.New("the revision has the same number as the newest one but a different checksum")
@@ -71,7 +71,8 @@
 	}
 	if number == newest {
 		if revision.GetChecksum() != h.newest.GetChecksum() {
-			return fmt.Errorf("revision %d: %w", number, ErrRevisionConflict)
+			return fmt.Errorf("revision %d with checksum %x, newest revision with checksum %x: %w", number, revision.GetChecksum(),
+				h.newest.GetChecksum(), ErrRevisionConflict)
 		}
 		return nil
 	}
--- a/internal/controlplane/distribution/hub_status.go
+++ b/internal/controlplane/distribution/hub_status.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// evictLongestDisconnected removes the broker that has been disconnected for the longest time, or the first by name of
-// several. It returns false if no broker is disconnected.
+// evictLongestDisconnected removes the broker that has been disconnected for the longest time. If several have been
+// disconnected equally long, it removes the first by name. It returns false if no broker is disconnected.
 func (h *Hub) evictLongestDisconnected() bool {
 	oldest := ""
 	for name, b := range h.brokers {
--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -64,17 +64,17 @@
 	h := distribution.NewHub()
 	require.NoError(t, h.SetNewest(epoch, revisionOf(1)))
 	id := openSession(t, h, epoch, "b", 0)
-	var sent []time.Duration
+	var sentAt []time.Duration
 	for at, sequence := time.Duration(0), uint64(2); at < time.Minute; at += 100 * time.Millisecond {
 		if at%distribution.ReportInterval == 0 {
 			require.NoError(t, h.ReportReceived(epoch.Add(at), id, reportOf("b", sequence, 0)))
 			sequence++
 		}
 		if update, _, err := h.NextUpdate(epoch.Add(at), id); err == nil && update.GetRevision() != nil {
-			sent = append(sent, at)
+			sentAt = append(sentAt, at)
 		}
 	}
-	require.Equal(t, []time.Duration{0, 3 * time.Second, 9 * time.Second, 21 * time.Second, 45 * time.Second}, sent)
+	require.Equal(t, []time.Duration{0, 3 * time.Second, 9 * time.Second, 21 * time.Second, 45 * time.Second}, sentAt)
 	require.Equal(t, []string{"b"}, h.Lagging(epoch.Add(time.Minute)))
 	rejecting := reportOf("b", 100, 0)
 	rejecting.Refusal = &configpb.Refusal{Number: 1, Key: "settings.port"}
@@ -127,19 +127,19 @@
 
 func TestHubSupersedesSessionOfRestartedBroker(t *testing.T) {
 	h := distribution.NewHub()
-	old := openSession(t, h, epoch, "b", 3)
-	restarted, err := h.OpenSession(epoch)
+	oldSession := openSession(t, h, epoch, "b", 3)
+	restartedSession, err := h.OpenSession(epoch)
 	require.NoError(t, err)
 	report := reportOf("b", 1, 0)
 	report.StartedUnixMs = 2000
-	require.NoError(t, h.ReportReceived(epoch, restarted, report))
-	require.ErrorIs(t, h.CheckSession(epoch, old), distribution.ErrSuperseded)
-	h.CloseSession(epoch, old)
+	require.NoError(t, h.ReportReceived(epoch, restartedSession, report))
+	require.ErrorIs(t, h.CheckSession(epoch, oldSession), distribution.ErrSuperseded)
+	h.CloseSession(epoch, oldSession)
 	require.True(t, h.Status(epoch).Brokers[0].GetConnected())
 
-	earlierInstance, err := h.OpenSession(epoch)
+	earlierSession, err := h.OpenSession(epoch)
 	require.NoError(t, err)
-	require.ErrorIs(t, h.ReportReceived(epoch, earlierInstance, reportOf("b", 1, 3)), distribution.ErrSuperseded)
+	require.ErrorIs(t, h.ReportReceived(epoch, earlierSession, reportOf("b", 1, 3)), distribution.ErrSuperseded)
 	require.EqualValues(t, 2000, h.Status(epoch).Brokers[0].GetReport().GetStartedUnixMs())
 }
 
@@ -215,11 +215,11 @@
 	require.NoError(t, h.SetNewest(epoch, revisionOf(2)))
 	require.NoError(t, h.SetNewest(epoch, revisionOf(2)))
 	require.ErrorIs(t, h.SetNewest(epoch, revisionOf(1)), distribution.ErrStaleRevision)
-	other := revisionOf(2)
-	other.Document = []byte("{}")
-	require.ErrorIs(t, h.SetNewest(epoch, other), distribution.ErrChecksumMismatch)
-	other.Checksum = configpb.Checksum(other.Document)
-	require.ErrorIs(t, h.SetNewest(epoch, other), distribution.ErrRevisionConflict)
+	conflicting := revisionOf(2)
+	conflicting.Document = []byte("{}")
+	require.ErrorIs(t, h.SetNewest(epoch, conflicting), distribution.ErrChecksumMismatch)
+	conflicting.Checksum = configpb.Checksum(conflicting.Document)
+	require.ErrorIs(t, h.SetNewest(epoch, conflicting), distribution.ErrRevisionConflict)
 	require.ErrorIs(t, h.SetNewest(epoch, nil), distribution.ErrNoRevisionNumber)
 	require.ErrorIs(t, h.SetNewest(epoch, &configpb.Revision{Number: 3}), distribution.ErrEmptyDocument)
 	large := &configpb.Revision{Number: 3, Document: make([]byte, distribution.MaxDocument+1)}
--- a/internal/controlplane/distribution/machines.go
+++ b/internal/controlplane/distribution/machines.go
@@ -21,7 +21,7 @@
 // candidate is a control machine that the follower may connect to.
 type candidate struct {
 	ControlMachine
-	confirmedAt time.Time // when a quorum last confirmed its newest revision, by its latest update; zero: never
+	confirmedAt time.Time // when a quorum last confirmed its newest revision, according to its latest update; zero: never
 	tried       bool      // it has been tried in this round
 	reached     bool      // it has sent an update in this round
 }
--- a/internal/controlplane/distribution/network_test.go
+++ b/internal/controlplane/distribution/network_test.go
@@ -102,7 +102,7 @@
 		s := runSimulation(t, simOptions{seed: seed, brokers: *simBrokers}, runPartition)
 		s.checks.checkConnectStorms()
 		requireNoFindings(t, s)
-		require.NotZero(t, s.checks.recoveries)
+		require.NotZero(t, s.checks.appliedCatchingUp)
 		t.Logf("%d revisions, %d events, in force after %v at p99; after the partition %v at p99, %v at most", len(s.log),
 			s.events, percentile(s.checks.propagationTimes, 0.99), percentile(s.checks.recoveryTimes, 0.99),
 			percentile(s.checks.recoveryTimes, 1))
--- a/internal/controlplane/distribution/revisions.go
+++ b/internal/controlplane/distribution/revisions.go
@@ -59,8 +59,8 @@
 	r.rejection = configpb.NewRejection(number, key, reason)
 }
 
-// finishApplying clears the revision that is being applied. It panics if that is not the given one, or not above the one in
-// force.
+// finishApplying clears the revision that is being applied. It panics if number is not that of this revision, or is
+// not above the number of the revision in force.
 func (r *revisionState) finishApplying(number uint64) {
 	if number == 0 || number != r.applying {
 		panic(fmt.Sprintf("distribution: revision %d finished, but %d is being applied", number, r.applying))
--- a/internal/controlplane/distribution/simulation_stream_test.go
+++ b/internal/controlplane/distribution/simulation_stream_test.go
@@ -23,16 +23,16 @@
 	stalled          bool          // injected by stallStreams: the hub keeps the stream open but sends nothing
 	unreachableSince time.Duration // 0: the broker is reachable
 
-	down          pipe             // from the hub to the broker
-	up            pipe             // from the broker to the hub
+	downstream    pipe             // from the hub to the broker
+	upstream      pipe             // from the broker to the hub
 	nextSendAt    time.Duration    // time of the scheduled call of sendNext; 0: none
 	pendingReport *configpb.Report // the latest report, if it has not been sent yet; nil: none
 }
 
 // pipe is one direction of a stream. It delivers in order, and waits while the direction is blocked or the receiver is paused.
 type pipe struct {
-	queue   []func() // each delivers one message
-	running bool     // the next delivery is scheduled
+	queue     []func() // each delivers one message
+	scheduled bool     // the next delivery is scheduled
 }
 
 func newStream(b *simBroker, target distribution.StreamTarget) *simStream {
@@ -70,8 +70,8 @@
 // send queues a message on a pipe.
 func (st *simStream) send(p *pipe, dir direction, deliver func()) {
 	p.queue = append(p.queue, deliver)
-	if !p.running {
-		p.running = true
+	if !p.scheduled {
+		p.scheduled = true
 		st.deliverNext(p, dir, st.sim.latency(st.broker.zone, st.hub.zone))
 	}
 }
@@ -82,7 +82,7 @@
 		closed := dir == toBroker && st.brokerClosed || dir == toHub && st.hubClosed
 		switch {
 		case closed:
-			p.queue, p.running = nil, false
+			p.queue, p.scheduled = nil, false
 			return
 		case !st.sim.reachable(st.broker, st.hub, dir), dir == toBroker && st.broker.paused:
 			st.deliverNext(p, dir, retransmitDelay)
@@ -92,7 +92,7 @@
 		p.queue = p.queue[1:]
 		deliver()
 		if len(p.queue) == 0 {
-			p.running = false
+			p.scheduled = false
 			return
 		}
 		st.deliverNext(p, dir, 50*time.Microsecond)
@@ -109,7 +109,7 @@
 		st.close()
 		return
 	}
-	if st.stalled || len(st.down.queue) >= streamWindow {
+	if st.stalled || len(st.downstream.queue) >= streamWindow {
 		st.scheduleSend(s.now + retransmitDelay)
 		return
 	}
@@ -169,7 +169,7 @@
 
 func (st *simStream) deliverUpdate(update *configpb.Update) {
 	b := st.broker
-	st.send(&st.down, toBroker, func() {
+	st.send(&st.downstream, toBroker, func() {
 		b.runUnlessPaused(func() {
 			b.follower.UpdateReceived(st.sim.time(), st.id, update)
 			b.step()
@@ -233,7 +233,7 @@
 	if st.sim.injected == faultMissingReports && st.broker.index%10 == 0 {
 		report.InForce, report.Refusal = 0, nil
 	}
-	st.send(&st.up, toHub, func() { st.deliverReport(report) })
+	st.send(&st.upstream, toHub, func() { st.deliverReport(report) })
 }
 
 func (st *simStream) deliverReport(report *configpb.Report) {
@@ -272,7 +272,7 @@
 // notifyBroker sends the broker a message that ends the stream.
 func (st *simStream) notifyBroker() {
 	b := st.broker
-	st.send(&st.down, toBroker, func() {
+	st.send(&st.downstream, toBroker, func() {
 		b.runUnlessPaused(func() {
 			b.follower.StreamEnded(st.sim.time(), st.id)
 			b.step()
@@ -284,7 +284,7 @@
 func (st *simStream) closeBrokerEnd(notify bool) {
 	st.brokerClosed = true
 	if notify && st.session != 0 {
-		st.send(&st.up, toHub, func() {
+		st.send(&st.upstream, toHub, func() {
 			if st.hub.up && !st.hubClosed {
 				st.close()
 			}
--- a/internal/controlplane/distribution/simulation_test.go
+++ b/internal/controlplane/distribution/simulation_test.go
@@ -277,8 +277,8 @@
 	}
 }
 
-// replay implements faultReplay: a hub that has missed ten revisions or more sets each of them in turn. It reports whether the
-// hub does so.
+// replay implements faultReplay: a hub that has missed ten revisions or more sets each of them in turn. It reports whether it
+// has scheduled these calls of SetNewest.
 func (h *simHub) replay() bool {
 	oldNewest, newest := h.newest, uint64(len(h.sim.log))
 	if oldNewest == 0 || newest < oldNewest+10 {
--- a/internal/controlplane/operatorclient/operatorclient.go
+++ b/internal/controlplane/operatorclient/operatorclient.go
@@ -21,7 +21,8 @@
 	// including their rejections.
 	MaxStatusBytes = 8 << 20
 
-	// connectTimeout is the maximum duration of a connection attempt: several times three round trips between regions.
+	// connectTimeout is the maximum duration of a connection attempt: several times the three round trips between
+	// regions that it needs.
 	connectTimeout = time.Second
 	// callTimeout is how long one control machine may take to respond to Publish or Get before the next one is tried.
 	callTimeout = 5 * time.Second
--- a/internal/controlplane/operatorclient/operatorclient_test.go
+++ b/internal/controlplane/operatorclient/operatorclient_test.go
@@ -88,13 +88,13 @@
 
 func TestPublishDistinguishesUnavailableFromUnknown(t *testing.T) {
 	const shortTimeout = 500 * time.Millisecond
-	_, notAppending := startControlMachine(t, notAppended)
-	_, err := publish(t, shortTimeout, notAppending, "127.0.0.1:1")
+	_, notAppendingAddress := startControlMachine(t, notAppended)
+	_, err := publish(t, shortTimeout, notAppendingAddress, "127.0.0.1:1")
 	var unavailable *operatorclient.UnavailableError
 	require.ErrorAs(t, err, &unavailable)
 
-	_, unknownOnce := startControlMachine(t, outcomeUnknown, notAppended)
-	_, err = publish(t, shortTimeout, unknownOnce)
+	_, unknownOnceAddress := startControlMachine(t, outcomeUnknown, notAppended)
+	_, err = publish(t, shortTimeout, unknownOnceAddress)
 	var unknownOutcome *operatorclient.OutcomeUnknownError
 	require.ErrorAs(t, err, &unknownOutcome, "a later attempt that is not appended does not resolve an unknown outcome")
 
--- a/internal/controlplane/raftlog/corruption_test.go
+++ b/internal/controlplane/raftlog/corruption_test.go
@@ -57,14 +57,14 @@
 func TestOpenDetectsChangedBytes(t *testing.T) {
 	t.Parallel()
 	content, want := filledLog(t)
-	used := bytes.LastIndexFunc(content, func(r rune) bool { return r != 0 })
+	lastUsed := bytes.LastIndexFunc(content, func(r rune) bool { return r != 0 })
 	random := rand.New(rand.NewPCG(1, 2))
 	rejected := 0
 	trials := *corruptionTrials
 	for range trials {
 		corrupt := bytes.Clone(content)
 		for range 1 + random.IntN(3) {
-			corrupt[random.IntN(used+1)] ^= byte(1 + random.IntN(255))
+			corrupt[random.IntN(lastUsed+1)] ^= byte(1 + random.IntN(255))
 		}
 		log, err := openContent(t, corrupt)
 		if err != nil {
@@ -125,7 +125,7 @@
 	require.NoError(t, log.Close())
 	_, err := Open(path, testOptions)
 	require.ErrorIs(t, err, ErrCorrupt)
-	require.ErrorContains(t, err, "last entry is 8, want 9")
+	require.ErrorContains(t, err, "last entry is 8 of term 2, want 9 of term 2")
 }
 
 func TestOpenRejectsTruncatedFile(t *testing.T) {
--- a/internal/controlplane/raftlog/load.go
+++ b/internal/controlplane/raftlog/load.go
@@ -58,7 +58,8 @@
 		return logState{}, err
 	}
 	if loaded.last() != stored.last {
-		return logState{}, fmt.Errorf("%w: last entry is %d, want %d", ErrCorrupt, loaded.last().index, stored.last.index)
+		return logState{}, fmt.Errorf("%w: last entry is %d of term %d, want %d of term %d", ErrCorrupt, loaded.last().index,
+			loaded.last().term, stored.last.index, stored.last.term)
 	}
 	return loaded, loaded.checkInvariants()
 }
--- a/internal/controlplane/raftlog/raftlog.go
+++ b/internal/controlplane/raftlog/raftlog.go
@@ -90,8 +90,8 @@
 // Create creates and opens a log that starts with a snapshot, which must be the same for all members. A member that lost
 // its disk must not rejoin under its old id with a new log, since it would have forgotten its votes and entries. The
 // error wraps ErrExists if the file exists, ErrInvalidWrite if the snapshot is empty, or ErrNoSpace.
-func Create(path string, options Options, start *raftpb.Snapshot) (*Log, error) {
-	if raft.IsEmptySnap(start) {
+func Create(path string, options Options, bootstrap *raftpb.Snapshot) (*Log, error) {
+	if raft.IsEmptySnap(bootstrap) {
 		return nil, fmt.Errorf("%w: empty snapshot, a new log has to start with a snapshot", ErrInvalidWrite)
 	}
 	if _, err := os.Lstat(path); err == nil {
@@ -99,7 +99,7 @@
 	} else if !errors.Is(err, fs.ErrNotExist) {
 		return nil, err
 	}
-	if err := createFile(path, options, start); err != nil {
+	if err := createFile(path, options, bootstrap); err != nil {
 		return nil, err
 	}
 	return Open(path, options)
@@ -107,7 +107,7 @@
 
 // createFile writes the file under a temporary name and then renames it, so that a partial file never has its final
 // name.
-func createFile(path string, options Options, start *raftpb.Snapshot) error {
+func createFile(path string, options Options, bootstrap *raftpb.Snapshot) error {
 	temporary := path + ".new"
 	if err := os.Remove(temporary); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
@@ -117,7 +117,7 @@
 		return diskError(err)
 	}
 	log := &Log{db: db}
-	err = log.initialize(options.Identity, start)
+	err = log.initialize(options.Identity, bootstrap)
 	if err := errors.Join(err, db.Close()); err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 }
 
 // initialize creates the buckets of a new log and writes its identity, snapshot and state records.
-func (l *Log) initialize(identity Identity, start *raftpb.Snapshot) error {
+func (l *Log) initialize(identity Identity, bootstrap *raftpb.Snapshot) error {
 	return l.update(func(tx *bolt.Tx) error {
 		for _, name := range [][]byte{identityBucket, stateBucket, snapshotBucket, entriesBucket} {
 			if _, err := tx.CreateBucket(name); err != nil {
@@ -138,11 +138,11 @@
 		if err := putRecord(tx, identityBucket, singleKey, encodeIdentity(identity)); err != nil {
 			return err
 		}
-		next := logState{}.withSnapshot(start)
+		next := logState{}.withSnapshot(bootstrap)
 		next.hardState = &raftpb.HardState{
-			Term: new(start.GetMetadata().GetTerm()), Vote: new(uint64(0)), Commit: new(start.GetMetadata().GetIndex()),
+			Term: new(bootstrap.GetMetadata().GetTerm()), Vote: new(uint64(0)), Commit: new(bootstrap.GetMetadata().GetIndex()),
 		}
-		if err := putSnapshot(tx, start); err != nil {
+		if err := putSnapshot(tx, bootstrap); err != nil {
 			return err
 		}
 		return putRecord(tx, stateBucket, singleKey, next.state().encode())
@@ -280,8 +280,8 @@
 	if errors.Is(err, berrors.ErrMaxSizeReached) {
 		return fmt.Errorf("%w: %w", ErrNoSpace, err)
 	}
-	for _, full := range []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG} {
-		if errors.Is(err, full) || strings.Contains(err.Error(), full.Error()) {
+	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG} {
+		if errors.Is(err, errno) || strings.Contains(err.Error(), errno.Error()) {
 			return fmt.Errorf("%w: %w", ErrNoSpace, err)
 		}
 	}
@@ -296,7 +296,7 @@
 	}
 }
 
-// panicOnFault turns an access fault in the memory-mapped file into a panic, which would otherwise end the process, until
+// panicOnFault turns an access fault in the memory-mapped file, which would otherwise end the process, into a panic until
 // restore is called.
 func panicOnFault() (restore func()) {
 	previous := debug.SetPanicOnFault(true)
--- a/internal/controlplane/raftlog/save.go
+++ b/internal/controlplane/raftlog/save.go
@@ -52,8 +52,8 @@
 	term, err := l.Term(index)
 	switch {
 	case err != nil || term != snapshot.GetMetadata().GetTerm():
-		return fmt.Errorf("%w: snapshot at index %d and term %d, which the log does not have", ErrInvalidWrite, index,
-			snapshot.GetMetadata().GetTerm())
+		return fmt.Errorf("%w: snapshot at index %d has term %d, the log has term %d there (0: not in the log)", ErrInvalidWrite, index,
+			snapshot.GetMetadata().GetTerm(), term)
 	case index <= before.snapshot.GetMetadata().GetIndex() || index > before.hardState.GetCommit():
 		return fmt.Errorf("%w: snapshot at index %d, the stored one is at index %d, commit index is %d", ErrInvalidWrite, index,
 			before.snapshot.GetMetadata().GetIndex(), before.hardState.GetCommit())
@@ -106,7 +106,8 @@
 	}
 	for index := max(before.compacted.index, s.compacted.index) + 1; index <= old.GetCommit(); index++ {
 		if index > s.last().index || before.termAt(index) != s.termAt(index) {
-			return fmt.Errorf("%w: committed entry %d would be lost", ErrInvalidWrite, index)
+			return fmt.Errorf("%w: committed entry %d would be lost or replaced, commit index is %d, new last index is %d", ErrInvalidWrite,
+				index, old.GetCommit(), s.last().index)
 		}
 	}
 	if err := s.checkInvariants(); err != nil {
--- a/internal/controlplane/revision/snapshot.go
+++ b/internal/controlplane/revision/snapshot.go
@@ -111,7 +111,7 @@
 	case uint64(len(body)) > length:
 		return nil, fmt.Errorf("%w: %d bytes after the end of the state", ErrCorrupt, uint64(len(body))-length)
 	case xxhash.Sum64(body) != checksum:
-		return nil, fmt.Errorf("%w: checksum mismatch in a state of %d bytes", ErrCorrupt, len(body))
+		return nil, fmt.Errorf("%w: the state has checksum %x, want %x", ErrCorrupt, xxhash.Sum64(body), checksum)
 	}
 	return body, nil
 }
@@ -134,7 +134,8 @@
 		m.append(revision)
 	}
 	if len(m.history) != len(history) {
-		return fmt.Errorf("%w: the history of %d revisions exceeds its limits", ErrCorrupt, len(history))
+		return fmt.Errorf("%w: the history has %d revisions, of which only %d are within the limits of %d revisions and %d bytes",
+			ErrCorrupt, len(history), len(m.history), MaxHistory, MaxHistoryBytes)
 	}
 	return nil
 }
@@ -147,7 +148,8 @@
 		return fmt.Errorf("%w: revision %d follows revision %d", ErrCorrupt, number, m.newest)
 	}
 	if len(document) == 0 || len(document) > MaxDocumentBytes || configpb.Checksum(document) != revision.GetChecksum() {
-		return fmt.Errorf("%w: revision %d has a document of invalid size (%d bytes) or checksum", ErrCorrupt, number, len(document))
+		return fmt.Errorf("%w: revision %d has a document of %d bytes with checksum %x, want 1 to %d bytes with checksum %x", ErrCorrupt,
+			number, len(document), configpb.Checksum(document), MaxDocumentBytes, revision.GetChecksum())
 	}
 	return nil
 }
@@ -160,8 +162,9 @@
 		_, duplicate := m.requestByID[request.GetRequest()]
 		inOrder := request.GetNumber() > last && request.GetNumber() <= m.newest
 		if duplicate || !inOrder || request.GetRequest() == 0 {
-			return fmt.Errorf("%w: the request of revision %d has no id, is a duplicate or is out of order", ErrCorrupt,
-				request.GetNumber())
+			return fmt.Errorf("%w: request %x of revision %d follows a request of revision %d, want a unique id other than 0 and "+
+				"a revision after that one, at most the newest revision %d", ErrCorrupt, request.GetRequest(), request.GetNumber(),
+				last, m.newest)
 		}
 		last = request.GetNumber()
 		m.recordRequest(appliedRequest{
