--- a/internal/controlplane/consensus/simulation_test.go
+++ b/internal/controlplane/consensus/simulation_test.go
@@ -55,7 +55,7 @@
 
 // TestSimulationOnRaftlogFiles runs a simulation with the storage used in production.
 func TestSimulationOnRaftlogFiles(t *testing.T) {
-	var opened []*fileDisk
+	var disks []*fileDisk
 	s := simulate(*firstSeed, noFault, func(id uint64) disk {
 		d := &fileDisk{
 			path:    filepath.Join(t.TempDir(), fmt.Sprint(id)),
@@ -64,12 +64,12 @@
 		var err error
 		d.Log, err = raftlog.Create(d.path, d.options, BootstrapSnapshot(testVoters, testLearners))
 		require.NoError(t, err)
-		opened = append(opened, d)
+		disks = append(disks, d)
 		return d
 	})
 	require.Empty(t, s.checker.violations)
 	require.Greater(t, s.stats.acknowledged, 5)
-	for _, d := range opened {
+	for _, d := range disks {
 		require.NoError(t, d.Reopen(), "the file can be reopened after the run")
 		require.NoError(t, d.Close())
 	}
--- a/internal/controlplane/controlserver/machine.go
+++ b/internal/controlplane/controlserver/machine.go
@@ -115,7 +115,7 @@
 
 	err := m.waitUntilStopped(ctx, failures)
 	stopReplica()
-	<-m.replica.ended
+	<-m.replica.runDone
 	brokerServer.Stop()
 	peerServer.Stop()
 	if err != nil {
--- a/internal/controlplane/controlserver/publish.go
+++ b/internal/controlplane/controlserver/publish.go
@@ -125,7 +125,7 @@
 		return outcome, nil
 	case <-ctx.Done():
 		return consensus.ProposalOutcome{}, outcomeUnknownError(ctx.Err())
-	case <-p.replica.ended:
+	case <-p.replica.runDone:
 		return consensus.ProposalOutcome{}, outcomeUnknownError(errStopping)
 	}
 }
--- a/internal/controlplane/controlserver/replica.go
+++ b/internal/controlplane/controlserver/replica.go
@@ -52,9 +52,9 @@
 	logger       *slog.Logger
 	tickInterval time.Duration // of node.Tick
 
-	inbox chan *raftpb.Message
-	calls chan func()
-	ended chan struct{} // closed once run has returned
+	inbox   chan *raftpb.Message
+	calls   chan func()
+	runDone chan struct{} // closed once run has returned
 
 	publications   publications
 	reads          map[uint64]chan<- consensus.ReadOutcome // by id, at most consensus.MaxReads
@@ -69,7 +69,7 @@
 		node: node, storage: storage, hub: hub, logger: log, tickInterval: consensus.DefaultTickInterval,
 		inbox:        make(chan *raftpb.Message, maxInbox),
 		calls:        make(chan func(), maxCalls),
-		ended:        make(chan struct{}),
+		runDone:      make(chan struct{}),
 		publications: publications{},
 		reads:        map[uint64]chan<- consensus.ReadOutcome{},
 	}
@@ -78,7 +78,7 @@
 // run drives the node until the context ends, the storage fails or the node stops. Its error is that of the storage or
 // consensus.Node.Err.
 func (r *replica) run(ctx context.Context) error {
-	defer close(r.ended)
+	defer close(r.runDone)
 	ticks := time.NewTicker(r.tickInterval)
 	defer ticks.Stop()
 	r.updateHub()
@@ -204,7 +204,7 @@
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-r.ended:
+	case <-r.runDone:
 		return errStopping
 	}
 }
@@ -217,7 +217,7 @@
 	case r.calls <- func() { call(); close(done) }:
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-r.ended:
+	case <-r.runDone:
 		return errStopping
 	}
 	select {
@@ -225,7 +225,7 @@
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-r.ended:
+	case <-r.runDone:
 		return errStopping
 	}
 }
@@ -263,7 +263,7 @@
 		return outcome.Err
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-r.ended:
+	case <-r.runDone:
 		return errStopping
 	}
 }
--- a/internal/controlplane/controlserver/replica_test.go
+++ b/internal/controlplane/controlserver/replica_test.go
@@ -22,12 +22,12 @@
 // failingStorage is a raft log whose Save fails once a channel is closed.
 type failingStorage struct {
 	*raftlog.Log
-	failed chan struct{} // closed: Save fails
+	fail chan struct{} // closed: Save fails
 }
 
 func (f *failingStorage) Save(state *raftpb.HardState, entries []*raftpb.Entry, snapshot *raftpb.Snapshot) error {
 	select {
-	case <-f.failed:
+	case <-f.fail:
 		return errDisk
 	default:
 		return f.Log.Save(state, entries, snapshot)
@@ -54,7 +54,7 @@
 		return err
 	}
 	require.Eventually(t, func() bool { return publish(1) == nil }, eventTimeout, 20*time.Millisecond)
-	close(disk.failed)
+	close(disk.fail)
 	require.Error(t, publish(2))
 	require.ErrorIs(t, <-result, errDisk)
 	require.Equal(t, uint64(1), node.Machine().Number())
--- a/internal/controlplane/raftlog/memory.go
+++ b/internal/controlplane/raftlog/memory.go
@@ -115,8 +115,8 @@
 	last, commit := s.last(), s.hardState.GetCommit()
 	switch {
 	case s.compacted.index > snapshot || last.index < snapshot:
-		return fmt.Errorf("%w: snapshot at index %d, but entries %d to %d", ErrCorrupt, snapshot, s.compacted.index+1,
-			last.index)
+		return fmt.Errorf("%w: snapshot at index %d, want from compacted index %d to last index %d", ErrCorrupt, snapshot,
+			s.compacted.index, last.index)
 	case commit < snapshot || commit > last.index:
 		return fmt.Errorf("%w: commit index %d, want from snapshot index %d to last index %d", ErrCorrupt, commit, snapshot,
 			last.index)
--- a/internal/controlplane/raftlog/raftlog_test.go
+++ b/internal/controlplane/raftlog/raftlog_test.go
@@ -59,11 +59,11 @@
 func reopen(t testing.TB, log *Log, path string) *Log {
 	t.Helper()
 	require.NoError(t, log.Close())
-	opened, err := Open(path, testOptions)
+	reopened, err := Open(path, testOptions)
 	require.NoError(t, err)
-	t.Cleanup(func() { _ = opened.Close() })
-	requireEqualStates(t, log.memory, opened.memory)
-	return opened
+	t.Cleanup(func() { _ = reopened.Close() })
+	requireEqualStates(t, log.memory, reopened.memory)
+	return reopened
 }
 
 // requireEqualStates requires that two states are equal.
--- a/internal/controlplane/raftlog/record.go
+++ b/internal/controlplane/raftlog/record.go
@@ -88,7 +88,8 @@
 	}
 	payload := record[:len(record)-checksumBytes]
 	if binary.BigEndian.Uint64(record[len(payload):]) != checksum(bucket, key, payload) {
-		return nil, fmt.Errorf("%w: checksum mismatch in record %s/%x", ErrCorrupt, bucket, key)
+		return nil, fmt.Errorf("%w: record %s/%x has checksum %x, want %x", ErrCorrupt, bucket, key, checksum(bucket, key, payload),
+			binary.BigEndian.Uint64(record[len(payload):]))
 	}
 	return payload, nil
 }
--- a/internal/controlplane/raftlog/save.go
+++ b/internal/controlplane/raftlog/save.go
@@ -20,7 +20,7 @@
 	next := before
 	if !raft.IsEmptySnap(snapshot) {
 		if snapshot.GetMetadata().GetIndex() <= before.snapshot.GetMetadata().GetIndex() {
-			return fmt.Errorf("%w: snapshot at index %d, the stored one is at index %d", ErrInvalidWrite,
+			return fmt.Errorf("%w: snapshot at index %d, want above the stored snapshot's index %d", ErrInvalidWrite,
 				snapshot.GetMetadata().GetIndex(), before.snapshot.GetMetadata().GetIndex())
 		}
 		next = next.withSnapshot(snapshot)
@@ -55,7 +55,7 @@
 		return fmt.Errorf("%w: snapshot at index %d has term %d, the log has term %d there (0: not in the log)", ErrInvalidWrite, index,
 			snapshot.GetMetadata().GetTerm(), term)
 	case index <= before.snapshot.GetMetadata().GetIndex() || index > before.hardState.GetCommit():
-		return fmt.Errorf("%w: snapshot at index %d, the stored one is at index %d, commit index is %d", ErrInvalidWrite, index,
+		return fmt.Errorf("%w: snapshot at index %d, want above the stored snapshot's index %d, at most commit index %d", ErrInvalidWrite, index,
 			before.snapshot.GetMetadata().GetIndex(), before.hardState.GetCommit())
 	case first <= before.compacted.index || first > index+1:
 		return fmt.Errorf("%w: first entry to keep is %d, want %d to %d", ErrInvalidWrite, first, before.compacted.index+1, index+1)
@@ -77,8 +77,7 @@
 func (s logState) checkAppend(entries []*raftpb.Entry) error {
 	first := entries[0].GetIndex()
 	if first <= s.compacted.index || first > s.last().index+1 {
-		return fmt.Errorf("%w: entries from %d, the log has entries %d to %d", ErrInvalidWrite, first, s.compacted.index+1,
-			s.last().index)
+		return fmt.Errorf("%w: first new entry is %d, want %d to %d", ErrInvalidWrite, first, s.compacted.index+1, s.last().index+1)
 	}
 	previous := s.compacted
 	if kept := first - s.compacted.index - 1; kept > 0 {
--- a/internal/controlplane/raftlog/verify.go
+++ b/internal/controlplane/raftlog/verify.go
@@ -129,7 +129,7 @@
 // markUsed marks a page as used. The error wraps ErrCorrupt if the page is used already or does not exist.
 func (v *pageVerifier) markUsed(id uint64) error {
 	if id >= v.meta.pages || v.used[id] {
-		return corruptError("page %d is used twice or does not exist, file has %d pages", id, v.meta.pages)
+		return corruptError("page %d is used twice or is not one of the file's %d pages", id, v.meta.pages)
 	}
 	v.used[id] = true
 	return nil
--- a/internal/controlplane/raftlog/verify_meta.go
+++ b/internal/controlplane/raftlog/verify_meta.go
@@ -44,14 +44,16 @@
 	fields := data[pageHeaderBytes:]
 	if binary.LittleEndian.Uint32(fields) != metaMagic {
 		if offset > 0 {
-			return metaPage{}, corruptError("meta page at offset %d has a wrong magic number", offset)
+			return metaPage{}, corruptError("meta page at offset %d has magic number %#x, want %#x", offset,
+				binary.LittleEndian.Uint32(fields), uint32(metaMagic))
 		}
 		return metaPage{}, fmt.Errorf("%w: not a bbolt file", ErrForeign)
 	}
 	digest := fnv.New64a()
 	_, _ = digest.Write(fields[:metaBytes])
 	if binary.LittleEndian.Uint64(fields[metaBytes:]) != digest.Sum64() {
-		return metaPage{}, corruptError("checksum mismatch in the meta page at offset %d", offset)
+		return metaPage{}, corruptError("meta page at offset %d has checksum %x, want %x", offset, digest.Sum64(),
+			binary.LittleEndian.Uint64(fields[metaBytes:]))
 	}
 	if version := binary.LittleEndian.Uint32(fields[4:]); version != metaVersion {
 		return metaPage{}, fmt.Errorf("%w: bbolt file version %d, want %d", ErrVersion, version, metaVersion)
@@ -64,7 +66,8 @@
 		transaction: binary.LittleEndian.Uint64(fields[48:]),
 	}
 	if meta.pageSize < minPageSize || meta.pageSize > maxPageSize || meta.pages < 4 {
-		return metaPage{}, corruptError("meta page at offset %d has invalid sizes: %d pages of %d bytes", offset, meta.pages, meta.pageSize)
+		return metaPage{}, corruptError("meta page at offset %d describes %d pages of %d bytes, want at least 4 pages of %d to %d bytes",
+			offset, meta.pages, meta.pageSize, minPageSize, maxPageSize)
 	}
 	return meta, checkMetaPage(data, uint64(offset)/meta.pageSize)
 }
--- a/internal/controlplane/raftlog/verify_tree.go
+++ b/internal/controlplane/raftlog/verify_tree.go
@@ -68,7 +68,7 @@
 		case bucketFlag:
 			return v.verifyBucket(value, depth)
 		}
-		return corruptError("leaf page %d has an element with flags %#x", leaf.id, header.flags)
+		return corruptError("leaf page %d has an element with flags %#x, want 0 or %#x", leaf.id, header.flags, bucketFlag)
 	})
 }
 
@@ -124,8 +124,9 @@
 	}
 	flags, overflow := binary.LittleEndian.Uint16(inline[8:]), binary.LittleEndian.Uint32(inline[12:])
 	if binary.LittleEndian.Uint64(inline) != 0 || flags != leafPageFlag || overflow != 0 || depth > maxTreeDepth {
-		return corruptError("inline page of a bucket has page id %d, flags %#x and %d overflow pages at depth %d",
-			binary.LittleEndian.Uint64(inline), flags, overflow, depth)
+		return corruptError("inline page of a bucket has page id %d, flags %#x and %d overflow pages at depth %d, "+
+			"want page id 0, flags %#x, no overflow pages and a depth of at most %d", binary.LittleEndian.Uint64(inline), flags, overflow,
+			depth, leafPageFlag, maxTreeDepth)
 	}
 	return v.verifyLeaf(page{count: int(binary.LittleEndian.Uint16(inline[10:])), data: inline}, depth+1)
 }
@@ -146,7 +147,7 @@
 		ids = ids[8:]
 	}
 	if count > uint64(len(ids)/8) {
-		return corruptError("free list has %d page ids in %d bytes", count, len(ids))
+		return corruptError("free list has %d page ids, but only %d bytes for them", count, len(ids))
 	}
 	for i := range count {
 		if err := v.markUsed(binary.LittleEndian.Uint64(ids[8*i:])); err != nil {
--- a/internal/controlplane/revision/snapshot.go
+++ b/internal/controlplane/revision/snapshot.go
@@ -48,7 +48,7 @@
 	}
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(state)
 	if err != nil {
-		panic(fmt.Sprintf("revision: encode the snapshot's state: %v", err))
+		panic(fmt.Sprintf("revision: encoding the snapshot's state: %v", err))
 	}
 	data := make([]byte, 0, headerBytes+len(body))
 	data = append(data, snapshotMagic...)
