--- a/internal/controlplane/configfollower/cost_test.go
+++ b/internal/controlplane/configfollower/cost_test.go
@@ -48,7 +48,7 @@
 	BytesIn          int64   `json:"bytes_in"`
 	BytesOut         int64   `json:"bytes_out"`
 	Revisions        int     `json:"revisions"`
-	EverywhereMS     []int64 `json:"everywhere_ms"` // per hub and revision, from publication until in force at all its brokers
+	EverywhereMS     []int64 `json:"everywhere_ms"` // per hub and revision: from publication until all its brokers have it in force
 }
 
 // countingListener counts the bytes that its connections read and write.
--- a/internal/controlplane/configfollower/statuslog.go
+++ b/internal/controlplane/configfollower/statuslog.go
@@ -23,7 +23,7 @@
 	log           *slog.Logger
 	startedAt     time.Time
 	previous      distribution.FollowerStatus
-	loggedCounts  distribution.UpdateCounts // at dropLoggedAt
+	loggedCounts  distribution.UpdateCounts // the counts at dropLoggedAt
 	dropLoggedAt  time.Time                 // last log line about dropped updates; zero: none
 	staleLoggedAt time.Time                 // last log line about a stale configuration; zero: none since it was last confirmed
 }
--- a/internal/controlplane/configstatus/configstatus.go
+++ b/internal/controlplane/configstatus/configstatus.go
@@ -36,7 +36,7 @@
 
 // Machine is one control machine: a member of the replicated log, or an address that did not answer.
 type Machine struct {
-	Name        string `json:"name"` // "": the address of no member
+	Name        string `json:"name"` // "": the address belongs to no member
 	Address     string `json:"address"`
 	Role        string `json:"role"` // "voter", "spare"; "": unknown
 	Answered    bool   `json:"answered"`
--- a/internal/controlplane/consensus/invariants_test.go
+++ b/internal/controlplane/consensus/invariants_test.go
@@ -62,11 +62,11 @@
 // invariantChecker checks the invariants during and after a run.
 type invariantChecker struct {
 	violations       []violation
-	documents        map[uint64]uint64 // checksum, by revision number
-	lastNumber       map[uint64]uint64 // of the latest revision returned by Advance, by member
-	lastApplied      map[uint64]uint64 // index, by member
-	numbers          map[uint64]uint64 // of revisions, by request id
-	leaders          map[uint64]uint64 // id, by term
+	documents        map[uint64]uint64 // checksum of the document, by revision number
+	lastNumber       map[uint64]uint64 // number of the latest revision returned by Advance, by member
+	lastApplied      map[uint64]uint64 // applied index, by member
+	numbers          map[uint64]uint64 // revision number, by request id
+	leaders          map[uint64]uint64 // member id of the leader, by term
 	acknowledgements []acknowledgement
 	history          []porcupine.Operation
 }
--- a/internal/controlplane/controlserver/drop_log.go
+++ b/internal/controlplane/controlserver/drop_log.go
@@ -4,8 +4,8 @@
 
 // dropLogger logs how many messages between control machines were dropped since the previous call of logNewDrops.
 type dropLogger struct {
-	envelopes EnvelopeCounts // received, at the previous call
-	dropped   uint64         // outgoing messages, at the previous call
+	envelopes EnvelopeCounts // counts of received envelopes at the previous call
+	dropped   uint64         // number of outgoing messages dropped before the previous call
 }
 
 // logNewDrops logs the number of messages dropped since the previous call, if any.
--- a/internal/controlplane/operatorclient/errors.go
+++ b/internal/controlplane/operatorclient/errors.go
@@ -14,7 +14,7 @@
 // Error implements error.
 func (e *RejectedError) Error() string { return fmt.Sprintf("refused by %s: %s", e.Key, e.Reason) }
 
-// UnavailableError is returned if certainly no control machine has accepted a publication. The document was not
+// UnavailableError is returned if it is certain that no control machine has accepted a publication. The document was not
 // committed.
 type UnavailableError struct {
 	Last error // of the last attempt
@@ -28,8 +28,8 @@
 // Unwrap returns the error of the last attempt.
 func (e *UnavailableError) Unwrap() error { return e.Last }
 
-// OutcomeUnknownError is returned if a publication may have been committed or may still be. It is safe to publish the same
-// document again with the same request id: it becomes only one revision.
+// OutcomeUnknownError is returned if a publication may have been committed or may still be committed. It is safe to
+// publish the same document again with the same request id: this creates only one revision.
 type OutcomeUnknownError struct {
 	Last error // of the last attempt
 }
--- a/internal/controlplane/raftlog/corruption_test.go
+++ b/internal/controlplane/raftlog/corruption_test.go
@@ -15,7 +15,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// filledLog returns the content of a log file with a snapshot, several pages of entries and free pages, and the state in it.
+// filledLog returns the content of a log file with a snapshot, several pages of entries and free pages. It also returns the
+// state of the log.
 func filledLog(t testing.TB) ([]byte, logState) {
 	t.Helper()
 	log, path := create(t)
--- a/internal/controlplane/raftlog/load.go
+++ b/internal/controlplane/raftlog/load.go
@@ -93,8 +93,8 @@
 			return nil, err
 		}
 		if entry.GetIndex() != next || next > stored.last.index {
-			return nil, fmt.Errorf("%w: found entry %d, want entry %d, last entry in the state record is %d", ErrCorrupt, entry.GetIndex(), next,
-				stored.last.index)
+			return nil, fmt.Errorf("%w: found entry %d, want entry %d, last entry in the state record is %d", ErrCorrupt,
+				entry.GetIndex(), next, stored.last.index)
 		}
 		entries = append(entries, entry)
 		next++
--- a/internal/controlplane/raftlog/save.go
+++ b/internal/controlplane/raftlog/save.go
@@ -55,8 +55,8 @@
 		return fmt.Errorf("%w: snapshot at index %d has term %d, the log has term %d there (0: not in the log)", ErrInvalidWrite, index,
 			snapshot.GetMetadata().GetTerm(), term)
 	case index <= before.snapshot.GetMetadata().GetIndex() || index > before.hardState.GetCommit():
-		return fmt.Errorf("%w: snapshot at index %d, want above the stored snapshot's index %d, at most commit index %d", ErrInvalidWrite, index,
-			before.snapshot.GetMetadata().GetIndex(), before.hardState.GetCommit())
+		return fmt.Errorf("%w: snapshot at index %d, want above the stored snapshot's index %d, at most commit index %d", ErrInvalidWrite,
+			index, before.snapshot.GetMetadata().GetIndex(), before.hardState.GetCommit())
 	case first <= before.compacted.index || first > index+1:
 		return fmt.Errorf("%w: first entry to keep is %d, want %d to %d", ErrInvalidWrite, first, before.compacted.index+1, index+1)
 	}
