--- a/internal/controlplane/controlserver/drop_log.go
+++ b/internal/controlplane/controlserver/drop_log.go
@@ -2,10 +2,10 @@
 
 import "log/slog"
 
-// dropLogger periodically logs how many messages between control machines were dropped since the previous call.
+// dropLogger logs how many messages between control machines were dropped since the previous call of logNewDrops.
 type dropLogger struct {
-	envelopes EnvelopeCounts // received, at the previous call
-	dropped   uint64         // outgoing messages, at the previous call
+	envelopes EnvelopeCounts // counts of received envelopes at the previous call
+	dropped   uint64         // number of outgoing messages dropped before the previous call
 }
 
 // logNewDrops logs the number of messages dropped since the previous call, if any.
