--- a/internal/controlplane/consensus/invariants_test.go
+++ b/internal/controlplane/consensus/invariants_test.go
@@ -20,7 +20,7 @@
 	faultLostSaves                 // a crash loses the latest saves
 	faultLostVote                  // a restart loses the stored vote
 	faultLostCommitIndex           // a restart loses the stored commit index
-	faultStaleRead                 // a read has a response without a ReadIndex round
+	faultStaleRead                 // a read is answered without a ReadIndex round
 	faultCorruptDocument           // a disk changes the documents that it stores
 	faultSkippedRevision           // a member does not return a newly applied revision
 	faultNewRequestID              // a retry of a publication has a different request id
@@ -62,11 +62,11 @@
 // invariantChecker checks the invariants during and after a run.
 type invariantChecker struct {
 	violations       []violation
-	documents        map[uint64]uint64 // checksum, by revision number
-	lastNumber       map[uint64]uint64 // of the latest revision returned by Advance, by member
-	lastApplied      map[uint64]uint64 // index, by member
-	numbers          map[uint64]uint64 // of revisions, by request id
-	leaders          map[uint64]uint64 // id, by term
+	documents        map[uint64]uint64 // checksum of the document, by revision number
+	lastNumber       map[uint64]uint64 // number of the latest revision returned by Advance, by member
+	lastApplied      map[uint64]uint64 // applied index, by member
+	numbers          map[uint64]uint64 // revision number, by request id
+	leaders          map[uint64]uint64 // member id of the leader, by term
 	acknowledgements []acknowledgement
 	history          []porcupine.Operation
 }
--- a/internal/controlplane/controlserver/publish.go
+++ b/internal/controlplane/controlserver/publish.go
@@ -47,7 +47,7 @@
 
 	mu         sync.Mutex // guards the fields below
 	stopping   bool
-	inProgress int           // number of publications
+	inProgress int           // number of publications in progress
 	drained    chan struct{} // closed when stopping and no publication is in progress
 }
 
@@ -125,7 +125,7 @@
 		return outcome, nil
 	case <-ctx.Done():
 		return consensus.ProposalOutcome{}, outcomeUnknownError(ctx.Err())
-	case <-p.replica.ended:
+	case <-p.replica.runDone:
 		return consensus.ProposalOutcome{}, outcomeUnknownError(errStopping)
 	}
 }
