--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -49,7 +49,7 @@
 	require.Equal(t, []any{9, 8, 7, 3 * time.Second, 500 * time.Millisecond, map[string]int{"c": 0}, int64(41)},
 		[]any{c.ConcurrencyLimit, c.Shards, c.MaxStreams, c.ConnIdleTimeout, c.ConnectTimeout, c.Classes, c.CachedVersion})
 	require.Equal(t, decision.CachedUpdate, c.CachedEndpoints.Mode)
-	require.Equal(t, decision.Server{ID: "s1", Zone: 1, ReplicaSet: 3, State: decision.Draining, Capacity: 1.5, Started: 2.5},
+	require.Equal(t, decision.Server{ID: "s1", Zone: 1, ReplicaSet: 3, State: decision.Draining, Capacity: 1.5, StartedAt: 2.5},
 		c.CachedEndpoints.Servers[0].Server)
 	require.Equal(t, []time.Duration{2 * time.Second}, c.ClassDeadlines())
 }
--- a/internal/config/extremes_test.go
+++ b/internal/config/extremes_test.go
@@ -70,7 +70,7 @@
 	defer cancel()
 	go core.Run(ctx)
 	core.Update(broker.EndpointUpdate{Mode: decision.FullUpdate, Servers: []broker.Endpoint{
-		{Addr: "a", Server: decision.Server{ID: "a", Started: float64(time.Now().Unix())}}, {Addr: "b", Server: decision.Server{ID: "b", ReplicaSet: 1}}}})
+		{Addr: "a", Server: decision.Server{ID: "a", StartedAt: float64(time.Now().Unix())}}, {Addr: "b", Server: decision.Server{ID: "b", ReplicaSet: 1}}}})
 	answer := make(resultChan, 1)
 	core.Submit(&broker.Request{ID: "q", ReceivedAt: time.Now(), Timeout: 300 * time.Millisecond, Parts: []broker.Part{{Shard: 1, Weight: 1}}}, answer)
 	select {
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -111,7 +111,7 @@
 	ReplicaSet int
 	State      State
 	Capacity   float64 // relative to other servers; 0: unknown
-	Started    float64 // time of the latest start; 0: long ago
+	StartedAt  float64 // time of the latest start; 0: long ago
 }
 
 // LoadReport is the load that a server reports about itself. Missing values are negative.
--- a/internal/decision/differential_test.go
+++ b/internal/decision/differential_test.go
@@ -81,7 +81,7 @@
 	for i := range pick(3, 20, 120, 250) {
 		sc.servers = append(sc.servers, Server{ID: fmt.Sprint("s", i), Zone: random.IntN(zones), ReplicaSet: i % sc.settings.ReplicaSets})
 		if random.IntN(4) == 0 {
-			sc.servers[i].Started = sc.now - 20*random.Float64()
+			sc.servers[i].StartedAt = sc.now - 20*random.Float64()
 		}
 	}
 	return sc
@@ -226,12 +226,12 @@
 	case 2:
 		s.State = Removed
 	case 3:
-		s.Started, s.State = sc.now-sc.random.Float64(), Ready
+		s.StartedAt, s.State = sc.now-sc.random.Float64(), Ready
 	case 4:
 		s.ReplicaSet, s.Zone = sc.random.IntN(sc.settings.ReplicaSets+2)-1, sc.random.IntN(6)-1
 	case 5:
 		sc.replaced++
-		s.ID, s.State, s.Started = fmt.Sprint("new", sc.replaced), Ready, sc.now
+		s.ID, s.State, s.StartedAt = fmt.Sprint("new", sc.replaced), Ready, sc.now
 	default:
 		s.State = Ready
 	}
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -97,8 +97,8 @@
 		s = p.addServer(entry.ID)
 	}
 	p.replicaSets.Remove(s.ReplicaSet, s)
-	if entry.Started > 0 && entry.Started != s.Started {
-		p.restartServer(s, entry.Started)
+	if entry.StartedAt > 0 && entry.StartedAt != s.StartedAt {
+		p.restartServer(s, entry.StartedAt)
 	}
 	s.Server = entry
 	s.Failures.Zone = entry.Zone
--- a/internal/decision/forget_test.go
+++ b/internal/decision/forget_test.go
@@ -13,7 +13,7 @@
 		ReplicaSets: 1, ReplicationFactor: 1,
 	}, 1)
 	entry := func(i int, state State) Server {
-		return Server{ID: fmt.Sprint("s", i), State: state, Started: float64(i)}
+		return Server{ID: fmt.Sprint("s", i), State: state, StartedAt: float64(i)}
 	}
 	p.Handle(0, []Event{EndpointUpdate{Mode: FullUpdate, Servers: []Server{entry(0, Ready)}},
 		Query{ID: 1, Number: 1, Parts: 1, Deadline: 1}, Part{ID: 2, QueryNumber: 1, Weight: 1}})
--- a/internal/decision/health_test.go
+++ b/internal/decision/health_test.go
@@ -175,7 +175,7 @@
 		}
 		return finished(send.ID, 0, send.Server, decision.OK, 0.01)
 	})
-	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now}}})
+	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", StartedAt: r.now}}})
 	first := countSends(r, 12, func(send decision.Send) decision.Event {
 		return finished(send.ID, 0, send.Server, decision.OK, 0.01)
 	})
@@ -271,7 +271,7 @@
 	require.Greater(t, sendsToS0(r), 30)
 	receiveObservation(r, r.now, 1, 1)
 	r.handle(decision.PeerObservation{Server: "unknown", At: r.now, FailureRatio: 1, Weight: 1, LoadReport: decision.NoLoadReport})
-	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now + 1}}})
+	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", StartedAt: r.now + 1}}})
 	receiveObservation(r, r.now, 1, 0.75) // of the server's previous process
 	r.now += 30                           // past the slow start of the new process
 	require.Greater(t, sendsToS0(r), 30)
--- a/internal/decision/healthchecks.go
+++ b/internal/decision/healthchecks.go
@@ -48,7 +48,7 @@
 
 func (p *Policy) onPeerObservation(peer PeerObservation) {
 	s := p.serversByID[peer.Server]
-	if s == nil || peer.At < s.Started {
+	if s == nil || peer.At < s.StartedAt {
 		return
 	}
 	p.fleet.RecordPeer(&s.Stats, peer.At, peer.FailureRatio, peer.Weight, peer.ServiceTime)
--- a/internal/decision/reference_test.go
+++ b/internal/decision/reference_test.go
@@ -107,7 +107,7 @@
 	case AttemptFinished:
 		p.onAttemptFinished(e)
 	case PeerObservation:
-		if s := p.serversByID[e.Server]; s != nil && e.At >= s.Started {
+		if s := p.serversByID[e.Server]; s != nil && e.At >= s.StartedAt {
 			p.recordPeerObservation(s, e)
 		}
 	default:
@@ -232,9 +232,9 @@
 	if s == nil {
 		s = p.addServer(entry.ID)
 	}
-	if entry.Started > 0 && entry.Started != s.Started {
+	if entry.StartedAt > 0 && entry.StartedAt != s.StartedAt {
 		s.Restarted()
-		s.warmingSince = entry.Started
+		s.warmingSince = entry.StartedAt
 		ratio := p.ratios[s]
 		ratio.value = 0
 		p.ratios[s] = ratio
--- a/internal/decision/slowstart_fleet_test.go
+++ b/internal/decision/slowstart_fleet_test.go
@@ -164,7 +164,7 @@
 }
 
 func (f *simulatedFleet) restartServer(n int, now float64) {
-	f.list[n].Started = now
+	f.list[n].StartedAt = now
 	f.restartedAt[f.list[n].ID] = now
 	f.freeAt[f.list[n].ID] = now
 	if f.singleReplica {
--- a/internal/decision/slowstart_test.go
+++ b/internal/decision/slowstart_test.go
@@ -12,7 +12,7 @@
 	cfg := settings()
 	r := newRunner(t, cfg, servers(4)...)
 	r.answerQueries(200, 0.02)
-	cold := decision.Server{ID: "s0", Started: r.now}
+	cold := decision.Server{ID: "s0", StartedAt: r.now}
 	r.handle(decision.EndpointUpdate{Servers: []decision.Server{cold}})
 	start := r.now
 	toCold, toAll := 0, 0
@@ -53,7 +53,7 @@
 				r.handleAt(r.now+brokers/4.0/warmRate, finished(send.ID, 0, send.Server, decision.OK, 0.02))
 			}
 		}
-		r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", ReplicaSet: 1, Started: r.now}}})
+		r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", ReplicaSet: 1, StartedAt: r.now}}})
 		for range 40 * windows { // 40 queries in each overload window
 			_, ev := r.query(0, 1)
 			pt := ev[1].(decision.Part)
@@ -72,7 +72,7 @@
 }
 
 func TestPartsWaitWhileAllReplicasWarmUp(t *testing.T) {
-	s0, s1 := decision.Server{ID: "s0", Started: 99.9}, decision.Server{ID: "s1", Started: 99.9}
+	s0, s1 := decision.Server{ID: "s0", StartedAt: 99.9}, decision.Server{ID: "s1", StartedAt: 99.9}
 	r := newRunner(t, settings(), s0, s1)
 	_, ev := r.query(0, 8)
 	if n := len(sends(r.handle(ev...))); n > 4 {
@@ -88,7 +88,7 @@
 func TestSlowStartLeaseLimitsSends(t *testing.T) {
 	r := newRunner(t, settings(), servers(1)...)
 	r.answerQueries(50, 0.01) // its own estimate would allow several parts per second
-	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now}}})
+	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", StartedAt: r.now}}})
 	sendsOfSix := func(events ...decision.Event) int {
 		_, ev := r.query(0, 6)
 		out := sends(r.handle(append(events, ev...)...))
@@ -113,7 +113,7 @@
 			r := newRunner(t, settings(), servers(1)...)
 			r.p = decision.New(settings(), seed)
 			r.handle(append(events, decision.EndpointUpdate{Mode: decision.FullUpdate,
-				Servers: []decision.Server{{ID: "s0", Started: r.now}}})...)
+				Servers: []decision.Server{{ID: "s0", StartedAt: r.now}}})...)
 			_, ev := r.query(0, 1)
 			n += len(sends(r.handle(ev...)))
 		}
--- a/internal/endpoints/discovery/message.go
+++ b/internal/endpoints/discovery/message.go
@@ -84,7 +84,7 @@
 			ReplicaSet: entry.ReplicaSet,
 			State:      state,
 			Capacity:   entry.Weight,
-			Started:    entry.StartedMS / 1000,
+			StartedAt:  entry.StartedMS / 1000,
 		},
 		Addr: entry.Addr,
 	}, nil
--- a/internal/harness/recordservertest/server.go
+++ b/internal/harness/recordservertest/server.go
@@ -37,7 +37,7 @@
 	server := decision.Server{ID: s.ID, ReplicaSet: s.ReplicaSet, State: state, Capacity: 1}
 	endpoint := broker.Endpoint{Addr: s.Addr, Server: server}
 	if !s.startedAt.IsZero() {
-		endpoint.Started = float64(s.startedAt.UnixNano()) / 1e9
+		endpoint.StartedAt = float64(s.startedAt.UnixNano()) / 1e9
 	}
 	return endpoint
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -181,7 +181,7 @@
 		Kind:       int(optional(f, "sku", f.integer)),
 		ReplicaSet: int(optional(f, "cell", f.integer)),
 		Capacity:   optional(f, "capacityHint", f.number),
-		Started:    optional(f, "lastStartS", f.number),
+		StartedAt:  optional(f, "lastStartS", f.number),
 		State:      oneOf(f, "status", serverStates),
 	}
 	return server, f.err
--- a/internal/simwire/serve_test.go
+++ b/internal/simwire/serve_test.go
@@ -87,9 +87,9 @@
 		endpointList("b:1", "LAME"), "update mixer=3 mode=patch version=2 rosterId=0",
 		endpointList("b:1", "OUT"), "update mixer=3 mode=whole version=3 rosterId=0"))
 	want := []string{
-		"8.41225 {Mode:2 Version:1 Servers:[{ID:a:1 Zone:0 Kind:0 ReplicaSet:2 State:0 Capacity:1.5 Started:6.1}]}",
-		"8.41225 {Mode:0 Version:2 Servers:[{ID:b:1 Zone:0 Kind:0 ReplicaSet:2 State:1 Capacity:1.5 Started:6.1}]}",
-		"8.41225 {Mode:1 Version:3 Servers:[{ID:b:1 Zone:0 Kind:0 ReplicaSet:2 State:2 Capacity:1.5 Started:6.1}]}",
+		"8.41225 {Mode:2 Version:1 Servers:[{ID:a:1 Zone:0 Kind:0 ReplicaSet:2 State:0 Capacity:1.5 StartedAt:6.1}]}",
+		"8.41225 {Mode:0 Version:2 Servers:[{ID:b:1 Zone:0 Kind:0 ReplicaSet:2 State:1 Capacity:1.5 StartedAt:6.1}]}",
+		"8.41225 {Mode:1 Version:3 Servers:[{ID:b:1 Zone:0 Kind:0 ReplicaSet:2 State:2 Capacity:1.5 StartedAt:6.1}]}",
 	}
 	if err != nil || !reflect.DeepEqual(events, want) {
 		t.Errorf("got %v, %v\nwant %v", events, err, want)
--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -88,7 +88,7 @@
 			}
 		}
 	}))
-	update := decision.EndpointUpdate{Mode: decision.CachedUpdate, Servers: []decision.Server{{ID: "s-00000001"}, {ID: "s-00000002", Started: 5}}}
+	update := decision.EndpointUpdate{Mode: decision.CachedUpdate, Servers: []decision.Server{{ID: "s-00000001"}, {ID: "s-00000002", StartedAt: 5}}}
 	for range 2 {
 		decider.Handle(saver.now(), []decision.Event{update})
 	}
--- a/internal/state/recovery/recovery_test.go
+++ b/internal/state/recovery/recovery_test.go
@@ -16,7 +16,7 @@
 func newSnapshot() *snapshot.Snapshot {
 	collector := recovery.NewCollector()
 	collector.UpdateEndpoints(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{
-		{ID: "fast"}, {ID: "slow"}, {ID: "failing"}, {ID: "new", Started: 995}, {ID: "removed"}}})
+		{ID: "fast"}, {ID: "slow"}, {ID: "failing"}, {ID: "new", StartedAt: 995}, {ID: "removed"}}})
 	for i := range 100 {
 		now := 990 + 0.1*float64(i)
 		collector.RecordOutcome(now, "fast", decision.OK, 0.01, decision.LoadReport{Utilization: 0.2})
@@ -29,7 +29,7 @@
 	return collector.Snapshot(1000)
 }
 
-var endpoints = []decision.Server{{ID: "fast"}, {ID: "slow"}, {ID: "failing"}, {ID: "new", Started: 995}}
+var endpoints = []decision.Server{{ID: "fast"}, {ID: "slow"}, {ID: "failing"}, {ID: "new", StartedAt: 995}}
 
 // restore returns the events of recovery.Restore: the observations by server id, and the state of the fleet, if any.
 func restore(s *snapshot.Snapshot, list []decision.Server, now float64) (
@@ -79,9 +79,9 @@
 func TestStateOfAnotherProcessIsDiscarded(t *testing.T) {
 	s := newSnapshot()
 	for name, server := range map[string]decision.Server{
-		"started after the snapshot":           {ID: "slow", Started: 1000.5},
-		"restarted under the same id":          {ID: "new", Started: 1001},
-		"started earlier than in the snapshot": {ID: "new", Started: 900},
+		"started after the snapshot":           {ID: "slow", StartedAt: 1000.5},
+		"restarted under the same id":          {ID: "new", StartedAt: 1001},
+		"started earlier than in the snapshot": {ID: "new", StartedAt: 900},
 		"draining":                             {ID: "slow", State: decision.Draining},
 		"removed":                              {ID: "slow", State: decision.Removed},
 	} {
@@ -92,7 +92,7 @@
 	collector.UpdateEndpoints(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: []decision.Server{{ID: "a"}, {ID: "b"}}})
 	collector.RecordOutcome(10, "a", decision.OK, 0.01, decision.NoLoadReport)
 	collector.RecordOutcome(10, "b", decision.OK, 0.01, decision.NoLoadReport)
-	collector.UpdateEndpoints(decision.EndpointUpdate{Servers: []decision.Server{{ID: "a", Started: 11}, {ID: "b", State: decision.Removed}}})
+	collector.UpdateEndpoints(decision.EndpointUpdate{Servers: []decision.Server{{ID: "a", StartedAt: 11}, {ID: "b", State: decision.Removed}}})
 	require.Empty(t, collector.Snapshot(12).Servers)
 }
 
@@ -150,9 +150,9 @@
 			})
 		}
 		list := []decision.Server{
-			{ID: "a", Started: s.Servers[0].Started},
-			{ID: "b", Started: number("other start")},
-			{ID: "c", Started: s.Servers[2].Started, State: decision.Draining},
+			{ID: "a", StartedAt: s.Servers[0].Started},
+			{ID: "b", StartedAt: number("other start")},
+			{ID: "c", StartedAt: s.Servers[2].Started, State: decision.Draining},
 		}
 		now := number("now")
 		for _, e := range recovery.Restore(s, list, now) {
@@ -162,7 +162,7 @@
 					t.Fatalf("restored %+v from %+v", e, s)
 				}
 			case decision.PeerObservation:
-				sameProcess := e.Server == "a" || e.Server == "b" && list[1].Started == s.Servers[1].Started
+				sameProcess := e.Server == "a" || e.Server == "b" && list[1].StartedAt == s.Servers[1].Started
 				if !sameProcess || e.Weight < 0 || e.Weight > 1 || e.FailureRatio < 0 || e.FailureRatio > 1 ||
 					e.At > now || e.LoadReportedAt > now+0.5 || e.ServiceTime < 0 {
 					t.Fatalf("restored %+v from %+v at %g", e, s, now)
--- a/internal/workers/cores/bench_test.go
+++ b/internal/workers/cores/bench_test.go
@@ -23,7 +23,7 @@
 				for i := range 200 {
 					server := decision.Server{ID: fmt.Sprint("s", i), ReplicaSet: i}
 					if i < cold {
-						server.Started = 99
+						server.StartedAt = 99
 					}
 					update.Servers = append(update.Servers, server)
 				}
--- a/internal/workers/cores/state.go
+++ b/internal/workers/cores/state.go
@@ -108,18 +108,18 @@
 func (s *processState) put(e decision.Server, now float64) {
 	started, known := s.started[e.ID]
 	s.entries[e.ID] = e
-	if known && e.Started <= started {
+	if known && e.StartedAt <= started {
 		return
 	}
 	if known {
 		s.observations.Forget(e.ID) // observations of the previous process do not apply to the new one
 	}
-	s.started[e.ID] = e.Started
+	s.started[e.ID] = e.StartedAt
 	delete(s.warmingUp, e.ID)
-	if s.slowStart.OverloadWindow > 0 && s.capacity.CapacityFraction(e.Started, now) < 1 {
+	if s.slowStart.OverloadWindow > 0 && s.capacity.CapacityFraction(e.StartedAt, now) < 1 {
 		s.warmingUp[e.ID] = &warmingServer{
 			budget:  lease.NewBudget(s.workers, s.slowStart.OverloadWindow),
-			started: e.Started, announcedAt: s.firstUpdate + len(s.updates),
+			started: e.StartedAt, announcedAt: s.firstUpdate + len(s.updates),
 		}
 	}
 }
