--- a/internal/collections/recent/recent.go
+++ b/internal/collections/recent/recent.go
@@ -5,7 +5,7 @@
 import "slices"
 
 const (
-	capacity        = 64 // number of values in a ring, enough for a steady 95th percentile
+	capacity        = 64 // number of values in a ring, enough for a stable 95th percentile
 	minQuantileSize = 8  // minimum number of values for a quantile; a quantile of fewer is mostly random
 )
 
--- a/internal/collections/recent/recent_test.go
+++ b/internal/collections/recent/recent_test.go
@@ -13,13 +13,13 @@
 func TestRingQuantilesMatchSortOfLatestValues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r recent.Ring
-		var all []float64
+		var values []float64
 		for _, v := range rapid.SliceOfN(rapid.Float64Range(0, 9), 1, 200).Draw(t, "values") {
 			r.Add(v)
-			all = append(all, v)
-			kept := slices.Sorted(slices.Values(all[max(len(all)-64, 0):]))
+			values = append(values, v)
+			kept := slices.Sorted(slices.Values(values[max(len(values)-64, 0):]))
 			q := rapid.Float64Range(0, 1).Draw(t, "quantile")
-			if len(all) < 8 {
+			if len(values) < 8 {
 				require.Zero(t, r.Quantile(q))
 				continue
 			}
--- a/internal/completeness/completeness.go
+++ b/internal/completeness/completeness.go
@@ -2,7 +2,7 @@
 // decisions and does no I/O.
 package completeness
 
-// Epsilon is the tolerance for rounding errors in sums of weights. It is smaller than the tolerance of the platform's rules.
+// Epsilon is the tolerance for rounding errors in sums of weights. It is smaller than the tolerance that the platform allows.
 const Epsilon = 1e-6
 
 // Thresholds are the weights of answered parts that an answer needs. The weights of all parts sum to 1.
--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -19,11 +19,11 @@
 	// freshDelayRatio is divided by the half-life in seconds and added to baseDelayRatio. With the shortest
 	// half-life of 1 s, the limit is 0.8 of the time to the objective.
 	freshDelayRatio = 0.4
-	// minWeightFactor is the strongest reduction of the limit by a small priority weight. A smaller factor
-	// would reject queries that an idle fleet could serve immediately.
+	// minWeightFactor is the lower bound of the factor by which a small priority weight reduces the limit. A
+	// smaller factor would reject queries that an idle fleet could serve immediately.
 	minWeightFactor = 0.7
-	// missedDelayRatio reduces the limit of queries past their objective if the half-life is long. In a large
-	// fleet a client's retry reaches another broker, which does not know of the earlier rejection.
+	// missedDelayRatio is the factor on the limit of queries past their objective if the half-life is long.
+	// In a large fleet a client's retry reaches another broker, which does not know of the earlier rejection.
 	missedDelayRatio = 0.3
 	// trialProbability is the probability of admitting a part that is expected to be late. These trials
 	// detect the end of an overload, at a cost of 3 % of the parts during it.
@@ -32,10 +32,10 @@
 
 // admissionStats holds statistics of earlier queries and clients that admission uses.
 type admissionStats struct {
-	patience    clientpatience.Estimator     // how long clients wait before they disconnect
-	waits       clientpatience.RetryDetector // longest waits by class, used to recognize retries
-	totalWeight float64                      // sum of the priority weights of the queries so far
-	totalParts  float64                      // sum of the parts that complete answers to these queries need
+	patience      clientpatience.Estimator     // how long clients wait before they disconnect
+	retryDetector clientpatience.RetryDetector // recognizes retries by their client waits
+	totalWeight   float64                      // sum of the priority weights of the queries so far
+	totalParts    float64                      // sum of the parts that complete answers to these queries need
 }
 
 // expectedDelay returns the expected time in seconds until an additional part of a shard would be answered.
--- a/internal/decision/admission_test.go
+++ b/internal/decision/admission_test.go
@@ -100,7 +100,8 @@
 			r.handleAt(r.now+0.9, outcomes...)
 		}
 		if byWork && (rejected[0] < 25 || rejected[1] < 25) || !byWork && (rejected[0] < 25 || rejected[1] > rejected[0]/2) {
-			t.Errorf("WeightByWork %v: %d of 50 queries of weight 1 and %d of 50 of weight 3 rejected",
+			t.Errorf("WeightByWork %v: %d of 50 queries of weight 1 and %d of 50 of weight 3 rejected, want at least 25 of weight 1, "+
+				"and at least 25 of weight 3 with WeightByWork, else at most half as many as of weight 1",
 				byWork, rejected[0], rejected[1])
 		}
 	}
--- a/internal/decision/api.go
+++ b/internal/decision/api.go
@@ -39,7 +39,7 @@
 	LateValue             float64 // fraction of PriorityWeight that a late response is worth
 	Idempotency           Idempotency
 	IdempotencyWindow     float64 // IdempotentWithKey: how long after the first send servers drop duplicates
-	CompletenessThreshold float64 // weight of answered first-phase parts from which a response is complete
+	CompletenessThreshold float64 // minimum weight of answered first-phase parts for a complete response
 	MinCompleteness       float64 // minimum weight of answered parts for any response
 	SecondPhaseFanout     int     // number of parts in the second phase; 0: no second phase
 }
@@ -107,7 +107,7 @@
 type Server struct {
 	ID         string
 	Zone       int
-	Kind       int
+	Kind       int // machine type, as an index
 	ReplicaSet int
 	State      State
 	Capacity   float64 // relative to other servers; 0: unknown
@@ -128,10 +128,10 @@
 	OK          Status = iota
 	Error              // the server returned an error; the attempt may have been executed
 	Overloaded         // the server rejected the attempt without executing it
-	TimedOut           // the attempt may have been executed, or may still be
+	TimedOut           // the attempt may have been executed, or may still be executed
 	Unreachable        // no connection was established; the attempt was not executed
 	Reset              // the connection was reset; the attempt may have been executed
-	Cancelled          // the attempt may have been executed, or may still be
+	Cancelled          // the attempt may have been executed, or may still be executed
 	NotSent            // the broker did not send the attempt; this says nothing about the server
 )
 
@@ -168,7 +168,7 @@
 		Retry      bool    // the client marked it as a retry
 		Work       float64 // expected amount of work; 0: unknown
 		Write      bool
-		ReceivedAt float64 // when its last byte was received, before the caller parsed it; 0: now
+		ReceivedAt float64 // when the last byte of the request was received, before the caller parsed it; 0: now
 	}
 	// Part is the part of a query that reads one shard.
 	Part struct {
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -19,10 +19,10 @@
 	}
 	for i := range pt.attempts {
 		a := &pt.attempts[i]
-		if a.live && !p.settings.HedgingAllowed {
+		if a.inFlight && !p.settings.HedgingAllowed {
 			return false
 		}
-		if (a.live || a.mayRun) && !p.mayExecuteAgain(pt.query.class, a) {
+		if (a.inFlight || a.mayRun) && !p.mayExecuteAgain(pt.query.class, a) {
 			return false
 		}
 	}
@@ -70,18 +70,18 @@
 // sendPart sends an attempt of a part if one is due, and reports whether the part is expected to be answered
 // without a further attempt. tailLatency is that of the class, in seconds.
 func (p *Policy) sendPart(pt *part, tailLatency float64) bool {
-	stalled := pt.live > 0 && p.isStalled(pt, tailLatency)
+	stalled := pt.attemptsInFlight > 0 && p.isStalled(pt, tailLatency)
 	if stalled && !p.settings.HedgingAllowed {
 		p.cancelAttempts(pt) // the retry is sent once the outcome of this attempt is known
 	}
 	shouldHedge := stalled && p.settings.HedgingAllowed
-	if pt.live > 0 && !shouldHedge {
+	if pt.attemptsInFlight > 0 && !shouldHedge {
 		return p.isAwaited(pt, tailLatency)
 	}
 	if !p.mayAttempt(pt) {
 		return false
 	}
-	isFirstInFlight := pt.live == 0
+	isFirstInFlight := pt.attemptsInFlight == 0
 	if p.settings.MaxPartsPerCall <= 1 || len(pt.attempts) > 0 {
 		p.drawRound++ // this part shares no call, so its draw is independent
 	}
@@ -112,11 +112,11 @@
 	pt.attempts = append(pt.attempts, attempt{
 		server:      s,
 		sentAt:      p.now,
-		live:        true,
+		inFlight:    true,
 		mayRun:      true,
 		concurrency: float64(1 + s.QueueDepth(p.now)),
 	})
-	pt.live++
+	pt.attemptsInFlight++
 	s.Sent(p.now)
 	if p.capacityFraction(s) < 1 {
 		s.slowStartSends = append(s.slowStartSends, p.now)
@@ -131,7 +131,7 @@
 	}
 	for i := range pt.attempts {
 		a := &pt.attempts[i]
-		if a.live && !a.cancelled {
+		if a.inFlight && !a.cancelled {
 			a.cancelled = true
 			p.emit(Cancel{ID: pt.ID, Attempt: i})
 		}
--- a/internal/decision/attempts_test.go
+++ b/internal/decision/attempts_test.go
@@ -13,7 +13,7 @@
 		status      decision.Status
 		after       float64 // time from the send to the outcome
 		retried     bool
-		rejects     bool // the final answer is a Reject, else a Fail
+		rejects     bool // whether the final answer is a Reject; if not, it is a Fail
 	}{
 		{"non-idempotent, overloaded", decision.NonIdempotent, decision.Overloaded, 0.1, true, true},
 		{"non-idempotent, unreachable", decision.NonIdempotent, decision.Unreachable, 0.1, true, true},
--- a/internal/decision/bench_test.go
+++ b/internal/decision/bench_test.go
@@ -76,11 +76,11 @@
 		if f.random.Float64() < f.failureRatio {
 			outcome.Status, outcome.PartConcluded = f.failure, false
 		}
-		for _, more := range sends(f.policy.Handle(f.now, []decision.Event{outcome})) {
-			if more.ID == send.ID { // retries get no outcome
+		for _, next := range sends(f.policy.Handle(f.now, []decision.Event{outcome})) {
+			if next.ID == send.ID { // retries get no outcome
 				continue
 			}
-			out = append(out, more)
+			out = append(out, next)
 		}
 		out = out[1:]
 	}
--- a/internal/decision/canary.go
+++ b/internal/decision/canary.go
@@ -3,8 +3,8 @@
 // Canary parts: a few parts of a query that are sent before the others.
 
 const (
-	// canaryTimeFraction is the fraction of the time from receipt to the objective for which the other parts
-	// wait at most. It leaves them three quarters of that time.
+	// canaryTimeFraction is the maximum fraction of the time from receipt to the objective for which the
+	// other parts wait for the canary parts. It leaves them three quarters of that time.
 	canaryTimeFraction = 0.25
 	// minCanaryParts is the minimum number of canary parts. With fewer, a single slow server could decide.
 	minCanaryParts = 8
--- a/internal/decision/differential_test.go
+++ b/internal/decision/differential_test.go
@@ -22,17 +22,17 @@
 // the outcomes of the attempts that the Policy sends, so that two implementations get the same events as long as their actions
 // are equal.
 type randomScenario struct {
-	random   *rand.Rand
-	settings Settings
-	servers  []Server
-	faults   map[string]fault
-	now      float64
-	timerAt  float64 // time of the earliest pending timer
-	queries  int64   // number of queries so far
-	queryIDs []RequestID
-	attempts map[RequestID]int // attempts sent so far, by part
-	pending  []pendingEvent
-	replaced int // servers replaced by new ones
+	random       *rand.Rand
+	settings     Settings
+	servers      []Server
+	faults       map[string]fault
+	now          float64
+	timerAt      float64 // time of the earliest pending timer
+	queries      int64   // number of queries so far
+	queryIDs     []RequestID
+	attempts     map[RequestID]int // attempts sent so far, by part
+	pending      []pendingEvent
+	replacements int // number of servers replaced by new ones
 }
 
 // pendingEvent is an event to be passed to the Policy at a later time.
@@ -102,15 +102,15 @@
 		sc.timerAt = math.Inf(1)
 		events = append(events, TimerFired{Token: 1})
 	}
-	later := sc.pending[:0]
+	remainingEvents := sc.pending[:0]
 	for _, e := range sc.pending {
 		if e.at <= sc.now {
 			events = append(events, e.event)
 		} else {
-			later = append(later, e)
+			remainingEvents = append(remainingEvents, e)
 		}
 	}
-	sc.pending = later
+	sc.pending = remainingEvents
 	if sc.random.IntN(3) == 0 {
 		events = append(events, sc.query()...)
 	}
@@ -230,8 +230,8 @@
 	case 4:
 		s.ReplicaSet, s.Zone = sc.random.IntN(sc.settings.ReplicaSets+2)-1, sc.random.IntN(6)-1
 	case 5:
-		sc.replaced++
-		s.ID, s.State, s.StartedAt = fmt.Sprint("new", sc.replaced), Ready, sc.now
+		sc.replacements++
+		s.ID, s.State, s.StartedAt = fmt.Sprint("new", sc.replacements), Ready, sc.now
 	default:
 		s.State = Ready
 	}
--- a/internal/decision/endpoints.go
+++ b/internal/decision/endpoints.go
@@ -21,20 +21,20 @@
 	// fail before the list is older than the operator allows.
 	maxBackoffsPerInterval = 3
 	// minPollInterval is in seconds. A poll that receives no reply at all, not even a failure, is repeated no
-	// sooner than that.
+	// sooner than after this interval.
 	minPollInterval = 1.0
 )
 
 // endpoints holds the servers on the endpoint list, and removed servers with attempts still in flight.
 type endpoints struct {
-	servers     []*server                  // in the order in which they were first listed
-	serversByID map[string]*server         // for lookup only, since iteration order is random
-	replicaSets replicasets.Index[*server] // ready and draining servers, by replica set
-	removed     []*server                  // removed from the list, with attempts in flight
-	warmingUp   []*server                  // servers with slowStart.warming set
-	lastOrdinal int                        // ordinal of the most recently added server
-	pollAt      float64                    // time of the next poll; +Inf: subscribed, or polling is off
-	failedPolls int                        // consecutive failed polls
+	servers        []*server                  // in the order in which they were first listed
+	serversByID    map[string]*server         // for lookup only, since iteration order is random
+	replicaSets    replicasets.Index[*server] // ready and draining servers, by replica set
+	removedServers []*server                  // removed from the list, with attempts in flight
+	warmingServers []*server                  // servers with slowStart.warming set
+	lastOrdinal    int                        // ordinal of the most recently added server
+	pollAt         float64                    // time of the next poll; +Inf: subscribed, or polling is off
+	failedPolls    int                        // consecutive failed polls
 }
 
 func (p *Policy) onEndpointUpdate(update EndpointUpdate) {
@@ -115,13 +115,14 @@
 	return s
 }
 
-// restartServer discards the statistics of a server's previous process and begins its slow start.
-func (p *Policy) restartServer(s *server, started float64) {
+// restartServer discards the statistics of a server's previous process and begins the slow start of the new
+// process, which was started at startedAt.
+func (p *Policy) restartServer(s *server, startedAt float64) {
 	s.Restarted()
-	s.warmingSince = started
+	s.warmingSince = startedAt
 	if !s.warming {
 		s.warming = true
-		p.warmingUp = append(p.warmingUp, s)
+		p.warmingServers = append(p.warmingServers, s)
 	}
 }
 
@@ -130,9 +131,9 @@
 func (p *Policy) index(s *server) {
 	if s.State != Removed {
 		p.replicaSets.Insert(s.ReplicaSet, s)
-	} else if !s.removed {
-		s.removed = true
-		p.removed = append(p.removed, s)
+	} else if !s.inRemovedServers {
+		s.inRemovedServers = true
+		p.removedServers = append(p.removedServers, s)
 	}
 	if s.IsReady() {
 		p.fleet.Failures.Include(&s.Failures)
@@ -145,23 +146,23 @@
 // forgetRemoved deletes removed servers that have no attempt in flight. If kept longer, they would count as
 // unavailable servers.
 func (p *Policy) forgetRemoved() {
-	anyForgettable := slices.ContainsFunc(p.removed, isForgettable)
-	p.removed = slices.DeleteFunc(p.removed, updateRemoved)
+	anyForgettable := slices.ContainsFunc(p.removedServers, isForgettable)
+	p.removedServers = slices.DeleteFunc(p.removedServers, updateRemoved)
 	if !anyForgettable {
 		return
 	}
 	maps.DeleteFunc(p.serversByID, func(_ string, s *server) bool { return isForgettable(s) })
 	p.servers = slices.DeleteFunc(p.servers, isForgettable)
-	p.warmingUp = slices.DeleteFunc(p.warmingUp, isForgettable)
+	p.warmingServers = slices.DeleteFunc(p.warmingServers, isForgettable)
 	p.healthCheckQueue.Remove(isForgettable)
 }
 
 // isForgettable reports whether a server has been removed from the list and has no attempt in flight.
 func isForgettable(s *server) bool { return s.State == Removed && s.InFlight == 0 }
 
-// updateRemoved updates server.removed and reports whether the server must be deleted from endpoints.removed:
-// it is listed again or has no attempt in flight.
+// updateRemoved updates server.inRemovedServers and reports whether the server must be deleted from
+// endpoints.removedServers: it is listed again or has no attempt in flight.
 func updateRemoved(s *server) bool {
-	s.removed = s.State == Removed && s.InFlight > 0
-	return !s.removed
+	s.inRemovedServers = s.State == Removed && s.InFlight > 0
+	return !s.inRemovedServers
 }
--- a/internal/decision/endpoints_test.go
+++ b/internal/decision/endpoints_test.go
@@ -43,19 +43,19 @@
 		}
 		return n
 	}
-	if watches(5, decision.EndpointUpdate{Mode: decision.CachedUpdate, Servers: servers(2)}) != 1 {
-		t.Fatal("want one WatchEndpoints at the start")
+	if n := watches(5, decision.EndpointUpdate{Mode: decision.CachedUpdate, Servers: servers(2)}); n != 1 {
+		t.Fatalf("%d WatchEndpoints at the start, want 1", n)
 	}
 	if watches(5.1, decision.EndpointUpdate{Mode: decision.FailedUpdate}) != 0 {
 		t.Error("WatchEndpoints repeated without backoff after a failure")
 	}
-	if watches(8.5) != 1 {
-		t.Error("no WatchEndpoints within a third of PollInterval after a failure")
+	if n := watches(8.5); n != 1 {
+		t.Errorf("%d WatchEndpoints within about a third of PollInterval after a failure, want 1", n)
 	}
 	if watches(8.6, decision.EndpointUpdate{Mode: decision.DeltaUpdate})+watches(60) != 0 {
 		t.Error("WatchEndpoints repeated although updates arrive")
 	}
-	if watches(61, decision.EndpointUpdate{Mode: decision.FailedUpdate})+watches(65) != 1 {
-		t.Error("want one WatchEndpoints after the subscription failed")
+	if n := watches(61, decision.EndpointUpdate{Mode: decision.FailedUpdate}) + watches(65); n != 1 {
+		t.Errorf("%d WatchEndpoints after the subscription failed, want 1", n)
 	}
 }
--- a/internal/decision/health_test.go
+++ b/internal/decision/health_test.go
@@ -11,12 +11,12 @@
 // countSends runs n queries of one part and returns the number of attempts by server. answer returns the outcome of an attempt,
 // or nil to leave it in flight.
 func countSends(r *runner, n int, answer func(decision.Send) decision.Event) map[string]int {
-	count := map[string]int{}
+	sendsByServer := map[string]int{}
 	for range n {
 		_, ev := r.query(0, 1)
 		out := sends(r.handleAt(r.now+0.02, ev...))
 		for attempt := 0; len(out) > 0; attempt++ {
-			count[out[0].Server]++
+			sendsByServer[out[0].Server]++
 			event := answer(out[0])
 			if event == nil {
 				break
@@ -26,7 +26,7 @@
 			out = sends(r.handleAt(r.now+0.005, outcome))
 		}
 	}
-	return count
+	return sendsByServer
 }
 
 // A server that fails fast has a short queue, which must not attract parts.
--- a/internal/decision/healthchecks.go
+++ b/internal/decision/healthchecks.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// fitnessInterval is the time in seconds between two computations of fitness. It is the refresh period
-	// of the thesis that docs/design.md cites.
+	// fitnessInterval is the time in seconds between two computations of fitness. The thesis that
+	// docs/design.md cites uses the same refresh period.
 	fitnessInterval = 10.0
 	// healthCheckTimeout is in seconds: a computation of fitness waits this long for the replies to the
 	// preceding health checks. Later replies count in the next computation.
@@ -40,7 +40,7 @@
 	}
 	// A successful check shows that the server can be reached, not that parts succeed. So it only offsets
 	// refused and reset connections.
-	if check.Status != OK || s.Failures.Slow {
+	if check.Status != OK || s.Failures.SlowDecay {
 		p.recordOutcome(s, check.Status)
 	}
 	s.RecordLoadReport(check.LoadReport, p.now)
@@ -68,8 +68,8 @@
 	p.emit(CheckHealth{stalest.ID})
 }
 
-// isCheckable reports whether a server needs a health check to be observed. A server with attempts in flight
-// does not; it is queued again when these finish.
+// isCheckable reports whether a health check of a server is useful. A server with attempts in flight is
+// observed by their outcomes; it is queued again when they finish.
 func isCheckable(s *server) bool { return s.IsReady() && s.InFlight == 0 }
 
 // queueHealthCheck adds a server to the queue of checkStalestServer, if it may be checked.
--- a/internal/decision/hedging.go
+++ b/internal/decision/hedging.go
@@ -10,9 +10,9 @@
 	// cancelFactor is the time after which an attempt may be cancelled and retried. It is longer than
 	// hedgeFactor, since the server may continue to execute the cancelled attempt, which wastes its work.
 	cancelFactor = 3.0
-	// overtakenFactor is the time between the sends of two attempts to a server from which, once the later
-	// one is answered, the answer to the earlier one is assumed lost. Servers with several cores often answer
-	// out of order by less than that.
+	// overtakenFactor is the minimum time between the sends of two attempts to a server for which the answer
+	// to the earlier one is assumed lost once the later one is answered. Attempts sent in shorter succession
+	// are often answered out of order by servers with several cores.
 	overtakenFactor = 2.0
 	// minHealthAdvantage is the minimum ratio between the usable fractions of another replica and the current
 	// server for a hedge or retry. Smaller differences occur by chance.
@@ -23,8 +23,7 @@
 )
 
 // isSlow reports whether the latest attempt of a part has taken longer than the tail latency, so that another
-// part, if there is one, should be sent as a substitute. Otherwise it requests a batch for the time at which
-// that is due.
+// part, if there is one, should be sent as a substitute. Before that time, isSlow requests a batch for it.
 func (p *Policy) isSlow(pt *part, tailLatency float64) bool {
 	due := pt.latestAttempt().sentAt + tailLatency
 	if p.now < due {
@@ -36,10 +35,11 @@
 // isStalled reports whether the only attempt in flight of a part should be hedged or, if hedging is not
 // allowed, cancelled and retried. This is so if its server has answered nothing for long, or only attempts
 // sent later, so that the answer is assumed lost. Attempts at a slow server that answers in order are kept,
-// since it would continue to execute them.
+// since the server would continue to execute them. Before the attempt can count as stalled, isStalled
+// requests a batch for the time from which it can.
 func (p *Policy) isStalled(pt *part, tailLatency float64) bool {
 	a := pt.latestAttempt()
-	if tailLatency == 0 || pt.live != 1 || !a.live || a.cancelled {
+	if tailLatency == 0 || pt.attemptsInFlight != 1 || !a.inFlight || a.cancelled {
 		return false
 	}
 	if p.now >= pt.query.objectiveAt {
--- a/internal/decision/hedging_test.go
+++ b/internal/decision/hedging_test.go
@@ -19,8 +19,8 @@
 			if len(got) != 1 || got[0] != (decision.Cancel{ID: first.ID}) {
 				t.Fatalf("actions %v, want the attempt in flight cancelled", got)
 			}
-			if early := r.handleAt(r.now + 0.01); len(early) != 0 {
-				t.Errorf("actions %v before the outcome of the cancelled attempt, want none", early)
+			if actions := r.handleAt(r.now + 0.01); len(actions) != 0 {
+				t.Errorf("actions %v before the outcome of the cancelled attempt, want none", actions)
 			}
 			got = r.handle(finished(first.ID, 0, first.Server, decision.Cancelled, 0.5))
 		}
--- a/internal/decision/poison.go
+++ b/internal/decision/poison.go
@@ -28,7 +28,7 @@
 	if q.resets <= 1 || q.phase != firstPhase {
 		return false
 	}
-	if current.Answered != 0 || current.live != 0 {
+	if current.Answered != 0 || current.attemptsInFlight != 0 {
 		return false
 	}
 	return math.Pow(p.fleet.DisconnectRatio, float64(q.resets)) < poisonProbability
--- a/internal/decision/policy.go
+++ b/internal/decision/policy.go
@@ -80,7 +80,7 @@
 	p.now = now
 	p.actions = nil
 	p.wakeTime = math.Inf(1)
-	p.fleet.Advance(now, len(p.servers), p.warmingServers(), p.settings.SlowStart.OverloadWindow)
+	p.fleet.Advance(now, len(p.servers), p.updateWarmingServers(), p.settings.SlowStart.OverloadWindow)
 	for _, event := range events {
 		p.handleEvent(event)
 	}
@@ -126,7 +126,7 @@
 // reflect the previous deadlines.
 func (p *Policy) onClassesChanged(changed ClassesChanged) {
 	p.settings.Classes = changed.Classes
-	p.waits = clientpatience.RetryDetector{}
+	p.retryDetector = clientpatience.RetryDetector{}
 }
 
 // onSlowStartLease replaces a server's lease. Attempts sent under the previous lease no longer count.
--- a/internal/decision/progress.go
+++ b/internal/decision/progress.go
@@ -8,15 +8,15 @@
 type progress struct {
 	completeness.Tally          // weights of answered, pending and lost parts
 	completeness.Thresholds     // weights of answered parts that an answer needs
-	live                    int // attempts in flight
+	attemptsInFlight        int // of the parts of the current phase
 }
 
 // progressOf returns the progress of a query's current phase.
 func (p *Policy) progressOf(q *query) progress {
 	var tally completeness.Tally
-	live := 0
+	attemptsInFlight := 0
 	for _, pt := range q.parts {
-		live += pt.live
+		attemptsInFlight += pt.attemptsInFlight
 		switch {
 		case pt.answered:
 			tally.AddAnswered(pt.Weight)
@@ -27,7 +27,7 @@
 		}
 	}
 	thresholds := q.class.Thresholds(q.phase == secondPhase)
-	return progress{Tally: tally, Thresholds: thresholds, live: live}
+	return progress{Tally: tally, Thresholds: thresholds, attemptsInFlight: attemptsInFlight}
 }
 
 // isPending reports whether an unanswered part may still be answered.
@@ -35,7 +35,7 @@
 	if pt.givenUp {
 		return false
 	}
-	return pt.live > 0 || p.mayAttempt(pt)
+	return pt.attemptsInFlight > 0 || p.mayAttempt(pt)
 }
 
 // advance performs the next step of a query: it answers, rejects or fails the query, or sends parts.
@@ -79,13 +79,13 @@
 func (p *Policy) respond(q *query, complete bool, answered float64) {
 	hasSecondPhase := q.class.SecondPhaseFanout != 0 && answered != 0
 	if q.phase == secondPhase || !hasSecondPhase {
-		allComplete := complete && (q.phase == firstPhase || q.firstComplete)
+		allComplete := complete && (q.phase == firstPhase || q.firstPhaseComplete)
 		p.finish(q, Respond{ID: q.ID, Complete: allComplete})
 		return
 	}
 	p.finishParts(q)
 	p.emit(Respond{ID: q.ID, Complete: complete})
-	q.firstComplete = complete
+	q.firstPhaseComplete = complete
 	q.phase = secondPhase
 	q.parts = nil
 	p.wakeAt(q.expiresAt)
--- a/internal/decision/progress_test.go
+++ b/internal/decision/progress_test.go
@@ -11,7 +11,7 @@
 	cases := []struct {
 		name   string
 		status decision.Status
-		answer bool // attempts get outcomes
+		answer bool // whether servers return an outcome for attempts
 	}{
 		{"servers answer", decision.OK, true},
 		{"servers fail", decision.Error, true},
@@ -76,8 +76,9 @@
 	for range 10 {
 		id, ev := r.query(0, 2)
 		out := sends(r.handle(ev...))
-		if len(out) != 2 || len(finalAnswers(r.handleAt(r.now+0.4))) > 0 {
-			t.Fatalf("%d parts sent, want 2 and no final answer within 0.4 s", len(out))
+		earlyAnswers := finalAnswers(r.handleAt(r.now + 0.4))
+		if len(out) != 2 || len(earlyAnswers) > 0 {
+			t.Fatalf("%d parts sent, final answers %v within 0.4 s, want 2 parts and no final answer", len(out), earlyAnswers)
 		}
 		r.handle(decision.ClientDisconnected{ID: id}, finished(out[0].ID, 0, out[0].Server, decision.OK, 0.1),
 			finished(out[1].ID, 0, out[1].Server, decision.Cancelled, 0.4))
--- a/internal/decision/queries.go
+++ b/internal/decision/queries.go
@@ -37,15 +37,16 @@
 	// A client that waits for less than others is assumed to be retrying: its remaining time is the rest of
 	// the class's deadline.
 	wait := min(received.Deadline-p.now, class.Deadline)
-	isRetry := p.waits.IsRetry(received.Class, wait)
+	isRetry := p.retryDetector.ObserveWait(received.Class, wait)
 	q.objectiveMissed = isRetry && class.Deadline-wait > class.LatencyObjective
 	p.queriesByNumber[received.Number] = q
 	p.queriesByID[received.ID] = q
 	p.openQueries = append(p.openQueries, q)
 }
 
-// setTimes sets a query's objectiveAt and expiresAt. Both are earlier by the time that the answer is expected
-// to take to the client: respondLeadTicks, and as long as the request took from its last byte until now.
+// setTimes sets a query's objectiveAt and expiresAt. They precede the objective and the client's deadline by
+// a lead, the time in seconds that the answer is expected to take to reach the client: respondLeadTicks
+// ticks, plus the time since the last byte of the request was received.
 func (p *Policy) setTimes(q *query) {
 	class := q.class
 	lead := respondLeadTicks*max(p.settings.Tick, minTick) + p.now - q.receivedAt
@@ -91,9 +92,9 @@
 	if a == nil {
 		return
 	}
-	a.live = false
+	a.inFlight = false
 	a.mayRun = mayHaveRun(outcome.Status)
-	pt.live--
+	pt.attemptsInFlight--
 	a.server.RecordLoadReport(outcome.LoadReport, p.now)
 	p.recordOutcome(a.server, outcome.Status)
 	p.recordAttempt(a, pt.query, outcome)
@@ -110,7 +111,7 @@
 		return nil, nil
 	}
 	a := &pt.attempts[outcome.Attempt]
-	if !a.live {
+	if !a.inFlight {
 		return nil, nil
 	}
 	return pt, a
@@ -124,7 +125,7 @@
 // updatePart updates the state of a part from the outcome of one of its attempts.
 func (p *Policy) updatePart(pt *part, outcome AttemptFinished) {
 	if pt.finished {
-		if pt.live == 0 {
+		if pt.attemptsInFlight == 0 {
 			delete(p.partsByID, outcome.ID)
 		}
 		return
@@ -158,7 +159,7 @@
 	for _, pt := range q.parts {
 		pt.finished = true
 		p.cancelAttempts(pt)
-		if pt.live == 0 {
+		if pt.attemptsInFlight == 0 {
 			delete(p.partsByID, pt.ID)
 		}
 	}
--- a/internal/decision/reference_test.go
+++ b/internal/decision/reference_test.go
@@ -11,7 +11,7 @@
 //	removed servers, servers warming up         iterates over all servers
 //	heap of servers to check                    searches for the least recently observed server
 //	window of the retry budget                  filters a log of requests and retries
-//	attempts in flight at a server              counts the live attempts of all parts
+//	attempts in flight at a server              counts the unfinished attempts of all parts
 //	sends in a slow-start window                filters a log of sends
 //	unanswered canary parts                     counts them in a list of canary parts
 
@@ -30,7 +30,7 @@
 type decayedRatio struct {
 	value     float64
 	at        float64 // time at which the ratio had this value
-	slowDecay bool    // the latest outcome was Unreachable or Reset: it decays with the half-life of service times
+	slowDecay bool    // the latest outcome was Unreachable or Reset, so the ratio decays with the half-life of service times
 }
 
 // Copies of unexported constants of the packages serverstats and retrybudget.
@@ -253,9 +253,9 @@
 	p.recordOutcome(s, outcome.Status)
 	p.setFailureRatio(s)
 	p.recordAttempt(a, pt.query, outcome)
-	a.live = false
+	a.inFlight = false
 	a.mayRun = mayHaveRun(outcome.Status)
-	pt.live--
+	pt.attemptsInFlight--
 	p.updatePart(pt, outcome)
 }
 
@@ -319,7 +319,7 @@
 	}
 	for _, pt := range p.partsByID {
 		for _, a := range pt.attempts {
-			if a.live {
+			if a.inFlight {
 				a.server.InFlight++
 			}
 		}
--- a/internal/decision/selection.go
+++ b/internal/decision/selection.go
@@ -28,8 +28,8 @@
 		p.healthWeight(s, 0) * p.stallPenalty(s) * p.speedFactor(s)
 }
 
-// concurrencyFactor returns a factor that decreases with the number of this broker's parts at the server. The
-// load from other brokers is reflected in speedFactor.
+// concurrencyFactor returns a factor that decreases with the number of this broker's attempts at the server.
+// The load from other brokers is reflected in speedFactor.
 func (s *server) concurrencyFactor(now float64) float64 {
 	return math.Pow(1+float64(s.QueueDepth(now)), -concurrencyExponent)
 }
@@ -101,7 +101,7 @@
 			continue
 		}
 		tried = true
-		if a.live || now < a.sentAt+slowStartPoll {
+		if a.inFlight || now < a.sentAt+slowStartPoll {
 			tooSoon = true
 		}
 	}
--- a/internal/decision/selection_test.go
+++ b/internal/decision/selection_test.go
@@ -20,14 +20,14 @@
 			report.Utilization, report.QueueLength = utilization[server[1]-'0'], 0
 			return report
 		}
-		const n = 4000                // queries; the first 500 precede the computation of fitness
-		count := map[string]float64{} // parts by server
-		sameServer := 0               // queries whose two parts were sent to the same server
+		const n = 4000 // queries; the first 500 precede the computation of fitness
+		partsByServer := map[string]float64{}
+		sameServer := 0 // queries whose two parts were sent to the same server
 		for i := range n {
 			if i == 500 {
 				r.now += 11 // fitness is computed from the reports so far
 				r.handle()
-				clear(count)
+				clear(partsByServer)
 				sameServer = 0
 			}
 			_, ev := r.query(0, 2)
@@ -36,7 +36,7 @@
 				sameServer++
 			}
 			for _, send := range out {
-				count[send.Server]++
+				partsByServer[send.Server]++
 				outcome := finished(send.ID, 0, send.Server, decision.OK, 0)
 				outcome.LoadReport = loadReport(send.Server)
 				r.handle(outcome)
@@ -51,7 +51,7 @@
 		}
 		for i, u := range utilization {
 			want := math.Pow(1.02, -100*u) / sum
-			got := count[servers(3)[i].ID] / float64(2*(n-500))
+			got := partsByServer[servers(3)[i].ID] / float64(2*(n-500))
 			if math.Abs(got-want) > 0.03 {
 				t.Errorf("utilization %g: fraction of parts %.3f, want %.3f", u, got, want)
 			}
@@ -114,19 +114,19 @@
 }
 
 func TestEqualEventsGiveEqualActions(t *testing.T) {
-	run := func(seed uint64) (all []decision.Action) {
+	run := func(seed uint64) (actions []decision.Action) {
 		r := newRunner(t, settings(), servers(5)...)
 		r.p = decision.New(settings(), seed)
 		r.handle(decision.EndpointUpdate{Mode: decision.FullUpdate, Servers: servers(5)})
 		for range 50 {
 			_, ev := r.query(0, 4)
 			got := r.handle(ev...)
-			all = append(all, got...)
+			actions = append(actions, got...)
 			for _, send := range sends(got) {
-				all = append(all, r.handleAt(r.now+0.01, finished(send.ID, 0, send.Server, decision.OK, 0.01))...)
+				actions = append(actions, r.handleAt(r.now+0.01, finished(send.ID, 0, send.Server, decision.OK, 0.01))...)
 			}
 		}
-		return all
+		return actions
 	}
 	if !reflect.DeepEqual(run(3), run(3)) {
 		t.Error("two runs with seed 3 and equal events gave different actions, want equal ones")
--- a/internal/decision/server.go
+++ b/internal/decision/server.go
@@ -8,10 +8,10 @@
 	serverstats.Stats // statistics of its attempts and load reports
 	slowStart
 
-	ordinal      int     // position in the order in which servers were first listed, from 1
-	drawKey      float64 // exponential variate divided by weight; the server with the smallest key is drawn
-	drawKeyRound int     // value of Policy.drawRound for which drawKey is valid
-	removed      bool    // the server is in endpoints.removed
+	ordinal          int     // position in the order in which servers were first listed, from 1
+	drawKey          float64 // exponential variate divided by weight; the smallest key is drawn
+	drawKeyRound     int     // value of Policy.drawRound for which drawKey is valid
+	inRemovedServers bool    // the server is in endpoints.removedServers
 }
 
 // IsReady reports whether the endpoint list allows new attempts at the server.
--- a/internal/decision/slowstart.go
+++ b/internal/decision/slowstart.go
@@ -6,11 +6,11 @@
 
 // slowStart is the slow-start state of a server.
 type slowStart struct {
-	warming         bool            // the server is in endpoints.warmingUp
+	warming         bool            // the server is in endpoints.warmingServers
 	warmingSince    float64         // start of the server's process; -Inf: long ago
-	slowStartSends  []float64       // send times since the lease or in the overload window, in order
-	roundingVariate float64         // in [0, 1), for random rounding of the current window's budget
-	roundedUntil    float64         // end of the window for which roundingVariate was drawn
+	slowStartSends  []float64       // send times since the lease, or in the overload window; ascending
+	roundingVariate float64         // in [0, 1), added to a budget so that it is rounded at random
+	roundedUntil    float64         // end of the overload window for which roundingVariate was drawn
 	lease           *SlowStartLease // share of a common budget; nil: none
 }
 
@@ -21,8 +21,8 @@
 }
 
 // hasSlowStartBudget reports whether a server may get one more part. A warm server always may. A server that
-// is warming up is limited to the parts of its lease if there is one, else to this broker's share of its
-// capacity, estimated from the throughput of warm servers.
+// is warming up is limited to the parts of its lease if there is one, else to this broker's share of the
+// server's capacity, estimated from the throughput of warm servers.
 func (p *Policy) hasSlowStartBudget(s *server) bool {
 	capacity := p.capacityFraction(s)
 	window := p.settings.SlowStart.OverloadWindow
@@ -53,12 +53,12 @@
 	p.fleet.SlowStartWindows.Used()
 }
 
-// warmingServers returns the number of ready servers with less than their full capacity, and removes servers
-// whose slow start has ended from warmingUp.
-func (p *Policy) warmingServers() int {
+// updateWarmingServers removes the servers whose slow start has ended from warmingServers, and returns the
+// number of ready servers with less than their full capacity.
+func (p *Policy) updateWarmingServers() int {
 	duration := p.settings.SlowStart.Duration
 	warming := 0
-	p.warmingUp = slices.DeleteFunc(p.warmingUp, func(s *server) bool {
+	p.warmingServers = slices.DeleteFunc(p.warmingServers, func(s *server) bool {
 		s.warming = duration > 0 && p.now-s.warmingSince < duration
 		if s.warming && s.IsReady() {
 			// InitialFraction may be 1 or more: such a server has its full capacity from the start.
--- a/internal/estimate/clientpatience/clientpatience.go
+++ b/internal/estimate/clientpatience/clientpatience.go
@@ -6,7 +6,7 @@
 
 const (
 	outcomeWeight         = 0.05 // weight of one query in the disconnect ratio, which averages about the latest 20 queries
-	highDisconnectRatio   = 0.1  // disconnect ratio above which early disconnects are more than a few impatient clients
+	highDisconnectRatio   = 0.1  // disconnect ratio above which early disconnects are not just those of a few impatient clients
 	disconnectAgeQuantile = 0.25 // quantile of the ages at which clients disconnect: three in four waited longer
 
 	// retryWaitRatio is the fraction of the longest wait below which a wait indicates a retry. It is below 1 because clients
@@ -44,9 +44,9 @@
 	longestWait map[int]float64 // seconds, by class
 }
 
-// IsRetry records the time in seconds that a client will wait for a request of a class, and reports whether the request is
+// ObserveWait records the time in seconds that a client will wait for a request of a class, and reports whether the request is
 // probably a retry.
-func (d *RetryDetector) IsRetry(class int, wait float64) bool {
+func (d *RetryDetector) ObserveWait(class int, wait float64) (isRetry bool) {
 	if d.longestWait == nil {
 		d.longestWait = map[int]float64{}
 	}
--- a/internal/estimate/clientpatience/clientpatience_test.go
+++ b/internal/estimate/clientpatience/clientpatience_test.go
@@ -21,11 +21,11 @@
 	require.Zero(t, e.EarlyDisconnectAge(), "few clients disconnect")
 }
 
-func TestIsRetryDetectsShorterWaits(t *testing.T) {
+func TestObserveWaitDetectsRetriesByShorterWaits(t *testing.T) {
 	var d clientpatience.RetryDetector
-	require.False(t, d.IsRetry(0, 2))
-	require.True(t, d.IsRetry(0, 1.8))
-	require.False(t, d.IsRetry(0, 1.95), "clients measure their remaining time themselves")
-	require.False(t, d.IsRetry(1, 1), "another class")
-	require.False(t, d.IsRetry(0, 3))
+	require.False(t, d.ObserveWait(0, 2))
+	require.True(t, d.ObserveWait(0, 1.8))
+	require.False(t, d.ObserveWait(0, 1.95), "clients measure their remaining time themselves")
+	require.False(t, d.ObserveWait(1, 1), "another class")
+	require.False(t, d.ObserveWait(0, 3))
 }
--- a/internal/estimate/failures/failures.go
+++ b/internal/estimate/failures/failures.go
@@ -10,10 +10,10 @@
 
 // Server holds the failure ratio of one server. The zero value is a server in zone 0 without failures.
 type Server struct {
-	Zone  int     // number of the zone, from 0
-	Ratio float64 // fraction of failed attempts at the time At, 0 to 1
-	At    float64 // time of the latest outcome
-	Slow  bool    // whether the ratio decays with Ratios.SlowHalfLife, if that is longer than Ratios.HalfLife
+	Zone      int     // number of the zone, from 0
+	Ratio     float64 // fraction of failed attempts at the time At, 0 to 1
+	At        float64 // time of the latest outcome
+	SlowDecay bool    // whether the ratio decays with Ratios.SlowHalfLife, if that is longer than Ratios.HalfLife
 
 	entry      median.Entry[*Server]
 	memberZone int // zone whose members contain the server, if it is included in the median
@@ -24,12 +24,12 @@
 type Ratios struct {
 	Now          float64 // current time; must not run backwards
 	HalfLife     float64 // half-life of the difference between a server's ratio and its zone's ratio, in seconds
-	SlowHalfLife float64 // like HalfLife, for servers whose Slow is set
+	SlowHalfLife float64 // like HalfLife, for servers whose SlowDecay is set
 	ZoneWeight   float64 // weight of one outcome in its zone's ratio
 
 	zones          []zone
-	included       int     // number of servers included in the median
-	negligible     float64 // see New
+	includedCount  int     // number of servers included in the median
+	negligible     float64 // median below which Median may return 0
 	tracker        median.Tracker[*Server]
 	boundsExpireAt float64   // time until which the bounds in tracker hold
 	boundsValidFor float64   // time from the latest scan until boundsExpireAt, in seconds
@@ -53,19 +53,19 @@
 		return zoneRatio // the common case, in which no exponential is computed for each of hundreds of servers
 	}
 	halfLife := r.HalfLife
-	if server.Slow {
+	if server.SlowDecay {
 		halfLife = max(halfLife, r.SlowHalfLife)
 	}
 	return zoneRatio + (server.Ratio-zoneRatio)*recent.HalfLifeDecay(r.Now-server.At, halfLife)
 }
 
-// Record records an outcome of a server. failed is 1 or 0, weight is the weight of the outcome in the server's ratio, and slow
-// is the new value of the server's Slow field.
-func (r *Ratios) Record(server *Server, failed, weight float64, slow bool) {
+// Record records an outcome of a server. failed is 1 or 0, weight is the weight of the outcome in the server's ratio, and
+// slowDecay is the new value of the server's SlowDecay field.
+func (r *Ratios) Record(server *Server, failed, weight float64, slowDecay bool) {
 	previous := r.Of(server)
 	server.Ratio = previous + weight*(failed-previous)
 	server.At = r.Now
-	server.Slow = slow
+	server.SlowDecay = slowDecay
 	r.recordInZone(&r.zones[server.Zone], failed)
 	r.updateBounds(server)
 }
--- a/internal/estimate/failures/median.go
+++ b/internal/estimate/failures/median.go
@@ -22,7 +22,7 @@
 )
 
 // Len returns the number of servers included in the median.
-func (r *Ratios) Len() int { return r.included }
+func (r *Ratios) Len() int { return r.includedCount }
 
 // Include includes a server in the median. It must be called again after a change to the server's exported fields.
 func (r *Ratios) Include(server *Server) {
@@ -36,7 +36,7 @@
 		server.memberZone = server.Zone
 		server.position = len(z.members)
 		server.entry.Item = server
-		r.included++
+		r.includedCount++
 	}
 	r.putBounds(server)
 }
@@ -54,7 +54,7 @@
 	z.members[last] = nil
 	z.members = z.members[:last]
 	server.position = 0
-	r.included--
+	r.includedCount--
 	r.tracker.Remove(&server.entry)
 }
 
@@ -116,7 +116,7 @@
 	// that remains at boundsExpireAt, because 2^-x is at least 1 - x*ln 2.
 	remainingNow := recent.HalfLifeDecay(r.Now-server.At, r.HalfLife)
 	remainingAtEnd := remainingNow * max(1-(r.boundsExpireAt-r.Now)*math.Ln2/r.HalfLife, 0)
-	if server.Slow {
+	if server.SlowDecay {
 		remainingNow = 1 // upper bound: the ratio decays more slowly
 	}
 	r.tracker.Put(&server.entry, server.Ratio*remainingAtEnd-slack, server.Ratio*remainingNow+zoneMax*(1-remainingAtEnd)+slack)
--- a/internal/estimate/failures/zone.go
+++ b/internal/estimate/failures/zone.go
@@ -14,12 +14,12 @@
 
 // zone holds the failure ratio of all servers of one zone.
 type zone struct {
-	ratio     float64 // fraction of failed attempts at the time at, 0 to 1
-	at        float64 // time of the latest outcome
-	decayed   float64 // the ratio at the time decayedAt, cached because all servers of the zone need it at the same time
-	decayedAt float64
-	maxRatio  float64   // upper bound of the ratio, from which the members' bounds are computed
-	members   []*Server // servers included in the median
+	ratio        float64 // fraction of failed attempts at the time at, 0 to 1
+	at           float64 // time of the latest outcome
+	decayedRatio float64 // the ratio at the time decayedAt, cached because all servers of the zone need it at the same time
+	decayedAt    float64
+	maxRatio     float64   // upper bound of the ratio, from which the members' bounds are computed
+	members      []*Server // servers included in the median
 }
 
 // ensureZone adds all missing zones up to the given number.
@@ -39,17 +39,17 @@
 	}
 	z := &r.zones[number]
 	if z.decayedAt != r.Now {
-		z.decayed = z.ratio * recent.HalfLifeDecay(r.Now-z.at, r.HalfLife)
+		z.decayedRatio = z.ratio * recent.HalfLifeDecay(r.Now-z.at, r.HalfLife)
 		z.decayedAt = r.Now
 	}
-	return z.decayed
+	return z.decayedRatio
 }
 
 // recordInZone records an outcome in a zone. failed is 1 or 0.
 func (r *Ratios) recordInZone(z *zone, failed float64) {
 	z.ratio = r.ZoneWeight*failed + (1-r.ZoneWeight)*z.ratio*recent.HalfLifeDecay(r.Now-z.at, r.HalfLife)
 	z.at = r.Now
-	z.decayed = z.ratio
+	z.decayedRatio = z.ratio
 	z.decayedAt = r.Now
 	switch {
 	case len(r.zones) <= 1:
--- a/internal/estimate/queueing/queueing.go
+++ b/internal/estimate/queueing/queueing.go
@@ -31,6 +31,6 @@
 	if d.servers == 0 {
 		return math.Inf(1)
 	}
-	idle := d.capacity / d.idleRate
-	return idle + (d.capacity/d.queuedRate-idle)*d.servers/d.capacity
+	idleDelay := d.capacity / d.idleRate
+	return idleDelay + (d.capacity/d.queuedRate-idleDelay)*d.servers/d.capacity
 }
--- a/internal/estimate/retrybudget/retrybudget.go
+++ b/internal/estimate/retrybudget/retrybudget.go
@@ -4,10 +4,13 @@
 
 import "mothrouter/internal/collections/recent"
 
-// edgeSlack is a tolerance with two uses. In seconds, it counts events at the edge of a window in the way that allows fewer
-// retries, because the platform measures windows in microseconds. As a number of retries, it tolerates the rounding error of
-// Settings.Ratio.
-const edgeSlack = 1e-6
+const (
+	// edgeSlack is in seconds. Requests leave the window this much earlier and retries this much later, so that fewer retries are
+	// allowed at the edge of the window, because the platform measures windows in microseconds.
+	edgeSlack = 1e-6
+	// roundingSlack is a number of retries that tolerates the rounding error of Settings.Ratio.
+	roundingSlack = 1e-6
+)
 
 // Settings configure the retry budget of a deployment.
 type Settings struct {
@@ -45,5 +48,5 @@
 		return true
 	}
 	allowed := float64(b.Min) + b.Ratio*float64(b.requests.Len())
-	return float64(b.retries.Len()+1) <= allowed+edgeSlack
+	return float64(b.retries.Len()+1) <= allowed+roundingSlack
 }
--- a/internal/estimate/serverstats/fleet.go
+++ b/internal/estimate/serverstats/fleet.go
@@ -46,24 +46,25 @@
 	}
 }
 
-// Advance advances the estimates to the time now, which must not run backwards. known is the number of known servers, warming
-// the number of those that are ready and in slow start, and window the overload window of slow start in seconds.
-func (f *Fleet) Advance(now float64, known, warming int, window float64) {
+// Advance advances the estimates to the time now, which must not run backwards. knownServers is the number of known servers,
+// warmingServers the number of those that are ready and in slow start, and window the overload window of slow start in seconds.
+func (f *Fleet) Advance(now float64, knownServers, warmingServers int, window float64) {
 	elapsed := now - f.now
 	f.now = now
 	f.Failures.Now = now
 	if f.Failures.Len() > 0 {
 		f.MedianFailureRatio = f.Failures.Median()
 	}
-	f.warmServers = float64(max(f.Failures.Len()-warming, known/knownPerWarm, 1))
-	f.SlowStartWindows.Advance(elapsed, float64(warming), window)
+	f.warmServers = float64(max(f.Failures.Len()-warmingServers, knownServers/knownPerWarm, 1))
+	f.SlowStartWindows.Advance(elapsed, float64(warmingServers), window)
 	f.PeakRate.Advance(now, f.warmServers)
 	f.ServiceTime.Advance(elapsed, f.warmServers)
 	f.Failures.SlowHalfLife = f.ServiceTime.HalfLife // failures by refused or reset connections decay as slowly as service times
 }
 
 // Restore sets estimates that an earlier process has learned: the mean service time in seconds and the peak rate of a warm
-// server in answers per second. A service time that this process has learned already stays, and so does a higher peak rate.
+// server in answers per second. It does not replace a service time that this process has already learned, and does not lower
+// the peak rate.
 func (f *Fleet) Restore(serviceTime, peakRate float64) {
 	f.ServiceTime.Mean = cmp.Or(f.ServiceTime.Mean, serviceTime)
 	f.PeakRate.Value = max(f.PeakRate.Value, peakRate)
@@ -141,8 +142,9 @@
 }
 
 // RecordPeer records what another broker or another event loop of this process observed of a server at the time at: a failure
-// ratio with a weight from 0 to 1, and a service time in seconds. A weight or service time of 0 means that there is none. Each
-// observation counts only if it is newer than the latest one recorded for the server.
+// ratio with a weight from 0 to 1, and a service time in seconds. A weight of 0 means that no failure ratio was observed, and a
+// service time of 0 that no service time was. Each of the two counts only if it is newer than the latest one recorded for the
+// server.
 func (f *Fleet) RecordPeer(s *Stats, at, failureRatio, weight, serviceTime float64) {
 	if weight > 0 && at > s.Failures.At {
 		f.Failures.RecordPeer(&s.Failures, failureRatio, weight, at)
--- a/internal/estimate/serverstats/loadreport.go
+++ b/internal/estimate/serverstats/loadreport.go
@@ -4,7 +4,7 @@
 
 const (
 	utilizationBase   = 1.02 // fitness is divided by this for each percentage point of utilization
-	queueCeilingRatio = 10.0 // queue length at which fitness is 0, as a multiple of the fleet's mean: well above usual queues
+	queueCeilingRatio = 10.0 // queue length at which fitness is 0, relative to the fleet's mean length: well above usual queues
 	minQueueCeiling   = 8.0  // minimum queue length at which fitness is 0, so that an idle fleet ignores small differences
 	minFitness        = 0.01 // minimum fitness, so that no load report starves a server
 )
@@ -51,7 +51,7 @@
 	return max(queueFactor*utilizationFactor, minFitness)
 }
 
-// Server is a server with its stats.
+// Server is the type constraint of ComputeFitness. A type that embeds Stats and has a method IsReady satisfies it.
 type Server interface {
 	ServerStats() *Stats
 	// IsReady reports whether the server may receive new parts.
@@ -65,14 +65,14 @@
 // ready. ok is false if no ready server has reported its load.
 func ComputeFitness[S Server](servers []S) (mean float64, ok bool) {
 	totalQueue := 0.0
-	reported := 0.0
+	reportingServers := 0.0
 	for _, server := range servers {
 		if s := server.ServerStats(); s.LoadReportedAt > 0 && server.IsReady() {
 			totalQueue += s.queueLength()
-			reported++
+			reportingServers++
 		}
 	}
-	ceiling := max(minQueueCeiling, queueCeilingRatio*totalQueue/max(reported, 1))
+	ceiling := max(minQueueCeiling, queueCeilingRatio*totalQueue/max(reportingServers, 1))
 	totalFitness := 0.0
 	for _, server := range servers {
 		s := server.ServerStats()
@@ -84,5 +84,5 @@
 			totalFitness += s.Fitness
 		}
 	}
-	return totalFitness / reported, reported > 0
+	return totalFitness / reportingServers, reportingServers > 0
 }
--- a/internal/estimate/serverstats/serverstats.go
+++ b/internal/estimate/serverstats/serverstats.go
@@ -27,13 +27,13 @@
 	LoadReportedAt   float64    // time of the latest load report; 0: there was none
 	Fitness          float64    // as of the latest ComputeFitness, above 0 and at most 1; 0: the server had not reported its load
 
-	abandoned []abandonedAttempt
+	abandonedAttempts []abandonedAttempt
 }
 
 // abandonedAttempt is an attempt that the broker has given up but that may still be in the server's queue.
 type abandonedAttempt struct {
 	sentAt    float64
-	expiresAt float64 // end of abandonedLifetime
+	expiresAt float64 // time after which the attempt no longer counts as queued
 }
 
 // NewStats returns the stats of a server without observations.
@@ -45,7 +45,7 @@
 	s.LoadReportedAt = 0
 	s.Fitness = 0
 	s.Failures.Ratio = 0
-	s.abandoned = nil
+	s.abandonedAttempts = nil
 }
 
 // Sent records an attempt sent at the time now.
@@ -59,12 +59,12 @@
 // QueueDepth returns the number of this broker's attempts at the server: attempts in flight and abandoned attempts that may
 // still be queued.
 func (s *Stats) QueueDepth(now float64) int {
-	s.abandoned = slices.DeleteFunc(s.abandoned, func(a abandonedAttempt) bool { return now > a.expiresAt })
-	return s.InFlight + len(s.abandoned)
+	s.abandonedAttempts = slices.DeleteFunc(s.abandonedAttempts, func(a abandonedAttempt) bool { return now > a.expiresAt })
+	return s.InFlight + len(s.abandonedAttempts)
 }
 
 // Silence returns for how many seconds the server has had attempts in flight without a success, or 0 if it has none in flight
-// or has succeeded since.
+// or has not been sent an attempt since its latest success.
 func (s *Stats) Silence(now float64) float64 {
 	if s.InFlight == 0 || s.BusySince < s.AnsweredAt {
 		return 0
@@ -74,7 +74,7 @@
 
 // abandon records an attempt that was sent at sentAt and is given up now.
 func (s *Stats) abandon(sentAt, now float64) {
-	s.abandoned = append(s.abandoned, abandonedAttempt{sentAt, now + abandonedLifetime})
+	s.abandonedAttempts = append(s.abandonedAttempts, abandonedAttempt{sentAt, now + abandonedLifetime})
 }
 
 // answered records a success at the time now of an attempt sent at sentAt. Server queues are FIFO, so all attempts that were
@@ -82,5 +82,5 @@
 func (s *Stats) answered(sentAt, now float64) {
 	s.AnsweredAt = now
 	s.NewestAnsweredAt = max(s.NewestAnsweredAt, sentAt)
-	s.abandoned = slices.DeleteFunc(s.abandoned, func(a abandonedAttempt) bool { return a.sentAt <= sentAt })
+	s.abandonedAttempts = slices.DeleteFunc(s.abandonedAttempts, func(a abandonedAttempt) bool { return a.sentAt <= sentAt })
 }
--- a/internal/estimate/servicetime/servicetime.go
+++ b/internal/estimate/servicetime/servicetime.go
@@ -42,7 +42,7 @@
 	f.HalfLife = min(MinHalfLife+interval, maxHalfLife)
 }
 
-// Answered counts an answer.
+// Answered counts an answer towards the answer rate, from which HalfLife is computed.
 func (f *Fleet) Answered() { f.answers++ }
 
 // Observe moves the fleet's mean towards an observed service time, with a weight from 0 to 1.
--- a/internal/estimate/slowstart/rates.go
+++ b/internal/estimate/slowstart/rates.go
@@ -41,20 +41,22 @@
 // A process that rarely has a request for a server leaves most windows unused and may send more in the others. The zero value
 // is ready to use.
 type WindowUsage struct {
-	used    float64 // windows with a request, decayed with the time constant rateWindow
-	offered float64 // all windows, decayed in the same way
+	usedWindows    float64 // number of windows with a request, decayed with the time constant rateWindow
+	offeredWindows float64 // number of all windows, decayed in the same way
 }
 
 // Advance advances the estimate by elapsed seconds, during which the given number of servers was in slow start. An overload
 // window lasts window seconds.
 func (u *WindowUsage) Advance(elapsed, servers, window float64) {
 	decay := recent.Decay(elapsed, rateWindow)
-	u.used *= decay
-	u.offered = u.offered*decay + servers*elapsed/max(window, 1)
+	u.usedWindows *= decay
+	u.offeredWindows = u.offeredWindows*decay + servers*elapsed/max(window, 1)
 }
 
 // Used counts a window in which the process had a request for the server.
-func (u *WindowUsage) Used() { u.used++ }
+func (u *WindowUsage) Used() { u.usedWindows++ }
 
 // Fraction returns the estimated fraction of used windows, above 0 and at most 1. It is 1 until enough windows were unused.
-func (u *WindowUsage) Fraction() float64 { return min(1, (u.used+priorWindows)/(u.offered+1)) }
+func (u *WindowUsage) Fraction() float64 {
+	return min(1, (u.usedWindows+priorWindows)/(u.offeredWindows+1))
+}
