--- a/internal/decision/admission.go
+++ b/internal/decision/admission.go
@@ -55,17 +55,17 @@
 // delayLimit returns the maximum expected delay in seconds with which parts of a query are admitted. It is
 // reduced by a long half-life of service times, a small priority weight or a missed objective.
 func (p *Policy) delayLimit(q *query) float64 {
-	left := q.objectiveAt - p.now
+	timeLeft := q.objectiveAt - p.now
 	halfLife := p.fleet.ServiceTime.HalfLife
-	limit := (baseDelayRatio + freshDelayRatio/halfLife) * left
+	limit := (baseDelayRatio + freshDelayRatio/halfLife) * timeLeft
 	if !p.settings.WeightByWork && q.class.PriorityWeight > 0 {
-		limit = min(limit*p.weightFactor(q), left)
+		limit = min(limit*p.weightFactor(q), timeLeft)
 	}
 	if q.objectiveMissed {
 		return limit * math.Pow(missedDelayRatio, 1-servicetime.MinHalfLife/halfLife)
 	}
 	if p.needsCanary(q) {
-		return left // canary parts predict better whether the others would be late
+		return timeLeft // canary parts predict better whether the others would be late
 	}
 	return limit
 }
@@ -87,14 +87,14 @@
 // remaining parts suffice for an answer.
 func (p *Policy) admissionRejects(q *query) bool {
 	limit := p.delayLimit(q)
-	admitted := 0.0
+	admittedWeight := 0.0
 	for _, pt := range q.parts {
 		late := p.expectedDelay(pt.Shard) > limit
 		pt.givenUp = late && p.rng.Float64() >= trialProbability
 		if !pt.givenUp {
-			admitted += pt.Weight
+			admittedWeight += pt.Weight
 		}
 	}
-	needed := min(q.class.MinCompleteness, q.class.CompletenessThreshold)
-	return admitted < needed-completeness.Epsilon
+	neededWeight := min(q.class.MinCompleteness, q.class.CompletenessThreshold)
+	return admittedWeight < neededWeight-completeness.Epsilon
 }
--- a/internal/decision/attempts.go
+++ b/internal/decision/attempts.go
@@ -43,26 +43,26 @@
 
 // sendParts sends the parts that are due, until answered parts and parts in flight suffice for a complete
 // answer.
-func (p *Policy) sendParts(q *query, answered float64) {
+func (p *Policy) sendParts(q *query, answeredWeight float64) {
 	p.drawRound++
-	stride := p.canaryStride(q, answered)
+	stride := p.canaryStride(q, answeredWeight)
 	if stride == rejectStride {
 		p.rejectOrFail(q)
 		return
 	}
-	expected := answered
+	expectedWeight := answeredWeight
 	tailLatency := p.fleet.Latencies[q.Class].Quantile(tailQuantile)
-	needed := q.class.CompletenessThreshold - completeness.Epsilon
+	neededWeight := q.class.CompletenessThreshold - completeness.Epsilon
 	for i := 0; i < len(q.parts); i += stride {
 		pt := q.parts[i]
 		if pt.answered || pt.givenUp {
 			continue
 		}
-		if q.phase == firstPhase && expected >= needed {
+		if q.phase == firstPhase && expectedWeight >= neededWeight {
 			return
 		}
 		if p.sendPart(pt, tailLatency) {
-			expected += pt.Weight
+			expectedWeight += pt.Weight
 		}
 	}
 }
--- a/internal/decision/bench_test.go
+++ b/internal/decision/bench_test.go
@@ -170,8 +170,8 @@
 			cfg.RetryBudget.Enabled, cfg.RetryBudget.Min, cfg.RetryBudget.Ratio, cfg.RetryBudget.Window = true, 10, 0.1, 10
 		})
 		f.now += 20
-		const entries = 41_700 * 10
-		for i := range entries / benchmarkParts { // fill the window of the budget
+		const requestsInWindow = 41_700 * 10
+		for i := range requestsInWindow / benchmarkParts { // fill the window of the budget
 			f.policy.Handle(f.now+float64(i)*benchmarkParts/41_700, rejectedQuery(benchmarkParts))
 		}
 		f.now += 10 - 0.001
--- a/internal/decision/canary.go
+++ b/internal/decision/canary.go
@@ -35,8 +35,8 @@
 // parts only, rejectStride if the query is to be rejected. A query with a large fan-out sends canary parts
 // first: if they are late, the others would be late too and delay the parts of other queries. A query of a
 // class in quarantine sends one part first.
-func (p *Policy) canaryStride(q *query, answered float64) int {
-	inQuarantine := answered == 0 && (q.resets > 0 || p.now < p.quarantineUntil[q.Class])
+func (p *Policy) canaryStride(q *query, answeredWeight float64) int {
+	inQuarantine := answeredWeight == 0 && (q.resets > 0 || p.now < p.quarantineUntil[q.Class])
 	largeFanout := p.needsCanary(q)
 	if q.fannedOut || !inQuarantine && !largeFanout {
 		return 1
--- a/internal/decision/hedging.go
+++ b/internal/decision/hedging.go
@@ -25,11 +25,11 @@
 // isSlow reports whether the latest attempt of a part has taken longer than the tail latency, so that another
 // part, if there is one, should be sent as a substitute. Before that time, isSlow requests a batch for it.
 func (p *Policy) isSlow(pt *part, tailLatency float64) bool {
-	due := pt.latestAttempt().sentAt + tailLatency
-	if p.now < due {
-		p.wakeAt(due)
+	dueAt := pt.latestAttempt().sentAt + tailLatency
+	if p.now < dueAt {
+		p.wakeAt(dueAt)
 	}
-	return tailLatency > 0 && p.now >= due
+	return tailLatency > 0 && p.now >= dueAt
 }
 
 // isStalled reports whether the only attempt in flight of a part should be hedged or, if hedging is not
@@ -49,13 +49,13 @@
 		return false
 	}
 	timeout := p.stallTimeout(tailLatency)
-	due := a.sentAt + timeout
+	dueAt := a.sentAt + timeout
 	overtaken := a.server.NewestAnsweredAt > a.sentAt+overtakenFactor*tailLatency
 	if !overtaken {
-		due = max(due, a.server.AnsweredAt+timeout)
+		dueAt = max(dueAt, a.server.AnsweredAt+timeout)
 	}
-	if p.now < due {
-		p.wakeAt(due)
+	if p.now < dueAt {
+		p.wakeAt(dueAt)
 		return false
 	}
 	expectedAt := p.now + p.fleet.Latencies[pt.query.Class].Quantile(medianQuantile)
--- a/internal/decision/progress.go
+++ b/internal/decision/progress.go
@@ -74,10 +74,10 @@
 	}
 }
 
-// respond answers a query from its answered parts, whose total weight is answered. If this ends the first of
-// two phases, the query remains open for the parts of the second phase.
-func (p *Policy) respond(q *query, complete bool, answered float64) {
-	hasSecondPhase := q.class.SecondPhaseFanout != 0 && answered != 0
+// respond answers a query from its answered parts, whose total weight is answeredWeight. If this ends the
+// first of two phases, the query remains open for the parts of the second phase.
+func (p *Policy) respond(q *query, complete bool, answeredWeight float64) {
+	hasSecondPhase := q.class.SecondPhaseFanout != 0 && answeredWeight != 0
 	if q.phase == secondPhase || !hasSecondPhase {
 		allComplete := complete && (q.phase == firstPhase || q.firstPhaseComplete)
 		p.finish(q, Respond{ID: q.ID, Complete: allComplete})
--- a/internal/estimate/slowstart/slowstart_test.go
+++ b/internal/estimate/slowstart/slowstart_test.go
@@ -18,7 +18,7 @@
 	require.Equal(t, 1.0, noSlowStart.CapacityFraction(0), "a duration of 0 disables slow start")
 }
 
-func TestBudgetIsAtLeastFairFraction(t *testing.T) {
+func TestBudgetIsAtLeastShareOfOneRequest(t *testing.T) {
 	require.Equal(t, 0.25, settings.Budget(0.2, 0, 4))
 	require.Equal(t, 1.0, settings.Budget(0.2, 0, 0))
 	require.InDelta(t, 0.8*2.5*0.2*1.5*50, settings.Budget(0.2, 50, 4), 1e-12)
