--- a/internal/decision/health_test.go
+++ b/internal/decision/health_test.go
@@ -11,12 +11,12 @@
 // countSends runs n queries of one part and returns the number of attempts by server. answer returns the outcome of an attempt,
 // or nil to leave it in flight.
 func countSends(r *runner, n int, answer func(decision.Send) decision.Event) map[string]int {
-	count := map[string]int{}
+	sendsByServer := map[string]int{}
 	for range n {
 		_, ev := r.query(0, 1)
 		out := sends(r.handleAt(r.now+0.02, ev...))
 		for attempt := 0; len(out) > 0; attempt++ {
-			count[out[0].Server]++
+			sendsByServer[out[0].Server]++
 			event := answer(out[0])
 			if event == nil {
 				break
@@ -26,7 +26,7 @@
 			out = sends(r.handleAt(r.now+0.005, outcome))
 		}
 	}
-	return count
+	return sendsByServer
 }
 
 // A server that fails fast has a short queue, which must not attract parts.
@@ -175,7 +175,7 @@
 		}
 		return finished(send.ID, 0, send.Server, decision.OK, 0.01)
 	})
-	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now}}})
+	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", StartedAt: r.now}}})
 	first := countSends(r, 12, func(send decision.Send) decision.Event {
 		return finished(send.ID, 0, send.Server, decision.OK, 0.01)
 	})
@@ -271,7 +271,7 @@
 	require.Greater(t, sendsToS0(r), 30)
 	receiveObservation(r, r.now, 1, 1)
 	r.handle(decision.PeerObservation{Server: "unknown", At: r.now, FailureRatio: 1, Weight: 1, LoadReport: decision.NoLoadReport})
-	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", Started: r.now + 1}}})
+	r.handle(decision.EndpointUpdate{Servers: []decision.Server{{ID: "s0", StartedAt: r.now + 1}}})
 	receiveObservation(r, r.now, 1, 0.75) // of the server's previous process
 	r.now += 30                           // past the slow start of the new process
 	require.Greater(t, sendsToS0(r), 30)
--- a/internal/workers/cores/state.go
+++ b/internal/workers/cores/state.go
@@ -110,18 +110,18 @@
 func (s *processState) put(e decision.Server, now float64) {
 	startedAt, known := s.startedAt[e.ID]
 	s.entries[e.ID] = e
-	if known && e.Started <= startedAt {
+	if known && e.StartedAt <= startedAt {
 		return
 	}
 	if known {
 		s.observations.Forget(e.ID) // observations of the previous process do not apply to the new one
 	}
-	s.startedAt[e.ID] = e.Started
+	s.startedAt[e.ID] = e.StartedAt
 	delete(s.warmingUp, e.ID)
-	if s.slowStart.OverloadWindow > 0 && s.capacity.CapacityFraction(e.Started, now) < 1 {
+	if s.slowStart.OverloadWindow > 0 && s.capacity.CapacityFraction(e.StartedAt, now) < 1 {
 		s.warmingUp[e.ID] = &warmingServer{
 			budget:    lease.NewBudget(s.workers, s.slowStart.OverloadWindow),
-			startedAt: e.Started, announcementNumber: s.firstUpdateNumber + len(s.updates),
+			startedAt: e.StartedAt, announcementNumber: s.firstUpdateNumber + len(s.updates),
 		}
 	}
 }
