--- a/cmd/loadgen/load.go
+++ b/cmd/loadgen/load.go
@@ -21,7 +21,7 @@
 // load holds what the clients measure. Its methods are safe for concurrent use.
 type load struct {
 	address   string
-	start     time.Time
+	startedAt time.Time
 	duration  time.Duration
 	scheduled atomic.Int64 // queries that were given a send time so far, with -rate
 
@@ -35,12 +35,12 @@
 
 // applyLoad runs all clients for a duration and returns what they measured.
 func applyLoad(address string, d time.Duration) *load {
-	l := &load{address: address, start: time.Now(), duration: d}
-	var running sync.WaitGroup
+	l := &load{address: address, startedAt: time.Now(), duration: d}
+	var clientLoops sync.WaitGroup
 	for client := range *clients {
-		running.Go(func() { l.runClient(client) })
+		clientLoops.Go(func() { l.runClient(client) })
 	}
-	running.Wait()
+	clientLoops.Wait()
 	return l
 }
 
@@ -57,7 +57,7 @@
 	defer func() { l.add(latencies, lost) }()
 	for {
 		due := l.nextDue()
-		if due.Sub(l.start) > l.duration {
+		if due.Sub(l.startedAt) > l.duration {
 			return
 		}
 		served, err := sendQuery(conn, in, client, int(lastQueryNumber.Add(1)))
@@ -77,7 +77,7 @@
 	if *rate <= 0 {
 		return time.Now()
 	}
-	due := l.start.Add(time.Duration(float64(l.scheduled.Add(1)) / *rate * float64(time.Second)))
+	due := l.startedAt.Add(time.Duration(float64(l.scheduled.Add(1)) / *rate * float64(time.Second)))
 	time.Sleep(time.Until(due))
 	return due
 }
--- a/cmd/mothrouter/assemble_test.go
+++ b/cmd/mothrouter/assemble_test.go
@@ -25,7 +25,7 @@
 	cfg, err := config.Load(func(key string) string { return map[string]string{"PROXY_CONFIG": path}[key] })
 	require.NoError(t, err)
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	p := &process{files: files, started: time.Now(), components: &assembly.Assembly{Log: log}, startConfig: cfg, workers: 1,
+	p := &process{files: files, startedAt: time.Now(), components: &assembly.Assembly{Log: log}, startConfig: cfg, workers: 1,
 		log: log}
 	var cancel context.CancelFunc
 	p.ctx, cancel = context.WithCancel(context.Background())
--- a/cmd/mothrouter/configuration.go
+++ b/cmd/mothrouter/configuration.go
@@ -27,7 +27,7 @@
 	}
 	applier := &applier{startup: startup, core: p.core, discovery: p.discoverySwitch, log: p.log}
 	p.configFollower, err = configfollower.New(configfollower.Options{
-		Name: followerConfig.Name, StartedAt: p.started, Zone: followerConfig.Zone, Region: followerConfig.Region,
+		Name: followerConfig.Name, StartedAt: p.startedAt, Zone: followerConfig.Zone, Region: followerConfig.Region,
 		Machines: followerConfig.ControlMachines, FleetSize: p.fleetSize, Seed: p.startConfig.Seed, Log: p.log, Apply: applier.apply,
 	})
 	if err != nil {
@@ -65,7 +65,8 @@
 
 // discoverySwitch sets the address of the discovery service whose endpoint list is watched. Two sources set it, and the
 // latest call wins: each revision that is put in force, and the configuration file on SIGHUP, but only if the address in
-// the file has changed since it was last read. So a SIGHUP for another key does not undo a revision.
+// the file has changed since it was last read. So a SIGHUP after a change of another key does not undo a
+// revision.
 type discoverySwitch struct {
 	mu            sync.Mutex // guards address and serializes calls to changeAddress
 	address       string     // in use
--- a/cmd/mothrouter/configuration_test.go
+++ b/cmd/mothrouter/configuration_test.go
@@ -99,11 +99,11 @@
 // hasLogged reports whether the program has logged a line that contains all of the given texts.
 func (b *servingBroker) hasLogged(texts ...string) bool {
 	for line := range strings.Lines(b.log.String()) {
-		all := true
+		matches := true
 		for _, text := range texts {
-			all = all && strings.Contains(line, text)
+			matches = matches && strings.Contains(line, text)
 		}
-		if all {
+		if matches {
 			return true
 		}
 	}
@@ -113,13 +113,13 @@
 // startClients runs clients that send one query after the other until stop is called. The counter served has the number of
 // successful answers so far; stop returns all other answers.
 func (b *servingBroker) startClients(clients int) (served *atomic.Int64, stop func() (unsuccessful []string)) {
-	var running sync.WaitGroup
+	var clientLoops sync.WaitGroup
 	var stopped atomic.Bool
 	var mu sync.Mutex // guards unsuccessful
 	var unsuccessful []string
 	served = new(atomic.Int64)
 	for i := range clients {
-		running.Go(func() {
+		clientLoops.Go(func() {
 			c := b.dial()
 			for n := 0; !stopped.Load(); n++ {
 				answer := c.roundTrip(queryRequest(fmt.Sprintf("l%d-%d", i, n)))
@@ -135,7 +135,7 @@
 	}
 	return served, func() []string {
 		stopped.Store(true)
-		running.Wait()
+		clientLoops.Wait()
 		return unsuccessful
 	}
 }
--- a/cmd/mothrouter/flight_test.go
+++ b/cmd/mothrouter/flight_test.go
@@ -212,12 +212,12 @@
 func TestFlightDeadlineFailsNonIdempotent(t *testing.T) {
 	const timeout = 300 * time.Millisecond
 	replayer := newReplayer(t)
-	remaining, ended := make(chan time.Duration, 99), make(chan struct{}, 99)
+	timesLeft, streamEnds := make(chan time.Duration, 99), make(chan struct{}, 99)
 	s0 := replayer.startFlightServer("s0", func(_ mothflight.PartTicket, stream flight.FlightService_DoGetServer) error {
 		at, _ := stream.Context().Deadline()
-		remaining <- time.Until(at)
+		timesLeft <- time.Until(at)
 		<-stream.Context().Done()
-		ended <- struct{}{}
+		streamEnds <- struct{}{}
 		return stream.Context().Err()
 	})
 	client := replayer.startFlight(`"s0"`, "s0")
@@ -236,8 +236,8 @@
 		seen[id] = true
 		require.Contains(t, []codes.Code{codes.Aborted, codes.DeadlineExceeded}, status.Code(results[id]), "%v", results[id])
 		require.False(t, isRejection(results[id]))
-		require.LessOrEqual(t, <-remaining, timeout)
-		<-ended
+		require.LessOrEqual(t, <-timesLeft, timeout)
+		<-streamEnds
 	}
 }
 
--- a/cmd/mothrouter/mixed_protocols_test.go
+++ b/cmd/mothrouter/mixed_protocols_test.go
@@ -68,9 +68,9 @@
 func countServed(client int, query queryFunc) (served int) {
 	for i := range queriesPerClient {
 		q := loadQueries[i%len(loadQueries)]
-		started := time.Now()
+		startedAt := time.Now()
 		complete := query(fmt.Sprintf("%s-%d-%d", q.class, client, i), q.class, q.parts)
-		if complete && time.Since(started) < maxServedTime {
+		if complete && time.Since(startedAt) < maxServedTime {
 			served++
 		}
 	}
--- a/cmd/mothrouter/outage_test.go
+++ b/cmd/mothrouter/outage_test.go
@@ -69,7 +69,7 @@
 func TestRestartReadyWithinLimit(t *testing.T) {
 	t.Parallel()
 	const processes = 10
-	ready := make(chan time.Duration, processes)
+	readyTimes := make(chan time.Duration, processes)
 	for range processes {
 		t.Run("", func(t *testing.T) {
 			replayer := newReplayer(t)
@@ -78,15 +78,15 @@
 			require.NoError(t, replayer.cmd.Process.Kill())
 			replayer.cmd.Wait()
 			stopFlood := startFlood(replayer.listen)
-			began := time.Now()
+			startedAt := time.Now()
 			replayer.start([]string{"s0"}, 100, 128, 15)
 			stopFlood()
-			ready <- time.Since(began)
+			readyTimes <- time.Since(startedAt)
 		})
 	}
 	inTime := 0
 	for range processes {
-		if d := <-ready; d < 10*time.Second {
+		if d := <-readyTimes; d < 10*time.Second {
 			inTime++
 		}
 	}
--- a/cmd/mothrouter/process.go
+++ b/cmd/mothrouter/process.go
@@ -44,7 +44,7 @@
 // process holds the configuration of a broker's process and, once assembled, its running components.
 type process struct {
 	files         operatorFiles
-	started       time.Time
+	startedAt     time.Time
 	startConfig   *config.Config // as read at startup; a reload does not change it
 	workers       int            // number of broker loops; 1 without -cores
 	flightConfig  *config.Flight // nil: Arrow Flight is disabled
@@ -66,12 +66,12 @@
 	listener    net.Listener
 	clientFront *front.Front
 	flightFront *flight.Front // nil: Arrow Flight is disabled
-	frontEnded  chan error    // result of each front that has ended; buffered for all three
+	frontErrors chan error    // what Serve returned, for each front that has ended; buffered for all three
 }
 
 // run runs a broker's process until it is stopped, a front fails or a worker fails.
 func run(getenv func(string) string, files operatorFiles) error {
-	p := &process{files: files, started: time.Now(), components: &assembly.Assembly{}, frontEnded: make(chan error, 3)}
+	p := &process{files: files, startedAt: time.Now(), components: &assembly.Assembly{}, frontErrors: make(chan error, 3)}
 	p.handleSignals()
 	if err := p.readConfig(getenv); err != nil {
 		return err
@@ -141,7 +141,7 @@
 // gracefully and then exits with cause, which is nil after a signal.
 func (p *process) wait() (cause, err error) {
 	select {
-	case err := <-p.frontEnded:
+	case err := <-p.frontErrors:
 		return nil, err
 	case <-p.stopSignals:
 		return nil, nil
--- a/cmd/mothrouter/serve.go
+++ b/cmd/mothrouter/serve.go
@@ -39,7 +39,7 @@
 		MaxIdleConns: p.startConfig.MaxIdleConns, MaxBufferedBytes: p.startConfig.MaxBufferedBytes,
 		RetryAfter: p.startConfig.OverloadRetryAfter(), Metrics: p.metrics,
 	}, p.core, p.log)
-	go func() { p.frontEnded <- p.clientFront.Serve(p.listener) }()
+	go func() { p.frontErrors <- p.clientFront.Serve(p.listener) }()
 	return nil
 }
 
@@ -53,7 +53,7 @@
 		return fmt.Errorf("control: %w", err)
 	}
 	adminServer := admin.New(adminProcess{p.clientFront, p.metrics}, p.log)
-	go func() { p.frontEnded <- adminServer.Serve(l) }()
+	go func() { p.frontErrors <- adminServer.Serve(l) }()
 	return nil
 }
 
@@ -69,7 +69,7 @@
 	p.flightFront = flight.NewFront(flight.Options{
 		Classes: p.startConfig.Classes, Shards: p.startConfig.Shards, MaxConns: p.flightConfig.Connections,
 	}, &drainAwareCore{p.core, p.clientFront.RejectsRequests, p.startConfig.OverloadRetryAfter()})
-	go func() { p.frontEnded <- p.flightFront.Serve(l, p.log) }()
+	go func() { p.frontErrors <- p.flightFront.Serve(l, p.log) }()
 	return nil
 }
 
@@ -93,8 +93,8 @@
 	return l, nil
 }
 
-// drainAwareCore is the core that the Flight front submits to. While the HTTP front rejects requests because operators
-// drain it, drainAwareCore rejects those of the Flight front.
+// drainAwareCore is the core that the Flight front submits to. While a drain makes the HTTP front reject requests,
+// drainAwareCore rejects those of the Flight front.
 type drainAwareCore struct {
 	core
 	rejects    func() bool // reports whether the HTTP front rejects requests now
@@ -110,7 +110,7 @@
 	d.core.Submit(r, c)
 }
 
-// adminProcess implements admin.Process, which the control address controls.
+// adminProcess implements admin.Process: the drain and the metrics of the process, for the commands at the control address.
 type adminProcess struct {
 	clients *front.Front
 	metrics *metrics.Counters
--- a/cmd/mothrouter/shutdown.go
+++ b/cmd/mothrouter/shutdown.go
@@ -25,12 +25,12 @@
 	}
 	exitCtx, stop := context.WithDeadline(p.ctx, startedAt.Add(plan.ExitBy))
 	defer stop()
-	var stops sync.WaitGroup
-	stops.Go(func() { p.clientFront.Shutdown(exitCtx, plan) })
+	var fronts sync.WaitGroup
+	fronts.Go(func() { p.clientFront.Shutdown(exitCtx, plan) })
 	if p.flightFront != nil {
-		stops.Go(func() { p.flightFront.Stop(exitCtx) })
+		fronts.Go(func() { p.flightFront.Stop(exitCtx) })
 	}
-	stops.Wait()
+	fronts.Wait()
 	p.core.Drain(exitCtx)
 	return nil
 }
@@ -40,7 +40,7 @@
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case err := <-p.frontEnded:
+	case err := <-p.frontErrors:
 		return err
 	case <-timer.C:
 		return nil
--- a/cmd/mothrouter/state.go
+++ b/cmd/mothrouter/state.go
@@ -45,7 +45,8 @@
 			return err
 		},
 	}, &cobra.Command{
-		Use: "delete FOLDER", Short: "Delete the file and a quarantined one; the next start is blank", Args: cobra.ExactArgs(1),
+		Use: "delete FOLDER", Short: "Delete the file and a quarantined one; the next start has no saved state",
+		Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			for _, name := range []string{checkpoint.FileName, checkpoint.QuarantineName} {
 				err := os.Remove(filepath.Join(args[0], name))
--- a/internal/transport/buffer/buffer.go
+++ b/internal/transport/buffer/buffer.go
@@ -56,8 +56,8 @@
 	b.writeOffset -= shift
 }
 
-// closeGap moves the unread bytes to the end of the message. The framing that Skip consumes leaves a gap between them, which
-// otherwise grows with every chunk.
+// closeGap moves the unread bytes to the end of the message. Skip leaves a gap between the message and the unread bytes, which
+// would otherwise grow with the framing of every chunk.
 func (b *Buffer) closeGap() {
 	if b.readOffset == b.messageEnd {
 		return
--- a/internal/transport/flight/channel.go
+++ b/internal/transport/flight/channel.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// acquire reserves a stream on a connection to addr. If all are full, it opens another, or returns errNoConn if none may be
-// opened.
+// acquire reserves a stream on a connection to addr. If all connections to addr are full, it opens another, or
+// returns errNoConn if MaxConns does not allow it and no connection is idle.
 func (l *Link) acquire(addr string) (*channel, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,8 +39,8 @@
 			return ch, nil
 		}
 	}
-	full := l.opt.MaxConns > 0 && l.openConns >= l.opt.MaxConns
-	if full && !l.evictIdle() {
+	atLimit := l.opt.MaxConns > 0 && l.openConns >= l.opt.MaxConns
+	if atLimit && !l.evictIdle() {
 		return nil, errNoConn
 	}
 	return l.open(addr)
--- a/internal/transport/flight/front.go
+++ b/internal/transport/flight/front.go
@@ -161,15 +161,15 @@
 func writeAnswer(stream flight.DataStreamWriter, t *Ticket, res broker.Result) error {
 	schema := answerSchema(t.ID, t.Class)
 	w := flight.NewRecordWriter(stream, ipc.WithSchema(schema))
-	b := array.NewRecordBuilder(memory.DefaultAllocator, schema)
-	defer b.Release()
+	builder := array.NewRecordBuilder(memory.DefaultAllocator, schema)
+	defer builder.Release()
 	for _, v := range res.Values {
-		b.Field(0).(*array.Int32Builder).Append(int32(v.Shard))
-		b.Field(1).(*array.StringBuilder).Append(string(v.Data))
+		builder.Field(0).(*array.Int32Builder).Append(int32(v.Shard))
+		builder.Field(1).(*array.StringBuilder).Append(string(v.Data))
 	}
-	rec := b.NewRecordBatch()
-	defer rec.Release()
-	if err := w.Write(rec); err != nil {
+	batch := builder.NewRecordBatch()
+	defer batch.Release()
+	if err := w.Write(batch); err != nil {
 		return status.Error(codes.Aborted, err.Error())
 	}
 	metadata, err := json.Marshal(AnswerMetadata{ID: t.ID, Class: t.Class, Complete: res.Complete, Parts: len(res.Values)})
--- a/internal/transport/flight/front_test.go
+++ b/internal/transport/flight/front_test.go
@@ -61,10 +61,10 @@
 		settings := nonIdempotentSettings()
 		link := silentLink{make(chan *broker.Call, 2)}
 		b := broker.New(broker.Options{Settings: settings, Log: slog.New(slog.DiscardHandler)}, decision.New(settings, 1), link)
-		running, stop := context.WithCancel(t.Context())
+		brokerCtx, stop := context.WithCancel(t.Context())
 		defer synctest.Wait() // the bubble ends once Run has returned
 		defer stop()
-		go b.Run(running)
+		go b.Run(brokerCtx)
 		server := decision.Server{ID: "s0", State: decision.Ready}
 		b.Update(broker.EndpointUpdate{
 			Mode:    decision.FullUpdate,
@@ -75,14 +75,14 @@
 		text, err := json.Marshal(Ticket{ID: "q1", Class: "charge-post", Body: body})
 		require.NoError(t, err)
 		const timeout = 300 * time.Millisecond
-		begin := time.Now()
-		ctx, cancel := context.WithDeadline(t.Context(), begin.Add(timeout))
+		startedAt := time.Now()
+		ctx, cancel := context.WithDeadline(t.Context(), startedAt.Add(timeout))
 		defer cancel()
 		err = front.DoGet(&flight.Ticket{Ticket: text}, serverStream{ctx: ctx})
 		require.Equal(t, codes.Aborted, status.Code(err), "%v", err)
-		require.Less(t, time.Since(begin), timeout)
-		require.Greater(t, time.Since(begin), timeout-50*time.Millisecond)
+		require.Less(t, time.Since(startedAt), timeout)
+		require.Greater(t, time.Since(startedAt), timeout-50*time.Millisecond)
 		require.Len(t, link.sent, 1)
-		require.False(t, (<-link.sent).Deadline.After(begin.Add(timeout)))
+		require.False(t, (<-link.sent).Deadline.After(startedAt.Add(timeout)))
 	})
 }
--- a/internal/transport/flight/gate.go
+++ b/internal/transport/flight/gate.go
@@ -11,8 +11,8 @@
 )
 
 // gate decides, just before a call's header is written, whether the call may still start. It implements
-// credentials.PerRPCCredentials, whose GetRequestMetadata gRPC calls at that moment. It lets a call start once: gRPC's
-// transparent retry, of a call that the server did not process, would start an attempt that the broker has not decided on.
+// credentials.PerRPCCredentials, whose GetRequestMetadata gRPC calls at that moment. It lets a call start once: gRPC
+// transparently retries a call that the server did not process, and the broker has not decided on such an attempt.
 type gate struct {
 	call    *broker.Call
 	mu      sync.Mutex
--- a/internal/transport/flight/link.go
+++ b/internal/transport/flight/link.go
@@ -33,7 +33,7 @@
 	mu        sync.Mutex                          // guards the fields below
 	conns     map[string][]*channel               // by address
 	openConns int                                 // to all servers
-	calls     map[*broker.Call]context.CancelFunc // of calls in flight
+	calls     map[*broker.Call]context.CancelFunc // cancel functions of the calls in flight
 }
 
 // NewLink returns a link. Its connections are closed when ctx is done.
@@ -87,7 +87,7 @@
 	}
 }
 
-// get makes one call and returns its result.
+// get requests a part with DoGet and returns the result of the call.
 func (l *Link) get(ctx context.Context, c *broker.Call) broker.CallResult {
 	ch, err := l.acquire(c.Addr)
 	if err != nil {
--- a/internal/transport/frame/append.go
+++ b/internal/transport/frame/append.go
@@ -58,13 +58,13 @@
 	return setLength(b, start)
 }
 
-// appendHeader appends a frame's length, which setLength sets later, and its type.
+// appendHeader appends a placeholder for a frame's length, which setLength fills in, and the frame's type.
 func appendHeader(b []byte, messageType byte) []byte {
 	return append(b, 0, 0, 0, 0, messageType)
 }
 
-// setLength sets the length of the frame that begins at start and ends with b.
+// setLength sets the length of the frame that occupies b from start to its end.
 func setLength(b []byte, start int) []byte {
-	binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-headerSize))
+	binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-lengthSize))
 	return b
 }
--- a/internal/transport/frame/frame.go
+++ b/internal/transport/frame/frame.go
@@ -2,7 +2,7 @@
 // slice that Grow returns, reports the number of bytes read to Advance, and takes complete messages from Next. The slices in a
 // message refer to the buffer and are valid until the next call of Grow.
 //
-// A frame is a length of four bytes, big endian, then a type byte and the body, which the length counts.
+// A frame is a big-endian length of four bytes, a type byte and a body. The length counts the type byte and the body.
 package frame
 
 import "strconv"
@@ -12,7 +12,7 @@
 	// largest value.
 	MaxFrame = 64<<10 + 1024
 
-	headerSize   = 4   // bytes of the length field
+	lengthSize   = 4   // bytes of the length field
 	maxReplyLine = 512 // bytes of the first line of a reply: an id, a status, a score and a load report
 )
 
--- a/internal/transport/frame/loadreport.go
+++ b/internal/transport/frame/loadreport.go
@@ -9,8 +9,8 @@
 	"mothrouter/internal/decision"
 )
 
-// ParseLoadReport parses a load report: name=value pairs separated by commas, or "-" for none. The setting report.columns of a
-// deployment names the values differently from the protocol; the names of both are recognized, any other is ignored.
+// ParseLoadReport parses a load report: name=value pairs separated by commas, or "-" for none. Each value has two names:
+// that of the protocol, and that of the setting report.columns of deployments. Both are recognized; other names are ignored.
 func ParseLoadReport(text []byte) (decision.LoadReport, error) {
 	report := decision.NoLoadReport
 	for len(text) > 0 && string(text) != "-" {
@@ -26,7 +26,7 @@
 	return report, nil
 }
 
-// setLoad sets the field of a report that has the name.
+// setLoad sets the field of a report for a value's name, and ignores an unknown name.
 func setLoad(report *decision.LoadReport, name []byte, value float64) {
 	switch string(name) {
 	case "inflight", "rif":
--- a/internal/transport/frame/reader.go
+++ b/internal/transport/frame/reader.go
@@ -71,7 +71,7 @@
 // parse parses the next frame into m and reports whether it is complete.
 func (r *Reader) parse(m *Message) (complete bool, err error) {
 	unread := r.buffer.Unread()
-	if len(unread) < headerSize {
+	if len(unread) < lengthSize {
 		return false, nil
 	}
 	length := binary.BigEndian.Uint32(unread)
@@ -81,8 +81,8 @@
 	case length > MaxFrame:
 		return false, &Error{Reason: fmt.Sprintf("a frame of %d bytes", length), Limit: MaxFrame}
 	}
-	end := headerSize + int(length)
-	received := unread[headerSize:min(len(unread), end)]
+	end := lengthSize + int(length)
+	received := unread[lengthSize:min(len(unread), end)]
 	if err := checkStart(received); err != nil {
 		return false, err
 	}
--- a/internal/transport/frame/reply.go
+++ b/internal/transport/frame/reply.go
@@ -17,7 +17,7 @@
 	Value      []byte
 }
 
-// replyStatuses maps the status names of the protocol.
+// replyStatuses maps the protocol's status names to statuses.
 var replyStatuses = map[string]decision.Status{
 	"done": decision.OK, "failed": decision.Error, "full": decision.Overloaded,
 }
--- a/internal/transport/front/arrival.go
+++ b/internal/transport/front/arrival.go
@@ -18,8 +18,8 @@
 	at  time.Time
 }
 
-// add records a read of n bytes. Beyond maxReads it is merged into the latest recorded read, which is earlier: a request may
-// then be given less time than it has, but never more.
+// add records a read of n bytes. Beyond maxReads it is merged into the latest recorded read, which is earlier. The time of
+// a request may then count from before its last byte was received: the request is given less time than it has, never more.
 func (l *readLog) add(n int, at time.Time) {
 	if n <= 0 {
 		return
@@ -32,8 +32,8 @@
 	l.reads = append(l.reads, socketRead{end: l.received, at: at})
 }
 
-// lastByte returns when the last byte of a request was received, after which unread more bytes have followed. It drops earlier
-// reads, so it must be called in the order of the requests.
+// lastByte returns when the last byte of a request was received; unread is the number of bytes received after that byte. It
+// drops earlier reads, so it must be called in the order of the requests.
 func (l *readLog) lastByte(unread int) time.Time {
 	end := l.received - int64(unread)
 	for len(l.reads) > 1 && l.reads[0].end < end {
--- a/internal/transport/front/arrival_test.go
+++ b/internal/transport/front/arrival_test.go
@@ -54,14 +54,14 @@
 // Beyond maxReads, reads are merged, and lastByte may return the time of an earlier read, never of a later one.
 func TestReadLogIsBoundedAndNeverReturnsLaterTime(t *testing.T) {
 	var l readLog
-	begin := time.Now()
+	startedAt := time.Now()
 	const reads = 5 * maxReads
 	for i := range reads {
-		l.add(1, begin.Add(time.Duration(i)*time.Millisecond))
+		l.add(1, startedAt.Add(time.Duration(i)*time.Millisecond))
 	}
 	require.Len(t, l.reads, maxReads)
 	for request := 1; request <= reads; request++ {
-		received := begin.Add(time.Duration(request-1) * time.Millisecond)
+		received := startedAt.Add(time.Duration(request-1) * time.Millisecond)
 		require.False(t, l.lastByte(reads-request).After(received), "request %d", request)
 	}
 }
--- a/internal/transport/front/capacity.go
+++ b/internal/transport/front/capacity.go
@@ -9,13 +9,13 @@
 // scarce; more are closed without an answer.
 func (f *Front) rejectOverCapacity(c *conn) {
 	select {
-	case f.rejecting <- struct{}{}:
+	case f.rejectSlots <- struct{}{}:
 	default:
 		c.sock.Close()
 		return
 	}
 	f.wg.Go(func() {
-		defer func() { <-f.rejecting }()
+		defer func() { <-f.rejectSlots }()
 		defer c.startReader()()
 		c.rejectAndClose(errOverCapacity)
 	})
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -22,7 +22,7 @@
 	readBuffers  chan []byte     // passes buffers to the reading goroutine
 	readResults  chan readResult // passes back the results of its reads
 	reading      bool            // a read is in progress
-	discarding   bool            // the read in progress is for bytes that are discarded
+	discarding   bool            // the bytes of the read in progress will be discarded
 	received     readLog         // when the bytes of requests were received
 	disconnected atomic.Bool     // the client has closed the connection
 
@@ -39,7 +39,7 @@
 	list     *list.List // the list of Front that contains it; nil: none, such as while a request is in flight
 	element  *list.Element
 	listedAt time.Time
-	evicted  bool // it must end to free its slot
+	evicted  bool // the connection must end to free its slot
 	reserved int  // bytes of requests in its buffers, as counted in Front.bufferedBytes
 }
 
--- a/internal/transport/front/conn_test.go
+++ b/internal/transport/front/conn_test.go
@@ -113,7 +113,7 @@
 // New connections get the slots of idle and lingering ones without waiting for their timeouts, and their requests are served.
 func TestAdmitEvictsIdleAndLingeringConnections(t *testing.T) {
 	f := newFixture(t, Options{MaxConns: 8})
-	began := time.Now()
+	startedAt := time.Now()
 	for i := range 200 {
 		client, in, _ := f.dial()
 		if i%20 == 19 {
@@ -121,7 +121,7 @@
 			require.Equal(t, "HTTP/1.1 200 OK", readStatusLine(t, in))
 		}
 	}
-	require.Less(t, time.Since(began), 2*time.Second)
+	require.Less(t, time.Since(startedAt), 2*time.Second)
 }
 
 // During a shutdown, a request that follows the one in flight, read completely or in part, is served before the connection
@@ -156,7 +156,7 @@
 	require.Eventually(t, func() bool {
 		f.front.mu.Lock()
 		defer f.front.mu.Unlock()
-		return f.front.receiving.Len() == 1
+		return f.front.receivingConns.Len() == 1
 	}, time.Second, time.Millisecond)
 	next, nextIn, _ := f.dial()
 	require.Equal(t, "HTTP/1.1 503 Service Unavailable", readStatusLine(t, in))
@@ -172,11 +172,11 @@
 	fmt.Fprint(client, text[:40])
 	fmt.Fprint(stalled, text[:40])
 	time.Sleep(20 * time.Millisecond)
-	ended := make(chan time.Time, 1)
-	began := time.Now()
+	endTime := make(chan time.Time, 1)
+	startedAt := time.Now()
 	go func() {
 		f.front.Shutdown(f.Context(), drain.ShutdownPlan{AnswerBy: 300 * time.Millisecond, CloseIdle: 50 * time.Millisecond})
-		ended <- time.Now()
+		endTime <- time.Now()
 	}()
 	time.Sleep(100 * time.Millisecond)
 	fmt.Fprint(client, text[40:])
@@ -184,7 +184,7 @@
 	require.Equal(t, "HTTP/1.1 408 Request Timeout", readStatusLine(t, stalledIn))
 	client.Close()
 	stalled.Close()
-	require.Less(t, (<-ended).Sub(began), time.Second)
+	require.Less(t, (<-endTime).Sub(startedAt), time.Second)
 }
 
 // While requests in flight hold all slots, another connection gets 503 with Retry-After, and no reset loses the response.
@@ -193,7 +193,7 @@
 	client, in, _ := f.dial()
 	fmt.Fprint(client, requestText("q"))
 	q := <-f.submissions
-	for range 10 { // more than maxRejecting, so each must free its place
+	for range 10 { // more than maxRejecting, so each must free its slot
 		s, err := net.Dial("tcp", f.listener.Addr().String())
 		require.NoError(t, err)
 		defer s.Close()
--- a/internal/transport/front/connlists.go
+++ b/internal/transport/front/connlists.go
@@ -8,11 +8,11 @@
 // evictOne evicts the connection that is least likely to be sending a request, and reports whether it found one.
 func (f *Front) evictOne() bool {
 	switch {
-	case f.evict(&f.lingering, 0):
+	case f.evict(&f.lingeringConns, 0):
 	case f.evict(&f.newConns, newConnGrace):
 	case f.evict(&f.idleConns, 0):
 	case f.evict(&f.newConns, 0):
-	case f.evict(&f.receiving, 0):
+	case f.evict(&f.receivingConns, 0):
 	default:
 		return false
 	}
@@ -50,7 +50,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if _, hasSlot := f.conns[c]; hasSlot {
-		f.moveTo(c, &f.lingering)
+		f.moveTo(c, &f.lingeringConns)
 	}
 }
 
@@ -60,7 +60,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if c.list != &f.newConns {
-		f.moveTo(c, &f.receiving)
+		f.moveTo(c, &f.receivingConns)
 		c.evicted = false
 	}
 }
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -38,43 +38,43 @@
 
 // Front serves client connections.
 type Front struct {
-	opt       Options
-	core      Core
-	log       *slog.Logger
-	slots     chan struct{} // one for each connection that is served, MaxConns in total
-	rejecting chan struct{} // slots of connections that are rejected over capacity
-	wg        sync.WaitGroup
+	opt         Options
+	core        Core
+	log         *slog.Logger
+	slots       chan struct{} // one for each connection that is served, MaxConns in total
+	rejectSlots chan struct{} // one for each connection over capacity that is being answered, maxRejecting in total
+	wg          sync.WaitGroup
 
-	mu            sync.Mutex    // guards the fields below, except accepted
-	shutdown      shutdownStage // of the process
-	drain         drain.State
-	conns         map[*conn]struct{} // connections with a slot
-	lingering     list.List          // conns that linger, earliest first
-	newConns      list.List          // conns without a complete request, earliest accept first
-	idleConns     list.List          // conns between requests, longest idle first
-	receiving     list.List          // conns with a part of their next request, earliest first byte first
-	bufferedBytes int                // sum of the reserved fields of conns
-	listener      net.Listener       // nil before Serve
+	mu             sync.Mutex    // guards the fields below, except serveEnded
+	shutdown       shutdownStage // stage of the process's shutdown
+	drain          drain.State
+	conns          map[*conn]struct{} // connections with a slot
+	lingeringConns list.List          // conns that linger, earliest first
+	newConns       list.List          // conns without a complete request, earliest accept first
+	idleConns      list.List          // conns between requests, longest idle first
+	receivingConns list.List          // conns with a part of their next request, earliest first byte first
+	bufferedBytes  int                // sum of the reserved fields of conns
+	listener       net.Listener       // nil before Serve
 
-	accepted chan struct{} // closed once Serve accepts no more connections
+	serveEnded chan struct{} // closed when Serve returns
 }
 
 // New returns a front that submits queries to core.
 func New(opt Options, core Core, log *slog.Logger) *Front {
 	return &Front{
-		opt:       opt,
-		core:      core,
-		log:       log,
-		slots:     make(chan struct{}, max(opt.MaxConns, 1)),
-		rejecting: make(chan struct{}, maxRejecting),
-		conns:     map[*conn]struct{}{},
-		accepted:  make(chan struct{}),
+		opt:         opt,
+		core:        core,
+		log:         log,
+		slots:       make(chan struct{}, max(opt.MaxConns, 1)),
+		rejectSlots: make(chan struct{}, maxRejecting),
+		conns:       map[*conn]struct{}{},
+		serveEnded:  make(chan struct{}),
 	}
 }
 
 // Serve accepts connections until the listener is closed, and then returns nil.
 func (f *Front) Serve(l net.Listener) error {
-	defer close(f.accepted)
+	defer close(f.serveEnded)
 	f.setListener(l)
 	for {
 		sock, err := l.Accept()
--- a/internal/transport/front/respond.go
+++ b/internal/transport/front/respond.go
@@ -19,7 +19,7 @@
 // handle answers a request or submits it to the broker. It returns false if the connection ends.
 func (c *conn) handle(req *httpwire.Request) bool {
 	resp := httpwire.Response{Close: req.Close, NoBody: req.Method == "HEAD"}
-	index, known := c.front.opt.Classes[req.Class()]
+	class, known := c.front.opt.Classes[req.Class()]
 	switch {
 	case req.Path == "/up":
 		c.setReadiness(&resp, req.Method)
@@ -30,7 +30,7 @@
 		resp.Status = 405
 		resp.Allow = "POST"
 	default:
-		return c.handleQuery(req, index, resp)
+		return c.handleQuery(req, class, resp)
 	}
 	return c.write(resp)
 }
@@ -90,14 +90,14 @@
 
 // rejectAndClose answers input that cannot be served, and ends the connection.
 func (c *conn) rejectAndClose(err error) {
-	c.write(c.finalError(err))
+	c.write(c.closingResponse(err))
 	c.linger()
 }
 
 // rejectEvicted answers a request that was read in part and whose rest will not be read. The slot is needed now, so the
 // connection neither lingers nor waits for a client that does not read.
 func (c *conn) rejectEvicted() {
-	resp := c.finalError(errOverCapacity)
+	resp := c.closingResponse(errOverCapacity)
 	c.sock.SetWriteDeadline(time.Now().Add(evictionTimeout))
 	_, _ = c.sock.Write(resp.Append(nil)) // the connection ends whether or not the client reads the answer
 }
@@ -111,8 +111,8 @@
 	return 400
 }
 
-// finalError returns the last answer on a connection whose input cannot be served.
-func (c *conn) finalError(err error) httpwire.Response {
+// closingResponse returns the last answer on a connection whose input cannot be served.
+func (c *conn) closingResponse(err error) httpwire.Response {
 	resp := httpwire.Response{Status: statusOf(err), Body: problem{err.Error()}, Close: true}
 	if resp.Status == 503 {
 		resp.RetryAfter = c.front.opt.RetryAfter
--- a/internal/transport/front/shutdown.go
+++ b/internal/transport/front/shutdown.go
@@ -18,8 +18,8 @@
 
 // Shutdown ends the front in the stages of the plan. First, answers announce that the connection closes, and clients may use
 // each connection once more: closing all at once would make every client reconnect at the same moment, perhaps without a broker
-// to connect to. Then the listener and idle connections close, the others after their answers. At AnswerBy, those that have
-// received part of a request end too. It returns when all have ended or ctx is done.
+// to connect to. Then the listener and idle connections close, the others after their answers. At AnswerBy, connections
+// that have received part of a request end too. Shutdown returns when all connections have ended or ctx is done.
 func (f *Front) Shutdown(ctx context.Context, plan drain.ShutdownPlan) {
 	f.advanceShutdown(func() { f.shutdown.announceClose = true })
 	sleep(ctx, plan.CloseIdle-plan.AnnounceClose)
@@ -64,11 +64,11 @@
 	}
 }
 
-// ended returns a channel that is closed once Serve accepts no more connections and all have ended.
+// ended returns a channel that is closed once Serve has returned and all connections have ended.
 func (f *Front) ended() <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
-		<-f.accepted
+		<-f.serveEnded
 		f.wg.Wait()
 		close(done)
 	}()
--- a/internal/transport/httpwire/linereader.go
+++ b/internal/transport/httpwire/linereader.go
@@ -13,7 +13,7 @@
 	buffer  buffer.Buffer // its message is the decoded part of the body that Next has not returned
 	started bool          // the head is complete
 	status  int
-	framing bodyFraming // its length is what remains; with unstatedLength the body ends with the connection
+	framing bodyFraming // length counts the remaining bytes; with unstatedLength the body ends with the connection
 	chunked chunkedDecoder
 	done    bool
 	err     error
--- a/internal/transport/httpwire/response.go
+++ b/internal/transport/httpwire/response.go
@@ -18,7 +18,7 @@
 	Value     string `json:"value"`
 }
 
-// reasonPhrases maps the statuses that the front sends.
+// reasonPhrases maps the statuses that the front sends to their reason phrases.
 var reasonPhrases = map[int]string{
 	200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict",
--- a/internal/transport/upstream/conn.go
+++ b/internal/transport/upstream/conn.go
@@ -12,7 +12,7 @@
 
 const (
 	idleFraction   = 0.8  // of the servers' idle timeout, so that no call is written to a connection that a server is closing
-	maxAnsweredIDs = 64   // ids of recently answered calls that are kept; a duplicate answer directly follows the first
+	maxAnsweredIDs = 64   // ids of answered calls kept to recognize duplicate answers, which directly follow the first
 	maxAbandoned   = 1024 // ids of cancelled calls that are kept; a connection with more is retired
 )
 
@@ -38,16 +38,16 @@
 type conn struct {
 	link           *Link
 	addr           string
-	server         *broker.Server  // as of the first job
+	server         *broker.Server  // the server at addr, as of the first job
 	sock           net.Conn        // nil until connected
 	retired        bool            // it accepts no more jobs
 	closeErr       error           // why it ended; nil: it has not
 	queue          []*job          // jobs to be written, in order
 	pendingCancels []string        // ids of cancels to be written
 	calls          map[string]*job // queued or in flight, by id
-	abandoned      map[string]bool // ids that were written, then cancelled, and are not answered yet
+	abandoned      map[string]bool // ids of calls that were written, then cancelled, and are not answered yet
 	answered       map[string]bool // ids of recently answered calls
-	answeredIDs    []string        // the same ids, oldest answer first
+	answeredIDs    []string        // the keys of answered, oldest answer first
 	healthChecks   []*job          // written and not answered yet, in order
 	lastReceived   time.Time       // when the last message was received; zero: none yet
 	writingSince   time.Time       // when the latest write started; zero: none yet
@@ -218,8 +218,8 @@
 	cn.signal()
 }
 
-// failQueue finishes the jobs that were not written. After a protocol error the server is alive and has not received them, so
-// those that are still queued move to another connection. The caller holds mu.
+// failQueue finishes the jobs that were not written. After a protocol error the server is alive and has not received these
+// jobs, so the ones in state jobQueued move to another connection. The caller holds mu.
 func (cn *conn) failQueue(protocolError bool) {
 	for _, j := range cn.queue {
 		if j.state == jobQueued && protocolError {
--- a/internal/transport/upstream/connwrite.go
+++ b/internal/transport/upstream/connwrite.go
@@ -10,9 +10,12 @@
 )
 
 const (
-	writeTimeout = 2 * time.Second        // for a server to accept a frame, else the connection is reset
-	stallTimeout = 20 * time.Millisecond  // the same for a frame whose call has been cancelled
-	maxFrameAge  = 100 * time.Millisecond // age limit of the time left that a call's frame states; required: at most 150 ms
+	writeTimeout = 2 * time.Second       // for a server to accept a frame, else the connection is reset
+	stallTimeout = 20 * time.Millisecond // the same for a frame whose call has been cancelled
+
+	// maxFrameAge is the age at which the frame of a call that is not written yet is rebuilt. The frame states the time that the
+	// call has left, and this time must be at most 150 ms old when the frame is written.
+	maxFrameAge = 100 * time.Millisecond
 )
 
 // writeLoop writes the queued frames until the connection ends.
--- a/internal/transport/upstream/liveness.go
+++ b/internal/transport/upstream/liveness.go
@@ -5,14 +5,14 @@
 // A non-idempotent part fails if its connection does, so it uses a connection that is proven alive, else a new one. In
 // production, connections that had been idle for 100 ms or more were reset at the next request.
 const (
-	minQuietTime   = 2 * time.Millisecond // since the last answer: servers close some connections right after one
-	provenAliveFor = 80 * time.Millisecond
+	minQuietTime   = 2 * time.Millisecond  // since the last answer: servers close some connections right after one
+	provenAliveFor = 80 * time.Millisecond // since the last message; the default of Options.ProvenAliveFor
 )
 
-// A connection that awaits answers and has received nothing for longer than answers take gets no more calls: the server, or the
-// network path of this connection, may be partitioned, which TCP does not report.
+// A connection that awaits answers and has received nothing for longer than silenceTimeout gets no more calls: the server, or
+// the network path of this connection, may be partitioned, which TCP does not report.
 const (
-	// MaxSilence is the upper bound of this time, and its value until the first answer is measured.
+	// MaxSilence is the upper bound of silenceTimeout, and its value until the latency of the first answer is measured.
 	MaxSilence = 400 * time.Millisecond
 
 	minSilence    = 20 * time.Millisecond
--- a/internal/transport/upstream/upstream.go
+++ b/internal/transport/upstream/upstream.go
@@ -33,7 +33,7 @@
 	meanLatency time.Duration      // of answers, exponentially weighted; 0: none was measured
 }
 
-// New returns a link whose connections end with ctx.
+// New returns a link that opens connections until ctx is done.
 func New(ctx context.Context, opt Options) *Link {
 	opt.MaxStreams = max(opt.MaxStreams, 1)
 	if opt.ProvenAliveFor == 0 {
@@ -88,7 +88,7 @@
 // attempt. A non-idempotent part shares its connection with no other call: an answer that violates the protocol ends the
 // connection and all jobs on it, and this part could not be sent again. The caller holds mu.
 func (l *Link) pickConn(addr string, server *broker.Server, j *job) *conn {
-	full := l.opt.MaxConns > 0 && l.openConns >= l.opt.MaxConns
+	atLimit := l.opt.MaxConns > 0 && l.openConns >= l.opt.MaxConns
 	nonIdempotent := j.call != nil && j.call.NonIdempotent
 	var best, fallback, idle *conn
 	for _, cn := range l.conns[addr] {
@@ -113,8 +113,8 @@
 		return best
 	}
 	if nonIdempotent && idle != nil && len(l.conns[addr]) > 1 {
-		idle.fail(errIdle) // the new one replaces it, to keep connections few
-	} else if full && !l.evictIdle() {
+		idle.fail(errIdle) // the new connection replaces it, so that their number does not grow
+	} else if atLimit && !l.evictIdle() {
 		return fallback // no connection can be opened: an unsuitable one is better than none
 	}
 	cn := newConn(l, addr, server)
@@ -132,10 +132,10 @@
 	return !cn.hasUsed(j.id) && !cn.isSilent(l.silenceTimeout())
 }
 
-// evictIdle closes an idle connection, preferably one to an unavailable server, and reports whether it found one. With as many
-// servers as descriptors, the servers that are used last could not be reached otherwise. It does not evict the connection that
-// is idle longest (LRU): a query of many parts visits all servers in turn, and would close exactly the connections that its
-// next parts need. The caller holds mu.
+// evictIdle closes an idle connection, preferably one to an unavailable server, and reports whether it found one. Without
+// eviction, with as many servers as descriptors, the servers that are used last could not be reached. It does not evict the
+// connection that is idle longest (LRU): a query of many parts visits all servers in turn, and would close exactly the
+// connections that its next parts need. The caller holds mu.
 func (l *Link) evictIdle() bool {
 	var victim *conn
 	for _, conns := range l.conns { // in random order
