--- a/cmd/mothrouter/applier_test.go
+++ b/cmd/mothrouter/applier_test.go
@@ -30,7 +30,8 @@
 	p := assembledProcess(t, operatorFiles{})
 	startup, err := p.startConfig.Document()
 	require.NoError(t, err)
-	core, addresses := &changeRecorder{}, []string(nil)
+	core := &changeRecorder{}
+	var addresses []string
 	discovery := &discoverySwitch{
 		address: "127.0.0.1:2", log: p.log, changeAddress: func(to string) { addresses = append(addresses, to) },
 	}
--- a/cmd/mothrouter/commands.go
+++ b/cmd/mothrouter/commands.go
@@ -38,9 +38,9 @@
 }
 
 // addressesFlag adds the required flag --control, which lists the addresses of control machines.
-func addressesFlag(c *cobra.Command) *[]string {
-	addresses := c.Flags().StringSlice("control", nil, "`addresses` of control machines: host:port, separated by commas")
-	if err := c.MarkFlagRequired("control"); err != nil {
+func addressesFlag(cmd *cobra.Command) *[]string {
+	addresses := cmd.Flags().StringSlice("control", nil, "`addresses` of control machines: host:port, separated by commas")
+	if err := cmd.MarkFlagRequired("control"); err != nil {
 		panic(err) // only possible if the flag above is not defined
 	}
 	return addresses
--- a/cmd/mothrouter/config_command.go
+++ b/cmd/mothrouter/config_command.go
@@ -26,23 +26,23 @@
 
 // configCommand returns `mothrouter config`, which publishes and shows the configuration of all brokers.
 func configCommand() *cobra.Command {
-	c := &cobra.Command{Use: "config", Short: "Publish the configuration of all brokers and show where it is in force"}
-	c.AddCommand(publishCommand(), statusCommand(), showCommand())
-	return c
+	cmd := &cobra.Command{Use: "config", Short: "Publish the configuration of all brokers and show where it is in force"}
+	cmd.AddCommand(publishCommand(), statusCommand(), showCommand())
+	return cmd
 }
 
 func publishCommand() *cobra.Command {
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use: "publish FILE", Short: "Publish a document as the newest revision", Args: cobra.ExactArgs(1),
 		Long: "Publish a document as the newest revision. The exit status is 0 once the document is committed, 1 if it was\n" +
 			"rejected or certainly not committed, and 3 if the outcome is unknown: then run it again with --request.",
 	}
-	addresses := addressesFlag(c)
-	expect := c.Flags().Uint64("expect", 0, "reject the document unless the newest revision is this `number`; 0: any")
-	request := c.Flags().String("request", "",
+	addresses := addressesFlag(cmd)
+	expect := cmd.Flags().Uint64("expect", 0, "reject the document unless the newest revision is this `number`; 0: any")
+	request := cmd.Flags().String("request", "",
 		"`id` of an earlier attempt, as it was printed: the same document is committed at most once")
-	timeout := c.Flags().Duration("timeout", 30*time.Second, "give up after this time")
-	c.RunE = func(c *cobra.Command, args []string) error {
+	timeout := cmd.Flags().Duration("timeout", 30*time.Second, "give up after this time")
+	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		document, err := os.ReadFile(args[0])
 		if err != nil {
 			return err
@@ -51,12 +51,12 @@
 		if err != nil {
 			return err
 		}
-		ctx, cancel := context.WithTimeout(c.Context(), *timeout)
+		ctx, cancel := context.WithTimeout(cmd.Context(), *timeout)
 		defer cancel()
 		number, err := operatorclient.Publish(ctx, *addresses,
 			&configpb.PublishRequest{Document: document, Expected: *expect, Request: id})
 		if err == nil {
-			fmt.Fprintf(c.OutOrStdout(), "committed as %d\n", number)
+			fmt.Fprintf(cmd.OutOrStdout(), "committed as %d\n", number)
 			return nil
 		}
 		if u := (*operatorclient.OutcomeUnknownError)(nil); errors.As(err, &u) {
@@ -65,7 +65,7 @@
 		}
 		return err
 	}
-	return c
+	return cmd
 }
 
 // requestID parses the hexadecimal request id of an earlier attempt, or draws a new one if s is "". An id is never 0.
@@ -81,16 +81,16 @@
 }
 
 func statusCommand() *cobra.Command {
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use: "status", Short: "Query all control machines and show which revision is in force where", Args: cobra.NoArgs,
 	}
-	addresses := addressesFlag(c)
-	asJSON := c.Flags().Bool("json", false, "write the status as JSON")
-	timeout := c.Flags().Duration("timeout", 3*time.Second, "wait this long for each control machine")
-	revisions := c.Flags().Int("revisions", 10, "list at most this many revisions in the table")
-	c.RunE = func(c *cobra.Command, _ []string) error {
-		view := configstatus.Merge(queryAll(c.Context(), *addresses, *timeout))
-		if err := writeView(c.OutOrStdout(), view, *asJSON, *revisions); err != nil {
+	addresses := addressesFlag(cmd)
+	asJSON := cmd.Flags().Bool("json", false, "write the status as JSON")
+	timeout := cmd.Flags().Duration("timeout", 3*time.Second, "wait this long for each control machine")
+	revisions := cmd.Flags().Int("revisions", 10, "list at most this many revisions in the table")
+	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
+		view := configstatus.Merge(queryAll(cmd.Context(), *addresses, *timeout))
+		if err := writeView(cmd.OutOrStdout(), view, *asJSON, *revisions); err != nil {
 			return err
 		}
 		answered := func(m configstatus.Machine) bool { return m.Answered }
@@ -99,7 +99,7 @@
 		}
 		return nil
 	}
-	return c
+	return cmd
 }
 
 // writeView writes the merged status as indented JSON, or as a table of at most the given number of revisions.
@@ -129,12 +129,12 @@
 }
 
 func showCommand() *cobra.Command {
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use: "show [N]", Short: "Print the document of revision N, or of the newest revision", Args: cobra.MaximumNArgs(1),
 	}
-	addresses := addressesFlag(c)
-	timeout := c.Flags().Duration("timeout", 10*time.Second, "give up after this time")
-	c.RunE = func(c *cobra.Command, args []string) error {
+	addresses := addressesFlag(cmd)
+	timeout := cmd.Flags().Duration("timeout", 10*time.Second, "give up after this time")
+	cmd.RunE = func(cmd *cobra.Command, args []string) error {
 		number := uint64(0)
 		if len(args) > 0 {
 			n, err := strconv.ParseUint(args[0], 10, 64)
@@ -143,16 +143,16 @@
 			}
 			number = n
 		}
-		ctx, cancel := context.WithTimeout(c.Context(), *timeout)
+		ctx, cancel := context.WithTimeout(cmd.Context(), *timeout)
 		defer cancel()
 		revision, err := operatorclient.Get(ctx, *addresses, number)
 		if err != nil {
 			return err
 		}
-		fmt.Fprintf(c.ErrOrStderr(), "revision %d, published %s, checksum %016x\n", revision.GetNumber(),
+		fmt.Fprintf(cmd.ErrOrStderr(), "revision %d, published %s, checksum %016x\n", revision.GetNumber(),
 			time.UnixMilli(revision.GetPublishedUnixMs()).UTC().Format(time.RFC3339Nano), revision.GetChecksum())
-		_, err = c.OutOrStdout().Write(revision.GetDocument())
+		_, err = cmd.OutOrStdout().Write(revision.GetDocument())
 		return err
 	}
-	return c
+	return cmd
 }
--- a/cmd/mothrouter/control.go
+++ b/cmd/mothrouter/control.go
@@ -19,42 +19,42 @@
 
 // controlCommand returns `mothrouter control`, which runs a control machine in the foreground.
 func controlCommand() *cobra.Command {
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use: "control FILE", Short: "Run a control machine with the settings in FILE, such as deploy/control.toml",
 		Args: cobra.ExactArgs(1),
 	}
-	create := c.Flags().Bool("create", false,
+	create := cmd.Flags().Bool("create", false,
 		"create a new replicated log, once for a new fleet of control machines; the folder must not have one")
-	c.RunE = func(_ *cobra.Command, args []string) error {
-		file, err := config.LoadControlMachine(args[0])
+	cmd.RunE = func(_ *cobra.Command, args []string) error {
+		cfg, err := config.LoadControlMachine(args[0])
 		if err != nil {
 			return err
 		}
 		ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 		defer cancel()
 		signal.Ignore(syscall.SIGXFSZ) // a write beyond RLIMIT_FSIZE then returns an error, as one on a full disk does
-		return runControl(ctx, file, *create)
+		return runControl(ctx, cfg, *create)
 	}
-	return c
+	return cmd
 }
 
 // runControl runs a control machine until ctx ends.
-func runControl(ctx context.Context, file *config.ControlMachine, create bool) error {
-	brokerListener, err := listenTCP("control.listen", file.Listen)
+func runControl(ctx context.Context, cfg *config.ControlMachine, create bool) error {
+	brokerListener, err := listenTCP("control.listen", cfg.Listen)
 	if err != nil {
 		return err
 	}
-	peerListener, err := listenTCP("control.listen_peers", file.ListenPeers)
+	peerListener, err := listenTCP("control.listen_peers", cfg.ListenPeers)
 	if err != nil {
 		brokerListener.Close()
 		return err
 	}
 	options := controlserver.Options{
-		Fleet: file.Fleet, Name: file.Name, Folder: file.Folder, Create: create, VoterTimeout: file.PromoteAfter,
+		Fleet: cfg.Fleet, Name: cfg.Name, Folder: cfg.Folder, Create: create, VoterTimeout: cfg.PromoteAfter,
 		Listener: brokerListener, PeerListener: peerListener, Validate: validateDocument,
-		Logger: slog.New(slog.NewTextHandler(os.Stderr, nil)).With("control", file.Name),
+		Logger: slog.New(slog.NewTextHandler(os.Stderr, nil)).With("control", cfg.Name),
 	}
-	for _, m := range file.Members {
+	for _, m := range cfg.Members {
 		options.Members = append(options.Members, controlserver.Member{
 			Name: m.Name, ID: m.ID, Address: m.Address.String(), PeerAddress: m.PeerAddress.String(), Voter: m.Voter,
 		})
--- a/cmd/mothrouter/flight_test.go
+++ b/cmd/mothrouter/flight_test.go
@@ -212,7 +212,8 @@
 func TestFlightDeadlineFailsNonIdempotent(t *testing.T) {
 	const timeout = 300 * time.Millisecond
 	replayer := newReplayer(t)
-	timesLeft, streamEnds := make(chan time.Duration, 99), make(chan struct{}, 99)
+	timesLeft := make(chan time.Duration, 99)
+	streamEnds := make(chan struct{}, 99)
 	s0 := replayer.startFlightServer("s0", func(_ mothflight.PartTicket, stream flight.FlightService_DoGetServer) error {
 		at, _ := stream.Context().Deadline()
 		timesLeft <- time.Until(at)
@@ -230,10 +231,10 @@
 	time.Sleep(quietInterval) // for parts that arrive late
 	parts := s0.receivedParts()
 	require.NotEmpty(t, parts)
-	seen := map[string]bool{}
+	ranParts := map[string]bool{}
 	for _, id := range parts {
-		require.False(t, seen[id], "%s ran twice", id)
-		seen[id] = true
+		require.False(t, ranParts[id], "%s ran twice", id)
+		ranParts[id] = true
 		require.Contains(t, []codes.Code{codes.Aborted, codes.DeadlineExceeded}, status.Code(results[id]), "%v", results[id])
 		require.False(t, isRejection(results[id]))
 		require.LessOrEqual(t, <-timesLeft, timeout)
--- a/cmd/mothrouter/listener_handover_test.go
+++ b/cmd/mothrouter/listener_handover_test.go
@@ -28,14 +28,15 @@
 			defer file.Close()
 			env := []string{"PROXY_ACCEPT_FD=3"}
 			options := brokerOptions{listen: listener.Addr().String(), env: env, files: []*os.File{file}}
-			stopped := startServingBrokerWith(t, options)
+			firstBroker := startServingBrokerWith(t, options)
 			startServingBrokerWith(t, options)
-			end, served, lost := time.Now().Add(2500*time.Millisecond), 0, 0
+			end := time.Now().Add(2500 * time.Millisecond)
+			served, lost := 0, 0
 			time.AfterFunc(500*time.Millisecond, func() {
 				if killed {
-					stopped.cmd.Process.Kill()
+					firstBroker.cmd.Process.Kill()
 				} else {
-					stopped.cmd.Process.Signal(syscall.SIGTERM)
+					firstBroker.cmd.Process.Signal(syscall.SIGTERM)
 				}
 			})
 			for n := 0; time.Now().Before(end); n++ { // one connection for each query
@@ -53,7 +54,7 @@
 				require.LessOrEqual(t, lost, 2, "of %d", served) // the requests in flight at the killed process
 			} else {
 				require.Zero(t, lost, "of %d", served)
-				require.NoError(t, stopped.cmd.Wait())
+				require.NoError(t, firstBroker.cmd.Wait())
 			}
 		})
 	}
--- a/cmd/mothrouter/serve.go
+++ b/cmd/mothrouter/serve.go
@@ -112,11 +112,11 @@
 
 // adminProcess implements admin.Process: the drain and the metrics of the process, for the commands at the control address.
 type adminProcess struct {
-	clients *front.Front
-	metrics *metrics.Counters
+	clientFront *front.Front
+	metrics     *metrics.Counters
 }
 
-func (p adminProcess) AcceptsClients() bool          { return p.clients.AcceptsClients() }
-func (p adminProcess) StartDrain()                   { p.clients.Drain() }
-func (p adminProcess) CancelDrain()                  { p.clients.Rejoin() }
+func (p adminProcess) AcceptsClients() bool          { return p.clientFront.AcceptsClients() }
+func (p adminProcess) StartDrain()                   { p.clientFront.Drain() }
+func (p adminProcess) CancelDrain()                  { p.clientFront.Rejoin() }
 func (p adminProcess) AppendMetrics(b []byte) []byte { return p.metrics.Append(b) }
--- a/cmd/mothrouter/serve_test.go
+++ b/cmd/mothrouter/serve_test.go
@@ -22,7 +22,8 @@
 
 // While the HTTP front rejects requests, those of the Flight front are rejected too, at once and with Retry-After.
 func TestDrainAwareCoreRejectsWhileDraining(t *testing.T) {
-	inner, rejects := &countingCore{}, false
+	inner := &countingCore{}
+	rejects := false
 	core := &drainAwareCore{inner, func() bool { return rejects }, 0.5}
 	results := make(resultChannel, 1)
 	core.Submit(&broker.Request{}, results)
--- a/cmd/mothrouter/shutdown.go
+++ b/cmd/mothrouter/shutdown.go
@@ -13,7 +13,8 @@
 // fails before answers announce that their connections close.
 func (p *process) shutDown() error {
 	p.log.Info("shutting down")
-	startedAt, plan := time.Now(), drain.PlanShutdown(p.longestDeadline())
+	startedAt := time.Now()
+	plan := drain.PlanShutdown(p.longestDeadline())
 	p.core.SetShutdownDeadline(startedAt.Add(plan.AnswerBy))
 	if p.startConfig.AcceptFD != 0 { // another process shares the inherited socket and accepts new connections
 		if err := p.listener.Close(); err != nil {
--- a/cmd/mothrouter/state.go
+++ b/cmd/mothrouter/state.go
@@ -27,31 +27,31 @@
 	root.AddCommand(state)
 	state.AddCommand(&cobra.Command{
 		Use: "inspect FOLDER", Short: "Show the header of the file and the saved state of each server", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			s, size, err := readState(args[0])
 			if err != nil {
 				return err
 			}
-			printState(c.OutOrStdout(), s, size)
+			printState(cmd.OutOrStdout(), s, size)
 			return nil
 		},
 	}, &cobra.Command{
 		Use: "verify FOLDER", Short: "Check that the file is intact; exits with status 1 if it is not", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			s, size, err := readState(args[0])
 			if err == nil {
-				fmt.Fprintf(c.OutOrStdout(), "whole: %d bytes, %d servers\n", size, len(s.Servers))
+				fmt.Fprintf(cmd.OutOrStdout(), "whole: %d bytes, %d servers\n", size, len(s.Servers))
 			}
 			return err
 		},
 	}, &cobra.Command{
 		Use: "delete FOLDER", Short: "Delete the file and a quarantined one; the next start has no saved state",
 		Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			for _, name := range []string{checkpoint.FileName, checkpoint.QuarantineName} {
 				err := os.Remove(filepath.Join(args[0], name))
 				if err == nil {
-					fmt.Fprintln(c.OutOrStdout(), "deleted", name)
+					fmt.Fprintln(cmd.OutOrStdout(), "deleted", name)
 				} else if !errors.Is(err, fs.ErrNotExist) {
 					return err
 				}
--- a/internal/transport/flight/front.go
+++ b/internal/transport/flight/front.go
@@ -34,8 +34,8 @@
 
 // Options are the settings of a Front.
 type Options struct {
-	Classes  map[string]int // class by name
-	Shards   int            // partitions of the data; 0: not stated
+	Classes  map[string]int // indexes of the classes, by name
+	Shards   int            // number of shards; 0: unknown
 	MaxConns int            // concurrent client connections
 }
 
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -27,11 +27,11 @@
 
 // Options are the settings of a Front.
 type Options struct {
-	Classes          map[string]int    // class by name
-	Shards           int               // partitions of the data; 0: not stated
+	Classes          map[string]int    // indexes of the classes, by name
+	Shards           int               // number of shards; 0: unknown
 	MaxConns         int               // concurrent client connections
 	MaxIdleConns     int               // client connections between requests; 0: no bound
-	MaxBufferedBytes int               // memory for requests, in addition to a few KiB for each connection
+	MaxBufferedBytes int               // bytes of requests in memory, beyond maxIdleBuffer for each connection
 	RetryAfter       float64           // seconds after which a rejected client should retry; 0: not stated
 	Metrics          *metrics.Counters // counts requests by class and HTTP status; nil: they are not counted
 }
--- a/internal/transport/upstream/fixture_test.go
+++ b/internal/transport/upstream/fixture_test.go
@@ -85,7 +85,7 @@
 	return f
 }
 
-// act makes the Decider return the actions; the endpoint update makes the broker call it.
+// act makes the Decider return the actions; the endpoint update makes the broker call the Decider.
 func (f *fixture) act(a ...decision.Action) {
 	f.nextActions <- a
 	f.broker.Update(f.endpoints)
