--- a/cmd/mothrouter/attempt_ledger_test.go
+++ b/cmd/mothrouter/attempt_ledger_test.go
@@ -172,11 +172,11 @@
 	case "":
 		return stream.Context().Err()
 	case "full":
-		full, err := status.New(codes.Unavailable, "full").WithDetails(&errdetails.RetryInfo{})
+		rejection, err := status.New(codes.Unavailable, "full").WithDetails(&errdetails.RetryInfo{})
 		if err != nil {
 			return err
 		}
-		return full.Err()
+		return rejection.Err()
 	case "failed":
 		return status.Error(codes.Aborted, "failed")
 	}
--- a/cmd/mothrouter/flight_test.go
+++ b/cmd/mothrouter/flight_test.go
@@ -58,11 +58,11 @@
 	}
 	_, err := fetchAnswer(shortContext(t), client, []byte("{"))
 	require.Equal(t, codes.InvalidArgument, status.Code(err))
-	first := make(chan error, 1)
+	firstErr := make(chan error, 1)
 	ctx := shortContext(t)
 	go func() {
 		_, err := fetchAnswer(ctx, client, queryTicket("q", "charge-post", 1))
-		first <- err
+		firstErr <- err
 	}()
 	<-received
 	_, err = fetchAnswer(ctx, client, queryTicket("q", "charge-post", 0)) // invalid, with the id of a query in flight
@@ -70,7 +70,7 @@
 	_, err = fetchAnswer(ctx, client, queryTicket("q", "charge-post", 1))
 	require.Equal(t, codes.AlreadyExists, status.Code(err))
 	close(release)
-	require.Equal(t, codes.Aborted, status.Code(<-first)) // the part may have run
+	require.Equal(t, codes.Aborted, status.Code(<-firstErr)) // the part may have run
 }
 
 // A part whose stream breaks halfway does not count as answered. It is retried, since a tariff-report is idempotent.
@@ -132,11 +132,11 @@
 // without one the query is rejected.
 func TestFlightRetriesOrRejectsQueryThatHasNotRun(t *testing.T) {
 	replayer := newReplayer(t)
-	full, err := status.New(codes.Unavailable, "full").WithDetails(&errdetails.RetryInfo{})
+	rejection, err := status.New(codes.Unavailable, "full").WithDetails(&errdetails.RetryInfo{})
 	require.NoError(t, err)
 	var once sync.Once
 	rejectFirst := func(part mothflight.PartTicket, stream flight.FlightService_DoGetServer) (err error) {
-		once.Do(func() { err = full.Err() })
+		once.Do(func() { err = rejection.Err() })
 		if err == nil {
 			err = answerPart(part, stream)
 		}
@@ -201,10 +201,10 @@
 // advertisedDeadline is a client's context that sends a deadline to the server but does not end at it.
 type advertisedDeadline struct {
 	context.Context
-	at time.Time
+	deadline time.Time
 }
 
-func (c advertisedDeadline) Deadline() (time.Time, bool) { return c.at, true }
+func (c advertisedDeadline) Deadline() (time.Time, bool) { return c.deadline, true }
 
 // A query whose deadline passes while its non-idempotent part is in flight fails and is never rejected. On a busy machine a
 // query may be rejected before any part is sent: then none of its parts may reach the record server. A test on a virtual
@@ -215,8 +215,8 @@
 	timesLeft := make(chan time.Duration, 99)
 	streamEnds := make(chan struct{}, 99)
 	s0 := replayer.startFlightServer("s0", func(_ mothflight.PartTicket, stream flight.FlightService_DoGetServer) error {
-		at, _ := stream.Context().Deadline()
-		timesLeft <- time.Until(at)
+		deadline, _ := stream.Context().Deadline()
+		timesLeft <- time.Until(deadline)
 		<-stream.Context().Done()
 		streamEnds <- struct{}{}
 		return stream.Context().Err()
--- a/cmd/mothrouter/state.go
+++ b/cmd/mothrouter/state.go
@@ -74,9 +74,9 @@
 		s.PeakThroughput)
 	fmt.Fprintf(out, "%-24s %-10s %-9s %-8s %s\n", "server", "started", "pace ms", "failed", "report")
 	for _, server := range s.Servers {
-		started, report := "long ago", "-"
+		startedAgo, report := "long ago", "-"
 		if server.Started > 0 {
-			started = fmt.Sprintf("%.0f s", now-server.Started)
+			startedAgo = fmt.Sprintf("%.0f s", now-server.Started)
 		}
 		if server.LoadReportedAt > 0 {
 			report = fmt.Sprintf("%.1f s old", now-server.LoadReportedAt)
@@ -84,7 +84,7 @@
 				report += fmt.Sprintf(", busy %.0f %%", 100*server.LoadReport.Utilization)
 			}
 		}
-		fmt.Fprintf(out, "%-24s %-10s %-9.1f %-8s %s\n", server.ID, started, 1000*server.ServiceTime,
+		fmt.Fprintf(out, "%-24s %-10s %-9.1f %-8s %s\n", server.ID, startedAgo, 1000*server.ServiceTime,
 			fmt.Sprintf("%.0f %%", 100*server.FailureRatio), report)
 	}
 }
--- a/internal/transport/front/arrival.go
+++ b/internal/transport/front/arrival.go
@@ -14,13 +14,13 @@
 
 // socketRead is one read that received bytes, or several successive ones with the time of the first.
 type socketRead struct {
-	end int64 // bytes received up to and including this read
-	at  time.Time
+	end        int64 // bytes received up to and including this read
+	receivedAt time.Time
 }
 
 // add records a read of n bytes. Beyond maxReads it is merged into the latest recorded read, which is earlier. The time of
 // a request may then count from before its last byte was received: the request is given less time than it has, never more.
-func (l *readLog) add(n int, at time.Time) {
+func (l *readLog) add(n int, receivedAt time.Time) {
 	if n <= 0 {
 		return
 	}
@@ -29,7 +29,7 @@
 		l.reads[maxReads-1].end = l.received
 		return
 	}
-	l.reads = append(l.reads, socketRead{end: l.received, at: at})
+	l.reads = append(l.reads, socketRead{end: l.received, receivedAt: receivedAt})
 }
 
 // lastByte returns when the last byte of a request was received; unread is the number of bytes received after that byte. It
@@ -42,5 +42,5 @@
 	if len(l.reads) == 0 {
 		return time.Now()
 	}
-	return l.reads[0].at
+	return l.reads[0].receivedAt
 }
--- a/internal/transport/front/capacity.go
+++ b/internal/transport/front/capacity.go
@@ -48,8 +48,8 @@
 func (f *Front) reserveBuffer(c *conn, n int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	grows := n > c.reserved
-	f.bufferedBytes += n - c.reserved
-	c.reserved = n
+	grows := n > c.reservedBytes
+	f.bufferedBytes += n - c.reservedBytes
+	c.reservedBytes = n
 	return !grows || f.bufferedBytes <= f.opt.MaxBufferedBytes
 }
--- a/internal/transport/front/conn.go
+++ b/internal/transport/front/conn.go
@@ -23,24 +23,24 @@
 	readResults  chan readResult // passes back the results of its reads
 	reading      bool            // a read is in progress
 	discarding   bool            // the bytes of the read in progress will be discarded
-	received     readLog         // when the bytes of requests were received
+	readLog      readLog         // when the bytes of requests were received
 	disconnected atomic.Bool     // the client has closed the connection
 
-	request    *broker.Request // in flight; nil: none
-	closeAfter bool            // the connection closes after the answer to request
-	discarded  int             // pipelined bytes discarded after request
-	hadRequest bool            // a complete request has been received
-	receiving  bool            // part of the next request has been received
-	timer      *time.Timer     // idleTimeout, requestTimeout or FirstRequestTimeout, whichever applies
-	expired    bool            // timer has fired
-	out        []byte          // buffer for answers
+	request        *broker.Request // in flight; nil: none
+	closeAfter     bool            // the connection closes after the answer to request
+	discardedBytes int             // pipelined bytes discarded after request
+	hadRequest     bool            // a complete request has been received
+	receiving      bool            // part of the next request has been received
+	timer          *time.Timer     // idleTimeout, requestTimeout or FirstRequestTimeout, whichever applies
+	expired        bool            // timer has fired
+	out            []byte          // buffer for answers
 
 	// The front's mu guards these.
-	list     *list.List // the list of Front that contains it; nil: none, such as while a request is in flight
-	element  *list.Element
-	listedAt time.Time
-	evicted  bool // the connection must end to free its slot
-	reserved int  // bytes of requests in its buffers, as counted in Front.bufferedBytes
+	list          *list.List // the list of Front that contains it; nil: none, such as while a request is in flight
+	element       *list.Element
+	listedAt      time.Time
+	evicted       bool // the connection must end to free its slot
+	reservedBytes int  // bytes of requests in its buffers, as counted in Front.bufferedBytes
 }
 
 func newConn(f *Front, sock net.Conn) *conn {
--- a/internal/transport/front/conn_test.go
+++ b/internal/transport/front/conn_test.go
@@ -85,7 +85,7 @@
 	require.NoError(t, client.SetLinger(0))
 	require.NoError(t, client.Close())
 	select {
-	case r := <-f.disconnected:
+	case r := <-f.disconnectedRequests:
 		require.Same(t, q.Request, r)
 		require.True(t, r.Disconnected.Load())
 	case <-time.After(time.Second):
@@ -106,7 +106,7 @@
 			}
 		}
 	}()
-	require.Same(t, q.Request, <-f.disconnected)
+	require.Same(t, q.Request, <-f.disconnectedRequests)
 	require.Equal(t, "HTTP/1.1 413 Content Too Large", readStatusLine(t, in))
 }
 
@@ -204,9 +204,9 @@
 		head, err := in.ReadString('\n')
 		require.NoError(t, err)
 		require.Equal(t, "HTTP/1.1 503 Service Unavailable\r\n", head)
-		all, err := io.ReadAll(in)
+		rest, err := io.ReadAll(in) // header and body
 		require.NoError(t, err)
-		require.Contains(t, string(all), "Retry-After: 0.5\r\n")
+		require.Contains(t, string(rest), "Retry-After: 0.5\r\n")
 		s.Close()
 	}
 	q.Finish(broker.Result{Complete: true})
--- a/internal/transport/front/connread.go
+++ b/internal/transport/front/connread.go
@@ -8,9 +8,9 @@
 
 // readResult is the result of one read.
 type readResult struct {
-	n   int // bytes received, also with an error
-	err error
-	at  time.Time // when the read returned
+	n          int // bytes received, also with an error
+	err        error
+	returnedAt time.Time // when the read returned
 }
 
 // startRead starts a read unless one is in progress. If MaxBufferedBytes leaves no memory for more of a request, it ends the
@@ -67,12 +67,12 @@
 func (c *conn) onRead(r readResult) bool {
 	c.reading = false
 	if c.discarding {
-		c.discarded += r.n
+		c.discardedBytes += r.n
 	} else {
 		c.reader.Advance(r.n)
-		c.received.add(r.n, r.at)
+		c.readLog.add(r.n, r.returnedAt)
 	}
-	if c.discarding && c.discarded > maxPipelinedBytes {
+	if c.discarding && c.discardedBytes > maxPipelinedBytes {
 		c.front.core.Disconnect(c.request)
 		c.rejectAndClose(errTooMuchPipelined)
 		return false
--- a/internal/transport/front/fixture_test.go
+++ b/internal/transport/front/fixture_test.go
@@ -18,8 +18,8 @@
 
 // fakeCore is a Core that passes the calls that it receives to the test.
 type fakeCore struct {
-	submissions  chan submission
-	disconnected chan *broker.Request
+	submissions          chan submission
+	disconnectedRequests chan *broker.Request
 }
 
 // submission is one call of Submit.
@@ -29,7 +29,7 @@
 }
 
 func (f fakeCore) Submit(r *broker.Request, c broker.Client) { f.submissions <- submission{r, c} }
-func (f fakeCore) Disconnect(r *broker.Request)              { f.disconnected <- r }
+func (f fakeCore) Disconnect(r *broker.Request)              { f.disconnectedRequests <- r }
 func (f fakeCore) Ready() bool                               { return true }
 
 // pausableListener accepts connections whose reads a test can pause.
--- a/internal/transport/front/front.go
+++ b/internal/transport/front/front.go
@@ -53,7 +53,7 @@
 	newConns       list.List          // conns without a complete request, earliest accept first
 	idleConns      list.List          // conns between requests, longest idle first
 	receivingConns list.List          // conns with a part of their next request, earliest first byte first
-	bufferedBytes  int                // sum of the reserved fields of conns
+	bufferedBytes  int                // sum of reservedBytes of conns
 	listener       net.Listener       // nil before Serve
 
 	serveEnded chan struct{} // closed when Serve returns
@@ -127,5 +127,5 @@
 	defer f.mu.Unlock()
 	delete(f.conns, c)
 	f.moveTo(c, nil)
-	f.bufferedBytes -= c.reserved
+	f.bufferedBytes -= c.reservedBytes
 }
--- a/internal/transport/front/respond.go
+++ b/internal/transport/front/respond.go
@@ -57,7 +57,7 @@
 	if err == nil && !rejects {
 		c.request = r
 		c.closeAfter = req.Close
-		c.discarded = 0
+		c.discardedBytes = 0
 		c.front.core.Submit(r, c)
 		return true
 	}
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	r.Class = class
-	r.ReceivedAt = c.received.lastByte(c.reader.Unread())
+	r.ReceivedAt = c.readLog.lastByte(c.reader.Unread())
 	r.Disconnected = &c.disconnected
 	if err := r.Normalize(c.front.opt.Shards); err != nil {
 		return nil, &httpwire.Error{Status: 400, Reason: err.Error()}
--- a/internal/transport/upstream/conn.go
+++ b/internal/transport/upstream/conn.go
@@ -45,9 +45,9 @@
 	queue          []*job          // jobs to be written, in order
 	pendingCancels []string        // ids of cancels to be written
 	calls          map[string]*job // queued or in flight, by id
-	abandoned      map[string]bool // ids of calls that were written, then cancelled, and are not answered yet
-	answered       map[string]bool // ids of recently answered calls
-	answeredIDs    []string        // the keys of answered, oldest answer first
+	abandonedIDs   map[string]bool // ids of calls that were written, then cancelled, and are not answered yet
+	answeredIDs    map[string]bool // ids of recently answered calls
+	answerOrder    []string        // the keys of answeredIDs, oldest answer first
 	healthChecks   []*job          // written and not answered yet, in order
 	lastReceived   time.Time       // when the last message was received; zero: none yet
 	writingSince   time.Time       // when the latest write started; zero: none yet
@@ -61,29 +61,29 @@
 
 func newConn(l *Link, addr string, server *broker.Server) *conn {
 	return &conn{
-		link:      l,
-		addr:      addr,
-		server:    server,
-		calls:     map[string]*job{},
-		abandoned: map[string]bool{},
-		answered:  map[string]bool{},
-		wake:      make(chan struct{}, 1),
+		link:         l,
+		addr:         addr,
+		server:       server,
+		calls:        map[string]*job{},
+		abandonedIDs: map[string]bool{},
+		answeredIDs:  map[string]bool{},
+		wake:         make(chan struct{}, 1),
 	}
 }
 
 // hasUsed reports whether an answer with the id on this connection might belong to an earlier attempt. The caller holds mu.
 func (cn *conn) hasUsed(id string) bool {
-	return cn.calls[id] != nil || cn.abandoned[id] || cn.answered[id]
+	return cn.calls[id] != nil || cn.abandonedIDs[id] || cn.answeredIDs[id]
 }
 
 // markAnswered records that the call with the id has been answered. The caller holds mu.
 func (cn *conn) markAnswered(id string) {
-	if len(cn.answeredIDs) == maxAnsweredIDs {
-		delete(cn.answered, cn.answeredIDs[0])
-		cn.answeredIDs = cn.answeredIDs[1:]
+	if len(cn.answerOrder) == maxAnsweredIDs {
+		delete(cn.answeredIDs, cn.answerOrder[0])
+		cn.answerOrder = cn.answerOrder[1:]
 	}
-	cn.answered[id] = true
-	cn.answeredIDs = append(cn.answeredIDs, id)
+	cn.answeredIDs[id] = true
+	cn.answerOrder = append(cn.answerOrder, id)
 }
 
 // enqueue queues a job to be written. The caller holds mu.
@@ -124,8 +124,8 @@
 			cn.retired = true
 		}
 		cn.pendingCancels = append(cn.pendingCancels, j.id)
-		cn.abandoned[j.id] = true
-		if len(cn.abandoned) > maxAbandoned {
+		cn.abandonedIDs[j.id] = true
+		if len(cn.abandonedIDs) > maxAbandoned {
 			cn.retired = true
 		}
 		cn.signal()
--- a/internal/transport/upstream/connread.go
+++ b/internal/transport/upstream/connread.go
@@ -45,7 +45,7 @@
 func (cn *conn) awaitsAnswer() bool {
 	cn.link.mu.Lock()
 	defer cn.link.mu.Unlock()
-	return len(cn.calls)+len(cn.healthChecks)+len(cn.abandoned) > 0
+	return len(cn.calls)+len(cn.healthChecks)+len(cn.abandonedIDs) > 0
 }
 
 // handleFrames handles the complete frames that have been received.
@@ -124,10 +124,10 @@
 // other is a protocol error. The caller holds mu.
 func (cn *conn) handleUnexpectedReply(id string) error {
 	switch {
-	case cn.abandoned[id]:
-		delete(cn.abandoned, id)
+	case cn.abandonedIDs[id]:
+		delete(cn.abandonedIDs, id)
 		cn.markAnswered(id)
-	case !cn.answered[id]:
+	case !cn.answeredIDs[id]:
 		return fmt.Errorf("%w: an answer to %q, which was not sent on this connection", errProtocol, id)
 	}
 	return nil
--- a/internal/transport/upstream/fixture_test.go
+++ b/internal/transport/upstream/fixture_test.go
@@ -16,9 +16,9 @@
 
 // scriptedDecider passes events to the test and returns the actions that the test has put in nextActions.
 type scriptedDecider struct {
-	parts       chan decision.Part
-	finished    chan decision.AttemptFinished
-	nextActions chan []decision.Action
+	parts            chan decision.Part
+	finishedAttempts chan decision.AttemptFinished
+	nextActions      chan []decision.Action
 }
 
 func (s scriptedDecider) Handle(_ float64, events []decision.Event) (actions []decision.Action) {
@@ -27,7 +27,7 @@
 		case decision.Part:
 			s.parts <- e
 		case decision.AttemptFinished:
-			s.finished <- e
+			s.finishedAttempts <- e
 		}
 	}
 	select {
@@ -63,9 +63,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() { cancel(); l.Close() })
 	f := &fixture{T: t, listener: l, scriptedDecider: scriptedDecider{
-		parts:       make(chan decision.Part, 9),
-		finished:    make(chan decision.AttemptFinished, 999),
-		nextActions: make(chan []decision.Action, 9),
+		parts:            make(chan decision.Part, 9),
+		finishedAttempts: make(chan decision.AttemptFinished, 999),
+		nextActions:      make(chan []decision.Action, 9),
 	}}
 	idempotent := decision.Class{Deadline: 9, CompletenessThreshold: 1, MinCompleteness: 1}
 	nonIdempotent := idempotent
--- a/internal/transport/upstream/upstream_test.go
+++ b/internal/transport/upstream/upstream_test.go
@@ -22,7 +22,7 @@
 	id, first := f.sendOnNewConn("q")
 	f.act(decision.Cancel{ID: id})
 	first.expectFrame('C', "q.0")
-	require.Equal(t, decision.Cancelled, (<-f.finished).Status)
+	require.Equal(t, decision.Cancelled, (<-f.finishedAttempts).Status)
 	f.act(send(id))
 	second := f.accept()
 	second.expectFrame('S', "q.0 0 d=")
@@ -31,10 +31,10 @@
 	f.act(send(other))
 	first.expectFrame('S', "other.0") // other parts may still use the first connection
 	first.sendFrame('R', "other.0 failed 1 inflight=3\n")
-	e := <-f.finished
+	e := <-f.finishedAttempts
 	require.Equal(t, []any{other, decision.Error, 3.0}, []any{e.ID, e.Status, e.LoadReport.InFlight})
 	second.sendFrame('R', "q.0 done 1 -\nnew")
-	e = <-f.finished
+	e = <-f.finishedAttempts
 	require.Equal(t, []any{id, 1, decision.OK}, []any{e.ID, e.Attempt, e.Status})
 }
 
@@ -46,13 +46,13 @@
 	first.expectFrame('S', "b.0")
 	_, second := f.sendOnNewConn("c")
 	require.NoError(t, second.Close())
-	require.Equal(t, decision.Reset, (<-f.finished).Status) // its frame was written completely
+	require.Equal(t, decision.Reset, (<-f.finishedAttempts).Status) // its frame was written completely
 	first.sendFrame('F', "no such frame")
-	require.Equal(t, decision.Reset, (<-f.finished).Status)
-	require.Equal(t, decision.Reset, (<-f.finished).Status)
+	require.Equal(t, decision.Reset, (<-f.finishedAttempts).Status)
+	require.Equal(t, decision.Reset, (<-f.finishedAttempts).Status)
 	require.NoError(t, f.listener.Close())
 	f.act(send(f.submit("d")))
-	require.Equal(t, decision.Unreachable, (<-f.finished).Status)
+	require.Equal(t, decision.Unreachable, (<-f.finishedAttempts).Status)
 }
 
 // A partitioned server leaves connections open and silent. A connection that is silent when a call on it is cancelled gets no
@@ -62,7 +62,7 @@
 	id, _ := f.sendOnNewConn("q")
 	time.Sleep(upstream.MaxSilence + 50*time.Millisecond)
 	f.act(decision.Cancel{ID: id})
-	<-f.finished
+	<-f.finishedAttempts
 	f.sendOnNewConn("next")
 }
 
@@ -85,14 +85,14 @@
 	_, first := f.sendOnNewConn("a")
 	time.Sleep(20 * time.Millisecond) // an answer read before the write is recorded has no latency
 	first.sendFrame('R', "a.0 done 1 -\nv")
-	<-f.finished
+	<-f.finishedAttempts
 	elapsed := time.Since(submittedAt) // at least the latency that the link measured
 	f.act(send(f.submit("lost")))
 	first.expectFrame('S', "lost.0")
 	time.Sleep(100*time.Millisecond + 8*elapsed)
 	f.sendOnNewConn("next")
 	first.sendFrame('R', "lost.0 done 1 -\nv") // the connection may be used again
-	require.Equal(t, decision.OK, (<-f.finished).Status)
+	require.Equal(t, decision.OK, (<-f.finishedAttempts).Status)
 	f.act(send(f.submit("more")))
 	first.expectFrame('S', "more.0")
 }
@@ -119,9 +119,9 @@
 			conn.expectFrame('S', "b.0")
 			_, err := conn.Write([]byte(good + malformed))
 			require.NoError(t, err)
-			e := <-f.finished
+			e := <-f.finishedAttempts
 			require.Equal(t, []any{a, decision.OK}, []any{e.ID, e.Status})
-			e = <-f.finished
+			e = <-f.finishedAttempts
 			require.Equal(t, []any{b, decision.Error}, []any{e.ID, e.Status})
 			f.sendOnNewConn("next")
 		})
@@ -137,12 +137,12 @@
 			a, first := f.sendOnNewConn("a")
 			_, err := first.Write([]byte(good + extra))
 			require.NoError(t, err)
-			require.Equal(t, decision.Error, (<-f.finished).Status)
+			require.Equal(t, decision.Error, (<-f.finishedAttempts).Status)
 			f.act(send(a))
 			second := f.accept()
 			second.expectFrame('S', "a.0")
 			second.sendFrame('R', "a.0 done 1 -\nv")
-			e := <-f.finished
+			e := <-f.finishedAttempts
 			require.Equal(t, []any{1, decision.OK}, []any{e.Attempt, e.Status})
 		})
 	}
@@ -164,12 +164,12 @@
 	f.act(send(f.submit("other"))) // must not share its connection
 	first.expectFrame('S', "other.0")
 	second.sendFrame('R', "alone.0 done 1 -\nv")
-	<-f.finished
+	<-f.finishedAttempts
 	time.Sleep(20 * time.Millisecond)
 	f.act(send(f.submitOfClass(nonIdempotentClass, "soon")))
 	second.expectFrame('S', "soon.0")
 	second.sendFrame('R', "soon.0 done 1 -\nv")
-	<-f.finished
+	<-f.finishedAttempts
 	time.Sleep(1100 * time.Millisecond)
 	f.act(send(f.submitOfClass(nonIdempotentClass, "later")))
 	f.accept().expectFrame('S', "later.0")
@@ -182,9 +182,9 @@
 	f := newFixture(t, upstream.Options{MaxStreams: 1, MaxConns: 1, IdleTimeout: time.Minute, ConnectTimeout: time.Second})
 	_, conn := f.sendOnNewConn("a")
 	f.act(send(f.submit("b")))
-	require.Equal(t, decision.NotSent, (<-f.finished).Status) // this says nothing about the server
+	require.Equal(t, decision.NotSent, (<-f.finishedAttempts).Status) // this says nothing about the server
 	conn.sendFrame('R', "a.0 done 1 -\nv")
-	require.Equal(t, decision.OK, (<-f.finished).Status)
+	require.Equal(t, decision.OK, (<-f.finishedAttempts).Status)
 	f.act(send(f.submit("c")))
 	conn.expectFrame('S', "c.0")
 }
@@ -194,7 +194,7 @@
 	f := newFixture(t, upstream.Options{MaxStreams: 1, MaxConns: 1, IdleTimeout: time.Minute, ConnectTimeout: time.Second})
 	_, conn := f.sendOnNewConn("a")
 	conn.sendFrame('R', "a.0 done 1 -\nv")
-	<-f.finished
+	<-f.finishedAttempts
 	next, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer next.Close()
@@ -227,7 +227,7 @@
 	time.Sleep(300 * time.Millisecond)
 	for _, id := range ids {
 		f.act(decision.Cancel{ID: id})
-		require.NotEqual(t, decision.OK, (<-f.finished).Status)
+		require.NotEqual(t, decision.OK, (<-f.finishedAttempts).Status)
 	}
 	require.NoError(t, conn.SetReadDeadline(time.Now().Add(5*time.Second)))
 	var err error
