--- a/internal/controlplane/raftlog/load.go
+++ b/internal/controlplane/raftlog/load.go
@@ -58,7 +58,8 @@
 		return logState{}, err
 	}
 	if loaded.last() != stored.last {
-		return logState{}, fmt.Errorf("%w: last entry is %d, want %d", ErrCorrupt, loaded.last().index, stored.last.index)
+		return logState{}, fmt.Errorf("%w: last entry is %d of term %d, want %d of term %d", ErrCorrupt, loaded.last().index,
+			loaded.last().term, stored.last.index, stored.last.term)
 	}
 	return loaded, loaded.checkInvariants()
 }
@@ -92,8 +93,8 @@
 			return nil, err
 		}
 		if entry.GetIndex() != next || next > stored.last.index {
-			return nil, fmt.Errorf("%w: found entry %d, want entry %d, last index %d", ErrCorrupt, entry.GetIndex(), next,
-				stored.last.index)
+			return nil, fmt.Errorf("%w: found entry %d, want entry %d, last entry in the state record is %d", ErrCorrupt,
+				entry.GetIndex(), next, stored.last.index)
 		}
 		entries = append(entries, entry)
 		next++
