--- a/cmd/mothrouter/state.go
+++ b/cmd/mothrouter/state.go
@@ -27,30 +27,31 @@
 	root.AddCommand(state)
 	state.AddCommand(&cobra.Command{
 		Use: "inspect FOLDER", Short: "Show the header of the file and the saved state of each server", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			s, size, err := readState(args[0])
 			if err != nil {
 				return err
 			}
-			printState(c.OutOrStdout(), s, size)
+			printState(cmd.OutOrStdout(), s, size)
 			return nil
 		},
 	}, &cobra.Command{
 		Use: "verify FOLDER", Short: "Check that the file is intact; exits with status 1 if it is not", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(cmd *cobra.Command, args []string) error {
 			s, size, err := readState(args[0])
 			if err == nil {
-				fmt.Fprintf(c.OutOrStdout(), "whole: %d bytes, %d servers\n", size, len(s.Servers))
+				fmt.Fprintf(cmd.OutOrStdout(), "whole: %d bytes, %d servers\n", size, len(s.Servers))
 			}
 			return err
 		},
 	}, &cobra.Command{
-		Use: "delete FOLDER", Short: "Delete the file and a quarantined one; the next start is blank", Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		Use: "delete FOLDER", Short: "Delete the file and a quarantined one; the next start has no saved state",
+		Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
 			for _, name := range []string{checkpoint.FileName, checkpoint.QuarantineName} {
 				err := os.Remove(filepath.Join(args[0], name))
 				if err == nil {
-					fmt.Fprintln(c.OutOrStdout(), "deleted", name)
+					fmt.Fprintln(cmd.OutOrStdout(), "deleted", name)
 				} else if !errors.Is(err, fs.ErrNotExist) {
 					return err
 				}
@@ -73,9 +74,9 @@
 		s.PeakThroughput)
 	fmt.Fprintf(out, "%-24s %-10s %-9s %-8s %s\n", "server", "started", "pace ms", "failed", "report")
 	for _, server := range s.Servers {
-		started, report := "long ago", "-"
+		startedAgo, report := "long ago", "-"
 		if server.Started > 0 {
-			started = fmt.Sprintf("%.0f s", now-server.Started)
+			startedAgo = fmt.Sprintf("%.0f s", now-server.Started)
 		}
 		if server.LoadReportedAt > 0 {
 			report = fmt.Sprintf("%.1f s old", now-server.LoadReportedAt)
@@ -83,7 +84,7 @@
 				report += fmt.Sprintf(", busy %.0f %%", 100*server.LoadReport.Utilization)
 			}
 		}
-		fmt.Fprintf(out, "%-24s %-10s %-9.1f %-8s %s\n", server.ID, started, 1000*server.ServiceTime,
+		fmt.Fprintf(out, "%-24s %-10s %-9.1f %-8s %s\n", server.ID, startedAgo, 1000*server.ServiceTime,
 			fmt.Sprintf("%.0f %%", 100*server.FailureRatio), report)
 	}
 }
--- a/internal/transport/front/capacity.go
+++ b/internal/transport/front/capacity.go
@@ -9,13 +9,13 @@
 // scarce; more are closed without an answer.
 func (f *Front) rejectOverCapacity(c *conn) {
 	select {
-	case f.rejecting <- struct{}{}:
+	case f.rejectSlots <- struct{}{}:
 	default:
 		c.sock.Close()
 		return
 	}
 	f.wg.Go(func() {
-		defer func() { <-f.rejecting }()
+		defer func() { <-f.rejectSlots }()
 		defer c.startReader()()
 		c.rejectAndClose(errOverCapacity)
 	})
@@ -48,8 +48,8 @@
 func (f *Front) reserveBuffer(c *conn, n int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	grows := n > c.reserved
-	f.bufferedBytes += n - c.reserved
-	c.reserved = n
+	grows := n > c.reservedBytes
+	f.bufferedBytes += n - c.reservedBytes
+	c.reservedBytes = n
 	return !grows || f.bufferedBytes <= f.opt.MaxBufferedBytes
 }
