--- a/internal/endpoints/discovery/message.go
+++ b/internal/endpoints/discovery/message.go
@@ -71,7 +71,7 @@
 		return broker.Endpoint{}, &EntryError{Key: key("state"), Value: entry.State, Allowed: "one of active, leaving, left"}
 	}
 	if entry.ID == "" {
-		return broker.Endpoint{}, &EntryError{Key: key("id"), Allowed: "a non-empty string"}
+		return broker.Endpoint{}, &EntryError{Key: key("id"), Allowed: "a text that is not empty"}
 	}
 	if entry.Addr == "" && state != decision.Removed {
 		return broker.Endpoint{}, &EntryError{Key: key("addr"), Allowed: "an address host:port"}
