--- a/cmd/mothrouter/process.go
+++ b/cmd/mothrouter/process.go
@@ -118,7 +118,7 @@
 		}
 	}
 	runtime.GOMAXPROCS(min(p.workers, runtime.NumCPU())) // without -cores, the platform gives a broker one core
-	debug.SetMemoryLimit(int64(memoryFraction * float64(p.startConfig.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(memoryFraction * float64(p.startConfig.MemoryLimitMiB<<20)))
 	p.log = slog.New(slog.NewTextHandler(os.Stderr, nil)).With("broker", p.startConfig.Name)
 	p.components.Log = p.log
 	signal.Notify(p.stopSignals, syscall.SIGTERM, os.Interrupt)
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -19,14 +19,14 @@
 
 // Config is the configuration of a broker. It is created by Load.
 type Config struct {
-	Name         string // name of the broker
-	Listen       string // address host:port for clients
-	Discovery    string // address host:port of the discovery service
-	AdminAddress string // address host:port for operators; "": none
-	AcceptFD     int    // descriptor of an inherited listening socket; 0: the process opens its own
-	Seed         uint64 // seed of the random number generator
-	MemoryMB     int    // memory limit in MiB
-	Sockets      int    // limit on open file descriptors
+	Name           string // name of the broker
+	Listen         string // address host:port for clients
+	Discovery      string // address host:port of the discovery service
+	AdminAddress   string // address host:port for operators; "": none
+	AcceptFD       int    // descriptor of an inherited listening socket; 0: the process opens its own
+	Seed           uint64 // seed of the random number generator
+	MemoryLimitMiB int    // memory limit in MiB, from limits.memory_mb
+	MaxOpenFiles   int    // limit on open file descriptors, from limits.sockets
 
 	MaxClientConns   int // limit on client connections
 	MaxIdleConns     int // limit on client connections that are waiting for their next request
@@ -50,8 +50,8 @@
 }
 
 const (
-	defaultMemoryMB       = 192
-	defaultSockets        = 1024
+	defaultMemoryLimitMiB = 192
+	defaultMaxOpenFiles   = 1024
 	defaultConnIdle       = 15 * time.Second
 	defaultConnectTimeout = 250 * time.Millisecond
 	defaultMaxStreams     = 1
@@ -83,7 +83,7 @@
 // defaults returns the configuration before any key has been read.
 func defaults() *Config {
 	return &Config{
-		MemoryMB: defaultMemoryMB, Sockets: defaultSockets,
+		MemoryLimitMiB: defaultMemoryLimitMiB, MaxOpenFiles: defaultMaxOpenFiles,
 		ConnIdleTimeout: defaultConnIdle, ConnectTimeout: defaultConnectTimeout, MaxStreams: defaultMaxStreams,
 	}
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -45,7 +45,7 @@
 	c, err := loadConfig(t, validConfig, map[string]string{"PROXY_NAME": "n4", "PROXY_LISTEN": "127.0.0.1:9"})
 	require.NoError(t, err)
 	require.Equal(t, []any{"n4", "127.0.0.1:9", "127.0.0.1:8500", uint64(0x8c1f30d27a5be964), 128, 512},
-		[]any{c.Name, c.Listen, c.Discovery, c.Seed, c.MemoryMB, c.Sockets})
+		[]any{c.Name, c.Listen, c.Discovery, c.Seed, c.MemoryLimitMiB, c.MaxOpenFiles})
 	require.Equal(t, []any{9, 8, 7, 3 * time.Second, 500 * time.Millisecond, map[string]int{"c": 0}, int64(41)},
 		[]any{c.ConcurrencyLimit, c.Shards, c.MaxStreams, c.ConnIdleTimeout, c.ConnectTimeout, c.Classes, c.CachedVersion})
 	require.Equal(t, decision.CachedUpdate, c.CachedEndpoints.Mode)
--- a/internal/config/controlmachine.go
+++ b/internal/config/controlmachine.go
@@ -29,7 +29,7 @@
 	Voter       bool // false: the spare
 }
 
-// Self returns the member that stands for this control machine.
+// Self returns the entry of this control machine in Members.
 func (c *ControlMachine) Self() ControlMember {
 	for _, member := range c.Members {
 		if member.Name == c.Name {
--- a/internal/config/cores.go
+++ b/internal/config/cores.go
@@ -15,13 +15,13 @@
 	if err := decodeTOML("cores", path, &file); err != nil {
 		return 0, err
 	}
-	limit := min(maxWorkers, c.MemoryMB/memoryPerWorker, c.Sockets/socketsPerWorker)
+	limit := min(maxWorkers, c.MemoryLimitMiB/memoryPerWorker, c.MaxOpenFiles/socketsPerWorker)
 	if file.Workers == nil {
 		return 0, missingKey("cores.workers", "a number of workers")
 	}
 	if workers = *file.Workers; workers < 1 || workers > limit {
 		return 0, notAllowed("cores.workers", workers, "1 to %d, by limits.memory_mb %d, limits.sockets %d and at most %d",
-			limit, c.MemoryMB, c.Sockets, maxWorkers)
+			limit, c.MemoryLimitMiB, c.MaxOpenFiles, maxWorkers)
 	}
 	return workers, nil
 }
--- a/internal/config/document_test.go
+++ b/internal/config/document_test.go
@@ -55,13 +55,13 @@
 		file := strings.Replace(validDocument, `{"discovery"`, `{"listen":"127.0.0.1:1","discovery"`, 1)
 		loaded, err := loadConfig(t, file, test.env)
 		require.NoError(t, err)
-		start, err := loaded.Document()
+		startup, err := loaded.Document()
 		require.NoError(t, err)
-		require.Equal(t, test.wantDiscovery, start.Discovery)
-		require.Equal(t, loaded.Settings.Classes, start.Classes)
-		require.Equal(t, loaded.ConcurrencyLimit, start.ConcurrencyLimit)
-		require.NoError(t, parseDocument(t, validDocument).CheckChangeFrom(start))
-		require.NoError(t, start.CheckChangeFrom(parseDocument(t, validDocument)))
+		require.Equal(t, test.wantDiscovery, startup.Discovery)
+		require.Equal(t, loaded.Settings.Classes, startup.Classes)
+		require.Equal(t, loaded.ConcurrencyLimit, startup.ConcurrencyLimit)
+		require.NoError(t, parseDocument(t, validDocument).CheckChangeFrom(startup))
+		require.NoError(t, startup.CheckChangeFrom(parseDocument(t, validDocument)))
 	}
 }
 
@@ -195,7 +195,7 @@
 		f.Add([]byte(strings.Replace(validDocument, replacement[0], replacement[1], 1)))
 	}
 	f.Add([]byte(`{"":{"":{"":0,"":0}}}`))
-	start, err := config.ParseDocument([]byte(validDocument))
+	startup, err := config.ParseDocument([]byte(validDocument))
 	require.NoError(f, err)
 	f.Fuzz(func(t *testing.T, text []byte) {
 		document, parseErr := config.ParseDocument(text)
@@ -212,9 +212,9 @@
 		}
 		if parseErr == nil {
 			require.NoError(t, document.CheckChangeFrom(document))
-			if changeErr := document.CheckChangeFrom(start); changeErr == nil {
-				require.Len(t, document.Classes, len(start.Classes))
-				require.NoError(t, start.CheckChangeFrom(document))
+			if changeErr := document.CheckChangeFrom(startup); changeErr == nil {
+				require.Len(t, document.Classes, len(startup.Classes))
+				require.NoError(t, startup.CheckChangeFrom(document))
 			}
 		}
 		canonical := map[string]any{"discovery": tree["discovery"], "settings": tree["settings"]}
--- a/internal/config/documentchange.go
+++ b/internal/config/documentchange.go
@@ -23,14 +23,14 @@
 	"settings.classes[].lateWorth":  true,
 }
 
-// CheckChangeFrom returns nil if a broker that was started with the document start can apply this one without a restart.
+// CheckChangeFrom returns nil if a broker that was started with the document startup can apply d without a restart.
 // Otherwise it returns a *KeyError for the first key, in sorted order, whose change needs a restart. All keys are compared,
 // including those that no broker reads.
-func (d *Document) CheckChangeFrom(start *Document) error {
-	if err := compare(jsonPath{}, start.tree, d.tree); err != nil {
+func (d *Document) CheckChangeFrom(startup *Document) error {
+	if err := compare(jsonPath{}, startup.tree, d.tree); err != nil {
 		return err
 	}
-	if len(d.Classes) != len(start.Classes) { // compare rejects a change of the number of classes
+	if len(d.Classes) != len(startup.Classes) { // compare rejects a change of the number of classes
 		panic("config: documents with different numbers of classes compare as equal")
 	}
 	return nil
@@ -58,18 +58,18 @@
 }
 
 // compare returns the error for the first difference that needs a restart, or nil if there is none.
-func compare(at jsonPath, before, after any) error {
-	if dynamicKeys[at.pattern] {
+func compare(location jsonPath, before, after any) error {
+	if dynamicKeys[location.pattern] {
 		return nil
 	}
 	switch before := before.(type) {
 	case map[string]any:
 		if after, ok := after.(map[string]any); ok {
-			return compareObjects(at, before, after)
+			return compareObjects(location, before, after)
 		}
 	case []any:
 		if after, ok := after.([]any); ok {
-			return compareArrays(at, before, after)
+			return compareArrays(location, before, after)
 		}
 	case json.Number:
 		if after, ok := after.(json.Number); ok && isSameNumber(string(before), string(after)) {
@@ -80,15 +80,15 @@
 			return nil
 		}
 	}
-	return at.restartError(describeJSON(after), "%v", describeJSON(before))
+	return location.restartError(describeJSON(after), "%v", describeJSON(before))
 }
 
 // compareObjects compares the members of two objects in sorted order of their keys.
-func compareObjects(at jsonPath, before, after map[string]any) error {
+func compareObjects(location jsonPath, before, after map[string]any) error {
 	union := maps.Clone(before)
 	maps.Copy(union, after)
 	for _, key := range slices.Sorted(maps.Keys(union)) {
-		member := at.member(key)
+		member := location.member(key)
 		valueBefore, existed := before[key]
 		valueAfter, exists := after[key]
 		switch {
@@ -107,12 +107,12 @@
 }
 
 // compareArrays compares the lengths of two arrays, then their elements in order.
-func compareArrays(at jsonPath, before, after []any) error {
+func compareArrays(location jsonPath, before, after []any) error {
 	if len(before) != len(after) {
-		return at.restartError(entryCount(len(after)), "%v", entryCount(len(before)))
+		return location.restartError(entryCount(len(after)), "%v", entryCount(len(before)))
 	}
 	for i := range before {
-		if err := compare(at.element(i), before[i], after[i]); err != nil {
+		if err := compare(location.element(i), before[i], after[i]); err != nil {
 			return err
 		}
 	}
@@ -120,7 +120,7 @@
 }
 
 // isSameNumber reports whether two JSON numbers are the same text or have the same value, such as 4 and 4.0. Values of
-// maxExactInteger and above are the same only as text, since different integers may have the same float64.
+// magnitude maxExactInteger or more must match as text, since different integers may have the same float64.
 func isSameNumber(a, b string) bool {
 	if a == b {
 		return true
--- a/internal/config/flight.go
+++ b/internal/config/flight.go
@@ -38,11 +38,11 @@
 func (f *Flight) reserveDescriptors(c *Config) error {
 	available := c.MaxClientConns - minClientConns
 	if f.Connections < 1 || f.Connections > available {
-		return notAllowed("flight.connections", f.Connections, "1 to %d, by limits.sockets %d", available, c.Sockets)
+		return notAllowed("flight.connections", f.Connections, "1 to %d, by limits.sockets %d", available, c.MaxOpenFiles)
 	}
 	c.MaxClientConns -= f.Connections
 	c.MaxIdleConns = min(c.MaxIdleConns, c.MaxClientConns/2)
-	// Two connections per server: one for all calls, and one for calls that must not queue behind them.
+	// Two connections per server: one shared by most calls, and one for calls that must not queue behind others.
 	f.ServerConns = min(2*len(f.Servers), c.MaxServerConns/2)
 	c.MaxServerConns -= f.ServerConns
 	return nil
--- a/internal/config/follower.go
+++ b/internal/config/follower.go
@@ -60,16 +60,16 @@
 		return nil, notAllowed("configuration.control", entryCount(count), "1 to %d entries", distribution.MaxControlMachines)
 	}
 	var machines []distribution.ControlMachine
-	seen := map[string]bool{}
+	seenAddresses := map[string]bool{}
 	for i, row := range rows {
 		key := fmt.Sprintf("configuration.control[%d].address", i)
 		if err := checkAddr(key, row.Address); err != nil {
 			return nil, err
 		}
-		if seen[row.Address] {
+		if seenAddresses[row.Address] {
 			return nil, notAllowed(key, row.Address, allowedUnique)
 		}
-		seen[row.Address] = true
+		seenAddresses[row.Address] = true
 		machines = append(machines, distribution.ControlMachine{Address: row.Address, Zone: row.Zone, Region: row.Region})
 	}
 	return machines, nil
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -4,10 +4,10 @@
 
 // Bounds of the configurable limits.
 const (
-	minMemoryMB = 16
-	maxMemoryMB = 1 << 20
-	minSockets  = 64
-	maxSockets  = 1 << 20
+	minMemoryLimitMiB = 16
+	maxMemoryLimitMiB = 1 << 20
+	minOpenFilesLimit = 64
+	maxOpenFilesLimit = 1 << 20
 )
 
 // Division of the descriptors and of the memory.
@@ -20,8 +20,8 @@
 	connsPerReplicaSet = 9. / 8
 	// reservedFraction is the fraction of the descriptors for the endpoint watch, the listener and connections that are closing.
 	reservedFraction = 1. / 8
-	// minReserved is the minimum number of these descriptors: 6 for the process itself, 4 for calls to discovery, 1 for a
-	// connection that was just accepted, 4 for connections being rejected over capacity, and 1 in reserve.
+	// minReserved is the minimum number of descriptors that reservedFraction reserves: 6 for the process itself, 4 for calls to
+	// discovery, 1 for a connection that was just accepted, 4 for connections being rejected over capacity, and 1 in reserve.
 	minReserved = 16
 	// minClientConns is the number of connections that remain for clients, whichever features are enabled.
 	minClientConns = 8
@@ -35,28 +35,28 @@
 // readLimits sets the limits of memory and descriptors, and MaxBufferedBytes.
 func (c *Config) readLimits() error {
 	if limit := c.file.Limits.MemoryMB; limit != nil {
-		if err := checkRange("limits.memory_mb", *limit, minMemoryMB, maxMemoryMB); err != nil {
+		if err := checkRange("limits.memory_mb", *limit, minMemoryLimitMiB, maxMemoryLimitMiB); err != nil {
 			return err
 		}
-		c.MemoryMB = *limit
+		c.MemoryLimitMiB = *limit
 	}
 	if limit := c.file.Limits.Sockets; limit != nil {
-		if err := checkRange("limits.sockets", *limit, minSockets, maxSockets); err != nil {
+		if err := checkRange("limits.sockets", *limit, minOpenFilesLimit, maxOpenFilesLimit); err != nil {
 			return err
 		}
-		c.Sockets = *limit
+		c.MaxOpenFiles = *limit
 	}
-	c.MaxBufferedBytes = int(bufferFraction * float64(c.MemoryMB<<20))
+	c.MaxBufferedBytes = int(bufferFraction * float64(c.MemoryLimitMiB<<20))
 	return nil
 }
 
 // divideDescriptors divides the descriptors between clients and record servers. A query may go to all replica sets at once, so
 // record servers get a larger part if there are many replica sets; otherwise some of them would have no connection.
 func (c *Config) divideDescriptors() {
-	total := float64(c.Sockets)
+	total := float64(c.MaxOpenFiles)
 	wanted := max(serverFraction*total, connsPerReplicaSet*float64(c.Settings.ReplicaSets))
 	c.MaxServerConns = int(min(wanted, maxServerFraction*total))
-	c.MaxClientConns = min(int((1-reservedFraction)*total), c.Sockets-minReserved) - c.MaxServerConns
+	c.MaxClientConns = min(int((1-reservedFraction)*total), c.MaxOpenFiles-minReserved) - c.MaxServerConns
 	if c.AdminAddress != "" {
 		c.MaxClientConns = max(c.MaxClientConns-admin.MaxConns, minClientConns)
 	}
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -30,7 +30,7 @@
 		{"name", other.Name != c.Name},
 		{"listen", other.Listen != c.Listen},
 		{"control", other.AdminAddress != c.AdminAddress},
-		{"limits", other.MemoryMB != c.MemoryMB || other.Sockets != c.Sockets},
+		{"limits", other.MemoryLimitMiB != c.MemoryLimitMiB || other.MaxOpenFiles != c.MaxOpenFiles},
 		{"settings", !bytes.Equal(other.file.Settings, c.file.Settings)},
 	} {
 		if entry.differs {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -35,7 +35,7 @@
 		write(step.old, step.new)
 		next, needRestart, err := c.Reload()
 		require.NoError(t, err)
-		require.Equal(t, []any{step.want, step.needRestart, 512, 9}, []any{next.Discovery, needRestart, next.Sockets, next.ConcurrencyLimit})
+		require.Equal(t, []any{step.want, step.needRestart, 512, 9}, []any{next.Discovery, needRestart, next.MaxOpenFiles, next.ConcurrencyLimit})
 		c = next
 	}
 	for _, invalid := range []struct{ old, new, key string }{
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -94,7 +94,7 @@
 
 // checkDecisionSettings checks the settings of the decision module that are not per class.
 func (c *Config) checkDecisionSettings() error {
-	if err := checkRange("settings.familyInfo.cells", c.Settings.ReplicaSets, 1, maxSockets); err != nil {
+	if err := checkRange("settings.familyInfo.cells", c.Settings.ReplicaSets, 1, maxOpenFilesLimit); err != nil {
 		return err
 	}
 	if err := checkRange("settings.tickS", c.Settings.Tick, 0, maxTick); err != nil {
--- a/internal/config/uniquekeys.go
+++ b/internal/config/uniquekeys.go
@@ -33,7 +33,7 @@
 
 // checkObjectKeys checks the keys and values of an object whose opening delimiter has been read.
 func checkObjectKeys(decoder *json.Decoder, path string) error {
-	seen := map[string]bool{}
+	seenKeys := map[string]bool{}
 	for decoder.More() {
 		token, err := decoder.Token()
 		if err != nil {
@@ -42,10 +42,10 @@
 		key := token.(string) // always a string, because the text is valid JSON
 		memberPath := joinPath(path, key)
 		folded := foldKey(key)
-		if seen[folded] {
+		if seenKeys[folded] {
 			return &KeyError{Key: memberPath, Value: "duplicate key", Allowed: "each key once, whatever the case of its letters"}
 		}
-		seen[folded] = true
+		seenKeys[folded] = true
 		if err := checkUniqueKeys(decoder, memberPath); err != nil {
 			return err
 		}
