--- a/cmd/mothrouter/state_test.go
+++ b/cmd/mothrouter/state_test.go
@@ -39,7 +39,7 @@
 				flags = append(flags, "-cores", coresFile)
 			}
 			first := startServingBroker(t, flags...)
-			first.waitForLog("no saved state, starting blank")
+			first.waitForLog("no saved state, starting with empty state")
 			for n := range 20 {
 				require.Contains(t, first.dial().roundTrip(queryRequest(fmt.Sprint("s", n))), " 200 ")
 			}
@@ -68,7 +68,7 @@
 			third := startServingBroker(t, flags...)
 			require.Contains(t, third.log.String(), "truncated")
 			require.Contains(t, third.dial().roundTrip(queryRequest("blank")), " 200 ")
-			require.Contains(t, first.log.String()+third.log.String(), "starting blank")
+			require.Contains(t, first.log.String()+third.log.String(), "starting with empty state")
 			_, err = stateCommand(t, "delete", folder)
 			require.NoError(t, err)
 			require.NoFileExists(t, filepath.Join(folder, "learned.moth.bad"))
--- a/internal/state/checkpoint/checkpoint.go
+++ b/internal/state/checkpoint/checkpoint.go
@@ -121,13 +121,13 @@
 	log := s.options.Log
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		log.Info("no saved state, starting blank", "folder", s.options.Folder)
+		log.Info("no saved state, starting with empty state", "folder", s.options.Folder)
 	case err != nil && locked:
 		s.quarantine(err)
 	case err != nil:
-		log.Warn("saved state unusable, starting blank", "error", err)
+		log.Warn("saved state unusable, starting with empty state", "error", err)
 	case recovery.CheckAge(saved, s.now()) != nil:
-		log.Info("saved state too old, starting blank", "error", recovery.CheckAge(saved, s.now()))
+		log.Info("saved state rejected by its age, starting with empty state", "error", recovery.CheckAge(saved, s.now()))
 	default:
 		s.restored = saved
 		log.Info("saved state restored", "servers", len(saved.Servers), "age", fmt.Sprintf("%.1f s", s.now()-saved.WrittenAt))
@@ -152,7 +152,7 @@
 	path := filepath.Join(s.options.Folder, FileName)
 	quarantinePath := filepath.Join(s.options.Folder, QuarantineName)
 	moved := s.options.Files.Rename(path, quarantinePath) == nil
-	s.options.Log.Warn("saved state unusable, starting blank", "error", reason, "quarantine", quarantinePath, "moved", moved)
+	s.options.Log.Warn("saved state unusable, starting with empty state", "error", reason, "quarantine", quarantinePath, "moved", moved)
 }
 
 // removeTemporaryFiles removes the temporary files of writers that were killed during a save. The caller holds the folder lock.
--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -67,7 +67,7 @@
 func TestOpenRestoresSavedState(t *testing.T) {
 	folder := t.TempDir()
 	saver, log := openSaver(folder, nil)
-	require.Equal(t, 1, strings.Count(log.String(), "starting blank"))
+	require.Equal(t, 1, strings.Count(log.String(), "starting with empty state"))
 	recordOutcomes(saver, 20)
 	ctx, cancel := context.WithCancel(context.Background())
 	var run sync.WaitGroup
@@ -304,32 +304,32 @@
 	require.NoError(t, saver.Save())
 }
 
-// hangingFiles is a Files whose Replace blocks until released is closed.
+// hangingFiles is a Files whose Replace blocks until release is closed.
 type hangingFiles struct {
 	Disk
-	entered  chan struct{} // closed when Replace is called
-	released chan struct{}
+	replaceCalled chan struct{} // closed when Replace is called
+	release       chan struct{}
 }
 
 func (f *hangingFiles) Replace(string, []byte) error {
-	close(f.entered)
-	<-f.released
+	close(f.replaceCalled)
+	<-f.release
 	return nil
 }
 
 // TestHangingDiskDoesNotBlockDecider records outcomes while a save hangs: only the save may wait for the disk.
 func TestHangingDiskDoesNotBlockDecider(t *testing.T) {
-	files := &hangingFiles{entered: make(chan struct{}), released: make(chan struct{})}
+	files := &hangingFiles{replaceCalled: make(chan struct{}), release: make(chan struct{})}
 	saver, _ := openSaver(t.TempDir(), files)
 	recordOutcomes(saver, 200)
 	go func() { _ = saver.Save() }() // blocks until the end of the test
-	<-files.entered
-	start := time.Now()
+	<-files.replaceCalled
+	startedAt := time.Now()
 	for range 100 {
 		recordOutcomes(saver, 200)
 	}
-	require.Less(t, time.Since(start), 2*time.Second)
-	close(files.released)
+	require.Less(t, time.Since(startedAt), 2*time.Second)
+	close(files.release)
 }
 
 func BenchmarkCollectOutcome(b *testing.B) {
--- a/internal/state/checkpoint/restart_test.go
+++ b/internal/state/checkpoint/restart_test.go
@@ -69,14 +69,14 @@
 	sent, served := make([]float64, duration/bin+1), make([]float64, duration/bin+1)
 	var mu sync.Mutex // guards served
 	var queries sync.WaitGroup
-	start := time.Now()
+	startedAt := time.Now()
 	rng := rand.New(rand.NewPCG(seed, 9))
 	for n := 0; ; n++ {
 		due := time.Duration(float64(n) / restartRate * float64(time.Second))
 		if due >= duration {
 			break
 		}
-		time.Sleep(time.Until(start.Add(due)))
+		time.Sleep(time.Until(startedAt.Add(due)))
 		request := &broker.Request{ID: fmt.Sprintf("q%d-%d", seed, n), Class: 1, ReceivedAt: time.Now(), Timeout: 400 * time.Millisecond, Payload: []byte("x")}
 		firstShard := rng.IntN(restartServers)
 		for i := range 4 {
@@ -107,7 +107,7 @@
 	slowStartLoad    float64 // maximum load of the restarted server over 1.5 s, as a fraction of the load that overloads it
 }
 
-// injectFaults makes one of every ten servers hang and makes another one too slow for the latency objective. Both stay alive,
+// injectFaults makes one of every ten servers hang and another one too slow for the latency objective. All servers stay alive,
 // so that a part that was sent there is not retried. Each shard keeps a replica without a fault.
 func injectFaults(fleet *recordservertest.Fleet, hanging, slow int) {
 	for i, server := range fleet.Servers {
--- a/internal/state/recovery/collector.go
+++ b/internal/state/recovery/collector.go
@@ -31,7 +31,7 @@
 	meanLogLatency float64            // mean of log(latency), on which a few slow servers have little effect
 	decayedAnswers float64            // number of answers, decayed with rateTimeConstant
 	peakRate       float64            // peak answer rate per server, in answers per second
-	advancedAt     float64            // time of the latest advance
+	advancedAt     float64            // time up to which decayedAnswers and peakRate are decayed
 }
 
 // NewCollector returns an empty Collector.
@@ -45,10 +45,10 @@
 	if u.Mode == decision.FailedUpdate {
 		return
 	}
-	listed := map[string]bool{}
+	listedIDs := map[string]bool{}
 	for _, s := range u.Servers {
-		listed[s.ID] = s.State != decision.Removed
-		if !listed[s.ID] {
+		listedIDs[s.ID] = s.State != decision.Removed
+		if !listedIDs[s.ID] {
 			c.forget(s.ID)
 		} else if old := c.servers[s.ID]; old == nil || s.Started > old.Started { // a new process
 			delete(c.answeredAt, s.ID)
@@ -59,7 +59,7 @@
 		return
 	}
 	for id := range c.servers {
-		if !listed[id] {
+		if !listedIDs[id] {
 			c.forget(id)
 		}
 	}
@@ -112,10 +112,10 @@
 	s.ServiceTimeAt = now
 }
 
-// recordFailure moves a server's failure ratio towards failed: 1 for a failure, 0 for a success.
-func recordFailure(s *snapshot.Server, failed, now float64) {
+// recordFailure moves a server's failure ratio towards outcome: 1 for a failure, 0 for a success.
+func recordFailure(s *snapshot.Server, outcome, now float64) {
 	weight := math.Max(minFailureWeight, servicetime.ObservationWeight(now-s.FailureRatioAt))
-	s.FailureRatio += weight * (failed - s.FailureRatio)
+	s.FailureRatio += weight * (outcome - s.FailureRatio)
 	s.FailureRatioAt = now
 }
 
--- a/internal/state/recovery/recovery.go
+++ b/internal/state/recovery/recovery.go
@@ -15,11 +15,13 @@
 	// MaxAge is the maximum age of a snapshot, in seconds. A fleet changes too much in a longer time.
 	MaxAge = 600.0
 
-	clockSlack         = 0.5  // seconds by which the time of a snapshot may be ahead of the clock
-	faultHalfLife      = 20.0 // half-life, in seconds, of the observation that a server is slow or failing
-	slowServerFactor   = 1.5  // a server counts as slow above this multiple of the fleet's service time
-	minFailureRatio    = 0.1  // a server counts as failing from this failure ratio
-	loadReportLifetime = 10.0 // seconds for which a load report is valid, as long as a fitness computed from reports is used
+	clockSlack       = 0.5  // seconds by which the time of a snapshot may be ahead of the clock
+	faultHalfLife    = 20.0 // half-life, in seconds, of the observation that a server is slow or failing
+	slowServerFactor = 1.5  // a server counts as slow above this multiple of the fleet's service time
+	minFailureRatio  = 0.1  // a server counts as failing from this failure ratio
+	// loadReportLifetime is how long a load report is valid, in seconds: as long as a server fitness computed from load reports
+	// is used.
+	loadReportLifetime = 10.0
 	peakHalfLife       = 30.0 // half-life, in seconds, of the peak throughput of warm servers
 	minWeight          = 0.05 // observations of a lower weight are dropped
 )
@@ -49,15 +51,15 @@
 	if CheckAge(s, now) != nil {
 		return nil
 	}
-	listed := make(map[string]decision.Server, len(list))
+	endpointsByID := make(map[string]decision.Server, len(list))
 	for _, endpoint := range list {
-		listed[endpoint.ID] = endpoint
+		endpointsByID[endpoint.ID] = endpoint
 	}
 	if weight := decay(now-s.WrittenAt, peakHalfLife); s.ServiceTime > 0 && weight >= minWeight {
 		events = append(events, decision.RestoredState{ServiceTime: s.ServiceTime, PeakThroughput: s.PeakThroughput * weight})
 	}
 	for _, saved := range s.Servers {
-		endpoint, found := listed[saved.ID]
+		endpoint, found := endpointsByID[saved.ID]
 		if !found || endpoint.State != decision.Ready || endpoint.Started != saved.Started || endpoint.Started > s.WrittenAt {
 			continue
 		}
@@ -71,27 +73,27 @@
 // peerObservation returns the saved state of a server as an observation dated to when it was made, since the Decider's own
 // observations outweigh older ones. ok is whether there is anything to restore. That a server was fast or reliable is not
 // restored: without state every server counts as average, and a good history would reduce the weight of its first failures.
-func peerObservation(saved snapshot.Server, s *snapshot.Snapshot, now float64) (o decision.PeerObservation, ok bool) {
+func peerObservation(saved snapshot.Server, s *snapshot.Snapshot, now float64) (observation decision.PeerObservation, ok bool) {
 	// A time after that of the snapshot is invalid and is replaced by the snapshot's time.
 	observedAt := func(t float64) float64 { return math.Min(t, s.WrittenAt) }
 	age := func(t float64) float64 { return now - observedAt(t) }
-	o = decision.PeerObservation{
+	observation = decision.PeerObservation{
 		Server:     saved.ID,
 		At:         math.Min(observedAt(math.Max(saved.FailureRatioAt, saved.ServiceTimeAt)), now),
 		LoadReport: decision.NoLoadReport,
 	}
 	weight := decay(age(saved.FailureRatioAt), faultHalfLife)
 	if saved.FailureRatioAt > 0 && saved.FailureRatio >= minFailureRatio && weight*saved.FailureRatio >= minWeight {
-		o.FailureRatio, o.Weight, ok = saved.FailureRatio, weight, true
+		observation.FailureRatio, observation.Weight, ok = saved.FailureRatio, weight, true
 	}
 	weight = decay(age(saved.ServiceTimeAt), faultHalfLife)
 	if saved.ServiceTimeAt > 0 && s.ServiceTime > 0 && saved.ServiceTime > slowServerFactor*s.ServiceTime && weight >= minWeight {
-		o.ServiceTime, ok = s.ServiceTime+(saved.ServiceTime-s.ServiceTime)*weight, true
+		observation.ServiceTime, ok = s.ServiceTime+(saved.ServiceTime-s.ServiceTime)*weight, true
 	}
 	if a := age(saved.LoadReportedAt); saved.LoadReportedAt > 0 && a >= 0 && a <= loadReportLifetime {
-		o.LoadReport, o.LoadReportedAt, ok = saved.LoadReport, observedAt(saved.LoadReportedAt), true
+		observation.LoadReport, observation.LoadReportedAt, ok = saved.LoadReport, observedAt(saved.LoadReportedAt), true
 	}
-	return o, ok
+	return observation, ok
 }
 
 // decay returns the factor by which a weight decays over an age, both times in seconds.
--- a/internal/state/snapshot/snapshot.go
+++ b/internal/state/snapshot/snapshot.go
@@ -198,16 +198,16 @@
 		ServiceTime:         message.Pace,
 		PeakThroughput:      message.Peak,
 	}
-	decoded := make(map[string]bool, len(message.Servers))
+	decodedIDs := make(map[string]bool, len(message.Servers))
 	for _, serverMessage := range message.Servers {
 		server, err := fromServerMessage(serverMessage)
 		if err != nil {
 			return nil, err
 		}
-		if decoded[server.ID] {
+		if decodedIDs[server.ID] {
 			return nil, fmt.Errorf("%w: server %q occurs twice", ErrInvalidContent, server.ID)
 		}
-		decoded[server.ID] = true
+		decodedIDs[server.ID] = true
 		s.Servers = append(s.Servers, server)
 	}
 	return s, nil
