--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -88,12 +88,12 @@
 // stop cancels the component's context and waits until Run has returned.
 func (r runningComponent) stop(log *slog.Logger) {
 	r.cancel()
-	slow := time.NewTimer(slowStopTimeout)
-	defer slow.Stop()
+	slowTimer := time.NewTimer(slowStopTimeout)
+	defer slowTimer.Stop()
 	select {
 	case <-r.done:
 		return
-	case <-slow.C:
+	case <-slowTimer.C:
 		log.Warn("component slow to stop", "part", r.name)
 	}
 	<-r.done
--- a/internal/assembly/assembly_test.go
+++ b/internal/assembly/assembly_test.go
@@ -31,16 +31,16 @@
 	defer goleak.VerifyNone(t)
 	a := &assembly.Assembly{Log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 	var mu sync.Mutex
-	var stopped []string
+	var stoppedNames []string
 	recordStop := func(name string) {
 		mu.Lock()
 		defer mu.Unlock()
-		stopped = append(stopped, name)
+		stoppedNames = append(stoppedNames, name)
 	}
-	started := make(chan struct{}, 3)
+	startSignals := make(chan struct{}, 3)
 	for _, name := range []string{"first", "second", "third"} {
 		component := assembly.Component{Name: name, Run: func(ctx context.Context) {
-			started <- struct{}{}
+			startSignals <- struct{}{}
 			<-ctx.Done()
 			recordStop(name)
 		}}
@@ -59,9 +59,9 @@
 	}
 	a.Start()
 	for range 3 {
-		<-started
+		<-startSignals
 	}
 	a.Stop()
-	require.Equal(t, []string{"third", "second", "first"}, stopped)
+	require.Equal(t, []string{"third", "second", "first"}, stoppedNames)
 	a.Stop() // a second call does nothing
 }
--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,9 +1,9 @@
 // Package drain decides how a process treats its clients while it is being drained by operators and while it shuts down. It
 // does no I/O and takes the time as an argument.
 //
-// Both proceed in steps, because load balancers and clients notice at different times. A drain first fails health checks and
-// announces in responses that the connection will be closed; then it closes idle connections; then it rejects new requests.
-// Cancelling a drain undoes all steps immediately.
+// A drain and a shutdown proceed in steps, because load balancers and clients notice them at different times. A drain first
+// fails health checks and announces in responses that the connection will be closed; then it closes idle connections; then it
+// rejects new requests. Cancelling a drain undoes all steps immediately.
 package drain
 
 import "time"
@@ -33,7 +33,7 @@
 	ExitBy time.Duration
 }
 
-// Bounds of a shutdown. SIGKILL is sent killDelay after the longest deadline, or later.
+// Bounds of a shutdown. SIGKILL follows SIGTERM after the longest deadline plus killDelay, or later.
 const (
 	killDelay          = 700 * time.Millisecond
 	maxPlannedDeadline = 3 * time.Second        // longer deadlines are capped at this
--- a/internal/harness/controlplanetest/cluster.go
+++ b/internal/harness/controlplanetest/cluster.go
@@ -48,14 +48,14 @@
 	padding       atomic.Int64  // number of bytes appended to each document
 }
 
-// lastSubnet is the number of clusters that this process has created. Each cluster has its own loopback subnet, which also
-// depends on the process id, so that several test processes can run at the same time.
-var lastSubnet atomic.Uint32
+// clusterCount is the number of clusters that this process has created. Each cluster has its own loopback subnet, given by
+// this count and the process id, so that several test processes can run at the same time.
+var clusterCount atomic.Uint32
 
 // New starts the control machines with new raft logs. The caller must close the cluster.
 func New(options Options) (*Cluster, error) {
 	c := &Cluster{options: options, Network: NewNetwork()}
-	pid, subnet := os.Getpid(), lastSubnet.Add(1)
+	pid, subnet := os.Getpid(), clusterCount.Add(1)
 	for i, site := range machineSites {
 		host := fmt.Sprintf("127.%d.%d.%d", 100+pid%100, pid/100%250, 8*subnet+uint32(i))
 		m := &Machine{
--- a/internal/harness/controlplanetest/cluster_test.go
+++ b/internal/harness/controlplanetest/cluster_test.go
@@ -80,8 +80,8 @@
 // startPublishing publishes documents one after another in a goroutine until stop is called.
 func startPublishing(t *testing.T, cluster *controlplanetest.Cluster, addresses []string) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
-	var running sync.WaitGroup
-	running.Go(func() {
+	var publisher sync.WaitGroup
+	publisher.Go(func() {
 		for ctx.Err() == nil {
 			ctx, cancel := context.WithTimeout(ctx, waitTimeout/2)
 			_, _ = cluster.Publish(ctx, addresses) // the history records the error and is checked at the end of the test
@@ -91,7 +91,7 @@
 	})
 	return func() {
 		cancel()
-		running.Wait()
+		publisher.Wait()
 	}
 }
 
--- a/internal/harness/controlplanetest/follower.go
+++ b/internal/harness/controlplanetest/follower.go
@@ -16,11 +16,11 @@
 // follower is a configuration follower, the client of the control machines that a broker runs. It records each revision that it
 // applies in the cluster's history.
 type follower struct {
-	name    string
-	region  string
-	client  *configfollower.Client
-	cancel  context.CancelFunc // stops the client
-	running sync.WaitGroup     // the client's goroutine
+	name      string
+	region    string
+	client    *configfollower.Client
+	cancel    context.CancelFunc // stops the client
+	goroutine sync.WaitGroup     // waits for the goroutine of the client
 }
 
 // StartFollowers starts a number of followers in each region. They reach the control machines through relays of their region.
@@ -54,7 +54,7 @@
 			c.mu.Lock()
 			defer c.mu.Unlock()
 			c.history.Applied = append(c.history.Applied, AppliedRevision{Follower: name, Number: revision.GetNumber(),
-				Checksum: configpb.Checksum(revision.GetDocument()), At: time.Now()})
+				Checksum: configpb.Checksum(revision.GetDocument()), AppliedAt: time.Now()})
 			return nil
 		},
 	})
@@ -63,7 +63,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
-	f.running.Go(func() { f.client.Run(ctx) })
+	f.goroutine.Go(func() { f.client.Run(ctx) })
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.followers = append(c.followers, f)
@@ -88,6 +88,6 @@
 		f.cancel()
 	}
 	for _, f := range c.followers {
-		f.running.Wait()
+		f.goroutine.Wait()
 	}
 }
--- a/internal/harness/controlplanetest/history.go
+++ b/internal/harness/controlplanetest/history.go
@@ -17,10 +17,10 @@
 
 // AppliedRevision is a revision that a follower has put in force.
 type AppliedRevision struct {
-	Follower string
-	Number   uint64
-	Checksum uint64 // of the document
-	At       time.Time
+	Follower  string
+	Number    uint64
+	Checksum  uint64 // of the document
+	AppliedAt time.Time
 }
 
 // StoredRevision is a revision that a control machine had stored at the end of the test.
@@ -46,7 +46,7 @@
 	Disconnections []Disconnection // sorted by time
 }
 
-// Check returns the violations that all checks find.
+// Check runs all checks and returns the violations that they find.
 func (h *History) Check(inForceWithin time.Duration) (violations []error) {
 	violations = append(violations, h.CheckConsistentContents()...)
 	violations = append(violations, h.CheckUniqueNumbers()...)
@@ -82,13 +82,13 @@
 // CheckConsistentContents checks that each revision has the same document at all publishers, followers and machines, and that
 // this document was published.
 func (h *History) CheckConsistentContents() (violations []error) {
-	published := map[uint64]bool{}
+	publishedChecksums := map[uint64]bool{}
 	for _, p := range h.Publications {
-		published[p.Checksum] = true
+		publishedChecksums[p.Checksum] = true
 	}
 	firstByNumber := map[uint64]observation{}
 	for _, o := range h.observations() {
-		if !published[o.checksum] {
+		if !publishedChecksums[o.checksum] {
 			violations = append(violations, fmt.Errorf("%s has revision %d with checksum %x, which was not published",
 				o.observer, o.number, o.checksum))
 		}
@@ -136,13 +136,13 @@
 
 // CheckNoRollback checks that each follower applies revisions with increasing numbers.
 func (h *History) CheckNoRollback() (violations []error) {
-	newest := map[string]uint64{}
+	newestByFollower := map[string]uint64{}
 	for _, a := range h.Applied {
-		if a.Number <= newest[a.Follower] {
+		if a.Number <= newestByFollower[a.Follower] {
 			violations = append(violations, fmt.Errorf("%s put revision %d in force after revision %d", a.Follower, a.Number,
-				newest[a.Follower]))
+				newestByFollower[a.Follower]))
 		}
-		newest[a.Follower] = max(newest[a.Follower], a.Number)
+		newestByFollower[a.Follower] = max(newestByFollower[a.Follower], a.Number)
 	}
 	return violations
 }
@@ -154,16 +154,16 @@
 	for _, o := range h.observations() {
 		newest = max(newest, o.number)
 	}
-	stored := map[string]map[uint64]bool{} // revision numbers by machine
+	storedNumbers := map[string]map[uint64]bool{} // revision numbers by machine
 	for _, revision := range h.Stored {
-		if stored[revision.Machine] == nil {
-			stored[revision.Machine] = map[uint64]bool{}
+		if storedNumbers[revision.Machine] == nil {
+			storedNumbers[revision.Machine] = map[uint64]bool{}
 		}
-		stored[revision.Machine][revision.Number] = true
+		storedNumbers[revision.Machine][revision.Number] = true
 	}
 	for _, machine := range h.Machines {
 		for number := uint64(1); number <= newest; number++ {
-			if !stored[machine][number] {
+			if !storedNumbers[machine][number] {
 				violations = append(violations, fmt.Errorf("%s has not stored revision %d, the newest is %d", machine, number, newest))
 			}
 		}
@@ -186,9 +186,9 @@
 			switch {
 			case i < 0:
 				violations = append(violations, fmt.Errorf("%s never put revision %d or a later one in force", follower, p.Number))
-			case h.Applied[i].At.After(deadline):
+			case h.Applied[i].AppliedAt.After(deadline):
 				violations = append(violations, fmt.Errorf("%s put revision %d in force %v after the deadline", follower, p.Number,
-					h.Applied[i].At.Sub(deadline)))
+					h.Applied[i].AppliedAt.Sub(deadline)))
 			}
 		}
 	}
--- a/internal/harness/controlplanetest/network.go
+++ b/internal/harness/controlplanetest/network.go
@@ -20,20 +20,20 @@
 // Network connects sites, such as control machines and regions, through TCP relays. It has a Fault for each ordered pair of
 // sites.
 type Network struct {
-	mu      sync.Mutex          // guards the fields below
-	faults  map[[2]string]Fault // by source and destination
-	changed chan struct{}       // closed and replaced when faults changes
-	relays  []net.Listener
-	conns   map[net.Conn]bool // open connections on both sides of the relays
-	closed  chan struct{}     // closed by Close
-	running sync.WaitGroup    // goroutines that accept and serve connections
+	mu            sync.Mutex          // guards the fields below
+	faults        map[[2]string]Fault // by source and destination
+	faultsChanged chan struct{}       // closed and replaced when faults changes
+	relays        []net.Listener
+	conns         map[net.Conn]bool // open connections on both sides of the relays
+	done          chan struct{}     // closed by Close
+	goroutines    sync.WaitGroup    // goroutines that accept and serve connections
 }
 
 // NewNetwork returns a network without faults. The caller must close it.
 func NewNetwork() *Network {
 	return &Network{
-		faults: map[[2]string]Fault{}, changed: make(chan struct{}), conns: map[net.Conn]bool{},
-		closed: make(chan struct{}),
+		faults: map[[2]string]Fault{}, faultsChanged: make(chan struct{}), conns: map[net.Conn]bool{},
+		done: make(chan struct{}),
 	}
 }
 
@@ -42,15 +42,15 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.faults[[2]string{from, to}] = fault
-	close(n.changed)
-	n.changed = make(chan struct{})
+	close(n.faultsChanged)
+	n.faultsChanged = make(chan struct{})
 }
 
 // fault returns the fault of a direction, and a channel that is closed when any fault changes.
 func (n *Network) fault(from, to string) (fault Fault, changed <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.faults[[2]string{from, to}], n.changed
+	return n.faults[[2]string{from, to}], n.faultsChanged
 }
 
 // Relay starts a relay for connections from one site to an address at another site, and returns the address at which the relay
@@ -63,13 +63,13 @@
 	n.mu.Lock()
 	n.relays = append(n.relays, listener)
 	n.mu.Unlock()
-	n.running.Go(func() {
+	n.goroutines.Go(func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			n.running.Go(func() { n.serve(conn, from, to, address) })
+			n.goroutines.Go(func() { n.serve(conn, from, to, address) })
 		}
 	})
 	return listener.Addr().String(), nil
@@ -78,7 +78,7 @@
 // Close closes all relays and connections.
 func (n *Network) Close() {
 	n.mu.Lock()
-	close(n.closed)
+	close(n.done)
 	for _, listener := range n.relays {
 		listener.Close()
 	}
@@ -86,7 +86,7 @@
 		conn.Close()
 	}
 	n.mu.Unlock()
-	n.running.Wait()
+	n.goroutines.Wait()
 }
 
 // serve forwards both directions of a client's connection until both are closed. It dials the server once the direction to the
@@ -115,7 +115,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	select {
-	case <-n.closed:
+	case <-n.done:
 		return false
 	default:
 		n.conns[conn] = true
@@ -140,7 +140,7 @@
 		}
 		select {
 		case <-changed:
-		case <-n.closed:
+		case <-n.done:
 			return false
 		}
 	}
--- a/internal/harness/processtest/broker.go
+++ b/internal/harness/processtest/broker.go
@@ -29,13 +29,13 @@
 	proxyAddress netip.AddrPort // address that the broker advertises to the others
 	proxy        *net.UDPConn   // listens at proxyAddress
 
-	mu        sync.Mutex // guards the fields below
-	view      View
-	removed   []string // names of the brokers that this one has marked as lost, in order
-	sentBytes int
+	mu          sync.Mutex // guards the fields below
+	view        View
+	lostMembers []string // names of the brokers that this one has marked as lost, in order
+	sentBytes   int
 }
 
-// View is a broker's view of the fleet, as its process has last logged it.
+// View is a broker's view of the fleet, as last logged by the broker's process.
 type View struct {
 	Alive   int  // number of brokers that are alive
 	Known   int  // number of brokers, lost ones included
@@ -78,7 +78,7 @@
 	memberLostLine = regexp.MustCompile(`msg="fleet member changed" .*member=(\S+) .*is=lost`)
 )
 
-// readLogLine updates the view and the list of removed brokers from a line of the process's log.
+// readLogLine updates the view and the list of lost members from a line of the process's log.
 func (b *Broker) readLogLine(line string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,7 +86,7 @@
 		b.view = View{Alive: parseInt(m[1]), Known: parseInt(m[2]), Sharing: parseInt(m[3]), Fenced: m[4] == "true"}
 	}
 	if m := memberLostLine.FindStringSubmatch(line); m != nil {
-		b.removed = append(b.removed, m[1])
+		b.lostMembers = append(b.lostMembers, m[1])
 	}
 }
 
@@ -96,25 +96,25 @@
 	return n
 }
 
-// View returns the broker's view of the fleet, as its process has last logged it.
+// View returns the broker's view of the fleet, as last logged by the broker's process.
 func (b *Broker) View() View {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.view
 }
 
-// Removed returns the names of the brokers that this one has marked as lost since ResetRemoved, in order.
-func (b *Broker) Removed() []string {
+// LostMembers returns the names of the brokers that this one has marked as lost since ResetLostMembers, in order.
+func (b *Broker) LostMembers() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]string(nil), b.removed...)
+	return append([]string(nil), b.lostMembers...)
 }
 
-// resetRemoved empties the list that Removed returns.
-func (b *Broker) resetRemoved() {
+// resetLostMembers empties the list that LostMembers returns.
+func (b *Broker) resetLostMembers() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.removed = nil
+	b.lostMembers = nil
 }
 
 // recordSent records a datagram of n bytes that the process has sent.
--- a/internal/harness/processtest/fleet.go
+++ b/internal/harness/processtest/fleet.go
@@ -127,9 +127,9 @@
 	clear(f.faults)
 }
 
-// ResetRemoved empties the list that Removed returns, for each broker.
-func (f *Fleet) ResetRemoved() {
+// ResetLostMembers empties the list that LostMembers returns, for each broker.
+func (f *Fleet) ResetLostMembers() {
 	for _, b := range f.Brokers {
-		b.resetRemoved()
+		b.resetLostMembers()
 	}
 }
--- a/internal/harness/processtest/fleet_test.go
+++ b/internal/harness/processtest/fleet_test.go
@@ -53,7 +53,7 @@
 		}
 	})
 	waitForAlive(t, f, 20*time.Second, expectAllAlive)
-	f.ResetRemoved()
+	f.ResetLostMembers()
 	return f
 }
 
@@ -87,11 +87,11 @@
 	return time.Since(startedAt)
 }
 
-// requireNoneRemoved checks that brokers have marked no broker as lost except the named ones.
-func requireNoneRemoved(t *testing.T, f *processtest.Fleet, except ...string) {
+// requireNoneLost checks that brokers have marked no broker as lost except the named ones.
+func requireNoneLost(t *testing.T, f *processtest.Fleet, except ...string) {
 	t.Helper()
 	for _, b := range f.Brokers {
-		for _, name := range b.Removed() {
+		for _, name := range b.LostMembers() {
 			require.Contains(t, except, name, "%s has marked a live broker as lost", b.Name)
 		}
 	}
@@ -105,7 +105,7 @@
 	require.Less(t, took, 6*time.Second) // the limit is 5 s; 1 s more for a busy machine
 	require.NoError(t, f.Brokers[4].Start())
 	waitForAlive(t, f, 10*time.Second, expectAllAlive)
-	requireNoneRemoved(t, f, "n4")
+	requireNoneLost(t, f, "n4")
 	f.Brokers[5].Terminate() // on SIGTERM a broker announces that it leaves
 	took = waitForAlive(t, f, 8*time.Second, expectAllAliveExcept(5))
 	require.Less(t, took, 2*time.Second)
@@ -123,7 +123,7 @@
 		b.Continue()
 		time.Sleep(time.Second)
 	}
-	requireNoneRemoved(t, f)
+	requireNoneLost(t, f)
 	require.Less(t, float64(f.Brokers[0].SentBytes()-sentBefore)/time.Since(startedAt).Seconds(), 4000., "bytes per second")
 }
 
@@ -135,8 +135,8 @@
 	f.Brokers[2].Continue()
 	took := waitForAlive(t, f, 6*time.Second, expectAllAlive)
 	require.Less(t, took, 4*time.Second)
-	requireNoneRemoved(t, f, "n2")
-	require.Empty(t, f.Brokers[2].Removed(), "a broker that continues after a pause must not mark others as lost")
+	requireNoneLost(t, f, "n2")
+	require.Empty(t, f.Brokers[2].LostMembers(), "a broker that continues after a pause must not mark others as lost")
 }
 
 func TestPartitionFencesMinorityAndCutPairRemovesNoBroker(t *testing.T) {
@@ -147,7 +147,7 @@
 	f.SetFaults(3, 2, cut)
 	f.SetFaults(2, 3, cut)
 	time.Sleep(6 * time.Second)
-	requireNoneRemoved(t, f)
+	requireNoneLost(t, f)
 	f.SetAllFaults(processtest.Faults{})
 	for i := range minority {
 		for j := minority; j < fleetSize; j++ {
--- a/internal/harness/recordservertest/fleet.go
+++ b/internal/harness/recordservertest/fleet.go
@@ -45,13 +45,13 @@
 	parts          map[string]*partAttempts // by part id
 	answeredShards map[string]map[int]bool  // by query id: the shards whose first phase was answered
 	violations     []string
-	received       int // number of attempts
+	attemptCount   int // number of attempts received by all servers
 }
 
 // partAttempts counts the attempts of one part.
 type partAttempts struct {
 	inFlight int
-	ran      int // attempts that have run or may have run
+	runs     int // attempts that have run or may have run
 }
 
 // New starts a fleet. The caller must close it.
@@ -95,7 +95,7 @@
 func (f *Fleet) Violations() (violations []string, attempts int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return append([]string(nil), f.violations...), f.received
+	return append([]string(nil), f.violations...), f.attemptCount
 }
 
 // recordViolation adds a violation. The caller holds mu.
@@ -110,7 +110,7 @@
 func (f *Fleet) recordAttempt(s *Server, id string, shard int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.received++
+	f.attemptCount++
 	part := f.parts[id]
 	if part == nil {
 		part = &partAttempts{}
@@ -120,8 +120,8 @@
 	if part.inFlight > 1 {
 		time.AfterFunc(cancelGrace, func() { f.checkSingleAttempt(id, part) })
 	}
-	part.ran++
-	if part.ran > 1 && f.options.NonIdempotent != nil && f.options.NonIdempotent(id) {
+	part.runs++
+	if part.runs > 1 && f.options.NonIdempotent != nil && f.options.NonIdempotent(id) {
 		f.recordViolation("%s: a part that is not idempotent was sent twice", id)
 	}
 	if !f.holdsShard(s, shard) {
--- a/internal/harness/scale/configuration.go
+++ b/internal/harness/scale/configuration.go
@@ -61,10 +61,10 @@
 	newest        uint64 // number of the newest revision
 }
 
-func measureConfiguration(at Sizes, seed uint64) ([]Reading, error) {
-	d := &distributionRun{followerCount: at.Of(axisBrokers), documentBytes: int(at.Of(axisDocument)) * bytesPerKB}
+func measureConfiguration(sizes Sizes, seed uint64) ([]Reading, error) {
+	d := &distributionRun{followerCount: sizes.Of(axisBrokers), documentBytes: int(sizes.Of(axisDocument)) * bytesPerKB}
 	defer d.stop()
-	if err := d.startChildren(int(at.Of(axisControl))); err != nil {
+	if err := d.startChildren(int(sizes.Of(axisControl))); err != nil {
 		return nil, err
 	}
 	readings, err := d.startAllFollowers(seed)
@@ -151,7 +151,7 @@
 	for i, hub := range d.hubs {
 		machines[i] = distribution.ControlMachine{Address: hub.startLines[0], Region: regionName(i)}
 	}
-	started, err := d.requestFollowers(followersCommand{Start: machines, Bytes: d.documentBytes, Seed: seed})
+	startResponse, err := d.requestFollowers(followersCommand{Start: machines, Bytes: d.documentBytes, Seed: seed})
 	if err != nil {
 		return nil, err
 	}
@@ -164,19 +164,19 @@
 		return nil, err
 	}
 	return []Reading{
-		{"start at once: all follow", "s", seconds(started.DoneAt - started.StartedAt)},
+		{"start at once: all follow", "s", seconds(startResponse.DoneAt - startResponse.StartedAt)},
 		{"start at once: connections of one hub", "connections in its busiest second",
 			maxOfHubs(hubs, func(h hubResponse) float64 { return float64(h.MaxAcceptsPerSecond) })},
-		{"start at once: processor", "µs a broker", micros(started.Processor-before.Processor) / d.followerCount},
+		{"start at once: processor", "µs a broker", micros(startResponse.CPUTime-before.CPUTime) / d.followerCount},
 		{"memory", "bytes a broker", max((after.Memory-before.Memory)/d.followerCount, 1)},
 		{"memory of the busiest hub", "bytes", maxOfHubs(hubs, func(h hubResponse) float64 { return h.Memory })},
 		{"streams of the busiest hub", "streams", maxOfHubs(hubs, func(h hubResponse) float64 { return float64(h.Streams) })},
 	}, nil
 }
 
-// usageSnapshot holds the resource usage of all children from their start until a time.
+// usageSnapshot holds the resource usage of all children from their start until takenAt.
 type usageSnapshot struct {
-	at        time.Time
+	takenAt   time.Time
 	hubs      []hubResponse
 	followers followersResponse
 }
@@ -186,7 +186,7 @@
 		return s, err
 	}
 	s.followers, err = d.requestFollowers(followersCommand{})
-	s.at = time.Now()
+	s.takenAt = time.Now()
 	return s, err
 }
 
@@ -223,9 +223,9 @@
 // cpuTimePerChange returns how much more CPU time the followers use with changes than without, in µs per change and
 // broker.
 func (d *distributionRun) cpuTimePerChange(before, between, after usageSnapshot) float64 {
-	quietRate := micros(between.followers.Processor-before.followers.Processor) / between.at.Sub(before.at).Seconds()
-	used := micros(after.followers.Processor - between.followers.Processor)
-	return max(used-quietRate*after.at.Sub(between.at).Seconds(), 1) / d.followerCount / measuredChanges
+	quietRate := micros(between.followers.CPUTime-before.followers.CPUTime) / between.takenAt.Sub(before.takenAt).Seconds()
+	used := micros(after.followers.CPUTime - between.followers.CPUTime)
+	return max(used-quietRate*after.takenAt.Sub(between.takenAt).Seconds(), 1) / d.followerCount / measuredChanges
 }
 
 // propagationDelays are the times in seconds, in ascending order, from the publication of a revision at the first hub.
@@ -237,12 +237,12 @@
 // publishChanges publishes measuredChanges revisions at an interval and returns their propagation delays to all followers.
 func (d *distributionRun) publishChanges(interval time.Duration) (delays propagationDelays, err error) {
 	for range measuredChanges {
-		next := time.Now().Add(interval)
+		nextAt := time.Now().Add(interval)
 		publishedAt, err := d.publish()
 		if err != nil {
 			return delays, err
 		}
-		time.Sleep(time.Until(next) - interval/10) // polls the followers only in the last tenth of the interval
+		time.Sleep(time.Until(nextAt) - interval/10) // polls the followers only in the last tenth of the interval
 		response, err := d.requestFollowers(followersCommand{InForce: d.newest})
 		if err != nil {
 			return delays, err
@@ -251,7 +251,7 @@
 			delays.received = append(delays.received, seconds(response.ReceivedAt[i]-publishedAt))
 			delays.applied = append(delays.applied, seconds(response.AppliedAt[i]-publishedAt))
 		}
-		time.Sleep(time.Until(next))
+		time.Sleep(time.Until(nextAt))
 	}
 	slices.Sort(delays.received)
 	slices.Sort(delays.applied)
@@ -264,16 +264,16 @@
 // usageReadings returns the resource usage of the children between two snapshots. The prefix is prepended to the name of
 // each reading.
 func (d *distributionRun) usageReadings(prefix string, from, to usageSnapshot) []Reading {
-	wall := to.at.Sub(from.at).Seconds()
+	wall := to.takenAt.Sub(from.takenAt).Seconds()
 	var in, out, cpuTime, maxIn, maxOut, maxCPUTime float64
 	for i := range to.hubs {
 		hubIn := float64(to.hubs[i].In-from.hubs[i].In) / wall
 		hubOut := float64(to.hubs[i].Out-from.hubs[i].Out) / wall
-		hubCPUTime := micros(to.hubs[i].Processor-from.hubs[i].Processor) / wall
+		hubCPUTime := micros(to.hubs[i].CPUTime-from.hubs[i].CPUTime) / wall
 		in, out, cpuTime = in+hubIn, out+hubOut, cpuTime+hubCPUTime
 		maxIn, maxOut, maxCPUTime = max(maxIn, hubIn), max(maxOut, hubOut), max(maxCPUTime, hubCPUTime)
 	}
-	used := micros(to.followers.Processor-from.followers.Processor) / wall
+	used := micros(to.followers.CPUTime-from.followers.CPUTime) / wall
 	return []Reading{
 		{prefix + "processor", "µs a broker and second", used / d.followerCount},
 		{prefix + "bytes in", "bytes a broker and second", out / d.followerCount}, // the bytes that the hubs send
--- a/internal/harness/scale/configuration_followers.go
+++ b/internal/harness/scale/configuration_followers.go
@@ -18,17 +18,17 @@
 
 // followersCommand is a command to the child that runs the followers. At most one of Start, InForce and Lost is set.
 type followersCommand struct {
-	Start   []distribution.ControlMachine // start all followers with these control machines, then wait as for InForce 1
+	Start   []distribution.ControlMachine // start all followers with these control machines and wait for revision 1
 	Bytes   int                           // with Start: size of the startup configuration
 	Seed    uint64                        // with Start: base of the followers' seeds
 	InForce uint64                        // wait until this revision is in force at all followers
-	Lost    string                        // wait until no follower is connected to this address and each is to another
+	Lost    string                        // address of a lost hub: wait until each follower is connected to another hub
 	Memory  bool                          // measure the memory in use
 }
 
 // followersResponse is the response to a followersCommand.
 type followersResponse struct {
-	Processor  time.Duration // CPU time of the process since its start
+	CPUTime    time.Duration `json:"Processor"` // of the process since its start
 	StartedAt  int64         // Unix nanoseconds at which the command started
 	DoneAt     int64         // Unix nanoseconds at which the command's condition was met
 	ReceivedAt []int64       // with InForce: Unix nanoseconds at which each follower read the revision
@@ -44,8 +44,8 @@
 
 	mu         sync.Mutex
 	number     uint64 // number of the revision in force
-	receivedAt int64  // Unix nanoseconds before the revision was checked
-	appliedAt  int64  // Unix nanoseconds after the revision was checked
+	receivedAt int64  // Unix time in nanoseconds, taken just before the revision was checked
+	appliedAt  int64  // Unix time in nanoseconds, taken just after the revision was checked
 }
 
 // apply checks a revision and records it as in force, or returns the rejection.
@@ -114,7 +114,7 @@
 			return status.Control != "" && status.Control != command.Lost && !status.LastUpdateAt.IsZero()
 		})
 	}
-	response.DoneAt, response.Processor = time.Now().UnixNano(), cpuTime()
+	response.DoneAt, response.CPUTime = time.Now().UnixNano(), cpuTime()
 	if command.Memory {
 		response.Memory = memoryInUse()
 	}
--- a/internal/harness/scale/configuration_hub.go
+++ b/internal/harness/scale/configuration_hub.go
@@ -27,7 +27,7 @@
 
 // hubResponse reports the state of a hub and what it has used since its start.
 type hubResponse struct {
-	Processor           time.Duration // CPU time of the process
+	CPUTime             time.Duration `json:"Processor"` // of the process since its start
 	In, Out             int64         // bytes received and sent on its connections
 	Streams             int           // brokers connected now
 	Accepts             int           // connections accepted
@@ -83,7 +83,7 @@
 			return hubResponse{}, err
 		}
 	}
-	response.Processor = cpuTime()
+	response.CPUTime = cpuTime()
 	response.In, response.Out = h.listener.in.Load(), h.listener.out.Load()
 	response.Accepts, response.MaxAcceptsPerSecond = h.listener.acceptCounts()
 	for _, broker := range h.hub.Status().Brokers {
@@ -127,8 +127,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	first := 0
-	for last, at := range l.accepts {
-		for at.Sub(l.accepts[first]) >= time.Second {
+	for last, acceptedAt := range l.accepts {
+		for acceptedAt.Sub(l.accepts[first]) >= time.Second {
 			first++
 		}
 		maxPerSecond = max(maxPerSecond, last-first+1)
--- a/internal/harness/scale/configuration_test.go
+++ b/internal/harness/scale/configuration_test.go
@@ -58,14 +58,14 @@
 // In a small run all followers are connected, a change transfers about the bytes of its document, and a change is read
 // before it is in force.
 func TestMeasureConfigurationReadingsAreConsistent(t *testing.T) {
-	at := smallConfiguration()[0]
-	readings, err := measureConfiguration(at, 1)
+	sizes := smallConfiguration()[0]
+	readings, err := measureConfiguration(sizes, 1)
 	require.NoError(t, err)
 	value := map[string]float64{}
 	for _, r := range readings {
 		value[r.Name] = r.Value
 	}
-	brokers, document := at.Of(axisBrokers), at.Of(axisDocument)*bytesPerKB
+	brokers, document := sizes.Of(axisBrokers), sizes.Of(axisDocument)*bytesPerKB
 	require.Equal(t, brokers, value["streams of the busiest hub"])
 	require.Positive(t, value["start at once: all follow"])
 	require.Less(t, value["in force at all"], TargetPropagationTime)
--- a/internal/harness/scale/decision.go
+++ b/internal/harness/scale/decision.go
@@ -70,7 +70,7 @@
 	rng      *rand.Rand
 	servers  int
 	parts    int
-	now      float64 // seconds
+	now      float64 // virtual time in seconds
 	nextID   decision.RequestID
 	number   int64 // number of the last query
 	pending  pendingAnswers
@@ -83,15 +83,15 @@
 
 // pendingAnswer is the answer to a part that will arrive at a later virtual time.
 type pendingAnswer struct {
-	at       float64 // seconds
-	finished decision.AttemptFinished
+	arrivesAt float64 // virtual time in seconds
+	finished  decision.AttemptFinished
 }
 
 // pendingAnswers is a heap ordered by arrival time.
 type pendingAnswers []pendingAnswer
 
 func (p pendingAnswers) Len() int           { return len(p) }
-func (p pendingAnswers) Less(i, j int) bool { return p[i].at < p[j].at }
+func (p pendingAnswers) Less(i, j int) bool { return p[i].arrivesAt < p[j].arrivesAt }
 func (p pendingAnswers) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
 func (p *pendingAnswers) Push(v any)        { *p = append(*p, v.(pendingAnswer)) }
 func (p *pendingAnswers) Pop() any {
@@ -128,14 +128,14 @@
 // answered. The events of each step are passed to the policy as one batch.
 func (d *policyDriver) run(queries int) {
 	queryInterval := 1 / QueriesPerBroker(TargetBrokers)
-	next := d.now
+	nextQueryAt := d.now
 	for d.answeredQueries = 0; d.answeredQueries < queries; {
 		d.now += AssumedBatchInterval
 		var events []decision.Event
-		for len(d.pending) > 0 && d.pending[0].at <= d.now {
+		for len(d.pending) > 0 && d.pending[0].arrivesAt <= d.now {
 			events = append(events, heap.Pop(&d.pending).(pendingAnswer).finished)
 		}
-		for ; next <= d.now; next += queryInterval {
+		for ; nextQueryAt <= d.now; nextQueryAt += queryInterval {
 			events = append(events, d.queryEvents()...)
 		}
 		if len(events) > 0 {
@@ -185,8 +185,8 @@
 	}
 }
 
-func measureDecision(at Sizes, seed uint64) ([]Reading, error) {
-	servers, parts := int(at.Of(axisServers)), int(at.Of(axisParts))
+func measureDecision(sizes Sizes, seed uint64) ([]Reading, error) {
+	servers, parts := int(sizes.Of(axisServers)), int(sizes.Of(axisParts))
 	before := memoryInUse()
 	d := newPolicyDriver(servers, parts, seed)
 	d.run(warmUpQueries)
@@ -200,11 +200,11 @@
 	used := meter.Stop()
 	batches, sends = d.batches-batches, d.sends-sends
 	memoryGrowth := memoryInUse() - before
-	emptyBatch := emptyBatchTime(d)
+	emptyBatchMicros := emptyBatchTime(d)
 	microsPerQuery := used.CPUTime.Seconds() * 1e6 / float64(queries)
 	return []Reading{
 		{"processor a query", "µs", microsPerQuery},
-		{"processor an empty batch", "µs", emptyBatch},
+		{"processor an empty batch", "µs", emptyBatchMicros},
 		{"allocated a query", "bytes", float64(used.AllocatedBytes) / float64(queries)},
 		{"objects a query", "objects", float64(used.Allocations) / float64(queries)},
 		{"sends a part", "sends", float64(sends) / float64(queries) / float64(parts)},
--- a/internal/harness/scale/experiment.go
+++ b/internal/harness/scale/experiment.go
@@ -12,7 +12,7 @@
 	SmallPoints []Sizes // measured by CI
 	LargePoints []Sizes // measured for a record in docs/capacity
 	// MeasurePoint measures a point once. Calls with equal seeds do the same work.
-	MeasurePoint func(at Sizes, seed uint64) ([]Reading, error)
+	MeasurePoint func(sizes Sizes, seed uint64) ([]Reading, error)
 }
 
 // Plan configures the run of an experiment.
@@ -31,10 +31,10 @@
 func Run(e Experiment, plan Plan, previous *Record, deadline time.Time) (*Record, error) {
 	r := previous
 	if r == nil {
-		r = &Record{Experiment: e.Name, Command: plan.Command, Commit: plan.Commit, Began: time.Now().UTC(),
+		r = &Record{Experiment: e.Name, Command: plan.Command, Commit: plan.Commit, StartedAt: time.Now().UTC(),
 			Machine: ThisMachine(), Seed: plan.Seed, Repetitions: plan.Repetitions, Provenance: e.Provenance}
-		for _, at := range plan.Points {
-			r.Points = append(r.Points, Point{Sizes: at})
+		for _, sizes := range plan.Points {
+			r.Points = append(r.Points, Point{Sizes: sizes})
 		}
 	}
 	if r.Experiment != e.Name || r.Commit != plan.Commit || r.Seed != plan.Seed || len(r.Points) != len(plan.Points) {
@@ -43,16 +43,16 @@
 			r.Experiment, r.Commit, r.Seed, len(r.Points))
 	}
 	for repetition := range plan.Repetitions {
-		for i, at := range plan.Points {
+		for i, sizes := range plan.Points {
 			if r.Points[i].repetitions() > repetition {
 				continue
 			}
 			if !deadline.IsZero() && time.Now().After(deadline) {
 				return r, nil
 			}
-			readings, err := e.MeasurePoint(at, plan.Seed+uint64(repetition))
+			readings, err := e.MeasurePoint(sizes, plan.Seed+uint64(repetition))
 			if err != nil {
-				return nil, fmt.Errorf("%s at %v: %w", e.Name, at, err)
+				return nil, fmt.Errorf("%s at %v: %w", e.Name, sizes, err)
 			}
 			r.Points[i].add(readings)
 		}
--- a/internal/harness/scale/experiments_test.go
+++ b/internal/harness/scale/experiments_test.go
@@ -59,7 +59,7 @@
 	require.NoError(t, err)
 	var previous *scale.Record
 	if *statePath != "" {
-		previous, err = scale.ReadState(*statePath)
+		previous, err = scale.ReadIncomplete(*statePath)
 		require.NoError(t, err)
 	}
 	r, err := scale.Run(e, scale.Plan{Points: e.LargePoints, Repetitions: *repetitions, Seed: *seed, Commit: commit(t),
@@ -73,7 +73,7 @@
 		return
 	}
 	require.NotEmpty(t, *statePath, "run is incomplete after the -within time, and without -state its measurements are lost")
-	require.NoError(t, r.SaveState(*statePath))
+	require.NoError(t, r.SaveIncomplete(*statePath))
 	t.Log("run is incomplete; repeat the command to resume it")
 }
 
--- a/internal/harness/scale/fit.go
+++ b/internal/harness/scale/fit.go
@@ -13,7 +13,7 @@
 // Confidence is the confidence level of all intervals, which are two-sided and use Student's t-distribution.
 const Confidence = 0.95
 
-// MaxRelativeError is the largest relative error of a prediction with which docs/CAPACITY.md relies on the fitted model.
+// MaxRelativeError is the largest relative error of a prediction at which docs/CAPACITY.md still uses the fitted model.
 // Above it, the page uses the measured value.
 const MaxRelativeError = 0.2
 
@@ -70,7 +70,7 @@
 
 // Errors returned by Fit, FitExponent and Predict.
 var (
-	ErrTooFewSizes   = errors.New("scale: a fit needs samples at three sizes at least")
+	ErrTooFewSizes   = errors.New("scale: a fit needs samples at three or more sizes")
 	ErrInvalidSample = errors.New("scale: a fit needs positive, finite sizes and costs")
 )
 
--- a/internal/harness/scale/list.go
+++ b/internal/harness/scale/list.go
@@ -75,9 +75,9 @@
 }
 
 // measureList applies full endpoint lists and then incremental updates of one server, as a broker does.
-func measureList(at Sizes, seed uint64) ([]Reading, error) {
+func measureList(sizes Sizes, seed uint64) ([]Reading, error) {
 	const fullLists, changes = 6, 60
-	servers := int(at.Of(axisServers))
+	servers := int(sizes.Of(axisServers))
 	list := encodeList(servers, 1)
 	policy := decision.New(targetSettings(servers, TargetBrokers), seed)
 	endpoints := broker.NewEndpoints()
@@ -188,8 +188,8 @@
 
 // measureWatch starts the endpoint watches of all brokers. It measures until all brokers have the full list, and then while
 // the list changes.
-func measureWatch(at Sizes, seed uint64) ([]Reading, error) {
-	brokers := int(at.Of(axisBrokers))
+func measureWatch(sizes Sizes, seed uint64) ([]Reading, error) {
+	brokers := int(sizes.Of(axisBrokers))
 	discoveryService, err := startChild(roleDiscovery, watchListSize)
 	if err != nil {
 		return nil, err
--- a/internal/harness/scale/membership.go
+++ b/internal/harness/scale/membership.go
@@ -49,8 +49,8 @@
 
 // measureMembership starts all brokers of a fleet at the same time, waits until they converge to one view, and measures
 // their cost without faults.
-func measureMembership(at Sizes, seed uint64) ([]Reading, error) {
-	brokers := int(at.Of(axisBrokers))
+func measureMembership(sizes Sizes, seed uint64) ([]Reading, error) {
+	brokers := int(sizes.Of(axisBrokers))
 	before := memoryInUse()
 	network, convergenceTime, err := newSettledNetwork(brokers, seed)
 	if err != nil {
--- a/internal/harness/scale/membership_faults.go
+++ b/internal/harness/scale/membership_faults.go
@@ -13,8 +13,8 @@
 }
 
 // measureFaults kills the brokers of a rack, restarts them, and then kills the brokers of a zone.
-func measureFaults(at Sizes, seed uint64) ([]Reading, error) {
-	brokers := int(at.Of(axisBrokers))
+func measureFaults(sizes Sizes, seed uint64) ([]Reading, error) {
+	brokers := int(sizes.Of(axisBrokers))
 	network, _, err := newSettledNetwork(brokers, seed)
 	if err != nil {
 		return nil, err
@@ -99,14 +99,14 @@
 
 // measurePartition partitions one region from the others for a time and then heals the partition. The seeds are in three
 // zones, and so in all regions.
-func measurePartition(at Sizes, seed uint64) ([]Reading, error) {
+func measurePartition(sizes Sizes, seed uint64) ([]Reading, error) {
 	network := newNetwork(partitionBrokers, seed)
 	if _, err := network.runUntilConverged(); err != nil {
 		return nil, err
 	}
 	isolated := func(node *virtualNode) bool { return node.region == TargetRegions-1 }
 	network.isLost = func(from, to *virtualNode) bool { return isolated(from) != isolated(to) }
-	during, err := network.recordTraffic(time.Duration(at.Of(axisPartition) * float64(time.Second)))
+	during, err := network.recordTraffic(time.Duration(sizes.Of(axisPartition) * float64(time.Second)))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/harness/scale/membership_processes.go
+++ b/internal/harness/scale/membership_processes.go
@@ -44,9 +44,9 @@
 
 // simulatedFleet runs the membership agents and the endpoint watches of brokers that have no clients.
 type simulatedFleet struct {
-	agents  []*fleet.Agent
-	updates updateCounter
-	running sync.WaitGroup
+	agents     []*fleet.Agent
+	updates    updateCounter
+	goroutines sync.WaitGroup
 }
 
 // start starts brokers one after another. They run until ctx is canceled.
@@ -64,9 +64,9 @@
 			return err
 		}
 		f.agents = append(f.agents, agent)
-		f.running.Go(func() { agent.Run(ctx) })
+		f.goroutines.Go(func() { agent.Run(ctx) })
 		w := newWatcher(discoveryAddr, f.updates.update, brokers, seed+uint64(i)*watcherSeedStep)
-		f.running.Go(func() { w.Run(ctx) })
+		f.goroutines.Go(func() { w.Run(ctx) })
 		time.Sleep(fleetStartInterval)
 	}
 	return nil
@@ -74,28 +74,28 @@
 
 // measureSimulatedFleet starts a fleet, waits until each broker sees all others as alive, and measures the cost without
 // faults.
-func measureSimulatedFleet(at Sizes, seed uint64) ([]Reading, error) {
-	brokers := int(at.Of(axisBrokers))
-	c, err := startChild(roleDiscovery, watchListSize)
+func measureSimulatedFleet(sizes Sizes, seed uint64) ([]Reading, error) {
+	brokers := int(sizes.Of(axisBrokers))
+	discoveryService, err := startChild(roleDiscovery, watchListSize)
 	if err != nil {
 		return nil, err
 	}
-	defer c.stop()
+	defer discoveryService.stop()
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &simulatedFleet{}
 	defer func() {
 		cancel()
-		f.running.Wait()
+		f.goroutines.Wait()
 	}()
 	before := memoryInUse()
-	if err := f.start(ctx, brokers, c.startLines[0], seed); err != nil {
+	if err := f.start(ctx, brokers, discoveryService.startLines[0], seed); err != nil {
 		return nil, err
 	}
-	started := time.Now()
+	startedAt := time.Now()
 	if err := f.waitUntilAllAlive(fleetConvergenceTimeout); err != nil {
 		return nil, err
 	}
-	convergenceTime := time.Since(started)
+	convergenceTime := time.Since(startedAt)
 	if err := f.updates.waitForCounts(brokers, 0, listTimeout); err != nil {
 		return nil, err
 	}
--- a/internal/harness/scale/membership_restarts.go
+++ b/internal/harness/scale/membership_restarts.go
@@ -14,19 +14,19 @@
 }
 
 // measureRollingRestart restarts one broker after another at an interval.
-func measureRollingRestart(at Sizes, seed uint64) ([]Reading, error) {
-	brokers := int(at.Of(axisBrokers))
-	interval := time.Duration(at.Of(axisRestartInterval) * float64(time.Second))
+func measureRollingRestart(sizes Sizes, seed uint64) ([]Reading, error) {
+	brokers := int(sizes.Of(axisBrokers))
+	interval := time.Duration(sizes.Of(axisRestartInterval) * float64(time.Second))
 	network, _, err := newSettledNetwork(brokers, seed)
 	if err != nil {
 		return nil, err
 	}
 	var total trafficTotal
 	downtime := min(restartDowntime, interval/2)
-	end, next := network.now+restartsDuration, seedCount
-	for network.now < end {
-		number := next % brokers
-		next++
+	endsAt, nextNumber := network.now+restartsDuration, seedCount
+	for network.now < endsAt {
+		number := nextNumber % brokers
+		nextNumber++
 		network.nodes[number].killed = true
 		if err := total.record(network, downtime); err != nil {
 			return nil, err
@@ -78,8 +78,8 @@
 
 // measureSingleRestart restarts one broker and measures its outgoing traffic. Until its previous instance is forgotten, all
 // other brokers keep pinging that instance at the same address.
-func measureSingleRestart(at Sizes, seed uint64) ([]Reading, error) {
-	network, _, err := newSettledNetwork(int(at.Of(axisBrokers)), seed)
+func measureSingleRestart(sizes Sizes, seed uint64) ([]Reading, error) {
+	network, _, err := newSettledNetwork(int(sizes.Of(axisBrokers)), seed)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/harness/scale/network.go
+++ b/internal/harness/scale/network.go
@@ -25,7 +25,7 @@
 	seedCount               = 3                      // brokers 0 to seedCount-1 are the seeds of the fleet
 	convergencePollInterval = 200 * time.Millisecond // virtual time
 	maxQueuedEvents         = 1 << 22
-	brokersPerAddrByte      = 250 // brokers with equal second bytes of their addresses
+	brokersPerAddrByte      = 250 // number of brokers whose addresses share the second byte
 )
 
 // virtualNetwork runs the membership protocol of many brokers on virtual time. Runs with equal seeds are equal. Brokers are
@@ -61,17 +61,17 @@
 
 // networkEvent is the arrival of a datagram at a node, or a timer tick of the node.
 type networkEvent struct {
-	at   time.Duration
-	to   *virtualNode
-	from netip.AddrPort
-	data *planepb.Datagram // nil for a tick
+	dueAt time.Duration // virtual time since the start
+	to    *virtualNode
+	from  netip.AddrPort
+	data  *planepb.Datagram // nil for a tick
 }
 
 // eventQueue is a heap ordered by time.
 type eventQueue []networkEvent
 
 func (q eventQueue) Len() int           { return len(q) }
-func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Less(i, j int) bool { return q[i].dueAt < q[j].dueAt }
 func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(v any)        { *q = append(*q, v.(networkEvent)) }
 func (q *eventQueue) Pop() any {
@@ -118,30 +118,30 @@
 		n.nodes = append(n.nodes, node)
 	}
 	n.byAddr[node.addr] = node
-	heap.Push(&n.queue, networkEvent{at: n.now + time.Duration(n.rng.Int64N(int64(membership.TickInterval))), to: node})
+	heap.Push(&n.queue, networkEvent{dueAt: n.now + time.Duration(n.rng.Int64N(int64(membership.TickInterval))), to: node})
 }
 
 // run processes all events up to a virtual time. The error is errQueueFull.
-func (n *virtualNetwork) run(to time.Duration) error {
-	for len(n.queue) > 0 && n.queue[0].at <= to {
+func (n *virtualNetwork) run(until time.Duration) error {
+	for len(n.queue) > 0 && n.queue[0].dueAt <= until {
 		if len(n.queue) > maxQueuedEvents {
 			return errQueueFull
 		}
 		e := heap.Pop(&n.queue).(networkEvent)
-		n.now = e.at
+		n.now = e.dueAt
 		node := e.to
 		switch {
 		case node.killed:
 		case e.data == nil:
 			n.send(node, node.Tick(n.now-node.startedAt))
-			heap.Push(&n.queue, networkEvent{at: n.now + membership.TickInterval, to: node})
+			heap.Push(&n.queue, networkEvent{dueAt: n.now + membership.TickInterval, to: node})
 		default:
 			node.counters.receivedBytes += plane.WireSize(e.data)
 			node.counters.receivedDatagrams++
 			n.send(node, node.Receive(n.now-node.startedAt, e.from, e.data))
 		}
 	}
-	n.now = to
+	n.now = until
 	return nil
 }
 
@@ -155,7 +155,7 @@
 		if to == nil || to.killed || n.isLost(from, to) {
 			continue
 		}
-		heap.Push(&n.queue, networkEvent{at: n.now + n.delay(from, to), to: to, from: from.addr, data: s.Data})
+		heap.Push(&n.queue, networkEvent{dueAt: n.now + n.delay(from, to), to: to, from: from.addr, data: s.Data})
 	}
 }
 
--- a/internal/harness/scale/page.go
+++ b/internal/harness/scale/page.go
@@ -89,7 +89,7 @@
 	}
 	var earliest *Record
 	for _, r := range p.records {
-		if r.Experiment == name && (earliest == nil || r.Began.Before(earliest.Began)) {
+		if r.Experiment == name && (earliest == nil || r.StartedAt.Before(earliest.StartedAt)) {
 			earliest = r
 		}
 	}
@@ -124,7 +124,7 @@
 
 // values returns the values of a measure in all repetitions at a point, or nil if the experiment has no record.
 func (p page) values(experiment, name, point string) ([]float64, error) {
-	at, err := parseSizes(point)
+	sizes, err := parseSizes(point)
 	if err != nil {
 		return nil, err
 	}
@@ -134,7 +134,7 @@
 	} else if err != nil {
 		return nil, err
 	}
-	return r.At(name, at...)
+	return r.At(name, sizes...)
 }
 
 // mean returns the mean of a measure at a point, or NaN if the experiment has no record.
--- a/internal/harness/scale/page_slopes.go
+++ b/internal/harness/scale/page_slopes.go
@@ -10,7 +10,7 @@
 // samples returns the samples of a measure along an axis, at the points with fixed sizes on other axes, and their record.
 // Both are nil if the experiment has no record.
 func (p page) samples(experiment, name, axis, fixedSizes string) ([]Sample, *Record, error) {
-	at, err := parseSizes(fixedSizes)
+	sizes, err := parseSizes(fixedSizes)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -20,7 +20,7 @@
 	} else if err != nil {
 		return nil, nil, err
 	}
-	return r.Samples(name, axis, at...), r, nil
+	return r.Samples(name, axis, sizes...), r, nil
 }
 
 // slopeRow returns a row of the table of fitted cost models: the measure, its axis, the model's form, exponent and rate, the
--- a/internal/harness/scale/quantile.go
+++ b/internal/harness/scale/quantile.go
@@ -20,8 +20,8 @@
 }
 
 // measureQuantile computes the fraction of parts that must be in time for TargetQuantile of the queries to be in time.
-func measureQuantile(at Sizes, _ uint64) ([]Reading, error) {
-	late := 1 - PartQuantile(int(at.Of(axisParts)), at.Of(axisMinCompleteness))
+func measureQuantile(sizes Sizes, _ uint64) ([]Reading, error) {
+	late := 1 - PartQuantile(int(sizes.Of(axisParts)), sizes.Of(axisMinCompleteness))
 	// A hedged part is late if both attempts are late. The hedge has only the time that remains after hedgeQuantile; its
 	// probability of being late is assumed to be that of a first attempt to exceed hedgeQuantile, which is conservative.
 	hedged := late / (1 - hedgeQuantile)
@@ -36,7 +36,7 @@
 // minimum completeness in time. It assumes that the latencies of parts are independent.
 func PartQuantile(parts int, minCompleteness float64) float64 {
 	const (
-		roundingError = 1e-9 // bound on that of the product of two float64 values
+		roundingError = 1e-9 // upper bound on the rounding error of a product of two float64 values
 		bisections    = 200  // more than the digits of a float64
 	)
 	required := math.Ceil(float64(parts)*minCompleteness - roundingError)
--- a/internal/harness/scale/record.go
+++ b/internal/harness/scale/record.go
@@ -14,7 +14,8 @@
 // does not apply.
 type Provenance struct {
 	Real string `json:"real,omitempty"` // the program's own code on real sockets or a real clock
-	// Simulated names the program's state machines and drivers that ran without clients or work, and fake servers.
+	// Simulated names the program's state machines and drivers that ran without clients or work, and fake servers. The
+	// JSON key is "hollow".
 	Simulated string `json:"hollow,omitempty"`
 	Virtual   string `json:"virtual,omitempty"`  // run on a virtual network or clock
 	Computed  string `json:"computed,omitempty"` // determined by arithmetic or random draws
@@ -103,7 +104,7 @@
 	Experiment  string     `json:"experiment"`
 	Command     string     `json:"command"`
 	Commit      string     `json:"commit"`
-	Began       time.Time  `json:"began"`
+	StartedAt   time.Time  `json:"began"`
 	Machine     Machine    `json:"machine"`
 	Seed        uint64     `json:"seed"`
 	Repetitions int        `json:"repetitions"`
@@ -120,7 +121,7 @@
 // Check returns nil if the record is complete, and otherwise an ErrInvalidRecord that says what is missing.
 func (r *Record) Check() error {
 	switch {
-	case r.Experiment == "" || r.Commit == "" || r.Command == "" || r.Began.IsZero() || r.Machine.Cores == 0:
+	case r.Experiment == "" || r.Commit == "" || r.Command == "" || r.StartedAt.IsZero() || r.Machine.Cores == 0:
 		return fmt.Errorf("%w: experiment, commit, command, began and machine are required", ErrInvalidRecord)
 	case r.Provenance == Provenance{}:
 		return fmt.Errorf("%w: provenance is required", ErrInvalidRecord)
@@ -220,7 +221,7 @@
 func Latest(records []*Record, experiment string) (*Record, error) {
 	var latest *Record
 	for _, r := range records {
-		if r.Experiment == experiment && (latest == nil || r.Began.After(latest.Began)) {
+		if r.Experiment == experiment && (latest == nil || r.StartedAt.After(latest.StartedAt)) {
 			latest = r
 		}
 	}
@@ -230,8 +231,8 @@
 	return latest, nil
 }
 
-// SaveState writes an incomplete record to a file, from which ReadState restores it.
-func (r *Record) SaveState(path string) error {
+// SaveIncomplete writes the record to a file without checking that it is complete. ReadIncomplete restores it.
+func (r *Record) SaveIncomplete(path string) error {
 	text, err := json.Marshal(r)
 	if err != nil {
 		return err
@@ -239,8 +240,8 @@
 	return os.WriteFile(path, text, 0o644)
 }
 
-// ReadState reads a record written by SaveState. It returns nil if the file does not exist.
-func ReadState(path string) (*Record, error) {
+// ReadIncomplete reads a record written by SaveIncomplete, which may be incomplete. It returns nil if the file does not exist.
+func ReadIncomplete(path string) (*Record, error) {
 	text, err := os.ReadFile(path)
 	if errors.Is(err, os.ErrNotExist) {
 		return nil, nil
--- a/internal/harness/scale/run_test.go
+++ b/internal/harness/scale/run_test.go
@@ -39,9 +39,9 @@
 func TestRunResumesIncompleteRecord(t *testing.T) {
 	measured := 0
 	e := scale.Experiment{Name: "test", Provenance: scale.Provenance{Computed: "all"},
-		MeasurePoint: func(at scale.Sizes, seed uint64) ([]scale.Reading, error) {
+		MeasurePoint: func(sizes scale.Sizes, seed uint64) ([]scale.Reading, error) {
 			measured++
-			return []scale.Reading{{Name: "cost", Unit: "µs", Value: at.Of("x") * float64(seed)}}, nil
+			return []scale.Reading{{Name: "cost", Unit: "µs", Value: sizes.Of("x") * float64(seed)}}, nil
 		}}
 	plan := scale.Plan{Points: []scale.Sizes{{{Axis: "x", Value: 2}}, {{Axis: "x", Value: 3}}}, Repetitions: 2, Seed: 1,
 		Commit: "c", Command: "c"}
@@ -49,8 +49,8 @@
 	require.NoError(t, err)
 	require.ErrorIs(t, r.Check(), scale.ErrInvalidRecord)
 	path := t.TempDir() + "/state"
-	require.NoError(t, r.SaveState(path))
-	previous, err := scale.ReadState(path)
+	require.NoError(t, r.SaveIncomplete(path))
+	previous, err := scale.ReadIncomplete(path)
 	require.NoError(t, err)
 	r, err = scale.Run(e, plan, previous, time.Time{})
 	require.NoError(t, err)
--- a/internal/harness/scale/service.go
+++ b/internal/harness/scale/service.go
@@ -18,7 +18,7 @@
 	serviceMeasuredParts = 24_000           // minimum number of measured parts
 	serviceDeadline      = 20 * time.Second // long enough that no query exceeds it
 	servicePayloadSize   = 64               // bytes of a part's payload
-	openTimeout          = 30 * time.Second
+	openTimeout          = 30 * time.Second // for opening the connections to all record servers, and for a health check
 )
 
 // brokerCore is a broker core with its link but without a front. Its record servers run in a child.
@@ -122,8 +122,8 @@
 	}
 }
 
-func measureService(at Sizes, seed uint64) ([]Reading, error) {
-	servers, parts := int(at.Of(axisServers)), int(at.Of(axisParts))
+func measureService(sizes Sizes, seed uint64) ([]Reading, error) {
+	servers, parts := int(sizes.Of(axisServers)), int(sizes.Of(axisParts))
 	c, err := startCore(servers, decision.ReportPiggyback, seed)
 	if err != nil {
 		return nil, err
@@ -169,8 +169,8 @@
 }
 
 // measureMesh lets the decision policy health-check every record server once, which opens a connection to each server.
-func measureMesh(at Sizes, seed uint64) ([]Reading, error) {
-	servers := int(at.Of(axisServers))
+func measureMesh(sizes Sizes, seed uint64) ([]Reading, error) {
+	servers := int(sizes.Of(axisServers))
 	c, err := startCore(servers, decision.ReportPull, seed)
 	if err != nil {
 		return nil, err
--- a/internal/harness/scale/slow_start.go
+++ b/internal/harness/scale/slow_start.go
@@ -36,8 +36,8 @@
 
 // measureSlowStart lets each broker of a fleet estimate a record server's peak throughput from an even share of the target's
 // load. It then draws the budgets of all brokers for one server that has just started.
-func measureSlowStart(at Sizes, seed uint64) ([]Reading, error) {
-	brokers := int(at.Of(axisBrokers))
+func measureSlowStart(sizes Sizes, seed uint64) ([]Reading, error) {
+	brokers := int(sizes.Of(axisBrokers))
 	rng := rand.New(rand.NewPCG(seed, 3))
 	estimate, now := learnCapacity(brokers, rng)
 	estimates := make([]*lease.CapacityEstimate, brokers)
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -17,7 +17,7 @@
 	encoder    *Encoder
 	instances  map[int]decision.Decider // by instance number
 	pending    map[int][]decision.Event // events of the current batch, by instance number
-	order      []int                    // instances of the current batch, by their first events; may contain duplicates
+	order      []int                    // instances with events in the current batch, in order of arrival; may contain duplicates
 }
 
 // Serve reads batches and runs the instances that they start, until the input ends. It returns errors of Decoder.Next and of
