--- a/cmd/mothrouter/state.go
+++ b/cmd/mothrouter/state.go
@@ -74,8 +74,8 @@
 	fmt.Fprintf(out, "%-24s %-10s %-9s %-8s %s\n", "server", "started", "pace ms", "failed", "report")
 	for _, server := range s.Servers {
 		started, report := "long ago", "-"
-		if server.Started > 0 {
-			started = fmt.Sprintf("%.0f s", now-server.Started)
+		if server.StartedAt > 0 {
+			started = fmt.Sprintf("%.0f s", now-server.StartedAt)
 		}
 		if server.LoadReportedAt > 0 {
 			report = fmt.Sprintf("%.1f s old", now-server.LoadReportedAt)
--- a/internal/state/checkpoint/checkpoint.go
+++ b/internal/state/checkpoint/checkpoint.go
@@ -87,9 +87,9 @@
 	rng     *rand.Rand
 	now     func() float64
 
-	collectorMu sync.Mutex // guards collector; held while a batch of events is collected, never during I/O
-	collector   *recovery.Collector
-	restored    *snapshot.Snapshot // state of the previous process; nil if there was none or it was unusable
+	collectorMu   sync.Mutex // guards collector; held while a batch of events is collected, never during I/O
+	collector     *recovery.Collector
+	restoredState *snapshot.Snapshot // state of the previous process; nil if there was none or it was unusable
 
 	folderMu          sync.Mutex // guards the following fields and the folder; held during I/O
 	lockFile          *os.File   // holds the folder lock; nil: not held by this process
@@ -129,7 +129,7 @@
 	case recovery.CheckAge(saved, s.now()) != nil:
 		log.Info("saved state rejected by its age, starting with empty state", "error", recovery.CheckAge(saved, s.now()))
 	default:
-		s.restored = saved
+		s.restoredState = saved
 		log.Info("saved state restored", "servers", len(saved.Servers), "age", fmt.Sprintf("%.1f s", s.now()-saved.WrittenAt))
 	}
 }
@@ -277,9 +277,9 @@
 		switch e := e.(type) {
 		case decision.EndpointUpdate:
 			s.collector.UpdateEndpoints(e)
-			if !*restored && len(e.Servers) > 0 && s.restored != nil {
+			if !*restored && len(e.Servers) > 0 && s.restoredState != nil {
 				*restored = true
-				events = append(events, recovery.Restore(s.restored, e.Servers, now)...)
+				events = append(events, recovery.Restore(s.restoredState, e.Servers, now)...)
 			}
 		case decision.AttemptFinished:
 			s.collector.RecordOutcome(now, e.Server, e.Status, e.Latency, e.LoadReport)
--- a/internal/state/checkpoint/checkpoint_test.go
+++ b/internal/state/checkpoint/checkpoint_test.go
@@ -77,8 +77,8 @@
 	cancel() // Run saves once more before it returns, even if a save is in progress
 	run.Wait()
 	saver, log = openSaver(folder, nil)
-	require.NotNil(t, saver.restored)
-	require.Len(t, saver.restored.Servers, 40)
+	require.NotNil(t, saver.restoredState)
+	require.Len(t, saver.restoredState.Servers, 40)
 	require.Equal(t, 1, strings.Count(log.String(), "saved state restored"))
 	var restored int
 	decider := saver.Watch(deciderFunc(func(events []decision.Event) {
@@ -134,7 +134,7 @@
 	t.Logf("valid file after %d of %d kills", validFiles, kills)
 	require.Greater(t, validFiles, kills/2)
 	saver, _ := openSaver(folder, nil)
-	require.NotNil(t, saver.restored)
+	require.NotNil(t, saver.restoredState)
 	entries, err := os.ReadDir(folder)
 	require.NoError(t, err)
 	require.Len(t, entries, 2, "the state file and the lock file: temporary files were removed")
@@ -189,15 +189,15 @@
 			}
 			saver, log := openSaver(folder, nil)
 			if reorders && files.complete {
-				require.Len(t, saver.restored.Servers, 2)
+				require.Len(t, saver.restoredState.Servers, 2)
 			} else if reorders {
-				require.Nil(t, saver.restored, "power loss after step %d", steps)
+				require.Nil(t, saver.restoredState, "power loss after step %d", steps)
 				require.Equal(t, 1, strings.Count(log.String(), "saved state unusable"))
 				require.FileExists(t, filepath.Join(folder, QuarantineName))
 				require.NoFileExists(t, filepath.Join(folder, FileName))
 			} else {
-				require.NotNil(t, saver.restored, "power loss after step %d", steps)
-				require.Len(t, saver.restored.Servers, 1)
+				require.NotNil(t, saver.restoredState, "power loss after step %d", steps)
+				require.Len(t, saver.restoredState.Servers, 1)
 			}
 			saver.lockFile.Close()
 			require.Less(t, steps, 3*len(old))
@@ -222,7 +222,7 @@
 		folder := t.TempDir()
 		require.NoError(t, os.WriteFile(filepath.Join(folder, FileName), b, 0o600))
 		saver, log := openSaver(folder, nil)
-		require.Nil(t, saver.restored)
+		require.Nil(t, saver.restoredState)
 		require.Equal(t, 1, strings.Count(log.String(), reason), reason)
 		require.FileExists(t, filepath.Join(folder, QuarantineName))
 		recordOutcomes(saver, 3)
@@ -268,7 +268,7 @@
 	recordOutcomes(first, 3)
 	require.NoError(t, first.Save())
 	second, log := openSaver(folder, nil) // reads, but cannot save while first holds the lock
-	require.NotNil(t, second.restored)
+	require.NotNil(t, second.restoredState)
 	require.Equal(t, 1, strings.Count(log.String(), "locked by another process"))
 	recordOutcomes(second, 9)
 	for range 5 {
@@ -281,7 +281,7 @@
 	require.NoError(t, second.Save())
 	require.Equal(t, 1, strings.Count(log.String(), "state saved again"))
 	third, _ := openSaver(folder, nil)
-	require.Len(t, third.restored.Servers, 9)
+	require.Len(t, third.restoredState.Servers, 9)
 }
 
 func TestSaveSurvivesFolderReplacement(t *testing.T) {
--- a/internal/state/checkpoint/restart_test.go
+++ b/internal/state/checkpoint/restart_test.go
@@ -142,7 +142,7 @@
 		options.Folder = t.TempDir()
 	}
 	saver = Open(options)
-	require.Equal(t, restored, saver.restored != nil)
+	require.Equal(t, restored, saver.restoredState != nil)
 	const duration = 2500 * time.Millisecond
 	served := runBroker(fleet, saver, seed+1000, duration)
 	for result.fullServiceAfter = 0; result.fullServiceAfter < 2; result.fullServiceAfter += 0.1 {
--- a/internal/state/recovery/collector.go
+++ b/internal/state/recovery/collector.go
@@ -50,9 +50,9 @@
 		listedIDs[s.ID] = s.State != decision.Removed
 		if !listedIDs[s.ID] {
 			c.forget(s.ID)
-		} else if old := c.servers[s.ID]; old == nil || s.Started > old.Started { // a new process
+		} else if old := c.servers[s.ID]; old == nil || s.Started > old.StartedAt { // a new process
 			delete(c.answeredAt, s.ID)
-			c.servers[s.ID] = &snapshot.Server{ID: s.ID, Started: s.Started, LoadReport: decision.NoLoadReport}
+			c.servers[s.ID] = &snapshot.Server{ID: s.ID, StartedAt: s.Started, LoadReport: decision.NoLoadReport}
 		}
 	}
 	if u.Mode == decision.DeltaUpdate {
--- a/internal/state/recovery/recovery.go
+++ b/internal/state/recovery/recovery.go
@@ -60,7 +60,7 @@
 	}
 	for _, saved := range s.Servers {
 		endpoint, found := endpointsByID[saved.ID]
-		if !found || endpoint.State != decision.Ready || endpoint.Started != saved.Started || endpoint.Started > s.WrittenAt {
+		if !found || endpoint.State != decision.Ready || endpoint.Started != saved.StartedAt || endpoint.Started > s.WrittenAt {
 			continue
 		}
 		if observation, ok := peerObservation(saved, s, now); ok {
--- a/internal/state/recovery/recovery_test.go
+++ b/internal/state/recovery/recovery_test.go
@@ -140,7 +140,7 @@
 		for _, id := range []string{"a", "b", "c"} {
 			s.Servers = append(s.Servers, snapshot.Server{
 				ID:             id,
-				Started:        number("started"),
+				StartedAt:      number("started"),
 				ServiceTime:    number("server's service time"),
 				ServiceTimeAt:  number("service time at"),
 				FailureRatio:   rapid.Float64Range(0, 1).Draw(t, "failure ratio"),
@@ -150,9 +150,9 @@
 			})
 		}
 		list := []decision.Server{
-			{ID: "a", Started: s.Servers[0].Started},
+			{ID: "a", Started: s.Servers[0].StartedAt},
 			{ID: "b", Started: number("other start")},
-			{ID: "c", Started: s.Servers[2].Started, State: decision.Draining},
+			{ID: "c", Started: s.Servers[2].StartedAt, State: decision.Draining},
 		}
 		now := number("now")
 		for _, e := range recovery.Restore(s, list, now) {
@@ -162,7 +162,7 @@
 					t.Fatalf("restored %+v from %+v", e, s)
 				}
 			case decision.PeerObservation:
-				sameProcess := e.Server == "a" || e.Server == "b" && list[1].Started == s.Servers[1].Started
+				sameProcess := e.Server == "a" || e.Server == "b" && list[1].Started == s.Servers[1].StartedAt
 				if !sameProcess || e.Weight < 0 || e.Weight > 1 || e.FailureRatio < 0 || e.FailureRatio > 1 ||
 					e.At > now || e.LoadReportedAt > now+0.5 || e.ServiceTime < 0 {
 					t.Fatalf("restored %+v from %+v at %g", e, s, now)
--- a/internal/state/snapshot/snapshot.go
+++ b/internal/state/snapshot/snapshot.go
@@ -48,7 +48,7 @@
 // Server is the state of one server.
 type Server struct {
 	ID             string
-	Started        float64 // start time of its process, as in the endpoint list; 0: long ago
+	StartedAt      float64 // start time of its process, as in the endpoint list; 0: long ago
 	ServiceTime    float64 // mean latency of its parts; 0: unknown
 	ServiceTimeAt  float64 // time of the latest update of ServiceTime; 0: never
 	FailureRatio   float64 // fraction of attempts that failed, 0 to 1
@@ -113,7 +113,7 @@
 func toServerMessage(server Server) *snapshotpb.Server {
 	message := &snapshotpb.Server{
 		Id:       server.ID,
-		Started:  server.Started,
+		Started:  server.StartedAt,
 		Pace:     server.ServiceTime,
 		PaceAt:   server.ServiceTimeAt,
 		Failed:   server.FailureRatio,
@@ -218,7 +218,7 @@
 func fromServerMessage(message *snapshotpb.Server) (Server, error) {
 	server := Server{
 		ID:             message.Id,
-		Started:        message.Started,
+		StartedAt:      message.Started,
 		ServiceTime:    message.Pace,
 		ServiceTimeAt:  message.PaceAt,
 		FailureRatio:   message.Failed,
@@ -244,10 +244,10 @@
 		return server, fmt.Errorf("%w: server id %q has %d bytes, want 1 to %d",
 			ErrInvalidContent, server.ID, len(server.ID), maxIDLength)
 	}
-	numbersValid := areNonNegative(server.Started, server.ServiceTime, server.ServiceTimeAt, server.FailureRatio, server.FailureRatioAt)
+	numbersValid := areNonNegative(server.StartedAt, server.ServiceTime, server.ServiceTimeAt, server.FailureRatio, server.FailureRatioAt)
 	if !numbersValid || server.FailureRatio > 1 {
 		return server, fmt.Errorf("%w: server %q: started %g, service time %g at %g, failure ratio %g at %g, "+
-			"want finite non-negative numbers and a ratio of at most 1", ErrInvalidContent, server.ID, server.Started,
+			"want finite non-negative numbers and a ratio of at most 1", ErrInvalidContent, server.ID, server.StartedAt,
 			server.ServiceTime, server.ServiceTimeAt, server.FailureRatio, server.FailureRatioAt)
 	}
 	return server, nil
--- a/internal/state/snapshot/snapshot_test.go
+++ b/internal/state/snapshot/snapshot_test.go
@@ -20,7 +20,7 @@
 	for i := range servers {
 		server := snapshot.Server{
 			ID:             fmt.Sprintf("s-%08x", i),
-			Started:        float64(i % 3),
+			StartedAt:      float64(i % 3),
 			ServiceTime:    0.01,
 			ServiceTimeAt:  990,
 			FailureRatio:   0.2,
@@ -147,7 +147,7 @@
 	require.Equal(t, &snapshot.Snapshot{
 		WrittenAt: 1000.5, Instance: "broker-1", SettingsFingerprint: 0xfeedc0ffee, ServiceTime: 0.021, PeakThroughput: 48.5,
 		Servers: []snapshot.Server{
-			{ID: "server-a", Started: 12.25, ServiceTime: 0.02, ServiceTimeAt: 999, FailureRatio: 0.125, FailureRatioAt: 998.5,
+			{ID: "server-a", StartedAt: 12.25, ServiceTime: 0.02, ServiceTimeAt: 999, FailureRatio: 0.125, FailureRatioAt: 998.5,
 				LoadReport: decision.LoadReport{
 					InFlight: 3, QueueLength: 2, Utilization: 0.5, Latency: 0.09, Rate: 7, ErrorRate: 1,
 				}, LoadReportedAt: 997},
