--- a/internal/admin/commandreader.go
+++ b/internal/admin/commandreader.go
@@ -11,7 +11,7 @@
 // Command is a command of an operator.
 type Command int
 
-// Commands.
+// Commands of the admin protocol.
 const (
 	CheckHealth Command = iota // report whether the process accepts clients
 	DumpMetrics                // return all metrics
--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Start starts all components.
+// Start runs each component that has a Run function in a goroutine of its own.
 func (a *Assembly) Start() {
 	for _, component := range a.components {
 		if component.Run == nil {
--- a/internal/harness/scale/configuration.go
+++ b/internal/harness/scale/configuration.go
@@ -71,11 +71,11 @@
 	if err != nil {
 		return nil, err
 	}
-	quiet, interval := quietDuration, publishInterval
+	quietPeriod, interval := quietDuration, publishInterval
 	if d.followerCount < brokerSizes[0] {
-		quiet, interval = quiet/smallSpeedup, interval/smallSpeedup
+		quietPeriod, interval = quietPeriod/smallSpeedup, interval/smallSpeedup
 	}
-	trafficReadings, err := d.measureTraffic(quiet, interval)
+	trafficReadings, err := d.measureTraffic(quietPeriod, interval)
 	if err != nil {
 		return nil, err
 	}
@@ -191,12 +191,12 @@
 }
 
 // measureTraffic measures a period without changes and then one with changes.
-func (d *distributionRun) measureTraffic(quiet, interval time.Duration) ([]Reading, error) {
+func (d *distributionRun) measureTraffic(quietPeriod, interval time.Duration) ([]Reading, error) {
 	before, err := d.takeSnapshot()
 	if err != nil {
 		return nil, err
 	}
-	time.Sleep(quiet)
+	time.Sleep(quietPeriod)
 	between, err := d.takeSnapshot()
 	if err != nil {
 		return nil, err
@@ -267,8 +267,8 @@
 	wall := to.takenAt.Sub(from.takenAt).Seconds()
 	var in, out, cpuTime, maxIn, maxOut, maxCPUTime float64
 	for i := range to.hubs {
-		hubIn := float64(to.hubs[i].In-from.hubs[i].In) / wall
-		hubOut := float64(to.hubs[i].Out-from.hubs[i].Out) / wall
+		hubIn := float64(to.hubs[i].BytesIn-from.hubs[i].BytesIn) / wall
+		hubOut := float64(to.hubs[i].BytesOut-from.hubs[i].BytesOut) / wall
 		hubCPUTime := micros(to.hubs[i].CPUTime-from.hubs[i].CPUTime) / wall
 		in, out, cpuTime = in+hubIn, out+hubOut, cpuTime+hubCPUTime
 		maxIn, maxOut, maxCPUTime = max(maxIn, hubIn), max(maxOut, hubOut), max(maxCPUTime, hubCPUTime)
--- a/internal/harness/scale/configuration_hub.go
+++ b/internal/harness/scale/configuration_hub.go
@@ -28,7 +28,8 @@
 // hubResponse reports the state of a hub and what it has used since its start.
 type hubResponse struct {
 	CPUTime             time.Duration `json:"Processor"` // of the process since its start
-	In, Out             int64         // bytes received and sent on its connections
+	BytesIn             int64         `json:"In"`        // received on its connections
+	BytesOut            int64         `json:"Out"`       // sent on its connections
 	Streams             int           // brokers connected now
 	Accepts             int           // connections accepted
 	MaxAcceptsPerSecond int           // connections accepted in the busiest second since the previous response
@@ -84,7 +85,7 @@
 		}
 	}
 	response.CPUTime = cpuTime()
-	response.In, response.Out = h.listener.in.Load(), h.listener.out.Load()
+	response.BytesIn, response.BytesOut = h.listener.bytesIn.Load(), h.listener.bytesOut.Load()
 	response.Accepts, response.MaxAcceptsPerSecond = h.listener.acceptCounts()
 	for _, broker := range h.hub.Status().Brokers {
 		if broker.GetConnected() {
@@ -100,7 +101,8 @@
 // countingListener counts accepted connections and the bytes received and sent on them.
 type countingListener struct {
 	net.Listener
-	in, out atomic.Int64
+	bytesIn  atomic.Int64
+	bytesOut atomic.Int64
 
 	mu      sync.Mutex
 	total   int         // connections accepted
@@ -145,12 +147,12 @@
 
 func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.listener.in.Add(int64(n))
+	c.listener.bytesIn.Add(int64(n))
 	return n, err
 }
 
 func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.listener.out.Add(int64(n))
+	c.listener.bytesOut.Add(int64(n))
 	return n, err
 }
--- a/internal/harness/scale/decision.go
+++ b/internal/harness/scale/decision.go
@@ -66,15 +66,15 @@
 // policyDriver drives a decision.Policy on virtual time. Queries arrive at a constant interval given by the target's rate,
 // parts are answered after a random service time, and the events of one batch interval are handled together.
 type policyDriver struct {
-	policy   *decision.Policy
-	rng      *rand.Rand
-	servers  int
-	parts    int
-	now      float64 // virtual time in seconds
-	nextID   decision.RequestID
-	number   int64 // number of the last query
-	pending  pendingAnswers
-	attempts map[decision.RequestID]int // number of attempts sent so far, by part
+	policy          *decision.Policy
+	rng             *rand.Rand
+	servers         int
+	parts           int
+	now             float64 // virtual time in seconds
+	nextID          decision.RequestID
+	lastQueryNumber int64
+	pending         pendingAnswers
+	attempts        map[decision.RequestID]int // number of attempts sent so far, by part
 
 	batches         int
 	sends           int
@@ -111,14 +111,14 @@
 
 // queryEvents returns the events of a new query over consecutive shards, starting at a random shard.
 func (d *policyDriver) queryEvents() []decision.Event {
-	d.number++
+	d.lastQueryNumber++
 	d.nextID++
-	events := []decision.Event{decision.Query{ID: d.nextID, Number: d.number, Parts: d.parts,
+	events := []decision.Event{decision.Query{ID: d.nextID, Number: d.lastQueryNumber, Parts: d.parts,
 		Deadline: d.now + 4*TargetLatency}}
-	first := d.rng.IntN(d.servers)
+	firstShard := d.rng.IntN(d.servers)
 	for i := range d.parts {
 		d.nextID++
-		events = append(events, decision.Part{ID: d.nextID, QueryNumber: d.number, Shard: (first + i) % d.servers,
+		events = append(events, decision.Part{ID: d.nextID, QueryNumber: d.lastQueryNumber, Shard: (firstShard + i) % d.servers,
 			Weight: 1 / float64(d.parts)})
 	}
 	return events
--- a/internal/harness/scale/membership.go
+++ b/internal/harness/scale/membership.go
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	meter := StartMeter()
-	steady, err := network.recordTraffic(steadyDuration)
+	steadyTraffic, err := network.recordTraffic(steadyDuration)
 	if err != nil {
 		return nil, err
 	}
@@ -66,10 +66,10 @@
 	memoryGrowth := memoryInUse() - before
 	readings := []Reading{
 		{"one view after a start at once", "s", max(convergenceTime, 0.001)},
-		{"bytes sent", "B/s a broker", steady.sentBytes},
-		{"bytes sent by the busiest", "B/s", steady.maxSentBytes},
-		{"datagrams sent", "1/s a broker", steady.sentDatagrams},
-		{"bytes received", "B/s a broker", steady.receivedBytes},
+		{"bytes sent", "B/s a broker", steadyTraffic.sentBytes},
+		{"bytes sent by the busiest", "B/s", steadyTraffic.maxSentBytes},
+		{"datagrams sent", "1/s a broker", steadyTraffic.sentDatagrams},
+		{"bytes received", "B/s a broker", steadyTraffic.receivedBytes},
 		{"processor", "µs a broker and second", used.CPUTime.Seconds() * 1e6 / brokerSeconds},
 		{"objects", "objects a broker and second", float64(used.Allocations) / brokerSeconds},
 		{"memory", "bytes a broker", max(memoryGrowth/float64(brokers), 1)},
--- a/internal/harness/scale/membership_faults.go
+++ b/internal/harness/scale/membership_faults.go
@@ -27,7 +27,7 @@
 	for _, number := range rack {
 		network.start(number)
 	}
-	rackRestored, err := network.runUntilConverged()
+	rackRestoreTime, err := network.runUntilConverged()
 	if err != nil {
 		return nil, err
 	}
@@ -39,7 +39,7 @@
 	return []Reading{
 		{"rack lost: one view", "s", rackLost.convergenceTime},
 		{"rack lost: bytes sent", "B/s a broker", rackLost.sentBytes},
-		{"rack back: one view", "s", max(rackRestored, 0.001)},
+		{"rack back: one view", "s", max(rackRestoreTime, 0.001)},
 		{"zone lost: one view", "s", zoneLost.convergenceTime},
 		{"zone lost: bytes sent", "B/s a broker", zoneLost.sentBytes},
 		{"zone lost: bytes sent by the busiest", "B/s", zoneLost.maxSentBytes},
@@ -106,14 +106,14 @@
 	}
 	isolated := func(node *virtualNode) bool { return node.region == TargetRegions-1 }
 	network.isLost = func(from, to *virtualNode) bool { return isolated(from) != isolated(to) }
-	during, err := network.recordTraffic(time.Duration(sizes.Of(axisPartition) * float64(time.Second)))
+	partitionTraffic, err := network.recordTraffic(time.Duration(sizes.Of(axisPartition) * float64(time.Second)))
 	if err != nil {
 		return nil, err
 	}
 	minority := summarizeViews(network.runningNodes(isolated))
 	majority := summarizeViews(network.runningNodes(func(node *virtualNode) bool { return !isolated(node) }))
 	network.isLost = func(_, _ *virtualNode) bool { return false }
-	healed, err := network.runUntilConverged()
+	healTime, err := network.runUntilConverged()
 	if err != nil {
 		return nil, err
 	}
@@ -122,9 +122,9 @@
 		{"fenced in the region", "share", minority.fenced / minority.nodes},
 		{"fenced elsewhere", "share", majority.fenced / majority.nodes},
 		{"known in the region", "brokers a view", minority.known / minority.nodes},
-		{"bytes sent", "B/s a broker", during.sentBytes},
-		{"bytes sent by the busiest", "B/s", during.maxSentBytes},
-		{"one view after the heal", "s", max(healed, 0.001)},
+		{"bytes sent", "B/s a broker", partitionTraffic.sentBytes},
+		{"bytes sent by the busiest", "B/s", partitionTraffic.maxSentBytes},
+		{"one view after the heal", "s", max(healTime, 0.001)},
 	}, nil
 }
 
--- a/internal/harness/scale/quantile.go
+++ b/internal/harness/scale/quantile.go
@@ -21,14 +21,14 @@
 
 // measureQuantile computes the fraction of parts that must be in time for TargetQuantile of the queries to be in time.
 func measureQuantile(sizes Sizes, _ uint64) ([]Reading, error) {
-	late := 1 - PartQuantile(int(sizes.Of(axisParts)), sizes.Of(axisMinCompleteness))
+	lateFraction := 1 - PartQuantile(int(sizes.Of(axisParts)), sizes.Of(axisMinCompleteness))
 	// A hedged part is late if both attempts are late. The hedge has only the time that remains after hedgeQuantile; its
 	// probability of being late is assumed to be that of a first attempt to exceed hedgeQuantile, which is conservative.
-	hedged := late / (1 - hedgeQuantile)
+	lateHedgedFraction := lateFraction / (1 - hedgeQuantile)
 	return []Reading{
-		{"quantile of a part", "share", 1 - late},
-		{"late parts", "parts in a million", late * 1e6},
-		{"late parts with a hedge", "parts in a million", math.Min(hedged, 1) * 1e6},
+		{"quantile of a part", "share", 1 - lateFraction},
+		{"late parts", "parts in a million", lateFraction * 1e6},
+		{"late parts with a hedge", "parts in a million", math.Min(lateHedgedFraction, 1) * 1e6},
 	}, nil
 }
 
--- a/internal/harness/scale/service.go
+++ b/internal/harness/scale/service.go
@@ -104,9 +104,9 @@
 // newRequest returns a request for consecutive shards, starting at a random shard.
 func (c *brokerCore) newRequest(id string, payload []byte, parts int, rng *rand.Rand) *broker.Request {
 	r := &broker.Request{ID: id, ReceivedAt: time.Now(), Timeout: serviceDeadline, Payload: payload}
-	first := rng.IntN(len(c.endpoints))
+	firstShard := rng.IntN(len(c.endpoints))
 	for i := range parts {
-		r.Parts = append(r.Parts, broker.Part{Shard: (first + i) % len(c.endpoints), Weight: 1 / float64(parts)})
+		r.Parts = append(r.Parts, broker.Part{Shard: (firstShard + i) % len(c.endpoints), Weight: 1 / float64(parts)})
 	}
 	return r
 }
--- a/internal/harness/scale/usage.go
+++ b/internal/harness/scale/usage.go
@@ -25,7 +25,7 @@
 	startedAt time.Time
 }
 
-// StartMeter starts a meter.
+// StartMeter returns a meter that measures from now on.
 func StartMeter() *Meter {
 	m := &Meter{}
 	runtime.ReadMemStats(&m.memory)
@@ -33,7 +33,7 @@
 	return m
 }
 
-// Stop returns the usage since the start.
+// Stop returns the usage since StartMeter.
 func (m *Meter) Stop() Usage {
 	used := Usage{CPUTime: cpuTime() - m.cpuTime, Wall: time.Since(m.startedAt)}
 	var now runtime.MemStats
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -17,7 +17,7 @@
 	Sent      atomic.Uint64 // attempts that were completely written to a record server
 }
 
-// Gauges holds current values.
+// Gauges holds the current values of the metrics of type gauge.
 type Gauges struct {
 	Queries   int // queries in flight
 	Endpoints int // record servers on the endpoint list
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -47,7 +47,7 @@
 // Decoder reads batches. It stores the numbered endpoint lists, which later messages refer to.
 type Decoder struct {
 	in            *bufio.Reader
-	line          int // number of the last line read, starting at 1
+	lineNumber    int // of the last line read, starting at 1
 	endpointLists [maxEndpointLists][]decision.Server
 	defined       [maxEndpointLists]bool // whether the list with this number has been received
 }
@@ -71,7 +71,7 @@
 	for {
 		line, err := d.readLine()
 		if errors.Is(err, io.EOF) {
-			return nil, &LineError{Line: d.line, Problem: "the input ends inside a batch"}
+			return nil, &LineError{Line: d.lineNumber, Problem: "the input ends inside a batch"}
 		}
 		if err != nil {
 			return nil, err
@@ -91,7 +91,7 @@
 	if err != nil && (line == "" || !errors.Is(err, io.EOF)) {
 		return "", err
 	}
-	d.line++
+	d.lineNumber++
 	return strings.TrimRight(line, "\r\n"), nil
 }
 
@@ -166,7 +166,7 @@
 func (d *Decoder) readServer() (decision.Server, error) {
 	line, err := d.readLine()
 	if err != nil {
-		return decision.Server{}, &LineError{Line: d.line, Problem: "the input ends inside a census"}
+		return decision.Server{}, &LineError{Line: d.lineNumber, Problem: "the input ends inside a census"}
 	}
 	f, err := d.parse(line)
 	if err != nil {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -30,10 +30,10 @@
 // fields holds the message and the name=value pairs of one line. The methods that read a field record the first error in err.
 // Their results are not valid after an error.
 type fields struct {
-	line    int               // number of the line, starting at 1
-	message string            // the first word of the line
-	values  map[string]string // by name
-	err     error             // the first error while reading a field
+	lineNumber int               // starting at 1
+	message    string            // the first word of the line
+	values     map[string]string // by name
+	err        error             // the first error while reading a field
 }
 
 // typicalMaxFields is the initial capacity for fields. Few messages have more.
@@ -45,7 +45,7 @@
 // parse splits a line into its message and fields. Errors are of type *LineError.
 func (d *Decoder) parse(line string) (*fields, error) {
 	message, rest, _ := strings.Cut(line, " ")
-	f := &fields{line: d.line, message: message, values: make(map[string]string, typicalMaxFields)}
+	f := &fields{lineNumber: d.lineNumber, message: message, values: make(map[string]string, typicalMaxFields)}
 	if message == "" {
 		return nil, f.lineError("expected a message name at the start of the line")
 	}
@@ -65,12 +65,12 @@
 
 // lineError returns an error that concerns the whole line.
 func (f *fields) lineError(problem string) error {
-	return &LineError{Line: f.line, Message: f.message, Problem: problem}
+	return &LineError{Line: f.lineNumber, Message: f.message, Problem: problem}
 }
 
 // fieldError returns an error that concerns one field.
 func (f *fields) fieldError(name, format string, args ...any) error {
-	return &LineError{Line: f.line, Message: f.message, Field: name, Problem: fmt.Sprintf(format, args...)}
+	return &LineError{Line: f.lineNumber, Message: f.message, Field: name, Problem: fmt.Sprintf(format, args...)}
 }
 
 // recordUnreadable records that the value of a field cannot be read, unless an error was recorded before.
