--- a/internal/workers/cores/configure_test.go
+++ b/internal/workers/cores/configure_test.go
@@ -24,7 +24,7 @@
 	recorded []decision.Event // ClassesChanged and Query
 	silent   bool
 	resume   chan struct{} // closed to unblock the loop
-	blocked  chan struct{} // receives when a tokenBlock blocks the loop
+	blocked  chan struct{} // receives a value when a TimerFired with tokenBlock blocks the loop
 	once     sync.Once
 }
 
@@ -68,8 +68,8 @@
 type recordingGroup struct {
 	*testing.T
 	*Group
-	deciders []*recordingDecider
-	next     atomic.Int64 // number of the latest query
+	deciders        []*recordingDecider
+	lastQueryNumber atomic.Int64
 }
 
 // newRecordingGroup starts a group that runs until the test ends.
@@ -83,17 +83,17 @@
 			return d
 		}}, nil)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	runDone := make(chan struct{})
 	go func() {
 		r.Group.Run(ctx)
-		close(ended)
+		close(runDone)
 	}()
 	t.Cleanup(func() {
 		cancel()
 		for _, d := range r.deciders {
 			d.unblock()
 		}
-		<-ended
+		<-runDone
 	})
 	return r
 }
@@ -111,7 +111,7 @@
 // query submits a query with a number of parts and the default deadline of its class.
 func (r *recordingGroup) query(parts int) answer {
 	a := make(answer, 1)
-	q := &broker.Request{ID: fmt.Sprint("q", r.next.Add(1)), TimeoutUnset: true, ReceivedAt: time.Now()}
+	q := &broker.Request{ID: fmt.Sprint("q", r.lastQueryNumber.Add(1)), TimeoutUnset: true, ReceivedAt: time.Now()}
 	for i := range parts {
 		q.Parts = append(q.Parts, broker.Part{Shard: i, Weight: 1 / float64(parts)})
 	}
@@ -136,14 +136,14 @@
 func TestWorkersApplyChangesAtomically(t *testing.T) {
 	const workers, changes, clients = 4, 60, 6
 	r := newRecordingGroup(t, workers, 0, false)
-	var running sync.WaitGroup
-	ended := make(chan struct{})
+	var wg sync.WaitGroup
+	stop := make(chan struct{})
 	var answered atomic.Int64
 	for range clients {
-		running.Go(func() {
+		wg.Go(func() {
 			for {
 				select {
-				case <-ended:
+				case <-stop:
 					return
 				default:
 					r.outcome(r.query(1))
@@ -158,8 +158,8 @@
 		require.Equal(t, float64(10+i), r.LongestDeadline().Seconds())
 		require.Eventually(t, func() bool { return answered.Load() > before+workers }, 5*time.Second, time.Millisecond)
 	}
-	close(ended)
-	running.Wait()
+	close(stop)
+	wg.Wait()
 	queries := 0
 	for _, d := range r.deciders {
 		deadline, changesSeen := settings(1, 0).Classes[0].Deadline, 0
@@ -179,12 +179,12 @@
 	require.Equal(t, answered.Load(), int64(queries))
 }
 
-// TestConcurrencyLimitChangesWithClasses checks that with one worker the classes and the concurrency limit change at one point
-// of its loop: queries submitted before the change are subject to the old limit.
+// TestConcurrencyLimitChangesWithClasses checks that with one worker the classes and the concurrency limit change at the same
+// point of its loop: queries submitted before the change are subject to the old limit.
 func TestConcurrencyLimitChangesWithClasses(t *testing.T) {
 	for _, c := range []struct {
 		name          string
-		limit         int // after the change, which starts at 2
+		limit         int // after the change; 2 before it
 		parts         int // of each query
 		before, after broker.Outcome
 	}{
@@ -196,7 +196,7 @@
 			require.NoError(t, r.Configure(broker.Change{Classes: classesWithDeadline(0.2), ConcurrencyLimit: 2}))
 			r.Notify(decision.TimerFired{Token: tokenBlock})
 			<-r.deciders[0].blocked
-			early := r.query(c.parts)
+			earlyAnswer := r.query(c.parts)
 			done := make(chan error, 1)
 			backlog := r.workers[0].broker.Backlog()
 			go func() {
@@ -204,11 +204,11 @@
 			}()
 			require.Eventually(t, func() bool { return r.workers[0].broker.Backlog() > backlog }, 5*time.Second,
 				time.Millisecond)
-			late := r.query(c.parts)
+			lateAnswer := r.query(c.parts)
 			r.deciders[0].unblock()
 			require.NoError(t, <-done)
-			require.Equal(t, c.before, r.outcome(early))
-			require.Equal(t, c.after, r.outcome(late))
+			require.Equal(t, c.before, r.outcome(earlyAnswer))
+			require.Equal(t, c.after, r.outcome(lateAnswer))
 		})
 	}
 }
@@ -234,8 +234,8 @@
 	require.False(t, r.limiter.TryAcquire(1))
 }
 
-// TestConfigureWithDeadWorker checks that neither a worker that panics during a change nor one that is already dead delays or
-// prevents it.
+// TestConfigureWithDeadWorker checks that a change is neither delayed nor prevented by a worker that panics during the change
+// or is already dead.
 func TestConfigureWithDeadWorker(t *testing.T) {
 	r := newRecordingGroup(t, 2, 2, true)
 	r.workers[0].broker.Notify(decision.TimerFired{Token: tokenBlock})
