--- a/internal/assembly/assembly.go
+++ b/internal/assembly/assembly.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// Start starts all components.
+// Start runs each component that has a Run function in a goroutine of its own.
 func (a *Assembly) Start() {
 	for _, component := range a.components {
 		if component.Run == nil {
@@ -88,12 +88,12 @@
 // stop cancels the component's context and waits until Run has returned.
 func (r runningComponent) stop(log *slog.Logger) {
 	r.cancel()
-	slow := time.NewTimer(slowStopTimeout)
-	defer slow.Stop()
+	slowTimer := time.NewTimer(slowStopTimeout)
+	defer slowTimer.Stop()
 	select {
 	case <-r.done:
 		return
-	case <-slow.C:
+	case <-slowTimer.C:
 		log.Warn("component slow to stop", "part", r.name)
 	}
 	<-r.done
--- a/internal/harness/scale/decision.go
+++ b/internal/harness/scale/decision.go
@@ -66,15 +66,15 @@
 // policyDriver drives a decision.Policy on virtual time. Queries arrive at a constant interval given by the target's rate,
 // parts are answered after a random service time, and the events of one batch interval are handled together.
 type policyDriver struct {
-	policy   *decision.Policy
-	rng      *rand.Rand
-	servers  int
-	parts    int
-	now      float64 // seconds
-	nextID   decision.RequestID
-	number   int64 // number of the last query
-	pending  pendingAnswers
-	attempts map[decision.RequestID]int // number of attempts sent so far, by part
+	policy          *decision.Policy
+	rng             *rand.Rand
+	servers         int
+	parts           int
+	now             float64 // virtual time in seconds
+	nextID          decision.RequestID
+	lastQueryNumber int64
+	pending         pendingAnswers
+	attempts        map[decision.RequestID]int // number of attempts sent so far, by part
 
 	batches         int
 	sends           int
@@ -83,15 +83,15 @@
 
 // pendingAnswer is the answer to a part that will arrive at a later virtual time.
 type pendingAnswer struct {
-	at       float64 // seconds
-	finished decision.AttemptFinished
+	arrivesAt float64 // virtual time in seconds
+	finished  decision.AttemptFinished
 }
 
 // pendingAnswers is a heap ordered by arrival time.
 type pendingAnswers []pendingAnswer
 
 func (p pendingAnswers) Len() int           { return len(p) }
-func (p pendingAnswers) Less(i, j int) bool { return p[i].at < p[j].at }
+func (p pendingAnswers) Less(i, j int) bool { return p[i].arrivesAt < p[j].arrivesAt }
 func (p pendingAnswers) Swap(i, j int)      { p[i], p[j] = p[j], p[i] }
 func (p *pendingAnswers) Push(v any)        { *p = append(*p, v.(pendingAnswer)) }
 func (p *pendingAnswers) Pop() any {
@@ -111,14 +111,14 @@
 
 // queryEvents returns the events of a new query over consecutive shards, starting at a random shard.
 func (d *policyDriver) queryEvents() []decision.Event {
-	d.number++
+	d.lastQueryNumber++
 	d.nextID++
-	events := []decision.Event{decision.Query{ID: d.nextID, Number: d.number, Parts: d.parts,
+	events := []decision.Event{decision.Query{ID: d.nextID, Number: d.lastQueryNumber, Parts: d.parts,
 		Deadline: d.now + 4*TargetLatency}}
-	first := d.rng.IntN(d.servers)
+	firstShard := d.rng.IntN(d.servers)
 	for i := range d.parts {
 		d.nextID++
-		events = append(events, decision.Part{ID: d.nextID, QueryNumber: d.number, Shard: (first + i) % d.servers,
+		events = append(events, decision.Part{ID: d.nextID, QueryNumber: d.lastQueryNumber, Shard: (firstShard + i) % d.servers,
 			Weight: 1 / float64(d.parts)})
 	}
 	return events
@@ -128,14 +128,14 @@
 // answered. The events of each step are passed to the policy as one batch.
 func (d *policyDriver) run(queries int) {
 	queryInterval := 1 / QueriesPerBroker(TargetBrokers)
-	next := d.now
+	nextQueryAt := d.now
 	for d.answeredQueries = 0; d.answeredQueries < queries; {
 		d.now += AssumedBatchInterval
 		var events []decision.Event
-		for len(d.pending) > 0 && d.pending[0].at <= d.now {
+		for len(d.pending) > 0 && d.pending[0].arrivesAt <= d.now {
 			events = append(events, heap.Pop(&d.pending).(pendingAnswer).finished)
 		}
-		for ; next <= d.now; next += queryInterval {
+		for ; nextQueryAt <= d.now; nextQueryAt += queryInterval {
 			events = append(events, d.queryEvents()...)
 		}
 		if len(events) > 0 {
@@ -185,8 +185,8 @@
 	}
 }
 
-func measureDecision(at Sizes, seed uint64) ([]Reading, error) {
-	servers, parts := int(at.Of(axisServers)), int(at.Of(axisParts))
+func measureDecision(sizes Sizes, seed uint64) ([]Reading, error) {
+	servers, parts := int(sizes.Of(axisServers)), int(sizes.Of(axisParts))
 	before := memoryInUse()
 	d := newPolicyDriver(servers, parts, seed)
 	d.run(warmUpQueries)
@@ -200,11 +200,11 @@
 	used := meter.Stop()
 	batches, sends = d.batches-batches, d.sends-sends
 	memoryGrowth := memoryInUse() - before
-	emptyBatch := emptyBatchTime(d)
+	emptyBatchMicros := emptyBatchTime(d)
 	microsPerQuery := used.CPUTime.Seconds() * 1e6 / float64(queries)
 	return []Reading{
 		{"processor a query", "µs", microsPerQuery},
-		{"processor an empty batch", "µs", emptyBatch},
+		{"processor an empty batch", "µs", emptyBatchMicros},
 		{"allocated a query", "bytes", float64(used.AllocatedBytes) / float64(queries)},
 		{"objects a query", "objects", float64(used.Allocations) / float64(queries)},
 		{"sends a part", "sends", float64(sends) / float64(queries) / float64(parts)},
--- a/internal/state/checkpoint/checkpoint.go
+++ b/internal/state/checkpoint/checkpoint.go
@@ -87,9 +87,9 @@
 	rng     *rand.Rand
 	now     func() float64
 
-	collectorMu sync.Mutex // guards collector; held while a batch of events is collected, never during I/O
-	collector   *recovery.Collector
-	restored    *snapshot.Snapshot // state of the previous process; nil if there was none or it was unusable
+	collectorMu   sync.Mutex // guards collector; held while a batch of events is collected, never during I/O
+	collector     *recovery.Collector
+	restoredState *snapshot.Snapshot // state of the previous process; nil if there was none or it was unusable
 
 	folderMu          sync.Mutex // guards the following fields and the folder; held during I/O
 	lockFile          *os.File   // holds the folder lock; nil: not held by this process
@@ -121,15 +121,15 @@
 	log := s.options.Log
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
-		log.Info("no saved state, starting blank", "folder", s.options.Folder)
+		log.Info("no saved state, starting with empty state", "folder", s.options.Folder)
 	case err != nil && locked:
 		s.quarantine(err)
 	case err != nil:
-		log.Warn("saved state unusable, starting blank", "error", err)
+		log.Warn("saved state unusable, starting with empty state", "error", err)
 	case recovery.CheckAge(saved, s.now()) != nil:
-		log.Info("saved state too old, starting blank", "error", recovery.CheckAge(saved, s.now()))
+		log.Info("saved state rejected by its age, starting with empty state", "error", recovery.CheckAge(saved, s.now()))
 	default:
-		s.restored = saved
+		s.restoredState = saved
 		log.Info("saved state restored", "servers", len(saved.Servers), "age", fmt.Sprintf("%.1f s", s.now()-saved.WrittenAt))
 	}
 }
@@ -152,7 +152,7 @@
 	path := filepath.Join(s.options.Folder, FileName)
 	quarantinePath := filepath.Join(s.options.Folder, QuarantineName)
 	moved := s.options.Files.Rename(path, quarantinePath) == nil
-	s.options.Log.Warn("saved state unusable, starting blank", "error", reason, "quarantine", quarantinePath, "moved", moved)
+	s.options.Log.Warn("saved state unusable, starting with empty state", "error", reason, "quarantine", quarantinePath, "moved", moved)
 }
 
 // removeTemporaryFiles removes the temporary files of writers that were killed during a save. The caller holds the folder lock.
@@ -277,9 +277,9 @@
 		switch e := e.(type) {
 		case decision.EndpointUpdate:
 			s.collector.UpdateEndpoints(e)
-			if !*restored && len(e.Servers) > 0 && s.restored != nil {
+			if !*restored && len(e.Servers) > 0 && s.restoredState != nil {
 				*restored = true
-				events = append(events, recovery.Restore(s.restored, e.Servers, now)...)
+				events = append(events, recovery.Restore(s.restoredState, e.Servers, now)...)
 			}
 		case decision.AttemptFinished:
 			s.collector.RecordOutcome(now, e.Server, e.Status, e.Latency, e.LoadReport)
