--- a/internal/controlplane/raftlog/record.go
+++ b/internal/controlplane/raftlog/record.go
@@ -87,9 +87,9 @@
 		return nil, fmt.Errorf("%w: record %s/%x has %d bytes, want at least %d", ErrCorrupt, bucket, key, len(record), checksumBytes)
 	}
 	payload := record[:len(record)-checksumBytes]
-	if binary.BigEndian.Uint64(record[len(payload):]) != checksum(bucket, key, payload) {
-		return nil, fmt.Errorf("%w: record %s/%x has checksum %x, want %x", ErrCorrupt, bucket, key, checksum(bucket, key, payload),
-			binary.BigEndian.Uint64(record[len(payload):]))
+	found, want := checksum(bucket, key, payload), binary.BigEndian.Uint64(record[len(payload):])
+	if found != want {
+		return nil, fmt.Errorf("%w: record %s/%x has checksum %x, want %x", ErrCorrupt, bucket, key, found, want)
 	}
 	return payload, nil
 }
--- a/internal/controlplane/revision/snapshot.go
+++ b/internal/controlplane/revision/snapshot.go
@@ -110,8 +110,9 @@
 		return nil, fmt.Errorf("%w: the state has %d bytes, want %d", ErrTruncated, len(body), length)
 	case uint64(len(body)) > length:
 		return nil, fmt.Errorf("%w: %d bytes after the end of the state", ErrCorrupt, uint64(len(body))-length)
-	case xxhash.Sum64(body) != checksum:
-		return nil, fmt.Errorf("%w: the state has checksum %x, want %x", ErrCorrupt, xxhash.Sum64(body), checksum)
+	}
+	if found := xxhash.Sum64(body); found != checksum {
+		return nil, fmt.Errorf("%w: the state has checksum %x, want %x", ErrCorrupt, found, checksum)
 	}
 	return body, nil
 }
